--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -1,5 +1,5 @@
-/* The leading entry: taking the lead and its turns.  What it writes down is in
-   jobsd/leader_append.c, the connections to the guards in
+/* The leading entry: taking leadership and planning rounds.  What it appends
+   to the log is in jobsd/leader_append.c, the connections to the guards in
    jobsd/leader_links.c.  */
 
 #include "jobsd/leader_private.h"
@@ -9,21 +9,25 @@
 #include "base/log.h"
 #include "jobs/fields.h"
 
-/* Without a record for so long, and for a few times the usual duration
-   between two, others try to lead: a leader in a slow store or on a slow VM
-   keeps it.  Work that is due within 1.5 s waits for a new leader.  */
+/* Time without a record after which others try to take over: SILENCE_TIME plus
+   SILENCE_GAPS times the average time between two records.  The second part
+   lets a leader with a slow store or on a slow VM keep leadership.  Work that
+   is due within 1.5 s waits for a new leader.  */
 #define SILENCE_TIME (700 * GP_MSEC)
 #define SILENCE_GAPS 4
-/* Executors that are silent or leave are found so late; the times that follow
-   are seconds.  */
+/* Interval between checks for executors that are silent or draining; short
+   against the times that follow, which are seconds.  */
 #define LOOK_TIME (50 * GP_MSEC)
-/* Weight of the last duration in the mean, and the most that one counts.  */
+/* Weight of the last duration in the moving average, and the upper bound of
+   one duration.  */
 #define GAP_GAIN 0.2
 #define GAP_MAX (500 * GP_MSEC)
-/* Others wait this much longer by turns, so that two seldom try at once.  */
+/* Followers wait up to this much longer, depending on their node's name, so
+   that two seldom claim at once.  */
 #define SILENCE_SPREAD (400 * GP_MSEC)
-/* A leader that another writer has deposed by a record that cannot be read
-   lets the others go first: they still know what that record stands for.  */
+/* An entry that lost leadership, possibly to an unreadable record of another
+   writer, waits this much longer than the others: they have not reset their
+   books and may still know what that record replaced.  */
 #define FORGOT_TIME SILENCE_TIME
 
 static gp_time_t
@@ -38,7 +42,7 @@
   gp_deferred_schedule (&leader->turn, leader->loop);
 }
 
-/* Turns.  */
+/* Planning rounds.  */
 
 static gp_time_t
 next_look (const gp_leader_t *leader)
@@ -50,7 +54,7 @@
   return MAX (MIN (at, leader->look_due), now_of (leader) + GP_MSEC);
 }
 
-/* All executors are looked at, so not in each turn.  */
+/* Scans all executors, so it is not done in each round.  */
 static void
 look_after_executors (gp_leader_t *leader)
 {
@@ -68,8 +72,8 @@
   if (leader->role != GP_LEADER_LEADING)
     return;
   look_after_executors (leader);
-  /* While an append is on its way nothing new can be written: what comes
-     meanwhile is decided on together.  */
+  /* While an append is in flight nothing new can be written: what arrives in
+     the meantime is decided on together.  */
   if (leader->batch == NULL && !leader->stopping)
     gp_scheduler_plan (&leader->scheduler, now_of (leader),
                        gp_time_wall_ms ());
@@ -86,10 +90,10 @@
     gp_leader_turn_soon (leader);
 }
 
-/* The lead.  */
+/* Leadership.  */
 
-/* Decide on what came for jobs before this process led: cancellations, and
-   progress that another writer has made unreadable.  */
+/* Handle what arrived for jobs before this process led: cancellations, and
+   progress records that another writer has made unreadable.  */
 static void
 take_over_jobs (gp_leader_t *leader)
 {
@@ -112,7 +116,7 @@
 {
   leader->role = GP_LEADER_LEADING;
   leader->epoch = epoch;
-  /* It gives nothing any more by a lead of its own that was lost.  */
+  /* A leadership of this node that was lost renews no more leases.  */
   gp_grants_ended (&leader->grants, leader->node, now_of (leader));
   gp_log (GP_LOG_INFO, "lead.taken", GP_LOG_I ("epoch", epoch),
           GP_LOG_I ("jobs", g_hash_table_size (leader->book->jobs)),
@@ -149,7 +153,7 @@
   leader->position = position;
   if (!ready || leader->stopping)
     return;
-  /* Where nobody leads, nothing has to be waited for.  */
+  /* If there is no leader, there is no silence to wait for.  */
   if (silence_time (leader) > 0 && sent_at < gp_leader_claim_at (leader))
     return;
   gp_leader_claim (leader);
@@ -161,14 +165,14 @@
   leader->heard_at = now_of (leader);
 }
 
-/* A record was read.  */
+/* Update the time of the last record and the average time between records.  */
 static void
 note_heard (gp_leader_t *leader)
 {
   gp_time_t now = now_of (leader);
   gp_time_t gap = MIN (now - leader->heard_at, GAP_MAX);
 
-  /* Records of one read come at once.  */
+  /* All records of one read arrive at the same time.  */
   if (gap > 0)
     leader->heard_gap
         += (gp_time_t)((double)(gap - leader->heard_gap) * GAP_GAIN);
@@ -203,7 +207,7 @@
   leader->led = true;
   if (here)
     gp_leader_outnumber (leader, leadership->incarnation);
-  /* An earlier process of this VM has ended, as this one runs.  */
+  /* An earlier process of this VM must have ended, as this one runs.  */
   leader->resigned = leadership->resigned || (here && !own);
   if (!own)
     leader->forgot = false;
@@ -212,8 +216,9 @@
     gp_grants_ended (&leader->grants, leadership->node, now_of (leader));
 }
 
-/* Who leads cannot be read: somebody may, who is given the time of silence
-   once.  More of such records put no claim off.  */
+/* The leader's record cannot be read, so there may be a leader: it is
+   given the silence time once.  Further records of this kind do not delay
+   a claim.  */
 static void
 on_leadership_refused (gp_leader_t *leader)
 {
@@ -233,9 +238,9 @@
          && strcmp (executor, place->executor) == 0;
 }
 
-/* An executor lives on one VM.  Where records place it on two, one of them is
-   another writer's: the new one is left out, and until a guard reports the
-   executor neither proves its death.  */
+/* An executor runs on one VM only.  If records place it on two, one of them is
+   from another writer: the new one is left out, and until a guard reports the
+   executor neither record is taken as proof of its death.  */
 static bool
 on_place (gp_leader_t *leader, const char *node, const Gp__Jobs__Place *record,
           GError **error)
@@ -247,15 +252,16 @@
       != NULL)
     {
       g_hash_table_add (leader->disputed, g_strdup (executor));
-      return gp_field_fail (error, "executor", "stands on another VM");
+      return gp_field_fail (error, "executor",
+                            "recorded on another VM already");
     }
   g_hash_table_replace (leader->places, g_strdup (node), g_strdup (executor));
   gp_book_executor (leader->book, executor)->born_ms = record->born_ms;
   return true;
 }
 
-/* Take in a record that was decoded; false and ERROR when it does not fit
-   what is known.  */
+/* Apply a decoded record; returns false and sets ERROR if it does not fit the
+   current state.  */
 static bool
 take_record (gp_leader_t *leader, gp_record_t *record, gp_book_place_t place,
              GError **error)
@@ -286,7 +292,7 @@
   return true;
 }
 
-/* What a record means that cannot be read, by its key.  */
+/* Handle an unreadable record according to its key.  */
 static void
 refuse_record (gp_leader_t *leader, const gp_record_t *record,
                gp_book_place_t place)
@@ -307,7 +313,7 @@
   GError *error = NULL;
 
   gp_grants_read (&leader->grants, record->offset, now_of (leader));
-  /* A key was dropped.  */
+  /* The key was deleted.  */
   if (record->value_size == 0)
     return;
   if (!gp_record_parse_progress (&decoded, record->key, record->key_size,
@@ -359,7 +365,7 @@
     gp_leader_flush (leader);
 }
 
-/* Life.  */
+/* Initialization.  */
 
 void
 gp_leader_init (gp_leader_t *leader, gp_loop_t *loop,
@@ -377,7 +383,7 @@
   leader->on_deposed = on_deposed;
   leader->data = data;
   gp_grants_init (&leader->grants);
-  /* Earlier processes here have ended.  */
+  /* Earlier processes on this node have ended.  */
   gp_grants_announced (&leader->grants, node, leader->incarnation, 0,
                        gp_loop_now (loop));
   gp_pressure_init (&leader->pressure);
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -1,20 +1,21 @@
-/* The leading entry: the one process that assigns runs.
+/* The leading entry: the one process that assigns runs to executors.
 
-   Any entry may lead.  The lead is taken by an append to the progress topic
-   that is refused unless the topic ends where its writer has read to, and
-   each later append has the same condition; so whoever appends next ends the
-   lead of the one before, and all that a leader decided is on the log or
-   never happened.  The offset of the record that took the lead is the epoch.
+   Any entry can become the leader.  Leadership is taken by a conditional
+   append to the progress topic: it is refused unless the topic still ends at
+   the offset up to which the writer has read.  Every later append has the same
+   condition, so the next process that appends ends the leadership of the one
+   before it, and each decision of a leader is either on the log or has no
+   effect.  The offset of the record that took leadership is the epoch.
 
-   Orders leave only after the append that holds their reason was
-   acknowledged.  An append without an answer is repeated with the same bytes
-   and the same condition until its fate is known.
+   Orders are sent only after the append that records their reason was
+   acknowledged.  An append that gets no answer is repeated with the same bytes
+   and the same condition until its outcome is known.
 
-   A guard's reports are leases: each one that is acknowledged lets the
-   executor work for GP_AGENT_LEASE_TIME more.  A leader acknowledges while
-   its own last append is at most GP_GRANTS_TERM_TIME old, and not once it has
-   begun to resign.  Until when others may have given leases is in
-   jobs/grants.h.  */
+   A guard's reports renew its executor's lease: each acknowledged report lets
+   the executor work for another GP_AGENT_LEASE_TIME.  A leader acknowledges
+   reports only while its own last acknowledged append is at most
+   GP_GRANTS_TERM_TIME old, and not after it has begun to resign.  How long
+   other leaders may still have renewed leases is tracked in jobs/grants.h.  */
 
 #ifndef GP_JOBSD_LEADER_H
 #define GP_JOBSD_LEADER_H
@@ -31,13 +32,13 @@
 typedef enum
 {
   GP_LEADER_FOLLOWING,
-  GP_LEADER_CLAIMING, /* the append that takes the lead is on its way */
+  GP_LEADER_CLAIMING, /* append that takes leadership is in flight */
   GP_LEADER_LEADING
 } gp_leader_role_t;
 
 typedef struct gp_leader gp_leader_t;
 
-/* The connection to one guard.  */
+/* The leader's connection to the guard of one VM.  */
 typedef struct
 {
   gp_leader_t *leader;
@@ -46,22 +47,22 @@
   char *zone; /* availability zone of the VM */
   gp_peer_t *peer;
   gp_timer_t redial;
-  gp_job_executor_t *executor; /* the one on the VM, NULL: none known */
-  gp_time_t reported_at;       /* the last report came, or it was dialled */
-  gp_time_t obeyed_at;         /* the first report to this leader came, 0: none
-                                  yet */
-  gp_time_t report_sent_at;    /* the last report left, on the guard's clock */
-  uint64_t sync;               /* number of the last sync sent or being sent */
-  bool wants_sync;             /* the guard has to be told all its runs */
-  gp_time_t synced_at;         /* the last sync was made, or sent */
-  bool sees_executor;          /* the guard's last report names one */
-  bool silent; /* the executor's lease has run out and it does not answer, or
+  gp_job_executor_t *executor; /* the executor on the VM, NULL if unknown */
+  gp_time_t reported_at; /* last report received, or connection attempt */
+  gp_time_t obeyed_at; /* first report to this leader received; 0: none yet */
+  gp_time_t report_sent_at; /* last report sent, on the guard's clock */
+  uint64_t sync;            /* number of the last sync sent or queued */
+  bool wants_sync;     /* the guard has to be sent the full list of its runs */
+  gp_time_t synced_at; /* the last sync was built, or sent */
+  bool sees_executor;  /* the guard's last report names an executor */
+  bool silent; /* the executor's lease has expired and it does not answer, or
                   it has ended */
-  gp_time_t taught_at; /* the guard was told the pressures last */
-  guint taught_images; /* images that fill that it was told */
-  GPtrArray *lacking;  /* ids of jobs, owned, whose specification the guard
-                          is to be sent */
-  bool up;             /* it reports */
+  gp_time_t taught_at; /* interference weights were last sent to the guard */
+  guint taught_images; /* number of entries of leader->fillings sent to the
+                          guard */
+  GPtrArray *lacking;  /* ids, owned, of jobs whose specification the guard has
+                          to be sent */
+  bool up;             /* the guard reports on this connection */
 } gp_link_t;
 
 struct gp_leader
@@ -73,52 +74,61 @@
   const gp_operator_feed_t *operators;
   uint64_t incarnation;
   gp_scheduler_t scheduler;
-  gp_pressure_t pressure; /* learned from the guards' reports */
-  GPtrArray *fillings;    /* images that fill, owned, in the order in which
-                             guards are told of them */
-  GHashTable *links;      /* node to gp_link_t, owned */
-  GHashTable *places;     /* node to id of its executor, owned */
-  GHashTable *disputed;   /* ids that records place on two VMs, owned: until
-                             a guard reports one, its place proves nothing */
-  gp_spec_spread_t specs; /* what the guards hold */
-  GPtrArray *drops;       /* ids of jobs whose progress goes, owned */
-  GHashTable *new_places; /* key to record, owned: not yet written */
+  gp_pressure_t pressure; /* interference model, learned from the guards'
+                             reports */
+  GPtrArray *fillings;  /* images of filling runs, owned, in the order in which
+                           they are sent to guards */
+  GHashTable *links;    /* node to gp_link_t, owned */
+  GHashTable *places;   /* node to id of its executor, owned */
+  GHashTable *disputed; /* ids, owned, of executors that records place on two
+                           VMs: until a guard reports such an executor, its
+                           place is not taken as proof of a replacement */
+  gp_spec_spread_t specs; /* which guards hold which specifications */
+  GPtrArray *drops; /* ids, owned, of jobs whose progress records are to be
+                       deleted */
+  GHashTable *new_places; /* key to place record, owned, not written yet */
   gp_leader_role_t role;
   uint64_t epoch;
-  uint64_t position; /* the progress topic's end, as far as known */
+  uint64_t position; /* end offset of the progress topic, as far as known */
   uint64_t beat;
   uint64_t sync_count;
-  gp_time_t confirmed_at; /* sending of the last acknowledged append */
-  gp_grants_t grants;     /* leases that others may have given */
-  gp_time_t heard_at;     /* the last record of another leader was read */
-  gp_time_t heard_gap;    /* mean duration between such reads */
-  bool resigned;          /* the last leader's record says so */
-  bool led;               /* there was a leader's record at all */
-  bool forgot;            /* it threw its book away, and no other has led
-                             since */
-  GByteArray *batch;      /* the append in progress */
+  gp_time_t confirmed_at; /* send time of the last acknowledged append */
+  gp_grants_t grants;  /* until when other leaders may have renewed leases */
+  gp_time_t heard_at;  /* last readable record of the topic read while
+                          following */
+  gp_time_t heard_gap; /* moving average of the time between such reads */
+  bool resigned;       /* the last leader's record says that it resigned */
+  bool led;            /* a leader's record has been read */
+  bool forgot; /* this entry lost leadership and reset its book, and no other
+                  entry has led since */
+  GByteArray *batch; /* the append in progress */
   unsigned batch_records;
-  GArray *batch_states;     /* of the jobs in it, see jobsd/leader.c */
-  gp_time_t batch_began_at; /* its first sending, also if that was refused */
-  gp_time_t batch_leases_from; /* the lead that it confirms, and leases by
-                                  that, count from then: its first sending that
-                                  may have been carried out */
-  bool doubtful;               /* it went unanswered once */
-  bool resigning;              /* it gives the lead up */
+  GArray *batch_states;        /* batch_state_t of the jobs in the batch */
+  gp_time_t batch_began_at;    /* first attempt to send the batch, also if that
+                                  was refused */
+  gp_time_t batch_leases_from; /* the leadership that the batch confirms,
+                                  and leases based on that, count from
+                                  here: the first attempt that may have
+                                  been carried out */
+  bool doubtful;  /* an attempt to append the batch got no answer */
+  bool resigning; /* the batch gives leadership up */
   gp_platform_store_call_t *call;
-  GPtrArray *frames; /* gp_leader_frame_t, to be sent when it is done */
+  GPtrArray *frames; /* frame_t of leader_frames.c, sent when the append is
+                        done */
   gp_time_t heartbeat_due;
-  gp_time_t look_due;    /* executors are looked after then */
-  gp_time_t learned_due; /* what was learned is to be written down then */
+  gp_time_t look_due;    /* next check of all executors */
+  gp_time_t learned_due; /* next write of the learned model */
   gp_timer_t timer;
   gp_timer_t retry;
   gp_deferred_t turn;
   bool stopping;
-  /* The lead was lost, or (CLAIMED) not won.  A book that was led has to be
-     read anew; one that was not is still what the log says.  */
+  /* Leadership was lost or, if CLAIMED, the attempt to take it failed.
+     The book of an entry that has led has to be reloaded, as it contains
+     decisions that are not on the log; that of one that has not still
+     matches the log.  */
   void (*on_deposed) (bool claimed, void *data);
   void *data;
-  gp_refusals_t refusals; /* of the whole entry */
+  gp_refusals_t refusals; /* of the whole entry, not only of the leader */
 };
 
 void gp_leader_init (gp_leader_t *leader, gp_loop_t *loop,
@@ -128,45 +138,48 @@
                      void *data);
 void gp_leader_finish (gp_leader_t *leader);
 
-/* A process of this VM has had the number INCARNATION.  Numbers are read off
-   the time of day, which may jump back between two starts; others take the
-   word of a lower one for that of a process that has ended.  Returns whether a
-   higher number than it was taken, which has to be announced.  */
+/* Another process of this VM has used INCARNATION.  Incarnations are read from
+   the wall clock, which may step back between two starts, and other entries
+   take a record with a lower incarnation as that of a process that has ended.
+   Returns whether a higher incarnation was chosen, which then has to be
+   announced.  */
 bool gp_leader_outnumber (gp_leader_t *leader, uint64_t incarnation);
 
 /* The entry on NODE has announced itself, see gp_grants_announced.  */
 void gp_leader_announced (gp_leader_t *leader, const char *node,
                           uint64_t incarnation, uint64_t ceased);
 
-/* A record of the progress topic was read (while following), also one that
-   drops a key; LOADING: it is the newest of its key, and those before it were
-   not read.  */
+/* A record of the progress topic was read while following, possibly a deletion
+   of a key.  LOADING: it is the newest record of its key, and earlier ones
+   were not read.  */
 void gp_leader_record (gp_leader_t *leader,
                        const gp_platform_store_record_t *record, bool loading);
-/* All up to POSITION was read, by a read sent at SENT_AT.  READY: the jobs
-   are known as well, so that the lead may be taken.  */
+/* The topic was read up to offset POSITION by a read sent at SENT_AT.  READY:
+   the jobs are known as well, so leadership may be claimed.  */
 void gp_leader_fresh (gp_leader_t *leader, uint64_t position,
                       gp_time_t sent_at, bool ready);
-/* When this follower tries to lead unless it hears the leader before.  */
+/* When this follower claims leadership unless a record of the leader arrives
+   before.  */
 gp_time_t gp_leader_claim_at (const gp_leader_t *leader);
-/* The store answers again: an append that may hang is made again.  */
+/* The store answers again: repeat an append that may hang.  */
 void gp_leader_retry (gp_leader_t *leader);
-/* The progress topic could not be read for a while: silence says nothing.  */
+/* The progress topic could not be read for a while: restart the time without a
+   leader's record, which says nothing about the leader then.  */
 void gp_leader_deaf (gp_leader_t *leader);
 
 /* The guard of NODE, in availability zone ZONE, is reached at ADDRESS.  */
 void gp_leader_guard (gp_leader_t *leader, const char *node,
                       const char *address, const char *zone);
-/* Availability zones were evacuated or taken back.  */
+/* The set of evacuated availability zones has changed.  */
 void gp_leader_zones_changed (gp_leader_t *leader);
-/* JOB has come or was cancelled.  */
+/* JOB was submitted or cancelled.  */
 void gp_leader_job (gp_leader_t *leader, gp_job_t *job);
 
-/* Drop the progress of jobs that ended before WALL_MS with the next append,
-   and forget them.  */
+/* With the next append, delete the progress records of jobs that ended before
+   WALL_MS, and forget these jobs.  */
 void gp_leader_drop_progress (gp_leader_t *leader, int64_t wall_ms);
 
-/* Give the lead up; ends when what is on its way is done.  */
+/* Give leadership up, once the append in flight is done.  */
 void gp_leader_resign (gp_leader_t *leader);
 
 #endif
--- a/src/jobsd/leader_append.c
+++ b/src/jobsd/leader_append.c
@@ -1,5 +1,5 @@
-/* What the leader writes down: one append at a time, whose fate is found out
-   before the next.  */
+/* The leader's appends to the progress topic: one at a time, whose outcome is
+   determined before the next one starts.  */
 
 #include "jobsd/leader_private.h"
 
@@ -11,14 +11,14 @@
 
 #define APPEND_TIME (GP_SEC)
 #define APPEND_RETRY_TIME (60 * GP_MSEC)
-/* An append that takes longer counts as put off: what it orders begins behind
-   it, and not when it was decided.  */
+/* An append that takes longer counts as delayed: the runs that it orders are
+   timed from its end, not from when they were decided.  */
 #define SLOW_APPEND_TIME (200 * GP_MSEC)
 
 static gp_histogram_t append_time = GP_HISTOGRAM (
     "progress_append", "From the first sending of an append to its end");
 
-/* The state of a job as the append in progress has it.  */
+/* The state of a job as written by the append in progress.  */
 typedef struct
 {
   gp_job_t *job;
@@ -43,8 +43,8 @@
   leader->batch_records++;
 }
 
-/* Each batch ends with the leader's record, by which its writer is known
-   again when an append went unanswered.  */
+/* Each batch ends with the leader's record.  It identifies the writer when an
+   append got no answer and its outcome is looked up.  */
 static void
 add_leadership (gp_leader_t *leader, bool resigned)
 {
@@ -120,7 +120,7 @@
   leader->doubtful = false;
 }
 
-/* Callers may be told now what was written.  */
+/* From now on callers may be shown the states that were written.  */
 static void
 note_recorded (gp_leader_t *leader)
 {
@@ -133,9 +133,9 @@
     }
 }
 
-/* The orders of the append leave now.  Where it was put off, what was decided
-   with it begins behind it: a store that is silent and one that refuses do the
-   same to it.  */
+/* The orders of the append are sent now.  If it was delayed, the runs that
+   were decided with it are timed from its end; it makes no difference whether
+   the store did not answer or refused.  */
 static void
 note_ordered (gp_leader_t *leader)
 {
@@ -188,8 +188,8 @@
   gp_leader_drop_links (leader);
   gp_scheduler_reset (&leader->scheduler);
   g_hash_table_remove_all (leader->new_places);
-  /* They are read anew with the book: one that was never written down must
-     not count as written when this entry leads again.  */
+  /* Places are reloaded with the book: one that was never written must not
+     count as written when this entry leads again.  */
   if (!claimed)
     g_hash_table_remove_all (leader->places);
   g_ptr_array_set_size (leader->drops, 0);
@@ -218,8 +218,8 @@
 static void append (gp_leader_t *leader);
 static void check_append (gp_leader_t *leader);
 
-/* Has another process appended that it leads?  A record of it that cannot be
-   read may say so.  */
+/* Does ANSWER contain a leader's record of another process?  One that cannot
+   be read counts as well.  */
 static bool
 has_other_leader (const gp_platform_store_answer_t *answer)
 {
@@ -229,8 +229,8 @@
   return false;
 }
 
-/* Another writer has put RECORD in place of what is kept under its key: that
-   is written down again, for entries that start later.  */
+/* RECORD of another writer replaces what the leader had written under its key:
+   write that again, for entries that start later.  */
 static void
 mend_record (gp_leader_t *leader, const gp_platform_store_record_t *record)
 {
@@ -251,9 +251,9 @@
   g_free (key);
 }
 
-/* Records that are nobody's who leads have come between: another writer's.
-   They end no lead; the append is made again behind them.  One at the place
-   before can't succeed any more.  */
+/* The records in between are from a writer that is not a leader.  They do not
+   end leadership; the append is repeated after them.  An earlier attempt at
+   the previous offset cannot succeed any more.  */
 static void
 append_behind (gp_leader_t *leader, const gp_platform_store_answer_t *answer)
 {
@@ -269,7 +269,8 @@
     append (leader);
 }
 
-/* After a conflict: what stands there?  It may be our own append.  */
+/* After a conflict: the records at the expected offset were read.  They may be
+   this process's own append.  */
 static void
 on_checked (const gp_platform_store_answer_t *answer, void *data)
 {
@@ -279,7 +280,8 @@
   leader->call = NULL;
   if (answer->result == GP_PLATFORM_STORE_FORGOTTEN)
     {
-      depose (leader, "its append cannot be read any more");
+      depose (leader,
+              "the log has dropped the records at its append's offset");
       return;
     }
   if (answer->result != GP_PLATFORM_STORE_DONE)
@@ -291,7 +293,7 @@
       && is_own_record (leader, &answer->records[last]))
     batch_done (leader, leader->position, leader->batch_leases_from);
   else if (answer->count == 0 || has_other_leader (answer))
-    depose (leader, "another has appended");
+    depose (leader, "another process has appended");
   else
     append_behind (leader, answer);
 }
@@ -317,7 +319,7 @@
       return;
     case GP_PLATFORM_STORE_CONFLICT:
       if (leader->role == GP_LEADER_CLAIMING && !leader->doubtful)
-        depose (leader, "another has appended");
+        depose (leader, "another process has appended");
       else
         check_append (leader);
       return;
@@ -362,7 +364,8 @@
     append (leader);
 }
 
-/* Only between appends: one that is on its way points to its jobs.  */
+/* Only called between appends: the batch of one in flight points to its
+   jobs.  */
 static void
 add_drops (gp_leader_t *leader)
 {
@@ -377,7 +380,6 @@
   g_ptr_array_set_size (leader->drops, 0);
 }
 
-/* Write down what was decided, unless an append is on its way.  */
 void
 gp_leader_flush (gp_leader_t *leader)
 {
--- a/src/jobsd/leader_frames.c
+++ b/src/jobsd/leader_frames.c
@@ -1,5 +1,5 @@
-/* What the leader tells the guards: frames that are made before an append
-   and leave when it is done.  */
+/* Frames from the leader to the guards: built before an append and sent when
+   it is done.  */
 
 #include <string.h>
 
@@ -7,21 +7,21 @@
 #include "jobsd/leader_private.h"
 #include "protocol/message.h"
 
-/* A frame that waits for the append of its reason.  */
+/* A frame that waits for the append that records its reason.  */
 typedef struct
 {
   gp_link_t *link;
-  gp_peer_t *peer; /* the connection that it was made for */
+  gp_peer_t *peer; /* connection for which it was built */
   Gp__Jobs__Frame__MessageCase kind;
   GBytes *bytes;
 } frame_t;
 
-/* The orders of one executor, collected from the scheduler.  */
+/* The scheduler's orders for one executor.  */
 typedef struct
 {
   GPtrArray *starts; /* Gp__Jobs__Start */
   GPtrArray *stops;  /* Gp__Jobs__TaskRun */
-  GPtrArray *forget; /* the same */
+  GPtrArray *forget; /* Gp__Jobs__TaskRun */
   uint64_t seen;
 } outbox_t;
 
@@ -53,7 +53,8 @@
 
       if (frame->peer != NULL && frame->peer == frame->link->peer)
         gp_link_send_bytes (frame->peer, frame->bytes, frame->kind);
-      /* It is waited for from now on, not while its append was put off.  */
+      /* The time to wait for it starts now, not while its append was
+         delayed.  */
       if (frame->kind == GP__JOBS__FRAME__MESSAGE_SYNC)
         frame->link->synced_at = gp_loop_now (leader->loop);
       frame_free (frame);
@@ -175,7 +176,8 @@
     }
 }
 
-/* Add the specification of JOB, or, if HOLDER is not NULL, where it is.  */
+/* Add the specification of JOB to SPECS or, if HOLDER is not NULL, the address
+   of the guard to fetch it from.  */
 static void
 add_spec (GArray *specs, const gp_job_t *job, const char *holder)
 {
@@ -192,7 +194,7 @@
   g_array_append_val (specs, spec);
 }
 
-/* A run of JOB goes to the guard of LINK: let it have the specification.  */
+/* A run of JOB is started on the guard of LINK: provide the specification.  */
 static void
 provide_spec (gp_link_t *link, const gp_job_t *job, GArray *specs)
 {
@@ -267,8 +269,8 @@
   g_array_free (specs, TRUE);
 }
 
-/* All that belongs on the executor now; made before the orders of the same
-   append, which then change nothing.  */
+/* The full list of wanted runs of the executor.  It is built before the orders
+   of the same append, which have no further effect then.  */
 static void
 make_sync (gp_link_t *link)
 {
--- a/src/jobsd/leader_learn.c
+++ b/src/jobsd/leader_learn.c
@@ -1,20 +1,22 @@
-/* What the leader learns from the guards' measures of interference, and what
-   it teaches them.  */
+/* The leader's interference model: updating it from the guards' measurements,
+   and sending it to the guards.  */
 
 #include "jobsd/leader_private.h"
 #include "protocol/message.h"
 
 #include <string.h>
 
-/* A filling run that is held to no more speed than this is slow.  */
+/* A filling run whose speed is limited to at most this percentage counts as
+   slow.  */
 #define SLOW_PERCENT 60
-/* Guards are told what was learned so often.  */
+/* Interval between two transmissions of the weights to a guard.  */
 #define TEACH_TIME (500 * GP_MSEC)
-/* What was learned is written down so often; a few kilobytes.  */
+/* Interval between two records of the model, which take a few kilobytes
+   each.  */
 #define LEARNED_TIME (2 * GP_SEC)
 
-/* What was learned of the images that fill anywhere beside SERVING, which has
-   to outlive ROWS.  */
+/* Add to ROWS the weights of all filling images next to the serving image
+   SERVING, which has to outlive ROWS.  */
 static void
 add_pressures (const gp_pressure_t *pressure, const char *serving,
                GArray *rows)
@@ -38,7 +40,8 @@
     }
 }
 
-/* The track of the load of TASK, of its step's runs, or NULL.  */
+/* The load estimate of the step that the run NAME belongs to; NULL if the run
+   is not on the executor of LINK.  */
 static gp_headroom_t *
 load_of (const gp_link_t *link, const char *name)
 {
@@ -49,8 +52,7 @@
   return &task->job->loads[gp_task_step_number (task)];
 }
 
-/* The image of the run TASK on the executor of LINK, NULL when it is not
-   known.  */
+/* The image of the run NAME; NULL if it is unknown.  */
 static const char *
 image_of (const gp_link_t *link, const char *name)
 {
@@ -59,8 +61,8 @@
   return task != NULL ? gp_task_step (task)->image : NULL;
 }
 
-/* Tell the loads of the runs that serve in the order of the report, which need
-   no names then.  */
+/* Add the loads of the serving runs in the order of the report, so that no
+   names are needed.  */
 static void
 add_loads (const gp_link_t *link, const Gp__Jobs__Report *report,
            gp_teaching_t *teaching)
@@ -81,7 +83,8 @@
     }
 }
 
-/* Images that fill come into the list as they are learned of.  */
+/* Append filling images that are new in the model, so that positions stay
+   valid.  */
 static void
 update_fillings (gp_leader_t *leader)
 {
@@ -97,8 +100,8 @@
       g_ptr_array_add (leader->fillings, g_strdup (image));
 }
 
-/* Tell what was learned of the images that fill anywhere beside SERVING, once
-   a message.  */
+/* Add the weights of all filling images next to the serving image SERVING,
+   once per message.  */
 static void
 add_weights (gp_leader_t *leader, const char *serving, GPtrArray *rows)
 {
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -9,16 +9,17 @@
 #include "jobs/suspicion.h"
 #include "jobsd/leader_private.h"
 
-/* A connection attempt that hangs is given up after this.  */
+/* Timeout of a connection attempt.  */
 #define DIAL_TIME (GP_SEC)
 #define REDIAL_TIME (200 * GP_MSEC)
-/* A guard reports every 300 ms; without a report for so long its executor
-   gets no new work and the connection is made anew.  */
+/* A guard reports every 300 ms.  After this time without a report its executor
+   gets no new work and the connection is opened again.  */
 #define QUIET_TIME (1200 * GP_MSEC)
 
-/* A sync that the guard has not taken in by then is sent again.  */
+/* A sync that the guard has not confirmed after this time is sent again.  */
 #define RESYNC_TIME (2 * GP_SEC)
-/* No word on zones is of use after so long.  */
+/* Upper bound of the reported age of the zone data, which is useless by
+   then.  */
 #define ZONE_AGE_MAX (3600 * GP_SEC)
 
 static gp_counter_t unreachable_gauge
@@ -36,7 +37,7 @@
                              link->zone);
 }
 
-/* How old is what is known of evacuated zones, rounded up.  */
+/* Age of the data on evacuated zones, rounded up.  */
 static uint32_t
 zone_age_ms (const gp_leader_t *leader)
 {
@@ -54,8 +55,8 @@
   Gp__Jobs__Acknowledge message = GP__JOBS__ACKNOWLEDGE__INIT;
   Gp__Jobs__Frame frame = GP__JOBS__FRAME__INIT;
 
-  /* The time of this turn may be old: the process may have been held up in the
-     middle of it.  */
+  /* The loop's time may be stale: the process may have been suspended
+     since.  */
   if (gp_time_now () > leader->confirmed_at + GP_GRANTS_TERM_TIME
       || leader->resigning)
     return;
@@ -71,10 +72,10 @@
   gp_teaching_finish (&teaching);
 }
 
-/* The guard on NODE reports EXECUTOR: what another writer has written of it
-   under another VM's name is wrong.  Left there it would prove EXECUTOR's
-   death as soon as the guard of that VM reports its own, and each of its runs
-   would be started a second time.  */
+/* The guard on NODE reports EXECUTOR, so records of another writer that place
+   it on another VM are wrong.  If they were kept, EXECUTOR would be declared
+   dead as soon as the guard of that VM reports its own executor, and each of
+   its runs would be started a second time.  */
 static void
 drop_wrong_places (gp_leader_t *leader, const char *node, const char *executor)
 {
@@ -91,7 +92,8 @@
                      gp_loop_now (leader->loop), gp_time_wall_ms ());
 }
 
-/* Is PREDECESSOR, as a guard tells of it, that life?  */
+/* Does PREDECESSOR, from a guard's report, describe this incarnation of
+   EXECUTOR?  */
 static bool
 is_predecessor (const Gp__Jobs__Predecessor *predecessor,
                 const gp_job_executor_t *executor)
@@ -102,8 +104,8 @@
              || predecessor->born_ms == executor->born_ms);
 }
 
-/* The guard reports another executor than EXECUTOR, or another life;
-   PREDECESSOR is what it says of the one before, or NULL.  */
+/* The guard reports another executor than EXECUTOR, or another incarnation of
+   it.  PREDECESSOR describes the previous one, or is NULL.  */
 static void
 replace_executor (gp_leader_t *leader, gp_job_executor_t *executor,
                   const Gp__Jobs__Predecessor *predecessor, gp_death_t why)
@@ -117,8 +119,8 @@
   declare_dead (leader, executor, why);
 }
 
-/* Does REPORT tell of another life of EXECUTOR, whose id it names?  A guard or
-   a place of the version before tells of none.  */
+/* Is REPORT from another incarnation of EXECUTOR, whose id it names?  Guards
+   and place records of the previous version give no birth time.  */
 static bool
 is_next_life (const gp_job_executor_t *executor,
               const Gp__Jobs__Report *report)
@@ -129,8 +131,9 @@
          && executor->born_ms != born_ms;
 }
 
-/* EXECUTOR has started again under its id; returns its next life, which keeps
-   what it has begun by late orders, or ended.  */
+/* EXECUTOR has restarted under the same id.  Returns its next incarnation,
+   which keeps the runs that it has started, by orders that arrived late, or
+   ended.  */
 static gp_job_executor_t *
 begin_next_life (gp_leader_t *leader, gp_job_executor_t *executor,
                  const Gp__Jobs__Report *report)
@@ -156,7 +159,7 @@
   return next;
 }
 
-/* The life that REPORT names.  */
+/* The incarnation that REPORT names.  */
 static gp_job_executor_t *
 reported_life (gp_leader_t *leader, const Gp__Jobs__Report *report)
 {
@@ -231,7 +234,7 @@
   if (report->lapsed && !executor->dead)
     declare_dead (leader, executor,
                   report->answers ? GP_DEATH_LAPSED : GP_DEATH_UNHEARD);
-  /* It may work again only under a new fence.  */
+  /* It may work again only with a new fence, which a sync raises.  */
   if (executor->dead)
     link->wants_sync = true;
   if (report->synced != link->sync && now - link->synced_at > RESYNC_TIME)
@@ -248,8 +251,9 @@
                         && report->synced == link->sync;
 }
 
-/* Does the guard of LINK's VM speak?  Another one at its address would prove
-   by its executor that the one here is dead.  */
+/* Is REPORT from the guard of LINK's VM?  A guard of another VM at this
+   address reports another executor, which would be taken as proof that the one
+   here is dead.  */
 static bool
 is_of_link (const gp_link_t *link, const Gp__Jobs__Report *report)
 {
@@ -257,14 +261,16 @@
 
   if (strcmp (report->node, link->node) == 0)
     return true;
-  gp_field_fail (&error, "report.node", "the guard of another VM");
+  gp_field_fail (&error, "report.node",
+                 "report comes from the guard of another VM");
   gp_refusals_frame (&link->leader->refusals, link->address, error);
   g_error_free (error);
   gp_peer_close (link->peer, true);
   return false;
 }
 
-/* Note the jobs whose specification the guard could get nowhere else.  */
+/* Remember jobs whose specification the guard could not get from another
+   guard.  */
 static void
 note_lacking (gp_link_t *link, const Gp__Jobs__Report *report)
 {
@@ -276,9 +282,9 @@
       g_ptr_array_add (link->lacking, g_strdup (report->lacking[i]));
 }
 
-/* Is there something in REPORT to decide on?  Most only have measures, which
-   count with the next turn: 300 guards send a thousand reports a second, and
-   a turn looks at all jobs that wait.  */
+/* Does REPORT need a planning round?  Most reports only contain measurements,
+   which are used in the next round: 300 guards send a thousand reports a
+   second, and a round goes through all waiting jobs.  */
 static bool
 is_news (const gp_link_t *link, const Gp__Jobs__Report *report)
 {
@@ -364,7 +370,7 @@
     return;
   if (link->executor != NULL)
     link->executor->cut_at = gp_loop_now (link->leader->loop);
-  set_down (link, reason != NULL ? reason->message : "closed here");
+  set_down (link, reason != NULL ? reason->message : "closed by this process");
   gp_timer_arm (&link->redial, gp_loop_now (link->leader->loop) + REDIAL_TIME);
 }
 
@@ -467,7 +473,7 @@
       gp_link_t *link = value;
 
       gp_timer_disarm (&link->redial);
-      hang_up (link, "not leading");
+      hang_up (link, "this entry does not lead");
       link->executor = NULL;
       link->obeyed_at = 0;
     }
@@ -497,7 +503,7 @@
     {
       g_free (link->address);
       link->address = g_strdup (address);
-      hang_up (link, "another address");
+      hang_up (link, "the guard's address has changed");
     }
   dial (link);
 }
@@ -523,9 +529,9 @@
 
 /* Executors.  */
 
-/* When the leases of EXECUTOR, whose guard is behind LINK, have certainly run
-   out.  What former leaders gave counts up to the guard's first report to this
-   one, whether that named the executor or not.  */
+/* The time by which the leases of EXECUTOR, whose guard is behind LINK, have
+   certainly expired.  Renewals by former leaders count up to the guard's first
+   report to this one, whether or not that named the executor.  */
 static gp_time_t
 leases_end (const gp_leader_t *leader, const gp_link_t *link,
             const gp_job_executor_t *executor)
@@ -538,8 +544,8 @@
   return gp_agent_lease_end (MAX (given, executor->reported_at));
 }
 
-/* Does the guard behind LINK report EXECUTOR?  One that has started anew may
-   know of none: nobody then moves the lease of the one before on.  */
+/* Does the guard behind LINK report EXECUTOR?  A guard that has restarted may
+   not know of it, and then nobody renews the lease of that executor.  */
 static bool
 is_spoken_for (const gp_link_t *link, const gp_job_executor_t *executor)
 {
@@ -547,8 +553,8 @@
          && link->executor == executor;
 }
 
-/* Nobody speaks for EXECUTOR: say once what its runs wait for, when that is
-   more than a connection that is made anew.  */
+/* No guard reports EXECUTOR: log once what its runs wait for, if this takes
+   longer than a reconnect.  */
 static void
 note_awaited (const gp_leader_t *leader, const gp_link_t *link,
               gp_job_executor_t *executor, const char *node)
@@ -606,12 +612,12 @@
 
   if (link->peer == NULL || now - link->reported_at < QUIET_TIME)
     return;
-  hang_up (link, "it does not report");
+  hang_up (link, "no report from the guard in time");
   gp_timer_arm (&link->redial, now + REDIAL_TIME);
 }
 
-/* Runs that nobody can tell of: a level that stays up says that work is held
-   by executors that are gone.  */
+/* Count the runs on executors that no guard reports: a level that stays up
+   shows that work is held by executors that are gone.  */
 static void
 count_unreachable (const gp_leader_t *leader)
 {
--- a/src/jobsd/leader_private.h
+++ b/src/jobsd/leader_private.h
@@ -1,4 +1,4 @@
-/* What the files of the leader share.  */
+/* Declarations shared by the leader's source files.  */
 
 #ifndef GP_JOBSD_LEADER_PRIVATE_H
 #define GP_JOBSD_LEADER_PRIVATE_H
@@ -6,22 +6,22 @@
 #include "jobs/records.h"
 #include "jobsd/leader.h"
 
-/* Decide and write at the end of this phase of the loop.  */
+/* Plan and append at the end of this phase of the event loop.  */
 void gp_leader_turn_soon (gp_leader_t *leader);
 
-/* NODE has EXECUTOR now, to be written with the next append.  */
+/* NODE now has EXECUTOR; recorded with the next append.  */
 void gp_leader_add_place (gp_leader_t *leader, const char *node,
                           const char *executor);
 
-/* An executor and the VM that it is said to be on.  */
+/* An executor and the VM on which it is recorded.  */
 typedef struct
 {
   const char *node;
   const char *executor;
 } gp_leader_place_t;
 
-/* Is EXECUTOR, at NODE in the table of places, that of the gp_leader_place_t
-   DATA, on another VM?  */
+/* For g_hash_table_find on the table of places: is EXECUTOR, at NODE there,
+   the executor of the gp_leader_place_t DATA but on another VM?  */
 gboolean gp_leader_stands_elsewhere (gpointer node, gpointer executor,
                                      gpointer data);
 
@@ -29,42 +29,43 @@
 void gp_leader_dial_all (gp_leader_t *leader);
 void gp_leader_drop_links (gp_leader_t *leader);
 
-/* Find executors that are certainly dead and those that are leaving.  */
+/* Find executors whose leases have certainly expired, and those that are
+   draining.  */
 void gp_leader_look_after_executors (gp_leader_t *leader);
 
-/* Turn the scheduler's orders into frames, and send those that were made
-   before the append that is done now.  */
+/* Build frames from the scheduler's orders; send or discard the frames that
+   were built before the append that is done now.  */
 void gp_leader_make_frames (gp_leader_t *leader);
 void gp_leader_send_frames (gp_leader_t *leader);
 void gp_leader_drop_frames (gp_leader_t *leader);
 
-/* An idle leader writes a record so often.  */
+/* Interval of an idle leader's heartbeat records.  */
 #define GP_LEADER_HEARTBEAT_TIME (250 * GP_MSEC)
 
 void gp_leader_append_init (gp_leader_t *leader);
 void gp_leader_append_finish (gp_leader_t *leader);
-/* Write down what was decided, unless an append is on its way.  */
+/* Append what was decided, unless an append is in flight.  */
 void gp_leader_flush (gp_leader_t *leader);
-/* Try to take the lead.  */
+/* Try to take leadership.  */
 void gp_leader_claim (gp_leader_t *leader);
-/* The lead was taken by the record at EPOCH.  */
+/* Leadership was taken by the record at offset EPOCH.  */
 void gp_leader_lead (gp_leader_t *leader, uint64_t epoch);
 
-/* Add a record to the append that is being made.  */
+/* Add a record to the batch that is being built.  */
 void gp_leader_add_record (gp_leader_t *leader, const char *key,
                            GBytes *value);
 
-/* Write down what was learned, if it is time: a leader that comes after goes
-   on with it.  */
+/* Add the learned model to the batch if it is due, so that the next leader
+   continues with it.  */
 void gp_leader_add_learned (gp_leader_t *leader);
-/* Another leader has written it down.  */
+/* Load a model that another leader has written.  */
 void gp_leader_take_learned (gp_leader_t *leader,
                              const Gp__Jobs__Learned *learned);
 
-/* Learn from the measures in REPORT, if it has any.  */
+/* Update the model from the measurements in REPORT, if there are any.  */
 void gp_leader_learn (gp_link_t *link, const Gp__Jobs__Report *report);
 
-/* What an acknowledgement points to that teaches.  */
+/* Arrays with the model data that an acknowledgement points to.  */
 typedef struct
 {
   GPtrArray *weights; /* Gp__Jobs__Weights, owned */
@@ -73,11 +74,11 @@
 } gp_teaching_t;
 
 void gp_teaching_init (gp_teaching_t *teaching);
-/* After the message was sent.  */
+/* Call after the message was sent.  */
 void gp_teaching_finish (gp_teaching_t *teaching);
 
-/* Put the loads of the runs in REPORT and, when it is time, what was learned
-   of their images into MESSAGE; TEACHING holds it.  */
+/* Add to MESSAGE the loads of the runs in REPORT and, when due, the
+   interference weights of their images.  TEACHING owns the data.  */
 void gp_leader_teach (gp_link_t *link, const Gp__Jobs__Report *report,
                       Gp__Jobs__Acknowledge *message, gp_teaching_t *teaching);
 
