--- a/src/jobsd/entry.c
+++ b/src/jobsd/entry.c
@@ -64,7 +64,7 @@
       g_error_free (error);
     }
   if (job != NULL)
-    gp_leader_job (&entry->leader, job);
+    gp_leader_job_changed (&entry->leader, job);
   gp_counter_set (&jobs_gauge, g_hash_table_size (entry->book.jobs));
   gp_record_finish (&record);
 }
@@ -81,17 +81,17 @@
 {
   gp_job_entry_t *entry = data;
 
-  gp_leader_record (&entry->leader, record, !entry->progress.loaded);
+  gp_leader_apply_record (&entry->leader, record, !entry->progress.loaded);
 }
 
 static void
 take_node (gp_job_entry_t *entry, const char *name, const Gp__Jobs__Node *node)
 {
   if (node->guard)
-    gp_leader_guard (&entry->leader, name, node->address, node->zone);
+    gp_leader_set_guard (&entry->leader, name, node->address, node->zone);
   else if (strcmp (name, entry->settings->node) == 0)
     {
-      if (gp_leader_outnumber (&entry->leader, node->incarnation))
+      if (gp_leader_raise_incarnation (&entry->leader, node->incarnation))
         gp_announcer_renumber (&entry->announcer, entry->leader.incarnation);
     }
   else
@@ -144,8 +144,8 @@
 
   if (!entry->progress.running)
     return;
-  gp_leader_fresh (&entry->leader, entry->progress.position,
-                   entry->progress.fresh_at, ready);
+  gp_leader_caught_up (&entry->leader, entry->progress.position,
+                       entry->progress.fresh_at, ready);
   gp_counter_set (&leading_gauge, entry->leader.role == GP_LEADER_LEADING);
   entry->progress.look_at = gp_leader_claim_at (&entry->leader);
   /* From the lead on the book is ahead of the log: this entry reads no more of
@@ -178,7 +178,7 @@
 
   gp_log (GP_LOG_INFO, down ? "store.down" : "store.up",
           GP_LOG_S ("topic", topics[topic]), GP_LOG_S ("why", reason));
-  gp_leader_deaf (&entry->leader);
+  gp_leader_reset_silence (&entry->leader);
   if (!down)
     retry_calls (entry, topic);
 }
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -9,26 +9,26 @@
 #include "base/log.h"
 #include "jobs/fields.h"
 
-/* Time without a record after which others try to take over: SILENCE_TIME plus
-   SILENCE_GAPS times the average time between two records.  The second part
-   lets a leader with a slow store or on a slow VM keep leadership.  Work that
-   is due within 1.5 s waits for a new leader.  */
-#define SILENCE_TIME (700 * GP_MSEC)
-#define SILENCE_GAPS 4
+/* Time without a record after which others try to take over: SILENCE_BASE plus
+   SILENCE_INTERVALS times the average time between two records.  The second
+   part lets a leader with a slow store or on a slow VM keep leadership.  Work
+   that is due within 1.5 s waits for a new leader.  */
+#define SILENCE_BASE (700 * GP_MSEC)
+#define SILENCE_INTERVALS 4
 /* Interval between checks for executors that are silent or draining; short
    against the times that follow, which are seconds.  */
-#define LOOK_TIME (50 * GP_MSEC)
+#define CHECK_INTERVAL (50 * GP_MSEC)
 /* Weight of the last duration in the moving average, and the upper bound of
    one duration.  */
-#define GAP_GAIN 0.2
-#define GAP_MAX (500 * GP_MSEC)
+#define INTERVAL_GAIN 0.2
+#define INTERVAL_MAX (500 * GP_MSEC)
 /* Followers wait up to this much longer, depending on their node's name, so
    that two seldom claim at once.  */
-#define SILENCE_SPREAD (400 * GP_MSEC)
+#define SILENCE_JITTER (400 * GP_MSEC)
 /* An entry that lost leadership, possibly to an unreadable record of another
    writer, waits this much longer than the others: they have not reset their
    books and may still know what that record replaced.  */
-#define FORGOT_TIME SILENCE_TIME
+#define BOOK_RESET_DELAY SILENCE_BASE
 
 static gp_time_t
 now_of (const gp_leader_t *leader)
@@ -37,48 +37,48 @@
 }
 
 void
-gp_leader_turn_soon (gp_leader_t *leader)
+gp_leader_schedule_round (gp_leader_t *leader)
 {
-  gp_deferred_schedule (&leader->turn, leader->loop);
+  gp_deferred_schedule (&leader->round, leader->loop);
 }
 
 /* Planning rounds.  */
 
 static gp_time_t
-next_look (const gp_leader_t *leader)
+next_wakeup (const gp_leader_t *leader)
 {
   gp_time_t at = MIN (leader->scheduler.next_due, leader->heartbeat_due);
 
   if (leader->batch != NULL)
-    at = leader->look_due;
-  return MAX (MIN (at, leader->look_due), now_of (leader) + GP_MSEC);
+    at = leader->check_due;
+  return MAX (MIN (at, leader->check_due), now_of (leader) + GP_MSEC);
 }
 
 /* Scans all executors, so it is not done in each round.  */
 static void
-look_after_executors (gp_leader_t *leader)
+check_executors_if_due (gp_leader_t *leader)
 {
-  if (now_of (leader) < leader->look_due)
+  if (now_of (leader) < leader->check_due)
     return;
-  leader->look_due = now_of (leader) + LOOK_TIME;
-  gp_leader_look_after_executors (leader);
+  leader->check_due = now_of (leader) + CHECK_INTERVAL;
+  gp_leader_check_executors (leader);
 }
 
 static void
-on_turn (gp_deferred_t *deferred)
+on_round (gp_deferred_t *deferred)
 {
-  gp_leader_t *leader = GP_CONTAINER_OF (deferred, gp_leader_t, turn);
+  gp_leader_t *leader = GP_CONTAINER_OF (deferred, gp_leader_t, round);
 
   if (leader->role != GP_LEADER_LEADING)
     return;
-  look_after_executors (leader);
+  check_executors_if_due (leader);
   /* While an append is in flight nothing new can be written: what arrives in
      the meantime is decided on together.  */
   if (leader->batch == NULL && !leader->stopping)
     gp_scheduler_plan (&leader->scheduler, now_of (leader),
                        gp_time_wall_ms ());
   gp_leader_flush (leader);
-  gp_timer_arm (&leader->timer, next_look (leader));
+  gp_timer_arm (&leader->timer, next_wakeup (leader));
 }
 
 static void
@@ -87,7 +87,7 @@
   gp_leader_t *leader = data;
 
   if (leader->role == GP_LEADER_LEADING)
-    gp_leader_turn_soon (leader);
+    gp_leader_schedule_round (leader);
 }
 
 /* Leadership.  */
@@ -112,7 +112,7 @@
 }
 
 void
-gp_leader_lead (gp_leader_t *leader, uint64_t epoch)
+gp_leader_start_leading (gp_leader_t *leader, uint64_t epoch)
 {
   leader->role = GP_LEADER_LEADING;
   leader->epoch = epoch;
@@ -131,22 +131,22 @@
 static gp_time_t
 silence_time (const gp_leader_t *leader)
 {
-  if (!leader->led || leader->resigned)
+  if (!leader->leader_known || leader->resigned)
     return 0;
-  return SILENCE_TIME + SILENCE_GAPS * leader->heard_gap
-         + (leader->forgot ? FORGOT_TIME : 0)
-         + (gp_time_t)(g_str_hash (leader->node) % 5) * SILENCE_SPREAD / 4;
+  return SILENCE_BASE + SILENCE_INTERVALS * leader->record_interval
+         + (leader->book_reset ? BOOK_RESET_DELAY : 0)
+         + (gp_time_t)(g_str_hash (leader->node) % 5) * SILENCE_JITTER / 4;
 }
 
 gp_time_t
 gp_leader_claim_at (const gp_leader_t *leader)
 {
-  return leader->heard_at + silence_time (leader);
+  return leader->record_read_at + silence_time (leader);
 }
 
 void
-gp_leader_fresh (gp_leader_t *leader, uint64_t position, gp_time_t sent_at,
-                 bool ready)
+gp_leader_caught_up (gp_leader_t *leader, uint64_t position, gp_time_t sent_at,
+                     bool ready)
 {
   if (leader->role != GP_LEADER_FOLLOWING)
     return;
@@ -160,27 +160,28 @@
 }
 
 void
-gp_leader_deaf (gp_leader_t *leader)
+gp_leader_reset_silence (gp_leader_t *leader)
 {
-  leader->heard_at = now_of (leader);
+  leader->record_read_at = now_of (leader);
 }
 
 /* Update the time of the last record and the average time between records.  */
 static void
-note_heard (gp_leader_t *leader)
+note_record_read (gp_leader_t *leader)
 {
   gp_time_t now = now_of (leader);
-  gp_time_t gap = MIN (now - leader->heard_at, GAP_MAX);
+  gp_time_t gap = MIN (now - leader->record_read_at, INTERVAL_MAX);
 
   /* All records of one read arrive at the same time.  */
   if (gap > 0)
-    leader->heard_gap
-        += (gp_time_t)((double)(gap - leader->heard_gap) * GAP_GAIN);
-  leader->heard_at = now;
+    leader->record_interval
+        += (gp_time_t)((double)(gap - leader->record_interval)
+                       * INTERVAL_GAIN);
+  leader->record_read_at = now;
 }
 
 bool
-gp_leader_outnumber (gp_leader_t *leader, uint64_t incarnation)
+gp_leader_raise_incarnation (gp_leader_t *leader, uint64_t incarnation)
 {
   if (leader->role != GP_LEADER_FOLLOWING
       || incarnation <= leader->incarnation)
@@ -204,13 +205,13 @@
   bool here = strcmp (leadership->node, leader->node) == 0;
   bool own = here && leadership->incarnation == leader->incarnation;
 
-  leader->led = true;
+  leader->leader_known = true;
   if (here)
-    gp_leader_outnumber (leader, leadership->incarnation);
+    gp_leader_raise_incarnation (leader, leadership->incarnation);
   /* An earlier process of this VM must have ended, as this one runs.  */
   leader->resigned = leadership->resigned || (here && !own);
   if (!own)
-    leader->forgot = false;
+    leader->book_reset = false;
   gp_grants_heard (&leader->grants, leadership, offset, now_of (leader));
   if (leader->resigned)
     gp_grants_ended (&leader->grants, leadership->node, now_of (leader));
@@ -223,14 +224,15 @@
 on_leadership_refused (gp_leader_t *leader)
 {
   gp_grants_unreadable (&leader->grants, now_of (leader));
-  if (!leader->led)
-    note_heard (leader);
-  leader->led = true;
+  if (!leader->leader_known)
+    note_record_read (leader);
+  leader->leader_known = true;
   leader->resigned = false;
 }
 
 gboolean
-gp_leader_stands_elsewhere (gpointer node, gpointer executor, gpointer data)
+gp_leader_is_recorded_elsewhere (gpointer node, gpointer executor,
+                                 gpointer data)
 {
   const gp_leader_place_t *place = data;
 
@@ -248,7 +250,8 @@
   const char *executor = record->executor;
   gp_leader_place_t place = { node, executor };
 
-  if (g_hash_table_find (leader->places, gp_leader_stands_elsewhere, &place)
+  if (g_hash_table_find (leader->places, gp_leader_is_recorded_elsewhere,
+                         &place)
       != NULL)
     {
       g_hash_table_add (leader->disputed, g_strdup (executor));
@@ -263,8 +266,8 @@
 /* Apply a decoded record; returns false and sets ERROR if it does not fit the
    current state.  */
 static bool
-take_record (gp_leader_t *leader, gp_record_t *record, gp_book_place_t place,
-             GError **error)
+apply_record (gp_leader_t *leader, gp_record_t *record, gp_book_place_t place,
+              GError **error)
 {
   switch (record->kind)
     {
@@ -279,7 +282,7 @@
       on_leadership (leader, record->u.leadership, place.offset);
       break;
     case GP_RECORD_LEARNED:
-      gp_leader_take_learned (leader, record->u.learned);
+      gp_leader_load_model (leader, record->u.learned);
       if (record->refused != NULL)
         gp_refusals_record_row (&leader->refusals, record, record->refused);
       break;
@@ -304,8 +307,8 @@
 }
 
 void
-gp_leader_record (gp_leader_t *leader,
-                  const gp_platform_store_record_t *record, bool loading)
+gp_leader_apply_record (gp_leader_t *leader,
+                        const gp_platform_store_record_t *record, bool loading)
 {
   const gp_book_place_t place
       = { .offset = record->offset, .loading = loading };
@@ -319,8 +322,8 @@
   if (!gp_record_parse_progress (&decoded, record->key, record->key_size,
                                  record->value, record->value_size, &error))
     refuse_record (leader, &decoded, place);
-  else if (take_record (leader, &decoded, place, &error))
-    note_heard (leader);
+  else if (apply_record (leader, &decoded, place, &error))
+    note_record_read (leader);
   if (error != NULL)
     {
       gp_refusals_record (&leader->refusals, "progress", &decoded, record,
@@ -331,12 +334,12 @@
 }
 
 void
-gp_leader_job (gp_leader_t *leader, gp_job_t *job)
+gp_leader_job_changed (gp_leader_t *leader, gp_job_t *job)
 {
   if (leader->role != GP_LEADER_LEADING)
     return;
   gp_scheduler_job (&leader->scheduler, job, gp_time_wall_ms ());
-  gp_leader_turn_soon (leader);
+  gp_leader_schedule_round (leader);
 }
 
 void
@@ -351,10 +354,10 @@
       const gp_job_t *job = value;
 
       if (gp_list_empty (&job->dirty_link) && gp_book_expired (job, wall_ms))
-        g_ptr_array_add (leader->drops, g_strdup (job->id));
+        g_ptr_array_add (leader->progress_drops, g_strdup (job->id));
     }
-  if (leader->drops->len > 0)
-    gp_leader_turn_soon (leader);
+  if (leader->progress_drops->len > 0)
+    gp_leader_schedule_round (leader);
 }
 
 void
@@ -399,10 +402,10 @@
   leader->new_places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                               (GDestroyNotify)g_bytes_unref);
   leader->frames = g_ptr_array_new ();
-  leader->drops = g_ptr_array_new_with_free_func (g_free);
+  leader->progress_drops = g_ptr_array_new_with_free_func (g_free);
   gp_timer_init (&leader->timer, loop, on_timer, leader);
   gp_leader_append_init (leader);
-  gp_deferred_init (&leader->turn, on_turn);
+  gp_deferred_init (&leader->round, on_round);
 }
 
 void
@@ -411,7 +414,7 @@
   gp_leader_append_finish (leader);
   gp_leader_drop_links (leader);
   gp_timer_finish (&leader->timer);
-  gp_deferred_cancel (&leader->turn);
+  gp_deferred_cancel (&leader->round);
   g_hash_table_destroy (leader->links);
   g_hash_table_destroy (leader->places);
   g_hash_table_destroy (leader->disputed);
@@ -419,7 +422,7 @@
   gp_spec_spread_finish (&leader->specs);
   g_hash_table_destroy (leader->new_places);
   g_ptr_array_unref (leader->frames);
-  g_ptr_array_unref (leader->drops);
+  g_ptr_array_unref (leader->progress_drops);
   gp_scheduler_finish (&leader->scheduler);
   gp_pressure_finish (&leader->pressure);
   g_ptr_array_unref (leader->fillings);
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -48,22 +48,24 @@
   gp_peer_t *peer;
   gp_timer_t redial;
   gp_job_executor_t *executor; /* the executor on the VM, NULL if unknown */
-  gp_time_t reported_at; /* last report received, or connection attempt */
-  gp_time_t obeyed_at; /* first report to this leader received; 0: none yet */
-  gp_time_t report_sent_at; /* last report sent, on the guard's clock */
-  uint64_t sync;            /* number of the last sync sent or queued */
-  bool wants_sync;     /* the guard has to be sent the full list of its runs */
-  gp_time_t synced_at; /* the last sync was built, or sent */
-  bool sees_executor;  /* the guard's last report names an executor */
+  gp_time_t reported_at;     /* last report received, or connection attempt */
+  gp_time_t first_report_at; /* first report to this leader received; 0: none
+                                yet */
+  gp_time_t report_sent_at;  /* last report sent, on the guard's clock */
+  uint64_t sync;             /* number of the last sync sent or queued */
+  bool wants_sync; /* the guard has to be sent the full list of its runs */
+  gp_time_t sync_sent_at; /* the last sync was built, or sent */
+  bool has_executor;      /* the guard's last report names an executor */
   bool silent; /* the executor's lease has expired and it does not answer, or
                   it has ended */
-  gp_time_t taught_at; /* interference weights were last sent to the guard */
-  guint taught_images; /* number of entries of leader->fillings sent to the
+  gp_time_t weights_sent_at; /* interference weights were last sent to the
+                                guard */
+  guint fillings_sent; /* number of entries of leader->fillings sent to the
                           guard */
   GPtrArray *lacking;  /* ids, owned, of jobs whose specification the guard has
                           to be sent */
-  bool up;             /* the guard reports on this connection */
-} gp_link_t;
+  bool reporting;      /* the guard reports on this connection */
+} gp_guard_link_t;
 
 struct gp_leader
 {
@@ -78,49 +80,50 @@
                              reports */
   GPtrArray *fillings;  /* images of filling runs, owned, in the order in which
                            they are sent to guards */
-  GHashTable *links;    /* node to gp_link_t, owned */
+  GHashTable *links;    /* node to gp_guard_link_t, owned */
   GHashTable *places;   /* node to id of its executor, owned */
   GHashTable *disputed; /* ids, owned, of executors that records place on two
                            VMs: until a guard reports such an executor, its
                            place is not taken as proof of a replacement */
-  gp_spec_spread_t specs; /* which guards hold which specifications */
-  GPtrArray *drops; /* ids, owned, of jobs whose progress records are to be
-                       deleted */
-  GHashTable *new_places; /* key to place record, owned, not written yet */
+  gp_spec_spread_t specs;    /* which guards hold which specifications */
+  GPtrArray *progress_drops; /* ids, owned, of jobs whose progress records are
+                                to be deleted */
+  GHashTable *new_places;    /* key to place record, owned, not written yet */
   gp_leader_role_t role;
   uint64_t epoch;
   uint64_t position; /* end offset of the progress topic, as far as known */
   uint64_t beat;
   uint64_t sync_count;
   gp_time_t confirmed_at; /* send time of the last acknowledged append */
-  gp_grants_t grants;  /* until when other leaders may have renewed leases */
-  gp_time_t heard_at;  /* last readable record of the topic read while
-                          following */
-  gp_time_t heard_gap; /* moving average of the time between such reads */
-  bool resigned;       /* the last leader's record says that it resigned */
-  bool led;            /* a leader's record has been read */
-  bool forgot; /* this entry lost leadership and reset its book, and no other
-                  entry has led since */
+  gp_grants_t grants; /* until when other leaders may have renewed leases */
+  gp_time_t record_read_at;  /* last readable record of the topic read while
+                                following */
+  gp_time_t record_interval; /* moving average of the time between such
+                                reads */
+  bool resigned;     /* the last leader's record says that it resigned */
+  bool leader_known; /* a leader's record has been read */
+  bool book_reset;   /* this entry lost leadership and reset its book, and no
+                        other entry has led since */
   GByteArray *batch; /* the append in progress */
   unsigned batch_records;
   GArray *batch_states;        /* batch_state_t of the jobs in the batch */
   gp_time_t batch_began_at;    /* first attempt to send the batch, also if that
                                   was refused */
   gp_time_t batch_leases_from; /* the leadership that the batch confirms,
-                                  and leases based on that, count from
-                                  here: the first attempt that may have
-                                  been carried out */
-  bool doubtful;  /* an attempt to append the batch got no answer */
-  bool resigning; /* the batch gives leadership up */
+                                  and leases based on that, count from here:
+                                  the first attempt that may have been
+                                  carried out */
+  bool outcome_unknown; /* an attempt to append the batch got no answer */
+  bool resigning;       /* the batch gives leadership up */
   gp_platform_store_call_t *call;
   GPtrArray *frames; /* frame_t of leader_frames.c, sent when the append is
                         done */
   gp_time_t heartbeat_due;
-  gp_time_t look_due;    /* next check of all executors */
+  gp_time_t check_due;   /* next check of all executors */
   gp_time_t learned_due; /* next write of the learned model */
   gp_timer_t timer;
   gp_timer_t retry;
-  gp_deferred_t turn;
+  gp_deferred_t round;
   bool stopping;
   /* Leadership was lost or, if CLAIMED, the attempt to take it failed.
      The book of an entry that has led has to be reloaded, as it contains
@@ -143,7 +146,7 @@
    take a record with a lower incarnation as that of a process that has ended.
    Returns whether a higher incarnation was chosen, which then has to be
    announced.  */
-bool gp_leader_outnumber (gp_leader_t *leader, uint64_t incarnation);
+bool gp_leader_raise_incarnation (gp_leader_t *leader, uint64_t incarnation);
 
 /* The entry on NODE has announced itself, see gp_grants_announced.  */
 void gp_leader_announced (gp_leader_t *leader, const char *node,
@@ -152,12 +155,13 @@
 /* A record of the progress topic was read while following, possibly a deletion
    of a key.  LOADING: it is the newest record of its key, and earlier ones
    were not read.  */
-void gp_leader_record (gp_leader_t *leader,
-                       const gp_platform_store_record_t *record, bool loading);
+void gp_leader_apply_record (gp_leader_t *leader,
+                             const gp_platform_store_record_t *record,
+                             bool loading);
 /* The topic was read up to offset POSITION by a read sent at SENT_AT.  READY:
    the jobs are known as well, so leadership may be claimed.  */
-void gp_leader_fresh (gp_leader_t *leader, uint64_t position,
-                      gp_time_t sent_at, bool ready);
+void gp_leader_caught_up (gp_leader_t *leader, uint64_t position,
+                          gp_time_t sent_at, bool ready);
 /* When this follower claims leadership unless a record of the leader arrives
    before.  */
 gp_time_t gp_leader_claim_at (const gp_leader_t *leader);
@@ -165,15 +169,15 @@
 void gp_leader_retry (gp_leader_t *leader);
 /* The progress topic could not be read for a while: restart the time without a
    leader's record, which says nothing about the leader then.  */
-void gp_leader_deaf (gp_leader_t *leader);
+void gp_leader_reset_silence (gp_leader_t *leader);
 
 /* The guard of NODE, in availability zone ZONE, is reached at ADDRESS.  */
-void gp_leader_guard (gp_leader_t *leader, const char *node,
-                      const char *address, const char *zone);
+void gp_leader_set_guard (gp_leader_t *leader, const char *node,
+                          const char *address, const char *zone);
 /* The set of evacuated availability zones has changed.  */
 void gp_leader_zones_changed (gp_leader_t *leader);
 /* JOB was submitted or cancelled.  */
-void gp_leader_job (gp_leader_t *leader, gp_job_t *job);
+void gp_leader_job_changed (gp_leader_t *leader, gp_job_t *job);
 
 /* With the next append, delete the progress records of jobs that ended before
    WALL_MS, and forget these jobs.  */
--- a/src/jobsd/leader_append.c
+++ b/src/jobsd/leader_append.c
@@ -9,11 +9,11 @@
 #include "base/log.h"
 #include "protocol/message.h"
 
-#define APPEND_TIME (GP_SEC)
-#define APPEND_RETRY_TIME (60 * GP_MSEC)
+#define APPEND_TIMEOUT (GP_SEC)
+#define APPEND_RETRY_DELAY (60 * GP_MSEC)
 /* An append that takes longer counts as delayed: the runs that it orders are
    timed from its end, not from when they were decided.  */
-#define SLOW_APPEND_TIME (200 * GP_MSEC)
+#define SLOW_APPEND_THRESHOLD (200 * GP_MSEC)
 
 static gp_histogram_t append_time = GP_HISTOGRAM (
     "progress_append", "From the first sending of an append to its end");
@@ -117,7 +117,7 @@
   leader->batch_records = 0;
   leader->batch_began_at = 0;
   g_array_set_size (leader->batch_states, 0);
-  leader->doubtful = false;
+  leader->outcome_unknown = false;
 }
 
 /* From now on callers may be shown the states that were written.  */
@@ -137,13 +137,13 @@
    were decided with it are timed from its end; it makes no difference whether
    the store did not answer or refused.  */
 static void
-note_ordered (gp_leader_t *leader)
+note_orders_sent (gp_leader_t *leader)
 {
   gp_time_t now = now_of (leader);
   gp_time_t took = now - leader->batch_began_at;
 
   gp_histogram_add (&append_time, took);
-  if (took <= SLOW_APPEND_TIME)
+  if (took <= SLOW_APPEND_THRESHOLD)
     return;
   gp_log (GP_LOG_INFO, "append.put_off", GP_LOG_I ("for_ms", took / GP_MSEC),
           GP_LOG_I ("jobs", leader->batch_states->len),
@@ -156,9 +156,9 @@
 {
   leader->position = offset + leader->batch_records;
   leader->confirmed_at = sent_at;
-  leader->heartbeat_due = now_of (leader) + GP_LEADER_HEARTBEAT_TIME;
+  leader->heartbeat_due = now_of (leader) + GP_LEADER_HEARTBEAT_INTERVAL;
   note_recorded (leader);
-  note_ordered (leader);
+  note_orders_sent (leader);
   end_batch (leader);
   gp_leader_send_frames (leader);
   if (leader->resigning)
@@ -169,8 +169,8 @@
       return;
     }
   if (leader->role == GP_LEADER_CLAIMING)
-    gp_leader_lead (leader, offset);
-  gp_leader_turn_soon (leader);
+    gp_leader_start_leading (leader, offset);
+  gp_leader_schedule_round (leader);
 }
 
 static void
@@ -181,8 +181,8 @@
   gp_log (GP_LOG_INFO, "lead.lost", GP_LOG_S ("why", why),
           GP_LOG_I ("epoch", leader->epoch), GP_LOG_I ("claiming", claimed));
   leader->role = GP_LEADER_FOLLOWING;
-  leader->forgot = leader->forgot || !claimed;
-  leader->heard_at = now_of (leader);
+  leader->book_reset = leader->book_reset || !claimed;
+  leader->record_read_at = now_of (leader);
   end_batch (leader);
   gp_timer_disarm (&leader->retry);
   gp_leader_drop_links (leader);
@@ -192,7 +192,7 @@
      count as written when this entry leads again.  */
   if (!claimed)
     g_hash_table_remove_all (leader->places);
-  g_ptr_array_set_size (leader->drops, 0);
+  g_ptr_array_set_size (leader->progress_drops, 0);
   leader->on_deposed (claimed, leader->data);
 }
 
@@ -232,7 +232,7 @@
 /* RECORD of another writer replaces what the leader had written under its key:
    write that again, for entries that start later.  */
 static void
-mend_record (gp_leader_t *leader, const gp_platform_store_record_t *record)
+restore_record (gp_leader_t *leader, const gp_platform_store_record_t *record)
 {
   char *key = g_strndup (record->key, record->key_size);
   gp_job_t *job = gp_book_find (leader->book, key);
@@ -255,14 +255,15 @@
    end leadership; the append is repeated after them.  An earlier attempt at
    the previous offset cannot succeed any more.  */
 static void
-append_behind (gp_leader_t *leader, const gp_platform_store_answer_t *answer)
+append_after_foreign (gp_leader_t *leader,
+                      const gp_platform_store_answer_t *answer)
 {
   gp_log (GP_LOG_WARNING, "append.passed", GP_LOG_I ("records", answer->count),
           GP_LOG_I ("at", leader->position));
   for (size_t i = 0; i < answer->count; i++)
-    mend_record (leader, &answer->records[i]);
+    restore_record (leader, &answer->records[i]);
   leader->position += answer->count;
-  leader->doubtful = false;
+  leader->outcome_unknown = false;
   if (leader->position < answer->end)
     check_append (leader);
   else
@@ -286,16 +287,16 @@
     }
   if (answer->result != GP_PLATFORM_STORE_DONE)
     {
-      gp_timer_arm (&leader->retry, now_of (leader) + APPEND_RETRY_TIME);
+      gp_timer_arm (&leader->retry, now_of (leader) + APPEND_RETRY_DELAY);
       return;
     }
-  if (leader->doubtful && answer->count > last
+  if (leader->outcome_unknown && answer->count > last
       && is_own_record (leader, &answer->records[last]))
     batch_done (leader, leader->position, leader->batch_leases_from);
   else if (answer->count == 0 || has_other_leader (answer))
     depose (leader, "another process has appended");
   else
-    append_behind (leader, answer);
+    append_after_foreign (leader, answer);
 }
 
 static void
@@ -303,7 +304,7 @@
 {
   leader->call = gp_platform_store_read (
       leader->store, GP_TOPIC_PROGRESS, leader->position, 0,
-      now_of (leader) + APPEND_TIME, on_checked, leader);
+      now_of (leader) + APPEND_TIMEOUT, on_checked, leader);
 }
 
 static void
@@ -318,27 +319,27 @@
       batch_done (leader, answer->offset, answer->sent_at);
       return;
     case GP_PLATFORM_STORE_CONFLICT:
-      if (leader->role == GP_LEADER_CLAIMING && !leader->doubtful)
+      if (leader->role == GP_LEADER_CLAIMING && !leader->outcome_unknown)
         depose (leader, "another process has appended");
       else
         check_append (leader);
       return;
     case GP_PLATFORM_STORE_UNKNOWN:
-      leader->doubtful = true;
+      leader->outcome_unknown = true;
       break;
     case GP_PLATFORM_STORE_REFUSED:
     case GP_PLATFORM_STORE_FORGOTTEN:
       break;
     }
   gp_log (GP_LOG_INFO, "append.failed", GP_LOG_S ("why", answer->reason),
-          GP_LOG_I ("doubtful", leader->doubtful),
+          GP_LOG_I ("doubtful", leader->outcome_unknown),
           GP_LOG_I ("at", leader->position));
-  if (leader->role == GP_LEADER_CLAIMING && !leader->doubtful)
+  if (leader->role == GP_LEADER_CLAIMING && !leader->outcome_unknown)
     {
       depose (leader, answer->reason);
       return;
     }
-  gp_timer_arm (&leader->retry, now_of (leader) + APPEND_RETRY_TIME);
+  gp_timer_arm (&leader->retry, now_of (leader) + APPEND_RETRY_DELAY);
 }
 
 static void
@@ -348,11 +349,11 @@
 
   if (leader->batch_began_at == 0)
     leader->batch_began_at = now;
-  if (!leader->doubtful)
+  if (!leader->outcome_unknown)
     leader->batch_leases_from = now;
   leader->call = gp_platform_store_append (
       leader->store, GP_TOPIC_PROGRESS, leader->batch,
-      (int64_t)leader->position, now + APPEND_TIME, on_appended, leader);
+      (int64_t)leader->position, now + APPEND_TIMEOUT, on_appended, leader);
 }
 
 static void
@@ -369,15 +370,15 @@
 static void
 add_drops (gp_leader_t *leader)
 {
-  for (guint i = 0; i < leader->drops->len; i++)
+  for (guint i = 0; i < leader->progress_drops->len; i++)
     {
-      const char *id = g_ptr_array_index (leader->drops, i);
+      const char *id = g_ptr_array_index (leader->progress_drops, i);
 
       gp_platform_store_batch_add (leader->batch, id, NULL, 0);
       leader->batch_records++;
       g_hash_table_remove (leader->book->jobs, id);
     }
-  g_ptr_array_set_size (leader->drops, 0);
+  g_ptr_array_set_size (leader->progress_drops, 0);
 }
 
 void
@@ -385,12 +386,12 @@
 {
   bool changed = !gp_list_empty (&leader->scheduler.dirty)
                  || g_hash_table_size (leader->new_places) > 0
-                 || leader->drops->len > 0;
+                 || leader->progress_drops->len > 0;
   bool due = now_of (leader) >= leader->heartbeat_due;
 
   if (leader->batch != NULL)
     return;
-  gp_leader_make_frames (leader);
+  gp_leader_build_frames (leader);
   if (!changed && !due && !leader->stopping)
     {
       gp_leader_send_frames (leader);
@@ -400,7 +401,7 @@
   add_places (leader);
   add_dirty_jobs (leader);
   add_drops (leader);
-  gp_leader_add_learned (leader);
+  gp_leader_add_model (leader);
   add_leadership (leader, leader->stopping);
   leader->resigning = leader->stopping;
   append (leader);
@@ -421,7 +422,7 @@
   if (leader->call == NULL || leader->batch == NULL)
     return;
   gp_platform_store_cancel (leader->call);
-  leader->doubtful = true;
+  leader->outcome_unknown = true;
   append (leader);
 }
 
--- a/src/jobsd/leader_frames.c
+++ b/src/jobsd/leader_frames.c
@@ -10,7 +10,7 @@
 /* A frame that waits for the append that records its reason.  */
 typedef struct
 {
-  gp_link_t *link;
+  gp_guard_link_t *link;
   gp_peer_t *peer; /* connection for which it was built */
   Gp__Jobs__Frame__MessageCase kind;
   GBytes *bytes;
@@ -33,7 +33,7 @@
 }
 
 static void
-keep_frame (gp_link_t *link, const Gp__Jobs__Frame *message)
+queue_frame (gp_guard_link_t *link, const Gp__Jobs__Frame *message)
 {
   frame_t *frame = g_new (frame_t, 1);
 
@@ -56,7 +56,7 @@
       /* The time to wait for it starts now, not while its append was
          delayed.  */
       if (frame->kind == GP__JOBS__FRAME__MESSAGE_SYNC)
-        frame->link->synced_at = gp_loop_now (leader->loop);
+        frame->link->sync_sent_at = gp_loop_now (leader->loop);
       frame_free (frame);
     }
   g_ptr_array_set_size (leader->frames, 0);
@@ -196,10 +196,10 @@
 
 /* A run of JOB is started on the guard of LINK: provide the specification.  */
 static void
-provide_spec (gp_link_t *link, const gp_job_t *job, GArray *specs)
+add_spec_for_run (gp_guard_link_t *link, const gp_job_t *job, GArray *specs)
 {
   gp_leader_t *leader = link->leader;
-  const gp_link_t *holder;
+  const gp_guard_link_t *holder;
   const char *name;
 
   switch (gp_spec_spread_way (&leader->specs, job->id, link->node,
@@ -218,7 +218,7 @@
 }
 
 static void
-collect_specs (gp_link_t *link, const outbox_t *outbox, GArray *specs)
+collect_specs (gp_guard_link_t *link, const outbox_t *outbox, GArray *specs)
 {
   const gp_book_t *book = link->leader->book;
 
@@ -235,13 +235,13 @@
     {
       const Gp__Jobs__Start *start = g_ptr_array_index (outbox->starts, i);
 
-      provide_spec (link, gp_book_task (book, start->task)->job, specs);
+      add_spec_for_run (link, gp_book_task (book, start->task)->job, specs);
     }
 }
 
 /* OUTBOX may be NULL.  */
 static void
-make_orders (gp_link_t *link, const outbox_t *outbox)
+build_orders (gp_guard_link_t *link, const outbox_t *outbox)
 {
   GArray *specs = g_array_new (FALSE, FALSE, sizeof (Gp__Jobs__Spec));
   Gp__Jobs__Orders orders = GP__JOBS__ORDERS__INIT;
@@ -264,7 +264,7 @@
     }
   frame.message_case = GP__JOBS__FRAME__MESSAGE_ORDERS;
   frame.orders = &orders;
-  keep_frame (link, &frame);
+  queue_frame (link, &frame);
   g_free (orders.specs);
   g_array_free (specs, TRUE);
 }
@@ -272,7 +272,7 @@
 /* The full list of wanted runs of the executor.  It is built before the orders
    of the same append, which have no further effect then.  */
 static void
-make_sync (gp_link_t *link)
+build_sync (gp_guard_link_t *link)
 {
   GPtrArray *starts = g_ptr_array_new_with_free_func (free_start);
   Gp__Jobs__Sync sync = GP__JOBS__SYNC__INIT;
@@ -287,7 +287,7 @@
       g_ptr_array_add (starts, start_message (task));
   }
   link->sync = ++link->leader->sync_count;
-  link->synced_at = gp_loop_now (link->leader->loop);
+  link->sync_sent_at = gp_loop_now (link->leader->loop);
   link->wants_sync = false;
   sync.number = link->sync;
   sync.executor = link->executor->id;
@@ -298,13 +298,13 @@
   sync.after = link->report_sent_at;
   frame.message_case = GP__JOBS__FRAME__MESSAGE_SYNC;
   frame.sync = &sync;
-  keep_frame (link, &frame);
+  queue_frame (link, &frame);
   link->executor->dead = false;
   g_ptr_array_unref (starts);
 }
 
 void
-gp_leader_make_frames (gp_leader_t *leader)
+gp_leader_build_frames (gp_leader_t *leader)
 {
   GHashTable *outboxes = g_hash_table_new_full (NULL, NULL, NULL, outbox_free);
   GArray *orders = leader->scheduler.orders;
@@ -317,16 +317,16 @@
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      gp_link_t *link = value;
+      gp_guard_link_t *link = value;
       const outbox_t *outbox;
 
-      if (link->peer == NULL || !link->sees_executor)
+      if (link->peer == NULL || !link->has_executor)
         continue;
       if (link->wants_sync && !link->silent)
-        make_sync (link);
+        build_sync (link);
       outbox = g_hash_table_lookup (outboxes, link->executor);
       if (outbox != NULL || link->lacking->len > 0)
-        make_orders (link, outbox);
+        build_orders (link, outbox);
     }
   g_hash_table_destroy (outboxes);
 }
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -10,14 +10,14 @@
 #include "jobsd/leader_private.h"
 
 /* Timeout of a connection attempt.  */
-#define DIAL_TIME (GP_SEC)
-#define REDIAL_TIME (200 * GP_MSEC)
+#define DIAL_TIMEOUT (GP_SEC)
+#define REDIAL_DELAY (200 * GP_MSEC)
 /* A guard reports every 300 ms.  After this time without a report its executor
    gets no new work and the connection is opened again.  */
-#define QUIET_TIME (1200 * GP_MSEC)
+#define REPORT_TIMEOUT (1200 * GP_MSEC)
 
 /* A sync that the guard has not confirmed after this time is sent again.  */
-#define RESYNC_TIME (2 * GP_SEC)
+#define RESYNC_TIMEOUT (2 * GP_SEC)
 /* Upper bound of the reported age of the zone data, which is useless by
    then.  */
 #define ZONE_AGE_MAX (3600 * GP_SEC)
@@ -26,12 +26,12 @@
     = GP_GAUGE ("runs_unreachable",
                 "Runs on executors that no guard reports to this leader");
 
-static void dial (gp_link_t *link);
+static void dial (gp_guard_link_t *link);
 
 /* Reports.  */
 
 static bool
-is_evacuated (const gp_link_t *link)
+is_evacuated (const gp_guard_link_t *link)
 {
   return gp_evacuations_has (&link->leader->operators->evacuations,
                              link->zone);
@@ -47,9 +47,9 @@
 }
 
 static void
-acknowledge (gp_link_t *link, const Gp__Jobs__Report *report)
+acknowledge (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
-  gp_teaching_t teaching;
+  gp_model_update_t update;
   gp_leader_t *leader = link->leader;
   gp_time_t now = gp_loop_now (leader->loop);
   Gp__Jobs__Acknowledge message = GP__JOBS__ACKNOWLEDGE__INIT;
@@ -60,16 +60,16 @@
   if (gp_time_now () > leader->confirmed_at + GP_GRANTS_TERM_TIME
       || leader->resigning)
     return;
-  gp_teaching_init (&teaching);
+  gp_model_update_init (&update);
   message.sent_at = report->sent_at;
   message.lead_age_ms = (uint32_t)((now - leader->confirmed_at) / GP_MSEC + 1);
   message.zone_age_ms = zone_age_ms (leader);
   message.evacuated = is_evacuated (link);
-  gp_leader_teach (link, report, &message, &teaching);
+  gp_leader_add_model_update (link, report, &message, &update);
   frame.message_case = GP__JOBS__FRAME__MESSAGE_ACKNOWLEDGE;
   frame.acknowledge = &message;
   gp_link_send (link->peer, &frame);
-  gp_teaching_finish (&teaching);
+  gp_model_update_finish (&update);
 }
 
 /* The guard on NODE reports EXECUTOR, so records of another writer that place
@@ -77,11 +77,12 @@
    dead as soon as the guard of that VM reports its own executor, and each of
    its runs would be started a second time.  */
 static void
-drop_wrong_places (gp_leader_t *leader, const char *node, const char *executor)
+remove_foreign_places (gp_leader_t *leader, const char *node,
+                       const char *executor)
 {
   gp_leader_place_t place = { node, executor };
 
-  g_hash_table_foreach_remove (leader->places, gp_leader_stands_elsewhere,
+  g_hash_table_foreach_remove (leader->places, gp_leader_is_recorded_elsewhere,
                                &place);
 }
 
@@ -122,8 +123,8 @@
 /* Is REPORT from another incarnation of EXECUTOR, whose id it names?  Guards
    and place records of the previous version give no birth time.  */
 static bool
-is_next_life (const gp_job_executor_t *executor,
-              const Gp__Jobs__Report *report)
+is_next_incarnation (const gp_job_executor_t *executor,
+                     const Gp__Jobs__Report *report)
 {
   int64_t born_ms = report->executor->born_ms;
 
@@ -135,8 +136,8 @@
    which keeps the runs that it has started, by orders that arrived late, or
    ended.  */
 static gp_job_executor_t *
-begin_next_life (gp_leader_t *leader, gp_job_executor_t *executor,
-                 const Gp__Jobs__Report *report)
+begin_next_incarnation (gp_leader_t *leader, gp_job_executor_t *executor,
+                        const Gp__Jobs__Report *report)
 {
   gp_job_executor_t *next
       = gp_book_next_life (leader->book, executor, report->executor->born_ms);
@@ -161,25 +162,25 @@
 
 /* The incarnation that REPORT names.  */
 static gp_job_executor_t *
-reported_life (gp_leader_t *leader, const Gp__Jobs__Report *report)
+reported_incarnation (gp_leader_t *leader, const Gp__Jobs__Report *report)
 {
   gp_job_executor_t *executor
       = gp_book_executor (leader->book, report->executor->id);
 
-  if (is_next_life (executor, report))
-    return begin_next_life (leader, executor, report);
+  if (is_next_incarnation (executor, report))
+    return begin_next_incarnation (leader, executor, report);
   if (report->executor->born_ms != 0)
     executor->born_ms = report->executor->born_ms;
   return executor;
 }
 
 static void
-set_executor (gp_link_t *link, const Gp__Jobs__Report *report)
+set_executor (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_leader_t *leader = link->leader;
   const char *id = report->executor->id;
   int64_t born_before_ms = gp_book_executor (leader->book, id)->born_ms;
-  gp_job_executor_t *executor = reported_life (leader, report);
+  gp_job_executor_t *executor = reported_incarnation (leader, report);
   const char *before = g_hash_table_lookup (leader->places, link->node);
   bool other = g_strcmp0 (before, id) != 0;
 
@@ -190,7 +191,7 @@
   if (other || executor->born_ms != born_before_ms)
     gp_leader_add_place (leader, link->node, id);
   if (g_hash_table_remove (leader->disputed, id))
-    drop_wrong_places (leader, link->node, id);
+    remove_foreign_places (leader, link->node, id);
   if (link->executor != executor)
     {
       link->executor = executor;
@@ -199,7 +200,7 @@
 }
 
 static void
-take_report (gp_link_t *link, const Gp__Jobs__Report *report)
+apply_report (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_leader_t *leader = link->leader;
   gp_job_executor_t *executor = link->executor;
@@ -237,7 +238,8 @@
   /* It may work again only with a new fence, which a sync raises.  */
   if (executor->dead)
     link->wants_sync = true;
-  if (report->synced != link->sync && now - link->synced_at > RESYNC_TIME)
+  if (report->synced != link->sync
+      && now - link->sync_sent_at > RESYNC_TIMEOUT)
     link->wants_sync = true;
   if (!report->down && (executor->down || executor->reported_since == 0))
     gp_scheduler_up (&leader->scheduler, executor);
@@ -255,7 +257,7 @@
    address reports another executor, which would be taken as proof that the one
    here is dead.  */
 static bool
-is_of_link (const gp_link_t *link, const Gp__Jobs__Report *report)
+is_of_link (const gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   GError *error = NULL;
 
@@ -272,7 +274,7 @@
 /* Remember jobs whose specification the guard could not get from another
    guard.  */
 static void
-note_lacking (gp_link_t *link, const Gp__Jobs__Report *report)
+note_lacking (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_leader_t *leader = link->leader;
 
@@ -286,7 +288,7 @@
    which are used in the next round: 300 guards send a thousand reports a
    second, and a round goes through all waiting jobs.  */
 static bool
-is_news (const gp_link_t *link, const Gp__Jobs__Report *report)
+needs_round (const gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   return report->n_ends > 0 || report->n_absent > 0 || link->wants_sync
          || link->lacking->len > 0 || !report->executor->unchanged
@@ -294,7 +296,7 @@
 }
 
 static void
-on_report (gp_link_t *link, const Gp__Jobs__Report *report)
+on_report (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_leader_t *leader = link->leader;
   bool was_reachable;
@@ -302,34 +304,34 @@
 
   if (leader->role != GP_LEADER_LEADING || !is_of_link (link, report))
     return;
-  if (!link->up)
+  if (!link->reporting)
     gp_log (GP_LOG_INFO, "guard.up", GP_LOG_S ("guard", link->node),
             GP_LOG_S ("executor",
                       report->executor != NULL ? report->executor->id : ""));
-  link->up = true;
-  if (link->obeyed_at == 0)
-    link->obeyed_at = gp_loop_now (leader->loop);
+  link->reporting = true;
+  if (link->first_report_at == 0)
+    link->first_report_at = gp_loop_now (leader->loop);
   link->reported_at = gp_loop_now (leader->loop);
   acknowledge (link, report);
-  link->sees_executor = report->executor != NULL;
+  link->has_executor = report->executor != NULL;
   link->report_sent_at = report->sent_at;
-  if (!link->sees_executor)
+  if (!link->has_executor)
     return;
   set_executor (link, report);
   was_reachable = link->executor->reachable;
   was_down = link->executor->down;
-  gp_leader_learn (link, report);
+  gp_leader_update_model (link, report);
   note_lacking (link, report);
-  take_report (link, report);
+  apply_report (link, report);
   if (link->executor->reachable != was_reachable
-      || link->executor->down != was_down || is_news (link, report))
-    gp_leader_turn_soon (leader);
+      || link->executor->down != was_down || needs_round (link, report))
+    gp_leader_schedule_round (leader);
 }
 
 static void
 on_frame (gp_peer_t *peer, const uint8_t *bytes, size_t size, void *data)
 {
-  gp_link_t *link = data;
+  gp_guard_link_t *link = data;
   gp_leader_t *leader = link->leader;
   Gp__Jobs__Frame *frame = gp_link_parse (
       peer, &leader->refusals, gp_loop_now (leader->loop), bytes, size);
@@ -345,16 +347,16 @@
 /* Connections.  */
 
 static void
-set_down (gp_link_t *link, const char *why)
+set_down (gp_guard_link_t *link, const char *why)
 {
-  if (link->up && link->leader->role == GP_LEADER_LEADING)
+  if (link->reporting && link->leader->role == GP_LEADER_LEADING)
     gp_log (GP_LOG_INFO, "guard.down", GP_LOG_S ("guard", link->node),
             GP_LOG_S ("why", why));
-  link->up = false;
-  link->sees_executor = false;
+  link->reporting = false;
+  link->has_executor = false;
   link->peer = NULL;
   link->wants_sync = true;
-  link->taught_images = 0;
+  link->fillings_sent = 0;
   gp_spec_spread_forget_guard (&link->leader->specs, link->node);
   g_ptr_array_set_size (link->lacking, 0);
   if (link->executor != NULL)
@@ -364,18 +366,19 @@
 static void
 on_close (gp_peer_t *peer, const GError *reason, void *data)
 {
-  gp_link_t *link = data;
+  gp_guard_link_t *link = data;
 
   if (link == NULL || link->peer != peer)
     return;
   if (link->executor != NULL)
     link->executor->cut_at = gp_loop_now (link->leader->loop);
   set_down (link, reason != NULL ? reason->message : "closed by this process");
-  gp_timer_arm (&link->redial, gp_loop_now (link->leader->loop) + REDIAL_TIME);
+  gp_timer_arm (&link->redial,
+                gp_loop_now (link->leader->loop) + REDIAL_DELAY);
 }
 
 static void
-hang_up (gp_link_t *link, const char *why)
+disconnect (gp_guard_link_t *link, const char *why)
 {
   gp_peer_t *peer = link->peer;
 
@@ -387,7 +390,7 @@
 }
 
 static void
-say_lead (gp_link_t *link)
+send_lead (gp_guard_link_t *link)
 {
   Gp__Jobs__Lead message = GP__JOBS__LEAD__INIT;
   Gp__Jobs__Frame frame = GP__JOBS__FRAME__INIT;
@@ -400,7 +403,7 @@
 }
 
 static void
-dial (gp_link_t *link)
+dial (gp_guard_link_t *link)
 {
   static const gp_peer_callbacks_t callbacks
       = { .on_frame = on_frame, .on_close = on_close };
@@ -411,10 +414,10 @@
     return;
   link->reported_at = now;
   link->peer = gp_peer_connect (link->leader->loop, link->address, NULL,
-                                now + DIAL_TIME, &callbacks, link, &error);
+                                now + DIAL_TIMEOUT, &callbacks, link, &error);
   if (link->peer != NULL)
     {
-      say_lead (link);
+      send_lead (link);
       return;
     }
   gp_log (GP_LOG_WARNING, "guard.address", GP_LOG_S ("guard", link->node),
@@ -431,7 +434,7 @@
 static void
 free_link (gpointer data)
 {
-  gp_link_t *link = data;
+  gp_guard_link_t *link = data;
 
   gp_timer_finish (&link->redial);
   g_ptr_array_unref (link->lacking);
@@ -470,24 +473,24 @@
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      gp_link_t *link = value;
+      gp_guard_link_t *link = value;
 
       gp_timer_disarm (&link->redial);
-      hang_up (link, "this entry does not lead");
+      disconnect (link, "this entry does not lead");
       link->executor = NULL;
-      link->obeyed_at = 0;
+      link->first_report_at = 0;
     }
 }
 
 void
-gp_leader_guard (gp_leader_t *leader, const char *node, const char *address,
-                 const char *zone)
+gp_leader_set_guard (gp_leader_t *leader, const char *node,
+                     const char *address, const char *zone)
 {
-  gp_link_t *link = g_hash_table_lookup (leader->links, node);
+  gp_guard_link_t *link = g_hash_table_lookup (leader->links, node);
 
   if (link == NULL)
     {
-      link = g_new0 (gp_link_t, 1);
+      link = g_new0 (gp_guard_link_t, 1);
       link->leader = leader;
       link->node = g_strdup (node);
       link->lacking = g_ptr_array_new_with_free_func (g_free);
@@ -503,7 +506,7 @@
     {
       g_free (link->address);
       link->address = g_strdup (address);
-      hang_up (link, "the guard's address has changed");
+      disconnect (link, "the guard's address has changed");
     }
   dial (link);
 }
@@ -519,12 +522,12 @@
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      gp_link_t *link = value;
+      gp_guard_link_t *link = value;
 
       if (link->executor != NULL)
         link->executor->evacuated = is_evacuated (link);
     }
-  gp_leader_turn_soon (leader);
+  gp_leader_schedule_round (leader);
 }
 
 /* Executors.  */
@@ -533,38 +536,38 @@
    certainly expired.  Renewals by former leaders count up to the guard's first
    report to this one, whether or not that named the executor.  */
 static gp_time_t
-leases_end (const gp_leader_t *leader, const gp_link_t *link,
+leases_end (const gp_leader_t *leader, const gp_guard_link_t *link,
             const gp_job_executor_t *executor)
 {
-  bool obeyed = link != NULL && link->obeyed_at > 0;
+  bool obeyed = link != NULL && link->first_report_at > 0;
   gp_time_t given = gp_grants_end (&leader->grants, obeyed);
 
   if (obeyed)
-    given = MAX (given, link->obeyed_at);
+    given = MAX (given, link->first_report_at);
   return gp_agent_lease_end (MAX (given, executor->reported_at));
 }
 
 /* Does the guard behind LINK report EXECUTOR?  A guard that has restarted may
    not know of it, and then nobody renews the lease of that executor.  */
 static bool
-is_spoken_for (const gp_link_t *link, const gp_job_executor_t *executor)
+is_reported (const gp_guard_link_t *link, const gp_job_executor_t *executor)
 {
-  return link != NULL && link->up && link->sees_executor
+  return link != NULL && link->reporting && link->has_executor
          && link->executor == executor;
 }
 
 /* No guard reports EXECUTOR: log once what its runs wait for, if this takes
    longer than a reconnect.  */
 static void
-note_awaited (const gp_leader_t *leader, const gp_link_t *link,
-              gp_job_executor_t *executor, const char *node)
+log_awaited (const gp_leader_t *leader, const gp_guard_link_t *link,
+             gp_job_executor_t *executor, const char *node)
 {
   gp_time_t now = gp_loop_now (leader->loop);
   gp_time_t end = leases_end (leader, link, executor);
 
   if (executor->unspoken_since == 0)
     executor->unspoken_since = now;
-  if (executor->awaited || now - executor->unspoken_since < QUIET_TIME)
+  if (executor->awaited || now - executor->unspoken_since < REPORT_TIMEOUT)
     return;
   executor->awaited = true;
   gp_log (GP_LOG_INFO, "executor.awaited", GP_LOG_S ("executor", executor->id),
@@ -576,16 +579,16 @@
                         : -1),
           GP_LOG_I ("former_leaders_ms",
                     (gp_grants_end (&leader->grants,
-                                    link != NULL && link->obeyed_at > 0)
+                                    link != NULL && link->first_report_at > 0)
                      - now)
                         / GP_MSEC));
 }
 
 static void
-look_after_place (gp_leader_t *leader, const char *node, const char *id)
+check_place (gp_leader_t *leader, const char *node, const char *id)
 {
   gp_job_executor_t *executor = gp_book_executor (leader->book, id);
-  const gp_link_t *link = g_hash_table_lookup (leader->links, node);
+  const gp_guard_link_t *link = g_hash_table_lookup (leader->links, node);
   gp_time_t now = gp_loop_now (leader->loop);
 
   if (executor->draining && executor->reachable)
@@ -594,26 +597,26 @@
     gp_scheduler_relocate (&leader->scheduler, executor, now);
   if (executor->dead || g_hash_table_contains (leader->disputed, id))
     return;
-  if (is_spoken_for (link, executor))
+  if (is_reported (link, executor))
     {
       executor->unspoken_since = 0;
       executor->awaited = false;
       return;
     }
-  note_awaited (leader, link, executor, node);
+  log_awaited (leader, link, executor, node);
   if (now > leases_end (leader, link, executor))
     declare_dead (leader, executor, GP_DEATH_SILENT);
 }
 
 static void
-look_after_link (gp_link_t *link)
+check_link (gp_guard_link_t *link)
 {
   gp_time_t now = gp_loop_now (link->leader->loop);
 
-  if (link->peer == NULL || now - link->reported_at < QUIET_TIME)
+  if (link->peer == NULL || now - link->reported_at < REPORT_TIMEOUT)
     return;
-  hang_up (link, "no report from the guard in time");
-  gp_timer_arm (&link->redial, now + REDIAL_TIME);
+  disconnect (link, "no report from the guard in time");
+  gp_timer_arm (&link->redial, now + REDIAL_DELAY);
 }
 
 /* Count the runs on executors that no guard reports: a level that stays up
@@ -637,7 +640,7 @@
 }
 
 void
-gp_leader_look_after_executors (gp_leader_t *leader)
+gp_leader_check_executors (gp_leader_t *leader)
 {
   GHashTableIter iter;
   gpointer key;
@@ -645,9 +648,9 @@
 
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    look_after_link (value);
+    check_link (value);
   g_hash_table_iter_init (&iter, leader->places);
   while (g_hash_table_iter_next (&iter, &key, &value))
-    look_after_place (leader, key, value);
+    check_place (leader, key, value);
   count_unreachable (leader);
 }
--- a/src/jobsd/leader_learn.c
+++ b/src/jobsd/leader_model.c
@@ -10,10 +10,10 @@
    slow.  */
 #define SLOW_PERCENT 60
 /* Interval between two transmissions of the weights to a guard.  */
-#define TEACH_TIME (500 * GP_MSEC)
+#define WEIGHTS_INTERVAL (500 * GP_MSEC)
 /* Interval between two records of the model, which take a few kilobytes
    each.  */
-#define LEARNED_TIME (2 * GP_SEC)
+#define MODEL_RECORD_INTERVAL (2 * GP_SEC)
 
 /* Add to ROWS the weights of all filling images next to the serving image
    SERVING, which has to outlive ROWS.  */
@@ -43,7 +43,7 @@
 /* The load estimate of the step that the run NAME belongs to; NULL if the run
    is not on the executor of LINK.  */
 static gp_headroom_t *
-load_of (const gp_link_t *link, const char *name)
+load_of (const gp_guard_link_t *link, const char *name)
 {
   gp_job_task_t *task = gp_book_task (link->leader->book, name);
 
@@ -54,7 +54,7 @@
 
 /* The image of the run NAME; NULL if it is unknown.  */
 static const char *
-image_of (const gp_link_t *link, const char *name)
+image_of (const gp_guard_link_t *link, const char *name)
 {
   const gp_job_task_t *task = gp_book_task (link->leader->book, name);
 
@@ -64,8 +64,8 @@
 /* Add the loads of the serving runs in the order of the report, so that no
    names are needed.  */
 static void
-add_loads (const gp_link_t *link, const Gp__Jobs__Report *report,
-           gp_teaching_t *teaching)
+add_loads (const gp_guard_link_t *link, const Gp__Jobs__Report *report,
+           gp_model_update_t *update)
 {
   gp_time_t now = gp_loop_now (link->leader->loop);
 
@@ -78,8 +78,8 @@
       int32_t slope
           = known ? (int32_t)(gp_headroom_slope_at (load, now) * 1000.0) : 0;
 
-      g_array_append_val (teaching->headrooms, headroom);
-      g_array_append_val (teaching->slopes, slope);
+      g_array_append_val (update->headrooms, headroom);
+      g_array_append_val (update->slopes, slope);
     }
 }
 
@@ -138,61 +138,64 @@
 }
 
 static void
-add_pressures_told (gp_link_t *link, const Gp__Jobs__Report *report,
-                    Gp__Jobs__Acknowledge *message, gp_teaching_t *teaching)
+add_weights_of_runs (gp_guard_link_t *link, const Gp__Jobs__Report *report,
+                     Gp__Jobs__Acknowledge *message, gp_model_update_t *update)
 {
   gp_leader_t *leader = link->leader;
 
   update_fillings (leader);
-  message->fillings = (char **)leader->fillings->pdata + link->taught_images;
-  message->n_fillings = leader->fillings->len - link->taught_images;
-  link->taught_images = leader->fillings->len;
+  message->fillings = (char **)leader->fillings->pdata + link->fillings_sent;
+  message->n_fillings = leader->fillings->len - link->fillings_sent;
+  link->fillings_sent = leader->fillings->len;
   for (size_t i = 0; i < report->n_servings; i++)
     {
       const char *image = image_of (link, report->servings[i]->task);
 
       if (image != NULL)
-        add_weights (leader, image, teaching->weights);
+        add_weights (leader, image, update->weights);
     }
-  message->weights = (Gp__Jobs__Weights **)teaching->weights->pdata;
-  message->n_weights = teaching->weights->len;
+  message->weights = (Gp__Jobs__Weights **)update->weights->pdata;
+  message->n_weights = update->weights->len;
 }
 
 void
-gp_leader_teach (gp_link_t *link, const Gp__Jobs__Report *report,
-                 Gp__Jobs__Acknowledge *message, gp_teaching_t *teaching)
+gp_leader_add_model_update (gp_guard_link_t *link,
+                            const Gp__Jobs__Report *report,
+                            Gp__Jobs__Acknowledge *message,
+                            gp_model_update_t *update)
 {
   gp_time_t now = gp_loop_now (link->leader->loop);
 
-  add_loads (link, report, teaching);
-  message->headrooms = (int32_t *)(void *)teaching->headrooms->data;
-  message->n_headrooms = teaching->headrooms->len;
-  message->slopes = (int32_t *)(void *)teaching->slopes->data;
-  message->n_slopes = teaching->slopes->len;
-  if (report->n_servings == 0 || now - link->taught_at < TEACH_TIME)
+  add_loads (link, report, update);
+  message->headrooms = (int32_t *)(void *)update->headrooms->data;
+  message->n_headrooms = update->headrooms->len;
+  message->slopes = (int32_t *)(void *)update->slopes->data;
+  message->n_slopes = update->slopes->len;
+  if (report->n_servings == 0
+      || now - link->weights_sent_at < WEIGHTS_INTERVAL)
     return;
-  link->taught_at = now;
-  add_pressures_told (link, report, message, teaching);
+  link->weights_sent_at = now;
+  add_weights_of_runs (link, report, message, update);
 }
 
 void
-gp_teaching_init (gp_teaching_t *teaching)
+gp_model_update_init (gp_model_update_t *update)
 {
-  teaching->weights = g_ptr_array_new_with_free_func (free_weights);
-  teaching->headrooms = g_array_new (FALSE, FALSE, sizeof (int32_t));
-  teaching->slopes = g_array_new (FALSE, FALSE, sizeof (int32_t));
+  update->weights = g_ptr_array_new_with_free_func (free_weights);
+  update->headrooms = g_array_new (FALSE, FALSE, sizeof (int32_t));
+  update->slopes = g_array_new (FALSE, FALSE, sizeof (int32_t));
 }
 
 void
-gp_teaching_finish (gp_teaching_t *teaching)
+gp_model_update_finish (gp_model_update_t *update)
 {
-  g_ptr_array_unref (teaching->weights);
-  g_array_unref (teaching->headrooms);
-  g_array_unref (teaching->slopes);
+  g_ptr_array_unref (update->weights);
+  g_array_unref (update->headrooms);
+  g_array_unref (update->slopes);
 }
 
 static void
-note_speed (gp_link_t *link, const Gp__Jobs__Filling *filling)
+update_slow_since (gp_guard_link_t *link, const Gp__Jobs__Filling *filling)
 {
   gp_job_task_t *task = gp_book_task (link->leader->book, filling->task);
   gp_time_t now = gp_loop_now (link->leader->loop);
@@ -206,7 +209,7 @@
 }
 
 static gp_pressure_work_t
-work_of (gp_link_t *link, const Gp__Jobs__Report *report)
+work_of (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_pressure_work_t work = { { 0.0 } };
 
@@ -225,8 +228,8 @@
 }
 
 static void
-learn_serving (gp_link_t *link, const Gp__Jobs__Serving *serving,
-               const gp_pressure_work_t *work, gp_time_t now)
+update_from_serving (gp_guard_link_t *link, const Gp__Jobs__Serving *serving,
+                     const gp_pressure_work_t *work, gp_time_t now)
 {
   gp_headroom_t *load = load_of (link, serving->task);
 
@@ -237,19 +240,19 @@
 }
 
 void
-gp_leader_learn (gp_link_t *link, const Gp__Jobs__Report *report)
+gp_leader_update_model (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_time_t now = gp_loop_now (link->leader->loop);
   gp_pressure_work_t work = work_of (link, report);
 
   for (size_t i = 0; i < report->n_fillings; i++)
-    note_speed (link, report->fillings[i]);
+    update_slow_since (link, report->fillings[i]);
   for (size_t i = 0; i < report->n_servings; i++)
-    learn_serving (link, report->servings[i], &work, now);
+    update_from_serving (link, report->servings[i], &work, now);
 }
 
 static GBytes *
-pack_learned (const gp_leader_t *leader)
+pack_model (const gp_leader_t *leader)
 {
   Gp__Jobs__Learned learned = GP__JOBS__LEARNED__INIT;
   GArray *pressures = g_array_new (FALSE, FALSE, sizeof (Gp__Jobs__Pressure));
@@ -275,22 +278,22 @@
 }
 
 void
-gp_leader_add_learned (gp_leader_t *leader)
+gp_leader_add_model (gp_leader_t *leader)
 {
   gp_time_t now = gp_loop_now (leader->loop);
   GBytes *bytes;
 
   if (now < leader->learned_due)
     return;
-  leader->learned_due = now + LEARNED_TIME;
-  bytes = pack_learned (leader);
+  leader->learned_due = now + MODEL_RECORD_INTERVAL;
+  bytes = pack_model (leader);
   if (g_bytes_get_size (bytes) > 0)
     gp_leader_add_record (leader, GP_LEARNED_KEY, bytes);
   g_bytes_unref (bytes);
 }
 
 void
-gp_leader_take_learned (gp_leader_t *leader, const Gp__Jobs__Learned *learned)
+gp_leader_load_model (gp_leader_t *leader, const Gp__Jobs__Learned *learned)
 {
   gp_pressure_t *pressure = &leader->pressure;
 
--- a/src/jobsd/leader_private.h
+++ b/src/jobsd/leader_private.h
@@ -7,7 +7,7 @@
 #include "jobsd/leader.h"
 
 /* Plan and append at the end of this phase of the event loop.  */
-void gp_leader_turn_soon (gp_leader_t *leader);
+void gp_leader_schedule_round (gp_leader_t *leader);
 
 /* NODE now has EXECUTOR; recorded with the next append.  */
 void gp_leader_add_place (gp_leader_t *leader, const char *node,
@@ -22,8 +22,8 @@
 
 /* For g_hash_table_find on the table of places: is EXECUTOR, at NODE there,
    the executor of the gp_leader_place_t DATA but on another VM?  */
-gboolean gp_leader_stands_elsewhere (gpointer node, gpointer executor,
-                                     gpointer data);
+gboolean gp_leader_is_recorded_elsewhere (gpointer node, gpointer executor,
+                                          gpointer data);
 
 GHashTable *gp_leader_links_new (void);
 void gp_leader_dial_all (gp_leader_t *leader);
@@ -31,16 +31,16 @@
 
 /* Find executors whose leases have certainly expired, and those that are
    draining.  */
-void gp_leader_look_after_executors (gp_leader_t *leader);
+void gp_leader_check_executors (gp_leader_t *leader);
 
 /* Build frames from the scheduler's orders; send or discard the frames that
    were built before the append that is done now.  */
-void gp_leader_make_frames (gp_leader_t *leader);
+void gp_leader_build_frames (gp_leader_t *leader);
 void gp_leader_send_frames (gp_leader_t *leader);
 void gp_leader_drop_frames (gp_leader_t *leader);
 
 /* Interval of an idle leader's heartbeat records.  */
-#define GP_LEADER_HEARTBEAT_TIME (250 * GP_MSEC)
+#define GP_LEADER_HEARTBEAT_INTERVAL (250 * GP_MSEC)
 
 void gp_leader_append_init (gp_leader_t *leader);
 void gp_leader_append_finish (gp_leader_t *leader);
@@ -49,7 +49,7 @@
 /* Try to take leadership.  */
 void gp_leader_claim (gp_leader_t *leader);
 /* Leadership was taken by the record at offset EPOCH.  */
-void gp_leader_lead (gp_leader_t *leader, uint64_t epoch);
+void gp_leader_start_leading (gp_leader_t *leader, uint64_t epoch);
 
 /* Add a record to the batch that is being built.  */
 void gp_leader_add_record (gp_leader_t *leader, const char *key,
@@ -57,13 +57,14 @@
 
 /* Add the learned model to the batch if it is due, so that the next leader
    continues with it.  */
-void gp_leader_add_learned (gp_leader_t *leader);
+void gp_leader_add_model (gp_leader_t *leader);
 /* Load a model that another leader has written.  */
-void gp_leader_take_learned (gp_leader_t *leader,
-                             const Gp__Jobs__Learned *learned);
+void gp_leader_load_model (gp_leader_t *leader,
+                           const Gp__Jobs__Learned *learned);
 
 /* Update the model from the measurements in REPORT, if there are any.  */
-void gp_leader_learn (gp_link_t *link, const Gp__Jobs__Report *report);
+void gp_leader_update_model (gp_guard_link_t *link,
+                             const Gp__Jobs__Report *report);
 
 /* Arrays with the model data that an acknowledgement points to.  */
 typedef struct
@@ -71,15 +72,17 @@
   GPtrArray *weights; /* Gp__Jobs__Weights, owned */
   GArray *headrooms;  /* int32_t */
   GArray *slopes;     /* int32_t */
-} gp_teaching_t;
+} gp_model_update_t;
 
-void gp_teaching_init (gp_teaching_t *teaching);
+void gp_model_update_init (gp_model_update_t *update);
 /* Call after the message was sent.  */
-void gp_teaching_finish (gp_teaching_t *teaching);
+void gp_model_update_finish (gp_model_update_t *update);
 
 /* Add to MESSAGE the loads of the runs in REPORT and, when due, the
-   interference weights of their images.  TEACHING owns the data.  */
-void gp_leader_teach (gp_link_t *link, const Gp__Jobs__Report *report,
-                      Gp__Jobs__Acknowledge *message, gp_teaching_t *teaching);
+   interference weights of their images.  UPDATE owns the data.  */
+void gp_leader_add_model_update (gp_guard_link_t *link,
+                                 const Gp__Jobs__Report *report,
+                                 Gp__Jobs__Acknowledge *message,
+                                 gp_model_update_t *update);
 
 #endif
