--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -1,9 +1,9 @@
-/* The guard of a worker's VM: its executor's only caller.
+/* The guard of a worker's VM: the only process that calls its executor.
 
-   It answers the executor's heartbeats, keeps one list call open at all
-   times, makes the calls that jobs/agent.c asks for and reports to the
-   leading entry, which connects to it.  A guard that is new on its VM
-   announces its address on the log once.  */
+   It answers the executor's heartbeats, keeps a list call open at all times,
+   makes the calls that jobs/agent.c asks for, and reports to the leading
+   entry, which connects to it.  A guard that is new on its VM announces its
+   address on the log once.  */
 
 #include "jobsd/guard_private.h"
 
@@ -16,17 +16,17 @@
 #include "jobsd/link.h"
 #include "jobsd/metrics.h"
 
-/* A heartbeat is a few hundred bytes; the platform allows more than we
-   need.  */
+/* A heartbeat has a few hundred bytes; the platform allows more than this
+   limit.  */
 #define BODY_MAX ((size_t)64 * 1024)
 #define HEADER_TIME (5 * GP_SEC)
 #define CALLS_MAX 4
-/* Nothing is started so long before an evacuation has to be in force: an order
-   without an answer is given up after a third of it.  */
+/* Starts end this long before an evacuation has to be in force: an order that
+   gets no answer is abandoned after a third of this time.  */
 #define ZONE_MARGIN GP_SEC
-/* A guard that stops waits so long for the end of an executor that has said
-   goodbye, and for a leader to tell it to; a new leader comes within 1.5 s as
-   a rule, and the platform gives a process 6 s.  */
+/* How long a stopping guard waits for an executor that has deregistered to
+   end, and for a leader to report that to.  A new leader usually takes over
+   within 1.5 s, and the platform gives a process 6 s to stop.  */
 #define LEAVE_TIME (4 * GP_SEC)
 
 static gp_counter_t starts_count
@@ -45,16 +45,16 @@
     "end_record",
     "From the first unrecorded end on the executor's list to its record");
 
-/* An order until its answer.  */
+/* An order in flight.  */
 typedef struct
 {
   gp_job_guard_t *guard;
   gp_agent_call_kind_t kind;
-  uint64_t life; /* that was meant, see gp_agent_t */
+  uint64_t life; /* incarnation that it is for, as counted by gp_agent_t */
   int64_t fence;
   char name[GP_TASK_NAME_SIZE];
   uint32_t run;
-  uint32_t percent; /* of a pace */
+  uint32_t percent; /* speed limit, for GP_AGENT_CALL_PACE */
   gp_time_t sent_at;
 } order_t;
 
@@ -76,7 +76,7 @@
   gp_guard_send_report (data);
 }
 
-/* Its end.  */
+/* Stopping.  */
 
 static void
 stop (gp_job_guard_t *guard)
@@ -85,7 +85,7 @@
   gp_loop_stop (&guard->loop);
 }
 
-/* Is there an end of the executor that only this process can tell of?  */
+/* Is there an end of the executor that only this process can report?  */
 static bool
 has_end_to_tell (const gp_job_guard_t *guard)
 {
@@ -215,7 +215,7 @@
   make_calls (GP_CONTAINER_OF (deferred, gp_job_guard_t, act));
 }
 
-/* Heartbeats.  */
+/* HTTP requests of the executor.  */
 
 static void
 on_request (gp_http_exchange_t *exchange, void *data)
@@ -348,10 +348,12 @@
     return;
   guard->leader = NULL;
   gp_log (GP_LOG_INFO, "leader.lost",
-          GP_LOG_S ("why", reason != NULL ? reason->message : "closed here"));
+          GP_LOG_S ("why", reason != NULL ? reason->message
+                                          : "closed by this process"));
 }
 
-/* Runs can be started, or the leader has to be asked.  */
+/* A specification was received, so runs can be started; or, if FAILED, the
+   leader has to be asked for it.  */
 static void
 on_spec (bool failed, void *data)
 {
@@ -368,7 +370,7 @@
   return data;
 }
 
-/* Life.  */
+/* Initialization and shutdown.  */
 
 static void
 on_reload (void *data)
@@ -378,9 +380,9 @@
   gp_platform_settings_reload (guard->settings);
 }
 
-/* An executor that has just said goodbye is seen to its end first: otherwise
-   nobody could tell the leader of it, and its runs would wait for its lease.
- */
+/* Before stopping, the guard waits until an executor that has just
+   deregistered has ended: nobody else could report that to the leader, and its
+   runs would wait for its lease to expire.  */
 static void
 on_stop (void *data)
 {
@@ -429,8 +431,8 @@
   return guard->peers != NULL;
 }
 
-/* For how long a word that the zone is open holds: an order that is sent then
-   has to arrive within the time that operators are told.  */
+/* How long the information that the zone is open remains valid: an order sent
+   within this time has to arrive within the time promised to operators.  */
 static gp_time_t
 zone_span (const gp_platform_settings_t *settings)
 {
--- a/src/jobsd/guard.h
+++ b/src/jobsd/guard.h
@@ -1,4 +1,4 @@
-/* The guard of a worker's VM: its executor's only caller.  */
+/* The guard of a worker's VM: the only process that calls its executor.  */
 
 #ifndef GP_JOBSD_GUARD_H
 #define GP_JOBSD_GUARD_H
@@ -15,27 +15,28 @@
 #include "transport/http.h"
 #include "transport/peer.h"
 
-/* An executor has said goodbye and is asked whether it is still there.  */
+/* An executor has deregistered, and the guard checks whether it is still
+   there.  */
 typedef struct
 {
-  char *executor;  /* its id, owned; NULL: none has */
-  uint64_t life;   /* of the executor, see gp_agent_t */
-  gp_time_t until; /* it is asked no longer */
+  char *executor;  /* its id, owned; NULL: none has deregistered */
+  uint64_t life;   /* its incarnation, as counted by gp_agent_t */
+  gp_time_t until; /* it is not checked after this */
   gp_timer_t ask;
   bool asking;
 } gp_farewell_t;
 
-/* What one side has told the other on the leader's connection, and does not
-   tell again.  */
+/* State that was sent on the current connection of the leader and is not sent
+   again.  */
 typedef struct
 {
-  GBytes *executor;      /* as last reported, owned, NULL: it was not */
+  GBytes *executor; /* description as last reported, owned; NULL: it was not */
   GPtrArray *servings;   /* names, owned, of the runs in the last report with
-                            measures ... */
-  gp_time_t servings_at; /* ... which was sent then */
-  GPtrArray *fillings;   /* images, owned, in the order that the leader has
-                            told them */
-  bool down;             /* that the executor does not answer */
+                            measurements ... */
+  gp_time_t servings_at; /* ... and the time at which it was sent */
+  GPtrArray *fillings;   /* images, owned, in the order in which the leader has
+                            sent them */
+  bool down; /* the last report said that the executor does not answer */
 } gp_told_t;
 
 typedef struct
@@ -47,32 +48,36 @@
   gp_http_server_t *beats;
   gp_http_server_t *metrics;
   gp_peer_server_t *peers;
-  gp_peer_t *leader; /* the connection of the leader, or NULL */
-  uint64_t epoch;    /* the highest seen */
+  gp_peer_t *leader; /* connection of the leader, or NULL */
+  uint64_t epoch;    /* highest epoch of a leader seen so far */
   gp_agent_t agent;
   gp_refusals_t refusals;
-  gp_timer_t report; /* the next report is due */
-  gp_timer_t calls;  /* a call may be repeated */
-  gp_timer_t list;   /* the next list is due */
+  gp_timer_t report; /* sends the next report */
+  gp_timer_t calls;  /* repeats calls to the executor */
+  gp_timer_t list;   /* sends the next list call */
   gp_farewell_t farewell;
   gp_guard_specs_t specs;
-  gp_timer_t leave; /* it stops then at the latest */
+  gp_timer_t leave; /* stops the process at the latest */
   bool stopping;
-  gp_time_t ended_at; /* the last report before the executor's end left */
-  bool end_known;     /* a leader has acknowledged one after it */
-  gp_time_t report_sent_at; /* the last report left */
+  gp_time_t ended_at; /* last report before the executor's end was sent */
+  bool end_known;     /* a leader has acknowledged a later report */
+  gp_time_t report_sent_at; /* send time of the last report */
   gp_told_t told;
   gp_announcer_t announcer;
   gp_traffic_reporter_t traffic;
-  gp_deferred_t act; /* make the calls that are due */
+  gp_deferred_t act; /* makes the calls that are due */
   unsigned calls_open;
   bool listing;
-  uint64_t listed_life;       /* of which a list was asked for last ... */
-  int64_t listed_fence;       /* ... with this fence */
-  gp_time_t unrecorded_since; /* ends wait for their record since, or 0 */
-  uint64_t beat_sequence;     /* of the executor's last heartbeat */
-  unsigned other_service;     /* heartbeats in a row that give it another */
-  unsigned introductions;     /* executors that are being identified */
+  uint64_t listed_life; /* incarnation of the executor that the last list call
+                           is for ... */
+  int64_t listed_fence; /* ... and the fence of that call */
+  gp_time_t unrecorded_since; /* ends have been waiting to be recorded since,
+                                 or 0 */
+  uint64_t beat_sequence;     /* sequence number of the executor's last
+                                 heartbeat */
+  unsigned other_service;     /* consecutive heartbeats that give the executor
+                                 another service */
+  unsigned introductions;     /* number of executors being identified */
 } gp_job_guard_t;
 
 bool gp_job_guard_init (gp_job_guard_t *guard,
--- a/src/jobsd/guard_beats.c
+++ b/src/jobsd/guard_beats.c
@@ -1,19 +1,20 @@
 /* Heartbeats of the executor on a guard's VM.
 
    A heartbeat may be delayed and arrive after its sender has crashed and
-   another executor, or another life of it, has come to the same address.
-   Taking the old one for the newest would declare the one that works dead and
-   start its runs elsewhere; and times of birth are by a clock that may step
-   back, so they don't tell which life is newer.  So a life that is not the
-   current one only counts once the executor that answers at the VM's address
-   has listed under it.  Of answers that were asked for before another life was
-   met, none counts.
+   another executor, or another incarnation of it, runs at the same address.
+   If the delayed one were taken for the newest, the executor that works would
+   be declared dead and its runs started elsewhere; and birth times come from a
+   clock that may step back, so they do not tell which incarnation is newer.
+   Therefore another incarnation than the current one is accepted only once the
+   executor that answers at the VM's address has sent a list under that
+   incarnation.  Answers to calls made before yet another incarnation was
+   accepted do not count.
 
-   A heartbeat that is not in form changes nothing, nor does one that gives the
-   current executor another service: an executor keeps its service for life,
-   so that another writer has sent it.  When that goes on, it is the first
-   heartbeat that was another writer's, and the service that is told on and on
-   is taken.  */
+   A malformed heartbeat changes nothing.  Nor does one that gives the current
+   executor another service: an executor never changes its service, so the
+   heartbeat is from another writer.  If such heartbeats continue, it was the
+   first heartbeat that came from another writer, and the service that is
+   repeated is accepted.  */
 
 #include "jobsd/guard_private.h"
 
@@ -24,28 +25,29 @@
 #include "platform/json.h"
 #include "platform/refusals.h"
 
-/* Executors that are identified at a time.  Each takes a call, and the orders
-   of the executor that works here must not wait behind those for whatever ids
-   another writer makes up.  */
+/* Limit of executors being identified at the same time.  Each takes a call,
+   and the orders to the executor of this VM must not queue behind calls for
+   ids that another writer makes up.  */
 #define INTRODUCTIONS_MAX 8
-/* Heartbeats in a row that give the current executor another service before
-   one is believed.  */
+/* Consecutive heartbeats that have to give the current executor another
+   service before it is accepted.  */
 #define OTHER_SERVICE_MAX 3
 
-/* Questions to an executor that has seen a higher fence, until one is taken:
-   leaps of the fence reach any time of day by then.  */
+/* Limit of identification calls to an executor that rejects them as it has
+   seen a higher fence.  The fence is raised in doubling leaps, which exceed
+   any time of day by then.  */
 #define QUESTIONS_MAX 40
 
 static gp_counter_t lives_count
     = GP_COUNTER ("guard_lives_total", "Lives of executors that were met");
 
-/* A heartbeat of a life that is not known yet, until it is identified.  */
+/* A heartbeat of an unknown incarnation, until that is identified.  */
 typedef struct
 {
   gp_job_guard_t *guard;
   gp_heartbeat_t heartbeat;
-  uint64_t life; /* the current one when it was asked for */
-  int64_t fence; /* of the last question */
+  uint64_t life; /* current incarnation when the heartbeat arrived */
+  int64_t fence; /* fence of the last identification call */
   unsigned questions;
 } introduction_t;
 
@@ -55,7 +57,7 @@
   gp_counter_register (&lives_count);
 }
 
-/* Is HEARTBEAT of the life that works here?  */
+/* Is HEARTBEAT from the current incarnation?  */
 static bool
 is_current (const gp_job_guard_t *guard, const gp_heartbeat_t *heartbeat)
 {
@@ -63,7 +65,7 @@
                            heartbeat->executor->born_ms);
 }
 
-/* Of the current life.  */
+/* Process a heartbeat of the current incarnation.  */
 static void
 take_heartbeat (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat)
 {
@@ -80,9 +82,9 @@
   gp_guard_ask_list (guard);
 }
 
-/* The life of HEARTBEAT has answered with LIST, asked for with FENCE: it works
-   here from now on. The leader hears of it with what it has of the life
-   before.  */
+/* The incarnation that sent HEARTBEAT has answered with LIST, requested with
+   FENCE: it is the current one from now on.  The report tells the leader
+   together with what is left to report of the previous incarnation.  */
 static void
 meet (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat,
       const gp_runtime_list_t *list, int64_t fence)
@@ -96,7 +98,7 @@
   gp_guard_ask_list (guard);
 }
 
-/* Count and tell that the executor ID is not believed in.  */
+/* Count and log that the heartbeat of the executor ID was not confirmed.  */
 static void
 note_unconfirmed (const char *id, const char *why)
 {
@@ -110,18 +112,18 @@
   g_error_free (error);
 }
 
-/* Why the heartbeat is not believed now that LIST has come, NULL: it is.  */
+/* Reason for which LIST does not confirm the heartbeat; NULL if it does.  */
 static const char *
 doubt_of (const introduction_t *introduction, const gp_runtime_list_t *list)
 {
   if (introduction->life != introduction->guard->agent.life)
-    return "another life was met meanwhile";
+    return "another incarnation was accepted in the meantime";
   if (list->result == GP_AGENT_REPLACED)
-    return "another one answers at its address";
+    return "another executor answers at its address";
   if (list->result != GP_AGENT_TAKEN)
-    return "no answer";
+    return "the executor does not answer";
   if (list->born_ms != introduction->heartbeat.executor->born_ms)
-    return "another life of it answers at its address";
+    return "another incarnation of it answers at its address";
   return NULL;
 }
 
@@ -154,9 +156,9 @@
   g_free (introduction);
 }
 
-/* Each question has a fence above all orders to the life before, also those
-   that are made until its answer comes: with that none of them will be carried
-   out any more.  */
+/* Send an identification call.  Its fence is above those of all orders to the
+   previous incarnation, including orders made until its answer arrives: once
+   it is answered none of them can be carried out any more.  */
 static void
 ask (introduction_t *introduction)
 {
@@ -174,7 +176,7 @@
                                 introduction);
 }
 
-/* Takes HEARTBEAT over; returns the status to answer.  */
+/* Takes ownership of HEARTBEAT; returns the HTTP status of the response.  */
 static int
 identify (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat)
 {
@@ -182,7 +184,8 @@
 
   if (guard->introductions >= INTRODUCTIONS_MAX)
     {
-      note_unconfirmed (heartbeat->executor->id, "too many at a time");
+      note_unconfirmed (heartbeat->executor->id,
+                        "too many executors are being identified");
       return 503;
     }
   guard->introductions++;
@@ -195,7 +198,8 @@
   return 200;
 }
 
-/* Count and tell ERROR, which is freed; returns the status to answer.  */
+/* Count and log ERROR, which is freed; returns the HTTP status of the
+   response.  */
 static int
 refuse (const char *id, GError *error)
 {
@@ -213,10 +217,11 @@
 gp_guard_refuse_unnamed (void)
 {
   refuse ("", g_error_new (GP_JSON_ERROR, GP_JSON_ERROR_RANGE,
-                           "id: not an executor's"));
+                           "id: not a valid executor id"));
 }
 
-/* An error when HEARTBEAT gives the current executor another service.  */
+/* Returns an error if HEARTBEAT gives the current executor another
+   service.  */
 static GError *
 check_service (gp_job_guard_t *guard, const gp_heartbeat_t *heartbeat)
 {
@@ -235,7 +240,7 @@
       return NULL;
     }
   return g_error_new (GP_JSON_ERROR, GP_JSON_ERROR_IDENTITY,
-                      "service: '%s' is not the one of this executor",
+                      "service: '%s' is not the service of this executor",
                       service);
 }
 
--- a/src/jobsd/guard_farewell.c
+++ b/src/jobsd/guard_farewell.c
@@ -1,13 +1,14 @@
-/* Goodbyes of the executor on a guard's VM.
+/* Deregistration of the executor on a guard's VM.
 
-   An executor sends its goodbye as the last thing before it ends, and all that
-   ran on it ends with it, also what it has not listed.  The leader is told, so
-   that those runs go on elsewhere at once.  Without that they would wait for
-   the lease to run out, and where the VM is stopped meanwhile, for those of
-   former leaders.
+   An executor deregisters as the last thing before it ends, and everything
+   that runs on it ends with it, including what it has not listed.  The leader
+   is told, so that these runs continue elsewhere at once.  Otherwise they
+   would wait for the lease to expire and, if the VM is stopped in the
+   meantime, for the leases of former leaders.
 
-   A goodbye alone proves nothing yet: its sender may be about to end, or be
-   somebody else.  It counts once nobody listens at the executor's address.  */
+   A deregistration alone proves nothing: its sender may only be about to end,
+   or be somebody else.  It counts once nothing listens at the executor's
+   address any more.  */
 
 #include "jobsd/guard_private.h"
 
@@ -15,10 +16,10 @@
 
 #include "base/log.h"
 
-/* Between two questions whether the executor is still there.  */
+/* Interval between two checks whether the executor is still there.  */
 #define ASK_TIME (50 * GP_MSEC)
-/* An executor that is still there after this stays: "some seconds" are known
-   between a planned end and the end.  */
+/* An executor that is still there after this time has not ended: a planned end
+   is known to take "some seconds".  */
 #define FAREWELL_TIME (10 * GP_SEC)
 
 static void
@@ -28,8 +29,8 @@
   gp_timer_disarm (&farewell->ask);
 }
 
-/* A question to an executor, whose life may not be the current one any more
-   when the answer comes.  */
+/* A check whether an executor is there.  Its incarnation may not be the
+   current one any more when the answer arrives.  */
 typedef struct
 {
   gp_job_guard_t *guard;
@@ -87,8 +88,8 @@
 {
   gp_farewell_t *farewell = &guard->farewell;
   question_t *question;
-  /* The lowest fence: an executor that is there refuses it, and is known by
-     that.  */
+  /* The fence is left at its lowest value: an executor that is there refuses
+     the call, and that refusal shows that it is there.  */
   const gp_runtime_order_t order
       = { .executor = farewell->executor,
           .deadline = gp_loop_now (&guard->loop) + GP_GUARD_ORDER_TIME };
--- a/src/jobsd/guard_list.c
+++ b/src/jobsd/guard_list.c
@@ -1,26 +1,28 @@
-/* The list of a guard's executor: when it is asked for, and what its answer
-   says of who answers.  */
+/* List calls to the guard's executor: when one is made, and which incarnation
+   its answer is from.  */
 
 #include "jobsd/guard_private.h"
 
 #include "base/counters.h"
 #include "base/log.h"
 
-/* The executor holds a list call so long when nothing ends: half of the time
-   that its measures look back.  */
+/* How long the executor holds a list call open while nothing ends: half of the
+   period that its measurements cover.  */
 #define LIST_WAIT (250 * GP_MSEC)
-/* The same while others wait for a run that is to be alone: lists tell whether
-   it has begun, and that orders before it are void.  */
+/* The same while others wait for an isolated run: lists show whether it has
+   begun, and that earlier orders are void.  */
 #define LIST_WAIT_ALONE (50 * GP_MSEC)
-/* Beyond that without an answer it is made again.  */
+/* Additional time without an answer after which the call is made again.  */
 #define LIST_TIME (600 * GP_MSEC)
-/* Least duration between two list calls: ends that come together then come
-   in one, and ends that are not yet on record do not make it spin.  */
+/* Minimum time between two list calls, so that ends that come together are
+   reported in one list, and ends that are not recorded yet do not cause a busy
+   loop.  */
 #define LIST_SPACING (15 * GP_MSEC)
 #define LIST_SPACING_UNSEEN (60 * GP_MSEC)
 #define LIST_RETRY_TIME (100 * GP_MSEC)
-/* The same for a while after the executor has ended a connection: until it is
-   reached, its next life carries out what was ordered of the one before.  */
+/* The same for a while after the executor has closed a connection: until the
+   guard has reached its next incarnation, that one carries out orders made for
+   the previous one.  */
 #define LIST_RETRY_CUT_TIME (10 * GP_MSEC)
 #define LIST_CUT_TIME (5 * GP_SEC)
 #define LIST_CUT_PATIENCE (150 * GP_MSEC)
@@ -43,8 +45,8 @@
 {
   uint64_t listed = guard->agent.listed_ends;
   uint64_t stale = guard->agent.stale_ends;
-  /* Nothing is absent from a list that could not be read whole: it is like
-     one that was asked for before all runs.  */
+  /* Nothing counts as absent from a list that was not read completely: it is
+     treated like one requested before all runs.  */
   gp_time_t asked_at = list->whole ? list->sent_at : INT64_MIN;
 
   if (list->whole)
@@ -65,9 +67,8 @@
   return agent->is_cut && now - agent->down_since < LIST_CUT_TIME;
 }
 
-/* What LIST means of the life that works here.  Where another one lists,
-   nobody of this one is there any more; the next one is met by its heartbeat.
- */
+/* What LIST means for the current incarnation.  If another one sends it, the
+   current one is gone; the other one is accepted on its heartbeat.  */
 static gp_agent_result_t
 list_result (const gp_agent_t *agent, const gp_runtime_list_t *list,
              gp_time_t now)
@@ -81,7 +82,7 @@
                                                    : GP_AGENT_NOBODY;
 }
 
-/* Returns the pause until the next call.  */
+/* Returns the time to wait until the next call.  */
 static gp_time_t
 take_answer (gp_job_guard_t *guard, const gp_runtime_list_t *list)
 {
@@ -127,7 +128,8 @@
   gp_timer_arm (&guard->list, now + pause);
 }
 
-/* How long the executor is to hold a list back when nothing ends.  */
+/* How long the executor is asked to hold a list call open while nothing
+   ends.  */
 static gp_time_t
 list_wait (const gp_agent_t *agent, gp_time_t now)
 {
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -1,4 +1,4 @@
-/* What the guard tells the leader.  */
+/* Reports from the guard to the leader.  */
 
 #include "jobsd/guard_private.h"
 
@@ -6,7 +6,8 @@
 #include "jobsd/link.h"
 #include "protocol/message.h"
 
-/* Reports are leases, so a few have to fit into one.  */
+/* Acknowledged reports renew the lease, so several have to fit into its
+   duration.  */
 #define REPORT_TIME (300 * GP_MSEC)
 
 static gp_counter_t runs_gauge
@@ -71,10 +72,10 @@
              || run->phase == GP_RUN_STOPPED);
 }
 
-/* What the executor has on its list though nobody wants it there.  A leader
-   that has not synced yet is told all of the list: it may find that this is
-   another life than it knew, where orders to the one before were carried out
-   late.  */
+/* Runs that the executor lists though nobody wants them there.  A leader that
+   has not synced yet is sent the complete list: it may find that this is
+   another incarnation than it knew, one that has carried out late orders to
+   the previous one.  */
 static void
 report_carried (const gp_agent_t *agent, Gp__Jobs__Report *report,
                 GArray *carried)
@@ -94,8 +95,8 @@
   report->n_carried = carried->len;
 }
 
-/* Runs that have settled, and those that go down with an executor that does
-   not answer or whose lease has run out and may be what it went down for.  */
+/* Runs that have settled, and runs that may be the reason why the executor
+   does not answer or its lease has expired.  */
 static void
 report_suspects (const gp_agent_t *agent, Gp__Jobs__Report *report,
                  GArray *settled, GArray *suspects)
@@ -118,7 +119,7 @@
   report->n_suspects = suspects->len;
 }
 
-/* The work that is left in the measures of runs that have ended.  */
+/* Work of runs that have ended but still is in the measurements.  */
 static void
 add_gone (const gp_agent_t *agent, GArray *fillings)
 {
@@ -136,7 +137,7 @@
     }
 }
 
-/* The measures of the runs, for the leader to learn from.  */
+/* Measurements of the runs, for the leader's model.  */
 static void
 report_measures (gp_job_guard_t *guard, Gp__Jobs__Report *report,
                  GArray *servings, GArray *fillings)
@@ -182,9 +183,9 @@
   report->n_fillings = fillings->len;
 }
 
-/* Is the executor as it was reported last?  If not, it counts as reported now:
-   its description is half of a report's bytes and changes a few times in its
-   life.  */
+/* Is the description of the executor the same as in the last report?  If not,
+   it is recorded as reported: it makes up half of a report's bytes and changes
+   a few times in the executor's lifetime.  */
 static bool
 is_executor_told (gp_job_guard_t *guard)
 {
@@ -297,8 +298,8 @@
   servings = g_array_new (FALSE, FALSE, sizeof (Gp__Jobs__Serving));
   fillings = g_array_new (FALSE, FALSE, sizeof (Gp__Jobs__Filling));
   carried = g_array_new (FALSE, FALSE, sizeof (Gp__Jobs__TaskRun));
-  /* Each report has a time of its own, so that an acknowledgement tells which
-     one it is for.  */
+  /* Each report has a unique send time, by which its acknowledgement refers to
+     it.  */
   guard->report_sent_at = MAX (now, guard->report_sent_at + 1);
   report.sent_at = guard->report_sent_at;
   report.node = guard->settings->node;
--- a/src/jobsd/guard_specs.c
+++ b/src/jobsd/guard_specs.c
@@ -1,4 +1,4 @@
-/* Specifications of jobs between guards.  */
+/* Exchange of job specifications between guards.  */
 
 #include "jobsd/guard_specs.h"
 
@@ -6,16 +6,17 @@
 #include "base/log.h"
 #include "jobsd/link.h"
 
-/* A connection to a guard that hangs is given up after this, well before the
-   store gives the holder up.  */
+/* Timeout of a connection attempt to another guard, well before the store of
+   specifications gives the holder up.  */
 #define DIAL_TIME (300 * GP_MSEC)
-/* A connection that was not used for so long is closed: work of one job comes
-   within seconds.  */
+/* A connection that was not used for this time is closed: the runs of one job
+   arrive within seconds.  */
 #define IDLE_TIME (10 * GP_SEC)
-/* The leader's word may reach an asker before the holder: he waits so long,
-   less than he waits for an answer.  */
+/* The leader's message may reach the requesting guard before the holder.  A
+   request waits this long at the holder, less than the requester waits for an
+   answer.  */
 #define ASKER_TIME (250 * GP_MSEC)
-/* Those that wait at once; some tens are sent to one holder.  */
+/* Limit of waiting requests; some tens are directed to one holder.  */
 #define ASKERS_MAX 512
 
 static gp_counter_t asked_count = GP_COUNTER (
@@ -32,10 +33,10 @@
   gp_guard_specs_t *specs;
   char *address;
   gp_peer_t *peer;
-  gp_time_t idle_end; /* it is closed then */
+  gp_time_t idle_end; /* closed at this time */
 } holder_t;
 
-/* A guard that waits for a specification.  */
+/* Another guard's request that waits for a specification.  */
 typedef struct
 {
   gp_list_t link;
@@ -66,7 +67,7 @@
     gp_timer_arm (&specs->timer, at);
 }
 
-/* Answering others.  */
+/* Requests of other guards.  */
 
 static void
 answer (gp_peer_t *peer, const char *job, uint64_t digest, GBytes *bytes)
@@ -96,8 +97,8 @@
   g_free (asker);
 }
 
-/* Answer those that wait for what is held now, and those that have waited long
-   enough.  */
+/* Answer requests for specifications that are held now, and those whose time
+   is over.  */
 static void
 answer_askers (gp_guard_specs_t *specs)
 {
@@ -155,7 +156,7 @@
   }
 }
 
-/* Asking others.  */
+/* Requests to other guards.  */
 
 static void
 note_failed (gp_guard_specs_t *specs, const char *holder, const char *why)
@@ -182,7 +183,7 @@
       if (gp_spec_store_take (specs->store, frame->spec, now))
         specs->on_change (false, specs->data);
       else
-        note_failed (specs, holder->address, "not held there");
+        note_failed (specs, holder->address, "the guard does not hold it");
       answer_askers (specs);
     }
   gp__jobs__frame__free_unpacked (frame, NULL);
@@ -199,7 +200,7 @@
   specs = holder->specs;
   if (gp_spec_store_lost (specs->store, holder->address))
     note_failed (specs, holder->address,
-                 reason != NULL ? reason->message : "closed here");
+                 reason != NULL ? reason->message : "closed by this process");
   g_hash_table_remove (specs->holders, holder->address);
 }
 
@@ -212,8 +213,8 @@
   g_free (holder);
 }
 
-/* The connection to ADDRESS, made if there is none; NULL when it is no
-   address.  */
+/* The connection to ADDRESS, which is opened if there is none; NULL if ADDRESS
+   is invalid.  */
 static holder_t *
 reach (gp_guard_specs_t *specs, const char *address)
 {
@@ -271,7 +272,7 @@
   arm (specs);
 }
 
-/* Time.  */
+/* Timeouts.  */
 
 static void
 close_idle (gp_guard_specs_t *specs)
--- a/src/jobsd/guard_specs.h
+++ b/src/jobsd/guard_specs.h
@@ -1,6 +1,6 @@
-/* Specifications of jobs between guards: asking the guard that holds one, and
-   answering those that ask here.  What is held stands in
-   jobs/spec_store.h.  */
+/* Exchange of job specifications between guards: requests to the guard that
+   holds one, and answers to requests of other guards.  The specifications held
+   are kept in jobs/spec_store.h.  */
 
 #ifndef GP_JOBSD_GUARD_SPECS_H
 #define GP_JOBSD_GUARD_SPECS_H
@@ -17,12 +17,13 @@
   gp_spec_store_t *store;
   gp_refusals_t *refusals;
   GHashTable *holders; /* address to the connection there, owned */
-  gp_list_t askers;    /* guards that wait for what is not held yet */
+  gp_list_t askers;    /* requests for specifications that are not held yet */
   guint asker_count;
-  gp_time_t askers_end; /* the first of them has waited long enough then, or
-                           GP_TIME_NEVER */
-  gp_timer_t timer; /* a holder, an asker or an idle connection is given up */
-  /* A specification has come (FAILED: it cannot be got from its holder).  */
+  gp_time_t askers_end; /* timeout of the first of them, or GP_TIME_NEVER */
+  gp_timer_t timer;     /* timeout of a holder or a request, or of an idle
+                           connection */
+  /* A specification was received or, if FAILED, cannot be obtained from its
+     holder.  */
   void (*on_change) (bool failed, void *data);
   void *data;
 } gp_guard_specs_t;
@@ -33,14 +34,14 @@
                           void *data);
 void gp_guard_specs_finish (gp_guard_specs_t *specs);
 
-/* The leader has told of COUNT specifications.  */
+/* The leader has sent COUNT specifications or their holders.  */
 void gp_guard_specs_told (gp_guard_specs_t *specs, Gp__Jobs__Spec **told,
                           size_t count);
 
-/* The guard behind PEER asks for one.  */
+/* The guard behind PEER requests a specification.  */
 void gp_guard_specs_asked (gp_guard_specs_t *specs, gp_peer_t *peer,
                            const Gp__Jobs__WantSpec *want);
-/* It has gone.  */
+/* The connection of that guard was closed.  */
 void gp_guard_specs_asker_gone (gp_guard_specs_t *specs,
                                 const gp_peer_t *peer);
 
