--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -19,7 +19,7 @@
 /* A heartbeat has a few hundred bytes; the platform allows more than this
    limit.  */
 #define BODY_MAX ((size_t)64 * 1024)
-#define HEADER_TIME (5 * GP_SEC)
+#define HEADER_TIMEOUT (5 * GP_SEC)
 #define CALLS_MAX 4
 /* Starts end this long before an evacuation has to be in force: an order that
    gets no answer is abandoned after a third of this time.  */
@@ -27,7 +27,7 @@
 /* How long a stopping guard waits for an executor that has deregistered to
    end, and for a leader to report that to.  A new leader usually takes over
    within 1.5 s, and the platform gives a process 6 s to stop.  */
-#define LEAVE_TIME (4 * GP_SEC)
+#define STOP_TIMEOUT (4 * GP_SEC)
 
 static gp_counter_t starts_count
     = GP_COUNTER ("guard_starts_total", "Start orders sent to the executor");
@@ -50,7 +50,8 @@
 {
   gp_job_guard_t *guard;
   gp_agent_call_kind_t kind;
-  uint64_t life; /* incarnation that it is for, as counted by gp_agent_t */
+  uint64_t incarnation; /* incarnation that it is for, as counted by
+                           gp_agent_t */
   int64_t fence;
   char name[GP_TASK_NAME_SIZE];
   uint32_t run;
@@ -59,9 +60,9 @@
 } order_t;
 
 void
-gp_guard_act_soon (gp_job_guard_t *guard)
+gp_guard_schedule_calls (gp_job_guard_t *guard)
 {
-  gp_deferred_schedule (&guard->act, &guard->loop);
+  gp_deferred_schedule (&guard->call_round, &guard->loop);
 }
 
 static gp_time_t
@@ -87,21 +88,21 @@
 
 /* Is there an end of the executor that only this process can report?  */
 static bool
-has_end_to_tell (const gp_job_guard_t *guard)
+has_unreported_end (const gp_job_guard_t *guard)
 {
-  return guard->farewell.executor != NULL
-         || (guard->agent.ended && !guard->end_known);
+  return guard->deregistration.executor != NULL
+         || (guard->agent.ended && !guard->end_acknowledged);
 }
 
 void
-gp_guard_leave_if_done (gp_job_guard_t *guard)
+gp_guard_stop_if_done (gp_job_guard_t *guard)
 {
-  if (guard->stopping && !has_end_to_tell (guard))
+  if (guard->stopping && !has_unreported_end (guard))
     stop (guard);
 }
 
 static void
-on_leave_due (gp_timer_t *timer, void *data)
+on_stop_timeout (gp_timer_t *timer, void *data)
 {
   stop (data);
 }
@@ -116,7 +117,7 @@
 }
 
 static void
-on_ordered (gp_agent_result_t result, int64_t clock_ms, void *data)
+on_order_answered (gp_agent_result_t result, int64_t clock_ms, void *data)
 {
   order_t *order = data;
   gp_job_guard_t *guard = order->guard;
@@ -127,7 +128,7 @@
   else
     gp_histogram_add (&order_time, now_of (guard) - order->sent_at);
   gp_counter_add (&fenced_count, result == GP_AGENT_FENCED);
-  if (order->life == guard->agent.life)
+  if (order->incarnation == guard->agent.life)
     {
       if (result == GP_AGENT_FENCED)
         gp_agent_fenced (&guard->agent, order->fence);
@@ -135,11 +136,11 @@
                          order->percent, result, clock_ms, now_of (guard));
     }
   g_free (order);
-  gp_guard_act_soon (guard);
+  gp_guard_schedule_calls (guard);
 }
 
 static void
-make_call (gp_job_guard_t *guard, const gp_agent_call_t *call)
+send_call (gp_job_guard_t *guard, const gp_agent_call_t *call)
 {
   static const ProtobufCBinaryData nothing = { 0, NULL };
   gp_agent_t *agent = &guard->agent;
@@ -149,13 +150,13 @@
           .task = call->run->name,
           .run = call->run->run,
           .fence = agent->fence,
-          .deadline = now_of (guard) + GP_GUARD_ORDER_TIME };
+          .deadline = now_of (guard) + GP_GUARD_ORDER_TIMEOUT };
   const Gp__Jobs__Start *start = call->run->start;
   ProtobufCBinaryData spec = { 0, NULL };
 
   order->guard = guard;
   order->kind = call->kind;
-  order->life = agent->life;
+  order->incarnation = agent->life;
   order->fence = agent->fence;
   g_strlcpy (order->name, call->run->name, sizeof order->name);
   order->run = call->run->run;
@@ -170,15 +171,16 @@
           = (uint8_t *)g_bytes_get_data ((GBytes *)call->spec, &spec.len);
       gp_platform_runtime_start (guard->runtime, &what, &spec,
                                  start != NULL ? &start->checkpoint : &nothing,
-                                 call->lease_ms, on_ordered, order);
+                                 call->lease_ms, on_order_answered, order);
       break;
     case GP_AGENT_CALL_STOP:
-      gp_platform_runtime_stop (guard->runtime, &what, on_ordered, order);
+      gp_platform_runtime_stop (guard->runtime, &what, on_order_answered,
+                                order);
       break;
     case GP_AGENT_CALL_PACE:
       gp_counter_add (&paces_count, 1);
       gp_platform_runtime_pace (guard->runtime, &what, call->percent,
-                                on_ordered, order);
+                                on_order_answered, order);
       break;
     case GP_AGENT_CALL_NONE:
       break;
@@ -186,7 +188,7 @@
 }
 
 static void
-make_calls (gp_job_guard_t *guard)
+send_calls (gp_job_guard_t *guard)
 {
   gp_time_t again_at = GP_TIME_NEVER;
 
@@ -197,22 +199,22 @@
 
       if (call.kind == GP_AGENT_CALL_NONE)
         break;
-      make_call (guard, &call);
+      send_call (guard, &call);
     }
   if (again_at != GP_TIME_NEVER)
-    gp_timer_arm (&guard->calls, again_at);
+    gp_timer_arm (&guard->retry_timer, again_at);
 }
 
 static void
 on_calls_due (gp_timer_t *timer, void *data)
 {
-  gp_guard_act_soon (data);
+  gp_guard_schedule_calls (data);
 }
 
 static void
-on_act (gp_deferred_t *deferred)
+on_calls (gp_deferred_t *deferred)
 {
-  make_calls (GP_CONTAINER_OF (deferred, gp_job_guard_t, act));
+  send_calls (GP_CONTAINER_OF (deferred, gp_job_guard_t, call_round));
 }
 
 /* HTTP requests of the executor.  */
@@ -232,11 +234,11 @@
           = gp_guard_heartbeat (guard, id, gp_http_exchange_body (exchange));
       break;
     case GP_BEAT_GOODBYE:
-      gp_guard_goodbye (guard, id, gp_http_exchange_body (exchange));
+      gp_guard_deregister (guard, id, gp_http_exchange_body (exchange));
       status = 200;
       break;
     case GP_BEAT_UNNAMED:
-      gp_guard_refuse_unnamed ();
+      gp_guard_reject_invalid_id ();
       status = 400;
       break;
     case GP_BEAT_OTHER:
@@ -264,14 +266,14 @@
   guard->leader = peer;
   guard->epoch = lead->epoch;
   gp_agent_unsync (&guard->agent);
-  gp_guard_tell_anew (guard);
+  gp_guard_reset_sent_state (guard);
   gp_log (GP_LOG_INFO, "leader.known", GP_LOG_S ("leader", lead->node),
           GP_LOG_I ("epoch", lead->epoch));
   gp_guard_send_report (guard);
 }
 
 static void
-note_recorded (gp_job_guard_t *guard)
+measure_record_time (gp_job_guard_t *guard)
 {
   if (guard->unrecorded_since == 0 || guard->agent.ends->len > 0)
     return;
@@ -292,9 +294,9 @@
                         message->sent_at
                             - (gp_time_t)message->zone_age_ms * GP_MSEC);
   if (guard->agent.ended && message->sent_at > guard->ended_at)
-    guard->end_known = true;
-  gp_guard_leave_if_done (guard);
-  gp_guard_take_teaching (guard, message);
+    guard->end_acknowledged = true;
+  gp_guard_stop_if_done (guard);
+  gp_guard_apply_model_update (guard, message);
 }
 
 static void
@@ -309,7 +311,7 @@
   if (frame->message_case == GP__JOBS__FRAME__MESSAGE_LEAD)
     on_lead (guard, peer, frame->lead);
   else if (frame->message_case == GP__JOBS__FRAME__MESSAGE_WANT_SPEC)
-    gp_guard_specs_asked (&guard->specs, peer, frame->want_spec);
+    gp_guard_specs_requested (&guard->specs, peer, frame->want_spec);
   else if (peer == guard->leader)
     switch (frame->message_case)
       {
@@ -321,10 +323,10 @@
         gp_guard_send_report (guard);
         break;
       case GP__JOBS__FRAME__MESSAGE_ORDERS:
-        gp_guard_specs_told (&guard->specs, frame->orders->specs,
-                             frame->orders->n_specs);
+        gp_guard_specs_from_leader (&guard->specs, frame->orders->specs,
+                                    frame->orders->n_specs);
         gp_agent_order (&guard->agent, frame->orders);
-        note_recorded (guard);
+        measure_record_time (guard);
         break;
       case GP__JOBS__FRAME__MESSAGE__NOT_SET:
       case GP__JOBS__FRAME__MESSAGE_LEAD:
@@ -335,7 +337,7 @@
         break;
       }
   gp__jobs__frame__free_unpacked (frame, NULL);
-  gp_guard_act_soon (guard);
+  gp_guard_schedule_calls (guard);
 }
 
 static void
@@ -343,7 +345,7 @@
 {
   gp_job_guard_t *guard = data;
 
-  gp_guard_specs_asker_gone (&guard->specs, peer);
+  gp_guard_specs_peer_closed (&guard->specs, peer);
   if (guard->leader != peer)
     return;
   guard->leader = NULL;
@@ -361,7 +363,7 @@
 
   if (failed)
     gp_guard_send_report (guard);
-  gp_guard_act_soon (guard);
+  gp_guard_schedule_calls (guard);
 }
 
 static void *
@@ -389,8 +391,8 @@
   gp_job_guard_t *guard = data;
 
   guard->stopping = true;
-  gp_timer_arm (&guard->leave, now_of (guard) + LEAVE_TIME);
-  gp_guard_leave_if_done (guard);
+  gp_timer_arm (&guard->stop_timer, now_of (guard) + STOP_TIMEOUT);
+  gp_guard_stop_if_done (guard);
 }
 
 static void
@@ -399,7 +401,7 @@
   gp_counter_register (&starts_count);
   gp_counter_register (&unanswered_count);
   gp_counter_register (&fenced_count);
-  gp_guard_register_beats ();
+  gp_guard_register_heartbeats ();
   gp_agent_register_alone ();
   gp_guard_register_reports ();
   gp_histogram_register (&order_time);
@@ -414,17 +416,17 @@
       = { .on_frame = on_frame, .on_close = on_close };
   gp_http_server_options_t options = { .address = guard->settings->beats,
                                        .max_body_size = BODY_MAX,
-                                       .header_timeout = HEADER_TIME,
+                                       .header_timeout = HEADER_TIMEOUT,
                                        .on_request = on_request,
                                        .data = guard };
 
-  guard->beats = gp_http_server_new (&guard->loop, &options, error);
-  if (guard->beats == NULL)
+  guard->heartbeat_server = gp_http_server_new (&guard->loop, &options, error);
+  if (guard->heartbeat_server == NULL)
     return false;
   options.address = guard->settings->metrics;
   options.on_request = gp_metrics_request;
-  guard->metrics = gp_http_server_new (&guard->loop, &options, error);
-  if (guard->metrics == NULL)
+  guard->metrics_server = gp_http_server_new (&guard->loop, &options, error);
+  if (guard->metrics_server == NULL)
     return false;
   guard->peers = gp_peer_listen (&guard->loop, guard->settings->peers, NULL,
                                  &callbacks, on_accept, guard, error);
@@ -434,7 +436,7 @@
 /* How long the information that the zone is open remains valid: an order sent
    within this time has to arrive within the time promised to operators.  */
 static gp_time_t
-zone_span (const gp_platform_settings_t *settings)
+zone_validity (const gp_platform_settings_t *settings)
 {
   if (settings->evacuation_time <= 0)
     return 0;
@@ -455,17 +457,17 @@
   gp_link_register ();
   gp_traffic_reporter_init (&guard->traffic, &guard->loop);
   gp_refusals_init (&guard->refusals);
-  gp_agent_init (&guard->agent, zone_span (settings), now_of (guard));
+  gp_agent_init (&guard->agent, zone_validity (settings), now_of (guard));
   gp_agent_begin_fence (&guard->agent, gp_time_wall_ms ());
-  gp_deferred_init (&guard->act, on_act);
-  gp_timer_init (&guard->report, &guard->loop, on_report_due, guard);
-  gp_timer_init (&guard->calls, &guard->loop, on_calls_due, guard);
+  gp_deferred_init (&guard->call_round, on_calls);
+  gp_timer_init (&guard->report_timer, &guard->loop, on_report_due, guard);
+  gp_timer_init (&guard->retry_timer, &guard->loop, on_calls_due, guard);
   gp_guard_list_init (guard);
-  gp_guard_farewell_init (guard);
+  gp_guard_deregistration_init (guard);
   gp_guard_reports_init (guard);
   gp_guard_specs_init (&guard->specs, &guard->loop, &guard->agent.specs,
                        &guard->refusals, on_spec, guard);
-  gp_timer_init (&guard->leave, &guard->loop, on_leave_due, guard);
+  gp_timer_init (&guard->stop_timer, &guard->loop, on_stop_timeout, guard);
   guard->store = gp_platform_store_new (&guard->loop, settings->store,
                                         settings->link_rate, error);
   if (guard->store == NULL)
@@ -492,14 +494,14 @@
 void
 gp_job_guard_finish (gp_job_guard_t *guard)
 {
-  gp_timer_finish (&guard->report);
-  gp_timer_finish (&guard->calls);
+  gp_timer_finish (&guard->report_timer);
+  gp_timer_finish (&guard->retry_timer);
   gp_guard_list_finish (guard);
-  gp_guard_farewell_finish (guard);
+  gp_guard_deregistration_finish (guard);
   gp_guard_specs_finish (&guard->specs);
   gp_guard_reports_finish (guard);
   gp_traffic_reporter_finish (&guard->traffic);
-  gp_timer_finish (&guard->leave);
+  gp_timer_finish (&guard->stop_timer);
   gp_announcer_finish (&guard->announcer);
   gp_loop_finish (&guard->loop);
   gp_agent_finish (&guard->agent);
--- a/src/jobsd/guard.h
+++ b/src/jobsd/guard.h
@@ -19,12 +19,12 @@
    there.  */
 typedef struct
 {
-  char *executor;  /* its id, owned; NULL: none has deregistered */
-  uint64_t life;   /* its incarnation, as counted by gp_agent_t */
-  gp_time_t until; /* it is not checked after this */
-  gp_timer_t ask;
-  bool asking;
-} gp_farewell_t;
+  char *executor;       /* its id, owned; NULL: none has deregistered */
+  uint64_t incarnation; /* its incarnation, as counted by gp_agent_t */
+  gp_time_t until;      /* it is not checked after this */
+  gp_timer_t timer;
+  bool checking;
+} gp_deregistration_t;
 
 /* State that was sent on the current connection of the leader and is not sent
    again.  */
@@ -37,7 +37,7 @@
   GPtrArray *fillings;   /* images, owned, in the order in which the leader has
                             sent them */
   bool down; /* the last report said that the executor does not answer */
-} gp_told_t;
+} gp_sent_state_t;
 
 typedef struct
 {
@@ -45,39 +45,39 @@
   gp_loop_t loop;
   gp_platform_store_t *store;
   gp_platform_runtime_t *runtime;
-  gp_http_server_t *beats;
-  gp_http_server_t *metrics;
+  gp_http_server_t *heartbeat_server;
+  gp_http_server_t *metrics_server;
   gp_peer_server_t *peers;
   gp_peer_t *leader; /* connection of the leader, or NULL */
   uint64_t epoch;    /* highest epoch of a leader seen so far */
   gp_agent_t agent;
   gp_refusals_t refusals;
-  gp_timer_t report; /* sends the next report */
-  gp_timer_t calls;  /* repeats calls to the executor */
-  gp_timer_t list;   /* sends the next list call */
-  gp_farewell_t farewell;
+  gp_timer_t report_timer; /* sends the next report */
+  gp_timer_t retry_timer;  /* repeats calls to the executor */
+  gp_timer_t list_timer;   /* sends the next list call */
+  gp_deregistration_t deregistration;
   gp_guard_specs_t specs;
-  gp_timer_t leave; /* stops the process at the latest */
+  gp_timer_t stop_timer; /* stops the process at the latest */
   bool stopping;
-  gp_time_t ended_at; /* last report before the executor's end was sent */
-  bool end_known;     /* a leader has acknowledged a later report */
+  gp_time_t ended_at;    /* last report before the executor's end was sent */
+  bool end_acknowledged; /* a leader has acknowledged a later report */
   gp_time_t report_sent_at; /* send time of the last report */
-  gp_told_t told;
+  gp_sent_state_t sent;
   gp_announcer_t announcer;
   gp_traffic_reporter_t traffic;
-  gp_deferred_t act; /* makes the calls that are due */
+  gp_deferred_t call_round; /* makes the calls that are due */
   unsigned calls_open;
-  bool listing;
-  uint64_t listed_life; /* incarnation of the executor that the last list call
-                           is for ... */
-  int64_t listed_fence; /* ... and the fence of that call */
-  gp_time_t unrecorded_since; /* ends have been waiting to be recorded since,
-                                 or 0 */
-  uint64_t beat_sequence;     /* sequence number of the executor's last
-                                 heartbeat */
-  unsigned other_service;     /* consecutive heartbeats that give the executor
-                                 another service */
-  unsigned introductions;     /* number of executors being identified */
+  bool list_open;
+  uint64_t listed_incarnation;  /* incarnation of the executor that the last
+                                   list call is for ... */
+  int64_t listed_fence;         /* ... and the fence of that call */
+  gp_time_t unrecorded_since;   /* ends have been waiting to be recorded since,
+                                   or 0 */
+  uint64_t heartbeat_sequence;  /* sequence number of the executor's last
+                                   heartbeat */
+  unsigned other_service_count; /* consecutive heartbeats that give the
+                                   executor another service */
+  unsigned identifications;     /* number of executors being identified */
 } gp_job_guard_t;
 
 bool gp_job_guard_init (gp_job_guard_t *guard,
--- /dev/null
+++ b/src/jobsd/guard_deregistration.c
@@ -0,0 +1,144 @@
+/* Deregistration of the executor on a guard's VM.
+
+   An executor deregisters as the last thing before it ends, and everything
+   that runs on it ends with it, including what it has not listed.  The leader
+   is told, so that these runs continue elsewhere at once.  Otherwise they
+   would wait for the lease to expire and, if the VM is stopped in the
+   meantime, for the leases of former leaders.
+
+   A deregistration alone proves nothing: its sender may only be about to end,
+   or be somebody else.  It counts once nothing listens at the executor's
+   address any more.  */
+
+#include "jobsd/guard_private.h"
+
+#include <string.h>
+
+#include "base/log.h"
+
+/* Interval between two checks whether the executor is still there.  */
+#define CHECK_INTERVAL (50 * GP_MSEC)
+/* An executor that is still there after this time has not ended: a planned end
+   is known to take "some seconds".  */
+#define DEREGISTRATION_TIMEOUT (10 * GP_SEC)
+
+static void
+end_deregistration (gp_deregistration_t *deregistration)
+{
+  g_clear_pointer (&deregistration->executor, g_free);
+  gp_timer_disarm (&deregistration->timer);
+}
+
+/* A check whether an executor is there.  Its incarnation may not be the
+   current one any more when the answer arrives.  */
+typedef struct
+{
+  gp_job_guard_t *guard;
+  uint64_t incarnation;
+} check_t;
+
+static void check_presence (gp_job_guard_t *guard);
+
+static void
+apply_answer (gp_job_guard_t *guard, gp_agent_result_t result)
+{
+  gp_deregistration_t *deregistration = &guard->deregistration;
+  gp_time_t now = gp_loop_now (&guard->loop);
+
+  if (deregistration->incarnation != guard->agent.life)
+    end_deregistration (deregistration);
+  else if (result == GP_AGENT_NOBODY || result == GP_AGENT_REPLACED)
+    {
+      end_deregistration (deregistration);
+      gp_agent_executor_ended (&guard->agent);
+      guard->end_acknowledged = false;
+      guard->ended_at = guard->report_sent_at;
+      gp_guard_send_report (guard);
+    }
+  else if (now < deregistration->until)
+    gp_timer_arm (&deregistration->timer, now + CHECK_INTERVAL);
+  else
+    {
+      gp_log (GP_LOG_WARNING, "executor.stays",
+              GP_LOG_S ("executor", deregistration->executor));
+      end_deregistration (deregistration);
+      gp_guard_stop_if_done (guard);
+    }
+}
+
+static void
+on_checked (const gp_runtime_list_t *list, void *data)
+{
+  check_t *check = data;
+  gp_job_guard_t *guard = check->guard;
+
+  guard->deregistration.checking = false;
+  if (guard->deregistration.executor != NULL)
+    {
+      if (guard->deregistration.incarnation == check->incarnation)
+        apply_answer (guard, list->result);
+      else
+        check_presence (guard);
+    }
+  g_free (check);
+}
+
+static void
+check_presence (gp_job_guard_t *guard)
+{
+  gp_deregistration_t *deregistration = &guard->deregistration;
+  check_t *check;
+  /* The fence is left at its lowest value: an executor that is there refuses
+     the call, and that refusal shows that it is there.  */
+  const gp_runtime_order_t order
+      = { .executor = deregistration->executor,
+          .deadline = gp_loop_now (&guard->loop) + GP_GUARD_ORDER_TIMEOUT };
+
+  if (deregistration->checking)
+    return;
+  deregistration->checking = true;
+  check = g_new (check_t, 1);
+  *check = (check_t){ guard, deregistration->incarnation };
+  gp_platform_runtime_identify (guard->runtime, &order, on_checked, check);
+}
+
+static void
+on_check_due (gp_timer_t *timer, void *data)
+{
+  check_presence (data);
+}
+
+void
+gp_guard_deregistration_init (gp_job_guard_t *guard)
+{
+  gp_timer_init (&guard->deregistration.timer, &guard->loop, on_check_due,
+                 guard);
+}
+
+void
+gp_guard_deregistration_finish (gp_job_guard_t *guard)
+{
+  end_deregistration (&guard->deregistration);
+  gp_timer_finish (&guard->deregistration.timer);
+}
+
+void
+gp_guard_deregister (gp_job_guard_t *guard, const char *id,
+                     gp_http_text_t body)
+{
+  gp_deregistration_t *deregistration = &guard->deregistration;
+  int64_t born_ms = gp_platform_goodbye_born (body.base, body.size);
+  bool known = gp_guard_executor_is (guard, id)
+               && (born_ms == 0 || born_ms == guard->agent.executor->born_ms);
+
+  gp_log (GP_LOG_INFO, "executor.left", GP_LOG_S ("executor", id),
+          GP_LOG_I ("known", known), GP_LOG_I ("born_ms", born_ms),
+          GP_LOG_I ("runs", g_hash_table_size (guard->agent.runs)));
+  if (!known)
+    return;
+  g_free (deregistration->executor);
+  deregistration->executor = g_strdup (id);
+  deregistration->incarnation = guard->agent.life;
+  deregistration->until = gp_loop_now (&guard->loop) + DEREGISTRATION_TIMEOUT;
+  check_presence (guard);
+}
--- a/src/jobsd/guard_beats.c
+++ b/src/jobsd/guard_heartbeats.c
@@ -28,7 +28,7 @@
 /* Limit of executors being identified at the same time.  Each takes a call,
    and the orders to the executor of this VM must not queue behind calls for
    ids that another writer makes up.  */
-#define INTRODUCTIONS_MAX 8
+#define IDENTIFICATIONS_MAX 8
 /* Consecutive heartbeats that have to give the current executor another
    service before it is accepted.  */
 #define OTHER_SERVICE_MAX 3
@@ -36,7 +36,7 @@
 /* Limit of identification calls to an executor that rejects them as it has
    seen a higher fence.  The fence is raised in doubling leaps, which exceed
    any time of day by then.  */
-#define QUESTIONS_MAX 40
+#define IDENTIFY_ATTEMPTS_MAX 40
 
 static gp_counter_t lives_count
     = GP_COUNTER ("guard_lives_total", "Lives of executors that were met");
@@ -46,13 +46,13 @@
 {
   gp_job_guard_t *guard;
   gp_heartbeat_t heartbeat;
-  uint64_t life; /* current incarnation when the heartbeat arrived */
-  int64_t fence; /* fence of the last identification call */
-  unsigned questions;
-} introduction_t;
+  uint64_t incarnation; /* current incarnation when the heartbeat arrived */
+  int64_t fence;        /* fence of the last identification call */
+  unsigned attempts;
+} identification_t;
 
 void
-gp_guard_register_beats (void)
+gp_guard_register_heartbeats (void)
 {
   gp_counter_register (&lives_count);
 }
@@ -71,152 +71,153 @@
 {
   bool changed;
 
-  if (heartbeat->sequence < guard->beat_sequence)
+  if (heartbeat->sequence < guard->heartbeat_sequence)
     return;
   changed = guard->agent.executor->draining != heartbeat->executor->draining;
-  guard->beat_sequence = heartbeat->sequence;
+  guard->heartbeat_sequence = heartbeat->sequence;
   gp_agent_set_executor (&guard->agent, g_steal_pointer (&heartbeat->executor),
                          heartbeat->clock_ms, gp_loop_now (&guard->loop));
   if (changed)
     gp_guard_send_report (guard);
-  gp_guard_ask_list (guard);
+  gp_guard_request_list (guard);
 }
 
 /* The incarnation that sent HEARTBEAT has answered with LIST, requested with
    FENCE: it is the current one from now on.  The report tells the leader
    together with what is left to report of the previous incarnation.  */
 static void
-meet (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat,
-      const gp_runtime_list_t *list, int64_t fence)
+accept_incarnation (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat,
+                    const gp_runtime_list_t *list, int64_t fence)
 {
   gp_counter_add (&lives_count, 1);
-  guard->beat_sequence = heartbeat->sequence;
+  guard->heartbeat_sequence = heartbeat->sequence;
   gp_agent_set_executor (&guard->agent, g_steal_pointer (&heartbeat->executor),
                          heartbeat->clock_ms, gp_loop_now (&guard->loop));
-  gp_guard_take_list (guard, list, fence);
+  gp_guard_apply_list (guard, list, fence);
   gp_guard_send_report (guard);
-  gp_guard_ask_list (guard);
+  gp_guard_request_list (guard);
 }
 
 /* Count and log that the heartbeat of the executor ID was not confirmed.  */
 static void
-note_unconfirmed (const char *id, const char *why)
+log_unconfirmed (const char *id, const char *why)
 {
   GError *error
       = g_error_new_literal (GP_JSON_ERROR, GP_JSON_ERROR_IDENTITY, why);
-  uint64_t refusals = gp_refusal_note (GP_REFUSED_HEARTBEAT, id, error);
+  uint64_t count = gp_refusal_note (GP_REFUSED_HEARTBEAT, id, error);
 
-  if (refusals > 0)
+  if (count > 0)
     gp_log (GP_LOG_INFO, "executor.unconfirmed", GP_LOG_S ("executor", id),
-            GP_LOG_S ("why", why), GP_LOG_I ("count", refusals));
+            GP_LOG_S ("why", why), GP_LOG_I ("count", count));
   g_error_free (error);
 }
 
 /* Reason for which LIST does not confirm the heartbeat; NULL if it does.  */
 static const char *
-doubt_of (const introduction_t *introduction, const gp_runtime_list_t *list)
+rejection_reason (const identification_t *identification,
+                  const gp_runtime_list_t *list)
 {
-  if (introduction->life != introduction->guard->agent.life)
+  if (identification->incarnation != identification->guard->agent.life)
     return "another incarnation was accepted in the meantime";
   if (list->result == GP_AGENT_REPLACED)
     return "another executor answers at its address";
   if (list->result != GP_AGENT_TAKEN)
     return "the executor does not answer";
-  if (list->born_ms != introduction->heartbeat.executor->born_ms)
+  if (list->born_ms != identification->heartbeat.executor->born_ms)
     return "another incarnation of it answers at its address";
   return NULL;
 }
 
-static void ask (introduction_t *introduction);
+static void send_identify (identification_t *identification);
 
 static void
 on_identified (const gp_runtime_list_t *list, void *data)
 {
-  introduction_t *introduction = data;
-  gp_job_guard_t *guard = introduction->guard;
-  gp_heartbeat_t *heartbeat = &introduction->heartbeat;
-  const char *doubt = doubt_of (introduction, list);
+  identification_t *identification = data;
+  gp_job_guard_t *guard = identification->guard;
+  gp_heartbeat_t *heartbeat = &identification->heartbeat;
+  const char *reason = rejection_reason (identification, list);
 
-  gp_agent_begin_fence (&guard->agent, introduction->fence);
+  gp_agent_begin_fence (&guard->agent, identification->fence);
   if (list->result == GP_AGENT_FENCED
-      && introduction->questions < QUESTIONS_MAX)
+      && identification->attempts < IDENTIFY_ATTEMPTS_MAX)
     {
-      gp_agent_fenced (&guard->agent, introduction->fence);
-      ask (introduction);
+      gp_agent_fenced (&guard->agent, identification->fence);
+      send_identify (identification);
       return;
     }
-  guard->introductions--;
+  guard->identifications--;
   if (is_current (guard, heartbeat))
     take_heartbeat (guard, heartbeat);
-  else if (doubt == NULL)
-    meet (guard, heartbeat, list, introduction->fence);
+  else if (reason == NULL)
+    accept_incarnation (guard, heartbeat, list, identification->fence);
   else
-    note_unconfirmed (heartbeat->executor->id, doubt);
+    log_unconfirmed (heartbeat->executor->id, reason);
   gp_heartbeat_finish (heartbeat);
-  g_free (introduction);
+  g_free (identification);
 }
 
 /* Send an identification call.  Its fence is above those of all orders to the
    previous incarnation, including orders made until its answer arrives: once
    it is answered none of them can be carried out any more.  */
 static void
-ask (introduction_t *introduction)
+send_identify (identification_t *identification)
 {
-  gp_job_guard_t *guard = introduction->guard;
-  const Gp__Jobs__Executor *executor = introduction->heartbeat.executor;
+  gp_job_guard_t *guard = identification->guard;
+  const Gp__Jobs__Executor *executor = identification->heartbeat.executor;
   gp_runtime_order_t order
       = { .executor = executor->id,
           .born_ms = executor->born_ms,
-          .deadline = gp_loop_now (&guard->loop) + GP_GUARD_ORDER_TIME };
+          .deadline = gp_loop_now (&guard->loop) + GP_GUARD_ORDER_TIMEOUT };
 
-  introduction->fence = gp_agent_ask_fence (&guard->agent);
-  order.fence = introduction->fence;
-  introduction->questions++;
+  identification->fence = gp_agent_ask_fence (&guard->agent);
+  order.fence = identification->fence;
+  identification->attempts++;
   gp_platform_runtime_identify (guard->runtime, &order, on_identified,
-                                introduction);
+                                identification);
 }
 
 /* Takes ownership of HEARTBEAT; returns the HTTP status of the response.  */
 static int
 identify (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat)
 {
-  introduction_t *introduction;
+  identification_t *identification;
 
-  if (guard->introductions >= INTRODUCTIONS_MAX)
+  if (guard->identifications >= IDENTIFICATIONS_MAX)
     {
-      note_unconfirmed (heartbeat->executor->id,
-                        "too many executors are being identified");
+      log_unconfirmed (heartbeat->executor->id,
+                       "too many executors are being identified");
       return 503;
     }
-  guard->introductions++;
-  introduction = g_new0 (introduction_t, 1);
-  introduction->guard = guard;
-  introduction->heartbeat = *heartbeat;
-  introduction->life = guard->agent.life;
+  guard->identifications++;
+  identification = g_new0 (identification_t, 1);
+  identification->guard = guard;
+  identification->heartbeat = *heartbeat;
+  identification->incarnation = guard->agent.life;
   heartbeat->executor = NULL;
-  ask (introduction);
+  send_identify (identification);
   return 200;
 }
 
 /* Count and log ERROR, which is freed; returns the HTTP status of the
    response.  */
 static int
-refuse (const char *id, GError *error)
+reject (const char *id, GError *error)
 {
-  uint64_t refusals = gp_refusal_note (GP_REFUSED_HEARTBEAT, id, error);
+  uint64_t count = gp_refusal_note (GP_REFUSED_HEARTBEAT, id, error);
 
-  if (refusals > 0)
+  if (count > 0)
     gp_log (GP_LOG_WARNING, "heartbeat.malformed", GP_LOG_S ("executor", id),
             GP_LOG_S ("cause", gp_json_error_kind (error)),
-            GP_LOG_S ("why", error->message), GP_LOG_I ("count", refusals));
+            GP_LOG_S ("why", error->message), GP_LOG_I ("count", count));
   g_error_free (error);
   return 400;
 }
 
 void
-gp_guard_refuse_unnamed (void)
+gp_guard_reject_invalid_id (void)
 {
-  refuse ("", g_error_new (GP_JSON_ERROR, GP_JSON_ERROR_RANGE,
+  reject ("", g_error_new (GP_JSON_ERROR, GP_JSON_ERROR_RANGE,
                            "id: not a valid executor id"));
 }
 
@@ -231,12 +232,12 @@
     return NULL;
   if (strcmp (guard->agent.executor->service, service) == 0)
     {
-      guard->other_service = 0;
+      guard->other_service_count = 0;
       return NULL;
     }
-  if (++guard->other_service >= OTHER_SERVICE_MAX)
+  if (++guard->other_service_count >= OTHER_SERVICE_MAX)
     {
-      guard->beat_sequence = 0;
+      guard->heartbeat_sequence = 0;
       return NULL;
     }
   return g_error_new (GP_JSON_ERROR, GP_JSON_ERROR_IDENTITY,
@@ -253,12 +254,12 @@
 
   if (!gp_platform_heartbeat_parse (&heartbeat, id, body.base, body.size,
                                     &error))
-    return refuse (id, error);
+    return reject (id, error);
   error = check_service (guard, &heartbeat);
   if (error != NULL)
     {
       gp_heartbeat_finish (&heartbeat);
-      return refuse (id, error);
+      return reject (id, error);
     }
   if (is_current (guard, &heartbeat))
     take_heartbeat (guard, &heartbeat);
--- a/src/jobsd/guard_list.c
+++ b/src/jobsd/guard_list.c
@@ -11,21 +11,21 @@
 #define LIST_WAIT (250 * GP_MSEC)
 /* The same while others wait for an isolated run: lists show whether it has
    begun, and that earlier orders are void.  */
-#define LIST_WAIT_ALONE (50 * GP_MSEC)
+#define LIST_WAIT_ISOLATED (50 * GP_MSEC)
 /* Additional time without an answer after which the call is made again.  */
-#define LIST_TIME (600 * GP_MSEC)
+#define LIST_TIMEOUT (600 * GP_MSEC)
 /* Minimum time between two list calls, so that ends that come together are
    reported in one list, and ends that are not recorded yet do not cause a busy
    loop.  */
 #define LIST_SPACING (15 * GP_MSEC)
-#define LIST_SPACING_UNSEEN (60 * GP_MSEC)
-#define LIST_RETRY_TIME (100 * GP_MSEC)
+#define LIST_SPACING_UNRECORDED (60 * GP_MSEC)
+#define LIST_RETRY_DELAY (100 * GP_MSEC)
 /* The same for a while after the executor has closed a connection: until the
    guard has reached its next incarnation, that one carries out orders made for
    the previous one.  */
-#define LIST_RETRY_CUT_TIME (10 * GP_MSEC)
-#define LIST_CUT_TIME (5 * GP_SEC)
-#define LIST_CUT_PATIENCE (150 * GP_MSEC)
+#define LIST_RETRY_DISCONNECTED_DELAY (10 * GP_MSEC)
+#define LIST_DISCONNECTED_PERIOD (5 * GP_SEC)
+#define LIST_DISCONNECTED_TIMEOUT (150 * GP_MSEC)
 
 static gp_counter_t stale_ends_count
     = GP_COUNTER ("guard_ends_stale_total",
@@ -40,8 +40,8 @@
 }
 
 void
-gp_guard_take_list (gp_job_guard_t *guard, const gp_runtime_list_t *list,
-                    int64_t fence)
+gp_guard_apply_list (gp_job_guard_t *guard, const gp_runtime_list_t *list,
+                     int64_t fence)
 {
   uint64_t listed = guard->agent.listed_ends;
   uint64_t stale = guard->agent.stale_ends;
@@ -58,13 +58,13 @@
   gp_counter_add (&ends_count, (int64_t)(guard->agent.listed_ends - listed));
   gp_counter_add (&stale_ends_count,
                   (int64_t)(guard->agent.stale_ends - stale));
-  gp_guard_act_soon (guard);
+  gp_guard_schedule_calls (guard);
 }
 
 static bool
-is_cut_lately (const gp_agent_t *agent, gp_time_t now)
+was_disconnected_recently (const gp_agent_t *agent, gp_time_t now)
 {
-  return agent->is_cut && now - agent->down_since < LIST_CUT_TIME;
+  return agent->is_cut && now - agent->down_since < LIST_DISCONNECTED_PERIOD;
 }
 
 /* What LIST means for the current incarnation.  If another one sends it, the
@@ -84,13 +84,13 @@
 
 /* Returns the time to wait until the next call.  */
 static gp_time_t
-take_answer (gp_job_guard_t *guard, const gp_runtime_list_t *list)
+apply_answer (gp_job_guard_t *guard, const gp_runtime_list_t *list)
 {
   gp_agent_result_t result = list_result (&guard->agent, list, now_of (guard));
 
   if (result == GP_AGENT_TAKEN)
     {
-      gp_guard_take_list (guard, list, guard->listed_fence);
+      gp_guard_apply_list (guard, list, guard->listed_fence);
       return LIST_SPACING;
     }
   if (result != list->result)
@@ -103,8 +103,9 @@
   gp_agent_list_refused (&guard->agent, result,
                          result == list->result ? list->clock_ms : -1,
                          now_of (guard));
-  return is_cut_lately (&guard->agent, now_of (guard)) ? LIST_RETRY_CUT_TIME
-                                                       : LIST_RETRY_TIME;
+  return was_disconnected_recently (&guard->agent, now_of (guard))
+             ? LIST_RETRY_DISCONNECTED_DELAY
+             : LIST_RETRY_DELAY;
 }
 
 static void
@@ -114,18 +115,18 @@
   gp_time_t now = now_of (guard);
   gp_time_t pause = LIST_SPACING;
 
-  guard->listing = false;
+  guard->list_open = false;
   if (guard->agent.executor == NULL)
     return;
-  if (guard->listed_life == guard->agent.life)
-    pause = take_answer (guard, list);
-  if (gp_agent_is_down (&guard->agent, now) != guard->told.down)
+  if (guard->listed_incarnation == guard->agent.life)
+    pause = apply_answer (guard, list);
+  if (gp_agent_is_down (&guard->agent, now) != guard->sent.down)
     gp_guard_send_report (guard);
   if (guard->agent.ends->len > 0 && guard->unrecorded_since == 0)
     guard->unrecorded_since = now;
   if (guard->agent.ends->len > 0)
-    pause = MAX (pause, LIST_SPACING_UNSEEN);
-  gp_timer_arm (&guard->list, now + pause);
+    pause = MAX (pause, LIST_SPACING_UNRECORDED);
+  gp_timer_arm (&guard->list_timer, now + pause);
 }
 
 /* How long the executor is asked to hold a list call open while nothing
@@ -135,26 +136,27 @@
 {
   if (gp_agent_doubts_life (agent, now))
     return 0;
-  return gp_agent_keeps_alone (agent) ? LIST_WAIT_ALONE : LIST_WAIT;
+  return gp_agent_keeps_alone (agent) ? LIST_WAIT_ISOLATED : LIST_WAIT;
 }
 
 void
-gp_guard_ask_list (gp_job_guard_t *guard)
+gp_guard_request_list (gp_job_guard_t *guard)
 {
   gp_agent_t *agent = &guard->agent;
   gp_time_t now = now_of (guard);
   gp_time_t wait = list_wait (agent, now);
-  gp_time_t patience
-      = is_cut_lately (agent, now) ? LIST_CUT_PATIENCE : LIST_TIME;
+  gp_time_t timeout = was_disconnected_recently (agent, now)
+                          ? LIST_DISCONNECTED_TIMEOUT
+                          : LIST_TIMEOUT;
   gp_runtime_order_t order
-      = { .fence = agent->fence, .deadline = now + wait + patience };
+      = { .fence = agent->fence, .deadline = now + wait + timeout };
 
-  if (guard->listing || agent->executor == NULL || agent->ended)
+  if (guard->list_open || agent->executor == NULL || agent->ended)
     return;
   order.executor = agent->executor->id;
   order.born_ms = agent->executor->born_ms;
-  guard->listing = true;
-  guard->listed_life = agent->life;
+  guard->list_open = true;
+  guard->listed_incarnation = agent->life;
   guard->listed_fence = agent->fence;
   gp_platform_runtime_list (
       guard->runtime, &order, gp_agent_list_confirmed (agent, now),
@@ -164,7 +166,7 @@
 static void
 on_list_due (gp_timer_t *timer, void *data)
 {
-  gp_guard_ask_list (data);
+  gp_guard_request_list (data);
 }
 
 void
@@ -172,11 +174,11 @@
 {
   gp_counter_register (&ends_count);
   gp_counter_register (&stale_ends_count);
-  gp_timer_init (&guard->list, &guard->loop, on_list_due, guard);
+  gp_timer_init (&guard->list_timer, &guard->loop, on_list_due, guard);
 }
 
 void
 gp_guard_list_finish (gp_job_guard_t *guard)
 {
-  gp_timer_finish (&guard->list);
+  gp_timer_finish (&guard->list_timer);
 }
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -8,7 +8,7 @@
 
 /* Acknowledged reports renew the lease, so several have to fit into its
    duration.  */
-#define REPORT_TIME (300 * GP_MSEC)
+#define REPORT_INTERVAL (300 * GP_MSEC)
 
 static gp_counter_t runs_gauge
     = GP_GAUGE ("guard_runs", "Runs that belong on the executor");
@@ -30,7 +30,7 @@
 }
 
 static void
-add_row (GArray *rows, const gp_agent_run_t *run)
+add_run (GArray *rows, const gp_agent_run_t *run)
 {
   Gp__Jobs__TaskRun row = row_of (run);
 
@@ -38,7 +38,8 @@
 }
 
 static void
-add_suspect (GArray *rows, const gp_agent_t *agent, const gp_agent_run_t *run)
+add_suspected_run (GArray *rows, const gp_agent_t *agent,
+                   const gp_agent_run_t *run)
 {
   Gp__Jobs__TaskRun row = row_of (run);
 
@@ -58,7 +59,7 @@
       const gp_agent_run_t *run = value;
 
       if (run->phase == GP_RUN_ABSENT)
-        add_row (absent, run);
+        add_run (absent, run);
     }
   report->absent = gp_link_pointers (absent);
   report->n_absent = absent->len;
@@ -90,7 +91,7 @@
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (is_carried (agent, value))
-      add_row (carried, value);
+      add_run (carried, value);
   report->carried = gp_link_pointers (carried);
   report->n_carried = carried->len;
 }
@@ -108,10 +109,10 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       if (gp_agent_tells_settled (value))
-        add_row (settled, value);
+        add_run (settled, value);
       if ((report->lapsed || report->down)
           && gp_agent_is_suspect (agent, value))
-        add_suspect (suspects, agent, value);
+        add_suspected_run (suspects, agent, value);
     }
   report->settled = gp_link_pointers (settled);
   report->n_settled = settled->len;
@@ -121,7 +122,7 @@
 
 /* Work of runs that have ended but still is in the measurements.  */
 static void
-add_gone (const gp_agent_t *agent, GArray *fillings)
+add_ended_work (const gp_agent_t *agent, GArray *fillings)
 {
   for (guint i = 0; i < agent->gone->len; i++)
     {
@@ -149,8 +150,8 @@
   if (!agent->has_measures)
     return;
   agent->has_measures = false;
-  g_ptr_array_set_size (guard->told.servings, 0);
-  guard->told.servings_at = report->sent_at;
+  g_ptr_array_set_size (guard->sent.servings, 0);
+  guard->sent.servings_at = report->sent_at;
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -173,10 +174,10 @@
           serving.ratio_permille
               = (uint32_t)(run->measure * 1000 / run->start->target_ms);
           g_array_append_val (servings, serving);
-          g_ptr_array_add (guard->told.servings, g_strdup (run->name));
+          g_ptr_array_add (guard->sent.servings, g_strdup (run->name));
         }
     }
-  add_gone (agent, fillings);
+  add_ended_work (agent, fillings);
   report->servings = gp_link_pointers (servings);
   report->n_servings = servings->len;
   report->fillings = gp_link_pointers (fillings);
@@ -187,44 +188,44 @@
    it is recorded as reported: it makes up half of a report's bytes and changes
    a few times in the executor's lifetime.  */
 static bool
-is_executor_told (gp_job_guard_t *guard)
+is_executor_reported (gp_job_guard_t *guard)
 {
-  gp_told_t *told = &guard->told;
+  gp_sent_state_t *sent = &guard->sent;
   const Gp__Jobs__Executor *executor = guard->agent.executor;
   GBytes *now;
 
   if (executor == NULL)
     return false;
   now = gp_message_pack (&executor->base);
-  if (told->executor != NULL && g_bytes_equal (told->executor, now))
+  if (sent->executor != NULL && g_bytes_equal (sent->executor, now))
     {
       g_bytes_unref (now);
       return true;
     }
-  if (told->executor != NULL)
-    g_bytes_unref (told->executor);
-  told->executor = now;
+  if (sent->executor != NULL)
+    g_bytes_unref (sent->executor);
+  sent->executor = now;
   return false;
 }
 
 void
 gp_guard_reports_init (gp_job_guard_t *guard)
 {
-  guard->told.servings = g_ptr_array_new_with_free_func (g_free);
-  guard->told.fillings = g_ptr_array_new_with_free_func (g_free);
+  guard->sent.servings = g_ptr_array_new_with_free_func (g_free);
+  guard->sent.fillings = g_ptr_array_new_with_free_func (g_free);
 }
 
 void
-gp_guard_tell_anew (gp_job_guard_t *guard)
+gp_guard_reset_sent_state (gp_job_guard_t *guard)
 {
-  gp_told_t *told = &guard->told;
+  gp_sent_state_t *sent = &guard->sent;
   GHashTableIter iter;
   gpointer value;
 
-  g_clear_pointer (&told->executor, g_bytes_unref);
-  g_ptr_array_set_size (told->servings, 0);
-  g_ptr_array_set_size (told->fillings, 0);
-  told->servings_at = 0;
+  g_clear_pointer (&sent->executor, g_bytes_unref);
+  g_ptr_array_set_size (sent->servings, 0);
+  g_ptr_array_set_size (sent->fillings, 0);
+  sent->servings_at = 0;
   g_hash_table_iter_init (&iter, guard->agent.runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     ((gp_agent_run_t *)value)->settled_told = false;
@@ -233,16 +234,16 @@
 void
 gp_guard_reports_finish (gp_job_guard_t *guard)
 {
-  gp_guard_tell_anew (guard);
-  g_ptr_array_unref (guard->told.servings);
-  g_ptr_array_unref (guard->told.fillings);
+  gp_guard_reset_sent_state (guard);
+  g_ptr_array_unref (guard->sent.servings);
+  g_ptr_array_unref (guard->sent.fillings);
 }
 
 static void
-take_weights (gp_job_guard_t *guard, const Gp__Jobs__Weights *weights)
+apply_weights (gp_job_guard_t *guard, const Gp__Jobs__Weights *weights)
 {
   gp_pressure_t *pressure = &guard->agent.pacer.pressure;
-  const GPtrArray *fillings = guard->told.fillings;
+  const GPtrArray *fillings = guard->sent.fillings;
 
   for (size_t i = 0; i < weights->n_permille && i < fillings->len; i++)
     gp_pressure_set (
@@ -252,23 +253,23 @@
 }
 
 void
-gp_guard_take_teaching (gp_job_guard_t *guard,
-                        const Gp__Jobs__Acknowledge *message)
+gp_guard_apply_model_update (gp_job_guard_t *guard,
+                             const Gp__Jobs__Acknowledge *message)
 {
-  const gp_told_t *told = &guard->told;
+  const gp_sent_state_t *sent = &guard->sent;
   gp_time_t now = gp_loop_now (&guard->loop);
 
   for (size_t i = 0; i < message->n_fillings; i++)
-    g_ptr_array_add (told->fillings, g_strdup (message->fillings[i]));
+    g_ptr_array_add (sent->fillings, g_strdup (message->fillings[i]));
   for (size_t i = 0; i < message->n_weights; i++)
-    take_weights (guard, message->weights[i]);
-  if (message->sent_at != told->servings_at
-      || message->n_headrooms != told->servings->len)
+    apply_weights (guard, message->weights[i]);
+  if (message->sent_at != sent->servings_at
+      || message->n_headrooms != sent->servings->len)
     return;
   for (size_t i = 0; i < message->n_headrooms; i++)
     if (message->headrooms[i] != 0)
       gp_agent_teach_load (&guard->agent,
-                           g_ptr_array_index (told->servings, i),
+                           g_ptr_array_index (sent->servings, i),
                            message->headrooms[i], message->slopes[i], now);
 }
 
@@ -288,7 +289,7 @@
   GArray *fillings;
   GArray *carried;
 
-  gp_timer_arm (&guard->report, now + REPORT_TIME);
+  gp_timer_arm (&guard->report_timer, now + REPORT_INTERVAL);
   if (guard->leader == NULL)
     return;
   lacking = g_ptr_array_new_with_free_func (g_free);
@@ -304,7 +305,7 @@
   report.sent_at = guard->report_sent_at;
   report.node = guard->settings->node;
   report.executor = agent->executor;
-  if (is_executor_told (guard))
+  if (is_executor_reported (guard))
     {
       unchanged.id = agent->executor->id;
       unchanged.born_ms = agent->executor->born_ms;
@@ -317,7 +318,7 @@
   report.answers = gp_agent_answers (agent, now);
   report.down = gp_agent_is_down (agent, now);
   report.keeps_alone = gp_agent_keeps_alone (agent);
-  guard->told.down = report.down;
+  guard->sent.down = report.down;
   report.ended = agent->ended;
   report.synced = agent->synced;
   report.ends = (Gp__Jobs__End **)agent->ends->pdata;
--- a/src/jobsd/guard_specs.c
+++ b/src/jobsd/guard_specs.c
@@ -8,16 +8,16 @@
 
 /* Timeout of a connection attempt to another guard, well before the store of
    specifications gives the holder up.  */
-#define DIAL_TIME (300 * GP_MSEC)
+#define DIAL_TIMEOUT (300 * GP_MSEC)
 /* A connection that was not used for this time is closed: the runs of one job
    arrive within seconds.  */
-#define IDLE_TIME (10 * GP_SEC)
+#define IDLE_TIMEOUT (10 * GP_SEC)
 /* The leader's message may reach the requesting guard before the holder.  A
    request waits this long at the holder, less than the requester waits for an
    answer.  */
-#define ASKER_TIME (250 * GP_MSEC)
+#define REQUEST_TIMEOUT (250 * GP_MSEC)
 /* Limit of waiting requests; some tens are directed to one holder.  */
-#define ASKERS_MAX 512
+#define REQUESTS_MAX 512
 
 static gp_counter_t asked_count = GP_COUNTER (
     "guard_specs_asked_total", "Specifications asked of other guards");
@@ -44,7 +44,7 @@
   char *job;
   uint64_t digest;
   gp_time_t until;
-} asker_t;
+} request_t;
 
 static gp_time_t
 now_of (const gp_guard_specs_t *specs)
@@ -56,7 +56,7 @@
 arm (gp_guard_specs_t *specs)
 {
   gp_time_t at
-      = MIN (gp_spec_store_next_expiry (specs->store), specs->askers_end);
+      = MIN (gp_spec_store_next_expiry (specs->store), specs->request_timeout);
   GHashTableIter iter;
   gpointer value;
 
@@ -89,77 +89,77 @@
 }
 
 static void
-drop_asker (gp_guard_specs_t *specs, asker_t *asker)
+drop_request (gp_guard_specs_t *specs, request_t *request)
 {
-  specs->asker_count--;
-  gp_list_remove (&asker->link);
-  g_free (asker->job);
-  g_free (asker);
+  specs->request_count--;
+  gp_list_remove (&request->link);
+  g_free (request->job);
+  g_free (request);
 }
 
 /* Answer requests for specifications that are held now, and those whose time
    is over.  */
 static void
-answer_askers (gp_guard_specs_t *specs)
+answer_requests (gp_guard_specs_t *specs)
 {
   gp_time_t now = now_of (specs);
 
-  specs->askers_end = GP_TIME_NEVER;
-  GP_LIST_FOREACH_SAFE (link, &specs->askers)
+  specs->request_timeout = GP_TIME_NEVER;
+  GP_LIST_FOREACH_SAFE (link, &specs->requests)
   {
-    asker_t *asker = GP_CONTAINER_OF (link, asker_t, link);
+    request_t *request = GP_CONTAINER_OF (link, request_t, link);
     GBytes *bytes
-        = gp_spec_store_find (specs->store, asker->job, asker->digest);
+        = gp_spec_store_find (specs->store, request->job, request->digest);
 
-    if (bytes == NULL && now < asker->until)
+    if (bytes == NULL && now < request->until)
       {
-        specs->askers_end = MIN (specs->askers_end, asker->until);
+        specs->request_timeout = MIN (specs->request_timeout, request->until);
         continue;
       }
-    answer (asker->peer, asker->job, asker->digest, bytes);
-    drop_asker (specs, asker);
+    answer (request->peer, request->job, request->digest, bytes);
+    drop_request (specs, request);
   }
 }
 
 void
-gp_guard_specs_asked (gp_guard_specs_t *specs, gp_peer_t *peer,
-                      const Gp__Jobs__WantSpec *want)
+gp_guard_specs_requested (gp_guard_specs_t *specs, gp_peer_t *peer,
+                          const Gp__Jobs__WantSpec *want)
 {
   GBytes *bytes = gp_spec_store_find (specs->store, want->job, want->digest);
-  asker_t *asker;
+  request_t *request;
 
-  if (bytes != NULL || specs->asker_count >= ASKERS_MAX)
+  if (bytes != NULL || specs->request_count >= REQUESTS_MAX)
     {
       answer (peer, want->job, want->digest, bytes);
       return;
     }
-  asker = g_new0 (asker_t, 1);
-  asker->peer = peer;
-  asker->job = g_strdup (want->job);
-  asker->digest = want->digest;
-  asker->until = now_of (specs) + ASKER_TIME;
-  gp_list_push_back (&specs->askers, &asker->link);
-  specs->asker_count++;
-  specs->askers_end = MIN (specs->askers_end, asker->until);
+  request = g_new0 (request_t, 1);
+  request->peer = peer;
+  request->job = g_strdup (want->job);
+  request->digest = want->digest;
+  request->until = now_of (specs) + REQUEST_TIMEOUT;
+  gp_list_push_back (&specs->requests, &request->link);
+  specs->request_count++;
+  specs->request_timeout = MIN (specs->request_timeout, request->until);
   arm (specs);
 }
 
 void
-gp_guard_specs_asker_gone (gp_guard_specs_t *specs, const gp_peer_t *peer)
+gp_guard_specs_peer_closed (gp_guard_specs_t *specs, const gp_peer_t *peer)
 {
-  GP_LIST_FOREACH_SAFE (link, &specs->askers)
+  GP_LIST_FOREACH_SAFE (link, &specs->requests)
   {
-    asker_t *asker = GP_CONTAINER_OF (link, asker_t, link);
+    request_t *request = GP_CONTAINER_OF (link, request_t, link);
 
-    if (asker->peer == peer)
-      drop_asker (specs, asker);
+    if (request->peer == peer)
+      drop_request (specs, request);
   }
 }
 
 /* Requests to other guards.  */
 
 static void
-note_failed (gp_guard_specs_t *specs, const char *holder, const char *why)
+report_failure (gp_guard_specs_t *specs, const char *holder, const char *why)
 {
   gp_counter_add (&failed_count, 1);
   gp_log (GP_LOG_INFO, "spec.not_given", GP_LOG_S ("holder", holder),
@@ -183,8 +183,8 @@
       if (gp_spec_store_take (specs->store, frame->spec, now))
         specs->on_change (false, specs->data);
       else
-        note_failed (specs, holder->address, "the guard does not hold it");
-      answer_askers (specs);
+        report_failure (specs, holder->address, "the guard does not hold it");
+      answer_requests (specs);
     }
   gp__jobs__frame__free_unpacked (frame, NULL);
 }
@@ -199,8 +199,9 @@
     return;
   specs = holder->specs;
   if (gp_spec_store_lost (specs->store, holder->address))
-    note_failed (specs, holder->address,
-                 reason != NULL ? reason->message : "closed by this process");
+    report_failure (specs, holder->address,
+                    reason != NULL ? reason->message
+                                   : "closed by this process");
   g_hash_table_remove (specs->holders, holder->address);
 }
 
@@ -216,7 +217,7 @@
 /* The connection to ADDRESS, which is opened if there is none; NULL if ADDRESS
    is invalid.  */
 static holder_t *
-reach (gp_guard_specs_t *specs, const char *address)
+get_holder (gp_guard_specs_t *specs, const char *address)
 {
   static const gp_peer_callbacks_t callbacks
       = { .on_frame = on_frame, .on_close = on_close };
@@ -229,12 +230,12 @@
   holder->specs = specs;
   holder->address = g_strdup (address);
   holder->peer = gp_peer_connect (specs->loop, address, NULL,
-                                  now_of (specs) + DIAL_TIME, &callbacks,
+                                  now_of (specs) + DIAL_TIMEOUT, &callbacks,
                                   holder, &error);
   if (holder->peer == NULL)
     {
       if (gp_spec_store_lost (specs->store, address))
-        note_failed (specs, address, error->message);
+        report_failure (specs, address, error->message);
       g_error_free (error);
       free_holder (holder);
       return NULL;
@@ -244,17 +245,17 @@
 }
 
 static void
-ask (gp_guard_specs_t *specs, const Gp__Jobs__Spec *told)
+send_request (gp_guard_specs_t *specs, const Gp__Jobs__Spec *offered)
 {
   Gp__Jobs__WantSpec want = GP__JOBS__WANT_SPEC__INIT;
   Gp__Jobs__Frame frame = GP__JOBS__FRAME__INIT;
-  holder_t *holder = reach (specs, told->holder);
+  holder_t *holder = get_holder (specs, offered->holder);
 
   if (holder == NULL)
     return;
-  holder->idle_end = now_of (specs) + IDLE_TIME;
-  want.job = told->job;
-  want.digest = told->digest;
+  holder->idle_end = now_of (specs) + IDLE_TIMEOUT;
+  want.job = offered->job;
+  want.digest = offered->digest;
   frame.message_case = GP__JOBS__FRAME__MESSAGE_WANT_SPEC;
   frame.want_spec = &want;
   gp_counter_add (&asked_count, 1);
@@ -262,13 +263,13 @@
 }
 
 void
-gp_guard_specs_told (gp_guard_specs_t *specs, Gp__Jobs__Spec **told,
-                     size_t count)
+gp_guard_specs_from_leader (gp_guard_specs_t *specs, Gp__Jobs__Spec **offered,
+                            size_t count)
 {
   for (size_t i = 0; i < count; i++)
-    if (gp_spec_store_tell (specs->store, told[i], now_of (specs)))
-      ask (specs, told[i]);
-  answer_askers (specs);
+    if (gp_spec_store_tell (specs->store, offered[i], now_of (specs)))
+      send_request (specs, offered[i]);
+  answer_requests (specs);
   arm (specs);
 }
 
@@ -300,8 +301,8 @@
   gp_guard_specs_t *specs = data;
 
   if (gp_spec_store_expire (specs->store, now_of (specs)))
-    note_failed (specs, "", "no answer in time");
-  answer_askers (specs);
+    report_failure (specs, "", "no answer in time");
+  answer_requests (specs);
   close_idle (specs);
   arm (specs);
 }
@@ -314,12 +315,12 @@
   *specs = (gp_guard_specs_t){ .loop = loop,
                                .store = store,
                                .refusals = refusals,
-                               .askers_end = GP_TIME_NEVER,
+                               .request_timeout = GP_TIME_NEVER,
                                .on_change = on_change,
                                .data = data };
   specs->holders
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_holder);
-  gp_list_init (&specs->askers);
+  gp_list_init (&specs->requests);
   gp_timer_init (&specs->timer, loop, on_timer, specs);
   gp_counter_register (&asked_count);
   gp_counter_register (&failed_count);
@@ -332,8 +333,8 @@
   GHashTableIter iter;
   gpointer value;
 
-  GP_LIST_FOREACH_SAFE (link, &specs->askers)
-  drop_asker (specs, GP_CONTAINER_OF (link, asker_t, link));
+  GP_LIST_FOREACH_SAFE (link, &specs->requests)
+  drop_request (specs, GP_CONTAINER_OF (link, request_t, link));
   g_hash_table_iter_init (&iter, specs->holders);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     gp_peer_set_data (((holder_t *)value)->peer, NULL);
