--- a/src/jobsd/announce.c
+++ b/src/jobsd/announce.c
@@ -1,4 +1,4 @@
-/* Telling the others where a process is reached.  */
+/* Announcing a process's address.  */
 
 #include "jobsd/announce.h"
 
@@ -6,9 +6,10 @@
 #include "jobs.pb-c.h"
 #include "protocol/message.h"
 
-/* A slow store answers within this.  */
+/* Timeout of the append; a slow store answers within this time.  */
 #define ANNOUNCE_TIME (2 * GP_SEC)
-/* Between tries: nobody finds the process meanwhile.  */
+/* Delay between attempts; until one succeeds other processes cannot reach this
+   one.  */
 #define RETRY_TIME (500 * GP_MSEC)
 
 static void
--- a/src/jobsd/entry.c
+++ b/src/jobsd/entry.c
@@ -9,21 +9,21 @@
 #include "base/log.h"
 #include "platform/jobs_http.h"
 
-/* What a caller may send; the documents known allow no more.  */
+/* Limit of a request body; no known document of operators allows more.  */
 #define BODY_MAX ((size_t)256 * 1024)
 #define HEADER_TIME (15 * GP_SEC)
-/* A stopping entry serves on until the balancer has seen it unready twice,
-   at one look a second, and some more; at most for half of the time that it
-   is given to stop.  */
+/* How long a stopping entry continues to serve: until the load balancer, which
+   probes once a second, has seen it unready twice, and some more; at most half
+   of the time that the entry is given to stop.  */
 #define SERVE_ON_TIME (3200 * GP_MSEC)
-/* Entries that do not lead read in portions, as each read has its price and is
-   made by each of them.  A job's end is told that much later; of submissions
-   they only need to know what is asked for at another entry than the one that
-   took them, and for a takeover.  */
+/* Entries that do not lead read in batches, as each read has a cost and each
+   entry makes it.  The end of a job is reported later by up to
+   PROGRESS_SPACING.  Submissions are needed only for requests about jobs that
+   another entry has accepted, and for taking over leadership.  */
 #define PROGRESS_SPACING (100 * GP_MSEC)
 #define JOBS_SPACING (800 * GP_MSEC)
-/* How old the book may be for this entry to take the lead: an idle feed is
-   known to be fresh once a second.  */
+/* Maximum age of the book for this entry to take leadership: a feed of an idle
+   topic is confirmed to be current once a second.  */
 #define LEAD_AGE (2 * GP_SEC)
 
 static gp_counter_t jobs_gauge = GP_GAUGE ("jobs", "Jobs in the book");
@@ -33,8 +33,8 @@
 static gp_traffic_t callers_traffic
     = GP_TRAFFIC ("callers", "requests of callers and their answers");
 
-/* Fold a record that was decoded, NULL and ERROR when it does not fit what is
-   known.  */
+/* Apply a decoded record to the book; returns NULL and sets ERROR if it does
+   not fit the current state.  */
 static gp_job_t *
 take_record (gp_job_entry_t *entry, gp_record_t *record, GError **error)
 {
@@ -123,7 +123,7 @@
   gp_record_finish (&record);
 }
 
-/* A leader reads submissions at once, so that their work starts.  */
+/* A leader reads submissions without delay, so that their runs start.  */
 static void
 space_jobs (gp_job_entry_t *entry)
 {
@@ -132,8 +132,8 @@
   gp_feed_set_spacing (&entry->jobs, follows ? JOBS_SPACING : 0);
 }
 
-/* Any feed that has become fresh may be the last one that the lead waited
-   for.  */
+/* Each feed that has caught up may be the last one that was missing to claim
+   leadership.  */
 static void
 on_fresh (void *data)
 {
@@ -148,15 +148,15 @@
                        entry->progress.fresh_at, ready);
   gp_counter_set (&leading_gauge, entry->leader.role == GP_LEADER_LEADING);
   entry->progress.look_at = gp_leader_claim_at (&entry->leader);
-  /* From the lead on the book is ahead of the log: this entry reads no more of
-     what it writes itself.  */
+  /* Once this entry leads, the book is ahead of the log: the entry stops
+     reading the topic that it writes itself.  */
   if (entry->leader.role != GP_LEADER_FOLLOWING)
     gp_feed_stop (&entry->progress);
   space_jobs (entry);
 }
 
 /* The store has answered the feed of TOPIC after a failure: other calls may
-   hang since the outage.  */
+   still hang because of the outage.  */
 static void
 retry_calls (gp_job_entry_t *entry, gp_topic_t topic)
 {
@@ -291,7 +291,7 @@
   return entry->metrics != NULL;
 }
 
-/* Life.  */
+/* Initialization and shutdown.  */
 
 static void
 on_served (void *data)
@@ -372,7 +372,7 @@
           GP_LOG_S ("front", settings->front),
           GP_LOG_S ("store", settings->store),
           GP_LOG_I ("link_rate", settings->link_rate));
-  /* Peers are told where this entry passes calls on.  */
+  /* Peers learn the address of this entry's relay.  */
   gp_announcer_start (&entry->announcer, &entry->loop, entry->store, settings,
                       settings->relay, false, entry->leader.incarnation);
   gp_feed_start (&entry->operators.feed);
--- a/src/jobsd/entry.h
+++ b/src/jobsd/entry.h
@@ -1,5 +1,5 @@
-/* The entry of a site that runs on the platform: callers' requests, and the
-   lead over all executors when it falls to this process.  */
+/* The entry of a site that runs on the platform: it serves callers' requests,
+   and assigns runs to all executors while this process is the leader.  */
 
 #ifndef GP_JOBSD_ENTRY_H
 #define GP_JOBSD_ENTRY_H
@@ -36,7 +36,7 @@
   gp_leader_t leader;
   gp_janitor_t janitor;
   gp_traffic_reporter_t traffic;
-  gp_timer_t leave; /* stopping: when callers are not served any more */
+  gp_timer_t leave; /* while stopping: callers are served until then */
   bool stopping;
 } gp_job_entry_t;
 
--- a/src/jobsd/feed.c
+++ b/src/jobsd/feed.c
@@ -2,16 +2,18 @@
 
 #include "jobsd/feed.h"
 
-/* Duration of a long poll: an idle topic is known to be so that late.  */
+/* Duration of a long poll; on an idle topic the feed is confirmed to be
+   current once in this time.  */
 #define POLL_TIME (GP_SEC)
-/* Beyond the poll: a slow store answers within this, as a read that is given
-   up has to be made again.  */
+/* Additional timeout of a call, within which a slow store answers: a read that
+   is cancelled has to be repeated.  */
 #define CALL_TIME (1500 * GP_MSEC)
-/* Every other call after a failure is given up sooner than that: a store that
-   is back from an outage in which calls hung is noticed soon, and one that is
-   very slow is served by the rest.  */
+/* After a failure every other call has this shorter timeout.  They detect soon
+   that a store is back from an outage in which calls hung, and the remaining
+   calls still succeed on a store that is very slow.  */
 #define DOWN_CALL_TIME (600 * GP_MSEC)
-/* Pause after a failed call; a store that is back is noticed that late.  */
+/* Delay after a failed call, and so until a store that is back is
+   detected.  */
 #define RETRY_TIME (150 * GP_MSEC)
 
 static void step (gp_feed_t *feed);
@@ -223,8 +225,8 @@
     step (feed);
 }
 
-/* The first read after a load or a failure waits for nothing, so that the
-   feed is known to be fresh soon.  */
+/* The first read after a load or a failure does not wait for new records, so
+   that the feed is soon confirmed to be current.  */
 static gp_time_t
 poll_time (const gp_feed_t *feed, gp_time_t now)
 {
--- a/src/jobsd/feed.h
+++ b/src/jobsd/feed.h
@@ -1,9 +1,9 @@
 /* Following a topic of the platform's log.
 
-   A feed loads the newest record of each key, then reads what is appended
-   after.  When records were dropped before they were read it loads again;
-   records carry whole states, so a record that is delivered twice or after a
-   newer one of the load does no harm.  */
+   A feed loads the newest record of each key, and then reads the records
+   appended later.  If records were dropped before they were read it loads
+   again.  Each record contains the complete state of its key, so a record that
+   is delivered twice, or after a newer one of the load, does no harm.  */
 
 #ifndef GP_JOBSD_FEED_H
 #define GP_JOBSD_FEED_H
@@ -13,14 +13,14 @@
 
 typedef struct
 {
-  /* A record, in the order of the offsets once the load is over.  */
+  /* A record; in the order of the offsets once the load has ended.  */
   void (*on_record) (const gp_platform_store_record_t *record, void *data);
-  /* A load begins (OVER is false) or is over; may be NULL.  */
+  /* A load begins (OVER is false) or has ended; may be NULL.  */
   void (*on_load) (bool over, void *data);
-  /* All records up to the topic's end at the time FRESH_AT of the feed have
-     been delivered.  */
+  /* The feed has caught up: all records that the topic held at the feed's
+     FRESH_AT have been delivered.  */
   void (*on_fresh) (void *data);
-  /* Reads fail (DOWN) or work again.  */
+  /* Reads fail (DOWN), or succeed again.  */
   void (*on_state) (gp_topic_t topic, bool down, const char *reason,
                     void *data);
 } gp_feed_callbacks_t;
@@ -33,20 +33,20 @@
   const gp_feed_callbacks_t *callbacks;
   void *data;
   gp_platform_store_call_t *call;
-  gp_time_t called_at; /* the call was sent */
+  gp_time_t called_at; /* the call was sent at this time */
   gp_timer_t timer;
   bool running;
-  bool loaded;        /* the load is over */
+  bool loaded;        /* the load has ended */
   bool down;          /* the last call failed */
-  char *after;        /* while loading: the last key seen */
-  uint64_t load_end;  /* of the first page of a load */
+  char *after;        /* while loading: the last key received */
+  uint64_t load_end;  /* end of the topic in the first page of a load */
   uint64_t position;  /* the next offset to read */
-  gp_time_t fresh_at; /* what the topic held then has been delivered */
-  gp_time_t spacing;  /* least duration between two reads */
-  bool newest_only;   /* records that were replaced are of no use */
-  gp_time_t look_at;  /* a read is to be sent then, rather than wait on;
-                         GP_TIME_NEVER: no matter */
-  unsigned failures;  /* calls that failed since one worked */
+  gp_time_t fresh_at; /* everything that the topic held then has been
+                         delivered */
+  gp_time_t spacing;  /* minimum time between two reads */
+  bool newest_only;   /* records that were replaced are not needed */
+  gp_time_t look_at; /* long polls end at this time; GP_TIME_NEVER: no limit */
+  unsigned failures; /* consecutive calls that failed */
 } gp_feed_t;
 
 void gp_feed_init (gp_feed_t *feed, gp_loop_t *loop,
@@ -55,24 +55,26 @@
                    void *data);
 void gp_feed_finish (gp_feed_t *feed);
 
-/* Load and follow, from the beginning also when it runs already.  */
+/* Load and follow the topic; restarts a feed that is running.  */
 void gp_feed_start (gp_feed_t *feed);
 void gp_feed_stop (gp_feed_t *feed);
-/* Go on from where the feed was stopped: nothing it delivered was lost.  */
+/* Continue at the position where the feed was stopped.  Only valid if
+   everything that it has delivered is still held by the receiver.  */
 void gp_feed_resume (gp_feed_t *feed);
-/* The store answers others again: give up a call that hangs and make it
-   anew.  */
+/* The store answers other calls again: cancel a call that hangs, and repeat
+   it.  */
 void gp_feed_retry (gp_feed_t *feed);
 
-/* Records of the topic are large, and only the newest of each key are of use:
-   where several are to be read, it is loaded instead.  */
+/* For topics with large records of which only the newest of each key is
+   needed: if several records are to be read, the topic is loaded instead.  */
 void gp_feed_take_newest_only (gp_feed_t *feed);
 
-/* Read no more often than each SPACING (a duration) from now on, beginning at
-   once where it was longer.  */
+/* Set the minimum time between two reads.  If it becomes shorter, the next
+   read is sent at once.  */
 void gp_feed_set_spacing (gp_feed_t *feed, gp_time_t spacing);
 
-/* Has the feed delivered what the topic held AGE (a duration) ago?  */
+/* Has the feed delivered everything that the topic held AGE (a duration)
+   ago?  */
 bool gp_feed_fresh (const gp_feed_t *feed, gp_time_t age);
 
 #endif
--- a/src/jobsd/janitor.c
+++ b/src/jobsd/janitor.c
@@ -1,14 +1,14 @@
-/* Dropping the records of jobs that ended long ago.  */
+/* Deletion of the records of jobs that ended long ago.  */
 
 #include "jobsd/janitor.h"
 
 #include "base/log.h"
 #include "jobsd/jobs_front.h"
 
-/* The book is looked through this often in the time that ends are told.  */
+/* Number of scans of the book in the time for which ends are reported.  */
 #define LOOKS 8
 #define DROP_TIME (2 * GP_SEC)
-/* Jobs in one append.  */
+/* Limit of jobs in one append.  */
 #define DROPS_MAX 500
 
 static void
@@ -21,8 +21,8 @@
     gp_log (GP_LOG_INFO, "drop.failed", GP_LOG_S ("why", answer->reason));
 }
 
-/* Drop the submissions and cancellations of jobs that ended before WALL_MS;
-   once more does no harm.  */
+/* Delete the submissions and cancellations of jobs that ended before WALL_MS.
+   Doing so twice is harmless.  */
 static void
 drop_submissions (gp_janitor_t *janitor, int64_t wall_ms)
 {
--- a/src/jobsd/job_answers.c
+++ b/src/jobsd/job_answers.c
@@ -1,4 +1,4 @@
-/* Answers to callers.  */
+/* Responses to callers.  */
 
 #include "jobsd/job_answers.h"
 
@@ -7,8 +7,7 @@
 
 #include "platform/jobs_http.h"
 
-/* How long a caller waits who does not tell, and how long one is kept at the
-   most.  */
+/* Timeout of a caller that states none, and upper limit of a stated one.  */
 #define PATIENCE_DEFAULT (3 * GP_SEC)
 #define PATIENCE_MAX (10 * GP_SEC)
 
--- a/src/jobsd/jobs_front.c
+++ b/src/jobsd/jobs_front.c
@@ -1,11 +1,11 @@
-/* Callers' requests: submit, show and cancel jobs.
+/* The HTTP API for callers: submit, show and cancel jobs.
 
-   A change is answered with success only when its record is on the log.  It
-   is refused only when the store has told that nothing was done, every time
-   that it was asked; as long as one try went unanswered the same record is
-   appended again, and at the end of the caller's patience the answer leaves
-   open what came of it.  Both are safe to repeat: a record with the key of
-   one that is there changes nothing.  */
+   A change is answered with success only when its record is on the log.  It is
+   refused only if the store has reported for each attempt that nothing was
+   done.  As long as the outcome of an attempt is unknown the same record is
+   appended again, and when the caller's timeout expires the answer leaves the
+   outcome open.  Both are safe to repeat: a second record with the same key
+   changes nothing.  */
 
 #include "jobsd/jobs_front.h"
 
@@ -22,26 +22,29 @@
 #include "platform/refusals.h"
 #include "protocol/message.h"
 
-/* One try of an append takes so many times what the last ones took, within
-   these bounds: a store that is slow is not asked again while it works, and
-   an answer that was lost is not waited for long.  */
+/* Timeout of one attempt to append, as a multiple of the average duration of
+   appends, within these bounds: a slow store does not get the next attempt
+   while it still works on one, and an answer that was lost is not waited for
+   long.  */
 #define TRY_FACTOR 5
 #define TRY_TIME_MIN (500 * GP_MSEC)
 #define TRY_TIME_MAX (1200 * GP_MSEC)
-/* Share of the last duration in the mean of them.  */
+/* Weight of the last duration in the moving average.  */
 #define LATENCY_GAIN 0.3
 #define TRY_PAUSE (50 * GP_MSEC)
-/* Appends that failed in a row before callers that come are refused at once
-   while the next one is on its way.  */
+/* Consecutive failed appends after which new callers are refused at once while
+   the next append is in flight.  */
 #define FAILURES_TO_REFUSE 2
-/* Tries that the store refuses before the caller is refused, if it can come
-   again: by then another way to the store has been found if there is one.  */
+/* Attempts that the store refuses before the caller is refused, if it can
+   retry: by then another route to the store has been found if there is
+   one.  */
 #define REFUSALS_MAX 4
-/* Ids of jobs left open that are remembered; an outage leaves some hundred. */
+/* Limit of ids of jobs with an open outcome; an outage leaves a few
+   hundred.  */
 #define OPEN_MAX 10000
-/* Bytes of records in one append; far under the platform's bound.  */
+/* Limit of bytes of records in one append; far below the platform's limit.  */
 #define BATCH_MAX ((size_t)256 * 1024)
-/* How old the book may be for an answer that a job does not exist.  */
+/* Maximum age of the book for the answer that a job does not exist.  */
 #define ABSENCE_AGE (2500 * GP_MSEC)
 
 static gp_counter_t accepted_count
@@ -64,29 +67,30 @@
 static gp_histogram_t book_age
     = GP_HISTOGRAM ("book_age", "Age of the book when a job was shown");
 
-/* A submission or cancellation until its answer.  */
+/* A submission or cancellation until it is answered.  */
 typedef struct
 {
   gp_list_t link;
   gp_jobs_front_t *front;
-  gp_http_exchange_t *exchange; /* NULL: the caller has gone */
+  gp_http_exchange_t *exchange; /* NULL: the caller has disconnected */
   char key[sizeof GP_CANCEL_PREFIX + GP_JOB_ID_SIZE];
   GBytes *value;
-  gp_time_t deadline;  /* its answer has to leave */
-  gp_time_t refuse_at; /* it is refused, if nothing was begun for it */
+  gp_time_t deadline;  /* its answer has to be sent */
+  gp_time_t refuse_at; /* it is refused if no attempt was started */
   gp_time_t since;
-  unsigned refusals; /* tries of which nothing was done */
+  unsigned refusals; /* attempts that the store has refused */
   bool in_call;      /* part of the append in progress */
-  bool doubtful;     /* an append that it was part of went unanswered */
+  bool doubtful;     /* an append that included it got no answer */
   bool cancels;
-  bool may_return; /* its caller can come again if it is refused */
+  bool may_return; /* its caller has the time to retry if it is refused */
 } change_t;
 
 static void append_waiting (gp_jobs_front_t *front);
 
 /* Answers.  */
 
-/* Nothing was done; when to try again follows from how the store does.  */
+/* Answer that nothing was done; the time to retry after depends on the state
+   of the store.  */
 static void
 refuse (const gp_jobs_front_t *front, gp_http_exchange_t *exchange,
         const char *why)
@@ -120,7 +124,7 @@
   g_free (change);
 }
 
-/* The id of the job that CHANGE is about.  */
+/* The id of the job to which CHANGE belongs.  */
 static const char *
 id_of (const change_t *change)
 {
@@ -167,8 +171,9 @@
   end_change (change, 200, "on the log");
 }
 
-/* A refusal says that the job never runs, which holds only when no try was
-   left open, this time (DOUBTFUL) or before.  */
+/* Returns the status of a refusal. 503 means that the job never runs, which
+   holds only if no attempt has an open outcome, for this request (DOUBTFUL) or
+   an earlier one; otherwise 504.  */
 static int
 refusal_status (gp_jobs_front_t *front, const char *id, bool doubtful)
 {
@@ -180,8 +185,8 @@
   return 504;
 }
 
-/* No try is left: what has certainly not been done is refused, the rest is
-   left open.  */
+/* No attempt is left: refuse a change that was certainly not made, and leave
+   the outcome of others open.  */
 static void
 give_up (change_t *change, const char *why)
 {
@@ -192,7 +197,7 @@
   end_change (change, status, why);
 }
 
-/* When CHANGE is given up.  */
+/* The time at which CHANGE is given up.  */
 static gp_time_t
 due_at (const change_t *change)
 {
@@ -223,7 +228,7 @@
       += (gp_time_t)((double)(duration - front->latency) * LATENCY_GAIN);
 }
 
-/* What the append in progress has come to, for one of its changes.  */
+/* Apply the result of the append to one of its changes.  */
 static void
 apply_result (change_t *change, const gp_platform_store_answer_t *result,
               uint64_t offset)
@@ -275,14 +280,15 @@
   arm (front);
 }
 
-/* Append what waits in one call, unless one is in progress.  */
+/* Append all waiting changes in one call, unless one is in flight.  */
 static void
 append_waiting (gp_jobs_front_t *front)
 {
   gp_time_t now = gp_loop_now (front->loop);
   gp_time_t patience
       = CLAMP (TRY_FACTOR * front->latency, TRY_TIME_MIN, TRY_TIME_MAX);
-  /* After failures the mean says little: who can wait so long is tried.  */
+  /* After failures the average says little: a change that can wait this long
+     is tried.  */
   gp_time_t store_time = MIN (front->latency, TRY_TIME_MIN);
   GByteArray *batch;
 
@@ -339,8 +345,8 @@
   change->exchange = NULL;
 }
 
-/* The store does not answer, and what is on its way will show when it does
-   again: a caller that has not been written down is told at once.  */
+/* The store does not answer, and the append in flight shows when it does
+   again: refuse a new caller at once, without an attempt.  */
 static void
 refuse_now (gp_jobs_front_t *front, gp_http_exchange_t *exchange,
             const char *id, bool cancels)
@@ -353,7 +359,7 @@
   answer_change (front, exchange, status, "the store does not answer");
 }
 
-/* Write a record with KEY and VALUE, which is taken over.  */
+/* Start to append a record for the job ID; takes ownership of VALUE.  */
 static void
 start_change (gp_jobs_front_t *front, gp_http_exchange_t *exchange,
               const char *id, bool cancels, GBytes *value)
@@ -403,7 +409,8 @@
   submission->accepted_wall_ms = gp_time_wall_ms ();
 }
 
-/* Log lines are bounded by queue, as callers choose a new id for each job. */
+/* Repeated log lines are limited per queue, as callers choose a new id for
+   each job.  */
 static void
 refuse_malformed (gp_http_exchange_t *exchange, const gp_queue_t *queue,
                   const char *id, const GError *error)
@@ -436,7 +443,8 @@
   submission = gp_platform_submission_parse (body.base, body.size, &error);
   if (submission != NULL)
     set_policy (submission, queue);
-  /* The check of the readers of its record: what is accepted can be read.  */
+  /* The same check as for readers of the record: what is accepted can be
+     read.  */
   if (submission == NULL || !gp_job_check (submission, &error))
     {
       refuse_malformed (exchange, queue, id, error);
@@ -449,7 +457,7 @@
     gp__jobs__submission__free_unpacked (submission, NULL);
 }
 
-/* That a job does not exist can be told only from a fresh book.  */
+/* That a job does not exist can only be said if the book is current.  */
 static void
 answer_absent (gp_jobs_front_t *front, gp_http_exchange_t *exchange)
 {
@@ -459,11 +467,11 @@
     refuse (front, exchange, "the log cannot be read");
 }
 
-/* A record of the job is on the log and cannot be read.  Each state would
-   claim what nobody knows: that it does not exist lets its caller submit the
-   work anew under another id, an end makes him rely on it, and "queued" or
-   "running" promises an end that may never come.  So the answer is that of a
-   job that cannot be told now.  */
+/* A record of the job is on the log and cannot be read, so each state might be
+   wrong.  If the job were said not to exist, the caller would submit the work
+   again under another id; it would rely on an end; and "queued" or "running"
+   promise an end that may never come.  So the answer is that the state is not
+   available now.  */
 static void
 answer_unreadable (const gp_jobs_front_t *front, gp_http_exchange_t *exchange)
 {
@@ -529,7 +537,7 @@
   g_free (body);
 }
 
-/* The host that the caller names, without its port.  */
+/* The host named by the caller, without the port.  */
 static gp_http_text_t
 host_of (const gp_http_exchange_t *exchange)
 {
--- a/src/jobsd/jobs_front.h
+++ b/src/jobsd/jobs_front.h
@@ -1,4 +1,4 @@
-/* Callers' requests: submit, show and cancel jobs.  */
+/* The HTTP API for callers: submit, show and cancel jobs.  */
 
 #ifndef GP_JOBSD_JOBS_FRONT_H
 #define GP_JOBSD_JOBS_FRONT_H
@@ -15,16 +15,17 @@
   gp_platform_store_t *store;
   gp_book_t *book;
   const gp_queues_t *queues;
-  const gp_feed_t *jobs; /* for how fresh the book is */
+  const gp_feed_t *jobs; /* its age is that of the book */
   gp_list_t changes;     /* submissions and cancellations in progress */
-  GHashTable *open;      /* ids, owned, of jobs whose fate was left open */
+  GHashTable *open; /* ids, owned, of jobs for which an answer left the outcome
+                       open */
   gp_platform_store_call_t *call; /* the append in progress, or NULL */
-  gp_time_t try_at;               /* none is begun before */
-  unsigned failures;              /* appends that failed since one was done */
+  gp_time_t try_at;               /* no append is started before this time */
+  unsigned failures;              /* consecutive appends that failed */
   gp_time_t failing_since;        /* the first of them was sent, 0: none */
-  gp_time_t latency;              /* mean duration of appends */
-  gp_timer_t timer; /* the next try or the end of a caller's patience */
-  /* A record is on the log: fold it now, without waiting for the feed.  */
+  gp_time_t latency; /* moving average of the duration of appends */
+  gp_timer_t timer;  /* the next append, or the timeout of a change */
+  /* A record is on the log: apply it now, without waiting for the feed.  */
   void (*on_record) (const gp_platform_store_record_t *record, void *data);
   void *data;
 } gp_jobs_front_t;
--- a/src/jobsd/link.c
+++ b/src/jobsd/link.c
@@ -1,4 +1,4 @@
-/* Frames between the leading entry and the guards.  */
+/* Sending and receiving frames between the leading entry and the guards.  */
 
 #include "jobsd/link.h"
 
@@ -6,8 +6,8 @@
 #include "protocol/codec.h"
 #include "transport/traffic.h"
 
-/* Bytes of frames by kind, GP__JOBS__FRAME__MESSAGE__NOT_SET those that do
-   not decode.  */
+/* Bytes of frames by kind; those that do not decode count as
+   GP__JOBS__FRAME__MESSAGE__NOT_SET.  */
 static gp_traffic_t traffic[] = {
   [GP__JOBS__FRAME__MESSAGE__NOT_SET]
   = GP_TRAFFIC ("refused_frames", "frames that were refused"),
--- a/src/jobsd/operator_feed.c
+++ b/src/jobsd/operator_feed.c
@@ -1,4 +1,4 @@
-/* What the operators have written, as an entry follows it.  */
+/* The operators' records, as followed by an entry.  */
 
 #include "jobsd/operator_feed.h"
 
@@ -138,8 +138,8 @@
   gp_evacuations_init (&operators->evacuations);
   gp_feed_init (&operators->feed, loop, store, GP_TOPIC_OPERATORS, 0,
                 &feed_callbacks, operators);
-  /* A document may have 256 KB, and ten may come in a few seconds: reading
-     each takes ten seconds of a link of 2 Mbit/s.  */
+  /* A document may have 256 KB, and ten may be published within a few seconds:
+     to read all of them takes ten seconds on a link of 2 Mbit/s.  */
   gp_feed_take_newest_only (&operators->feed);
 }
 
--- a/src/jobsd/operator_feed.h
+++ b/src/jobsd/operator_feed.h
@@ -1,5 +1,5 @@
-/* What the operators have written, as an entry follows it: the newest document
-   and the availability zones that are evacuated.  */
+/* The operators' records, as followed by an entry: the newest document and the
+   evacuated availability zones.  */
 
 #ifndef GP_JOBSD_OPERATOR_FEED_H
 #define GP_JOBSD_OPERATOR_FEED_H
@@ -10,7 +10,7 @@
 
 typedef struct
 {
-  /* Zones were evacuated or taken back.  */
+  /* The set of evacuated zones has changed.  */
   void (*on_zones) (void *data);
   /* As in gp_feed_callbacks_t.  */
   void (*on_fresh) (void *data);
@@ -27,14 +27,14 @@
   void *data;
 } gp_operator_feed_t;
 
-/* It follows from gp_feed_start of its FEED on.  */
+/* Reading begins with gp_feed_start of its FEED.  */
 void gp_operator_feed_init (gp_operator_feed_t *operators, gp_loop_t *loop,
                             gp_platform_store_t *store,
                             const gp_operator_feed_callbacks_t *callbacks,
                             void *data);
 void gp_operator_feed_finish (gp_operator_feed_t *operators);
 
-/* How old is what is known (a duration); GP_TIME_NEVER: nothing is.  */
+/* Age of the data (a duration); GP_TIME_NEVER if there is none.  */
 gp_time_t gp_operator_feed_age (const gp_operator_feed_t *operators);
 
 #endif
--- a/src/jobsd/refusals.c
+++ b/src/jobsd/refusals.c
@@ -1,4 +1,4 @@
-/* What was refused of what others sent or wrote.  */
+/* Rejected records and frames of other processes.  */
 
 #include "jobsd/refusals.h"
 
@@ -8,10 +8,10 @@
 #include "base/error.h"
 #include "base/log.h"
 
-/* Keys and senders that are told apart.  */
+/* Limit of keys and senders counted separately.  */
 #define COUNTS_MAX 1000
-/* Bytes of a key that are shown: a line has to fit into a write that is never
-   cut.  */
+/* Limit of bytes of a key in a log line: a line has to fit into a write that
+   is never split.  */
 #define SHOWN_MAX 100
 
 static gp_counter_t undecodable_count = GP_COUNTER (
@@ -48,8 +48,8 @@
   gp_repeats_finish (&refusals->repeats);
 }
 
-/* Count one more refusal of WHAT at ORIGIN.  The number, or 0 when there is
-   to be no line.  */
+/* Count another rejection of WHAT from ORIGIN.  Returns the count if it is to
+   be logged, otherwise 0.  */
 static uint64_t
 count_up (gp_refusals_t *refusals, const char *what, const char *origin)
 {
@@ -71,7 +71,8 @@
     gp_counter_add (&invalid_count, 1);
 }
 
-/* The job that RECORD is of, as the lines of a job are found by it.  */
+/* The job that RECORD belongs to, for the log field by which the lines of a
+   job are found; "" if none.  */
 static const char *
 job_of (const gp_record_t *record)
 {
@@ -116,7 +117,7 @@
   return "unknown";
 }
 
-/* A key of any bytes, as text for a line.  */
+/* Convert a key of arbitrary bytes to valid UTF-8 for a log line.  */
 static char *
 shown (const char *key)
 {
@@ -157,7 +158,7 @@
             GP_LOG_S ("why", why->message), GP_LOG_I ("count", count));
 }
 
-/* The host of ADDRESS: each connection has a port of its own.  */
+/* The host of ADDRESS; the port differs between connections.  */
 static char *
 host_of (const char *address)
 {
--- a/src/jobsd/relay.c
+++ b/src/jobsd/relay.c
@@ -1,4 +1,4 @@
-/* Passing calls of other entries on to the store.  */
+/* Relaying other entries' calls to the store.  */
 
 #include "jobsd/relay.h"
 
@@ -7,13 +7,13 @@
 #include "base/counters.h"
 #include "base/log.h"
 
-/* A call that is passed on may be a long poll of a second; beyond that as
-   long as the caller itself would wait.  */
+/* Timeout of a relayed call: it may be a long poll of a second, and after that
+   it gets the time that the caller itself would wait.  */
 #define RELAY_TIME (2600 * GP_MSEC)
-/* As long as parts of the answer come so often it goes on; as the caller
-   itself would wait (platform/store.h).  */
+/* Timeout between two parts of a response, the same as for direct calls
+   (platform/store.h).  */
 #define STALL_TIME (1500 * GP_MSEC)
-/* The platform's bound on one append, and some more.  */
+/* The platform's limit of one append, and some more.  */
 #define BODY_MAX ((size_t)4 * 1024 * 1024)
 #define HEADER_TIME (15 * GP_SEC)
 #define CONNECTIONS 16
@@ -27,12 +27,12 @@
 static gp_traffic_t store_traffic
     = GP_TRAFFIC ("relay_store", "the same, to the store");
 
-/* A call of a peer until its answer has been passed on.  */
+/* A peer's call until its response has been relayed.  */
 typedef struct
 {
-  gp_http_exchange_t *exchange; /* NULL: the peer has gone */
+  gp_http_exchange_t *exchange; /* NULL: the peer has disconnected */
   gp_http_call_t *call;
-  bool started; /* the head has been passed on */
+  bool started; /* the response headers have been relayed */
   char *method;
   char *path;
   GBytes *body;
@@ -47,7 +47,7 @@
   g_free (passing);
 }
 
-/* The length that the head of an answer tells, -1: it comes in chunks.  */
+/* The content length in the response headers; -1: the body is chunked.  */
 static int64_t
 length_of (const gp_http_header_t *headers, size_t count)
 {
@@ -62,9 +62,10 @@
   return -1;
 }
 
-/* The library ends an answer of another status than 200 that has no length by
-   closing, which its reader could not tell from a cut: the store tells the
-   length of each.  */
+/* The length has to be relayed: the HTTP library ends a response without a
+   length, of another status than 200, by closing the connection, which its
+   reader could not distinguish from a truncated one.  The store sets the
+   length of each response.  */
 static void
 on_head (int status, const gp_http_header_t *headers, size_t count, void *data)
 {
@@ -77,8 +78,8 @@
                           length_of (headers, count));
 }
 
-/* Parts are passed on as they come: the peer sees that its answer makes
-   progress, and a page takes its time once and not twice.  */
+/* Parts are relayed as they arrive: the peer sees that its response makes
+   progress, and the transfer time of a page is spent once, not twice.  */
 static bool
 on_body (const void *bytes, size_t size, void *data)
 {
@@ -116,13 +117,13 @@
   else if (passing->started)
     gp_http_exchange_abort (passing->exchange);
   else
-    /* 504 leaves open whether the store has done it.  */
+    /* 504 leaves open whether the store has carried the call out.  */
     gp_http_exchange_answer (passing->exchange, sent ? 504 : 503, NULL, 0,
                              NULL, 0);
   passing_free (passing);
 }
 
-/* The peer has gone; what it asked for may be done all the same.  */
+/* The peer has disconnected; its call may still be carried out.  */
 static void
 on_gone (void *data)
 {
--- a/src/jobsd/relay.h
+++ b/src/jobsd/relay.h
@@ -1,11 +1,11 @@
-/* Passing calls of other entries on to the store.
+/* Relaying other entries' calls to the store.
 
-   The platform may turn one VM away and serve the others, or one VM may be
-   cut off from it.  Each entry therefore passes calls of its peers on to the
-   store, as they are, and has its own calls passed on by a peer while its own
-   way fails (see jobsd/way.h).  A peer passes nothing on that was passed on to
-   it.  Conditions on appends are the store's, so that the way makes no
-   difference to them.  */
+   The platform may reject calls of one VM and serve the others, or one VM may
+   be cut off from the store.  Therefore each entry relays calls of its peers
+   to the store unchanged, and has its own calls relayed by a peer while its
+   direct route fails (see jobsd/way.h).  A relay always uses its direct route,
+   so calls are relayed only once.  The store checks the conditions on appends,
+   so they hold on either route.  */
 
 #ifndef GP_JOBSD_RELAY_H
 #define GP_JOBSD_RELAY_H
--- a/src/jobsd/traffic_reporter.c
+++ b/src/jobsd/traffic_reporter.c
@@ -1,11 +1,11 @@
-/* Writing the bytes that moved, by purpose, to the log at regular times.  */
+/* Logging the bytes transferred, by purpose, at regular intervals.  */
 
 #include "jobsd/traffic_reporter.h"
 
 #include "transport/traffic.h"
 
-/* One line in so long: what fills a link can be told from any ten seconds of
-   a log, for some forty bytes a second of it.  */
+/* Interval between two lines: any ten seconds of a log show what fills a link,
+   at a cost of some forty bytes of log a second.  */
 #define REPORT_TIME (10 * GP_SEC)
 
 static void
--- a/src/jobsd/traffic_reporter.h
+++ b/src/jobsd/traffic_reporter.h
@@ -1,4 +1,4 @@
-/* Writing the bytes that moved, by purpose, to the log at regular times.  */
+/* Logging the bytes transferred, by purpose, at regular intervals.  */
 
 #ifndef GP_JOBSD_TRAFFIC_REPORTER_H
 #define GP_JOBSD_TRAFFIC_REPORTER_H
--- a/src/jobsd/way.c
+++ b/src/jobsd/way.c
@@ -1,4 +1,4 @@
-/* The way of this process's own calls to the store.  */
+/* The route of this process's own calls to the store.  */
 
 #include "jobsd/way.h"
 
@@ -7,15 +7,16 @@
 #include "base/counters.h"
 #include "base/log.h"
 
-/* Calls in a row that fail before another way is tried: one may be chance.  */
+/* Consecutive failed calls before another route is tried: a single failure may
+   be chance.  */
 #define FAILURES_TO_LEAVE 2
-/* When none of so many peers has a way either, the store is down: no peer is
-   tried again for a while.  With a third of all entries turned away one in a
-   hundred waits in vain; trying all of them in turn would take as long as an
-   outage.  */
+/* If this many peers have no route either, the store is considered down, and
+   no peer is tried for GIVE_UP_TIME.  When a third of all entries cannot reach
+   the store, one in a hundred does not find a peer that can; trying all peers
+   in turn would take as long as an outage.  */
 #define PEERS_TO_TRY 4
 #define GIVE_UP_TIME (1500 * GP_MSEC)
-/* While calls are passed on, the direct way is tried so often.  */
+/* Interval between probes of the direct route while calls are relayed.  */
 #define PROBE_TIME (400 * GP_MSEC)
 
 static gp_counter_t relayed_gauge = GP_GAUGE (
--- a/src/jobsd/way.h
+++ b/src/jobsd/way.h
@@ -1,9 +1,9 @@
-/* The way of a process's calls to the store: direct, or through a peer that
-   passes them on (see jobsd/relay.h).
+/* The route of a process's calls to the store: direct, or through a peer that
+   relays them (see jobsd/relay.h).
 
-   A way is left after a few failures in a row, for each peer by turns and
-   then the direct way again; while calls are passed on the direct way is
-   tried again and again and taken as soon as it serves.  */
+   After a few consecutive failures the route is changed, to each peer in turn
+   and then back to the direct route.  While calls are relayed the direct route
+   is probed regularly, and used as soon as it works.  */
 
 #ifndef GP_JOBSD_WAY_H
 #define GP_JOBSD_WAY_H
@@ -15,19 +15,20 @@
   gp_loop_t *loop;
   gp_platform_store_t *store;
   GPtrArray *peers;      /* addresses of relays, owned */
-  guint next;            /* the peer to try next */
-  unsigned failures;     /* calls that failed in a row on this way */
-  unsigned failed_peers; /* in a row, since the direct way did */
-  gp_time_t stay_until;  /* no other way is tried before */
+  guint next;            /* index of the peer to try next */
+  unsigned failures;     /* consecutive calls that failed on this route */
+  unsigned failed_peers; /* consecutive peers that failed since the direct
+                            route did */
+  gp_time_t stay_until;  /* no other route is tried before this time */
   bool relayed;
-  gp_timer_t probe; /* the direct way is tried again */
+  gp_timer_t probe; /* probes the direct route */
   gp_platform_store_call_t *probing;
 } gp_way_t;
 
 void gp_way_init (gp_way_t *way, gp_loop_t *loop, gp_platform_store_t *store);
 void gp_way_finish (gp_way_t *way);
 
-/* A peer passes calls on at ADDRESS.  */
+/* Add a peer that relays calls at ADDRESS.  */
 void gp_way_add (gp_way_t *way, const char *address);
 
 #endif
