--- a/src/jobsd/announce.c
+++ b/src/jobsd/announce.c
@@ -7,10 +7,10 @@
 #include "protocol/message.h"
 
 /* Timeout of the append; a slow store answers within this time.  */
-#define ANNOUNCE_TIME (2 * GP_SEC)
+#define ANNOUNCE_TIMEOUT (2 * GP_SEC)
 /* Delay between attempts; until one succeeds other processes cannot reach this
    one.  */
-#define RETRY_TIME (500 * GP_MSEC)
+#define RETRY_DELAY (500 * GP_MSEC)
 
 static void
 on_announced (const gp_platform_store_answer_t *answer, void *data)
@@ -20,7 +20,8 @@
   if (answer->result == GP_PLATFORM_STORE_DONE)
     return;
   gp_log (GP_LOG_WARNING, "announce.failed", GP_LOG_S ("why", answer->reason));
-  gp_timer_arm (&announcer->retry, gp_loop_now (announcer->loop) + RETRY_TIME);
+  gp_timer_arm (&announcer->retry,
+                gp_loop_now (announcer->loop) + RETRY_DELAY);
 }
 
 static void
@@ -40,9 +41,10 @@
   value = gp_message_pack (&node.base);
   bytes = g_bytes_get_data (value, &size);
   gp_platform_store_batch_add (batch, announcer->settings->node, bytes, size);
-  gp_platform_store_append (
-      announcer->store, GP_TOPIC_NODES, batch, GP_PLATFORM_STORE_ANYWHERE,
-      gp_loop_now (announcer->loop) + ANNOUNCE_TIME, on_announced, announcer);
+  gp_platform_store_append (announcer->store, GP_TOPIC_NODES, batch,
+                            GP_PLATFORM_STORE_ANYWHERE,
+                            gp_loop_now (announcer->loop) + ANNOUNCE_TIMEOUT,
+                            on_announced, announcer);
   g_bytes_unref (value);
   g_byte_array_unref (batch);
 }
@@ -70,14 +72,14 @@
 }
 
 void
-gp_announcer_cease (gp_announcer_t *announcer, uint64_t ceased)
+gp_announcer_end_term (gp_announcer_t *announcer, uint64_t ceased)
 {
   announcer->ceased = ceased;
   announce (announcer);
 }
 
 void
-gp_announcer_renumber (gp_announcer_t *announcer, uint64_t incarnation)
+gp_announcer_set_incarnation (gp_announcer_t *announcer, uint64_t incarnation)
 {
   announcer->incarnation = incarnation;
   announce (announcer);
--- a/src/jobsd/announce.h
+++ b/src/jobsd/announce.h
@@ -30,9 +30,10 @@
 /* Announce again, with the information that records which this entry wrote
    before the offset CEASED no longer make it leader: its term as leader is
    over for other entries then.  */
-void gp_announcer_cease (gp_announcer_t *announcer, uint64_t ceased);
+void gp_announcer_end_term (gp_announcer_t *announcer, uint64_t ceased);
 /* Announce again, with a higher incarnation.  */
-void gp_announcer_renumber (gp_announcer_t *announcer, uint64_t incarnation);
+void gp_announcer_set_incarnation (gp_announcer_t *announcer,
+                                   uint64_t incarnation);
 void gp_announcer_finish (gp_announcer_t *announcer);
 
 #endif
--- a/src/jobsd/entry.c
+++ b/src/jobsd/entry.c
@@ -11,11 +11,11 @@
 
 /* Limit of a request body; no known document of operators allows more.  */
 #define BODY_MAX ((size_t)256 * 1024)
-#define HEADER_TIME (15 * GP_SEC)
+#define HEADER_TIMEOUT (15 * GP_SEC)
 /* How long a stopping entry continues to serve: until the load balancer, which
    probes once a second, has seen it unready twice, and some more; at most half
    of the time that the entry is given to stop.  */
-#define SERVE_ON_TIME (3200 * GP_MSEC)
+#define STOP_SERVE_TIME (3200 * GP_MSEC)
 /* Entries that do not lead read in batches, as each read has a cost and each
    entry makes it.  The end of a job is reported later by up to
    PROGRESS_SPACING.  Submissions are needed only for requests about jobs that
@@ -24,7 +24,7 @@
 #define JOBS_SPACING (800 * GP_MSEC)
 /* Maximum age of the book for this entry to take leadership: a feed of an idle
    topic is confirmed to be current once a second.  */
-#define LEAD_AGE (2 * GP_SEC)
+#define CLAIM_AGE_MAX (2 * GP_SEC)
 
 static gp_counter_t jobs_gauge = GP_GAUGE ("jobs", "Jobs in the book");
 static gp_counter_t leading_gauge
@@ -36,7 +36,7 @@
 /* Apply a decoded record to the book; returns NULL and sets ERROR if it does
    not fit the current state.  */
 static gp_job_t *
-take_record (gp_job_entry_t *entry, gp_record_t *record, GError **error)
+apply_record (gp_job_entry_t *entry, gp_record_t *record, GError **error)
 {
   if (record->kind == GP_RECORD_CANCELLATION)
     return gp_book_cancel (&entry->book, record->subject);
@@ -46,7 +46,8 @@
 }
 
 static void
-turn_record (gp_job_entry_t *entry, const gp_platform_store_record_t *origin)
+apply_job_record (gp_job_entry_t *entry,
+                  const gp_platform_store_record_t *origin)
 {
   gp_record_t record;
   gp_job_t *job = NULL;
@@ -54,7 +55,7 @@
 
   if (gp_record_parse_job (&record, origin->key, origin->key_size,
                            origin->value, origin->value_size, &error))
-    job = take_record (entry, &record, &error);
+    job = apply_record (entry, &record, &error);
   else if (record.kind == GP_RECORD_SUBMISSION)
     gp_book_refuse_submission (&entry->book, record.subject);
   if (error != NULL)
@@ -73,7 +74,7 @@
 on_job_record (const gp_platform_store_record_t *record, void *data)
 {
   if (record->value_size > 0)
-    turn_record (data, record);
+    apply_job_record (data, record);
 }
 
 static void
@@ -85,18 +86,20 @@
 }
 
 static void
-take_node (gp_job_entry_t *entry, const char *name, const Gp__Jobs__Node *node)
+apply_node (gp_job_entry_t *entry, const char *name,
+            const Gp__Jobs__Node *node)
 {
   if (node->guard)
     gp_leader_set_guard (&entry->leader, name, node->address, node->zone);
   else if (strcmp (name, entry->settings->node) == 0)
     {
       if (gp_leader_raise_incarnation (&entry->leader, node->incarnation))
-        gp_announcer_renumber (&entry->announcer, entry->leader.incarnation);
+        gp_announcer_set_incarnation (&entry->announcer,
+                                      entry->leader.incarnation);
     }
   else
     {
-      gp_way_add (&entry->way, node->address);
+      gp_store_route_add_peer (&entry->route, node->address);
       gp_leader_announced (&entry->leader, name, node->incarnation,
                            node->ceased);
     }
@@ -113,7 +116,7 @@
     return;
   if (gp_record_parse_node (&record, origin->key, origin->key_size,
                             origin->value, origin->value_size, &error))
-    take_node (entry, record.subject, record.u.node);
+    apply_node (entry, record.subject, record.u.node);
   else
     {
       gp_refusals_record (&entry->leader.refusals, "nodes", &record, origin,
@@ -125,7 +128,7 @@
 
 /* A leader reads submissions without delay, so that their runs start.  */
 static void
-space_jobs (gp_job_entry_t *entry)
+set_jobs_spacing (gp_job_entry_t *entry)
 {
   bool follows = entry->leader.role == GP_LEADER_FOLLOWING;
 
@@ -135,24 +138,24 @@
 /* Each feed that has caught up may be the last one that was missing to claim
    leadership.  */
 static void
-on_fresh (void *data)
+on_caught_up (void *data)
 {
   gp_job_entry_t *entry = data;
-  bool ready = gp_feed_fresh (&entry->jobs, LEAD_AGE)
-               && gp_feed_fresh (&entry->progress, LEAD_AGE)
+  bool ready = gp_feed_is_current (&entry->jobs, CLAIM_AGE_MAX)
+               && gp_feed_is_current (&entry->progress, CLAIM_AGE_MAX)
                && entry->nodes.loaded && entry->operators.queues.version > 0;
 
   if (!entry->progress.running)
     return;
   gp_leader_caught_up (&entry->leader, entry->progress.position,
-                       entry->progress.fresh_at, ready);
+                       entry->progress.caught_up_at, ready);
   gp_counter_set (&leading_gauge, entry->leader.role == GP_LEADER_LEADING);
-  entry->progress.look_at = gp_leader_claim_at (&entry->leader);
+  entry->progress.poll_until = gp_leader_claim_at (&entry->leader);
   /* Once this entry leads, the book is ahead of the log: the entry stops
      reading the topic that it writes itself.  */
   if (entry->leader.role != GP_LEADER_FOLLOWING)
     gp_feed_stop (&entry->progress);
-  space_jobs (entry);
+  set_jobs_spacing (entry);
 }
 
 /* The store has answered the feed of TOPIC after a failure: other calls may
@@ -189,13 +192,13 @@
   gp_job_entry_t *entry = data;
 
   gp_counter_set (&leading_gauge, 0);
-  space_jobs (entry);
+  set_jobs_spacing (entry);
   if (claimed)
     {
       gp_feed_resume (&entry->progress);
       return;
     }
-  gp_announcer_cease (&entry->announcer, entry->leader.position);
+  gp_announcer_end_term (&entry->announcer, entry->leader.position);
   gp_book_clear (&entry->book);
   gp_feed_start (&entry->jobs);
   gp_feed_start (&entry->progress);
@@ -213,13 +216,13 @@
 init_feeds (gp_job_entry_t *entry)
 {
   static const gp_feed_callbacks_t jobs
-      = { on_job_record, NULL, on_fresh, on_state };
+      = { on_job_record, NULL, on_caught_up, on_state };
   static const gp_feed_callbacks_t progress
-      = { on_progress_record, NULL, on_fresh, on_state };
+      = { on_progress_record, NULL, on_caught_up, on_state };
   static const gp_feed_callbacks_t nodes
-      = { on_node, NULL, on_fresh, on_state };
+      = { on_node, NULL, on_caught_up, on_state };
   static const gp_operator_feed_callbacks_t operators
-      = { on_zones, on_fresh, on_state };
+      = { on_zones, on_caught_up, on_state };
 
   gp_operator_feed_init (&entry->operators, &entry->loop, entry->store,
                          &operators, entry);
@@ -238,7 +241,7 @@
 {
   gp_job_entry_t *entry = data;
 
-  gp_jobs_front_request (&entry->front, exchange);
+  gp_jobs_api_request (&entry->api, exchange);
 }
 
 static bool
@@ -264,7 +267,7 @@
 {
   const gp_http_server_options_t options = { .address = address,
                                              .max_body_size = BODY_MAX,
-                                             .header_timeout = HEADER_TIME,
+                                             .header_timeout = HEADER_TIMEOUT,
                                              .traffic = traffic,
                                              .on_request = on_call,
                                              .data = entry };
@@ -278,23 +281,23 @@
   const gp_platform_settings_t *settings = entry->settings;
 
   gp_traffic_register (&callers_traffic);
-  entry->callers = open_server (entry, settings->front, &callers_traffic,
-                                on_request, error);
-  if (entry->callers == NULL)
+  entry->caller_server = open_server (entry, settings->front, &callers_traffic,
+                                      on_request, error);
+  if (entry->caller_server == NULL)
     return false;
-  entry->ready
+  entry->ready_server
       = open_server (entry, settings->ready, NULL, on_ready_request, error);
-  if (entry->ready == NULL)
+  if (entry->ready_server == NULL)
     return false;
-  entry->metrics = open_server (entry, settings->metrics, NULL,
-                                gp_metrics_request, error);
-  return entry->metrics != NULL;
+  entry->metrics_server = open_server (entry, settings->metrics, NULL,
+                                       gp_metrics_request, error);
+  return entry->metrics_server != NULL;
 }
 
 /* Initialization and shutdown.  */
 
 static void
-on_served (void *data)
+on_drained (void *data)
 {
   gp_job_entry_t *entry = data;
 
@@ -303,11 +306,11 @@
 }
 
 static void
-on_leave (gp_timer_t *timer, void *data)
+on_serve_end (gp_timer_t *timer, void *data)
 {
   gp_job_entry_t *entry = data;
 
-  gp_http_server_shutdown (entry->callers, on_served, entry);
+  gp_http_server_shutdown (entry->caller_server, on_drained, entry);
 }
 
 static void
@@ -328,10 +331,10 @@
   gp_log (GP_LOG_INFO, "process.stopping");
   entry->stopping = true;
   gp_leader_resign (&entry->leader);
-  gp_http_server_retire (entry->callers);
-  gp_timer_arm (&entry->leave,
+  gp_http_server_retire (entry->caller_server);
+  gp_timer_arm (&entry->serve_timer,
                 gp_loop_now (&entry->loop)
-                    + MIN (SERVE_ON_TIME, entry->settings->grace_time / 2));
+                    + MIN (STOP_SERVE_TIME, entry->settings->grace_time / 2));
 }
 
 bool
@@ -346,23 +349,23 @@
   gp_loop_on_reload (&entry->loop, on_reload, entry);
   gp_counter_register (&jobs_gauge);
   gp_counter_register (&leading_gauge);
-  gp_timer_init (&entry->leave, &entry->loop, on_leave, entry);
+  gp_timer_init (&entry->serve_timer, &entry->loop, on_serve_end, entry);
   gp_book_init (&entry->book);
   entry->store = gp_platform_store_new (&entry->loop, settings->store,
                                         settings->link_rate, error);
   if (entry->store == NULL)
     return false;
-  gp_way_init (&entry->way, &entry->loop, entry->store);
-  gp_link_register ();
+  gp_store_route_init (&entry->route, &entry->loop, entry->store);
+  gp_frame_io_register ();
   gp_traffic_reporter_init (&entry->traffic, &entry->loop);
   init_feeds (entry);
   gp_leader_init (&entry->leader, &entry->loop, entry->store, &entry->book,
                   &entry->operators, settings->node, on_deposed, entry);
   gp_janitor_init (&entry->janitor, &entry->loop, entry->store, &entry->book,
                    &entry->leader, settings->status_time);
-  gp_jobs_front_init (&entry->front, &entry->loop, entry->store, &entry->book,
-                      &entry->operators.queues, &entry->jobs, on_job_record,
-                      entry);
+  gp_jobs_api_init (&entry->api, &entry->loop, entry->store, &entry->book,
+                    &entry->operators.queues, &entry->jobs, on_job_record,
+                    entry);
   if (!gp_job_relay_init (&entry->relay, &entry->loop, settings->relay,
                           settings->store, settings->link_rate, error))
     return false;
@@ -391,7 +394,7 @@
 void
 gp_job_entry_finish (gp_job_entry_t *entry)
 {
-  gp_jobs_front_finish (&entry->front);
+  gp_jobs_api_finish (&entry->api);
   gp_traffic_reporter_finish (&entry->traffic);
   gp_janitor_finish (&entry->janitor);
   gp_operator_feed_finish (&entry->operators);
@@ -399,9 +402,9 @@
   gp_feed_finish (&entry->progress);
   gp_feed_finish (&entry->nodes);
   gp_leader_finish (&entry->leader);
-  gp_way_finish (&entry->way);
+  gp_store_route_finish (&entry->route);
   gp_announcer_finish (&entry->announcer);
-  gp_timer_finish (&entry->leave);
+  gp_timer_finish (&entry->serve_timer);
   gp_loop_finish (&entry->loop);
   gp_book_finish (&entry->book);
 }
--- a/src/jobsd/entry.h
+++ b/src/jobsd/entry.h
@@ -8,12 +8,12 @@
 #include "jobsd/announce.h"
 #include "jobsd/feed.h"
 #include "jobsd/janitor.h"
-#include "jobsd/jobs_front.h"
+#include "jobsd/jobs_api.h"
 #include "jobsd/leader.h"
 #include "jobsd/operator_feed.h"
 #include "jobsd/relay.h"
 #include "jobsd/traffic_reporter.h"
-#include "jobsd/way.h"
+#include "jobsd/store_route.h"
 #include "platform/settings.h"
 
 typedef struct
@@ -22,21 +22,21 @@
   gp_loop_t loop;
   gp_platform_store_t *store;
   gp_job_relay_t relay;
-  gp_way_t way;
+  gp_store_route_t route;
   gp_announcer_t announcer;
-  gp_http_server_t *callers;
-  gp_http_server_t *ready;
-  gp_http_server_t *metrics;
+  gp_http_server_t *caller_server;
+  gp_http_server_t *ready_server;
+  gp_http_server_t *metrics_server;
   gp_book_t book;
   gp_operator_feed_t operators;
   gp_feed_t jobs;
   gp_feed_t progress;
   gp_feed_t nodes;
-  gp_jobs_front_t front;
+  gp_jobs_api_t api;
   gp_leader_t leader;
   gp_janitor_t janitor;
   gp_traffic_reporter_t traffic;
-  gp_timer_t leave; /* while stopping: callers are served until then */
+  gp_timer_t serve_timer; /* while stopping: callers are served until then */
   bool stopping;
 } gp_job_entry_t;
 
--- a/src/jobsd/feed.c
+++ b/src/jobsd/feed.c
@@ -7,16 +7,16 @@
 #define POLL_TIME (GP_SEC)
 /* Additional timeout of a call, within which a slow store answers: a read that
    is cancelled has to be repeated.  */
-#define CALL_TIME (1500 * GP_MSEC)
+#define CALL_TIMEOUT (1500 * GP_MSEC)
 /* After a failure every other call has this shorter timeout.  They detect soon
    that a store is back from an outage in which calls hung, and the remaining
    calls still succeed on a store that is very slow.  */
-#define DOWN_CALL_TIME (600 * GP_MSEC)
+#define DOWN_CALL_TIMEOUT (600 * GP_MSEC)
 /* Delay after a failed call, and so until a store that is back is
    detected.  */
-#define RETRY_TIME (150 * GP_MSEC)
+#define RETRY_DELAY (150 * GP_MSEC)
 
-static void step (gp_feed_t *feed);
+static void send_next_call (gp_feed_t *feed);
 
 static void
 on_timer (gp_timer_t *timer, void *data)
@@ -24,7 +24,7 @@
   gp_feed_t *feed = data;
 
   if (feed->call == NULL)
-    step (feed);
+    send_next_call (feed);
 }
 
 void
@@ -38,8 +38,8 @@
                        .callbacks = callbacks,
                        .data = data,
                        .spacing = spacing,
-                       .look_at = GP_TIME_NEVER,
-                       .fresh_at = INT64_MIN / 2 };
+                       .poll_until = GP_TIME_NEVER,
+                       .caught_up_at = INT64_MIN / 2 };
   gp_timer_init (&feed->timer, loop, on_timer, feed);
 }
 
@@ -65,7 +65,7 @@
 gp_feed_resume (gp_feed_t *feed)
 {
   feed->running = true;
-  step (feed);
+  send_next_call (feed);
 }
 
 void
@@ -78,7 +78,7 @@
   if (feed->call != NULL)
     gp_platform_store_cancel (feed->call);
   gp_timer_disarm (&feed->timer);
-  step (feed);
+  send_next_call (feed);
 }
 
 void
@@ -92,13 +92,13 @@
 }
 
 void
-gp_feed_take_newest_only (gp_feed_t *feed)
+gp_feed_set_newest_only (gp_feed_t *feed)
 {
   feed->newest_only = true;
 }
 
 static void
-tell_load (gp_feed_t *feed, bool over)
+notify_load (gp_feed_t *feed, bool over)
 {
   if (feed->callbacks->on_load != NULL)
     feed->callbacks->on_load (over, feed->data);
@@ -109,7 +109,7 @@
 {
   feed->loaded = false;
   g_clear_pointer (&feed->after, g_free);
-  tell_load (feed, false);
+  notify_load (feed, false);
 }
 
 void
@@ -117,15 +117,15 @@
 {
   gp_feed_stop (feed);
   feed->running = true;
-  feed->fresh_at = INT64_MIN / 2;
+  feed->caught_up_at = INT64_MIN / 2;
   begin_load (feed);
-  step (feed);
+  send_next_call (feed);
 }
 
 bool
-gp_feed_fresh (const gp_feed_t *feed, gp_time_t age)
+gp_feed_is_current (const gp_feed_t *feed, gp_time_t age)
 {
-  return feed->fresh_at >= gp_loop_now (feed->loop) - age;
+  return feed->caught_up_at >= gp_loop_now (feed->loop) - age;
 }
 
 static void
@@ -139,7 +139,7 @@
 }
 
 static void
-wait_for (gp_feed_t *feed, gp_time_t duration)
+arm_after (gp_feed_t *feed, gp_time_t duration)
 {
   gp_timer_arm (&feed->timer, gp_loop_now (feed->loop) + duration);
 }
@@ -160,7 +160,7 @@
   if (answer->result != GP_PLATFORM_STORE_DONE)
     {
       set_down (feed, true, answer->reason);
-      wait_for (feed, RETRY_TIME);
+      arm_after (feed, RETRY_DELAY);
       return;
     }
   set_down (feed, false, "");
@@ -177,9 +177,9 @@
     {
       feed->loaded = true;
       feed->position = feed->load_end;
-      tell_load (feed, true);
+      notify_load (feed, true);
     }
-  step (feed);
+  send_next_call (feed);
 }
 
 static void
@@ -194,13 +194,13 @@
           && answer->end < feed->position))
     {
       begin_load (feed);
-      step (feed);
+      send_next_call (feed);
       return;
     }
   if (answer->result != GP_PLATFORM_STORE_DONE)
     {
       set_down (feed, true, answer->reason);
-      wait_for (feed, RETRY_TIME);
+      arm_after (feed, RETRY_DELAY);
       return;
     }
   set_down (feed, false, "");
@@ -210,19 +210,19 @@
     return;
   if (feed->position >= answer->end)
     {
-      feed->fresh_at = answer->sent_at;
-      feed->callbacks->on_fresh (feed->data);
+      feed->caught_up_at = answer->sent_at;
+      feed->callbacks->on_caught_up (feed->data);
     }
   if (!feed->running)
     return;
   if (feed->newest_only && answer->end > feed->position + 1)
     begin_load (feed);
-  if (answer->count == 0 && now - answer->sent_at < RETRY_TIME)
-    wait_for (feed, RETRY_TIME);
+  if (answer->count == 0 && now - answer->sent_at < RETRY_DELAY)
+    arm_after (feed, RETRY_DELAY);
   else if (answer->sent_at + feed->spacing > now)
     gp_timer_arm (&feed->timer, answer->sent_at + feed->spacing);
   else
-    step (feed);
+    send_next_call (feed);
 }
 
 /* The first read after a load or a failure does not wait for new records, so
@@ -230,23 +230,23 @@
 static gp_time_t
 poll_time (const gp_feed_t *feed, gp_time_t now)
 {
-  if (feed->down || now - feed->fresh_at > 2 * POLL_TIME)
+  if (feed->down || now - feed->caught_up_at > 2 * POLL_TIME)
     return 0;
-  return CLAMP (feed->look_at - now, 0, POLL_TIME);
+  return CLAMP (feed->poll_until - now, 0, POLL_TIME);
 }
 
 static gp_time_t
-call_time (const gp_feed_t *feed)
+call_timeout (const gp_feed_t *feed)
 {
-  return feed->failures % 2 == 1 ? DOWN_CALL_TIME : CALL_TIME;
+  return feed->failures % 2 == 1 ? DOWN_CALL_TIMEOUT : CALL_TIMEOUT;
 }
 
 static void
-step (gp_feed_t *feed)
+send_next_call (gp_feed_t *feed)
 {
   gp_time_t now = gp_loop_now (feed->loop);
   gp_time_t wait = poll_time (feed, now);
-  gp_time_t deadline = now + wait + call_time (feed);
+  gp_time_t deadline = now + wait + call_timeout (feed);
 
   feed->called_at = now;
   if (feed->loaded)
--- a/src/jobsd/feed.h
+++ b/src/jobsd/feed.h
@@ -18,8 +18,8 @@
   /* A load begins (OVER is false) or has ended; may be NULL.  */
   void (*on_load) (bool over, void *data);
   /* The feed has caught up: all records that the topic held at the feed's
-     FRESH_AT have been delivered.  */
-  void (*on_fresh) (void *data);
+     CAUGHT_UP_AT have been delivered.  */
+  void (*on_caught_up) (void *data);
   /* Reads fail (DOWN), or succeed again.  */
   void (*on_state) (gp_topic_t topic, bool down, const char *reason,
                     void *data);
@@ -36,17 +36,17 @@
   gp_time_t called_at; /* the call was sent at this time */
   gp_timer_t timer;
   bool running;
-  bool loaded;        /* the load has ended */
-  bool down;          /* the last call failed */
-  char *after;        /* while loading: the last key received */
-  uint64_t load_end;  /* end of the topic in the first page of a load */
-  uint64_t position;  /* the next offset to read */
-  gp_time_t fresh_at; /* everything that the topic held then has been
-                         delivered */
-  gp_time_t spacing;  /* minimum time between two reads */
-  bool newest_only;   /* records that were replaced are not needed */
-  gp_time_t look_at; /* long polls end at this time; GP_TIME_NEVER: no limit */
-  unsigned failures; /* consecutive calls that failed */
+  bool loaded;            /* the load has ended */
+  bool down;              /* the last call failed */
+  char *after;            /* while loading: the last key received */
+  uint64_t load_end;      /* end of the topic in the first page of a load */
+  uint64_t position;      /* the next offset to read */
+  gp_time_t caught_up_at; /* everything that the topic held then has been
+                             delivered */
+  gp_time_t spacing;      /* minimum time between two reads */
+  bool newest_only;       /* records that were replaced are not needed */
+  gp_time_t poll_until;   /* end of long polls; GP_TIME_NEVER: no limit */
+  unsigned failures;      /* consecutive calls that failed */
 } gp_feed_t;
 
 void gp_feed_init (gp_feed_t *feed, gp_loop_t *loop,
@@ -67,7 +67,7 @@
 
 /* For topics with large records of which only the newest of each key is
    needed: if several records are to be read, the topic is loaded instead.  */
-void gp_feed_take_newest_only (gp_feed_t *feed);
+void gp_feed_set_newest_only (gp_feed_t *feed);
 
 /* Set the minimum time between two reads.  If it becomes shorter, the next
    read is sent at once.  */
@@ -75,6 +75,6 @@
 
 /* Has the feed delivered everything that the topic held AGE (a duration)
    ago?  */
-bool gp_feed_fresh (const gp_feed_t *feed, gp_time_t age);
+bool gp_feed_is_current (const gp_feed_t *feed, gp_time_t age);
 
 #endif
--- a/src/jobsd/link.c
+++ b/src/jobsd/frame_io.c
@@ -1,6 +1,6 @@
 /* Sending and receiving frames between the leading entry and the guards.  */
 
-#include "jobsd/link.h"
+#include "jobsd/frame_io.h"
 
 #include "jobs/frames.h"
 #include "protocol/codec.h"
@@ -28,7 +28,7 @@
 };
 
 void
-gp_link_register (void)
+gp_frame_io_register (void)
 {
   for (guint i = 0; i < G_N_ELEMENTS (traffic); i++)
     gp_traffic_register (&traffic[i]);
@@ -41,15 +41,15 @@
 }
 
 bool
-gp_link_send (gp_peer_t *peer, const Gp__Jobs__Frame *frame)
+gp_frame_send (gp_peer_t *peer, const Gp__Jobs__Frame *frame)
 {
   count_sent (frame->message_case, gp__jobs__frame__get_packed_size (frame));
   return gp_codec_send_message (peer, &frame->base);
 }
 
 bool
-gp_link_send_bytes (gp_peer_t *peer, GBytes *bytes,
-                    Gp__Jobs__Frame__MessageCase kind)
+gp_frame_send_packed (gp_peer_t *peer, GBytes *bytes,
+                      Gp__Jobs__Frame__MessageCase kind)
 {
   gsize size;
   const uint8_t *data = g_bytes_get_data (bytes, &size);
@@ -59,7 +59,7 @@
 }
 
 void *
-gp_link_pointers (const GArray *rows)
+gp_frame_row_pointers (const GArray *rows)
 {
   guint size = g_array_get_element_size ((GArray *)rows);
   char **pointers = g_new (char *, rows->len);
@@ -70,8 +70,8 @@
 }
 
 Gp__Jobs__Frame *
-gp_link_parse (gp_peer_t *peer, gp_refusals_t *refusals, gp_time_t now,
-               const uint8_t *bytes, size_t size)
+gp_frame_receive (gp_peer_t *peer, gp_refusals_t *refusals, gp_time_t now,
+                  const uint8_t *bytes, size_t size)
 {
   GError *error = NULL;
   GError *row = NULL;
--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -13,7 +13,7 @@
 #include "base/histogram.h"
 #include "base/log.h"
 #include "jobs/grants.h"
-#include "jobsd/link.h"
+#include "jobsd/frame_io.h"
 #include "jobsd/metrics.h"
 
 /* A heartbeat has a few hundred bytes; the platform allows more than this
@@ -304,7 +304,7 @@
 {
   gp_job_guard_t *guard = data;
   Gp__Jobs__Frame *frame
-      = gp_link_parse (peer, &guard->refusals, now_of (guard), bytes, size);
+      = gp_frame_receive (peer, &guard->refusals, now_of (guard), bytes, size);
 
   if (frame == NULL)
     return;
@@ -454,7 +454,7 @@
   gp_loop_on_signal (&guard->loop, on_stop, guard);
   gp_loop_on_reload (&guard->loop, on_reload, guard);
   register_counters ();
-  gp_link_register ();
+  gp_frame_io_register ();
   gp_traffic_reporter_init (&guard->traffic, &guard->loop);
   gp_refusals_init (&guard->refusals);
   gp_agent_init (&guard->agent, zone_validity (settings), now_of (guard));
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -3,7 +3,7 @@
 #include "jobsd/guard_private.h"
 
 #include "base/counters.h"
-#include "jobsd/link.h"
+#include "jobsd/frame_io.h"
 #include "protocol/message.h"
 
 /* Acknowledged reports renew the lease, so several have to fit into its
@@ -61,7 +61,7 @@
       if (run->phase == GP_RUN_ABSENT)
         add_run (absent, run);
     }
-  report->absent = gp_link_pointers (absent);
+  report->absent = gp_frame_row_pointers (absent);
   report->n_absent = absent->len;
 }
 
@@ -92,7 +92,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (is_carried (agent, value))
       add_run (carried, value);
-  report->carried = gp_link_pointers (carried);
+  report->carried = gp_frame_row_pointers (carried);
   report->n_carried = carried->len;
 }
 
@@ -114,9 +114,9 @@
           && gp_agent_is_suspect (agent, value))
         add_suspected_run (suspects, agent, value);
     }
-  report->settled = gp_link_pointers (settled);
+  report->settled = gp_frame_row_pointers (settled);
   report->n_settled = settled->len;
-  report->suspects = gp_link_pointers (suspects);
+  report->suspects = gp_frame_row_pointers (suspects);
   report->n_suspects = suspects->len;
 }
 
@@ -178,9 +178,9 @@
         }
     }
   add_ended_work (agent, fillings);
-  report->servings = gp_link_pointers (servings);
+  report->servings = gp_frame_row_pointers (servings);
   report->n_servings = servings->len;
-  report->fillings = gp_link_pointers (fillings);
+  report->fillings = gp_frame_row_pointers (fillings);
   report->n_fillings = fillings->len;
 }
 
@@ -333,7 +333,7 @@
   frame.message_case = GP__JOBS__FRAME__MESSAGE_REPORT;
   frame.report = &report;
   gp_agent_reported (agent, report.sent_at);
-  gp_link_send (guard->leader, &frame);
+  gp_frame_send (guard->leader, &frame);
   g_free (report.absent);
   g_free (report.settled);
   g_free (report.suspects);
--- a/src/jobsd/guard_specs.c
+++ b/src/jobsd/guard_specs.c
@@ -4,7 +4,7 @@
 
 #include "base/counters.h"
 #include "base/log.h"
-#include "jobsd/link.h"
+#include "jobsd/frame_io.h"
 
 /* Timeout of a connection attempt to another guard, well before the store of
    specifications gives the holder up.  */
@@ -85,7 +85,7 @@
   frame.message_case = GP__JOBS__FRAME__MESSAGE_SPEC;
   frame.spec = &spec;
   gp_counter_add (&given_count, bytes != NULL);
-  gp_link_send (peer, &frame);
+  gp_frame_send (peer, &frame);
 }
 
 static void
@@ -174,7 +174,7 @@
   gp_guard_specs_t *specs = holder->specs;
   gp_time_t now = now_of (specs);
   Gp__Jobs__Frame *frame
-      = gp_link_parse (peer, specs->refusals, now, bytes, size);
+      = gp_frame_receive (peer, specs->refusals, now, bytes, size);
 
   if (frame == NULL)
     return;
@@ -259,7 +259,7 @@
   frame.message_case = GP__JOBS__FRAME__MESSAGE_WANT_SPEC;
   frame.want_spec = &want;
   gp_counter_add (&asked_count, 1);
-  gp_link_send (holder->peer, &frame);
+  gp_frame_send (holder->peer, &frame);
 }
 
 void
--- a/src/jobsd/janitor.c
+++ b/src/jobsd/janitor.c
@@ -3,11 +3,11 @@
 #include "jobsd/janitor.h"
 
 #include "base/log.h"
-#include "jobsd/jobs_front.h"
+#include "jobsd/jobs_api.h"
 
 /* Number of scans of the book in the time for which ends are reported.  */
-#define LOOKS 8
-#define DROP_TIME (2 * GP_SEC)
+#define SCANS 8
+#define DROP_TIMEOUT (2 * GP_SEC)
 /* Limit of jobs in one append.  */
 #define DROPS_MAX 500
 
@@ -52,7 +52,7 @@
       gp_log (GP_LOG_INFO, "jobs.dropped", GP_LOG_I ("jobs", drops));
       gp_platform_store_append (
           janitor->store, GP_TOPIC_JOBS, batch, GP_PLATFORM_STORE_ANYWHERE,
-          gp_loop_now (janitor->loop) + DROP_TIME, on_dropped, janitor);
+          gp_loop_now (janitor->loop) + DROP_TIMEOUT, on_dropped, janitor);
     }
   g_byte_array_unref (batch);
 }
@@ -62,7 +62,7 @@
 {
   gp_janitor_t *janitor = data;
   int64_t wall_ms = gp_time_wall_ms ();
-  gp_time_t pause = janitor->keep_ms * GP_MSEC / LOOKS;
+  gp_time_t pause = janitor->keep_ms * GP_MSEC / SCANS;
 
   gp_timer_arm (&janitor->timer, gp_loop_now (janitor->loop) + pause);
   if (janitor->leader->role == GP_LEADER_LEADING)
@@ -87,7 +87,7 @@
                              .leader = leader,
                              .keep_ms = keep / GP_MSEC };
   gp_timer_init (&janitor->timer, loop, on_timer, janitor);
-  gp_timer_arm (&janitor->timer, gp_loop_now (loop) + keep / LOOKS);
+  gp_timer_arm (&janitor->timer, gp_loop_now (loop) + keep / SCANS);
 }
 
 void
--- a/src/jobsd/job_answers.c
+++ b/src/jobsd/job_answers.c
@@ -8,24 +8,24 @@
 #include "platform/jobs_http.h"
 
 /* Timeout of a caller that states none, and upper limit of a stated one.  */
-#define PATIENCE_DEFAULT (3 * GP_SEC)
-#define PATIENCE_MAX (10 * GP_SEC)
+#define TIMEOUT_DEFAULT (3 * GP_SEC)
+#define TIMEOUT_MAX (10 * GP_SEC)
 
 gp_time_t
-gp_job_patience (const gp_http_exchange_t *exchange)
+gp_job_caller_timeout (const gp_http_exchange_t *exchange)
 {
   gp_http_text_t header
       = gp_http_exchange_header (exchange, GP_PLATFORM_PATIENCE_HEADER);
   char text[32];
-  gp_time_t told;
+  gp_time_t stated;
 
   if (header.base == NULL || header.size >= sizeof text)
-    return PATIENCE_DEFAULT;
+    return TIMEOUT_DEFAULT;
   memcpy (text, header.base, header.size);
   text[header.size] = '\0';
-  told = (gp_time_t)CLAMP (g_ascii_strtoll (text, NULL, 10), 0, INT32_MAX)
-         * GP_MSEC;
-  return told > 0 ? MIN (told, PATIENCE_MAX) : PATIENCE_DEFAULT;
+  stated = (gp_time_t)CLAMP (g_ascii_strtoll (text, NULL, 10), 0, INT32_MAX)
+           * GP_MSEC;
+  return stated > 0 ? MIN (stated, TIMEOUT_MAX) : TIMEOUT_DEFAULT;
 }
 
 void
@@ -53,7 +53,7 @@
   char *body = gp_platform_error_body (why);
   char seconds[16];
 
-  refusal.patience = gp_job_patience (exchange);
+  refusal.patience = gp_job_caller_timeout (exchange);
   refusal.spread = g_random_int ();
   g_snprintf (seconds, sizeof seconds, "%u", gp_retry_after_s (&refusal));
 
--- a/src/jobsd/job_answers.h
+++ b/src/jobsd/job_answers.h
@@ -7,7 +7,7 @@
 #include "transport/http.h"
 
 /* How long the caller of EXCHANGE waits for its response (a duration).  */
-gp_time_t gp_job_patience (const gp_http_exchange_t *exchange);
+gp_time_t gp_job_caller_timeout (const gp_http_exchange_t *exchange);
 
 /* Respond with the JSON text BODY.  */
 void gp_job_answer (gp_http_exchange_t *exchange, int status,
--- a/src/jobsd/jobs_front.c
+++ b/src/jobsd/jobs_api.c
@@ -7,7 +7,7 @@
    outcome open.  Both are safe to repeat: a second record with the same key
    changes nothing.  */
 
-#include "jobsd/jobs_front.h"
+#include "jobsd/jobs_api.h"
 
 #include <string.h>
 
@@ -26,12 +26,12 @@
    appends, within these bounds: a slow store does not get the next attempt
    while it still works on one, and an answer that was lost is not waited for
    long.  */
-#define TRY_FACTOR 5
-#define TRY_TIME_MIN (500 * GP_MSEC)
-#define TRY_TIME_MAX (1200 * GP_MSEC)
+#define ATTEMPT_TIMEOUT_FACTOR 5
+#define ATTEMPT_TIMEOUT_MIN (500 * GP_MSEC)
+#define ATTEMPT_TIMEOUT_MAX (1200 * GP_MSEC)
 /* Weight of the last duration in the moving average.  */
 #define LATENCY_GAIN 0.3
-#define TRY_PAUSE (50 * GP_MSEC)
+#define ATTEMPT_DELAY (50 * GP_MSEC)
 /* Consecutive failed appends after which new callers are refused at once while
    the next append is in flight.  */
 #define FAILURES_TO_REFUSE 2
@@ -41,11 +41,11 @@
 #define REFUSALS_MAX 4
 /* Limit of ids of jobs with an open outcome; an outage leaves a few
    hundred.  */
-#define OPEN_MAX 10000
+#define OPEN_OUTCOMES_MAX 10000
 /* Limit of bytes of records in one append; far below the platform's limit.  */
 #define BATCH_MAX ((size_t)256 * 1024)
 /* Maximum age of the book for the answer that a job does not exist.  */
-#define ABSENCE_AGE (2500 * GP_MSEC)
+#define ABSENCE_AGE_MAX (2500 * GP_MSEC)
 
 static gp_counter_t accepted_count
     = GP_COUNTER ("jobs_accepted_total", "Submissions that are on the log");
@@ -71,45 +71,45 @@
 typedef struct
 {
   gp_list_t link;
-  gp_jobs_front_t *front;
+  gp_jobs_api_t *api;
   gp_http_exchange_t *exchange; /* NULL: the caller has disconnected */
   char key[sizeof GP_CANCEL_PREFIX + GP_JOB_ID_SIZE];
   GBytes *value;
   gp_time_t deadline;  /* its answer has to be sent */
   gp_time_t refuse_at; /* it is refused if no attempt was started */
   gp_time_t since;
-  unsigned refusals; /* attempts that the store has refused */
-  bool in_call;      /* part of the append in progress */
-  bool doubtful;     /* an append that included it got no answer */
-  bool cancels;
-  bool may_return; /* its caller has the time to retry if it is refused */
+  unsigned refusals;    /* attempts that the store has refused */
+  bool in_call;         /* part of the append in progress */
+  bool outcome_unknown; /* an append that included it got no answer */
+  bool is_cancel;
+  bool may_retry; /* its caller has the time to retry if it is refused */
 } change_t;
 
-static void append_waiting (gp_jobs_front_t *front);
+static void append_waiting (gp_jobs_api_t *api);
 
 /* Answers.  */
 
 /* Answer that nothing was done; the time to retry after depends on the state
    of the store.  */
 static void
-refuse (const gp_jobs_front_t *front, gp_http_exchange_t *exchange,
+refuse (const gp_jobs_api_t *api, gp_http_exchange_t *exchange,
         const char *why)
 {
-  gp_retry_after_t refusal = { .store_time = front->latency };
+  gp_retry_after_t refusal = { .store_time = api->latency };
 
-  if (front->failing_since != 0)
-    refusal.store_away = gp_loop_now (front->loop) - front->failing_since;
+  if (api->failing_since != 0)
+    refusal.store_away = gp_loop_now (api->loop) - api->failing_since;
   gp_job_refuse (exchange, why, refusal);
 }
 
 static void
-answer_change (const gp_jobs_front_t *front, gp_http_exchange_t *exchange,
+answer_change (const gp_jobs_api_t *api, gp_http_exchange_t *exchange,
                int status, const char *why)
 {
   if (status == 200)
     gp_job_answer (exchange, 200, "{}");
   else if (status == 503)
-    refuse (front, exchange, why);
+    refuse (api, exchange, why);
   else
     gp_job_answer_error (exchange, status, why);
 }
@@ -128,36 +128,36 @@
 static const char *
 id_of (const change_t *change)
 {
-  return change->cancels ? change->key + strlen (GP_CANCEL_PREFIX)
-                         : change->key;
+  return change->is_cancel ? change->key + strlen (GP_CANCEL_PREFIX)
+                           : change->key;
 }
 
 static void
-log_answer (const char *id, bool cancels, int status, const char *why,
-            gp_time_t after, bool doubtful)
+log_answer (const char *id, bool is_cancel, int status, const char *why,
+            gp_time_t after, bool outcome_unknown)
 {
-  gp_log (GP_LOG_INFO, cancels ? "cancel.answered" : "job.answered",
+  gp_log (GP_LOG_INFO, is_cancel ? "cancel.answered" : "job.answered",
           GP_LOG_S ("job", id), GP_LOG_I ("status", status),
           GP_LOG_S ("why", why), GP_LOG_I ("after_ms", after / GP_MSEC),
-          GP_LOG_I ("doubtful", doubtful));
+          GP_LOG_I ("doubtful", outcome_unknown));
 }
 
 static void
 end_change (change_t *change, int status, const char *why)
 {
-  gp_time_t now = gp_loop_now (change->front->loop);
+  gp_time_t now = gp_loop_now (change->api->loop);
 
-  log_answer (id_of (change), change->cancels, status, why,
-              now - change->since, change->doubtful);
+  log_answer (id_of (change), change->is_cancel, status, why,
+              now - change->since, change->outcome_unknown);
   if (change->exchange != NULL)
-    answer_change (change->front, change->exchange, status, why);
+    answer_change (change->api, change->exchange, status, why);
   free_change (change);
 }
 
 static void
-change_done (change_t *change, uint64_t offset)
+complete_change (change_t *change, uint64_t offset)
 {
-  gp_jobs_front_t *front = change->front;
+  gp_jobs_api_t *api = change->api;
   gsize size;
   gp_platform_store_record_t record = { .offset = offset,
                                         .key = change->key,
@@ -165,23 +165,23 @@
 
   record.value = g_bytes_get_data (change->value, &size);
   record.value_size = size;
-  gp_counter_add (change->cancels ? &cancelled_count : &accepted_count, 1);
-  gp_histogram_add (&durable_time, gp_loop_now (front->loop) - change->since);
-  front->on_record (&record, front->data);
+  gp_counter_add (change->is_cancel ? &cancelled_count : &accepted_count, 1);
+  gp_histogram_add (&durable_time, gp_loop_now (api->loop) - change->since);
+  api->on_record (&record, api->data);
   end_change (change, 200, "on the log");
 }
 
 /* Returns the status of a refusal. 503 means that the job never runs, which
-   holds only if no attempt has an open outcome, for this request (DOUBTFUL) or
-   an earlier one; otherwise 504.  */
+   holds only if no attempt has an open outcome, for this request
+   (OUTCOME_UNKNOWN) or an earlier one; otherwise 504.  */
 static int
-refusal_status (gp_jobs_front_t *front, const char *id, bool doubtful)
+refusal_status (gp_jobs_api_t *api, const char *id, bool outcome_unknown)
 {
-  if (!doubtful && !g_hash_table_contains (front->open, id))
+  if (!outcome_unknown && !g_hash_table_contains (api->open_outcomes, id))
     return 503;
-  if (g_hash_table_size (front->open) >= OPEN_MAX)
-    g_hash_table_remove_all (front->open);
-  g_hash_table_add (front->open, g_strdup (id));
+  if (g_hash_table_size (api->open_outcomes) >= OPEN_OUTCOMES_MAX)
+    g_hash_table_remove_all (api->open_outcomes);
+  g_hash_table_add (api->open_outcomes, g_strdup (id));
   return 504;
 }
 
@@ -190,8 +190,8 @@
 static void
 give_up (change_t *change, const char *why)
 {
-  bool doubtful = change->in_call || change->doubtful;
-  int status = refusal_status (change->front, id_of (change), doubtful);
+  bool outcome_unknown = change->in_call || change->outcome_unknown;
+  int status = refusal_status (change->api, id_of (change), outcome_unknown);
 
   gp_counter_add (status == 503 ? &refused_count : &open_count, 1);
   end_change (change, status, why);
@@ -201,31 +201,31 @@
 static gp_time_t
 due_at (const change_t *change)
 {
-  bool begun = change->in_call || change->doubtful;
+  bool begun = change->in_call || change->outcome_unknown;
 
   return begun ? change->deadline : change->refuse_at;
 }
 
 static void
-arm (gp_jobs_front_t *front)
+arm (gp_jobs_api_t *api)
 {
-  gp_time_t at = front->call == NULL ? front->try_at : GP_TIME_NEVER;
+  gp_time_t at = api->call == NULL ? api->next_attempt_at : GP_TIME_NEVER;
 
-  if (gp_list_empty (&front->changes))
+  if (gp_list_empty (&api->changes))
     return;
-  GP_LIST_FOREACH (link, &front->changes)
+  GP_LIST_FOREACH (link, &api->changes)
   at = MIN (at, due_at (GP_CONTAINER_OF (link, change_t, link)));
-  gp_timer_arm (&front->timer, at);
+  gp_timer_arm (&api->timer, at);
 }
 
 static void
-note_latency (gp_jobs_front_t *front, gp_platform_store_result_t result,
-              gp_time_t duration)
+update_latency (gp_jobs_api_t *api, gp_platform_store_result_t result,
+                gp_time_t duration)
 {
   if (result == GP_PLATFORM_STORE_UNKNOWN)
-    duration = MAX (duration, 2 * front->latency);
-  front->latency
-      += (gp_time_t)((double)(duration - front->latency) * LATENCY_GAIN);
+    duration = MAX (duration, 2 * api->latency);
+  api->latency
+      += (gp_time_t)((double)(duration - api->latency) * LATENCY_GAIN);
 }
 
 /* Apply the result of the append to one of its changes.  */
@@ -237,15 +237,15 @@
   switch (result->result)
     {
     case GP_PLATFORM_STORE_DONE:
-      change_done (change, offset);
+      complete_change (change, offset);
       return;
     case GP_PLATFORM_STORE_UNKNOWN:
-      change->doubtful = true;
+      change->outcome_unknown = true;
       return;
     case GP_PLATFORM_STORE_REFUSED:
     case GP_PLATFORM_STORE_CONFLICT:
     case GP_PLATFORM_STORE_FORGOTTEN:
-      if (!change->doubtful && change->may_return
+      if (!change->outcome_unknown && change->may_retry
           && ++change->refusals >= REFUSALS_MAX)
         give_up (change, result->reason);
       return;
@@ -255,54 +255,54 @@
 static void
 on_appended (const gp_platform_store_answer_t *result, void *data)
 {
-  gp_jobs_front_t *front = data;
-  gp_time_t now = gp_loop_now (front->loop);
+  gp_jobs_api_t *api = data;
+  gp_time_t now = gp_loop_now (api->loop);
   uint64_t offset = result->offset;
 
-  front->call = NULL;
-  note_latency (front, result->result, now - result->sent_at);
-  front->failures
-      = result->result == GP_PLATFORM_STORE_DONE ? 0 : front->failures + 1;
-  if (front->failures == 0)
-    front->failing_since = 0;
-  else if (front->failing_since == 0)
-    front->failing_since = result->sent_at;
-  front->try_at
-      = result->result == GP_PLATFORM_STORE_DONE ? now : now + TRY_PAUSE;
-  GP_LIST_FOREACH_SAFE (link, &front->changes)
+  api->call = NULL;
+  update_latency (api, result->result, now - result->sent_at);
+  api->failures
+      = result->result == GP_PLATFORM_STORE_DONE ? 0 : api->failures + 1;
+  if (api->failures == 0)
+    api->failing_since = 0;
+  else if (api->failing_since == 0)
+    api->failing_since = result->sent_at;
+  api->next_attempt_at
+      = result->result == GP_PLATFORM_STORE_DONE ? now : now + ATTEMPT_DELAY;
+  GP_LIST_FOREACH_SAFE (link, &api->changes)
   {
     change_t *change = GP_CONTAINER_OF (link, change_t, link);
 
     if (change->in_call)
       apply_result (change, result, offset++);
   }
-  append_waiting (front);
-  arm (front);
+  append_waiting (api);
+  arm (api);
 }
 
 /* Append all waiting changes in one call, unless one is in flight.  */
 static void
-append_waiting (gp_jobs_front_t *front)
+append_waiting (gp_jobs_api_t *api)
 {
-  gp_time_t now = gp_loop_now (front->loop);
-  gp_time_t patience
-      = CLAMP (TRY_FACTOR * front->latency, TRY_TIME_MIN, TRY_TIME_MAX);
+  gp_time_t now = gp_loop_now (api->loop);
+  gp_time_t timeout = CLAMP (ATTEMPT_TIMEOUT_FACTOR * api->latency,
+                             ATTEMPT_TIMEOUT_MIN, ATTEMPT_TIMEOUT_MAX);
   /* After failures the average says little: a change that can wait this long
      is tried.  */
-  gp_time_t store_time = MIN (front->latency, TRY_TIME_MIN);
+  gp_time_t store_time = MIN (api->latency, ATTEMPT_TIMEOUT_MIN);
   GByteArray *batch;
 
-  if (front->call != NULL || now < front->try_at
-      || gp_list_empty (&front->changes))
+  if (api->call != NULL || now < api->next_attempt_at
+      || gp_list_empty (&api->changes))
     return;
   batch = g_byte_array_new ();
-  GP_LIST_FOREACH_SAFE (link, &front->changes)
+  GP_LIST_FOREACH_SAFE (link, &api->changes)
   {
     change_t *change = GP_CONTAINER_OF (link, change_t, link);
     gsize size;
     const uint8_t *data = g_bytes_get_data (change->value, &size);
 
-    if (!change->doubtful
+    if (!change->outcome_unknown
         && !gp_hand_in_is_in_time (change->deadline, store_time, now))
       {
         give_up (change, "the store would answer too late");
@@ -314,31 +314,31 @@
     change->in_call = true;
   }
   if (batch->len > 0)
-    front->call = gp_platform_store_append (
-        front->store, GP_TOPIC_JOBS, batch, GP_PLATFORM_STORE_ANYWHERE,
-        now + patience, on_appended, front);
+    api->call = gp_platform_store_append (api->store, GP_TOPIC_JOBS, batch,
+                                          GP_PLATFORM_STORE_ANYWHERE,
+                                          now + timeout, on_appended, api);
   g_byte_array_unref (batch);
 }
 
 static void
 on_timer (gp_timer_t *timer, void *data)
 {
-  gp_jobs_front_t *front = data;
-  gp_time_t now = gp_loop_now (front->loop);
+  gp_jobs_api_t *api = data;
+  gp_time_t now = gp_loop_now (api->loop);
 
-  GP_LIST_FOREACH_SAFE (link, &front->changes)
+  GP_LIST_FOREACH_SAFE (link, &api->changes)
   {
     change_t *change = GP_CONTAINER_OF (link, change_t, link);
 
     if (now >= due_at (change))
       give_up (change, "the store does not answer");
   }
-  append_waiting (front);
-  arm (front);
+  append_waiting (api);
+  arm (api);
 }
 
 static void
-on_gone (void *data)
+on_disconnected (void *data)
 {
   change_t *change = data;
 
@@ -348,49 +348,48 @@
 /* The store does not answer, and the append in flight shows when it does
    again: refuse a new caller at once, without an attempt.  */
 static void
-refuse_now (gp_jobs_front_t *front, gp_http_exchange_t *exchange,
-            const char *id, bool cancels)
+refuse_now (gp_jobs_api_t *api, gp_http_exchange_t *exchange, const char *id,
+            bool is_cancel)
 {
-  int status = refusal_status (front, id, false);
+  int status = refusal_status (api, id, false);
 
   gp_counter_add (status == 503 ? &refused_count : &open_count, 1);
-  log_answer (id, cancels, status, "the store has not answered lately", 0,
+  log_answer (id, is_cancel, status, "the store has not answered lately", 0,
               status != 503);
-  answer_change (front, exchange, status, "the store does not answer");
+  answer_change (api, exchange, status, "the store does not answer");
 }
 
 /* Start to append a record for the job ID; takes ownership of VALUE.  */
 static void
-start_change (gp_jobs_front_t *front, gp_http_exchange_t *exchange,
-              const char *id, bool cancels, GBytes *value)
+start_change (gp_jobs_api_t *api, gp_http_exchange_t *exchange, const char *id,
+              bool is_cancel, GBytes *value)
 {
-  gp_time_t now = gp_loop_now (front->loop);
-  gp_time_t patience = gp_job_patience (exchange);
-  bool may_return = gp_hand_in_may_return (patience);
+  gp_time_t now = gp_loop_now (api->loop);
+  gp_time_t caller_timeout = gp_job_caller_timeout (exchange);
+  bool may_retry = gp_hand_in_may_return (caller_timeout);
   change_t *change;
 
-  if (front->failures >= FAILURES_TO_REFUSE && front->call != NULL
-      && may_return)
+  if (api->failures >= FAILURES_TO_REFUSE && api->call != NULL && may_retry)
     {
-      refuse_now (front, exchange, id, cancels);
+      refuse_now (api, exchange, id, is_cancel);
       g_bytes_unref (value);
       return;
     }
   change = g_new0 (change_t, 1);
-  change->front = front;
+  change->api = api;
   change->exchange = exchange;
-  change->cancels = cancels;
-  change->may_return = may_return;
+  change->is_cancel = is_cancel;
+  change->may_retry = may_retry;
   change->since = now;
-  change->deadline = gp_hand_in_deadline (now, patience);
-  change->refuse_at = gp_hand_in_refuse_at (now, patience);
+  change->deadline = gp_hand_in_deadline (now, caller_timeout);
+  change->refuse_at = gp_hand_in_refuse_at (now, caller_timeout);
   g_snprintf (change->key, sizeof change->key, "%s%s",
-              cancels ? GP_CANCEL_PREFIX : "", id);
+              is_cancel ? GP_CANCEL_PREFIX : "", id);
   change->value = value;
-  gp_list_push_back (&front->changes, &change->link);
-  gp_http_exchange_watch (exchange, on_gone, NULL, change);
-  append_waiting (front);
-  arm (front);
+  gp_list_push_back (&api->changes, &change->link);
+  gp_http_exchange_watch (exchange, on_disconnected, NULL, change);
+  append_waiting (api);
+  arm (api);
 }
 
 /* Requests.  */
@@ -426,11 +425,11 @@
 }
 
 static void
-submit (gp_jobs_front_t *front, gp_http_exchange_t *exchange,
+submit (gp_jobs_api_t *api, gp_http_exchange_t *exchange,
         const gp_queue_t *queue, const char *id)
 {
   gp_http_text_t body = gp_http_exchange_body (exchange);
-  const gp_job_t *job = gp_book_find (front->book, id);
+  const gp_job_t *job = gp_book_find (api->book, id);
   Gp__Jobs__Submission *submission;
   GError *error = NULL;
 
@@ -451,7 +450,7 @@
       g_error_free (error);
     }
   else
-    start_change (front, exchange, id, false,
+    start_change (api, exchange, id, false,
                   gp_message_pack (&submission->base));
   if (submission != NULL)
     gp__jobs__submission__free_unpacked (submission, NULL);
@@ -459,12 +458,12 @@
 
 /* That a job does not exist can only be said if the book is current.  */
 static void
-answer_absent (gp_jobs_front_t *front, gp_http_exchange_t *exchange)
+answer_absent (gp_jobs_api_t *api, gp_http_exchange_t *exchange)
 {
-  if (gp_feed_fresh (front->jobs, ABSENCE_AGE))
+  if (gp_feed_is_current (api->jobs, ABSENCE_AGE_MAX))
     gp_job_answer_error (exchange, 410, "no such job");
   else
-    refuse (front, exchange, "the log cannot be read");
+    refuse (api, exchange, "the log cannot be read");
 }
 
 /* A record of the job is on the log and cannot be read, so each state might be
@@ -473,31 +472,31 @@
    promise an end that may never come.  So the answer is that the state is not
    available now.  */
 static void
-answer_unreadable (const gp_jobs_front_t *front, gp_http_exchange_t *exchange)
+answer_unreadable (const gp_jobs_api_t *api, gp_http_exchange_t *exchange)
 {
   gp_counter_add (&unreadable_count, 1);
-  refuse (front, exchange, "a record of the job cannot be read");
+  refuse (api, exchange, "a record of the job cannot be read");
 }
 
 static void
-show (gp_jobs_front_t *front, gp_http_exchange_t *exchange, const char *id)
+show (gp_jobs_api_t *api, gp_http_exchange_t *exchange, const char *id)
 {
-  const gp_job_t *job = gp_book_find (front->book, id);
+  const gp_job_t *job = gp_book_find (api->book, id);
   gp_job_state_t state;
   char *body;
 
   if (job != NULL && !gp_job_is_readable (job))
     {
-      answer_unreadable (front, exchange);
+      answer_unreadable (api, exchange);
       return;
     }
   if (job == NULL || job->submission == NULL)
     {
-      answer_absent (front, exchange);
+      answer_absent (api, exchange);
       return;
     }
   gp_histogram_add (&book_age,
-                    gp_loop_now (front->loop) - front->jobs->fresh_at);
+                    gp_loop_now (api->loop) - api->jobs->caught_up_at);
   state = job->recorded;
   if (job->cancelled && !gp_job_end_is_recorded (job))
     state = GP_JOB_CANCELLED;
@@ -507,9 +506,9 @@
 }
 
 static void
-cancel (gp_jobs_front_t *front, gp_http_exchange_t *exchange, const char *id)
+cancel (gp_jobs_api_t *api, gp_http_exchange_t *exchange, const char *id)
 {
-  const gp_job_t *job = gp_book_find (front->book, id);
+  const gp_job_t *job = gp_book_find (api->book, id);
 
   if (job != NULL && (job->cancelled || gp_job_end_is_recorded (job)))
     {
@@ -517,22 +516,22 @@
       return;
     }
   start_change (
-      front, exchange, id, true,
+      api, exchange, id, true,
       g_bytes_new_static (GP_CANCEL_VALUE, strlen (GP_CANCEL_VALUE)));
 }
 
 static void
-show_queue (gp_jobs_front_t *front, gp_http_exchange_t *exchange,
+show_queue (gp_jobs_api_t *api, gp_http_exchange_t *exchange,
             const gp_queue_t *queue)
 {
   char *body;
 
-  if (!gp_feed_fresh (front->jobs, ABSENCE_AGE))
+  if (!gp_feed_is_current (api->jobs, ABSENCE_AGE_MAX))
     {
-      refuse (front, exchange, "the log cannot be read");
+      refuse (api, exchange, "the log cannot be read");
       return;
     }
-  body = gp_platform_pending_body (gp_book_pending (front->book, queue->name));
+  body = gp_platform_pending_body (gp_book_pending (api->book, queue->name));
   gp_job_answer (exchange, 200, body);
   g_free (body);
 }
@@ -562,7 +561,7 @@
 }
 
 static void
-dispatch (gp_jobs_front_t *front, gp_http_exchange_t *exchange,
+dispatch (gp_jobs_api_t *api, gp_http_exchange_t *exchange,
           const gp_queue_t *queue, gp_http_text_t rest)
 {
   gp_http_text_t method = gp_http_exchange_method (exchange);
@@ -570,7 +569,7 @@
 
   if (rest.size == 0 && gp_http_text_equal (method, "GET"))
     {
-      show_queue (front, exchange, queue);
+      show_queue (api, exchange, queue);
       return;
     }
   if (!gp_job_id_valid (rest.base, rest.size))
@@ -580,29 +579,29 @@
     }
   memcpy (id, rest.base, rest.size);
   if (gp_http_text_equal (method, "POST"))
-    submit (front, exchange, queue, id);
+    submit (api, exchange, queue, id);
   else if (gp_http_text_equal (method, "GET"))
-    show (front, exchange, id);
+    show (api, exchange, id);
   else if (gp_http_text_equal (method, "DELETE"))
-    cancel (front, exchange, id);
+    cancel (api, exchange, id);
   else
     gp_job_answer_error (exchange, 405, "no such method");
 }
 
 void
-gp_jobs_front_request (gp_jobs_front_t *front, gp_http_exchange_t *exchange)
+gp_jobs_api_request (gp_jobs_api_t *api, gp_http_exchange_t *exchange)
 {
   gp_http_text_t host = host_of (exchange);
   gp_http_text_t path = path_of (exchange);
   const gp_queue_t *queue;
   size_t prefix_size;
 
-  if (front->queues->version == 0)
+  if (api->queues->version == 0)
     {
-      refuse (front, exchange, "no document is known yet");
+      refuse (api, exchange, "no document is known yet");
       return;
     }
-  queue = host.base != NULL ? gp_queues_find (front->queues, host.base,
+  queue = host.base != NULL ? gp_queues_find (api->queues, host.base,
                                               host.size, path.base, path.size)
                             : NULL;
   if (queue == NULL)
@@ -613,26 +612,28 @@
   prefix_size = strlen (queue->prefix);
   path.base += prefix_size;
   path.size -= prefix_size;
-  dispatch (front, exchange, queue, path);
+  dispatch (api, exchange, queue, path);
 }
 
 void
-gp_jobs_front_init (
-    gp_jobs_front_t *front, gp_loop_t *loop, gp_platform_store_t *store,
-    gp_book_t *book, const gp_queues_t *queues, const gp_feed_t *jobs,
-    void (*on_record) (const gp_platform_store_record_t *record, void *data),
-    void *data)
-{
-  *front = (gp_jobs_front_t){ .loop = loop,
-                              .store = store,
-                              .book = book,
-                              .queues = queues,
-                              .jobs = jobs,
-                              .on_record = on_record,
-                              .data = data };
-  gp_list_init (&front->changes);
-  front->open = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  gp_timer_init (&front->timer, loop, on_timer, front);
+gp_jobs_api_init (gp_jobs_api_t *api, gp_loop_t *loop,
+                  gp_platform_store_t *store, gp_book_t *book,
+                  const gp_queues_t *queues, const gp_feed_t *jobs,
+                  void (*on_record) (const gp_platform_store_record_t *record,
+                                     void *data),
+                  void *data)
+{
+  *api = (gp_jobs_api_t){ .loop = loop,
+                          .store = store,
+                          .book = book,
+                          .queues = queues,
+                          .jobs = jobs,
+                          .on_record = on_record,
+                          .data = data };
+  gp_list_init (&api->changes);
+  api->open_outcomes
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  gp_timer_init (&api->timer, loop, on_timer, api);
   gp_counter_register (&accepted_count);
   gp_counter_register (&repeated_count);
   gp_counter_register (&refused_count);
@@ -644,12 +645,12 @@
 }
 
 void
-gp_jobs_front_finish (gp_jobs_front_t *front)
+gp_jobs_api_finish (gp_jobs_api_t *api)
 {
-  GP_LIST_FOREACH_SAFE (link, &front->changes)
+  GP_LIST_FOREACH_SAFE (link, &api->changes)
   free_change (GP_CONTAINER_OF (link, change_t, link));
-  if (front->call != NULL)
-    gp_platform_store_cancel (front->call);
-  gp_timer_finish (&front->timer);
-  g_hash_table_destroy (front->open);
+  if (api->call != NULL)
+    gp_platform_store_cancel (api->call);
+  gp_timer_finish (&api->timer);
+  g_hash_table_destroy (api->open_outcomes);
 }
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -24,7 +24,7 @@
 #include "jobs/scheduler.h"
 #include "jobs/spec_spread.h"
 #include "jobsd/feed.h"
-#include "jobsd/link.h"
+#include "jobsd/frame_io.h"
 #include "jobsd/operator_feed.h"
 #include "jobsd/refusals.h"
 #include "platform/store.h"
--- a/src/jobsd/leader_frames.c
+++ b/src/jobsd/leader_frames.c
@@ -52,7 +52,7 @@
       frame_t *frame = g_ptr_array_index (leader->frames, i);
 
       if (frame->peer != NULL && frame->peer == frame->link->peer)
-        gp_link_send_bytes (frame->peer, frame->bytes, frame->kind);
+        gp_frame_send_packed (frame->peer, frame->bytes, frame->kind);
       /* The time to wait for it starts now, not while its append was
          delayed.  */
       if (frame->kind == GP__JOBS__FRAME__MESSAGE_SYNC)
@@ -250,7 +250,7 @@
   orders.executor = link->executor->id;
   orders.born_ms = link->executor->born_ms;
   collect_specs (link, outbox, specs);
-  orders.specs = gp_link_pointers (specs);
+  orders.specs = gp_frame_row_pointers (specs);
   orders.n_specs = specs->len;
   if (outbox != NULL)
     {
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -68,7 +68,7 @@
   gp_leader_add_model_update (link, report, &message, &update);
   frame.message_case = GP__JOBS__FRAME__MESSAGE_ACKNOWLEDGE;
   frame.acknowledge = &message;
-  gp_link_send (link->peer, &frame);
+  gp_frame_send (link->peer, &frame);
   gp_model_update_finish (&update);
 }
 
@@ -333,7 +333,7 @@
 {
   gp_guard_link_t *link = data;
   gp_leader_t *leader = link->leader;
-  Gp__Jobs__Frame *frame = gp_link_parse (
+  Gp__Jobs__Frame *frame = gp_frame_receive (
       peer, &leader->refusals, gp_loop_now (leader->loop), bytes, size);
 
   if (frame == NULL)
@@ -399,7 +399,7 @@
   message.node = (char *)link->leader->node;
   frame.message_case = GP__JOBS__FRAME__MESSAGE_LEAD;
   frame.lead = &message;
-  gp_link_send (link->peer, &frame);
+  gp_frame_send (link->peer, &frame);
 }
 
 static void
--- a/src/jobsd/leader_model.c
+++ b/src/jobsd/leader_model.c
@@ -265,9 +265,9 @@
   while (g_hash_table_iter_next (&iter, &serving, NULL))
     add_pressures (&leader->pressure, serving, pressures);
   gp_forecast_pack (&leader->scheduler.forecast, forecasts);
-  learned.pressures = gp_link_pointers (pressures);
+  learned.pressures = gp_frame_row_pointers (pressures);
   learned.n_pressures = pressures->len;
-  learned.forecasts = gp_link_pointers (forecasts);
+  learned.forecasts = gp_frame_row_pointers (forecasts);
   learned.n_forecasts = forecasts->len;
   bytes = gp_message_pack (&learned.base);
   g_free (learned.pressures);
--- a/src/jobsd/operator_feed.c
+++ b/src/jobsd/operator_feed.c
@@ -13,8 +13,8 @@
 /* Documents.  */
 
 static void
-take_document (gp_operator_feed_t *operators,
-               const gp_platform_store_record_t *record)
+apply_document (gp_operator_feed_t *operators,
+                const gp_platform_store_record_t *record)
 {
   gp_queues_t queues;
   GError *error = NULL;
@@ -37,7 +37,7 @@
 /* Zones.  */
 
 static void
-note_zone (gp_operator_feed_t *operators, const char *zone)
+notify_zone_changed (gp_operator_feed_t *operators, const char *zone)
 {
   bool evacuated = gp_evacuations_has (&operators->evacuations, zone);
 
@@ -50,8 +50,8 @@
 }
 
 static void
-take_evacuation (gp_operator_feed_t *operators, const char *zone,
-                 const gp_platform_store_record_t *record)
+apply_evacuation (gp_operator_feed_t *operators, const char *zone,
+                  const gp_platform_store_record_t *record)
 {
   gp_evacuations_t *evacuations = &operators->evacuations;
   bool changed
@@ -60,7 +60,7 @@
             : gp_evacuations_take_back (evacuations, zone, record->offset);
 
   if (changed)
-    note_zone (operators, zone);
+    notify_zone_changed (operators, zone);
 }
 
 /* The feed.  */
@@ -75,10 +75,10 @@
     {
     case GP_OPERATOR_DOCUMENT:
       if (record->value_size > 0)
-        take_document (operators, record);
+        apply_document (operators, record);
       break;
     case GP_OPERATOR_EVACUATION:
-      take_evacuation (operators, zone, record);
+      apply_evacuation (operators, zone, record);
       break;
     case GP_OPERATOR_OTHER:
       break;
@@ -100,16 +100,16 @@
   changed = g_ptr_array_new_with_free_func (g_free);
   gp_evacuations_end_load (&operators->evacuations, changed);
   for (guint i = 0; i < changed->len; i++)
-    note_zone (operators, g_ptr_array_index (changed, i));
+    notify_zone_changed (operators, g_ptr_array_index (changed, i));
   g_ptr_array_unref (changed);
 }
 
 static void
-on_fresh (void *data)
+on_caught_up (void *data)
 {
   gp_operator_feed_t *operators = data;
 
-  operators->callbacks->on_fresh (operators->data);
+  operators->callbacks->on_caught_up (operators->data);
 }
 
 static void
@@ -126,10 +126,11 @@
                        const gp_operator_feed_callbacks_t *callbacks,
                        void *data)
 {
-  static const gp_feed_callbacks_t feed_callbacks = { .on_record = on_record,
-                                                      .on_load = on_load,
-                                                      .on_fresh = on_fresh,
-                                                      .on_state = on_state };
+  static const gp_feed_callbacks_t feed_callbacks
+      = { .on_record = on_record,
+          .on_load = on_load,
+          .on_caught_up = on_caught_up,
+          .on_state = on_state };
 
   operators->callbacks = callbacks;
   operators->data = data;
@@ -140,7 +141,7 @@
                 &feed_callbacks, operators);
   /* A document may have 256 KB, and ten may be published within a few seconds:
      to read all of them takes ten seconds on a link of 2 Mbit/s.  */
-  gp_feed_take_newest_only (&operators->feed);
+  gp_feed_set_newest_only (&operators->feed);
 }
 
 void
@@ -156,7 +157,7 @@
 {
   const gp_feed_t *feed = &operators->feed;
 
-  if (feed->fresh_at < 0)
+  if (feed->caught_up_at < 0)
     return GP_TIME_NEVER;
-  return gp_loop_now (feed->loop) - feed->fresh_at;
+  return gp_loop_now (feed->loop) - feed->caught_up_at;
 }
--- a/src/jobsd/operator_feed.h
+++ b/src/jobsd/operator_feed.h
@@ -13,7 +13,7 @@
   /* The set of evacuated zones has changed.  */
   void (*on_zones) (void *data);
   /* As in gp_feed_callbacks_t.  */
-  void (*on_fresh) (void *data);
+  void (*on_caught_up) (void *data);
   void (*on_state) (gp_topic_t topic, bool down, const char *reason,
                     void *data);
 } gp_operator_feed_callbacks_t;
--- a/src/jobsd/refusals.c
+++ b/src/jobsd/refusals.c
@@ -12,7 +12,7 @@
 #define COUNTS_MAX 1000
 /* Limit of bytes of a key in a log line: a line has to fit into a write that
    is never split.  */
-#define SHOWN_MAX 100
+#define KEY_SIZE_MAX 100
 
 static gp_counter_t undecodable_count = GP_COUNTER (
     "records_undecodable_total", "Records of the log that do not decode");
@@ -51,7 +51,7 @@
 /* Count another rejection of WHAT from ORIGIN.  Returns the count if it is to
    be logged, otherwise 0.  */
 static uint64_t
-count_up (gp_refusals_t *refusals, const char *what, const char *origin)
+count_rejection (gp_refusals_t *refusals, const char *what, const char *origin)
 {
   char *key = g_strdup_printf ("%s %s", what, origin);
   uint64_t count = gp_repeats_note (&refusals->repeats, key);
@@ -119,9 +119,9 @@
 
 /* Convert a key of arbitrary bytes to valid UTF-8 for a log line.  */
 static char *
-shown (const char *key)
+printable_key (const char *key)
 {
-  return g_utf8_make_valid (key, (gssize)MIN (strlen (key), SHOWN_MAX));
+  return g_utf8_make_valid (key, (gssize)MIN (strlen (key), KEY_SIZE_MAX));
 }
 
 void
@@ -130,13 +130,13 @@
                     const gp_platform_store_record_t *origin,
                     const GError *why)
 {
-  uint64_t count = count_up (refusals, topic, record->subject);
+  uint64_t count = count_rejection (refusals, topic, record->subject);
   char *subject;
 
   count_record (why);
   if (count == 0)
     return;
-  subject = shown (record->subject);
+  subject = printable_key (record->subject);
   gp_log (GP_LOG_WARNING, "record.malformed", GP_LOG_S ("topic", topic),
           GP_LOG_S ("kind", kind_name (record->kind)),
           GP_LOG_S ("of", subject), GP_LOG_S ("job", job_of (record)),
@@ -149,7 +149,7 @@
 gp_refusals_record_row (gp_refusals_t *refusals, const gp_record_t *record,
                         const GError *why)
 {
-  uint64_t count = count_up (refusals, "row", record->subject);
+  uint64_t count = count_rejection (refusals, "row", record->subject);
 
   gp_counter_add (&record_rows_count, 1);
   if (count > 0)
@@ -173,7 +173,7 @@
                    const GError *why)
 {
   char *host = host_of (address);
-  uint64_t count = count_up (refusals, "frame", host);
+  uint64_t count = count_rejection (refusals, "frame", host);
 
   g_free (host);
   if (g_error_matches (why, GP_STATE_ERROR, GP_STATE_ERROR_CORRUPT))
@@ -190,7 +190,7 @@
                        const GError *why)
 {
   char *host = host_of (address);
-  uint64_t count = count_up (refusals, "frame row", host);
+  uint64_t count = count_rejection (refusals, "frame row", host);
 
   g_free (host);
   gp_counter_add (&frame_rows_count, 1);
--- a/src/jobsd/relay.c
+++ b/src/jobsd/relay.c
@@ -9,15 +9,15 @@
 
 /* Timeout of a relayed call: it may be a long poll of a second, and after that
    it gets the time that the caller itself would wait.  */
-#define RELAY_TIME (2600 * GP_MSEC)
+#define RELAY_TIMEOUT (2600 * GP_MSEC)
 /* Timeout between two parts of a response, the same as for direct calls
    (platform/store.h).  */
-#define STALL_TIME (1500 * GP_MSEC)
+#define STALL_TIMEOUT (1500 * GP_MSEC)
 /* The platform's limit of one append, and some more.  */
 #define BODY_MAX ((size_t)4 * 1024 * 1024)
-#define HEADER_TIME (15 * GP_SEC)
+#define HEADER_TIMEOUT (15 * GP_SEC)
 #define CONNECTIONS 16
-#define IDLE_TIME (30 * GP_SEC)
+#define IDLE_TIMEOUT (30 * GP_SEC)
 
 static gp_counter_t relayed_count
     = GP_COUNTER ("store_relayed_total", "Calls of peers passed on");
@@ -36,20 +36,20 @@
   char *method;
   char *path;
   GBytes *body;
-} passing_t;
+} relayed_call_t;
 
 static void
-passing_free (passing_t *passing)
+relayed_call_free (relayed_call_t *relayed)
 {
-  g_free (passing->method);
-  g_free (passing->path);
-  g_bytes_unref (passing->body);
-  g_free (passing);
+  g_free (relayed->method);
+  g_free (relayed->path);
+  g_bytes_unref (relayed->body);
+  g_free (relayed);
 }
 
 /* The content length in the response headers; -1: the body is chunked.  */
 static int64_t
-length_of (const gp_http_header_t *headers, size_t count)
+content_length_of (const gp_http_header_t *headers, size_t count)
 {
   for (size_t i = 0; i < count; i++)
     {
@@ -69,13 +69,13 @@
 static void
 on_head (int status, const gp_http_header_t *headers, size_t count, void *data)
 {
-  passing_t *passing = data;
+  relayed_call_t *relayed = data;
 
-  if (passing->exchange == NULL)
+  if (relayed->exchange == NULL)
     return;
-  passing->started = true;
-  gp_http_exchange_start (passing->exchange, status, NULL, 0,
-                          length_of (headers, count));
+  relayed->started = true;
+  gp_http_exchange_start (relayed->exchange, status, NULL, 0,
+                          content_length_of (headers, count));
 }
 
 /* Parts are relayed as they arrive: the peer sees that its response makes
@@ -83,55 +83,55 @@
 static bool
 on_body (const void *bytes, size_t size, void *data)
 {
-  passing_t *passing = data;
+  relayed_call_t *relayed = data;
 
-  if (passing->exchange == NULL)
+  if (relayed->exchange == NULL)
     return true;
-  gp_http_exchange_part (passing->exchange, bytes, size, false);
+  gp_http_exchange_part (relayed->exchange, bytes, size, false);
   return false;
 }
 
 static void
 on_proceed (void *data)
 {
-  passing_t *passing = data;
+  relayed_call_t *relayed = data;
 
-  if (passing->call != NULL)
-    gp_http_call_resume (passing->call);
+  if (relayed->call != NULL)
+    gp_http_call_resume (relayed->call);
 }
 
 static void
 on_done (const GError *error, bool sent, void *data)
 {
-  passing_t *passing = data;
+  relayed_call_t *relayed = data;
 
-  passing->call = NULL;
-  if (passing->exchange == NULL)
+  relayed->call = NULL;
+  if (relayed->exchange == NULL)
     {
-      passing_free (passing);
+      relayed_call_free (relayed);
       return;
     }
-  gp_http_exchange_watch (passing->exchange, NULL, NULL, NULL);
+  gp_http_exchange_watch (relayed->exchange, NULL, NULL, NULL);
   if (error == NULL)
-    gp_http_exchange_part (passing->exchange, NULL, 0, true);
-  else if (passing->started)
-    gp_http_exchange_abort (passing->exchange);
+    gp_http_exchange_part (relayed->exchange, NULL, 0, true);
+  else if (relayed->started)
+    gp_http_exchange_abort (relayed->exchange);
   else
     /* 504 leaves open whether the store has carried the call out.  */
-    gp_http_exchange_answer (passing->exchange, sent ? 504 : 503, NULL, 0,
+    gp_http_exchange_answer (relayed->exchange, sent ? 504 : 503, NULL, 0,
                              NULL, 0);
-  passing_free (passing);
+  relayed_call_free (relayed);
 }
 
 /* The peer has disconnected; its call may still be carried out.  */
 static void
-on_gone (void *data)
+on_disconnected (void *data)
 {
-  passing_t *passing = data;
+  relayed_call_t *relayed = data;
 
-  passing->exchange = NULL;
-  if (passing->call != NULL)
-    gp_http_call_resume (passing->call);
+  relayed->exchange = NULL;
+  if (relayed->call != NULL)
+    gp_http_call_resume (relayed->call);
 }
 
 static void
@@ -143,7 +143,7 @@
   gp_http_text_t method = gp_http_exchange_method (exchange);
   gp_http_text_t path = gp_http_exchange_path (exchange);
   gp_http_text_t body = gp_http_exchange_body (exchange);
-  passing_t *passing = g_new0 (passing_t, 1);
+  relayed_call_t *relayed = g_new0 (relayed_call_t, 1);
   gp_http_text_t type = gp_http_exchange_header (exchange, "content-type");
   const gp_http_header_t header = { .name = "content-type",
                                     .name_size = strlen ("content-type"),
@@ -152,21 +152,21 @@
   gp_http_call_request_t request
       = { .headers = &header,
           .header_count = type.base != NULL ? 1 : 0,
-          .deadline = gp_loop_now (relay->loop) + RELAY_TIME,
-          .stall_time = STALL_TIME,
+          .deadline = gp_loop_now (relay->loop) + RELAY_TIMEOUT,
+          .stall_time = STALL_TIMEOUT,
           .traffic = &store_traffic };
 
-  passing->exchange = exchange;
-  passing->method = g_strndup (method.base, method.size);
-  passing->path = g_strndup (path.base, path.size);
-  passing->body = g_bytes_new (body.base, body.size);
-  request.method = passing->method;
-  request.path = passing->path;
-  request.body = g_bytes_get_data (passing->body, &request.body_size);
+  relayed->exchange = exchange;
+  relayed->method = g_strndup (method.base, method.size);
+  relayed->path = g_strndup (path.base, path.size);
+  relayed->body = g_bytes_new (body.base, body.size);
+  request.method = relayed->method;
+  request.path = relayed->path;
+  request.body = g_bytes_get_data (relayed->body, &request.body_size);
   gp_counter_add (&relayed_count, 1);
-  gp_http_exchange_watch (exchange, on_gone, on_proceed, passing);
-  passing->call
-      = gp_http_client_call (relay->client, &request, &callbacks, passing);
+  gp_http_exchange_watch (exchange, on_disconnected, on_proceed, relayed);
+  relayed->call
+      = gp_http_client_call (relay->client, &request, &callbacks, relayed);
 }
 
 bool
@@ -175,11 +175,11 @@
 {
   const gp_http_client_options_t client = { .address = store,
                                             .max_connections = CONNECTIONS,
-                                            .idle_timeout = IDLE_TIME,
+                                            .idle_timeout = IDLE_TIMEOUT,
                                             .link_rate = link_rate };
   const gp_http_server_options_t server = { .address = address,
                                             .max_body_size = BODY_MAX,
-                                            .header_timeout = HEADER_TIME,
+                                            .header_timeout = HEADER_TIMEOUT,
                                             .traffic = &peers_traffic,
                                             .on_request = on_request,
                                             .data = relay };
--- a/src/jobsd/relay.h
+++ b/src/jobsd/relay.h
@@ -3,9 +3,9 @@
    The platform may reject calls of one VM and serve the others, or one VM may
    be cut off from the store.  Therefore each entry relays calls of its peers
    to the store unchanged, and has its own calls relayed by a peer while its
-   direct route fails (see jobsd/way.h).  A relay always uses its direct route,
-   so calls are relayed only once.  The store checks the conditions on appends,
-   so they hold on either route.  */
+   direct route fails (see jobsd/store_route.h).  A relay always uses its
+   direct route, so calls are relayed only once.  The store checks the
+   conditions on appends, so they hold on either route.  */
 
 #ifndef GP_JOBSD_RELAY_H
 #define GP_JOBSD_RELAY_H
--- a/src/jobsd/way.h
+++ b/src/jobsd/store_route.h
@@ -5,8 +5,8 @@
    and then back to the direct route.  While calls are relayed the direct route
    is probed regularly, and used as soon as it works.  */
 
-#ifndef GP_JOBSD_WAY_H
-#define GP_JOBSD_WAY_H
+#ifndef GP_JOBSD_STORE_ROUTE_H
+#define GP_JOBSD_STORE_ROUTE_H
 
 #include "platform/store.h"
 
@@ -23,12 +23,13 @@
   bool relayed;
   gp_timer_t probe; /* probes the direct route */
   gp_platform_store_call_t *probing;
-} gp_way_t;
+} gp_store_route_t;
 
-void gp_way_init (gp_way_t *way, gp_loop_t *loop, gp_platform_store_t *store);
-void gp_way_finish (gp_way_t *way);
+void gp_store_route_init (gp_store_route_t *route, gp_loop_t *loop,
+                          gp_platform_store_t *store);
+void gp_store_route_finish (gp_store_route_t *route);
 
 /* Add a peer that relays calls at ADDRESS.  */
-void gp_way_add (gp_way_t *way, const char *address);
+void gp_store_route_add_peer (gp_store_route_t *route, const char *address);
 
 #endif
--- a/tests/unit/test_feed.c
+++ b/tests/unit/test_feed.c
@@ -125,7 +125,7 @@
   gp_feed_init (&fixture.feed, &fixture.loop, fixture.store, GP_TOPIC_JOBS, 0,
                 &callbacks, &fixture);
   if (newest_only)
-    gp_feed_take_newest_only (&fixture.feed);
+    gp_feed_set_newest_only (&fixture.feed);
   gp_feed_start (&fixture.feed);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.asked, count + 1));
   gp_feed_finish (&fixture.feed);
