--- a/tests/unit/test_feed.c
+++ b/tests/unit/test_feed.c
@@ -1,5 +1,6 @@
-/* Tests of the feed of a topic against a store that answers as it is told:
-   what is asked for, what is delivered, and where the feed stands.  */
+/* Tests of gp_feed_t against a store that gives prepared answers: which reads
+   and loads the feed sends, which records it delivers, and at which offset it
+   has caught up.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -12,7 +13,7 @@
 #define BODY_MAX 1000
 #define ANSWERS_MAX 16
 
-/* One answer of the store.  */
+/* A prepared answer of the store.  */
 typedef struct
 {
   const char *body;
@@ -23,11 +24,13 @@
   {                                                                           \
     (text), sizeof (text) - 1                                                 \
   }
-/* A read: the end of the topic, then the first offset kept.  */
+/* Head of the answer to a read: the end offset of the topic, then the first
+   offset that is kept.  */
 #define HEAD(end) "\0\0\0\0\0\0\0" end "\0\0\0\0\0\0\0\0"
 #define RECORD(key, value) "\0\0\0\x04\x01" key value
 
-/* Stores live as long as the process, see gp_platform_store_t.  */
+/* Stores are never freed, see gp_platform_store_t; this keeps them
+   reachable.  */
 static GPtrArray *stores;
 
 typedef struct
@@ -39,7 +42,8 @@
   const answer_t *answers;
   int count;
   int asked;
-  gp_http_exchange_t *held; /* what is asked for after the last answer */
+  gp_http_exchange_t *held; /* the request after the last prepared answer,
+                               which is never answered */
 } fixture_t;
 
 static void
@@ -48,7 +52,8 @@
   ((fixture_t *)data)->held = NULL;
 }
 
-/* Print the part of the path that tells the place, and answer.  */
+/* Print the path up to the offset or key, without the size limit, and
+   answer.  */
 static void
 on_request (gp_http_exchange_t *exchange, void *data)
 {
@@ -99,7 +104,7 @@
   printf ("    %s%s\n", down ? "down: " : "up", reason);
 }
 
-/* Follow a topic through ANSWERS and one request more.  */
+/* Run a feed until it has sent one request more than there are ANSWERS.  */
 static void
 follow_with (const char *name, const answer_t *answers, int count,
              bool newest_only)
@@ -214,8 +219,9 @@
   follow ("lists that are none", no_items, G_N_ELEMENTS (no_items));
 }
 
-/* A topic of large records, of which only the newest counts: one that is just
-   behind is read, for several it is loaded.  */
+/* With newest_only, a feed that is one record behind reads that record; a feed
+   that is several records behind loads the topic instead, as a burst of large
+   documents would otherwise fill the link.  */
 static void
 test_newest_only (void)
 {
--- a/tests/unit/test_way.c
+++ b/tests/unit/test_way.c
@@ -1,5 +1,6 @@
-/* Tests of the way to the store: how many peers are tried when none of them
-   has one.  */
+/* Tests of gp_store_route_t: how many calls are relayed by peers when the
+   store cannot be reached and the peers' calls fail as well.  Without a limit
+   all peers would be tried in turn, which takes as long as an outage.  */
 
 #include <stdio.h>
 
@@ -16,11 +17,11 @@
   gp_loop_t loop;
   gp_platform_store_t *store;
   gp_store_route_t way;
-  int relayed; /* calls that came to the peers */
+  int relayed; /* calls received by the peers */
   int ended;
 } fixture_t;
 
-/* The peers are turned away as well.  */
+/* The store rejects calls of the peers as well.  */
 static void
 on_request (gp_http_exchange_t *exchange, void *data)
 {
@@ -37,7 +38,7 @@
 static void
 test_outage (void)
 {
-  /* Its clients live as long as the process, see gp_platform_store_t.  */
+  /* The store's clients are never freed, see gp_platform_store_t.  */
   static fixture_t fixture;
   gp_http_server_options_t options = { .address = "127.0.0.1:0",
                                        .header_timeout = 20 * GP_SEC,
@@ -46,7 +47,7 @@
   gp_http_server_t *peers[PEERS];
 
   CU_ASSERT_TRUE_FATAL (gp_loop_init (&fixture.loop, NULL));
-  /* Nothing listens there.  */
+  /* Nothing listens at this address.  */
   fixture.store
       = gp_platform_store_new (&fixture.loop, "127.0.0.1:1", 0, NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (fixture.store);
