--- a/tests/unit/test_feed.c
+++ b/tests/unit/test_feed.c
@@ -42,14 +42,14 @@
   const answer_t *answers;
   int count;
   int asked;
-  gp_http_exchange_t *held; /* the request after the last prepared answer,
-                               which is never answered */
+  gp_http_exchange_t *unanswered; /* the request after the last prepared
+                                     answer, which is never answered */
 } fixture_t;
 
 static void
-on_gone (void *data)
+on_disconnected (void *data)
 {
-  ((fixture_t *)data)->held = NULL;
+  ((fixture_t *)data)->unanswered = NULL;
 }
 
 /* Print the path up to the offset or key, without the size limit, and
@@ -73,8 +73,8 @@
                                fixture->answers[number].size);
       return;
     }
-  fixture->held = exchange;
-  gp_http_exchange_watch (exchange, on_gone, NULL, fixture);
+  fixture->unanswered = exchange;
+  gp_http_exchange_watch (exchange, on_disconnected, NULL, fixture);
 }
 
 static void
@@ -85,7 +85,7 @@
 }
 
 static void
-on_fresh (void *data)
+on_caught_up (void *data)
 {
   const fixture_t *fixture = data;
 
@@ -106,11 +106,11 @@
 
 /* Run a feed until it has sent one request more than there are ANSWERS.  */
 static void
-follow_with (const char *name, const answer_t *answers, int count,
-             bool newest_only)
+run_feed_with (const char *name, const answer_t *answers, int count,
+               bool newest_only)
 {
   static const gp_feed_callbacks_t callbacks
-      = { on_record, on_load, on_fresh, on_state };
+      = { on_record, on_load, on_caught_up, on_state };
   fixture_t fixture = { .answers = answers, .count = count };
   gp_http_server_options_t options = { .address = "127.0.0.1:0",
                                        .max_body_size = BODY_MAX,
@@ -134,15 +134,15 @@
   gp_feed_start (&fixture.feed);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.asked, count + 1));
   gp_feed_finish (&fixture.feed);
-  if (fixture.held != NULL)
-    gp_http_exchange_abort (fixture.held);
+  if (fixture.unanswered != NULL)
+    gp_http_exchange_abort (fixture.unanswered);
   gp_loop_finish (&fixture.loop);
 }
 
 static void
-follow (const char *name, const answer_t *answers, int count)
+run_feed (const char *name, const answer_t *answers, int count)
 {
-  follow_with (name, answers, count, false);
+  run_feed_with (name, answers, count, false);
 }
 
 #define EMPTY_LOAD ANSWER ("{\"items\":[],\"hasMore\":false,\"end\":0}")
@@ -159,13 +159,13 @@
   static const answer_t bad_key[]
       = { EMPTY_LOAD, ANSWER (HEAD ("\x03") RECORD (
                           "a", "vv") "\0\0\0\x02\x09x" RECORD ("c", "ww")) };
-  static const answer_t damaged[]
+  static const answer_t truncated[]
       = { EMPTY_LOAD,
           ANSWER (HEAD ("\x02") RECORD ("a", "vv") "\0\0\0\x04\x01"
                                                    "b"),
           ANSWER (HEAD ("\x02") "\0\0\0\x04\x01"),
           ANSWER (HEAD ("\x02") RECORD ("b", "ww")) };
-  static const answer_t cut_for_good[]
+  static const answer_t always_truncated[]
       = { EMPTY_LOAD,
           ANSWER (HEAD ("\x03") RECORD ("a", "vv") "\x7f\0\0\0\x01"),
           ANSWER (HEAD ("\x03") "\x7f\0\0\0\x01"),
@@ -180,15 +180,16 @@
       = { EMPTY_LOAD, ANSWER ("\0\0\0\0"),
           ANSWER (HEAD ("\x01") RECORD ("a", "vv")) };
 
-  follow ("a read in form", whole, G_N_ELEMENTS (whole));
-  follow ("a record without content", no_content, G_N_ELEMENTS (no_content));
-  follow ("a key longer than its record", bad_key, G_N_ELEMENTS (bad_key));
-  follow ("a page that was cut on its way", damaged, G_N_ELEMENTS (damaged));
-  follow ("a record longer than any page", cut_for_good,
-          G_N_ELEMENTS (cut_for_good));
-  follow ("more records than the topic has", too_many,
-          G_N_ELEMENTS (too_many));
-  follow ("a read without a head", no_head, G_N_ELEMENTS (no_head));
+  run_feed ("a read in form", whole, G_N_ELEMENTS (whole));
+  run_feed ("a record without content", no_content, G_N_ELEMENTS (no_content));
+  run_feed ("a key longer than its record", bad_key, G_N_ELEMENTS (bad_key));
+  run_feed ("a page that was cut on its way", truncated,
+            G_N_ELEMENTS (truncated));
+  run_feed ("a record longer than any page", always_truncated,
+            G_N_ELEMENTS (always_truncated));
+  run_feed ("more records than the topic has", too_many,
+            G_N_ELEMENTS (too_many));
+  run_feed ("a read without a head", no_head, G_N_ELEMENTS (no_head));
 }
 
 static void
@@ -213,10 +214,10 @@
           ANSWER ("{\"items\":[{\"key\":\"c\",\"value\":\"dnY=\","
                   "\"offset\":2}],\"hasMore\":false,\"end\":3}") };
 
-  follow ("a value that is not base64, last on its page", bad_last,
-          G_N_ELEMENTS (bad_last));
-  follow ("items without a key", keyless, G_N_ELEMENTS (keyless));
-  follow ("lists that are none", no_items, G_N_ELEMENTS (no_items));
+  run_feed ("a value that is not base64, last on its page", bad_last,
+            G_N_ELEMENTS (bad_last));
+  run_feed ("items without a key", keyless, G_N_ELEMENTS (keyless));
+  run_feed ("lists that are none", no_items, G_N_ELEMENTS (no_items));
 }
 
 /* With newest_only, a feed that is one record behind reads that record; a feed
@@ -225,14 +226,14 @@
 static void
 test_newest_only (void)
 {
-  static const answer_t storm[]
+  static const answer_t burst[]
       = { EMPTY_LOAD, ANSWER (HEAD ("\x02") RECORD ("a", "vv")),
           ANSWER (HEAD ("\x05") RECORD ("a", "ww")),
           ANSWER ("{\"items\":[{\"key\":\"a\",\"value\":\"dnY=\","
                   "\"offset\":4}],\"hasMore\":false,\"end\":5}") };
 
-  follow_with ("a document that changes often", storm, G_N_ELEMENTS (storm),
-               true);
+  run_feed_with ("a document that changes often", burst, G_N_ELEMENTS (burst),
+                 true);
 }
 
 int
--- a/tests/unit/test_way.c
+++ b/tests/unit/test_way.c
@@ -16,7 +16,7 @@
 {
   gp_loop_t loop;
   gp_platform_store_t *store;
-  gp_store_route_t way;
+  gp_store_route_t route;
   int relayed; /* calls received by the peers */
   int ended;
 } fixture_t;
@@ -51,7 +51,7 @@
   fixture.store
       = gp_platform_store_new (&fixture.loop, "127.0.0.1:1", 0, NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (fixture.store);
-  gp_store_route_init (&fixture.way, &fixture.loop, fixture.store);
+  gp_store_route_init (&fixture.route, &fixture.loop, fixture.store);
   for (int i = 0; i < PEERS; i++)
     {
       g_autofree char *address = NULL;
@@ -60,7 +60,7 @@
       CU_ASSERT_PTR_NOT_NULL_FATAL (peers[i]);
       address
           = g_strdup_printf ("127.0.0.1:%d", gp_http_server_port (peers[i]));
-      gp_store_route_add_peer (&fixture.way, address);
+      gp_store_route_add_peer (&fixture.route, address);
     }
   for (int i = 0; i < CALLS; i++)
     {
@@ -71,7 +71,7 @@
     }
   printf ("%d of %d calls by peers, %d peers\n", fixture.relayed, CALLS,
           PEERS);
-  gp_store_route_finish (&fixture.way);
+  gp_store_route_finish (&fixture.route);
   gp_loop_finish (&fixture.loop);
 }
 
