--- a/src/jobsd/entry.c
+++ b/src/jobsd/entry.c
@@ -187,7 +187,7 @@
 }
 
 static void
-on_deposed (bool claimed, void *data)
+on_leadership_lost (bool claimed, void *data)
 {
   gp_job_entry_t *entry = data;
 
@@ -360,7 +360,8 @@
   gp_traffic_reporter_init (&entry->traffic, &entry->loop);
   init_feeds (entry);
   gp_leader_init (&entry->leader, &entry->loop, entry->store, &entry->book,
-                  &entry->operators, settings->node, on_deposed, entry);
+                  &entry->operators, settings->node, on_leadership_lost,
+                  entry);
   gp_janitor_init (&entry->janitor, &entry->loop, entry->store, &entry->book,
                    &entry->leader, settings->status_time);
   gp_jobs_api_init (&entry->api, &entry->loop, entry->store, &entry->book,
--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -357,7 +357,7 @@
 /* A specification was received, so runs can be started; or, if FAILED, the
    leader has to be asked for it.  */
 static void
-on_spec (bool failed, void *data)
+on_spec_change (bool failed, void *data)
 {
   gp_job_guard_t *guard = data;
 
@@ -466,7 +466,7 @@
   gp_guard_deregistration_init (guard);
   gp_guard_reports_init (guard);
   gp_guard_specs_init (&guard->specs, &guard->loop, &guard->agent.specs,
-                       &guard->refusals, on_spec, guard);
+                       &guard->refusals, on_spec_change, guard);
   gp_timer_init (&guard->stop_timer, &guard->loop, on_stop_timeout, guard);
   guard->store = gp_platform_store_new (&guard->loop, settings->store,
                                         settings->link_rate, error);
--- a/src/jobsd/guard_heartbeats.c
+++ b/src/jobsd/guard_heartbeats.c
@@ -67,7 +67,7 @@
 
 /* Process a heartbeat of the current incarnation.  */
 static void
-take_heartbeat (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat)
+apply_heartbeat (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat)
 {
   bool changed;
 
@@ -148,7 +148,7 @@
     }
   guard->identifications--;
   if (is_current (guard, heartbeat))
-    take_heartbeat (guard, heartbeat);
+    apply_heartbeat (guard, heartbeat);
   else if (reason == NULL)
     accept_incarnation (guard, heartbeat, list, identification->fence);
   else
@@ -262,7 +262,7 @@
       return reject (id, error);
     }
   if (is_current (guard, &heartbeat))
-    take_heartbeat (guard, &heartbeat);
+    apply_heartbeat (guard, &heartbeat);
   else
     status = identify (guard, &heartbeat);
   gp_heartbeat_finish (&heartbeat);
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -140,8 +140,8 @@
 
 /* Measurements of the runs, for the leader's model.  */
 static void
-report_measures (gp_job_guard_t *guard, Gp__Jobs__Report *report,
-                 GArray *servings, GArray *fillings)
+report_measurements (gp_job_guard_t *guard, Gp__Jobs__Report *report,
+                     GArray *servings, GArray *fillings)
 {
   gp_agent_t *agent = &guard->agent;
   GHashTableIter iter;
@@ -329,7 +329,7 @@
   report_runs (agent, &report, absent);
   report_carried (agent, &report, carried);
   report_suspects (agent, &report, settled, suspects);
-  report_measures (guard, &report, servings, fillings);
+  report_measurements (guard, &report, servings, fillings);
   frame.message_case = GP__JOBS__FRAME__MESSAGE_REPORT;
   frame.report = &report;
   gp_agent_reported (agent, report.sent_at);
--- a/src/jobsd/guard_specs.c
+++ b/src/jobsd/guard_specs.c
@@ -289,7 +289,7 @@
 
       if (now < holder->idle_end)
         continue;
-      /* Its on_close follows.  */
+      /* This leads to on_close, which removes the holder.  */
       holder->idle_end = GP_TIME_NEVER;
       gp_peer_close (holder->peer, false);
     }
--- a/src/jobsd/jobs_api.c
+++ b/src/jobsd/jobs_api.c
@@ -425,8 +425,8 @@
 }
 
 static void
-submit (gp_jobs_api_t *api, gp_http_exchange_t *exchange,
-        const gp_queue_t *queue, const char *id)
+submit_job (gp_jobs_api_t *api, gp_http_exchange_t *exchange,
+            const gp_queue_t *queue, const char *id)
 {
   gp_http_text_t body = gp_http_exchange_body (exchange);
   const gp_job_t *job = gp_book_find (api->book, id);
@@ -479,7 +479,7 @@
 }
 
 static void
-show (gp_jobs_api_t *api, gp_http_exchange_t *exchange, const char *id)
+show_job (gp_jobs_api_t *api, gp_http_exchange_t *exchange, const char *id)
 {
   const gp_job_t *job = gp_book_find (api->book, id);
   gp_job_state_t state;
@@ -506,7 +506,7 @@
 }
 
 static void
-cancel (gp_jobs_api_t *api, gp_http_exchange_t *exchange, const char *id)
+cancel_job (gp_jobs_api_t *api, gp_http_exchange_t *exchange, const char *id)
 {
   const gp_job_t *job = gp_book_find (api->book, id);
 
@@ -579,11 +579,11 @@
     }
   memcpy (id, rest.base, rest.size);
   if (gp_http_text_equal (method, "POST"))
-    submit (api, exchange, queue, id);
+    submit_job (api, exchange, queue, id);
   else if (gp_http_text_equal (method, "GET"))
-    show (api, exchange, id);
+    show_job (api, exchange, id);
   else if (gp_http_text_equal (method, "DELETE"))
-    cancel (api, exchange, id);
+    cancel_job (api, exchange, id);
   else
     gp_job_answer_error (exchange, 405, "no such method");
 }
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -374,7 +374,8 @@
 gp_leader_init (gp_leader_t *leader, gp_loop_t *loop,
                 gp_platform_store_t *store, gp_book_t *book,
                 const gp_operator_feed_t *operators, const char *node,
-                void (*on_deposed) (bool claimed, void *data), void *data)
+                void (*on_leadership_lost) (bool claimed, void *data),
+                void *data)
 {
   memset (leader, 0, sizeof *leader);
   leader->loop = loop;
@@ -383,7 +384,7 @@
   leader->operators = operators;
   leader->node = node;
   leader->incarnation = (uint64_t)gp_time_wall ();
-  leader->on_deposed = on_deposed;
+  leader->on_leadership_lost = on_leadership_lost;
   leader->data = data;
   gp_grants_init (&leader->grants);
   /* Earlier processes on this node have ended.  */
@@ -412,7 +413,7 @@
 gp_leader_finish (gp_leader_t *leader)
 {
   gp_leader_append_finish (leader);
-  gp_leader_drop_links (leader);
+  gp_leader_close_links (leader);
   gp_timer_finish (&leader->timer);
   gp_deferred_cancel (&leader->round);
   g_hash_table_destroy (leader->links);
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -53,7 +53,7 @@
                                 yet */
   gp_time_t report_sent_at;  /* last report sent, on the guard's clock */
   uint64_t sync;             /* number of the last sync sent or queued */
-  bool wants_sync; /* the guard has to be sent the full list of its runs */
+  bool needs_sync; /* the guard has to be sent the full list of its runs */
   gp_time_t sync_sent_at; /* the last sync was built, or sent */
   bool has_executor;      /* the guard's last report names an executor */
   bool silent; /* the executor's lease has expired and it does not answer, or
@@ -62,9 +62,9 @@
                                 guard */
   guint fillings_sent; /* number of entries of leader->fillings sent to the
                           guard */
-  GPtrArray *lacking;  /* ids, owned, of jobs whose specification the guard has
-                          to be sent */
-  bool reporting;      /* the guard reports on this connection */
+  GPtrArray *missing_specs; /* ids, owned, of jobs whose specification the
+                               guard has to be sent */
+  bool reporting;           /* the guard reports on this connection */
 } gp_guard_link_t;
 
 struct gp_leader
@@ -92,7 +92,7 @@
   gp_leader_role_t role;
   uint64_t epoch;
   uint64_t position; /* end offset of the progress topic, as far as known */
-  uint64_t beat;
+  uint64_t heartbeat_number;
   uint64_t sync_count;
   gp_time_t confirmed_at; /* send time of the last acknowledged append */
   gp_grants_t grants; /* until when other leaders may have renewed leases */
@@ -129,7 +129,7 @@
      The book of an entry that has led has to be reloaded, as it contains
      decisions that are not on the log; that of one that has not still
      matches the log.  */
-  void (*on_deposed) (bool claimed, void *data);
+  void (*on_leadership_lost) (bool claimed, void *data);
   void *data;
   gp_refusals_t refusals; /* of the whole entry, not only of the leader */
 };
@@ -137,7 +137,7 @@
 void gp_leader_init (gp_leader_t *leader, gp_loop_t *loop,
                      gp_platform_store_t *store, gp_book_t *book,
                      const gp_operator_feed_t *operators, const char *node,
-                     void (*on_deposed) (bool claimed, void *data),
+                     void (*on_leadership_lost) (bool claimed, void *data),
                      void *data);
 void gp_leader_finish (gp_leader_t *leader);
 
--- a/src/jobsd/leader_append.c
+++ b/src/jobsd/leader_append.c
@@ -54,7 +54,7 @@
   record.node = (char *)leader->node;
   record.incarnation = leader->incarnation;
   record.resigned = resigned;
-  record.beat = ++leader->beat;
+  record.beat = ++leader->heartbeat_number;
   gp_grants_tell (&leader->grants, &record, now_of (leader));
   value = gp_message_pack (&record.base);
   gp_grants_clear_told (&record);
@@ -152,7 +152,7 @@
 }
 
 static void
-batch_done (gp_leader_t *leader, uint64_t offset, gp_time_t sent_at)
+complete_batch (gp_leader_t *leader, uint64_t offset, gp_time_t sent_at)
 {
   leader->position = offset + leader->batch_records;
   leader->confirmed_at = sent_at;
@@ -165,7 +165,7 @@
     {
       gp_log (GP_LOG_INFO, "lead.resigned", GP_LOG_I ("epoch", leader->epoch));
       leader->role = GP_LEADER_FOLLOWING;
-      gp_leader_drop_links (leader);
+      gp_leader_close_links (leader);
       return;
     }
   if (leader->role == GP_LEADER_CLAIMING)
@@ -174,7 +174,7 @@
 }
 
 static void
-depose (gp_leader_t *leader, const char *why)
+lose_leadership (gp_leader_t *leader, const char *why)
 {
   bool claimed = leader->role == GP_LEADER_CLAIMING;
 
@@ -185,7 +185,7 @@
   leader->record_read_at = now_of (leader);
   end_batch (leader);
   gp_timer_disarm (&leader->retry);
-  gp_leader_drop_links (leader);
+  gp_leader_close_links (leader);
   gp_scheduler_reset (&leader->scheduler);
   g_hash_table_remove_all (leader->new_places);
   /* Places are reloaded with the book: one that was never written must not
@@ -193,7 +193,7 @@
   if (!claimed)
     g_hash_table_remove_all (leader->places);
   g_ptr_array_set_size (leader->progress_drops, 0);
-  leader->on_deposed (claimed, leader->data);
+  leader->on_leadership_lost (claimed, leader->data);
 }
 
 static bool
@@ -209,7 +209,7 @@
       = gp__jobs__leadership__unpack (NULL, record->value_size, record->value);
   own = leadership != NULL && strcmp (leadership->node, leader->node) == 0
         && leadership->incarnation == leader->incarnation
-        && leadership->beat == leader->beat;
+        && leadership->beat == leader->heartbeat_number;
   if (leadership != NULL)
     gp__jobs__leadership__free_unpacked (leadership, NULL);
   return own;
@@ -281,8 +281,8 @@
   leader->call = NULL;
   if (answer->result == GP_PLATFORM_STORE_FORGOTTEN)
     {
-      depose (leader,
-              "the log has dropped the records at its append's offset");
+      lose_leadership (
+          leader, "the log has dropped the records at its append's offset");
       return;
     }
   if (answer->result != GP_PLATFORM_STORE_DONE)
@@ -292,9 +292,9 @@
     }
   if (leader->outcome_unknown && answer->count > last
       && is_own_record (leader, &answer->records[last]))
-    batch_done (leader, leader->position, leader->batch_leases_from);
+    complete_batch (leader, leader->position, leader->batch_leases_from);
   else if (answer->count == 0 || has_other_leader (answer))
-    depose (leader, "another process has appended");
+    lose_leadership (leader, "another process has appended");
   else
     append_after_foreign (leader, answer);
 }
@@ -316,11 +316,11 @@
   switch (answer->result)
     {
     case GP_PLATFORM_STORE_DONE:
-      batch_done (leader, answer->offset, answer->sent_at);
+      complete_batch (leader, answer->offset, answer->sent_at);
       return;
     case GP_PLATFORM_STORE_CONFLICT:
       if (leader->role == GP_LEADER_CLAIMING && !leader->outcome_unknown)
-        depose (leader, "another process has appended");
+        lose_leadership (leader, "another process has appended");
       else
         check_append (leader);
       return;
@@ -336,7 +336,7 @@
           GP_LOG_I ("at", leader->position));
   if (leader->role == GP_LEADER_CLAIMING && !leader->outcome_unknown)
     {
-      depose (leader, answer->reason);
+      lose_leadership (leader, answer->reason);
       return;
     }
   gp_timer_arm (&leader->retry, now_of (leader) + APPEND_RETRY_DELAY);
@@ -368,7 +368,7 @@
 /* Only called between appends: the batch of one in flight points to its
    jobs.  */
 static void
-add_drops (gp_leader_t *leader)
+add_progress_drops (gp_leader_t *leader)
 {
   for (guint i = 0; i < leader->progress_drops->len; i++)
     {
@@ -400,7 +400,7 @@
   leader->batch = g_byte_array_new ();
   add_places (leader);
   add_dirty_jobs (leader);
-  add_drops (leader);
+  add_progress_drops (leader);
   gp_leader_add_model (leader);
   add_leadership (leader, leader->stopping);
   leader->resigning = leader->stopping;
--- a/src/jobsd/leader_frames.c
+++ b/src/jobsd/leader_frames.c
@@ -63,7 +63,7 @@
 }
 
 void
-gp_leader_drop_frames (gp_leader_t *leader)
+gp_leader_discard_frames (gp_leader_t *leader)
 {
   for (guint i = 0; i < leader->frames->len; i++)
     frame_free (g_ptr_array_index (leader->frames, i));
@@ -222,15 +222,15 @@
 {
   const gp_book_t *book = link->leader->book;
 
-  for (guint i = 0; i < link->lacking->len; i++)
+  for (guint i = 0; i < link->missing_specs->len; i++)
     {
       const gp_job_t *job
-          = gp_book_find (book, g_ptr_array_index (link->lacking, i));
+          = gp_book_find (book, g_ptr_array_index (link->missing_specs, i));
 
       if (job != NULL && job->submission != NULL)
         add_spec (specs, job, NULL);
     }
-  g_ptr_array_set_size (link->lacking, 0);
+  g_ptr_array_set_size (link->missing_specs, 0);
   for (guint i = 0; outbox != NULL && i < outbox->starts->len; i++)
     {
       const Gp__Jobs__Start *start = g_ptr_array_index (outbox->starts, i);
@@ -288,7 +288,7 @@
   }
   link->sync = ++link->leader->sync_count;
   link->sync_sent_at = gp_loop_now (link->leader->loop);
-  link->wants_sync = false;
+  link->needs_sync = false;
   sync.number = link->sync;
   sync.executor = link->executor->id;
   sync.born_ms = link->executor->born_ms;
@@ -322,10 +322,10 @@
 
       if (link->peer == NULL || !link->has_executor)
         continue;
-      if (link->wants_sync && !link->silent)
+      if (link->needs_sync && !link->silent)
         build_sync (link);
       outbox = g_hash_table_lookup (outboxes, link->executor);
-      if (outbox != NULL || link->lacking->len > 0)
+      if (outbox != NULL || link->missing_specs->len > 0)
         build_orders (link, outbox);
     }
   g_hash_table_destroy (outboxes);
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -195,7 +195,7 @@
   if (link->executor != executor)
     {
       link->executor = executor;
-      link->wants_sync = true;
+      link->needs_sync = true;
     }
 }
 
@@ -237,10 +237,10 @@
                   report->answers ? GP_DEATH_LAPSED : GP_DEATH_UNHEARD);
   /* It may work again only with a new fence, which a sync raises.  */
   if (executor->dead)
-    link->wants_sync = true;
+    link->needs_sync = true;
   if (report->synced != link->sync
       && now - link->sync_sent_at > RESYNC_TIMEOUT)
-    link->wants_sync = true;
+    link->needs_sync = true;
   if (!report->down && (executor->down || executor->reported_since == 0))
     gp_scheduler_up (&leader->scheduler, executor);
   executor->down = report->down;
@@ -249,7 +249,7 @@
   executor->cut_at = 0;
   if (executor->reported_since == 0)
     executor->reported_since = now;
-  executor->reachable = !report->lapsed && !report->ended && !link->wants_sync
+  executor->reachable = !report->lapsed && !report->ended && !link->needs_sync
                         && report->synced == link->sync;
 }
 
@@ -274,14 +274,14 @@
 /* Remember jobs whose specification the guard could not get from another
    guard.  */
 static void
-note_lacking (gp_guard_link_t *link, const Gp__Jobs__Report *report)
+add_missing_specs (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_leader_t *leader = link->leader;
 
   for (size_t i = 0; i < report->n_lacking; i++)
     if (gp_spec_spread_lacks (&leader->specs, report->lacking[i], link->node,
                               gp_loop_now (leader->loop)))
-      g_ptr_array_add (link->lacking, g_strdup (report->lacking[i]));
+      g_ptr_array_add (link->missing_specs, g_strdup (report->lacking[i]));
 }
 
 /* Does REPORT need a planning round?  Most reports only contain measurements,
@@ -290,8 +290,8 @@
 static bool
 needs_round (const gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
-  return report->n_ends > 0 || report->n_absent > 0 || link->wants_sync
-         || link->lacking->len > 0 || !report->executor->unchanged
+  return report->n_ends > 0 || report->n_absent > 0 || link->needs_sync
+         || link->missing_specs->len > 0 || !report->executor->unchanged
          || link->executor->dead;
 }
 
@@ -321,7 +321,7 @@
   was_reachable = link->executor->reachable;
   was_down = link->executor->down;
   gp_leader_update_model (link, report);
-  note_lacking (link, report);
+  add_missing_specs (link, report);
   apply_report (link, report);
   if (link->executor->reachable != was_reachable
       || link->executor->down != was_down || needs_round (link, report))
@@ -347,7 +347,7 @@
 /* Connections.  */
 
 static void
-set_down (gp_guard_link_t *link, const char *why)
+mark_down (gp_guard_link_t *link, const char *why)
 {
   if (link->reporting && link->leader->role == GP_LEADER_LEADING)
     gp_log (GP_LOG_INFO, "guard.down", GP_LOG_S ("guard", link->node),
@@ -355,10 +355,10 @@
   link->reporting = false;
   link->has_executor = false;
   link->peer = NULL;
-  link->wants_sync = true;
+  link->needs_sync = true;
   link->fillings_sent = 0;
   gp_spec_spread_forget_guard (&link->leader->specs, link->node);
-  g_ptr_array_set_size (link->lacking, 0);
+  g_ptr_array_set_size (link->missing_specs, 0);
   if (link->executor != NULL)
     link->executor->reachable = false;
 }
@@ -372,7 +372,8 @@
     return;
   if (link->executor != NULL)
     link->executor->cut_at = gp_loop_now (link->leader->loop);
-  set_down (link, reason != NULL ? reason->message : "closed by this process");
+  mark_down (link,
+             reason != NULL ? reason->message : "closed by this process");
   gp_timer_arm (&link->redial,
                 gp_loop_now (link->leader->loop) + REDIAL_DELAY);
 }
@@ -382,7 +383,7 @@
 {
   gp_peer_t *peer = link->peer;
 
-  set_down (link, why);
+  mark_down (link, why);
   if (peer == NULL)
     return;
   gp_peer_set_data (peer, NULL);
@@ -437,7 +438,7 @@
   gp_guard_link_t *link = data;
 
   gp_timer_finish (&link->redial);
-  g_ptr_array_unref (link->lacking);
+  g_ptr_array_unref (link->missing_specs);
   g_free (link->node);
   g_free (link->address);
   g_free (link->zone);
@@ -463,12 +464,12 @@
 }
 
 void
-gp_leader_drop_links (gp_leader_t *leader)
+gp_leader_close_links (gp_leader_t *leader)
 {
   GHashTableIter iter;
   gpointer value;
 
-  gp_leader_drop_frames (leader);
+  gp_leader_discard_frames (leader);
   gp_spec_spread_reset (&leader->specs);
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -493,7 +494,7 @@
       link = g_new0 (gp_guard_link_t, 1);
       link->leader = leader;
       link->node = g_strdup (node);
-      link->lacking = g_ptr_array_new_with_free_func (g_free);
+      link->missing_specs = g_ptr_array_new_with_free_func (g_free);
       gp_timer_init (&link->redial, leader->loop, on_redial, link);
       g_hash_table_insert (leader->links, link->node, link);
     }
--- a/src/jobsd/leader_private.h
+++ b/src/jobsd/leader_private.h
@@ -27,7 +27,7 @@
 
 GHashTable *gp_leader_links_new (void);
 void gp_leader_dial_all (gp_leader_t *leader);
-void gp_leader_drop_links (gp_leader_t *leader);
+void gp_leader_close_links (gp_leader_t *leader);
 
 /* Find executors whose leases have certainly expired, and those that are
    draining.  */
@@ -37,7 +37,7 @@
    were built before the append that is done now.  */
 void gp_leader_build_frames (gp_leader_t *leader);
 void gp_leader_send_frames (gp_leader_t *leader);
-void gp_leader_drop_frames (gp_leader_t *leader);
+void gp_leader_discard_frames (gp_leader_t *leader);
 
 /* Interval of an idle leader's heartbeat records.  */
 #define GP_LEADER_HEARTBEAT_INTERVAL (250 * GP_MSEC)
