--- /dev/null
+++ b/src/jobsd/guard_heartbeats.c
@@ -0,0 +1,270 @@
+/* Heartbeats of the executor on a guard's VM.
+
+   A heartbeat may be delayed and arrive after its sender has crashed and
+   another executor, or another incarnation of it, runs at the same address.
+   If the delayed one were taken for the newest, the executor that works would
+   be declared dead and its runs started elsewhere; and birth times come from a
+   clock that may step back, so they do not tell which incarnation is newer.
+   Therefore another incarnation than the current one is accepted only once the
+   executor that answers at the VM's address has sent a list under that
+   incarnation.  Answers to calls made before yet another incarnation was
+   accepted do not count.
+
+   A malformed heartbeat changes nothing.  Nor does one that gives the current
+   executor another service: an executor never changes its service, so the
+   heartbeat is from another writer.  If such heartbeats continue, it was the
+   first heartbeat that came from another writer, and the service that is
+   repeated is accepted.  */
+
+#include "jobsd/guard_private.h"
+
+#include <string.h>
+
+#include "base/counters.h"
+#include "base/log.h"
+#include "platform/json.h"
+#include "platform/refusals.h"
+
+/* Limit of executors being identified at the same time.  Each takes a call,
+   and the orders to the executor of this VM must not queue behind calls for
+   ids that another writer makes up.  */
+#define IDENTIFICATIONS_MAX 8
+/* Consecutive heartbeats that have to give the current executor another
+   service before it is accepted.  */
+#define OTHER_SERVICE_MAX 3
+
+/* Limit of identification calls to an executor that rejects them as it has
+   seen a higher fence.  The fence is raised in doubling leaps, which exceed
+   any time of day by then.  */
+#define IDENTIFY_ATTEMPTS_MAX 40
+
+static gp_counter_t lives_count
+    = GP_COUNTER ("guard_lives_total", "Lives of executors that were met");
+
+/* A heartbeat of an unknown incarnation, until that is identified.  */
+typedef struct
+{
+  gp_job_guard_t *guard;
+  gp_heartbeat_t heartbeat;
+  uint64_t incarnation; /* current incarnation when the heartbeat arrived */
+  int64_t fence;        /* fence of the last identification call */
+  unsigned attempts;
+} identification_t;
+
+void
+gp_guard_register_heartbeats (void)
+{
+  gp_counter_register (&lives_count);
+}
+
+/* Is HEARTBEAT from the current incarnation?  */
+static bool
+is_current (const gp_job_guard_t *guard, const gp_heartbeat_t *heartbeat)
+{
+  return gp_agent_is_life (&guard->agent, heartbeat->executor->id,
+                           heartbeat->executor->born_ms);
+}
+
+/* Process a heartbeat of the current incarnation.  */
+static void
+apply_heartbeat (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat)
+{
+  bool changed;
+
+  if (heartbeat->sequence < guard->heartbeat_sequence)
+    return;
+  changed = guard->agent.executor->draining != heartbeat->executor->draining;
+  guard->heartbeat_sequence = heartbeat->sequence;
+  gp_agent_set_executor (&guard->agent, g_steal_pointer (&heartbeat->executor),
+                         heartbeat->clock_ms, gp_loop_now (&guard->loop));
+  if (changed)
+    gp_guard_send_report (guard);
+  gp_guard_request_list (guard);
+}
+
+/* The incarnation that sent HEARTBEAT has answered with LIST, requested with
+   FENCE: it is the current one from now on.  The report tells the leader
+   together with what is left to report of the previous incarnation.  */
+static void
+accept_incarnation (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat,
+                    const gp_runtime_list_t *list, int64_t fence)
+{
+  gp_counter_add (&lives_count, 1);
+  guard->heartbeat_sequence = heartbeat->sequence;
+  gp_agent_set_executor (&guard->agent, g_steal_pointer (&heartbeat->executor),
+                         heartbeat->clock_ms, gp_loop_now (&guard->loop));
+  gp_guard_apply_list (guard, list, fence);
+  gp_guard_send_report (guard);
+  gp_guard_request_list (guard);
+}
+
+/* Count and log that the heartbeat of the executor ID was not confirmed.  */
+static void
+log_unconfirmed (const char *id, const char *why)
+{
+  GError *error
+      = g_error_new_literal (GP_JSON_ERROR, GP_JSON_ERROR_IDENTITY, why);
+  uint64_t count = gp_refusal_note (GP_REFUSED_HEARTBEAT, id, error);
+
+  if (count > 0)
+    gp_log (GP_LOG_INFO, "executor.unconfirmed", GP_LOG_S ("executor", id),
+            GP_LOG_S ("why", why), GP_LOG_I ("count", count));
+  g_error_free (error);
+}
+
+/* Reason for which LIST does not confirm the heartbeat; NULL if it does.  */
+static const char *
+rejection_reason (const identification_t *identification,
+                  const gp_runtime_list_t *list)
+{
+  if (identification->incarnation != identification->guard->agent.life)
+    return "another incarnation was accepted in the meantime";
+  if (list->result == GP_AGENT_REPLACED)
+    return "another executor answers at its address";
+  if (list->result != GP_AGENT_TAKEN)
+    return "the executor does not answer";
+  if (list->born_ms != identification->heartbeat.executor->born_ms)
+    return "another incarnation of it answers at its address";
+  return NULL;
+}
+
+static void send_identify (identification_t *identification);
+
+static void
+on_identified (const gp_runtime_list_t *list, void *data)
+{
+  identification_t *identification = data;
+  gp_job_guard_t *guard = identification->guard;
+  gp_heartbeat_t *heartbeat = &identification->heartbeat;
+  const char *reason = rejection_reason (identification, list);
+
+  gp_agent_begin_fence (&guard->agent, identification->fence);
+  if (list->result == GP_AGENT_FENCED
+      && identification->attempts < IDENTIFY_ATTEMPTS_MAX)
+    {
+      gp_agent_fenced (&guard->agent, identification->fence);
+      send_identify (identification);
+      return;
+    }
+  guard->identifications--;
+  if (is_current (guard, heartbeat))
+    apply_heartbeat (guard, heartbeat);
+  else if (reason == NULL)
+    accept_incarnation (guard, heartbeat, list, identification->fence);
+  else
+    log_unconfirmed (heartbeat->executor->id, reason);
+  gp_heartbeat_finish (heartbeat);
+  g_free (identification);
+}
+
+/* Send an identification call.  Its fence is above those of all orders to the
+   previous incarnation, including orders made until its answer arrives: once
+   it is answered none of them can be carried out any more.  */
+static void
+send_identify (identification_t *identification)
+{
+  gp_job_guard_t *guard = identification->guard;
+  const Gp__Jobs__Executor *executor = identification->heartbeat.executor;
+  gp_runtime_order_t order
+      = { .executor = executor->id,
+          .born_ms = executor->born_ms,
+          .deadline = gp_loop_now (&guard->loop) + GP_GUARD_ORDER_TIMEOUT };
+
+  identification->fence = gp_agent_ask_fence (&guard->agent);
+  order.fence = identification->fence;
+  identification->attempts++;
+  gp_platform_runtime_identify (guard->runtime, &order, on_identified,
+                                identification);
+}
+
+/* Takes ownership of HEARTBEAT; returns the HTTP status of the response.  */
+static int
+identify (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat)
+{
+  identification_t *identification;
+
+  if (guard->identifications >= IDENTIFICATIONS_MAX)
+    {
+      log_unconfirmed (heartbeat->executor->id,
+                       "too many executors are being identified");
+      return 503;
+    }
+  guard->identifications++;
+  identification = g_new0 (identification_t, 1);
+  identification->guard = guard;
+  identification->heartbeat = *heartbeat;
+  identification->incarnation = guard->agent.life;
+  heartbeat->executor = NULL;
+  send_identify (identification);
+  return 200;
+}
+
+/* Count and log ERROR, which is freed; returns the HTTP status of the
+   response.  */
+static int
+reject (const char *id, GError *error)
+{
+  uint64_t count = gp_refusal_note (GP_REFUSED_HEARTBEAT, id, error);
+
+  if (count > 0)
+    gp_log (GP_LOG_WARNING, "heartbeat.malformed", GP_LOG_S ("executor", id),
+            GP_LOG_S ("cause", gp_json_error_kind (error)),
+            GP_LOG_S ("why", error->message), GP_LOG_I ("count", count));
+  g_error_free (error);
+  return 400;
+}
+
+void
+gp_guard_reject_invalid_id (void)
+{
+  reject ("", g_error_new (GP_JSON_ERROR, GP_JSON_ERROR_RANGE,
+                           "id: not a valid executor id"));
+}
+
+/* Returns an error if HEARTBEAT gives the current executor another
+   service.  */
+static GError *
+check_service (gp_job_guard_t *guard, const gp_heartbeat_t *heartbeat)
+{
+  const char *service = heartbeat->executor->service;
+
+  if (!is_current (guard, heartbeat))
+    return NULL;
+  if (strcmp (guard->agent.executor->service, service) == 0)
+    {
+      guard->other_service_count = 0;
+      return NULL;
+    }
+  if (++guard->other_service_count >= OTHER_SERVICE_MAX)
+    {
+      guard->heartbeat_sequence = 0;
+      return NULL;
+    }
+  return g_error_new (GP_JSON_ERROR, GP_JSON_ERROR_IDENTITY,
+                      "service: '%s' is not the service of this executor",
+                      service);
+}
+
+int
+gp_guard_heartbeat (gp_job_guard_t *guard, const char *id, gp_http_text_t body)
+{
+  gp_heartbeat_t heartbeat = { 0 };
+  GError *error = NULL;
+  int status = 200;
+
+  if (!gp_platform_heartbeat_parse (&heartbeat, id, body.base, body.size,
+                                    &error))
+    return reject (id, error);
+  error = check_service (guard, &heartbeat);
+  if (error != NULL)
+    {
+      gp_heartbeat_finish (&heartbeat);
+      return reject (id, error);
+    }
+  if (is_current (guard, &heartbeat))
+    apply_heartbeat (guard, &heartbeat);
+  else
+    status = identify (guard, &heartbeat);
+  gp_heartbeat_finish (&heartbeat);
+  return status;
+}
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -1,5 +1,5 @@
-/* The leading entry: taking the lead and its turns.  What it writes down is in
-   jobsd/leader_append.c, the connections to the guards in
+/* The leading entry: taking leadership and planning rounds.  What it appends
+   to the log is in jobsd/leader_append.c, the connections to the guards in
    jobsd/leader_links.c.  */
 
 #include "jobsd/leader_private.h"
@@ -9,22 +9,26 @@
 #include "base/log.h"
 #include "jobs/fields.h"
 
-/* Without a record for so long, and for a few times the usual duration
-   between two, others try to lead: a leader in a slow store or on a slow VM
-   keeps it.  Work that is due within 1.5 s waits for a new leader.  */
-#define SILENCE_TIME (700 * GP_MSEC)
-#define SILENCE_GAPS 4
-/* Executors that are silent or leave are found so late; the times that follow
-   are seconds.  */
-#define LOOK_TIME (50 * GP_MSEC)
-/* Weight of the last duration in the mean, and the most that one counts.  */
-#define GAP_GAIN 0.2
-#define GAP_MAX (500 * GP_MSEC)
-/* Others wait this much longer by turns, so that two seldom try at once.  */
-#define SILENCE_SPREAD (400 * GP_MSEC)
-/* A leader that another writer has deposed by a record that cannot be read
-   lets the others go first: they still know what that record stands for.  */
-#define FORGOT_TIME SILENCE_TIME
+/* Time without a record after which others try to take over: SILENCE_BASE plus
+   SILENCE_INTERVALS times the average time between two records.  The second
+   part lets a leader with a slow store or on a slow VM keep leadership.  Work
+   that is due within 1.5 s waits for a new leader.  */
+#define SILENCE_BASE (700 * GP_MSEC)
+#define SILENCE_INTERVALS 4
+/* Interval between checks for executors that are silent or draining; short
+   against the times that follow, which are seconds.  */
+#define CHECK_INTERVAL (50 * GP_MSEC)
+/* Weight of the last duration in the moving average, and the upper bound of
+   one duration.  */
+#define INTERVAL_GAIN 0.2
+#define INTERVAL_MAX (500 * GP_MSEC)
+/* Followers wait up to this much longer, depending on their node's name, so
+   that two seldom claim at once.  */
+#define SILENCE_JITTER (400 * GP_MSEC)
+/* An entry that lost leadership, possibly to an unreadable record of another
+   writer, waits this much longer than the others: they have not reset their
+   books and may still know what that record replaced.  */
+#define BOOK_RESET_DELAY SILENCE_BASE
 
 static gp_time_t
 now_of (const gp_leader_t *leader)
@@ -33,48 +37,48 @@
 }
 
 void
-gp_leader_turn_soon (gp_leader_t *leader)
+gp_leader_schedule_round (gp_leader_t *leader)
 {
-  gp_deferred_schedule (&leader->turn, leader->loop);
+  gp_deferred_schedule (&leader->round, leader->loop);
 }
 
-/* Turns.  */
+/* Planning rounds.  */
 
 static gp_time_t
-next_look (const gp_leader_t *leader)
+next_wakeup (const gp_leader_t *leader)
 {
   gp_time_t at = MIN (leader->scheduler.next_due, leader->heartbeat_due);
 
   if (leader->batch != NULL)
-    at = leader->look_due;
-  return MAX (MIN (at, leader->look_due), now_of (leader) + GP_MSEC);
+    at = leader->check_due;
+  return MAX (MIN (at, leader->check_due), now_of (leader) + GP_MSEC);
 }
 
-/* All executors are looked at, so not in each turn.  */
+/* Scans all executors, so it is not done in each round.  */
 static void
-look_after_executors (gp_leader_t *leader)
+check_executors_if_due (gp_leader_t *leader)
 {
-  if (now_of (leader) < leader->look_due)
+  if (now_of (leader) < leader->check_due)
     return;
-  leader->look_due = now_of (leader) + LOOK_TIME;
-  gp_leader_look_after_executors (leader);
+  leader->check_due = now_of (leader) + CHECK_INTERVAL;
+  gp_leader_check_executors (leader);
 }
 
 static void
-on_turn (gp_deferred_t *deferred)
+on_round (gp_deferred_t *deferred)
 {
-  gp_leader_t *leader = GP_CONTAINER_OF (deferred, gp_leader_t, turn);
+  gp_leader_t *leader = GP_CONTAINER_OF (deferred, gp_leader_t, round);
 
   if (leader->role != GP_LEADER_LEADING)
     return;
-  look_after_executors (leader);
-  /* While an append is on its way nothing new can be written: what comes
-     meanwhile is decided on together.  */
+  check_executors_if_due (leader);
+  /* While an append is in flight nothing new can be written: what arrives in
+     the meantime is decided on together.  */
   if (leader->batch == NULL && !leader->stopping)
     gp_scheduler_plan (&leader->scheduler, now_of (leader),
                        gp_time_wall_ms ());
   gp_leader_flush (leader);
-  gp_timer_arm (&leader->timer, next_look (leader));
+  gp_timer_arm (&leader->timer, next_wakeup (leader));
 }
 
 static void
@@ -83,13 +87,13 @@
   gp_leader_t *leader = data;
 
   if (leader->role == GP_LEADER_LEADING)
-    gp_leader_turn_soon (leader);
+    gp_leader_schedule_round (leader);
 }
 
-/* The lead.  */
+/* Leadership.  */
 
-/* Decide on what came for jobs before this process led: cancellations, and
-   progress that another writer has made unreadable.  */
+/* Handle what arrived for jobs before this process led: cancellations, and
+   progress records that another writer has made unreadable.  */
 static void
 take_over_jobs (gp_leader_t *leader)
 {
@@ -108,11 +112,11 @@
 }
 
 void
-gp_leader_lead (gp_leader_t *leader, uint64_t epoch)
+gp_leader_start_leading (gp_leader_t *leader, uint64_t epoch)
 {
   leader->role = GP_LEADER_LEADING;
   leader->epoch = epoch;
-  /* It gives nothing any more by a lead of its own that was lost.  */
+  /* A leadership of this node that was lost renews no more leases.  */
   gp_grants_ended (&leader->grants, leader->node, now_of (leader));
   gp_log (GP_LOG_INFO, "lead.taken", GP_LOG_I ("epoch", epoch),
           GP_LOG_I ("jobs", g_hash_table_size (leader->book->jobs)),
@@ -127,56 +131,57 @@
 static gp_time_t
 silence_time (const gp_leader_t *leader)
 {
-  if (!leader->led || leader->resigned)
+  if (!leader->leader_known || leader->resigned)
     return 0;
-  return SILENCE_TIME + SILENCE_GAPS * leader->heard_gap
-         + (leader->forgot ? FORGOT_TIME : 0)
-         + (gp_time_t)(g_str_hash (leader->node) % 5) * SILENCE_SPREAD / 4;
+  return SILENCE_BASE + SILENCE_INTERVALS * leader->record_interval
+         + (leader->book_reset ? BOOK_RESET_DELAY : 0)
+         + (gp_time_t)(g_str_hash (leader->node) % 5) * SILENCE_JITTER / 4;
 }
 
 gp_time_t
 gp_leader_claim_at (const gp_leader_t *leader)
 {
-  return leader->heard_at + silence_time (leader);
+  return leader->record_read_at + silence_time (leader);
 }
 
 void
-gp_leader_fresh (gp_leader_t *leader, uint64_t position, gp_time_t sent_at,
-                 bool ready)
+gp_leader_caught_up (gp_leader_t *leader, uint64_t position, gp_time_t sent_at,
+                     bool ready)
 {
   if (leader->role != GP_LEADER_FOLLOWING)
     return;
   leader->position = position;
   if (!ready || leader->stopping)
     return;
-  /* Where nobody leads, nothing has to be waited for.  */
+  /* If there is no leader, there is no silence to wait for.  */
   if (silence_time (leader) > 0 && sent_at < gp_leader_claim_at (leader))
     return;
   gp_leader_claim (leader);
 }
 
 void
-gp_leader_deaf (gp_leader_t *leader)
+gp_leader_reset_silence (gp_leader_t *leader)
 {
-  leader->heard_at = now_of (leader);
+  leader->record_read_at = now_of (leader);
 }
 
-/* A record was read.  */
+/* Update the time of the last record and the average time between records.  */
 static void
-note_heard (gp_leader_t *leader)
+note_record_read (gp_leader_t *leader)
 {
   gp_time_t now = now_of (leader);
-  gp_time_t gap = MIN (now - leader->heard_at, GAP_MAX);
+  gp_time_t gap = MIN (now - leader->record_read_at, INTERVAL_MAX);
 
-  /* Records of one read come at once.  */
+  /* All records of one read arrive at the same time.  */
   if (gap > 0)
-    leader->heard_gap
-        += (gp_time_t)((double)(gap - leader->heard_gap) * GAP_GAIN);
-  leader->heard_at = now;
+    leader->record_interval
+        += (gp_time_t)((double)(gap - leader->record_interval)
+                       * INTERVAL_GAIN);
+  leader->record_read_at = now;
 }
 
 bool
-gp_leader_outnumber (gp_leader_t *leader, uint64_t incarnation)
+gp_leader_raise_incarnation (gp_leader_t *leader, uint64_t incarnation)
 {
   if (leader->role != GP_LEADER_FOLLOWING
       || incarnation <= leader->incarnation)
@@ -200,32 +205,34 @@
   bool here = strcmp (leadership->node, leader->node) == 0;
   bool own = here && leadership->incarnation == leader->incarnation;
 
-  leader->led = true;
+  leader->leader_known = true;
   if (here)
-    gp_leader_outnumber (leader, leadership->incarnation);
-  /* An earlier process of this VM has ended, as this one runs.  */
+    gp_leader_raise_incarnation (leader, leadership->incarnation);
+  /* An earlier process of this VM must have ended, as this one runs.  */
   leader->resigned = leadership->resigned || (here && !own);
   if (!own)
-    leader->forgot = false;
+    leader->book_reset = false;
   gp_grants_heard (&leader->grants, leadership, offset, now_of (leader));
   if (leader->resigned)
     gp_grants_ended (&leader->grants, leadership->node, now_of (leader));
 }
 
-/* Who leads cannot be read: somebody may, who is given the time of silence
-   once.  More of such records put no claim off.  */
+/* The leader's record cannot be read, so there may be a leader: it is
+   given the silence time once.  Further records of this kind do not delay
+   a claim.  */
 static void
 on_leadership_refused (gp_leader_t *leader)
 {
   gp_grants_unreadable (&leader->grants, now_of (leader));
-  if (!leader->led)
-    note_heard (leader);
-  leader->led = true;
+  if (!leader->leader_known)
+    note_record_read (leader);
+  leader->leader_known = true;
   leader->resigned = false;
 }
 
 gboolean
-gp_leader_stands_elsewhere (gpointer node, gpointer executor, gpointer data)
+gp_leader_is_recorded_elsewhere (gpointer node, gpointer executor,
+                                 gpointer data)
 {
   const gp_leader_place_t *place = data;
 
@@ -233,9 +240,9 @@
          && strcmp (executor, place->executor) == 0;
 }
 
-/* An executor lives on one VM.  Where records place it on two, one of them is
-   another writer's: the new one is left out, and until a guard reports the
-   executor neither proves its death.  */
+/* An executor runs on one VM only.  If records place it on two, one of them is
+   from another writer: the new one is left out, and until a guard reports the
+   executor neither record is taken as proof of its death.  */
 static bool
 on_place (gp_leader_t *leader, const char *node, const Gp__Jobs__Place *record,
           GError **error)
@@ -243,22 +250,24 @@
   const char *executor = record->executor;
   gp_leader_place_t place = { node, executor };
 
-  if (g_hash_table_find (leader->places, gp_leader_stands_elsewhere, &place)
+  if (g_hash_table_find (leader->places, gp_leader_is_recorded_elsewhere,
+                         &place)
       != NULL)
     {
       g_hash_table_add (leader->disputed, g_strdup (executor));
-      return gp_field_fail (error, "executor", "stands on another VM");
+      return gp_field_fail (error, "executor",
+                            "recorded on another VM already");
     }
   g_hash_table_replace (leader->places, g_strdup (node), g_strdup (executor));
   gp_book_executor (leader->book, executor)->born_ms = record->born_ms;
   return true;
 }
 
-/* Take in a record that was decoded; false and ERROR when it does not fit
-   what is known.  */
+/* Apply a decoded record; returns false and sets ERROR if it does not fit the
+   current state.  */
 static bool
-take_record (gp_leader_t *leader, gp_record_t *record, gp_book_place_t place,
-             GError **error)
+apply_record (gp_leader_t *leader, gp_record_t *record, gp_book_place_t place,
+              GError **error)
 {
   switch (record->kind)
     {
@@ -273,7 +282,7 @@
       on_leadership (leader, record->u.leadership, place.offset);
       break;
     case GP_RECORD_LEARNED:
-      gp_leader_take_learned (leader, record->u.learned);
+      gp_leader_load_model (leader, record->u.learned);
       if (record->refused != NULL)
         gp_refusals_record_row (&leader->refusals, record, record->refused);
       break;
@@ -286,7 +295,7 @@
   return true;
 }
 
-/* What a record means that cannot be read, by its key.  */
+/* Handle an unreadable record according to its key.  */
 static void
 refuse_record (gp_leader_t *leader, const gp_record_t *record,
                gp_book_place_t place)
@@ -298,8 +307,8 @@
 }
 
 void
-gp_leader_record (gp_leader_t *leader,
-                  const gp_platform_store_record_t *record, bool loading)
+gp_leader_apply_record (gp_leader_t *leader,
+                        const gp_platform_store_record_t *record, bool loading)
 {
   const gp_book_place_t place
       = { .offset = record->offset, .loading = loading };
@@ -307,14 +316,14 @@
   GError *error = NULL;
 
   gp_grants_read (&leader->grants, record->offset, now_of (leader));
-  /* A key was dropped.  */
+  /* The key was deleted.  */
   if (record->value_size == 0)
     return;
   if (!gp_record_parse_progress (&decoded, record->key, record->key_size,
                                  record->value, record->value_size, &error))
     refuse_record (leader, &decoded, place);
-  else if (take_record (leader, &decoded, place, &error))
-    note_heard (leader);
+  else if (apply_record (leader, &decoded, place, &error))
+    note_record_read (leader);
   if (error != NULL)
     {
       gp_refusals_record (&leader->refusals, "progress", &decoded, record,
@@ -325,12 +334,12 @@
 }
 
 void
-gp_leader_job (gp_leader_t *leader, gp_job_t *job)
+gp_leader_job_changed (gp_leader_t *leader, gp_job_t *job)
 {
   if (leader->role != GP_LEADER_LEADING)
     return;
   gp_scheduler_job (&leader->scheduler, job, gp_time_wall_ms ());
-  gp_leader_turn_soon (leader);
+  gp_leader_schedule_round (leader);
 }
 
 void
@@ -345,10 +354,10 @@
       const gp_job_t *job = value;
 
       if (gp_list_empty (&job->dirty_link) && gp_book_expired (job, wall_ms))
-        g_ptr_array_add (leader->drops, g_strdup (job->id));
+        g_ptr_array_add (leader->progress_drops, g_strdup (job->id));
     }
-  if (leader->drops->len > 0)
-    gp_leader_turn_soon (leader);
+  if (leader->progress_drops->len > 0)
+    gp_leader_schedule_round (leader);
 }
 
 void
@@ -359,13 +368,14 @@
     gp_leader_flush (leader);
 }
 
-/* Life.  */
+/* Initialization.  */
 
 void
 gp_leader_init (gp_leader_t *leader, gp_loop_t *loop,
                 gp_platform_store_t *store, gp_book_t *book,
                 const gp_operator_feed_t *operators, const char *node,
-                void (*on_deposed) (bool claimed, void *data), void *data)
+                void (*on_leadership_lost) (bool claimed, void *data),
+                void *data)
 {
   memset (leader, 0, sizeof *leader);
   leader->loop = loop;
@@ -374,10 +384,10 @@
   leader->operators = operators;
   leader->node = node;
   leader->incarnation = (uint64_t)gp_time_wall ();
-  leader->on_deposed = on_deposed;
+  leader->on_leadership_lost = on_leadership_lost;
   leader->data = data;
   gp_grants_init (&leader->grants);
-  /* Earlier processes here have ended.  */
+  /* Earlier processes on this node have ended.  */
   gp_grants_announced (&leader->grants, node, leader->incarnation, 0,
                        gp_loop_now (loop));
   gp_pressure_init (&leader->pressure);
@@ -393,19 +403,19 @@
   leader->new_places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                               (GDestroyNotify)g_bytes_unref);
   leader->frames = g_ptr_array_new ();
-  leader->drops = g_ptr_array_new_with_free_func (g_free);
+  leader->progress_drops = g_ptr_array_new_with_free_func (g_free);
   gp_timer_init (&leader->timer, loop, on_timer, leader);
   gp_leader_append_init (leader);
-  gp_deferred_init (&leader->turn, on_turn);
+  gp_deferred_init (&leader->round, on_round);
 }
 
 void
 gp_leader_finish (gp_leader_t *leader)
 {
   gp_leader_append_finish (leader);
-  gp_leader_drop_links (leader);
+  gp_leader_close_links (leader);
   gp_timer_finish (&leader->timer);
-  gp_deferred_cancel (&leader->turn);
+  gp_deferred_cancel (&leader->round);
   g_hash_table_destroy (leader->links);
   g_hash_table_destroy (leader->places);
   g_hash_table_destroy (leader->disputed);
@@ -413,7 +423,7 @@
   gp_spec_spread_finish (&leader->specs);
   g_hash_table_destroy (leader->new_places);
   g_ptr_array_unref (leader->frames);
-  g_ptr_array_unref (leader->drops);
+  g_ptr_array_unref (leader->progress_drops);
   gp_scheduler_finish (&leader->scheduler);
   gp_pressure_finish (&leader->pressure);
   g_ptr_array_unref (leader->fillings);
--- a/src/jobsd/leader_append.c
+++ b/src/jobsd/leader_append.c
@@ -1,5 +1,5 @@
-/* What the leader writes down: one append at a time, whose fate is found out
-   before the next.  */
+/* The leader's appends to the progress topic: one at a time, whose outcome is
+   determined before the next one starts.  */
 
 #include "jobsd/leader_private.h"
 
@@ -9,16 +9,16 @@
 #include "base/log.h"
 #include "protocol/message.h"
 
-#define APPEND_TIME (GP_SEC)
-#define APPEND_RETRY_TIME (60 * GP_MSEC)
-/* An append that takes longer counts as put off: what it orders begins behind
-   it, and not when it was decided.  */
-#define SLOW_APPEND_TIME (200 * GP_MSEC)
+#define APPEND_TIMEOUT (GP_SEC)
+#define APPEND_RETRY_DELAY (60 * GP_MSEC)
+/* An append that takes longer counts as delayed: the runs that it orders are
+   timed from its end, not from when they were decided.  */
+#define SLOW_APPEND_THRESHOLD (200 * GP_MSEC)
 
 static gp_histogram_t append_time = GP_HISTOGRAM (
     "progress_append", "From the first sending of an append to its end");
 
-/* The state of a job as the append in progress has it.  */
+/* The state of a job as written by the append in progress.  */
 typedef struct
 {
   gp_job_t *job;
@@ -43,8 +43,8 @@
   leader->batch_records++;
 }
 
-/* Each batch ends with the leader's record, by which its writer is known
-   again when an append went unanswered.  */
+/* Each batch ends with the leader's record.  It identifies the writer when an
+   append got no answer and its outcome is looked up.  */
 static void
 add_leadership (gp_leader_t *leader, bool resigned)
 {
@@ -54,7 +54,7 @@
   record.node = (char *)leader->node;
   record.incarnation = leader->incarnation;
   record.resigned = resigned;
-  record.beat = ++leader->beat;
+  record.beat = ++leader->heartbeat_number;
   gp_grants_tell (&leader->grants, &record, now_of (leader));
   value = gp_message_pack (&record.base);
   gp_grants_clear_told (&record);
@@ -117,10 +117,10 @@
   leader->batch_records = 0;
   leader->batch_began_at = 0;
   g_array_set_size (leader->batch_states, 0);
-  leader->doubtful = false;
+  leader->outcome_unknown = false;
 }
 
-/* Callers may be told now what was written.  */
+/* From now on callers may be shown the states that were written.  */
 static void
 note_recorded (gp_leader_t *leader)
 {
@@ -133,17 +133,17 @@
     }
 }
 
-/* The orders of the append leave now.  Where it was put off, what was decided
-   with it begins behind it: a store that is silent and one that refuses do the
-   same to it.  */
+/* The orders of the append are sent now.  If it was delayed, the runs that
+   were decided with it are timed from its end; it makes no difference whether
+   the store did not answer or refused.  */
 static void
-note_ordered (gp_leader_t *leader)
+note_orders_sent (gp_leader_t *leader)
 {
   gp_time_t now = now_of (leader);
   gp_time_t took = now - leader->batch_began_at;
 
   gp_histogram_add (&append_time, took);
-  if (took <= SLOW_APPEND_TIME)
+  if (took <= SLOW_APPEND_THRESHOLD)
     return;
   gp_log (GP_LOG_INFO, "append.put_off", GP_LOG_I ("for_ms", took / GP_MSEC),
           GP_LOG_I ("jobs", leader->batch_states->len),
@@ -152,48 +152,48 @@
 }
 
 static void
-batch_done (gp_leader_t *leader, uint64_t offset, gp_time_t sent_at)
+complete_batch (gp_leader_t *leader, uint64_t offset, gp_time_t sent_at)
 {
   leader->position = offset + leader->batch_records;
   leader->confirmed_at = sent_at;
-  leader->heartbeat_due = now_of (leader) + GP_LEADER_HEARTBEAT_TIME;
+  leader->heartbeat_due = now_of (leader) + GP_LEADER_HEARTBEAT_INTERVAL;
   note_recorded (leader);
-  note_ordered (leader);
+  note_orders_sent (leader);
   end_batch (leader);
   gp_leader_send_frames (leader);
   if (leader->resigning)
     {
       gp_log (GP_LOG_INFO, "lead.resigned", GP_LOG_I ("epoch", leader->epoch));
       leader->role = GP_LEADER_FOLLOWING;
-      gp_leader_drop_links (leader);
+      gp_leader_close_links (leader);
       return;
     }
   if (leader->role == GP_LEADER_CLAIMING)
-    gp_leader_lead (leader, offset);
-  gp_leader_turn_soon (leader);
+    gp_leader_start_leading (leader, offset);
+  gp_leader_schedule_round (leader);
 }
 
 static void
-depose (gp_leader_t *leader, const char *why)
+lose_leadership (gp_leader_t *leader, const char *why)
 {
   bool claimed = leader->role == GP_LEADER_CLAIMING;
 
   gp_log (GP_LOG_INFO, "lead.lost", GP_LOG_S ("why", why),
           GP_LOG_I ("epoch", leader->epoch), GP_LOG_I ("claiming", claimed));
   leader->role = GP_LEADER_FOLLOWING;
-  leader->forgot = leader->forgot || !claimed;
-  leader->heard_at = now_of (leader);
+  leader->book_reset = leader->book_reset || !claimed;
+  leader->record_read_at = now_of (leader);
   end_batch (leader);
   gp_timer_disarm (&leader->retry);
-  gp_leader_drop_links (leader);
+  gp_leader_close_links (leader);
   gp_scheduler_reset (&leader->scheduler);
   g_hash_table_remove_all (leader->new_places);
-  /* They are read anew with the book: one that was never written down must
-     not count as written when this entry leads again.  */
+  /* Places are reloaded with the book: one that was never written must not
+     count as written when this entry leads again.  */
   if (!claimed)
     g_hash_table_remove_all (leader->places);
-  g_ptr_array_set_size (leader->drops, 0);
-  leader->on_deposed (claimed, leader->data);
+  g_ptr_array_set_size (leader->progress_drops, 0);
+  leader->on_leadership_lost (claimed, leader->data);
 }
 
 static bool
@@ -209,7 +209,7 @@
       = gp__jobs__leadership__unpack (NULL, record->value_size, record->value);
   own = leadership != NULL && strcmp (leadership->node, leader->node) == 0
         && leadership->incarnation == leader->incarnation
-        && leadership->beat == leader->beat;
+        && leadership->beat == leader->heartbeat_number;
   if (leadership != NULL)
     gp__jobs__leadership__free_unpacked (leadership, NULL);
   return own;
@@ -218,8 +218,8 @@
 static void append (gp_leader_t *leader);
 static void check_append (gp_leader_t *leader);
 
-/* Has another process appended that it leads?  A record of it that cannot be
-   read may say so.  */
+/* Does ANSWER contain a leader's record of another process?  One that cannot
+   be read counts as well.  */
 static bool
 has_other_leader (const gp_platform_store_answer_t *answer)
 {
@@ -229,10 +229,10 @@
   return false;
 }
 
-/* Another writer has put RECORD in place of what is kept under its key: that
-   is written down again, for entries that start later.  */
+/* RECORD of another writer replaces what the leader had written under its key:
+   write that again, for entries that start later.  */
 static void
-mend_record (gp_leader_t *leader, const gp_platform_store_record_t *record)
+restore_record (gp_leader_t *leader, const gp_platform_store_record_t *record)
 {
   char *key = g_strndup (record->key, record->key_size);
   gp_job_t *job = gp_book_find (leader->book, key);
@@ -251,25 +251,27 @@
   g_free (key);
 }
 
-/* Records that are nobody's who leads have come between: another writer's.
-   They end no lead; the append is made again behind them.  One at the place
-   before can't succeed any more.  */
+/* The records in between are from a writer that is not a leader.  They do not
+   end leadership; the append is repeated after them.  An earlier attempt at
+   the previous offset cannot succeed any more.  */
 static void
-append_behind (gp_leader_t *leader, const gp_platform_store_answer_t *answer)
+append_after_foreign (gp_leader_t *leader,
+                      const gp_platform_store_answer_t *answer)
 {
   gp_log (GP_LOG_WARNING, "append.passed", GP_LOG_I ("records", answer->count),
           GP_LOG_I ("at", leader->position));
   for (size_t i = 0; i < answer->count; i++)
-    mend_record (leader, &answer->records[i]);
+    restore_record (leader, &answer->records[i]);
   leader->position += answer->count;
-  leader->doubtful = false;
+  leader->outcome_unknown = false;
   if (leader->position < answer->end)
     check_append (leader);
   else
     append (leader);
 }
 
-/* After a conflict: what stands there?  It may be our own append.  */
+/* After a conflict: the records at the expected offset were read.  They may be
+   this process's own append.  */
 static void
 on_checked (const gp_platform_store_answer_t *answer, void *data)
 {
@@ -279,21 +281,22 @@
   leader->call = NULL;
   if (answer->result == GP_PLATFORM_STORE_FORGOTTEN)
     {
-      depose (leader, "its append cannot be read any more");
+      lose_leadership (
+          leader, "the log has dropped the records at its append's offset");
       return;
     }
   if (answer->result != GP_PLATFORM_STORE_DONE)
     {
-      gp_timer_arm (&leader->retry, now_of (leader) + APPEND_RETRY_TIME);
+      gp_timer_arm (&leader->retry, now_of (leader) + APPEND_RETRY_DELAY);
       return;
     }
-  if (leader->doubtful && answer->count > last
+  if (leader->outcome_unknown && answer->count > last
       && is_own_record (leader, &answer->records[last]))
-    batch_done (leader, leader->position, leader->batch_leases_from);
+    complete_batch (leader, leader->position, leader->batch_leases_from);
   else if (answer->count == 0 || has_other_leader (answer))
-    depose (leader, "another has appended");
+    lose_leadership (leader, "another process has appended");
   else
-    append_behind (leader, answer);
+    append_after_foreign (leader, answer);
 }
 
 static void
@@ -301,7 +304,7 @@
 {
   leader->call = gp_platform_store_read (
       leader->store, GP_TOPIC_PROGRESS, leader->position, 0,
-      now_of (leader) + APPEND_TIME, on_checked, leader);
+      now_of (leader) + APPEND_TIMEOUT, on_checked, leader);
 }
 
 static void
@@ -313,30 +316,30 @@
   switch (answer->result)
     {
     case GP_PLATFORM_STORE_DONE:
-      batch_done (leader, answer->offset, answer->sent_at);
+      complete_batch (leader, answer->offset, answer->sent_at);
       return;
     case GP_PLATFORM_STORE_CONFLICT:
-      if (leader->role == GP_LEADER_CLAIMING && !leader->doubtful)
-        depose (leader, "another has appended");
+      if (leader->role == GP_LEADER_CLAIMING && !leader->outcome_unknown)
+        lose_leadership (leader, "another process has appended");
       else
         check_append (leader);
       return;
     case GP_PLATFORM_STORE_UNKNOWN:
-      leader->doubtful = true;
+      leader->outcome_unknown = true;
       break;
     case GP_PLATFORM_STORE_REFUSED:
     case GP_PLATFORM_STORE_FORGOTTEN:
       break;
     }
   gp_log (GP_LOG_INFO, "append.failed", GP_LOG_S ("why", answer->reason),
-          GP_LOG_I ("doubtful", leader->doubtful),
+          GP_LOG_I ("doubtful", leader->outcome_unknown),
           GP_LOG_I ("at", leader->position));
-  if (leader->role == GP_LEADER_CLAIMING && !leader->doubtful)
+  if (leader->role == GP_LEADER_CLAIMING && !leader->outcome_unknown)
     {
-      depose (leader, answer->reason);
+      lose_leadership (leader, answer->reason);
       return;
     }
-  gp_timer_arm (&leader->retry, now_of (leader) + APPEND_RETRY_TIME);
+  gp_timer_arm (&leader->retry, now_of (leader) + APPEND_RETRY_DELAY);
 }
 
 static void
@@ -346,11 +349,11 @@
 
   if (leader->batch_began_at == 0)
     leader->batch_began_at = now;
-  if (!leader->doubtful)
+  if (!leader->outcome_unknown)
     leader->batch_leases_from = now;
   leader->call = gp_platform_store_append (
       leader->store, GP_TOPIC_PROGRESS, leader->batch,
-      (int64_t)leader->position, now + APPEND_TIME, on_appended, leader);
+      (int64_t)leader->position, now + APPEND_TIMEOUT, on_appended, leader);
 }
 
 static void
@@ -362,33 +365,33 @@
     append (leader);
 }
 
-/* Only between appends: one that is on its way points to its jobs.  */
+/* Only called between appends: the batch of one in flight points to its
+   jobs.  */
 static void
-add_drops (gp_leader_t *leader)
+add_progress_drops (gp_leader_t *leader)
 {
-  for (guint i = 0; i < leader->drops->len; i++)
+  for (guint i = 0; i < leader->progress_drops->len; i++)
     {
-      const char *id = g_ptr_array_index (leader->drops, i);
+      const char *id = g_ptr_array_index (leader->progress_drops, i);
 
       gp_platform_store_batch_add (leader->batch, id, NULL, 0);
       leader->batch_records++;
       g_hash_table_remove (leader->book->jobs, id);
     }
-  g_ptr_array_set_size (leader->drops, 0);
+  g_ptr_array_set_size (leader->progress_drops, 0);
 }
 
-/* Write down what was decided, unless an append is on its way.  */
 void
 gp_leader_flush (gp_leader_t *leader)
 {
   bool changed = !gp_list_empty (&leader->scheduler.dirty)
                  || g_hash_table_size (leader->new_places) > 0
-                 || leader->drops->len > 0;
+                 || leader->progress_drops->len > 0;
   bool due = now_of (leader) >= leader->heartbeat_due;
 
   if (leader->batch != NULL)
     return;
-  gp_leader_make_frames (leader);
+  gp_leader_build_frames (leader);
   if (!changed && !due && !leader->stopping)
     {
       gp_leader_send_frames (leader);
@@ -397,8 +400,8 @@
   leader->batch = g_byte_array_new ();
   add_places (leader);
   add_dirty_jobs (leader);
-  add_drops (leader);
-  gp_leader_add_learned (leader);
+  add_progress_drops (leader);
+  gp_leader_add_model (leader);
   add_leadership (leader, leader->stopping);
   leader->resigning = leader->stopping;
   append (leader);
@@ -419,7 +422,7 @@
   if (leader->call == NULL || leader->batch == NULL)
     return;
   gp_platform_store_cancel (leader->call);
-  leader->doubtful = true;
+  leader->outcome_unknown = true;
   append (leader);
 }
 
--- a/src/jobsd/leader_frames.c
+++ b/src/jobsd/leader_frames.c
@@ -1,5 +1,5 @@
-/* What the leader tells the guards: frames that are made before an append
-   and leave when it is done.  */
+/* Frames from the leader to the guards: built before an append and sent when
+   it is done.  */
 
 #include <string.h>
 
@@ -7,21 +7,21 @@
 #include "jobsd/leader_private.h"
 #include "protocol/message.h"
 
-/* A frame that waits for the append of its reason.  */
+/* A frame that waits for the append that records its reason.  */
 typedef struct
 {
-  gp_link_t *link;
-  gp_peer_t *peer; /* the connection that it was made for */
+  gp_guard_link_t *link;
+  gp_peer_t *peer; /* connection for which it was built */
   Gp__Jobs__Frame__MessageCase kind;
   GBytes *bytes;
 } frame_t;
 
-/* The orders of one executor, collected from the scheduler.  */
+/* The scheduler's orders for one executor.  */
 typedef struct
 {
   GPtrArray *starts; /* Gp__Jobs__Start */
   GPtrArray *stops;  /* Gp__Jobs__TaskRun */
-  GPtrArray *forget; /* the same */
+  GPtrArray *forget; /* Gp__Jobs__TaskRun */
   uint64_t seen;
 } outbox_t;
 
@@ -33,7 +33,7 @@
 }
 
 static void
-keep_frame (gp_link_t *link, const Gp__Jobs__Frame *message)
+queue_frame (gp_guard_link_t *link, const Gp__Jobs__Frame *message)
 {
   frame_t *frame = g_new (frame_t, 1);
 
@@ -52,17 +52,18 @@
       frame_t *frame = g_ptr_array_index (leader->frames, i);
 
       if (frame->peer != NULL && frame->peer == frame->link->peer)
-        gp_link_send_bytes (frame->peer, frame->bytes, frame->kind);
-      /* It is waited for from now on, not while its append was put off.  */
+        gp_frame_send_packed (frame->peer, frame->bytes, frame->kind);
+      /* The time to wait for it starts now, not while its append was
+         delayed.  */
       if (frame->kind == GP__JOBS__FRAME__MESSAGE_SYNC)
-        frame->link->synced_at = gp_loop_now (leader->loop);
+        frame->link->sync_sent_at = gp_loop_now (leader->loop);
       frame_free (frame);
     }
   g_ptr_array_set_size (leader->frames, 0);
 }
 
 void
-gp_leader_drop_frames (gp_leader_t *leader)
+gp_leader_discard_frames (gp_leader_t *leader)
 {
   for (guint i = 0; i < leader->frames->len; i++)
     frame_free (g_ptr_array_index (leader->frames, i));
@@ -175,7 +176,8 @@
     }
 }
 
-/* Add the specification of JOB, or, if HOLDER is not NULL, where it is.  */
+/* Add the specification of JOB to SPECS or, if HOLDER is not NULL, the address
+   of the guard to fetch it from.  */
 static void
 add_spec (GArray *specs, const gp_job_t *job, const char *holder)
 {
@@ -192,12 +194,12 @@
   g_array_append_val (specs, spec);
 }
 
-/* A run of JOB goes to the guard of LINK: let it have the specification.  */
+/* A run of JOB is started on the guard of LINK: provide the specification.  */
 static void
-provide_spec (gp_link_t *link, const gp_job_t *job, GArray *specs)
+add_spec_for_run (gp_guard_link_t *link, const gp_job_t *job, GArray *specs)
 {
   gp_leader_t *leader = link->leader;
-  const gp_link_t *holder;
+  const gp_guard_link_t *holder;
   const char *name;
 
   switch (gp_spec_spread_way (&leader->specs, job->id, link->node,
@@ -216,30 +218,30 @@
 }
 
 static void
-collect_specs (gp_link_t *link, const outbox_t *outbox, GArray *specs)
+collect_specs (gp_guard_link_t *link, const outbox_t *outbox, GArray *specs)
 {
   const gp_book_t *book = link->leader->book;
 
-  for (guint i = 0; i < link->lacking->len; i++)
+  for (guint i = 0; i < link->missing_specs->len; i++)
     {
       const gp_job_t *job
-          = gp_book_find (book, g_ptr_array_index (link->lacking, i));
+          = gp_book_find (book, g_ptr_array_index (link->missing_specs, i));
 
       if (job != NULL && job->submission != NULL)
         add_spec (specs, job, NULL);
     }
-  g_ptr_array_set_size (link->lacking, 0);
+  g_ptr_array_set_size (link->missing_specs, 0);
   for (guint i = 0; outbox != NULL && i < outbox->starts->len; i++)
     {
       const Gp__Jobs__Start *start = g_ptr_array_index (outbox->starts, i);
 
-      provide_spec (link, gp_book_task (book, start->task)->job, specs);
+      add_spec_for_run (link, gp_book_task (book, start->task)->job, specs);
     }
 }
 
 /* OUTBOX may be NULL.  */
 static void
-make_orders (gp_link_t *link, const outbox_t *outbox)
+build_orders (gp_guard_link_t *link, const outbox_t *outbox)
 {
   GArray *specs = g_array_new (FALSE, FALSE, sizeof (Gp__Jobs__Spec));
   Gp__Jobs__Orders orders = GP__JOBS__ORDERS__INIT;
@@ -248,7 +250,7 @@
   orders.executor = link->executor->id;
   orders.born_ms = link->executor->born_ms;
   collect_specs (link, outbox, specs);
-  orders.specs = gp_link_pointers (specs);
+  orders.specs = gp_frame_row_pointers (specs);
   orders.n_specs = specs->len;
   if (outbox != NULL)
     {
@@ -262,15 +264,15 @@
     }
   frame.message_case = GP__JOBS__FRAME__MESSAGE_ORDERS;
   frame.orders = &orders;
-  keep_frame (link, &frame);
+  queue_frame (link, &frame);
   g_free (orders.specs);
   g_array_free (specs, TRUE);
 }
 
-/* All that belongs on the executor now; made before the orders of the same
-   append, which then change nothing.  */
+/* The full list of wanted runs of the executor.  It is built before the orders
+   of the same append, which have no further effect then.  */
 static void
-make_sync (gp_link_t *link)
+build_sync (gp_guard_link_t *link)
 {
   GPtrArray *starts = g_ptr_array_new_with_free_func (free_start);
   Gp__Jobs__Sync sync = GP__JOBS__SYNC__INIT;
@@ -285,8 +287,8 @@
       g_ptr_array_add (starts, start_message (task));
   }
   link->sync = ++link->leader->sync_count;
-  link->synced_at = gp_loop_now (link->leader->loop);
-  link->wants_sync = false;
+  link->sync_sent_at = gp_loop_now (link->leader->loop);
+  link->needs_sync = false;
   sync.number = link->sync;
   sync.executor = link->executor->id;
   sync.born_ms = link->executor->born_ms;
@@ -296,13 +298,13 @@
   sync.after = link->report_sent_at;
   frame.message_case = GP__JOBS__FRAME__MESSAGE_SYNC;
   frame.sync = &sync;
-  keep_frame (link, &frame);
+  queue_frame (link, &frame);
   link->executor->dead = false;
   g_ptr_array_unref (starts);
 }
 
 void
-gp_leader_make_frames (gp_leader_t *leader)
+gp_leader_build_frames (gp_leader_t *leader)
 {
   GHashTable *outboxes = g_hash_table_new_full (NULL, NULL, NULL, outbox_free);
   GArray *orders = leader->scheduler.orders;
@@ -315,16 +317,16 @@
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      gp_link_t *link = value;
+      gp_guard_link_t *link = value;
       const outbox_t *outbox;
 
-      if (link->peer == NULL || !link->sees_executor)
+      if (link->peer == NULL || !link->has_executor)
         continue;
-      if (link->wants_sync && !link->silent)
-        make_sync (link);
+      if (link->needs_sync && !link->silent)
+        build_sync (link);
       outbox = g_hash_table_lookup (outboxes, link->executor);
-      if (outbox != NULL || link->lacking->len > 0)
-        make_orders (link, outbox);
+      if (outbox != NULL || link->missing_specs->len > 0)
+        build_orders (link, outbox);
     }
   g_hash_table_destroy (outboxes);
 }
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -9,34 +9,35 @@
 #include "jobs/suspicion.h"
 #include "jobsd/leader_private.h"
 
-/* A connection attempt that hangs is given up after this.  */
-#define DIAL_TIME (GP_SEC)
-#define REDIAL_TIME (200 * GP_MSEC)
-/* A guard reports every 300 ms; without a report for so long its executor
-   gets no new work and the connection is made anew.  */
-#define QUIET_TIME (1200 * GP_MSEC)
-
-/* A sync that the guard has not taken in by then is sent again.  */
-#define RESYNC_TIME (2 * GP_SEC)
-/* No word on zones is of use after so long.  */
+/* Timeout of a connection attempt.  */
+#define DIAL_TIMEOUT (GP_SEC)
+#define REDIAL_DELAY (200 * GP_MSEC)
+/* A guard reports every 300 ms.  After this time without a report its executor
+   gets no new work and the connection is opened again.  */
+#define REPORT_TIMEOUT (1200 * GP_MSEC)
+
+/* A sync that the guard has not confirmed after this time is sent again.  */
+#define RESYNC_TIMEOUT (2 * GP_SEC)
+/* Upper bound of the reported age of the zone data, which is useless by
+   then.  */
 #define ZONE_AGE_MAX (3600 * GP_SEC)
 
 static gp_counter_t unreachable_gauge
     = GP_GAUGE ("runs_unreachable",
                 "Runs on executors that no guard reports to this leader");
 
-static void dial (gp_link_t *link);
+static void dial (gp_guard_link_t *link);
 
 /* Reports.  */
 
 static bool
-is_evacuated (const gp_link_t *link)
+is_evacuated (const gp_guard_link_t *link)
 {
   return gp_evacuations_has (&link->leader->operators->evacuations,
                              link->zone);
 }
 
-/* How old is what is known of evacuated zones, rounded up.  */
+/* Age of the data on evacuated zones, rounded up.  */
 static uint32_t
 zone_age_ms (const gp_leader_t *leader)
 {
@@ -46,41 +47,42 @@
 }
 
 static void
-acknowledge (gp_link_t *link, const Gp__Jobs__Report *report)
+acknowledge (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
-  gp_teaching_t teaching;
+  gp_model_update_t update;
   gp_leader_t *leader = link->leader;
   gp_time_t now = gp_loop_now (leader->loop);
   Gp__Jobs__Acknowledge message = GP__JOBS__ACKNOWLEDGE__INIT;
   Gp__Jobs__Frame frame = GP__JOBS__FRAME__INIT;
 
-  /* The time of this turn may be old: the process may have been held up in the
-     middle of it.  */
+  /* The loop's time may be stale: the process may have been suspended
+     since.  */
   if (gp_time_now () > leader->confirmed_at + GP_GRANTS_TERM_TIME
       || leader->resigning)
     return;
-  gp_teaching_init (&teaching);
+  gp_model_update_init (&update);
   message.sent_at = report->sent_at;
   message.lead_age_ms = (uint32_t)((now - leader->confirmed_at) / GP_MSEC + 1);
   message.zone_age_ms = zone_age_ms (leader);
   message.evacuated = is_evacuated (link);
-  gp_leader_teach (link, report, &message, &teaching);
+  gp_leader_add_model_update (link, report, &message, &update);
   frame.message_case = GP__JOBS__FRAME__MESSAGE_ACKNOWLEDGE;
   frame.acknowledge = &message;
-  gp_link_send (link->peer, &frame);
-  gp_teaching_finish (&teaching);
+  gp_frame_send (link->peer, &frame);
+  gp_model_update_finish (&update);
 }
 
-/* The guard on NODE reports EXECUTOR: what another writer has written of it
-   under another VM's name is wrong.  Left there it would prove EXECUTOR's
-   death as soon as the guard of that VM reports its own, and each of its runs
-   would be started a second time.  */
+/* The guard on NODE reports EXECUTOR, so records of another writer that place
+   it on another VM are wrong.  If they were kept, EXECUTOR would be declared
+   dead as soon as the guard of that VM reports its own executor, and each of
+   its runs would be started a second time.  */
 static void
-drop_wrong_places (gp_leader_t *leader, const char *node, const char *executor)
+remove_foreign_places (gp_leader_t *leader, const char *node,
+                       const char *executor)
 {
   gp_leader_place_t place = { node, executor };
 
-  g_hash_table_foreach_remove (leader->places, gp_leader_stands_elsewhere,
+  g_hash_table_foreach_remove (leader->places, gp_leader_is_recorded_elsewhere,
                                &place);
 }
 
@@ -91,7 +93,8 @@
                      gp_loop_now (leader->loop), gp_time_wall_ms ());
 }
 
-/* Is PREDECESSOR, as a guard tells of it, that life?  */
+/* Does PREDECESSOR, from a guard's report, describe this incarnation of
+   EXECUTOR?  */
 static bool
 is_predecessor (const Gp__Jobs__Predecessor *predecessor,
                 const gp_job_executor_t *executor)
@@ -102,8 +105,8 @@
              || predecessor->born_ms == executor->born_ms);
 }
 
-/* The guard reports another executor than EXECUTOR, or another life;
-   PREDECESSOR is what it says of the one before, or NULL.  */
+/* The guard reports another executor than EXECUTOR, or another incarnation of
+   it.  PREDECESSOR describes the previous one, or is NULL.  */
 static void
 replace_executor (gp_leader_t *leader, gp_job_executor_t *executor,
                   const Gp__Jobs__Predecessor *predecessor, gp_death_t why)
@@ -117,11 +120,11 @@
   declare_dead (leader, executor, why);
 }
 
-/* Does REPORT tell of another life of EXECUTOR, whose id it names?  A guard or
-   a place of the version before tells of none.  */
+/* Is REPORT from another incarnation of EXECUTOR, whose id it names?  Guards
+   and place records of the previous version give no birth time.  */
 static bool
-is_next_life (const gp_job_executor_t *executor,
-              const Gp__Jobs__Report *report)
+is_next_incarnation (const gp_job_executor_t *executor,
+                     const Gp__Jobs__Report *report)
 {
   int64_t born_ms = report->executor->born_ms;
 
@@ -129,11 +132,12 @@
          && executor->born_ms != born_ms;
 }
 
-/* EXECUTOR has started again under its id; returns its next life, which keeps
-   what it has begun by late orders, or ended.  */
+/* EXECUTOR has restarted under the same id.  Returns its next incarnation,
+   which keeps the runs that it has started, by orders that arrived late, or
+   ended.  */
 static gp_job_executor_t *
-begin_next_life (gp_leader_t *leader, gp_job_executor_t *executor,
-                 const Gp__Jobs__Report *report)
+begin_next_incarnation (gp_leader_t *leader, gp_job_executor_t *executor,
+                        const Gp__Jobs__Report *report)
 {
   gp_job_executor_t *next
       = gp_book_next_life (leader->book, executor, report->executor->born_ms);
@@ -156,27 +160,27 @@
   return next;
 }
 
-/* The life that REPORT names.  */
+/* The incarnation that REPORT names.  */
 static gp_job_executor_t *
-reported_life (gp_leader_t *leader, const Gp__Jobs__Report *report)
+reported_incarnation (gp_leader_t *leader, const Gp__Jobs__Report *report)
 {
   gp_job_executor_t *executor
       = gp_book_executor (leader->book, report->executor->id);
 
-  if (is_next_life (executor, report))
-    return begin_next_life (leader, executor, report);
+  if (is_next_incarnation (executor, report))
+    return begin_next_incarnation (leader, executor, report);
   if (report->executor->born_ms != 0)
     executor->born_ms = report->executor->born_ms;
   return executor;
 }
 
 static void
-set_executor (gp_link_t *link, const Gp__Jobs__Report *report)
+set_executor (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_leader_t *leader = link->leader;
   const char *id = report->executor->id;
   int64_t born_before_ms = gp_book_executor (leader->book, id)->born_ms;
-  gp_job_executor_t *executor = reported_life (leader, report);
+  gp_job_executor_t *executor = reported_incarnation (leader, report);
   const char *before = g_hash_table_lookup (leader->places, link->node);
   bool other = g_strcmp0 (before, id) != 0;
 
@@ -187,16 +191,16 @@
   if (other || executor->born_ms != born_before_ms)
     gp_leader_add_place (leader, link->node, id);
   if (g_hash_table_remove (leader->disputed, id))
-    drop_wrong_places (leader, link->node, id);
+    remove_foreign_places (leader, link->node, id);
   if (link->executor != executor)
     {
       link->executor = executor;
-      link->wants_sync = true;
+      link->needs_sync = true;
     }
 }
 
 static void
-take_report (gp_link_t *link, const Gp__Jobs__Report *report)
+apply_report (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_leader_t *leader = link->leader;
   gp_job_executor_t *executor = link->executor;
@@ -231,11 +235,12 @@
   if (report->lapsed && !executor->dead)
     declare_dead (leader, executor,
                   report->answers ? GP_DEATH_LAPSED : GP_DEATH_UNHEARD);
-  /* It may work again only under a new fence.  */
+  /* It may work again only with a new fence, which a sync raises.  */
   if (executor->dead)
-    link->wants_sync = true;
-  if (report->synced != link->sync && now - link->synced_at > RESYNC_TIME)
-    link->wants_sync = true;
+    link->needs_sync = true;
+  if (report->synced != link->sync
+      && now - link->sync_sent_at > RESYNC_TIMEOUT)
+    link->needs_sync = true;
   if (!report->down && (executor->down || executor->reported_since == 0))
     gp_scheduler_up (&leader->scheduler, executor);
   executor->down = report->down;
@@ -244,51 +249,54 @@
   executor->cut_at = 0;
   if (executor->reported_since == 0)
     executor->reported_since = now;
-  executor->reachable = !report->lapsed && !report->ended && !link->wants_sync
+  executor->reachable = !report->lapsed && !report->ended && !link->needs_sync
                         && report->synced == link->sync;
 }
 
-/* Does the guard of LINK's VM speak?  Another one at its address would prove
-   by its executor that the one here is dead.  */
+/* Is REPORT from the guard of LINK's VM?  A guard of another VM at this
+   address reports another executor, which would be taken as proof that the one
+   here is dead.  */
 static bool
-is_of_link (const gp_link_t *link, const Gp__Jobs__Report *report)
+is_of_link (const gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   GError *error = NULL;
 
   if (strcmp (report->node, link->node) == 0)
     return true;
-  gp_field_fail (&error, "report.node", "the guard of another VM");
+  gp_field_fail (&error, "report.node",
+                 "report comes from the guard of another VM");
   gp_refusals_frame (&link->leader->refusals, link->address, error);
   g_error_free (error);
   gp_peer_close (link->peer, true);
   return false;
 }
 
-/* Note the jobs whose specification the guard could get nowhere else.  */
+/* Remember jobs whose specification the guard could not get from another
+   guard.  */
 static void
-note_lacking (gp_link_t *link, const Gp__Jobs__Report *report)
+add_missing_specs (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_leader_t *leader = link->leader;
 
   for (size_t i = 0; i < report->n_lacking; i++)
     if (gp_spec_spread_lacks (&leader->specs, report->lacking[i], link->node,
                               gp_loop_now (leader->loop)))
-      g_ptr_array_add (link->lacking, g_strdup (report->lacking[i]));
+      g_ptr_array_add (link->missing_specs, g_strdup (report->lacking[i]));
 }
 
-/* Is there something in REPORT to decide on?  Most only have measures, which
-   count with the next turn: 300 guards send a thousand reports a second, and
-   a turn looks at all jobs that wait.  */
+/* Does REPORT need a planning round?  Most reports only contain measurements,
+   which are used in the next round: 300 guards send a thousand reports a
+   second, and a round goes through all waiting jobs.  */
 static bool
-is_news (const gp_link_t *link, const Gp__Jobs__Report *report)
+needs_round (const gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
-  return report->n_ends > 0 || report->n_absent > 0 || link->wants_sync
-         || link->lacking->len > 0 || !report->executor->unchanged
+  return report->n_ends > 0 || report->n_absent > 0 || link->needs_sync
+         || link->missing_specs->len > 0 || !report->executor->unchanged
          || link->executor->dead;
 }
 
 static void
-on_report (gp_link_t *link, const Gp__Jobs__Report *report)
+on_report (gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
   gp_leader_t *leader = link->leader;
   bool was_reachable;
@@ -296,36 +304,36 @@
 
   if (leader->role != GP_LEADER_LEADING || !is_of_link (link, report))
     return;
-  if (!link->up)
+  if (!link->reporting)
     gp_log (GP_LOG_INFO, "guard.up", GP_LOG_S ("guard", link->node),
             GP_LOG_S ("executor",
                       report->executor != NULL ? report->executor->id : ""));
-  link->up = true;
-  if (link->obeyed_at == 0)
-    link->obeyed_at = gp_loop_now (leader->loop);
+  link->reporting = true;
+  if (link->first_report_at == 0)
+    link->first_report_at = gp_loop_now (leader->loop);
   link->reported_at = gp_loop_now (leader->loop);
   acknowledge (link, report);
-  link->sees_executor = report->executor != NULL;
+  link->has_executor = report->executor != NULL;
   link->report_sent_at = report->sent_at;
-  if (!link->sees_executor)
+  if (!link->has_executor)
     return;
   set_executor (link, report);
   was_reachable = link->executor->reachable;
   was_down = link->executor->down;
-  gp_leader_learn (link, report);
-  note_lacking (link, report);
-  take_report (link, report);
+  gp_leader_update_model (link, report);
+  add_missing_specs (link, report);
+  apply_report (link, report);
   if (link->executor->reachable != was_reachable
-      || link->executor->down != was_down || is_news (link, report))
-    gp_leader_turn_soon (leader);
+      || link->executor->down != was_down || needs_round (link, report))
+    gp_leader_schedule_round (leader);
 }
 
 static void
 on_frame (gp_peer_t *peer, const uint8_t *bytes, size_t size, void *data)
 {
-  gp_link_t *link = data;
+  gp_guard_link_t *link = data;
   gp_leader_t *leader = link->leader;
-  Gp__Jobs__Frame *frame = gp_link_parse (
+  Gp__Jobs__Frame *frame = gp_frame_receive (
       peer, &leader->refusals, gp_loop_now (leader->loop), bytes, size);
 
   if (frame == NULL)
@@ -339,18 +347,18 @@
 /* Connections.  */
 
 static void
-set_down (gp_link_t *link, const char *why)
+mark_down (gp_guard_link_t *link, const char *why)
 {
-  if (link->up && link->leader->role == GP_LEADER_LEADING)
+  if (link->reporting && link->leader->role == GP_LEADER_LEADING)
     gp_log (GP_LOG_INFO, "guard.down", GP_LOG_S ("guard", link->node),
             GP_LOG_S ("why", why));
-  link->up = false;
-  link->sees_executor = false;
+  link->reporting = false;
+  link->has_executor = false;
   link->peer = NULL;
-  link->wants_sync = true;
-  link->taught_images = 0;
+  link->needs_sync = true;
+  link->fillings_sent = 0;
   gp_spec_spread_forget_guard (&link->leader->specs, link->node);
-  g_ptr_array_set_size (link->lacking, 0);
+  g_ptr_array_set_size (link->missing_specs, 0);
   if (link->executor != NULL)
     link->executor->reachable = false;
 }
@@ -358,22 +366,24 @@
 static void
 on_close (gp_peer_t *peer, const GError *reason, void *data)
 {
-  gp_link_t *link = data;
+  gp_guard_link_t *link = data;
 
   if (link == NULL || link->peer != peer)
     return;
   if (link->executor != NULL)
     link->executor->cut_at = gp_loop_now (link->leader->loop);
-  set_down (link, reason != NULL ? reason->message : "closed here");
-  gp_timer_arm (&link->redial, gp_loop_now (link->leader->loop) + REDIAL_TIME);
+  mark_down (link,
+             reason != NULL ? reason->message : "closed by this process");
+  gp_timer_arm (&link->redial,
+                gp_loop_now (link->leader->loop) + REDIAL_DELAY);
 }
 
 static void
-hang_up (gp_link_t *link, const char *why)
+disconnect (gp_guard_link_t *link, const char *why)
 {
   gp_peer_t *peer = link->peer;
 
-  set_down (link, why);
+  mark_down (link, why);
   if (peer == NULL)
     return;
   gp_peer_set_data (peer, NULL);
@@ -381,7 +391,7 @@
 }
 
 static void
-say_lead (gp_link_t *link)
+send_lead (gp_guard_link_t *link)
 {
   Gp__Jobs__Lead message = GP__JOBS__LEAD__INIT;
   Gp__Jobs__Frame frame = GP__JOBS__FRAME__INIT;
@@ -390,11 +400,11 @@
   message.node = (char *)link->leader->node;
   frame.message_case = GP__JOBS__FRAME__MESSAGE_LEAD;
   frame.lead = &message;
-  gp_link_send (link->peer, &frame);
+  gp_frame_send (link->peer, &frame);
 }
 
 static void
-dial (gp_link_t *link)
+dial (gp_guard_link_t *link)
 {
   static const gp_peer_callbacks_t callbacks
       = { .on_frame = on_frame, .on_close = on_close };
@@ -405,10 +415,10 @@
     return;
   link->reported_at = now;
   link->peer = gp_peer_connect (link->leader->loop, link->address, NULL,
-                                now + DIAL_TIME, &callbacks, link, &error);
+                                now + DIAL_TIMEOUT, &callbacks, link, &error);
   if (link->peer != NULL)
     {
-      say_lead (link);
+      send_lead (link);
       return;
     }
   gp_log (GP_LOG_WARNING, "guard.address", GP_LOG_S ("guard", link->node),
@@ -425,10 +435,10 @@
 static void
 free_link (gpointer data)
 {
-  gp_link_t *link = data;
+  gp_guard_link_t *link = data;
 
   gp_timer_finish (&link->redial);
-  g_ptr_array_unref (link->lacking);
+  g_ptr_array_unref (link->missing_specs);
   g_free (link->node);
   g_free (link->address);
   g_free (link->zone);
@@ -454,37 +464,37 @@
 }
 
 void
-gp_leader_drop_links (gp_leader_t *leader)
+gp_leader_close_links (gp_leader_t *leader)
 {
   GHashTableIter iter;
   gpointer value;
 
-  gp_leader_drop_frames (leader);
+  gp_leader_discard_frames (leader);
   gp_spec_spread_reset (&leader->specs);
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      gp_link_t *link = value;
+      gp_guard_link_t *link = value;
 
       gp_timer_disarm (&link->redial);
-      hang_up (link, "not leading");
+      disconnect (link, "this entry does not lead");
       link->executor = NULL;
-      link->obeyed_at = 0;
+      link->first_report_at = 0;
     }
 }
 
 void
-gp_leader_guard (gp_leader_t *leader, const char *node, const char *address,
-                 const char *zone)
+gp_leader_set_guard (gp_leader_t *leader, const char *node,
+                     const char *address, const char *zone)
 {
-  gp_link_t *link = g_hash_table_lookup (leader->links, node);
+  gp_guard_link_t *link = g_hash_table_lookup (leader->links, node);
 
   if (link == NULL)
     {
-      link = g_new0 (gp_link_t, 1);
+      link = g_new0 (gp_guard_link_t, 1);
       link->leader = leader;
       link->node = g_strdup (node);
-      link->lacking = g_ptr_array_new_with_free_func (g_free);
+      link->missing_specs = g_ptr_array_new_with_free_func (g_free);
       gp_timer_init (&link->redial, leader->loop, on_redial, link);
       g_hash_table_insert (leader->links, link->node, link);
     }
@@ -497,7 +507,7 @@
     {
       g_free (link->address);
       link->address = g_strdup (address);
-      hang_up (link, "another address");
+      disconnect (link, "the guard's address has changed");
     }
   dial (link);
 }
@@ -513,52 +523,52 @@
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      gp_link_t *link = value;
+      gp_guard_link_t *link = value;
 
       if (link->executor != NULL)
         link->executor->evacuated = is_evacuated (link);
     }
-  gp_leader_turn_soon (leader);
+  gp_leader_schedule_round (leader);
 }
 
 /* Executors.  */
 
-/* When the leases of EXECUTOR, whose guard is behind LINK, have certainly run
-   out.  What former leaders gave counts up to the guard's first report to this
-   one, whether that named the executor or not.  */
+/* The time by which the leases of EXECUTOR, whose guard is behind LINK, have
+   certainly expired.  Renewals by former leaders count up to the guard's first
+   report to this one, whether or not that named the executor.  */
 static gp_time_t
-leases_end (const gp_leader_t *leader, const gp_link_t *link,
+leases_end (const gp_leader_t *leader, const gp_guard_link_t *link,
             const gp_job_executor_t *executor)
 {
-  bool obeyed = link != NULL && link->obeyed_at > 0;
+  bool obeyed = link != NULL && link->first_report_at > 0;
   gp_time_t given = gp_grants_end (&leader->grants, obeyed);
 
   if (obeyed)
-    given = MAX (given, link->obeyed_at);
+    given = MAX (given, link->first_report_at);
   return gp_agent_lease_end (MAX (given, executor->reported_at));
 }
 
-/* Does the guard behind LINK report EXECUTOR?  One that has started anew may
-   know of none: nobody then moves the lease of the one before on.  */
+/* Does the guard behind LINK report EXECUTOR?  A guard that has restarted may
+   not know of it, and then nobody renews the lease of that executor.  */
 static bool
-is_spoken_for (const gp_link_t *link, const gp_job_executor_t *executor)
+is_reported (const gp_guard_link_t *link, const gp_job_executor_t *executor)
 {
-  return link != NULL && link->up && link->sees_executor
+  return link != NULL && link->reporting && link->has_executor
          && link->executor == executor;
 }
 
-/* Nobody speaks for EXECUTOR: say once what its runs wait for, when that is
-   more than a connection that is made anew.  */
+/* No guard reports EXECUTOR: log once what its runs wait for, if this takes
+   longer than a reconnect.  */
 static void
-note_awaited (const gp_leader_t *leader, const gp_link_t *link,
-              gp_job_executor_t *executor, const char *node)
+log_awaited (const gp_leader_t *leader, const gp_guard_link_t *link,
+             gp_job_executor_t *executor, const char *node)
 {
   gp_time_t now = gp_loop_now (leader->loop);
   gp_time_t end = leases_end (leader, link, executor);
 
   if (executor->unspoken_since == 0)
     executor->unspoken_since = now;
-  if (executor->awaited || now - executor->unspoken_since < QUIET_TIME)
+  if (executor->awaited || now - executor->unspoken_since < REPORT_TIMEOUT)
     return;
   executor->awaited = true;
   gp_log (GP_LOG_INFO, "executor.awaited", GP_LOG_S ("executor", executor->id),
@@ -570,16 +580,16 @@
                         : -1),
           GP_LOG_I ("former_leaders_ms",
                     (gp_grants_end (&leader->grants,
-                                    link != NULL && link->obeyed_at > 0)
+                                    link != NULL && link->first_report_at > 0)
                      - now)
                         / GP_MSEC));
 }
 
 static void
-look_after_place (gp_leader_t *leader, const char *node, const char *id)
+check_place (gp_leader_t *leader, const char *node, const char *id)
 {
   gp_job_executor_t *executor = gp_book_executor (leader->book, id);
-  const gp_link_t *link = g_hash_table_lookup (leader->links, node);
+  const gp_guard_link_t *link = g_hash_table_lookup (leader->links, node);
   gp_time_t now = gp_loop_now (leader->loop);
 
   if (executor->draining && executor->reachable)
@@ -588,30 +598,30 @@
     gp_scheduler_relocate (&leader->scheduler, executor, now);
   if (executor->dead || g_hash_table_contains (leader->disputed, id))
     return;
-  if (is_spoken_for (link, executor))
+  if (is_reported (link, executor))
     {
       executor->unspoken_since = 0;
       executor->awaited = false;
       return;
     }
-  note_awaited (leader, link, executor, node);
+  log_awaited (leader, link, executor, node);
   if (now > leases_end (leader, link, executor))
     declare_dead (leader, executor, GP_DEATH_SILENT);
 }
 
 static void
-look_after_link (gp_link_t *link)
+check_link (gp_guard_link_t *link)
 {
   gp_time_t now = gp_loop_now (link->leader->loop);
 
-  if (link->peer == NULL || now - link->reported_at < QUIET_TIME)
+  if (link->peer == NULL || now - link->reported_at < REPORT_TIMEOUT)
     return;
-  hang_up (link, "it does not report");
-  gp_timer_arm (&link->redial, now + REDIAL_TIME);
+  disconnect (link, "no report from the guard in time");
+  gp_timer_arm (&link->redial, now + REDIAL_DELAY);
 }
 
-/* Runs that nobody can tell of: a level that stays up says that work is held
-   by executors that are gone.  */
+/* Count the runs on executors that no guard reports: a level that stays up
+   shows that work is held by executors that are gone.  */
 static void
 count_unreachable (const gp_leader_t *leader)
 {
@@ -631,7 +641,7 @@
 }
 
 void
-gp_leader_look_after_executors (gp_leader_t *leader)
+gp_leader_check_executors (gp_leader_t *leader)
 {
   GHashTableIter iter;
   gpointer key;
@@ -639,9 +649,9 @@
 
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    look_after_link (value);
+    check_link (value);
   g_hash_table_iter_init (&iter, leader->places);
   while (g_hash_table_iter_next (&iter, &key, &value))
-    look_after_place (leader, key, value);
+    check_place (leader, key, value);
   count_unreachable (leader);
 }
