--- a/src/state/active_writers.c
+++ b/src/state/active_writers.c
@@ -20,7 +20,8 @@
   g_hash_table_unref (active->seen);
 }
 
-/* False when its newest batch was seen before.  */
+/* Record the newest batch of WRITER.  Returns false if it is already
+   recorded.  */
 static bool
 see (gp_active_writers_t *active, const gp_fold_writer_t *writer,
      gp_time_t now)
@@ -59,8 +60,8 @@
   return count;
 }
 
-/* The fold keeps its writers in the order in which they were heard, so what
-   it heard since the last call is at the end.  */
+/* The fold orders its writers by their last batch, so the writers with new
+   batches since the last call are at the end of the list.  */
 uint32_t
 gp_active_writers_update (gp_active_writers_t *active, const gp_fold_t *fold,
                           gp_time_t now)
--- a/src/state/active_writers.h
+++ b/src/state/active_writers.h
@@ -1,8 +1,9 @@
-/* How many processes write to a stream now.
+/* Counts the processes that currently write to a stream.
 
-   Counted from the batches that the fold has applied: a writer is active
-   while its newest batch was first seen a short while ago.  By the own
-   clock, so that wrong clocks of writers do not matter.  */
+   The count is derived from the batches that the fold has applied: a writer
+   is active for GP_ACTIVE_WRITERS_WINDOW after a new batch of it was first
+   seen.  The window is measured on this process's clock, so wrong clocks of
+   writers do not matter.  */
 
 #ifndef GP_STATE_ACTIVE_WRITERS_H
 #define GP_STATE_ACTIVE_WRITERS_H
@@ -13,18 +14,19 @@
 #include "base/time.h"
 #include "state/fold.h"
 
-/* A writer that has been silent for so long is not counted.  */
+/* A writer without a new batch for this long is not counted.  */
 #define GP_ACTIVE_WRITERS_WINDOW (2 * GP_SEC)
 
 typedef struct
 {
-  GHashTable *seen; /* name -> the newest batch, while active */
+  GHashTable *seen; /* writer name -> its newest batch */
 } gp_active_writers_t;
 
 void gp_active_writers_init (gp_active_writers_t *active);
 void gp_active_writers_finish (gp_active_writers_t *active);
 
-/* Take what FOLD has applied since the last call; the count.  */
+/* Register the batches that FOLD has applied since the last call and return
+   the number of active writers.  */
 uint32_t gp_active_writers_update (gp_active_writers_t *active,
                                    const gp_fold_t *fold, gp_time_t now);
 
--- a/src/state/blob.h
+++ b/src/state/blob.h
@@ -1,5 +1,5 @@
-/* Immutable bytes with their size, in one allocation.  The empty blob is
-   NULL.  */
+/* Immutable bytes and their size in one allocation.  An empty blob is
+   represented by NULL.  */
 
 #ifndef GP_STATE_BLOB_H
 #define GP_STATE_BLOB_H
@@ -15,7 +15,7 @@
   uint8_t data[];
 } gp_blob_t;
 
-/* A copy of SIZE bytes, or NULL when SIZE is 0.  Free it with g_free.  */
+/* Return a copy of SIZE bytes, or NULL if SIZE is 0.  Free it with g_free.  */
 static inline gp_blob_t *
 gp_blob_new (const void *bytes, size_t size)
 {
--- a/src/state/catalog.c
+++ b/src/state/catalog.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Open snapshots that are followed at once; the oldest is given up.  */
+/* Limit of open snapshots; the oldest is dropped when it is exceeded.  */
 #define OPEN_MAX 32
 
 static void
--- a/src/state/config.c
+++ b/src/state/config.c
@@ -4,7 +4,7 @@
 
 #include "protocol/message.h"
 
-/* Visits the items of a slice in the order of their keys.  */
+/* Context for visiting the items of a slice.  */
 typedef struct
 {
   gp_config_filter_t filter;
@@ -136,7 +136,7 @@
   return FALSE;
 }
 
-/* The items after UPDATE, or NULL when the digest is another.  */
+/* Return the items after UPDATE, or NULL if their digest does not match.  */
 static GTree *
 build_items (const gp_config_t *config, const gp_config_update_t *update,
              uint8_t digest[GP_CONFIG_DIGEST_SIZE])
@@ -263,7 +263,7 @@
   return g_queue_peek_tail ((GQueue *)&config->history);
 }
 
-/* Add KEY with VALUE (NULL: removed), both owned by the configuration.  */
+/* Add KEY with VALUE (NULL: removed).  The configuration owns both.  */
 static void
 add_wire_item (walk_t *walk, const char *key, GBytes *value)
 {
@@ -288,8 +288,8 @@
   return FALSE;
 }
 
-/* The changes after revision HAVE as an array of gp_config_change_t, or
-   NULL when they are not all remembered.  */
+/* Return the changes after revision HAVE as an array of gp_config_change_t,
+   or NULL if the history does not cover all of them.  */
 static GPtrArray *
 changes_since (const gp_config_t *config, uint64_t have)
 {
--- a/src/state/config.h
+++ b/src/state/config.h
@@ -1,12 +1,12 @@
-/* The configuration in force, as any process holds it.
+/* The current configuration, as held by any process.
 
-   A configuration is a revision, the operator's document and the items that
-   were built from it: opaque key and value bytes.  The digest is SHA-256
-   over the items in the order of their keys, so that a holder knows after a
-   delta that it has the whole.  A lower revision is always refused.
+   A configuration consists of a revision, the operator's document and the
+   items built from it, which are opaque key and value bytes.  The digest is
+   SHA-256 over the items in key order; with it a process verifies after a
+   delta that its items are complete.  A lower revision is always refused.
 
-   A process may hold a slice, that is the items a filter lets through; its
-   digest is that of the slice.  */
+   A process may hold a slice, which is the subset of items that a filter
+   selects.  The digest of a slice covers only its items.  */
 
 #ifndef GP_STATE_CONFIG_H
 #define GP_STATE_CONFIG_H
@@ -19,7 +19,7 @@
 #include "wire.pb-c.h"
 
 #define GP_CONFIG_DIGEST_SIZE 32
-/* Revisions of which the changed keys are remembered for deltas.  */
+/* Number of revisions whose changed keys are kept to build deltas.  */
 #define GP_CONFIG_HISTORY 64
 
 typedef struct
@@ -29,12 +29,12 @@
   size_t size; /* 0: removed */
 } gp_config_item_t;
 
-/* One step to a higher revision.  All memory is the caller's.  */
+/* An update to a higher revision.  The caller owns all memory.  */
 typedef struct
 {
   uint64_t revision;
-  uint64_t base;         /* 0: ITEMS are the whole */
-  const uint8_t *digest; /* GP_CONFIG_DIGEST_SIZE bytes, after the step */
+  uint64_t base;         /* 0: ITEMS are the full set */
+  const uint8_t *digest; /* GP_CONFIG_DIGEST_SIZE bytes, after the update */
   size_t digest_size;
   const gp_config_item_t *items;
   size_t items_count;
@@ -50,18 +50,18 @@
   GP_CONFIG_APPLIED,
   GP_CONFIG_SAME,    /* the revision is the current one */
   GP_CONFIG_LOWER,   /* the revision is below the current one */
-  GP_CONFIG_NO_BASE, /* a delta on another revision: ask for the whole */
-  GP_CONFIG_DIGEST   /* the result has another digest: ask for the whole */
+  GP_CONFIG_NO_BASE, /* a delta to another revision: request all items */
+  GP_CONFIG_DIGEST   /* the digest does not match: request all items */
 } gp_config_result_t;
 
-/* What one revision changed.  */
+/* The changes made by one revision.  */
 typedef struct
 {
   uint64_t revision;
   char *author;
   char *comment;
   int64_t changed_us;
-  GPtrArray *keys; /* of strings; NULL: everything */
+  GPtrArray *keys; /* of strings; NULL: all keys */
 } gp_config_change_t;
 
 typedef struct
@@ -74,43 +74,47 @@
   size_t bytes;   /* of keys, values and document */
 } gp_config_t;
 
-/* True when the item KEY belongs to a slice.  */
+/* Return true if the item KEY belongs to the slice.  */
 typedef bool (*gp_config_filter_t) (const char *key, void *data);
 
 void gp_config_init (gp_config_t *config);
 void gp_config_finish (gp_config_t *config);
 
-/* Take UPDATE, or leave CONFIG as it was and say why.  */
+/* Apply UPDATE.  On any result other than GP_CONFIG_APPLIED, CONFIG is
+   unchanged.  */
 gp_config_result_t gp_config_apply (gp_config_t *config,
                                     const gp_config_update_t *update);
 
-/* As gp_config_apply, for an update from a peer.  */
+/* Like gp_config_apply, for an update received from a peer.  */
 gp_config_result_t
 gp_config_apply_wire (gp_config_t *config,
                       const Gp__Wire__ConfigUpdate *message);
 
-/* Restore a saved configuration: its items one by one, then its revision,
-   document, author, comment and time.  False when UPDATE has no revision.  */
+/* Restore a saved configuration: first each item, then the revision,
+   document, author, comment and time.  gp_config_load returns false if UPDATE
+   has no revision.  */
 void gp_config_load_item (gp_config_t *config, const gp_config_item_t *item);
 bool gp_config_load (gp_config_t *config, const gp_config_update_t *update);
 
-/* The value of KEY, owned by CONFIG, or NULL.  */
+/* Return the value of KEY, owned by CONFIG, or NULL.  */
 GBytes *gp_config_get (const gp_config_t *config, const char *key);
 
-/* The newest change, or NULL.  */
+/* Return the newest change, or NULL.  */
 const gp_config_change_t *gp_config_newest (const gp_config_t *config);
 
-/* The digest of the items that FILTER (NULL: all) lets through.  */
+/* Compute the digest of the items that FILTER selects (NULL: all).  */
 void gp_config_digest (const gp_config_t *config, gp_config_filter_t filter,
                        void *data, uint8_t digest[GP_CONFIG_DIGEST_SIZE]);
 
-/* The digest of COUNT items in any order, none removed, no key twice.  */
+/* Compute the digest of COUNT items in any order.  Keys must be unique and no
+   item may be a removal.  */
 void gp_config_digest_items (const gp_config_item_t *items, size_t count,
                              uint8_t digest[GP_CONFIG_DIGEST_SIZE]);
 
-/* A packed gp.wire.ConfigUpdate that takes a holder of revision HAVE of the
-   slice of FILTER to the current revision: a delta if the changes since
-   HAVE are remembered, else the whole.  Owned by the caller.  */
+/* Return a packed gp.wire.ConfigUpdate that brings a process from revision
+   HAVE of the slice of FILTER to the current revision: a delta if the changes
+   since HAVE are still in the history, otherwise all items.  Owned by the
+   caller.  */
 GBytes *gp_config_pack (const gp_config_t *config, uint64_t have,
                         gp_config_filter_t filter, void *data);
 
--- a/src/state/document.c
+++ b/src/state/document.c
@@ -9,7 +9,8 @@
 #include "state/document_check.h"
 #include "state/document_schema.h"
 
-/* Names in the index; the first of two equal ones stays.  */
+/* Add the elements of SECTION to the index.  Of elements with the same name
+   the first is kept.  */
 static void
 index_section (gp_document_t *document, const gp_document_section_t *section)
 {
@@ -87,7 +88,8 @@
     }
 }
 
-/* Take LOADED over into DOCUMENT and check it as a whole.  */
+/* Move LOADED into DOCUMENT, free it and check the rules that span several
+   items.  */
 static bool
 complete (gp_document_t *document, gp_document_t *loaded, gp_yaml_node_t *root,
           GPtrArray *issues)
@@ -147,7 +149,8 @@
 void
 gp_document_finish (gp_document_t *document)
 {
-  /* libcyaml frees the outermost structure too.  */
+  /* gp_yaml_unload also frees the outermost structure, which the caller
+     owns, so it is given a copy.  */
   gp_document_t *whole = g_memdup2 (document, sizeof *document);
 
   g_clear_pointer (&document->items, g_ptr_array_unref);
@@ -167,8 +170,8 @@
   return true;
 }
 
-/* Whether PATH lies under PREFIX: "/a" covers "/a", "/a/b" and "/a?b", not
-   "/ab"; "/a/" covers what starts so.  */
+/* Return true if PREFIX matches PATH: "/a" matches "/a", "/a/b" and "/a?b" but
+   not "/ab"; "/a/" matches every path that starts with it.  */
 static bool
 covers (const char *prefix, size_t prefix_size, const char *path, size_t size)
 {
@@ -206,7 +209,7 @@
   return g_time_zone_new_identifier (document->time_zone);
 }
 
-/* The first HOUR:MINUTE of ZONE after WALL.  */
+/* Return the first time after WALL at which it is HOUR:MINUTE in ZONE.  */
 static int64_t
 next_time_of_day (GTimeZone *zone, int64_t wall, int hour, int minute)
 {
--- a/src/state/document.h
+++ b/src/state/document.h
@@ -1,17 +1,17 @@
 /* The operators' document: services, batch jobs, watchers, teams, limits.
 
-   Operators write it in YAML; it is the only thing by which they steer the
-   site.  One check serves the command line, the console and the entry, so
-   that what one accepts the others accept.  Loading reads no clock and does
-   no I/O.
+   Operators write it in YAML.  It is the only interface through which they
+   configure the site.  The command line, the console and the entry share one
+   validation, so all of them accept the same documents.  Loading does not read
+   the clock and does no I/O.
 
-   For sending and storing, a document is split into items: one for each
-   service, batch job and so on, each with a key ("service/reclamos-api") and
-   its canonical bytes, which do not depend on how the operator wrote it.
-   A change of a document is the list of items that differ.
+   For transmission and storage a document is split into items, one for each
+   service, batch job and so on.  An item has a key ("service/reclamos-api")
+   and a canonical encoding that does not depend on how the operator formatted
+   the document.  A change of a document is the list of items that differ.
 
-   Every number that was left out has its default; a limit that was left out
-   is GP_DOCUMENT_UNLIMITED, and one of 0 lets nothing pass.  */
+   An omitted number has its default value.  An omitted limit is
+   GP_DOCUMENT_UNLIMITED; a limit of 0 allows nothing.  */
 
 #ifndef GP_STATE_DOCUMENT_H
 #define GP_STATE_DOCUMENT_H
@@ -33,7 +33,7 @@
   GP_DOCUMENT_BATCH
 } gp_document_class_t;
 
-/* Over what the replicas of a watcher are spread evenly.  */
+/* The failure domain over which replicas of a watcher are spread evenly.  */
 typedef enum
 {
   GP_DOCUMENT_SPREAD_NONE,
@@ -62,14 +62,14 @@
   uint32_t zones_count;
 } gp_document_region_t;
 
-/* An availability zone in which nothing is started, and to whose upstreams no
-   request is sent.  */
+/* An evacuated availability zone: nothing is started in it, and no request is
+   sent to its upstreams.  */
 typedef struct
 {
   char *name;
 } gp_document_zone_t;
 
-/* COUNT workers of one shape; used for checks only.  */
+/* COUNT workers of the same size; used for validation only.  */
 typedef struct
 {
   char *name;
@@ -82,34 +82,34 @@
 typedef struct
 {
   char *name;
-  gp_document_resources_t quota; /* of its batch jobs and watchers */
-  uint32_t max_tasks;            /* batch jobs and watchers running */
+  gp_document_resources_t quota; /* for its batch jobs and watchers */
+  uint32_t max_tasks;            /* running batch jobs and watchers */
   gp_document_limit_t requests;  /* to services */
 } gp_document_team_t;
 
-/* Requests of one service that are alike.  */
+/* A kind of requests to a service, selected by the path.  */
 typedef struct
 {
   char *name;
-  char *path_prefix; /* after the service; the longest that fits counts */
+  char *path_prefix; /* after the service name; the longest match wins */
   gp_document_class_t work_class;
   bool idempotent;
-  uint32_t latency_target_ms; /* that of the service when left out */
-  uint32_t timeout_ms;        /* that of the service when left out */
-  uint32_t expected_ms;       /* time in a slot, 0: not known */
+  uint32_t latency_target_ms; /* default: that of the service */
+  uint32_t timeout_ms;        /* default: that of the service */
+  uint32_t expected_ms;       /* time in a slot; 0: unknown */
   gp_document_limit_t limits;
 } gp_document_kind_t;
 
 typedef struct
 {
   char *name;
-  char *team; /* that its requests count for; NULL: the caller says it */
+  char *team; /* charged for its requests; NULL: named by the caller */
   uint32_t latency_target_ms;
   uint32_t timeout_ms;
-  uint32_t executors;   /* as many upstreams are expected */
-  uint32_t slots;       /* of each */
-  uint32_t connections; /* of each */
-  uint32_t queue;       /* requests waiting at each */
+  uint32_t executors;   /* expected number of upstreams */
+  uint32_t slots;       /* per upstream */
+  uint32_t connections; /* per upstream */
+  uint32_t queue;       /* queued requests per upstream */
   gp_document_resources_t reserve;
   gp_document_kind_t *kinds;
   uint32_t kinds_count;
@@ -121,10 +121,10 @@
   char *team;
   gp_document_resources_t resources;
   uint32_t expected_run_s;
-  char *deadline;      /* "06:00", the next one in the document's time zone */
-  uint32_t deadline_s; /* after submission; 0 with `deadline', or none */
+  char *deadline;      /* time of day, "06:00", in the document's time zone */
+  uint32_t deadline_s; /* after submission; 0 if unset */
   uint32_t max_tries;
-  char *payload; /* for jobs submitted without one; may be NULL */
+  char *payload; /* default for submitted jobs; may be NULL */
 } gp_document_batch_job_t;
 
 typedef struct
@@ -132,26 +132,27 @@
   char *name;
   char *team;
   gp_document_resources_t resources;
-  uint32_t count; /* replicas kept running */
+  uint32_t count; /* number of replicas */
   gp_document_spread_t spread;
   char *payload; /* may be NULL */
 } gp_document_watcher_t;
 
 typedef struct
 {
-  gp_document_limit_t latency_critical; /* requests of a class, all teams */
+  gp_document_limit_t latency_critical; /* requests of the class, all teams */
   gp_document_limit_t batch;
   uint32_t pending_jobs; /* of all teams */
 } gp_document_limits_t;
 
-/* When batch work beside a service gives way, by the service's p99 in
-   percent of its target.  */
+/* When batch work on a worker is throttled or evicted because it slows a
+   service down.  Percentages are the service's p99 relative to its latency
+   target.  */
 typedef struct
 {
   uint32_t throttle_percent;
   uint32_t evict_percent;
-  uint32_t calm_percent; /* under it a remedy is taken back */
-  uint32_t window_s;     /* how long the breach must last */
+  uint32_t calm_percent; /* below it throttling is undone */
+  uint32_t window_s;     /* minimum duration of a breach */
   uint32_t evictions_per_hour;
 } gp_document_interference_t;
 
@@ -177,39 +178,40 @@
   gp_document_limits_t limits;
   gp_document_interference_t interference;
 
-  GPtrArray *items;  /* of gp_document_item_t, by key */
+  GPtrArray *items;  /* of gp_document_item_t, ordered by key */
   GHashTable *index; /* key of an item -> its structure above */
 } gp_document_t;
 
-/* Load DOCUMENT from TEXT.  ISSUES (see gp_issues_new) receives all that is
-   found, by place; false when there is an error among it, and DOCUMENT need
-   not be finished then.  Warnings do not hinder.
+/* Load DOCUMENT from TEXT.  ISSUES (see gp_issues_new) receives all errors and
+   warnings, ordered by position.  Returns false if there is an error; DOCUMENT
+   must not be finished then.  Warnings do not prevent loading.
 
-   Faults of the schema hide those that need the whole: when there are
-   faults of the first sort only they are told.  */
+   The rules that span several items are checked only if the document conforms
+   to the schema; otherwise only schema errors are reported.  */
 bool gp_document_load (gp_document_t *document, const char *text, size_t size,
                        GPtrArray *issues);
 
-/* As gp_document_load, from the items of a whole document.  Items that are
-   not in canonical form are refused.  */
+/* Like gp_document_load, from all items of a document.  Items that are not in
+   canonical form are refused.  */
 bool gp_document_load_items (gp_document_t *document, const GPtrArray *items,
                              GPtrArray *issues);
 
-/* Bring DOCUMENT forward by DELTA, a list as gp_document_items_diff makes it.
-   The cost is in proportion to DELTA and a walk over the names, as long as
-   it has items of lists only.  The rules that need the whole are taken as
-   kept: whoever accepted the change has checked them.  False when an item
-   does not fit its schema or is not in canonical form; DOCUMENT is as it
-   was then.  Pointers into DOCUMENT do not outlive the call.  */
+/* Apply DELTA, a list as returned by gp_document_items_diff, to DOCUMENT.
+   If all items belong to lists, the cost is proportional to the size of DELTA
+   plus one pass over the names.  The rules that span several items are not
+   checked again: the process that accepted the change has checked them.
+   Returns false, with DOCUMENT unchanged, if an item does not conform to its
+   schema or is not in canonical form.  Pointers into DOCUMENT are invalid
+   after the call.  */
 bool gp_document_patch (gp_document_t *document, const GPtrArray *delta,
                         GPtrArray *issues);
 
 void gp_document_finish (gp_document_t *document);
 
-/* Only the check.  */
+/* Validate TEXT without keeping the document.  */
 bool gp_document_check (const char *text, size_t size, GPtrArray *issues);
 
-/* By name; NULL when there is none.  Constant time.  */
+/* Look up by name in constant time; NULL if there is none.  */
 const gp_document_service_t *
 gp_document_find_service (const gp_document_t *document, const char *name);
 const gp_document_batch_job_t *
@@ -219,24 +221,23 @@
 const gp_document_team_t *gp_document_find_team (const gp_document_t *document,
                                                  const char *name);
 
-/* The kind of SERVICE whose prefix is the longest that PATH (SIZE bytes,
-   after the service's name) starts with, up to the end of a segment, or
-   NULL.  */
+/* Return the kind of SERVICE with the longest prefix that matches PATH (SIZE
+   bytes, after the service name) up to the end of a path segment, or NULL.  */
 const gp_document_kind_t *
 gp_document_find_kind (const gp_document_service_t *service, const char *path,
                        size_t size);
 
-/* The time zone of DOCUMENT, owned by the caller; NULL when this machine's
-   time zone database does not have it.  Reads that database.  */
+/* Return the time zone of DOCUMENT, owned by the caller, or NULL if the time
+   zone database of this machine does not have it.  Reads that database.  */
 GTimeZone *gp_document_time_zone (const gp_document_t *document);
 
-/* The deadline of a job of kind JOB submitted at WALL (microseconds since
-   the epoch): the same scale, or 0 when it has none.  ZONE is that of the
-   document.  */
+/* Return the deadline of a job of kind JOB submitted at WALL, or 0 if it has
+   none.  Both times are in microseconds since the epoch.  ZONE is the time
+   zone of the document.  */
 int64_t gp_document_job_deadline (const gp_document_batch_job_t *job,
                                   GTimeZone *zone, int64_t wall);
 
-/* The published schema, JSON Schema as text; free with g_free.  */
+/* Return the published JSON Schema as text; free with g_free.  */
 char *gp_document_schema_text (void);
 
 #endif
--- a/src/state/document_check.c
+++ b/src/state/document_check.c
@@ -1,5 +1,5 @@
-/* Checks of a document as a whole: references, sizes against the fleet,
-   promises that cannot be kept.  */
+/* Checks that span several items of a document: references, resources
+   compared with the fleet, and latency targets that cannot be met.  */
 
 #include "state/document_check.h"
 
@@ -13,12 +13,12 @@
   const gp_document_t *document;
   const gp_yaml_node_t *root;
   GPtrArray *issues;
-  uint64_t millicores; /* of the whole fleet */
+  uint64_t millicores; /* totals of the fleet */
   uint64_t memory_mib;
   uint64_t accelerators;
 } check_t;
 
-/* A place in the document.  */
+/* Path of a value in the document, for messages.  */
 typedef struct
 {
   char text[PATH_SIZE];
@@ -95,7 +95,8 @@
            wanted, team, quota);
 }
 
-/* COUNT tasks of RESOURCES must fit the quota of TEAM by themselves.  */
+/* Check that COUNT tasks of RESOURCES fit into the quota of their team even
+   if nothing else runs.  */
 static void
 check_quota (check_t *check, const char *section, uint32_t i,
              const char *team_name, const gp_document_resources_t *resources,
@@ -165,7 +166,7 @@
     }
 }
 
-/* What all watchers of a team ask of its quota.  */
+/* Check the total demand of a team's watchers against its quota.  */
 static void
 check_team_watchers (check_t *check, uint32_t i)
 {
@@ -259,7 +260,7 @@
     }
 }
 
-/* Promises that a kind of requests cannot keep.  */
+/* Check that a kind can meet its own timeout, latency target and rate.  */
 static void
 check_promises (check_t *check, uint32_t i, uint32_t j)
 {
@@ -331,7 +332,8 @@
     }
 }
 
-/* Watchers and the services' reserves are there all the time.  */
+/* Check that watchers and the reserves of services, which are needed all the
+   time, fit into the fleet together.  */
 static void
 check_standing (check_t *check)
 {
@@ -388,7 +390,7 @@
   g_hash_table_unref (seen);
 }
 
-/* Is ZONE in no region, though there are some?  */
+/* Return true if regions are defined but none of them contains ZONE.  */
 static bool
 is_unknown_zone (const gp_document_t *document, const char *zone)
 {
--- a/src/state/document_items.c
+++ b/src/state/document_items.c
@@ -1,4 +1,4 @@
-/* Lists of a document's items.  */
+/* Lists of document items: comparison, splitting and joining.  */
 
 #include "state/document_items.h"
 
@@ -47,8 +47,8 @@
   g_ptr_array_sort (items, compare_keys);
 }
 
-/* Order of the items at I and J of two lists, of which one goes on; a list
-   that has ended comes last.  */
+/* Compare the keys of the items at I in LEFT and at J in RIGHT.  A list that
+   has ended compares greater; at most one of the two may have ended.  */
 static int
 compare_at (const GPtrArray *left, guint i, const GPtrArray *right, guint j)
 {
@@ -205,7 +205,7 @@
   return items;
 }
 
-/* A key that is written as it stands must be a word.  */
+/* Return true if KEY can be written to YAML without quotes.  */
 static bool
 is_plain_key (const char *key)
 {
@@ -213,8 +213,8 @@
          && strspn (key, "abcdefghijklmnopqrstuvwxyz_") == strlen (key);
 }
 
-/* Append KEY's opening, given the SECTION that is open before it; returns
-   the one that is open now.  */
+/* Append the text that precedes the value of KEY, closing the section OPEN
+   (or NULL) if KEY is not in it.  Returns the section that is open now.  */
 static const gp_document_section_t *
 open_item (GString *out, const gp_document_section_t *open, const char *key)
 {
--- a/src/state/document_items.h
+++ b/src/state/document_items.h
@@ -1,8 +1,9 @@
-/* A document in parts, as it is sent and stored (see state/config.h, which
-   also has the digest of a list).
+/* A document as a list of items, the form in which it is sent and stored.
+   See document.h for what the items are, and state/config.h for the digest
+   of a list.
 
-   A list of items is a GPtrArray of gp_document_item_t ordered by key, each
-   key once.  See document.h for what the items are.  */
+   A list of items is a GPtrArray of gp_document_item_t, ordered by key and
+   with unique keys.  */
 
 #ifndef GP_STATE_DOCUMENT_ITEMS_H
 #define GP_STATE_DOCUMENT_ITEMS_H
@@ -17,45 +18,44 @@
 typedef struct
 {
   char *key;
-  GBytes *value; /* canonical YAML in one line; NULL in a delta: removed */
+  GBytes *value; /* canonical YAML on one line; NULL in a delta: removed */
 } gp_document_item_t;
 
-/* An empty list that owns its items.  */
+/* Return an empty list that owns its items.  */
 GPtrArray *gp_document_items_new (void);
 
 /* Append an item; VALUE is referenced and may be NULL.  */
 void gp_document_items_add (GPtrArray *items, const char *key, GBytes *value);
 
-/* Order ITEMS by key.  */
+/* Sort ITEMS by key.  */
 void gp_document_items_sort (GPtrArray *items);
 
-/* What turns BASE into TARGET.  */
+/* Return the delta that turns BASE into TARGET.  */
 GPtrArray *gp_document_items_diff (const GPtrArray *base,
                                    const GPtrArray *target);
 
-/* BASE with DELTA applied.  */
+/* Return BASE with DELTA applied.  */
 GPtrArray *gp_document_items_patch (const GPtrArray *base,
                                     const GPtrArray *delta);
 
 bool gp_document_items_equal (const GPtrArray *left, const GPtrArray *right);
 
-/* ITEMS as state/config.h takes it, ITEMS->len elements that point into ITEMS;
-   free with g_free.  */
+/* Return ITEMS as an array for state/config.h with ITEMS->len elements that
+   point into ITEMS; free it with g_free.  */
 gp_config_item_t *gp_document_items_config (const GPtrArray *items);
 
-/* The bytes of an item that is the canonical tree NODE.  */
+/* Return the encoding of the canonical tree NODE as an item value.  */
 GBytes *gp_document_item_value (const gp_yaml_node_t *node);
 
-/* Split the canonical tree ROOT of a whole document.  */
+/* Split the canonical tree ROOT of a document into its items.  */
 GPtrArray *gp_document_items_split (const gp_yaml_node_t *root);
 
-/* Put the items of a whole document together as one line of YAML.  False
-   and an issue when a key is not one of a document.  */
+/* Join all items of a document into one line of YAML.  Returns false and adds
+   an issue if a key is not valid in a document.  */
 bool gp_document_items_join (const GPtrArray *items, GString *out,
                              GPtrArray *issues);
 
-/* The items of a whole document as YAML for people; as
-   gp_document_items_join otherwise.  */
+/* Like gp_document_items_join, but in YAML block style for people to read.  */
 bool gp_document_items_format (const GPtrArray *items, GString *out,
                                GPtrArray *issues);
 
--- a/src/state/document_patch.c
+++ b/src/state/document_patch.c
@@ -1,20 +1,20 @@
-/* A document brought forward by the items that changed.
+/* Incremental update of a document from the items that changed.
 
-   First all new elements are read, which may fail; only then the document is
-   touched.  An element that changed takes the place of the old one in its
-   array; a new one goes to the end; the last one fills the gap of one that
-   is removed, as the order of a section has no meaning.  */
+   All new elements are parsed first, which may fail; the document is modified
+   only after that.  A changed element overwrites the old one in its array, a
+   new one is appended, and a removed one is replaced by the last element,
+   since the order within a section has no meaning.  */
 
 #include <string.h>
 
 #include "state/document_schema.h"
 
-/* One item of a delta on its way into the document.  */
+/* A parsed item of a delta.  */
 typedef struct
 {
   const gp_document_section_t *section;
   const char *name;
-  void *element; /* owned; NULL: to be removed */
+  void *element; /* owned; NULL: the item is removed */
 } change_t;
 
 static void
@@ -71,7 +71,7 @@
   return element;
 }
 
-/* Read all of DELTA; false after an issue.  */
+/* Parse all items of DELTA into CHANGES.  Returns false after an error.  */
 static bool
 read_changes (const GPtrArray *delta, GArray *changes, GPtrArray *issues)
 {
@@ -90,7 +90,7 @@
   return true;
 }
 
-/* Free what the element at PLACE of an array holds.  */
+/* Free the contents of the array element at PLACE.  */
 static void
 clear_element (const gp_document_section_t *section, void *place)
 {
@@ -107,8 +107,8 @@
   return place;
 }
 
-/* Fill the gap at PLACE with the last element; its name leads to PLACE
-   from now on.  */
+/* Remove the element at PLACE: move the last element of the array there and
+   update its entry in the index.  */
 static void
 remove_element (gp_document_t *document, const change_t *change, char *place)
 {
@@ -129,7 +129,7 @@
   g_hash_table_insert (document->index, key, place);
 }
 
-/* Room for one element more; the array may move.  */
+/* Append an uninitialized element.  The array may be reallocated.  */
 static char *
 append_place (gp_document_t *document, const gp_document_section_t *section)
 {
@@ -148,7 +148,8 @@
   change->element = NULL;
 }
 
-/* Replace or remove what is there already.  */
+/* Apply CHANGE if the document already has the element: replace or remove
+   it.  */
 static void
 apply_to_present (gp_document_t *document, change_t *change)
 {
@@ -189,14 +190,14 @@
       move_element (change, append_place (document, change->section));
       added = true;
     }
-  if (added) /* arrays have moved */
+  if (added) /* the arrays may have been reallocated */
     gp_document_build_index (document);
   inherit_changed (document);
   g_ptr_array_unref (document->items);
   document->items = items;
 }
 
-/* Load the whole, for changes outside of the lists.  */
+/* Load the whole document again, for changes outside the lists.  */
 static bool
 load_patched (gp_document_t *document, const GPtrArray *delta,
               GPtrArray *issues)
@@ -213,7 +214,7 @@
   return true;
 }
 
-/* Each key once, in order.  */
+/* Check that the keys of DELTA are unique and in order.  */
 static bool
 check_order (const GPtrArray *delta, GPtrArray *issues)
 {
--- a/src/state/document_schema.c
+++ b/src/state/document_schema.c
@@ -1,11 +1,11 @@
-/* The fields of the operators' document, their bounds and defaults.  */
+/* The fields of the operators' document with their ranges and defaults.  */
 
 #include "state/document_schema.h"
 
 #include <stddef.h>
 
 #define LIST_MAX_COUNT 65536
-#define KINDS_MAX_COUNT 1024 /* of a service */
+#define KINDS_MAX_COUNT 1024 /* per service */
 #define TEAMS_MAX_COUNT 1024
 #define SHAPES_MAX_COUNT 256
 
@@ -54,21 +54,21 @@
         UINT ("accelerators", OPTIONAL, gp_document_worker_t, accelerators),
         CYAML_FIELD_END };
 
-/* What a job or watcher needs.  */
+/* Resources that a job or watcher requires.  */
 static const cyaml_schema_field_t resources_fields[]
     = { UINT ("millicores", REQUIRED, gp_document_resources_t, millicores),
         UINT ("memory_mib", REQUIRED, gp_document_resources_t, memory_mib),
         UINT ("accelerators", OPTIONAL, gp_document_resources_t, accelerators),
         CYAML_FIELD_END };
 
-/* What a team may use.  */
+/* Resources that a team may use at most.  */
 static const cyaml_schema_field_t quota_fields[]
     = { UINT ("millicores", OPTIONAL, gp_document_resources_t, millicores),
         UINT ("memory_mib", OPTIONAL, gp_document_resources_t, memory_mib),
         UINT ("accelerators", OPTIONAL, gp_document_resources_t, accelerators),
         CYAML_FIELD_END };
 
-/* What a service keeps for itself on a worker.  */
+/* Resources that a service reserves on each of its workers.  */
 static const cyaml_schema_field_t reserve_fields[]
     = { UINT ("millicores", OPTIONAL, gp_document_resources_t, millicores),
         UINT ("memory_mib", OPTIONAL, gp_document_resources_t, memory_mib),
--- a/src/state/document_schema.h
+++ b/src/state/document_schema.h
@@ -8,27 +8,27 @@
 
 extern const gp_yaml_schema_t gp_document_schema;
 
-/* A section that is a list: each of its elements is an item.  */
+/* A section of the document that is a list; each element is an item.  */
 typedef struct
 {
   const char *name;   /* "services" */
   const char *prefix; /* of the items' keys, "service/" */
   size_t list;        /* offset of the array in gp_document_t */
   size_t count;       /* offset of its count, a uint32_t */
-  size_t size;        /* of one element; its name is the first field */
+  size_t size;        /* of an element; its first field is its name */
   gp_yaml_schema_t schema;
 } gp_document_section_t;
 
 #define GP_DOCUMENT_SECTIONS 7
 extern const gp_document_section_t gp_document_sections[GP_DOCUMENT_SECTIONS];
 
-/* The section of an item's key, or NULL.  */
+/* Return the section to which the item KEY belongs, or NULL.  */
 const gp_document_section_t *gp_document_section_of_key (const char *key);
 
-/* Fill in what the kinds of SERVICE take from it.  */
+/* Set the values that the kinds of SERVICE inherit from it.  */
 void gp_document_inherit (gp_document_service_t *service);
 
-/* Build the index of DOCUMENT anew.  */
+/* Rebuild the index of DOCUMENT.  */
 void gp_document_build_index (gp_document_t *document);
 
 #endif
--- a/src/state/fold.c
+++ b/src/state/fold.c
@@ -7,7 +7,7 @@
 #define HOUR_US (INT64_C (3600) * 1000000)
 #define MIB (UINT64_C (1024) * 1024)
 #define BATCH_RECORDS_MAX 16384
-/* Writers heard last whose clocks make the log time.  */
+/* Number of most recently active writers whose clocks determine log time.  */
 #define CLOCKS 8
 
 const gp_fold_limits_t gp_fold_default_limits = {
@@ -32,7 +32,7 @@
   return length > 0 && length <= GP_FOLD_NAME_MAX;
 }
 
-/* The tables of named rows: the name is the first field.  */
+/* Hash functions for objects whose first field is their name.  */
 static guint
 hash_name (const void *row)
 {
@@ -126,7 +126,8 @@
   g_free (writer);
 }
 
-/* Drop writers by their window and number, but never the current one.  */
+/* Drop writers beyond their window or their maximum number, but never the
+   current one.  */
 static void
 expire_writers (gp_fold_t *fold)
 {
@@ -145,7 +146,8 @@
     }
 }
 
-/* The second highest clock of the writers heard last, or the only one.  */
+/* Return the second highest clock of the most recently active writers, or the
+   only one.  */
 static int64_t
 second_clock (const gp_fold_t *fold)
 {
@@ -166,7 +168,7 @@
   return count > 1 ? second : highest;
 }
 
-/* Whether the batch comes in its turn; then its writer is current.  */
+/* Check that BATCH is new; if so, make its writer the current one.  */
 static gp_fold_result_t
 accept_writer (gp_fold_t *fold, const Gp__Record__Batch *batch)
 {
--- a/src/state/fold_guards.c
+++ b/src/state/fold_guards.c
@@ -36,8 +36,8 @@
   gp_fold_emit (fold, &change);
 }
 
-/* End the grants of GUARD that RUNNING (may be NULL), a table of task to
-   epoch, does not list.  */
+/* End the grants of GUARD except those in RUNNING, a map from task to epoch.
+   RUNNING may be NULL.  */
 static void
 end_grants (gp_fold_t *fold, gp_fold_guard_t *guard, GHashTable *running)
 {
--- a/src/state/fold_internal.h
+++ b/src/state/fold_internal.h
@@ -1,19 +1,19 @@
-/* What the files of the fold share; see state/fold.h.
+/* Internal interface between the files of the fold; see state/fold.h.
 
-   fold.c         batches: writers, dispatch, windows
+   fold.c         batches: writers, dispatch, log time
    fold_tasks.c   submissions, epochs, cancellation, parking
    fold_guards.c  guards: adoption and fences
    fold_keys.c    keys of non-idempotent requests
    fold_config.c  configuration
-   fold_rows.c    digest and save
-   fold_load.c    load of what was saved  */
+   fold_rows.c    digest and serialization
+   fold_load.c    deserialization  */
 
 #ifndef GP_STATE_FOLD_INTERNAL_H
 #define GP_STATE_FOLD_INTERNAL_H
 
 #include "state/fold.h"
 
-/* Initializer of a change of this KIND at the batch being applied.  */
+/* Initializer for a change of KIND_ caused by the batch being applied.  */
 #define GP_FOLD_CHANGE(fold_, kind_, ...)                                     \
   {                                                                           \
     .kind = (kind_), .offset = (fold_)->offset, __VA_ARGS__                   \
@@ -26,7 +26,7 @@
     fold->sink (change, fold->sink_data);
 }
 
-/* True when NAME is not empty and within its bound.  */
+/* Return true if NAME is not empty and not too long.  */
 bool gp_fold_name_valid (const char *name);
 
 /* fold_tasks.c */
@@ -43,11 +43,11 @@
 gp_fold_verdict_t gp_fold_unpark (gp_fold_t *fold,
                                   const Gp__Record__Unpark *unpark);
 
-/* End the epoch of the granted TASK; it is pending again or ended.  */
+/* End the epoch of the granted TASK, which becomes pending again or ended.  */
 void gp_fold_end_epoch (gp_fold_t *fold, gp_fold_task_t *task,
                         Gp__Wire__TaskState state, Gp__Wire__Reason reason);
 
-/* Allocate a task from a valid SUBMIT and put it into the table.  */
+/* Create a task from a valid SUBMIT and add it to the hash table.  */
 gp_fold_task_t *gp_fold_add_task (gp_fold_t *fold,
                                   const Gp__Record__Submit *submit);
 bool gp_fold_submit_valid (const Gp__Record__Submit *submit);
--- a/src/state/fold_keys.c
+++ b/src/state/fold_keys.c
@@ -72,8 +72,8 @@
   g_hash_table_remove (fold->keys, key);
 }
 
-/* Drop the oldest answers until the rest is within its bound.  The verdict
-   of a key stays.  */
+/* Drop the oldest answers until the limit is met.  The states of their keys
+   are kept.  */
 static void
 bound_answers (gp_fold_t *fold)
 {
@@ -117,8 +117,8 @@
          && outcome->answer.len <= GP_FOLD_ANSWER_MAX;
 }
 
-/* Only the owner knows what became of its dispatch; anyone may give it up
-   as unknown, and the owner may still say better.  */
+/* Only the owner of a key knows the outcome of its request.  Any writer may
+   declare an open key UNKNOWN, and the owner may still correct that.  */
 static gp_fold_verdict_t
 check_outcome (const gp_fold_t *fold, const gp_fold_key_t *key,
                Gp__Record__KeyState state)
--- a/src/state/fold_load.c
+++ b/src/state/fold_load.c
@@ -1,8 +1,8 @@
-/* Load of a folded state from the rows that fold_rows.c writes.
+/* Deserializes the state from the rows that fold_rows.c writes.
 
-   The rows come in the order in which they were saved, and a row that stands
-   in a list is put at its end, so that the lists have the order of the
-   replica that saved them.  */
+   Rows are loaded in the order in which they were saved, and a row that
+   belongs to a list is appended to it, so that the lists have the same order
+   as on the replica that saved them.  */
 
 #include <string.h>
 
@@ -43,7 +43,7 @@
   return true;
 }
 
-/* Put TASK into the list of its phase.  */
+/* Link TASK into the list for its phase.  */
 static bool
 link_task (gp_fold_t *fold, gp_fold_task_t *task, const char *guard_name)
 {
--- a/src/state/fold_rows.c
+++ b/src/state/fold_rows.c
@@ -1,11 +1,12 @@
-/* Digest and save of the folded state; fold_load.c loads what was saved.
+/* Digest and serialization of the state; fold_load.c deserializes it.
 
-   Each object has one row message (see protocol/records.proto).  The digest
-   is the sum of the hashes of the packed rows, so that the order of the
-   tables does not matter.  A save packs each row as a StateChunk of its own
-   and joins them: packed messages that are joined are one message with the
-   repeated fields of all.  Rows that stand in a list are saved in its
-   order, so that a replica that loads them goes on in the same way.  */
+   Each object is one row message (see protocol/records.proto).  The digest is
+   the sum of the hashes of the packed rows, so that the iteration order of the
+   hash tables does not matter.  Each row is packed as a StateChunk of its own,
+   and the chunks are concatenated: concatenated protobuf messages decode as
+   one message with the repeated fields of all.  Rows that belong to a list are
+   saved in list order, so that a replica that loads them behaves like the
+   one that saved them.  */
 
 #include <string.h>
 #include <xxhash.h>
@@ -14,13 +15,13 @@
 
 typedef Gp__Record__StateChunk chunk_t;
 
-/* The order in which a saver writes; see step_row.  */
+/* The stages of a save, in their order; see step_row.  */
 typedef enum
 {
   STAGE_TIME,
   STAGE_WRITERS,
   STAGE_GUARDS_GONE,
-  STAGE_GUARDS, /* each guard, then its grants in their order */
+  STAGE_GUARDS, /* each guard, followed by its grants in order */
   STAGE_ENDED,
   STAGE_TASKS, /* pending and parked */
   STAGE_KEYS,
@@ -39,7 +40,7 @@
   g_byte_array_set_size (saver->part, 0);
 }
 
-/* Take one row in a chunk of its own.  */
+/* Append a chunk that holds a single row.  */
 static void
 put_row (gp_fold_saver_t *saver, const chunk_t *chunk)
 {
@@ -243,7 +244,7 @@
     }
 }
 
-/* The next link of the list of HEAD, or NULL at its end.  */
+/* Return the next link of the list HEAD, or NULL at its end.  */
 static gp_list_t *
 next_link (gp_fold_saver_t *saver, const gp_list_t *head)
 {
@@ -255,7 +256,8 @@
   return link;
 }
 
-/* The next grant of the current guard, or the next guard.  */
+/* Write the next grant of the current guard, or the next guard.  Returns
+   false if there is none.  */
 static bool
 step_guards (gp_fold_saver_t *saver)
 {
@@ -329,7 +331,7 @@
   return link != NULL;
 }
 
-/* Write one row of the stage.  False when it has none left.  */
+/* Write the next row of the stage.  Returns false if the stage is complete. */
 static bool
 step_row (gp_fold_saver_t *saver)
 {
@@ -413,7 +415,7 @@
   uint64_t guards = g_hash_table_size (fold->guards);
   uint64_t keys = g_hash_table_size (fold->keys);
 
-  /* A hash table is about half full.  */
+  /* Assume that a hash table is half full.  */
   return tasks * (sizeof (gp_fold_task_t) + 2 * slot)
          + guards * (sizeof (gp_fold_guard_t) + 2 * slot)
          + keys * (sizeof (gp_fold_key_t) + 2 * slot) + fold->task_bytes
--- a/src/state/fold_tasks.c
+++ b/src/state/fold_tasks.c
@@ -159,8 +159,8 @@
     task->failed_workers[task->failed_count++] = worker;
 }
 
-/* The epoch of TASK has ended in STATE: how many were lost in a row, as soon
-   as they had begun?  */
+/* Update the number of losses in a row after an epoch of TASK has ended in
+   STATE.  */
 static void
 count_loss (const gp_fold_t *fold, gp_fold_task_t *task,
             Gp__Wire__TaskState state)
@@ -179,7 +179,7 @@
   return task->losses >= GP_FOLD_LOSSES_MAX;
 }
 
-/* Whether the task, whose last epoch has just ended, is to run again.  */
+/* Return true if TASK, whose epoch has just ended, is to run again.  */
 static bool
 runs_again (const gp_fold_task_t *task)
 {
@@ -231,7 +231,7 @@
   emit_task (fold, GP_FOLD_TASK_RETURNED, task, guard);
 }
 
-/* Whether an epoch of a task is under way.  */
+/* Check that EPOCH is the current epoch of TASK and TASK is granted.  */
 static gp_fold_verdict_t
 check_epoch (const gp_fold_task_t *task, uint64_t epoch)
 {
@@ -244,8 +244,8 @@
   return GP_FOLD_ACCEPTED;
 }
 
-/* Replace the checkpoint by DATA, unless that is empty or would exceed the
-   bound of bytes.  */
+/* Replace the checkpoint by DATA, unless DATA is empty or would exceed the
+   limit of task_bytes.  */
 static bool
 set_checkpoint (gp_fold_t *fold, gp_fold_task_t *task,
                 const ProtobufCBinaryData *data)
@@ -346,7 +346,8 @@
   return GP_FOLD_ACCEPTED;
 }
 
-/* An unparked task starts over with its failures.  */
+/* Unparking resets the losses and the list of failed workers, but not the
+   number of tries.  */
 gp_fold_verdict_t
 gp_fold_unpark (gp_fold_t *fold, const Gp__Record__Unpark *unpark)
 {
--- a/src/state/follower.c
+++ b/src/state/follower.c
@@ -42,7 +42,7 @@
   return rebuilt;
 }
 
-/* An empty fold that watches the same writer.  */
+/* Reset the fold to an empty state with the same limits and own writer.  */
 static void
 reset_fold (gp_follower_t *follower)
 {
@@ -91,7 +91,7 @@
   follower->target = follower->next_offset;
 }
 
-/* Whether the batches after the newest snapshot are all retained.  */
+/* Return true if all batches after the newest snapshot are retained.  */
 static bool
 snapshot_usable (const gp_follower_t *follower)
 {
@@ -128,7 +128,7 @@
   return gp_fold_load (&follower->fold, part->data.data, part->data.len);
 }
 
-/* False when the snapshot is corrupt.  */
+/* Returns false if the snapshot is corrupt.  */
 static bool
 load_record (gp_follower_t *follower, const gp_follower_record_t *record)
 {
@@ -147,7 +147,7 @@
   return ok;
 }
 
-/* The state that was loaded is corrupt: look for another snapshot.  */
+/* The loaded state is corrupt: restart and use another snapshot.  */
 static void
 reject_snapshot (gp_follower_t *follower)
 {
@@ -199,7 +199,8 @@
     follower->phase = GP_FOLLOWER_STOPPED;
 }
 
-/* Take one record.  False: take no more of this reply.  */
+/* Process one record.  Returns false if the rest of the reply must be
+   ignored.  */
 static bool
 take_record (gp_follower_t *follower, const gp_follower_record_t *record)
 {
@@ -230,7 +231,7 @@
   return true;
 }
 
-/* Go on to the next phase when this one is complete.  True: it did.  */
+/* Enter the next phase if this one is complete; returns true if so.  */
 static bool
 end_phase (gp_follower_t *follower)
 {
--- a/src/state/follower.h
+++ b/src/state/follower.h
@@ -1,21 +1,23 @@
-/* Following the log: from nothing to the site's state, and on.
+/* Builds the state of the site from the log and keeps it up to date.
 
    A follower begins at the first offset that the log retains and goes
-   through phases:
+   through these phases:
 
-   SCAN   find the newest complete snapshot up to the tail seen at the start
+   SCAN   find the newest complete snapshot up to the end of the log at start
    LOAD   read that snapshot again and load its parts
-   TAIL   apply the batches after it up to the tail seen at the end of SCAN
-   READY  apply new batches and pass the changes on
+   TAIL   apply the batches after it up to the end of the log at the end of
+          SCAN
+   READY  apply new batches and forward the changes
 
-   With nothing lost (first offset 0) and no snapshot, LOAD is skipped.
-   With batches lost and no usable snapshot the follower stays in SCAN and
-   waits for one: it never passes over a gap.  Whenever an offset that it
-   needs is gone, or the log ends before what was read, it starts again from
-   nothing.  Only a READY state may be acted upon.
+   If the log is complete (first offset 0) and has no snapshot, LOAD is
+   skipped.  If batches have been dropped and no snapshot is usable, the
+   follower stays in SCAN until there is one: it never skips a gap.  If an
+   offset that it needs is gone, or the log ends before an offset it has
+   read, it restarts with an empty state.  The state may be acted upon only
+   in READY.
 
-   The caller does the reads: it asks for records from gp_follower_from and
-   gives each reply to gp_follower_read.  */
+   The caller reads the log: it requests records from gp_follower_from and
+   passes each reply to gp_follower_read.  */
 
 #ifndef GP_STATE_FOLLOWER_H
 #define GP_STATE_FOLLOWER_H
@@ -33,7 +35,7 @@
   GP_FOLLOWER_LOAD,
   GP_FOLLOWER_TAIL,
   GP_FOLLOWER_READY,
-  GP_FOLLOWER_STOPPED /* the log is of a later version */
+  GP_FOLLOWER_STOPPED /* the log has a later version */
 } gp_follower_phase_t;
 
 /* One record of a reply.  */
@@ -44,11 +46,11 @@
   size_t size;
 } gp_follower_record_t;
 
-/* One reply of the log.  With records beyond the asked offset, or
-   FIRST_OFFSET beyond it, there is a gap.  */
+/* A reply from the log.  There is a gap if the first record or FIRST_OFFSET is
+   above the requested offset.  */
 typedef struct
 {
-  uint64_t first_offset; /* the first retained */
+  uint64_t first_offset; /* the first that is retained */
   uint64_t next_offset;  /* after the last */
   const gp_follower_record_t *records;
   size_t count;
@@ -56,40 +58,43 @@
 
 typedef struct
 {
-  gp_fold_t fold; /* the state; to be used when READY */
+  gp_fold_t fold; /* the state; valid only when READY */
   gp_catalog_t catalog;
   gp_follower_phase_t phase;
   uint64_t from;   /* next offset to read */
-  uint64_t target; /* SCAN, TAIL: done when FROM reaches it */
+  uint64_t target; /* SCAN, TAIL: the phase ends when FROM reaches it */
   bool target_known;
-  uint64_t first_offset; /* as last seen */
-  uint64_t next_offset;  /* as last seen */
-  uint32_t loaded;       /* LOAD: parts */
+  uint64_t first_offset; /* of the last reply */
+  uint64_t next_offset;  /* of the last reply */
+  uint32_t loaded;       /* LOAD: number of parts loaded */
   bool rebuilt;          /* since the last gp_follower_take_rebuilt */
   uint64_t restarts;     /* because of a gap or a corrupt snapshot */
   gp_fold_sink_t sink;
   void *sink_data;
 } gp_follower_t;
 
-/* SINK gets all changes when READY; before that only the verdicts on own
-   batches (see gp_fold_watch on FOLLOWER.fold, once; it is kept).  */
+/* SINK receives all changes when READY, and before that only the verdicts on
+   own batches.  The own writer is set once with gp_fold_watch on
+   FOLLOWER.fold; restarts keep it.  */
 void gp_follower_init (gp_follower_t *follower, const gp_fold_limits_t *limits,
                        gp_fold_sink_t sink, void *data);
 void gp_follower_finish (gp_follower_t *follower);
 
-/* The offset to read from.  */
+/* Return the offset to read from.  */
 uint64_t gp_follower_from (const gp_follower_t *follower);
 
-/* Take the reply to a read from gp_follower_from.  While the fold is held
-   by a saver nothing is taken: keep the reply, or read again.  */
+/* Process the reply to a read from gp_follower_from.  While a saver of the
+   fold is active the reply is ignored: the caller keeps it or reads again.  */
 gp_follower_phase_t gp_follower_read (gp_follower_t *follower,
                                       const gp_follower_reply_t *reply);
 
-/* True once after the state was built anew: look at the whole state, and
-   call gp_writer_skip with the own writer's sequence.  */
+/* Return true once after the state was rebuilt.  The caller must then examine
+   the whole state and call gp_writer_skip with the sequence of the own
+   writer.  */
 bool gp_follower_take_rebuilt (gp_follower_t *follower);
 
-/* True when READY and everything that the last reply knew of is applied.  */
+/* Return true if READY and everything up to the end of the log in the last
+   reply is applied.  */
 bool gp_follower_caught_up (const gp_follower_t *follower);
 
 #endif
--- a/src/state/snapshot.c
+++ b/src/state/snapshot.c
@@ -54,7 +54,8 @@
   gp_snapshot_abandon (snapshot);
 }
 
-/* Whether another process is at it.  */
+/* Return true if another process is writing a snapshot.  An open snapshot
+   that began more than PATIENCE offsets ago is considered abandoned.  */
 static bool
 others_write (const gp_snapshot_t *snapshot, const gp_fold_t *fold,
               const gp_catalog_t *catalog)
--- a/src/state/writer.c
+++ b/src/state/writer.c
@@ -22,8 +22,8 @@
   gp_list_t entries;
   size_t count;
   GBytes *bytes;
-  gp_time_t sent_at;  /* the first time */
-  gp_time_t deadline; /* of the append, or when it is to be repeated */
+  gp_time_t sent_at;  /* when it was first sent */
+  gp_time_t deadline; /* of the append, or the time of its repetition */
   bool in_flight;
   uint32_t failures;
 };
@@ -178,7 +178,7 @@
   return true;
 }
 
-/* Since when the log owes an answer, or GP_TIME_NEVER.  */
+/* Return when the oldest batch not read back was sent, or GP_TIME_NEVER.  */
 static gp_time_t
 waiting_since (const gp_writer_t *writer)
 {
@@ -200,7 +200,7 @@
          < gp_time_add (waiting_since (writer), writer->limits.outage_after);
 }
 
-/* The bytes of a batch before its records.  */
+/* Pack a batch without records.  */
 static GByteArray *
 pack_header (const gp_writer_t *writer, uint64_t sequence)
 {
@@ -219,8 +219,9 @@
   return bytes;
 }
 
-/* Packed messages that are joined are one message with the repeated fields
-   of all, so each record is packed once, as a batch of its own.  */
+/* Pack RECORD as a batch of its own.  Concatenated protobuf messages decode as
+   one message with the repeated fields of all, so a record is packed only
+   once and later appended to the header.  */
 static gp_writer_entry_t *
 pack_entry (const Gp__Record__Record *record)
 {
@@ -239,7 +240,7 @@
   return entry;
 }
 
-/* Room for the header of a batch.  */
+/* Return an upper bound of the size of a batch header.  */
 static size_t
 header_room (const gp_writer_t *writer)
 {
@@ -346,8 +347,8 @@
   push_action (writer, &action);
 }
 
-/* Move queued records into BATCH and their bytes behind BYTES.  False when
-   it is full.  */
+/* Move records from QUEUE to BATCH and append their bytes to BYTES.  Returns
+   false if the batch is full.  */
 static bool
 fill_batch (gp_writer_t *writer, gp_writer_batch_t *batch, GByteArray *bytes,
             gp_list_t *queue)
@@ -400,7 +401,7 @@
   return writer->spacing;
 }
 
-/* When the queued records are to leave, were nothing under way.  */
+/* Return when the queued records are to be sent if no batch is in flight.  */
 static gp_time_t
 queue_due (const gp_writer_t *writer)
 {
@@ -511,7 +512,7 @@
   fail_append (writer, now);
 }
 
-/* Unlink and return the sent batch SEQUENCE, or NULL.  */
+/* Unlink and return the sent batch SEQUENCE, or NULL if there is none.  */
 static gp_writer_batch_t *
 take_batch (gp_writer_t *writer, uint64_t sequence)
 {
