--- a/bench/bench_fold.c
+++ b/bench/bench_fold.c
@@ -422,7 +422,7 @@
 {
   gp_writer_action_t action;
 
-  while (gp_writer_next (&commit->writer, &action))
+  while (gp_writer_next_action (&commit->writer, &action))
     switch (action.kind)
       {
       case GP_WRITER_APPEND:
--- a/bench/bench_spacing.c
+++ b/bench/bench_spacing.c
@@ -116,7 +116,7 @@
 {
   gp_writer_action_t action;
 
-  while (gp_writer_next (&site->entries[place].writer, &action))
+  while (gp_writer_next_action (&site->entries[place].writer, &action))
     if (action.kind == GP_WRITER_APPEND)
       append (site, place, action.u.append.sequence, action.u.append.bytes);
     else if (action.kind == GP_WRITER_VERDICT)
--- a/src/daemon/configuration_publish.c
+++ b/src/daemon/configuration_publish.c
@@ -279,7 +279,7 @@
       break;
     case GP_WRITER_UNAVAILABLE:
     case GP_WRITER_FULL:
-    case GP_WRITER_LATE:
+    case GP_WRITER_DEADLINE_PASSED:
       answer (publication, GP_PUBLISH_UNAVAILABLE);
       break;
     }
--- a/src/daemon/keys.c
+++ b/src/daemon/keys.c
@@ -444,7 +444,7 @@
     {
     case GP_WRITER_QUEUED:
       return;
-    case GP_WRITER_LATE:
+    case GP_WRITER_DEADLINE_PASSED:
       decide (keyed, GP_KEYS_LATE);
       break;
     case GP_WRITER_UNAVAILABLE:
--- a/src/daemon/store.c
+++ b/src/daemon/store.c
@@ -156,7 +156,7 @@
 {
   gp_writer_action_t action;
 
-  while (gp_writer_next (&store->writer, &action))
+  while (gp_writer_next_action (&store->writer, &action))
     switch (action.kind)
       {
       case GP_WRITER_APPEND:
@@ -224,15 +224,15 @@
 {
   gp_writer_limits_t limits = gp_writer_default_limits;
 
-  limits.hold[GP_WRITER_NORMAL] = settings->timings.log_batch_ms * GP_MSEC;
-  limits.hold[GP_WRITER_BULK] = settings->timings.log_batch_ms * GP_MSEC;
+  limits.linger[GP_WRITER_NORMAL] = settings->timings.log_batch_ms * GP_MSEC;
+  limits.linger[GP_WRITER_BULK] = settings->timings.log_batch_ms * GP_MSEC;
   limits.timeout = settings->timings.log_timeout_ms * GP_MSEC;
   limits.outage_after = MAX (limits.outage_after, limits.timeout);
   store->append_timeout = limits.timeout;
   gp_writer_init (&store->writer, settings->name, store->incarnation, &limits,
                   rand);
-  gp_writer_set_wall (&store->writer,
-                      gp_time_wall () - gp_loop_now (store->loop));
+  gp_writer_set_wall_offset (&store->writer,
+                             gp_time_wall () - gp_loop_now (store->loop));
 }
 
 static gp_store_t *
--- a/src/daemon/store_read.c
+++ b/src/daemon/store_read.c
@@ -200,8 +200,8 @@
       gp_stream_unfollow (store->stream); /* read again after the copy */
       return;
     }
-  gp_writer_set_wall (&store->writer,
-                      gp_time_wall () - gp_loop_now (store->loop));
+  gp_writer_set_wall_offset (&store->writer,
+                             gp_time_wall () - gp_loop_now (store->loop));
   apply_read (store, read);
   gp_store_check_snapshot (store);
   gp_store_pump (store);
--- a/src/daemon/store_snapshot.c
+++ b/src/daemon/store_snapshot.c
@@ -71,7 +71,7 @@
       store->snapshot.next_at = now + store->snapshot.limits.pace;
       break;
     case GP_WRITER_TOO_LARGE:
-    case GP_WRITER_LATE:
+    case GP_WRITER_DEADLINE_PASSED:
       gp_snapshot_abandon (&store->snapshot);
       break;
     }
--- a/src/state/writer.c
+++ b/src/state/writer.c
@@ -34,7 +34,7 @@
   .queue_bytes_max = (size_t)4 * 1024 * 1024,
   .queue_records_max = 65536,
   .unread_max = 8,
-  .hold = { 5 * GP_MSEC, 30 * GP_MSEC, 30 * GP_MSEC },
+  .linger = { 5 * GP_MSEC, 30 * GP_MSEC, 30 * GP_MSEC },
   .spacing = 25 * GP_MSEC,
   .spacing_writers = 6,
   .urgent_spacing_max = 50 * GP_MSEC,
@@ -67,8 +67,8 @@
   writer->name = g_strdup (name);
   writer->incarnation = incarnation;
   writer->rand = rand;
-  writer->expiry = GP_TIME_NEVER;
-  writer->batch_at = -GP_SEC;
+  writer->next_expiry = GP_TIME_NEVER;
+  writer->last_batch_at = -GP_SEC;
   writer->spacing = writer->limits.spacing;
   for (int i = 0; i < GP_WRITER_PRIORITIES; i++)
     gp_list_init (&writer->queues[i]);
@@ -99,7 +99,7 @@
 {
   gp_writer_action_t action;
 
-  while (gp_writer_next (writer, &action))
+  while (gp_writer_next_action (writer, &action))
     if (action.kind == GP_WRITER_APPEND)
       g_bytes_unref (action.u.append.bytes);
   for (int i = 0; i < GP_WRITER_PRIORITIES; i++)
@@ -115,7 +115,7 @@
 }
 
 void
-gp_writer_set_wall (gp_writer_t *writer, int64_t offset)
+gp_writer_set_wall_offset (gp_writer_t *writer, int64_t offset)
 {
   writer->wall_offset = offset;
 }
@@ -123,16 +123,16 @@
 void
 gp_writer_set_writers (gp_writer_t *writer, uint32_t count)
 {
-  uint32_t least = writer->limits.spacing_writers;
+  uint32_t threshold = writer->limits.spacing_writers;
 
   writer->spacing = writer->limits.spacing;
-  if (least > 0 && count > least)
-    writer->spacing = writer->limits.spacing * count / least;
+  if (threshold > 0 && count > threshold)
+    writer->spacing = writer->limits.spacing * count / threshold;
 }
 
 bool
-gp_writer_saw (gp_writer_t *writer, int64_t wall_us, uint32_t logical,
-               gp_time_t now)
+gp_writer_merge_time (gp_writer_t *writer, int64_t wall_us, uint32_t logical,
+                      gp_time_t now)
 {
   if (wall_us > now + writer->wall_offset + writer->limits.skew_max)
     return false;
@@ -147,7 +147,7 @@
 }
 
 static void
-tick (gp_writer_t *writer, gp_time_t now)
+advance_clock (gp_writer_t *writer, gp_time_t now)
 {
   int64_t wall_us = now + writer->wall_offset;
 
@@ -167,7 +167,7 @@
 }
 
 bool
-gp_writer_next (gp_writer_t *writer, gp_writer_action_t *action)
+gp_writer_next_action (gp_writer_t *writer, gp_writer_action_t *action)
 {
   gp_writer_action_t *first = g_queue_pop_head (&writer->actions);
 
@@ -242,7 +242,7 @@
 
 /* Return an upper bound of the size of a batch header.  */
 static size_t
-header_room (const gp_writer_t *writer)
+header_size_max (const gp_writer_t *writer)
 {
   return strlen (writer->name) + 64;
 }
@@ -257,14 +257,14 @@
   size_t bytes;
 
   if (deadline <= now)
-    return GP_WRITER_LATE;
+    return GP_WRITER_DEADLINE_PASSED;
   if (!gp_writer_available (writer, now))
     return GP_WRITER_UNAVAILABLE;
   if (writer->queue_records >= writer->limits.queue_records_max)
     return GP_WRITER_FULL;
   queued = pack_entry (record);
   bytes = writer->queue_bytes + queued->size;
-  if (queued->size + header_room (writer) > writer->limits.batch_bytes_max
+  if (queued->size + header_size_max (writer) > writer->limits.batch_bytes_max
       || bytes > writer->limits.queue_bytes_max)
     {
       gp_writer_result_t result = bytes > writer->limits.queue_bytes_max
@@ -279,7 +279,7 @@
   gp_list_push_back (&writer->queues[priority], &queued->link);
   writer->queue_bytes = bytes;
   writer->queue_records++;
-  writer->expiry = MIN (writer->expiry, deadline);
+  writer->next_expiry = MIN (writer->next_expiry, deadline);
   if (entry != NULL)
     *entry = queued;
   gp_writer_step (writer, now);
@@ -287,7 +287,7 @@
 }
 
 static void
-unqueue (gp_writer_t *writer, gp_writer_entry_t *entry)
+dequeue (gp_writer_t *writer, gp_writer_entry_t *entry)
 {
   gp_list_remove (&entry->link);
   writer->queue_bytes -= entry->size;
@@ -299,7 +299,7 @@
 {
   if (entry->sent)
     return false;
-  unqueue (writer, entry);
+  dequeue (writer, entry);
   g_free (entry);
   return true;
 }
@@ -310,7 +310,7 @@
   gp_writer_action_t action
       = { .kind = GP_WRITER_EXPIRED, .u.expired.token = entry->token };
 
-  unqueue (writer, entry);
+  dequeue (writer, entry);
   push_action (writer, &action);
   g_free (entry);
 }
@@ -318,9 +318,9 @@
 static void
 expire_entries (gp_writer_t *writer, gp_time_t now)
 {
-  if (now < writer->expiry)
+  if (now < writer->next_expiry)
     return;
-  writer->expiry = GP_TIME_NEVER;
+  writer->next_expiry = GP_TIME_NEVER;
   for (int i = 0; i < GP_WRITER_PRIORITIES; i++)
     GP_LIST_FOREACH_SAFE (pos, &writer->queues[i])
     {
@@ -329,7 +329,7 @@
       if (entry->deadline <= now)
         expire_entry (writer, entry);
       else
-        writer->expiry = MIN (writer->expiry, entry->deadline);
+        writer->next_expiry = MIN (writer->next_expiry, entry->deadline);
     }
 }
 
@@ -360,7 +360,7 @@
       if (batch->count >= writer->limits.batch_records_max
           || bytes->len + entry->size > writer->limits.batch_bytes_max)
         return false;
-      unqueue (writer, entry);
+      dequeue (writer, entry);
       entry->sent = true;
       gp_list_push_back (&batch->entries, &entry->link);
       batch->count++;
@@ -377,10 +377,10 @@
 
   gp_list_init (&batch->link);
   gp_list_init (&batch->entries);
-  tick (writer, now);
+  advance_clock (writer, now);
   batch->sequence = ++writer->sequence;
   batch->sent_at = now;
-  writer->batch_at = now;
+  writer->last_batch_at = now;
   bytes = pack_header (writer, batch->sequence);
   for (int i = 0; i < GP_WRITER_PRIORITIES; i++)
     if (!fill_batch (writer, batch, bytes, &writer->queues[i]))
@@ -394,21 +394,21 @@
 static gp_time_t
 spacing_of (const gp_writer_t *writer, int priority)
 {
-  gp_time_t most = writer->limits.urgent_spacing_max;
+  gp_time_t max = writer->limits.urgent_spacing_max;
 
-  if (priority == GP_WRITER_URGENT && most > 0)
-    return MIN (writer->spacing, most);
+  if (priority == GP_WRITER_URGENT && max > 0)
+    return MIN (writer->spacing, max);
   return writer->spacing;
 }
 
 /* Return when the queued records are to be sent if no batch is in flight.  */
 static gp_time_t
-queue_due (const gp_writer_t *writer)
+queue_due_at (const gp_writer_t *writer)
 {
   gp_time_t due = GP_TIME_NEVER;
 
   if (writer->queue_records >= writer->limits.batch_records_max
-      || writer->queue_bytes + header_room (writer)
+      || writer->queue_bytes + header_size_max (writer)
              >= writer->limits.batch_bytes_max)
     return 0;
   for (int i = 0; i < GP_WRITER_PRIORITIES; i++)
@@ -416,9 +416,10 @@
       {
         gp_writer_entry_t *oldest = entry_of (writer->queues[i].next);
 
-        gp_time_t held = oldest->queued_at + writer->limits.hold[i];
+        gp_time_t linger_end = oldest->queued_at + writer->limits.linger[i];
 
-        due = MIN (due, MAX (held, writer->batch_at + spacing_of (writer, i)));
+        due = MIN (due, MAX (linger_end,
+                             writer->last_batch_at + spacing_of (writer, i)));
       }
   return due;
 }
@@ -461,7 +462,7 @@
 }
 
 static bool
-may_form (const gp_writer_t *writer)
+can_form_batch (const gp_writer_t *writer)
 {
   return writer->current == NULL && writer->queue_records > 0
          && writer->unread_count < writer->limits.unread_max;
@@ -473,19 +474,19 @@
   expire_entries (writer, now);
   if (writer->current != NULL)
     step_current (writer, now);
-  else if (may_form (writer) && queue_due (writer) <= now)
+  else if (can_form_batch (writer) && queue_due_at (writer) <= now)
     form_batch (writer, now);
 }
 
 gp_time_t
 gp_writer_deadline (const gp_writer_t *writer)
 {
-  gp_time_t deadline = writer->expiry;
+  gp_time_t deadline = writer->next_expiry;
 
   if (writer->current != NULL)
     return MIN (deadline, writer->current->deadline);
-  if (may_form (writer))
-    return MIN (deadline, queue_due (writer));
+  if (can_form_batch (writer))
+    return MIN (deadline, queue_due_at (writer));
   return deadline;
 }
 
@@ -558,7 +559,7 @@
 }
 
 static void
-skip_batch (gp_writer_t *writer, gp_writer_batch_t *batch)
+report_unread (gp_writer_t *writer, gp_writer_batch_t *batch)
 {
   GP_LIST_FOREACH (pos, &batch->entries)
   {
@@ -579,9 +580,9 @@
       break;
     gp_list_remove (pos);
     writer->unread_count--;
-    skip_batch (writer, batch_of (pos));
+    report_unread (writer, batch_of (pos));
   }
   if (writer->current != NULL && writer->current->sequence <= sequence)
-    skip_batch (writer, g_steal_pointer (&writer->current));
+    report_unread (writer, g_steal_pointer (&writer->current));
   gp_writer_step (writer, now);
 }
--- a/src/state/writer.h
+++ b/src/state/writer.h
@@ -17,7 +17,8 @@
 
    The writer does no I/O and reads no clock: each call is given the time NOW
    and produces actions.  After each call the caller takes the actions with
-   gp_writer_next and calls gp_writer_step again at gp_writer_deadline.  */
+   gp_writer_next_action.  It calls gp_writer_step again at the time that
+   gp_writer_deadline returns.  */
 
 #ifndef GP_STATE_WRITER_H
 #define GP_STATE_WRITER_H
@@ -48,7 +49,8 @@
   size_t queue_bytes_max;
   uint32_t queue_records_max;
   uint32_t unread_max; /* batches acknowledged but not read back */
-  gp_time_t hold[GP_WRITER_PRIORITIES];
+  gp_time_t
+      linger[GP_WRITER_PRIORITIES]; /* how long a record waits for others */
   gp_time_t spacing;            /* minimum between batches that are not full */
   uint32_t spacing_writers;     /* with more active writers than this SPACING
                                    grows in proportion to their number */
@@ -67,10 +69,10 @@
 typedef enum
 {
   GP_WRITER_QUEUED,
-  GP_WRITER_UNAVAILABLE, /* the log makes no progress */
-  GP_WRITER_FULL,        /* the queue is at its limit */
-  GP_WRITER_TOO_LARGE,   /* does not fit into a batch */
-  GP_WRITER_LATE         /* the deadline has passed */
+  GP_WRITER_UNAVAILABLE,    /* the log makes no progress */
+  GP_WRITER_FULL,           /* the queue is at its limit */
+  GP_WRITER_TOO_LARGE,      /* does not fit into a batch */
+  GP_WRITER_DEADLINE_PASSED /* DEADLINE is not after NOW */
 } gp_writer_result_t;
 
 typedef enum
@@ -123,9 +125,9 @@
   gp_list_t queues[GP_WRITER_PRIORITIES]; /* of gp_writer_entry_t */
   size_t queue_bytes;
   uint32_t queue_records;
-  gp_time_t batch_at;         /* when the last batch was formed */
+  gp_time_t last_batch_at;    /* when the last batch was formed */
   gp_time_t spacing;          /* adjusted to the number of writers */
-  gp_time_t expiry;           /* lower bound of the deadlines in the queues */
+  gp_time_t next_expiry;      /* lower bound of the deadlines in the queues */
   gp_writer_batch_t *current; /* not known to be on the log yet, or NULL */
   gp_list_t unread;           /* of gp_writer_batch_t, oldest first */
   uint32_t unread_count;
@@ -149,7 +151,7 @@
 void gp_writer_finish (gp_writer_t *writer);
 
 /* Set the wall clock to NOW + OFFSET.  */
-void gp_writer_set_wall (gp_writer_t *writer, int64_t offset);
+void gp_writer_set_wall_offset (gp_writer_t *writer, int64_t offset);
 
 /* Set the number of active writers of the stream, including this one.
    Batches are spaced so that all writers together make no more appends than
@@ -159,8 +161,8 @@
 /* Merge the hybrid logical time of another process, so that later batches have
    a greater one.  Returns false, with nothing changed, if it is ahead of the
    own clock by more than skew_max.  */
-bool gp_writer_saw (gp_writer_t *writer, int64_t wall_us, uint32_t logical,
-                    gp_time_t now);
+bool gp_writer_merge_time (gp_writer_t *writer, int64_t wall_us,
+                           uint32_t logical, gp_time_t now);
 
 /* Queue a copy of RECORD.  The action that reports its outcome carries TOKEN.
    The record expires if it has not been sent by DEADLINE.  If ENTRY is not
@@ -199,7 +201,7 @@
 gp_time_t gp_writer_deadline (const gp_writer_t *writer);
 
 /* Remove the next action from the queue.  Returns false if there is none.  */
-bool gp_writer_next (gp_writer_t *writer, gp_writer_action_t *action);
+bool gp_writer_next_action (gp_writer_t *writer, gp_writer_action_t *action);
 
 /* Return false while the log makes no progress.  */
 bool gp_writer_available (const gp_writer_t *writer, gp_time_t now);
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -314,7 +314,7 @@
              == GP_WRITER_QUEUED);
   CU_ASSERT (
       propose (&fixture, "cccccccccccccccc", GP_WRITER_NORMAL, 0, &late, NULL)
-      == GP_WRITER_LATE);
+      == GP_WRITER_DEADLINE_PASSED);
   CU_ASSERT (run_until_count (&fixture.loop, &expired.done, 1));
   CU_ASSERT (expired.result == GP_PROPOSAL_EXPIRED);
   CU_ASSERT (withdrawn.done == 0 && late.done == 0);
--- a/tests/unit/test_writer.c
+++ b/tests/unit/test_writer.c
@@ -126,7 +126,7 @@
 {
   gp_writer_action_t action;
 
-  while (gp_writer_next (&run->writers[i], &action))
+  while (gp_writer_next_action (&run->writers[i], &action))
     switch (action.kind)
       {
       case GP_WRITER_APPEND:
@@ -309,7 +309,7 @@
 {
   gp_writer_action_t action = { .kind = GP_WRITER_EXPIRED };
 
-  CU_ASSERT_TRUE_FATAL (gp_writer_next (writer, &action));
+  CU_ASSERT_TRUE_FATAL (gp_writer_next_action (writer, &action));
   CU_ASSERT_EQUAL_FATAL (action.kind, GP_WRITER_APPEND);
   *sequence = action.u.append.sequence;
   return action.u.append.bytes;
@@ -343,7 +343,7 @@
                                 10 * GP_SEC, NULL),
                    GP_WRITER_UNAVAILABLE);
   gp_writer_skip (&writer, 1, 10 * GP_SEC);
-  CU_ASSERT_TRUE (gp_writer_next (&writer, &action));
+  CU_ASSERT_TRUE (gp_writer_next_action (&writer, &action));
   CU_ASSERT_EQUAL (action.kind, GP_WRITER_UNREAD);
   CU_ASSERT_EQUAL (action.u.unread.token, 1);
   CU_ASSERT_TRUE (gp_writer_available (&writer, 10 * GP_SEC));
@@ -371,10 +371,10 @@
   submit_task (&writer, 2, GP_WRITER_NORMAL, 2 * GP_SEC, GP_SEC, NULL);
   CU_ASSERT_EQUAL (gp_writer_deadline (&writer), 2 * GP_SEC);
   gp_writer_acked (&writer, 1, 2 * GP_SEC);
-  CU_ASSERT_TRUE_FATAL (gp_writer_next (&writer, &action));
+  CU_ASSERT_TRUE_FATAL (gp_writer_next_action (&writer, &action));
   CU_ASSERT_EQUAL (action.kind, GP_WRITER_EXPIRED);
   CU_ASSERT_EQUAL (action.u.expired.token, 2);
-  CU_ASSERT_FALSE (gp_writer_next (&writer, &action));
+  CU_ASSERT_FALSE (gp_writer_next_action (&writer, &action));
   CU_ASSERT_EQUAL (gp_writer_deadline (&writer), GP_TIME_NEVER);
   gp_writer_finish (&writer);
   g_rand_free (rand);
@@ -431,10 +431,10 @@
       submit_task (&writer, 5, GP_WRITER_URGENT, GP_TIME_NEVER, 0, NULL),
       GP_WRITER_FULL);
   CU_ASSERT_EQUAL (submit_task (&writer, 5, GP_WRITER_URGENT, 5, 5, NULL),
-                   GP_WRITER_LATE);
+                   GP_WRITER_DEADLINE_PASSED);
   CU_ASSERT_EQUAL (gp_writer_deadline (&writer), 5 * GP_MSEC);
-  CU_ASSERT_TRUE (gp_writer_saw (&writer, 7 * GP_SEC, 3, 0));
-  CU_ASSERT_FALSE (gp_writer_saw (&writer, 60 * GP_SEC, 0, 0));
+  CU_ASSERT_TRUE (gp_writer_merge_time (&writer, 7 * GP_SEC, 3, 0));
+  CU_ASSERT_FALSE (gp_writer_merge_time (&writer, 60 * GP_SEC, 0, 0));
   gp_writer_step (&writer, 5 * GP_MSEC);
   bytes = next_append (&writer, &sequence);
   batch = gp__record__batch__unpack (NULL, g_bytes_get_size (bytes),
@@ -471,7 +471,7 @@
       submit_task (&writer, (uint64_t)now + 1, priority, GP_TIME_NEVER, now,
                    NULL);
       gp_writer_step (&writer, now);
-      while (gp_writer_next (&writer, &action))
+      while (gp_writer_next_action (&writer, &action))
         if (action.kind == GP_WRITER_APPEND)
           {
             batches++;
