--- a/bench/bench_fold.c
+++ b/bench/bench_fold.c
@@ -318,7 +318,7 @@
   gp_follower_reply_t reply = { .first_offset = first_offset,
                                 .next_offset = site->log->len,
                                 .records = records };
-  uint64_t at = gp_follower_from (follower);
+  uint64_t at = gp_follower_read_offset (follower);
   size_t bytes = 0;
 
   while (at >= first_offset && at < site->log->len && bytes < READ_BYTES
@@ -331,7 +331,7 @@
       bytes += record->size;
     }
   *read += bytes;
-  gp_follower_read (follower, &reply);
+  gp_follower_handle_reply (follower, &reply);
 }
 
 static void
--- a/src/daemon/store.c
+++ b/src/daemon/store.c
@@ -72,7 +72,7 @@
   store->up = up;
   gp_log (up ? GP_LOG_INFO : GP_LOG_WARNING, up ? "log.up" : "log.down",
           GP_LOG_S ("stream", store->source.stream),
-          GP_LOG_I ("offset", store->follower.from));
+          GP_LOG_I ("offset", store->follower.read_offset));
   gp_store_note (store, up ? GP_TIMELINE_LOG_UP : GP_TIMELINE_LOG_DOWN);
 }
 
@@ -358,7 +358,7 @@
 {
   *health = (gp_store_health_t){ .ready = gp_store_ready (store),
                                  .available = available (store),
-                                 .offset = store->follower.from,
+                                 .offset = store->follower.read_offset,
                                  .read_at = store->read_at,
                                  .appends = store->writer.appends,
                                  .repeats = store->writer.repeats,
--- a/src/daemon/store_read.c
+++ b/src/daemon/store_read.c
@@ -121,7 +121,7 @@
       || before == GP_FOLLOWER_STOPPED)
     return;
   gp_log (GP_LOG_ERROR, "log.later-version",
-          GP_LOG_I ("offset", store->follower.from));
+          GP_LOG_I ("offset", store->follower.read_offset));
   gp_stream_unfollow (store->stream);
 }
 
@@ -131,7 +131,7 @@
 {
   gp_follower_phase_t before = store->follower.phase;
 
-  gp_follower_read (&store->follower, reply);
+  gp_follower_handle_reply (&store->follower, reply);
   tell_gap (store);
   tell_rebuilt (store);
   tell_stopped (store, before);
@@ -142,7 +142,8 @@
 gp_store_follow (gp_store_t *store)
 {
   if (store->follower.phase != GP_FOLLOWER_STOPPED)
-    gp_stream_follow (store->stream, gp_follower_from (&store->follower));
+    gp_stream_follow (store->stream,
+                      gp_follower_read_offset (&store->follower));
 }
 
 static gp_follower_record_t *
@@ -185,7 +186,7 @@
   count_writers (store);
   if (read->complete && gp_follower_caught_up (&store->follower))
     tell_read (store, read->sent_at);
-  if (gp_follower_from (&store->follower) != read->from + read->count)
+  if (gp_follower_read_offset (&store->follower) != read->from + read->count)
     gp_store_follow (store);
 }
 
--- a/src/daemon/store_snapshot.c
+++ b/src/daemon/store_snapshot.c
@@ -68,7 +68,7 @@
       break;
     case GP_WRITER_UNAVAILABLE:
     case GP_WRITER_FULL:
-      store->snapshot.next_at = now + store->snapshot.limits.pace;
+      store->snapshot.next_at = now + store->snapshot.limits.record_interval;
       break;
     case GP_WRITER_TOO_LARGE:
     case GP_WRITER_DEADLINE_PASSED:
--- a/src/state/catalog.c
+++ b/src/state/catalog.c
@@ -43,7 +43,7 @@
 void
 gp_catalog_reject (gp_catalog_t *catalog)
 {
-  uint32_t at = catalog->rejected_count++ % GP_CATALOG_REJECTED;
+  uint32_t at = catalog->rejected_count++ % GP_CATALOG_REJECTED_MAX;
 
   catalog->rejected[at] = catalog->newest->as_of + 1;
   gp_catalog_clear (catalog);
@@ -52,7 +52,7 @@
 static bool
 is_rejected (const gp_catalog_t *catalog, uint64_t as_of)
 {
-  for (int i = 0; i < GP_CATALOG_REJECTED; i++)
+  for (int i = 0; i < GP_CATALOG_REJECTED_MAX; i++)
     if (catalog->rejected[i] == as_of + 1)
       return true;
   return false;
@@ -78,8 +78,8 @@
 }
 
 static bool
-note_begin (gp_catalog_t *catalog, uint64_t offset, const char *writer,
-            uint64_t incarnation, const Gp__Record__SnapshotBegin *begin)
+process_begin (gp_catalog_t *catalog, uint64_t offset, const char *writer,
+               uint64_t incarnation, const Gp__Record__SnapshotBegin *begin)
 {
   gp_catalog_entry_t *entry = find_open (catalog, writer);
 
@@ -103,8 +103,8 @@
 }
 
 static bool
-note_part (gp_catalog_t *catalog, gp_catalog_entry_t *entry,
-           const Gp__Record__SnapshotPart *part)
+process_part (gp_catalog_t *catalog, gp_catalog_entry_t *entry,
+              const Gp__Record__SnapshotPart *part)
 {
   if (part->index < entry->parts)
     return false;
@@ -120,8 +120,8 @@
 }
 
 static bool
-note_end (gp_catalog_t *catalog, gp_catalog_entry_t *entry, uint64_t offset,
-          const Gp__Record__SnapshotEnd *end)
+process_end (gp_catalog_t *catalog, gp_catalog_entry_t *entry, uint64_t offset,
+             const Gp__Record__SnapshotEnd *end)
 {
   guint index;
   bool newer;
@@ -145,15 +145,16 @@
 }
 
 bool
-gp_catalog_note (gp_catalog_t *catalog, uint64_t offset, const char *writer,
-                 uint64_t incarnation, const Gp__Record__Record *record)
+gp_catalog_add_record (gp_catalog_t *catalog, uint64_t offset,
+                       const char *writer, uint64_t incarnation,
+                       const Gp__Record__Record *record)
 {
   gp_catalog_entry_t *entry = find_open (catalog, writer);
   uint64_t id = 0;
 
   if (record->record_case == GP__RECORD__RECORD__RECORD_SNAPSHOT_BEGIN)
-    return note_begin (catalog, offset, writer, incarnation,
-                       record->snapshot_begin);
+    return process_begin (catalog, offset, writer, incarnation,
+                          record->snapshot_begin);
   if (record->record_case == GP__RECORD__RECORD__RECORD_SNAPSHOT_PART)
     id = record->snapshot_part->id;
   else if (record->record_case == GP__RECORD__RECORD__RECORD_SNAPSHOT_END)
@@ -163,6 +164,6 @@
   if (entry == NULL || entry->incarnation != incarnation || entry->id != id)
     return false;
   if (record->record_case == GP__RECORD__RECORD__RECORD_SNAPSHOT_PART)
-    return note_part (catalog, entry, record->snapshot_part);
-  return note_end (catalog, entry, offset, record->snapshot_end);
+    return process_part (catalog, entry, record->snapshot_part);
+  return process_end (catalog, entry, offset, record->snapshot_end);
 }
--- a/src/state/catalog.h
+++ b/src/state/catalog.h
@@ -30,14 +30,14 @@
 } gp_catalog_entry_t;
 
 /* How many corrupt snapshots are remembered.  */
-#define GP_CATALOG_REJECTED 8
+#define GP_CATALOG_REJECTED_MAX 8
 
 typedef struct
 {
   GPtrArray *open; /* of gp_catalog_entry_t */
   gp_catalog_entry_t
       *newest; /* complete and with the highest as_of, or NULL */
-  uint64_t rejected[GP_CATALOG_REJECTED]; /* their as_of + 1 */
+  uint64_t rejected[GP_CATALOG_REJECTED_MAX]; /* their as_of + 1 */
   uint32_t rejected_count; /* in total; REJECTED is a ring buffer */
 } gp_catalog_t;
 
@@ -46,9 +46,9 @@
 
 /* Process RECORD, of any kind, from the batch of WRITER at OFFSET.  Returns
    true if it completed a snapshot that is now the newest.  */
-bool gp_catalog_note (gp_catalog_t *catalog, uint64_t offset,
-                      const char *writer, uint64_t incarnation,
-                      const Gp__Record__Record *record);
+bool gp_catalog_add_record (gp_catalog_t *catalog, uint64_t offset,
+                            const char *writer, uint64_t incarnation,
+                            const Gp__Record__Record *record);
 
 /* Return the incomplete snapshot of WRITER, or NULL.  */
 const gp_catalog_entry_t *gp_catalog_open (const gp_catalog_t *catalog,
--- a/src/state/follower.c
+++ b/src/state/follower.c
@@ -21,16 +21,16 @@
 }
 
 uint64_t
-gp_follower_from (const gp_follower_t *follower)
+gp_follower_read_offset (const gp_follower_t *follower)
 {
-  return follower->from;
+  return follower->read_offset;
 }
 
 bool
 gp_follower_caught_up (const gp_follower_t *follower)
 {
   return follower->phase == GP_FOLLOWER_READY
-         && follower->from >= follower->next_offset;
+         && follower->read_offset >= follower->next_offset;
 }
 
 bool
@@ -62,7 +62,7 @@
   reset_fold (follower);
   gp_catalog_clear (&follower->catalog);
   follower->phase = GP_FOLLOWER_SCAN;
-  follower->from = follower->first_offset;
+  follower->read_offset = follower->first_offset;
   follower->target_known = false;
   follower->restarts++;
 }
@@ -78,16 +78,16 @@
   if (batch == NULL)
     return;
   for (size_t i = 0; i < batch->n_records; i++)
-    gp_catalog_note (&follower->catalog, record->offset, batch->writer,
-                     batch->incarnation, batch->records[i]);
+    gp_catalog_add_record (&follower->catalog, record->offset, batch->writer,
+                           batch->incarnation, batch->records[i]);
   gp__record__batch__free_unpacked (batch, NULL);
 }
 
 static void
-start_tail (gp_follower_t *follower)
+start_replay (gp_follower_t *follower)
 {
-  follower->phase = GP_FOLLOWER_TAIL;
-  follower->from = follower->fold.next_offset;
+  follower->phase = GP_FOLLOWER_REPLAY;
+  follower->read_offset = follower->fold.next_offset;
   follower->target = follower->next_offset;
 }
 
@@ -106,11 +106,11 @@
   if (snapshot_usable (follower))
     {
       follower->phase = GP_FOLLOWER_LOAD;
-      follower->from = follower->catalog.newest->begin_offset;
+      follower->read_offset = follower->catalog.newest->begin_offset;
       follower->loaded = 0;
     }
   else if (follower->first_offset == 0)
-    start_tail (follower);
+    start_replay (follower);
 }
 
 /* LOAD.  */
@@ -167,18 +167,18 @@
       return;
     }
   gp_fold_load_done (&follower->fold, newest->as_of);
-  start_tail (follower);
+  start_replay (follower);
 }
 
-/* TAIL and READY.  */
+/* REPLAY and READY.  */
 
 static void
-pass_change (const gp_fold_change_t *change, void *data)
+forward_change (const gp_fold_change_t *change, void *data)
 {
   gp_follower_t *follower = data;
 
   if (change->kind == GP_FOLD_SNAPSHOT)
-    gp_catalog_note (
+    gp_catalog_add_record (
         &follower->catalog, change->offset, change->u.snapshot.writer->name,
         change->u.snapshot.writer->incarnation, change->u.snapshot.record);
   if (follower->sink == NULL)
@@ -193,7 +193,7 @@
 {
   gp_fold_result_t result
       = gp_fold_apply (&follower->fold, record->offset, record->bytes,
-                       record->size, pass_change, follower);
+                       record->size, forward_change, follower);
 
   if (result == GP_FOLD_UNREADABLE)
     follower->phase = GP_FOLLOWER_STOPPED;
@@ -202,7 +202,7 @@
 /* Process one record.  Returns false if the rest of the reply must be
    ignored.  */
 static bool
-take_record (gp_follower_t *follower, const gp_follower_record_t *record)
+process_record (gp_follower_t *follower, const gp_follower_record_t *record)
 {
   gp_follower_phase_t phase = follower->phase;
 
@@ -218,7 +218,7 @@
           return false;
         }
       break;
-    case GP_FOLLOWER_TAIL:
+    case GP_FOLLOWER_REPLAY:
     case GP_FOLLOWER_READY:
       apply_record (follower, record);
       break;
@@ -227,7 +227,7 @@
     }
   if (follower->phase != phase)
     return false;
-  follower->from = record->offset + 1;
+  follower->read_offset = record->offset + 1;
   return true;
 }
 
@@ -240,15 +240,15 @@
   switch (phase)
     {
     case GP_FOLLOWER_SCAN:
-      if (follower->from >= follower->target)
+      if (follower->read_offset >= follower->target)
         end_scan (follower);
       break;
     case GP_FOLLOWER_LOAD:
-      if (follower->from > follower->catalog.newest->end_offset)
+      if (follower->read_offset > follower->catalog.newest->end_offset)
         end_load (follower);
       break;
-    case GP_FOLLOWER_TAIL:
-      if (follower->from >= follower->target)
+    case GP_FOLLOWER_REPLAY:
+      if (follower->read_offset >= follower->target)
         {
           follower->phase = GP_FOLLOWER_READY;
           follower->rebuilt = true;
@@ -262,7 +262,8 @@
 }
 
 gp_follower_phase_t
-gp_follower_read (gp_follower_t *follower, const gp_follower_reply_t *reply)
+gp_follower_handle_reply (gp_follower_t *follower,
+                          const gp_follower_reply_t *reply)
 {
   if (follower->fold.held > 0)
     return follower->phase;
@@ -270,8 +271,8 @@
   follower->next_offset = reply->next_offset;
   if (follower->phase == GP_FOLLOWER_STOPPED)
     return follower->phase;
-  if (reply->first_offset > follower->from
-      || reply->next_offset < follower->from)
+  if (reply->first_offset > follower->read_offset
+      || reply->next_offset < follower->read_offset)
     {
       restart (follower);
       return follower->phase;
@@ -281,14 +282,15 @@
   follower->target_known = true;
   for (size_t i = 0; i < reply->count; i++)
     {
-      if (reply->records[i].offset < follower->from)
+      if (reply->records[i].offset < follower->read_offset)
         continue;
-      if (reply->records[i].offset > follower->from)
+      if (reply->records[i].offset > follower->read_offset)
         {
           restart (follower);
           return follower->phase;
         }
-      if (!take_record (follower, &reply->records[i]) || end_phase (follower))
+      if (!process_record (follower, &reply->records[i])
+          || end_phase (follower))
         return follower->phase;
     }
   while (end_phase (follower))
--- a/src/state/follower.h
+++ b/src/state/follower.h
@@ -5,7 +5,7 @@
 
    SCAN   find the newest complete snapshot up to the end of the log at start
    LOAD   read that snapshot again and load its parts
-   TAIL   apply the batches after it up to the end of the log at the end of
+   REPLAY apply the batches after it up to the end of the log at the end of
           SCAN
    READY  apply new batches and forward the changes
 
@@ -16,8 +16,8 @@
    read, it restarts with an empty state.  The state may be acted upon only
    in READY.
 
-   The caller reads the log: it requests records from gp_follower_from and
-   passes each reply to gp_follower_read.  */
+   The caller reads the log: it requests records from gp_follower_read_offset
+   and passes each reply to gp_follower_handle_reply.  */
 
 #ifndef GP_STATE_FOLLOWER_H
 #define GP_STATE_FOLLOWER_H
@@ -33,7 +33,7 @@
 {
   GP_FOLLOWER_SCAN,
   GP_FOLLOWER_LOAD,
-  GP_FOLLOWER_TAIL,
+  GP_FOLLOWER_REPLAY,
   GP_FOLLOWER_READY,
   GP_FOLLOWER_STOPPED /* the log has a later version */
 } gp_follower_phase_t;
@@ -61,8 +61,8 @@
   gp_fold_t fold; /* the state; valid only when READY */
   gp_catalog_t catalog;
   gp_follower_phase_t phase;
-  uint64_t from;   /* next offset to read */
-  uint64_t target; /* SCAN, TAIL: the phase ends when FROM reaches it */
+  uint64_t read_offset; /* next offset to read */
+  uint64_t target;      /* offset at which SCAN and REPLAY end */
   bool target_known;
   uint64_t first_offset; /* of the last reply */
   uint64_t next_offset;  /* of the last reply */
@@ -81,12 +81,14 @@
 void gp_follower_finish (gp_follower_t *follower);
 
 /* Return the offset to read from.  */
-uint64_t gp_follower_from (const gp_follower_t *follower);
-
-/* Process the reply to a read from gp_follower_from.  While a saver of the
-   fold is active the reply is ignored: the caller keeps it or reads again.  */
-gp_follower_phase_t gp_follower_read (gp_follower_t *follower,
-                                      const gp_follower_reply_t *reply);
+uint64_t gp_follower_read_offset (const gp_follower_t *follower);
+
+/* Process the reply to a read from gp_follower_read_offset.  While a saver of
+   the fold is active the reply is ignored; the caller keeps it or reads the
+   same offset again.  */
+gp_follower_phase_t
+gp_follower_handle_reply (gp_follower_t *follower,
+                          const gp_follower_reply_t *reply);
 
 /* Return true once after the state was rebuilt.  The caller must then examine
    the whole state and call gp_writer_skip with the sequence of the own
--- a/src/state/snapshot.c
+++ b/src/state/snapshot.c
@@ -7,17 +7,17 @@
 
 const gp_snapshot_limits_t gp_snapshot_default_limits = {
   .part_bytes = (size_t)128 * 1024,
-  .rows = 1000,
-  .pace = 100 * GP_MSEC,
-  .distance = 200000,
+  .rows_per_step = 1000,
+  .record_interval = 100 * GP_MSEC,
+  .offset_interval = 200000,
   .interval_us = 2 * HOUR_US,
-  .patience = 20000,
+  .abandoned_after = 20000,
 };
 
 static void
 draw_factor (gp_snapshot_t *snapshot)
 {
-  snapshot->factor = g_rand_double_range (snapshot->rand, 1.0, 1.5);
+  snapshot->threshold_factor = g_rand_double_range (snapshot->rand, 1.0, 1.5);
 }
 
 void
@@ -55,16 +55,18 @@
 }
 
 /* Return true if another process is writing a snapshot.  An open snapshot
-   that began more than PATIENCE offsets ago is considered abandoned.  */
+   that began more than abandoned_after offsets ago is considered
+   abandoned.  */
 static bool
-others_write (const gp_snapshot_t *snapshot, const gp_fold_t *fold,
-              const gp_catalog_t *catalog)
+another_writes (const gp_snapshot_t *snapshot, const gp_fold_t *fold,
+                const gp_catalog_t *catalog)
 {
   for (guint i = 0; i < catalog->open->len; i++)
     {
       const gp_catalog_entry_t *entry = catalog->open->pdata[i];
 
-      if (entry->begin_offset + snapshot->limits.patience > fold->next_offset)
+      if (entry->begin_offset + snapshot->limits.abandoned_after
+          > fold->next_offset)
         return true;
     }
   return false;
@@ -83,17 +85,19 @@
     snapshot->newest_us = fold->log_time_us;
   age = (double)(fold->log_time_us - snapshot->newest_us);
   if (snapshot->writing || covered >= fold->next_offset
-      || others_write (snapshot, fold, catalog))
+      || another_writes (snapshot, fold, catalog))
     return false;
-  if (behind >= (double)snapshot->limits.distance * snapshot->factor)
+  if (behind
+      >= (double)snapshot->limits.offset_interval * snapshot->threshold_factor)
     return true;
-  if (first_offset > 0 && behind * 2 >= retained * snapshot->factor)
+  if (first_offset > 0 && behind * 2 >= retained * snapshot->threshold_factor)
     return true;
-  return age >= (double)snapshot->limits.interval_us * snapshot->factor;
+  return age
+         >= (double)snapshot->limits.interval_us * snapshot->threshold_factor;
 }
 
 static void
-keep_part (GBytes *part, void *data)
+queue_part (GBytes *part, void *data)
 {
   gp_snapshot_t *snapshot = data;
 
@@ -109,7 +113,7 @@
   snapshot->checksum_state = XXH3_createState ();
   XXH3_64bits_reset (snapshot->checksum_state);
   gp_fold_saver_init (&snapshot->saver, fold, snapshot->limits.part_bytes,
-                      keep_part, snapshot);
+                      queue_part, snapshot);
   snapshot->copying = true;
   snapshot->writing = true;
   snapshot->id++;
@@ -123,7 +127,7 @@
 {
   if (!snapshot->copying)
     return false;
-  if (!gp_fold_saver_step (&snapshot->saver, snapshot->limits.rows))
+  if (!gp_fold_saver_step (&snapshot->saver, snapshot->limits.rows_per_step))
     return true;
   snapshot->parts_count = snapshot->parts.length;
   snapshot->checksum = XXH3_64bits_digest (snapshot->checksum_state);
@@ -191,12 +195,11 @@
 void
 gp_snapshot_queued (gp_snapshot_t *snapshot, gp_time_t now)
 {
-  bool was_part
-      = snapshot->step > 0 && snapshot->step <= snapshot->parts_count;
+  bool is_part = snapshot->step > 0 && snapshot->step <= snapshot->parts_count;
 
-  if (was_part)
+  if (is_part)
     g_bytes_unref (g_queue_pop_head (&snapshot->parts));
-  snapshot->next_at = now + snapshot->limits.pace;
+  snapshot->next_at = now + snapshot->limits.record_interval;
   snapshot->writing = snapshot->step <= snapshot->parts_count;
   snapshot->step++;
 }
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -31,12 +31,11 @@
 typedef struct
 {
   size_t part_bytes;
-  size_t rows;         /* copied per gp_snapshot_copy */
-  gp_time_t pace;      /* between two records */
-  uint64_t distance;   /* offsets since the newest snapshot */
-  int64_t interval_us; /* log time since the newest was completed */
-  uint64_t patience;   /* offsets after which an open snapshot is
-                          considered abandoned */
+  size_t rows_per_step;      /* copied per gp_snapshot_copy */
+  gp_time_t record_interval; /* between two records */
+  uint64_t offset_interval;  /* offsets since the newest snapshot */
+  int64_t interval_us;       /* log time since the newest was completed */
+  uint64_t abandoned_after;  /* offsets; for an open snapshot */
 } gp_snapshot_limits_t;
 
 extern const gp_snapshot_limits_t gp_snapshot_default_limits;
@@ -44,9 +43,9 @@
 typedef struct
 {
   gp_snapshot_limits_t limits;
-  GRand *rand;       /* owned by the caller */
-  double factor;     /* random factor of the thresholds, 1.0 to 1.5 */
-  int64_t newest_us; /* log time when the newest was completed */
+  GRand *rand;             /* owned by the caller */
+  double threshold_factor; /* random factor of the thresholds, 1.0 to 1.5 */
+  int64_t newest_us;       /* log time when the newest was completed */
   bool copying;
   bool writing; /* also true while copying */
   uint64_t id;
--- a/tests/unit/test_snapshot.c
+++ b/tests/unit/test_snapshot.c
@@ -15,11 +15,11 @@
 
 static const gp_snapshot_limits_t limits = {
   .part_bytes = 300,
-  .rows = 7,
-  .pace = 0,
-  .distance = 40,
+  .rows_per_step = 7,
+  .record_interval = 0,
+  .offset_interval = 40,
   .interval_us = INT64_MAX / 4,
-  .patience = 10,
+  .abandoned_after = 10,
 };
 
 typedef struct
@@ -88,7 +88,7 @@
   gp_follower_reply_t reply = { .first_offset = site->first_offset,
                                 .next_offset = site->log->len,
                                 .records = records };
-  uint64_t from = gp_follower_from (follower);
+  uint64_t from = gp_follower_read_offset (follower);
 
   for (uint64_t at = from;
        from >= site->first_offset && at < site->log->len && at < from + count;
@@ -99,7 +99,7 @@
       record->offset = at;
       record->bytes = g_bytes_get_data (site->log->pdata[at], &record->size);
     }
-  return gp_follower_read (follower, &reply);
+  return gp_follower_handle_reply (follower, &reply);
 }
 
 static void
@@ -151,7 +151,7 @@
 static void
 begin_snapshot (site_t *site, int i)
 {
-  uint64_t from = gp_follower_from (&site->live);
+  uint64_t from = gp_follower_read_offset (&site->live);
 
   gp_snapshot_begin (&site->snapshots[i], &site->live.fold, 0);
   while (gp_snapshot_copy (&site->snapshots[i]))
@@ -159,7 +159,7 @@
       CU_ASSERT_PTR_NULL (gp_snapshot_next (&site->snapshots[i], 0));
       read_some (site, &site->live, 16);
     }
-  CU_ASSERT_EQUAL (gp_follower_from (&site->live), from); /* held */
+  CU_ASSERT_EQUAL (gp_follower_read_offset (&site->live), from); /* held */
 }
 
 /* One record of the snapshot of writer I.  */
