--- a/bench/bench_fold.c
+++ b/bench/bench_fold.c
@@ -479,7 +479,7 @@
 
   gp_writer_init (&commit.writer, "entry-1", 1, NULL, rand);
   gp_fold_init (&commit.fold, NULL);
-  gp_fold_watch (&commit.fold, "entry-1", 1);
+  gp_fold_set_own_writer (&commit.fold, "entry-1", 1);
   g_queue_init (&commit.events);
   commit.queued_at = g_array_new (FALSE, FALSE, sizeof (gp_time_t));
   commit.latency = g_array_new (FALSE, FALSE, sizeof (double));
--- a/bench/bench_spacing.c
+++ b/bench/bench_spacing.c
@@ -171,7 +171,7 @@
       g_snprintf (entry->name, sizeof entry->name, "entry-%d", i + 1);
       gp_writer_init (&entry->writer, entry->name, 1, NULL, rand);
       gp_fold_init (&entry->fold, NULL);
-      gp_fold_watch (&entry->fold, entry->name, 1);
+      gp_fold_set_own_writer (&entry->fold, entry->name, 1);
       gp_active_writers_init (&entry->active);
     }
 }
--- a/src/daemon/configuration.c
+++ b/src/daemon/configuration.c
@@ -237,10 +237,10 @@
         offer_to_all (configuration, session);
       break;
     case GP_CONFIG_SAME:
-    case GP_CONFIG_LOWER:
+    case GP_CONFIG_STALE:
       break;
-    case GP_CONFIG_NO_BASE:
-    case GP_CONFIG_DIGEST:
+    case GP_CONFIG_BASE_MISMATCH:
+    case GP_CONFIG_DIGEST_MISMATCH:
       gp_counter_add (&updates_refused, 1);
       if (update->base_revision != 0)
         send_ask (configuration, session, 0);
--- a/src/daemon/configuration_publish.c
+++ b/src/daemon/configuration_publish.c
@@ -37,7 +37,7 @@
 is_published (const publication_t *publication)
 {
   const gp_config_t *config = fold_config (publication->configuration);
-  const gp_config_change_t *newest = gp_config_newest (config);
+  const gp_config_change_t *newest = gp_config_newest_change (config);
 
   return newest != NULL && config->revision == publication->base + 1
          && strcmp (newest->author, publication->author) == 0
@@ -99,7 +99,7 @@
   else if (result == GP_PUBLISH_CONFLICT)
     {
       const gp_config_t *config = fold_config (configuration);
-      const gp_config_change_t *newest = gp_config_newest (config);
+      const gp_config_change_t *newest = gp_config_newest_change (config);
 
       told.revision = config->revision;
       told.author = newest != NULL ? newest->author : "";
@@ -213,7 +213,7 @@
 static Gp__Record__ConfigItem **
 record_items (const GPtrArray *items)
 {
-  g_autofree gp_config_item_t *list = gp_document_items_config (items);
+  g_autofree gp_config_item_t *list = gp_document_items_to_config (items);
   Gp__Record__ConfigItem **records
       = g_new (Gp__Record__ConfigItem *, items->len + 1);
 
@@ -296,7 +296,7 @@
 static void
 set_digest (publication_t *publication, const GPtrArray *items)
 {
-  g_autofree gp_config_item_t *list = gp_document_items_config (items);
+  g_autofree gp_config_item_t *list = gp_document_items_to_config (items);
 
   gp_config_digest_items (list, items->len, publication->digest);
 }
--- a/src/daemon/operators_config.c
+++ b/src/daemon/operators_config.c
@@ -80,7 +80,7 @@
   gp_entry_t *entry = request->entry;
   const gp_config_t *held = gp_configuration_items (entry->configuration);
   const gp_config_t *fold = fold_config (entry);
-  const gp_config_change_t *newest = gp_config_newest (fold);
+  const gp_config_change_t *newest = gp_config_newest_change (fold);
   json_t *body = json_pack ("{s:I}", "revision", (json_int_t)held->revision);
 
   if (held->revision > 0)
--- a/src/daemon/store.c
+++ b/src/daemon/store.c
@@ -257,7 +257,7 @@
   gp_timer_init (&store->timer, loop, on_timer, store);
   gp_timer_init (&store->copy_timer, loop, gp_store_on_copy_timer, store);
   gp_follower_init (&store->follower, NULL, gp_store_on_change, store);
-  gp_fold_watch (&store->follower.fold, store->name, incarnation);
+  gp_fold_set_own_writer (&store->follower.fold, store->name, incarnation);
   gp_snapshot_init (&store->snapshot, NULL, rand);
   gp_active_writers_init (&store->active_writers);
   init_writer (store, settings, rand);
--- a/src/daemon/tasks_place.c
+++ b/src/daemon/tasks_place.c
@@ -324,7 +324,7 @@
       return true;
     }
   if (gp_suspects_parks (&tasks->suspects, &task->failures)
-      || gp_fold_takes_runtimes_down (state))
+      || gp_fold_loss_limit_reached (state))
     {
       gp_tasks_park (tasks, task, GP__RECORD__PARK_REASON__PARK_REASON_FAILS);
       return true;
--- a/src/state/active_writers.c
+++ b/src/state/active_writers.c
@@ -5,7 +5,7 @@
   uint64_t incarnation;
   uint64_t sequence;
   gp_time_t seen_at;
-} seen_t;
+} newest_batch_t;
 
 void
 gp_active_writers_init (gp_active_writers_t *active)
@@ -23,25 +23,25 @@
 /* Record the newest batch of WRITER.  Returns false if it is already
    recorded.  */
 static bool
-see (gp_active_writers_t *active, const gp_fold_writer_t *writer,
-     gp_time_t now)
+record_batch (gp_active_writers_t *active, const gp_fold_writer_t *writer,
+              gp_time_t now)
 {
-  seen_t *seen = g_hash_table_lookup (active->seen, writer->name);
+  newest_batch_t *seen = g_hash_table_lookup (active->seen, writer->name);
 
   if (seen == NULL)
     {
-      seen = g_new0 (seen_t, 1);
+      seen = g_new0 (newest_batch_t, 1);
       g_hash_table_insert (active->seen, g_strdup (writer->name), seen);
     }
   else if (seen->incarnation == writer->incarnation
            && seen->sequence == writer->sequence)
     return false;
-  *seen = (seen_t){ writer->incarnation, writer->sequence, now };
+  *seen = (newest_batch_t){ writer->incarnation, writer->sequence, now };
   return true;
 }
 
 static gboolean
-is_forgotten (gpointer name, gpointer value, gpointer data)
+is_dropped (gpointer name, gpointer value, gpointer data)
 {
   (void)value;
   return gp_fold_writer (data, name) == NULL;
@@ -56,7 +56,8 @@
 
   g_hash_table_iter_init (&iter, active->seen);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    count += now < ((seen_t *)value)->seen_at + GP_ACTIVE_WRITERS_WINDOW;
+    count
+        += now < ((newest_batch_t *)value)->seen_at + GP_ACTIVE_WRITERS_WINDOW;
   return count;
 }
 
@@ -72,10 +73,10 @@
       const gp_fold_writer_t *writer
           = GP_CONTAINER_OF (pos, const gp_fold_writer_t, link);
 
-      if (!see (active, writer, now))
+      if (!record_batch (active, writer, now))
         break;
     }
   if (g_hash_table_size (active->seen) > g_hash_table_size (fold->writers))
-    g_hash_table_foreach_remove (active->seen, is_forgotten, (gpointer)fold);
+    g_hash_table_foreach_remove (active->seen, is_dropped, (gpointer)fold);
   return count_active (active, now);
 }
--- a/src/state/config.c
+++ b/src/state/config.c
@@ -170,7 +170,7 @@
         g_ptr_array_add (change->keys, g_strdup (update->items[i].key));
     }
   g_queue_push_tail (&config->history, change);
-  if (config->history.length > GP_CONFIG_HISTORY)
+  if (config->history.length > GP_CONFIG_HISTORY_MAX)
     free_change (g_queue_pop_head (&config->history));
 }
 
@@ -192,16 +192,16 @@
   GTree *items;
 
   if (update->revision < config->revision)
-    return GP_CONFIG_LOWER;
+    return GP_CONFIG_STALE;
   if (update->revision == config->revision)
     return GP_CONFIG_SAME;
   if (update->base != 0 && update->base != config->revision)
-    return GP_CONFIG_NO_BASE;
+    return GP_CONFIG_BASE_MISMATCH;
   if (update->digest_size != GP_CONFIG_DIGEST_SIZE)
-    return GP_CONFIG_DIGEST;
+    return GP_CONFIG_DIGEST_MISMATCH;
   items = build_items (config, update, digest);
   if (items == NULL)
-    return GP_CONFIG_DIGEST;
+    return GP_CONFIG_DIGEST_MISMATCH;
   g_tree_unref (config->items);
   config->items = items;
   memcpy (config->digest, digest, sizeof digest);
@@ -258,7 +258,7 @@
 }
 
 const gp_config_change_t *
-gp_config_newest (const gp_config_t *config)
+gp_config_newest_change (const gp_config_t *config)
 {
   return g_queue_peek_tail ((GQueue *)&config->history);
 }
--- a/src/state/config.h
+++ b/src/state/config.h
@@ -20,7 +20,7 @@
 
 #define GP_CONFIG_DIGEST_SIZE 32
 /* Number of revisions whose changed keys are kept to build deltas.  */
-#define GP_CONFIG_HISTORY 64
+#define GP_CONFIG_HISTORY_MAX 64
 
 typedef struct
 {
@@ -48,10 +48,10 @@
 typedef enum
 {
   GP_CONFIG_APPLIED,
-  GP_CONFIG_SAME,    /* the revision is the current one */
-  GP_CONFIG_LOWER,   /* the revision is below the current one */
-  GP_CONFIG_NO_BASE, /* a delta to another revision: request all items */
-  GP_CONFIG_DIGEST   /* the digest does not match: request all items */
+  GP_CONFIG_SAME,          /* the revision is the current one */
+  GP_CONFIG_STALE,         /* the revision is below the current one */
+  GP_CONFIG_BASE_MISMATCH, /* a delta to another revision: request all items */
+  GP_CONFIG_DIGEST_MISMATCH /* the digest does not match: request all items */
 } gp_config_result_t;
 
 /* The changes made by one revision.  */
@@ -100,7 +100,7 @@
 GBytes *gp_config_get (const gp_config_t *config, const char *key);
 
 /* Return the newest change, or NULL.  */
-const gp_config_change_t *gp_config_newest (const gp_config_t *config);
+const gp_config_change_t *gp_config_newest_change (const gp_config_t *config);
 
 /* Compute the digest of the items that FILTER selects (NULL: all).  */
 void gp_config_digest (const gp_config_t *config, gp_config_filter_t filter,
--- a/src/state/document.c
+++ b/src/state/document.c
@@ -14,12 +14,13 @@
 static void
 index_section (gp_document_t *document, const gp_document_section_t *section)
 {
-  char *list = *(char **)(void *)((char *)document + section->list);
-  uint32_t count = *(uint32_t *)(void *)((char *)document + section->count);
+  char *list = *(char **)(void *)((char *)document + section->list_offset);
+  uint32_t count
+      = *(uint32_t *)(void *)((char *)document + section->count_offset);
 
   for (uint32_t i = 0; i < count; i++)
     {
-      char *element = list + (size_t)i * section->size;
+      char *element = list + (size_t)i * section->element_size;
       char *key
           = g_strconcat (section->prefix, *(char **)(void *)element, NULL);
 
@@ -75,7 +76,7 @@
 }
 
 void
-gp_document_inherit (gp_document_service_t *service)
+gp_document_apply_service_defaults (gp_document_service_t *service)
 {
   for (uint32_t i = 0; i < service->kinds_count; i++)
     {
@@ -91,14 +92,14 @@
 /* Move LOADED into DOCUMENT, free it and check the rules that span several
    items.  */
 static bool
-complete (gp_document_t *document, gp_document_t *loaded, gp_yaml_node_t *root,
-          GPtrArray *issues)
+finish_load (gp_document_t *document, gp_document_t *loaded,
+             gp_yaml_node_t *root, GPtrArray *issues)
 {
   *document = *loaded;
   g_free (loaded);
   gp_document_build_index (document);
   for (uint32_t i = 0; i < document->services_count; i++)
-    gp_document_inherit (&document->services[i]);
+    gp_document_apply_service_defaults (&document->services[i]);
   gp_document_check_rules (document, root, issues);
   if (gp_issues_count (issues, GP_ISSUE_ERROR) > 0)
     {
@@ -123,7 +124,7 @@
   if (gp_issues_count (issues, GP_ISSUE_ERROR) == 0)
     loaded = gp_yaml_load (text, size, root, &gp_document_schema, issues);
   if (loaded)
-    ok = complete (document, loaded, root, issues);
+    ok = finish_load (document, loaded, root, issues);
   gp_yaml_node_free (root);
   gp_issues_sort (issues);
   return ok;
@@ -151,11 +152,11 @@
 {
   /* gp_yaml_unload also frees the outermost structure, which the caller
      owns, so it is given a copy.  */
-  gp_document_t *whole = g_memdup2 (document, sizeof *document);
+  gp_document_t *copy = g_memdup2 (document, sizeof *document);
 
   g_clear_pointer (&document->items, g_ptr_array_unref);
   g_clear_pointer (&document->index, g_hash_table_unref);
-  gp_yaml_unload (whole, &gp_document_schema);
+  gp_yaml_unload (copy, &gp_document_schema);
   memset (document, 0, sizeof *document);
 }
 
@@ -173,7 +174,8 @@
 /* Return true if PREFIX matches PATH: "/a" matches "/a", "/a/b" and "/a?b" but
    not "/ab"; "/a/" matches every path that starts with it.  */
 static bool
-covers (const char *prefix, size_t prefix_size, const char *path, size_t size)
+matches_prefix (const char *prefix, size_t prefix_size, const char *path,
+                size_t size)
 {
   if (size < prefix_size || memcmp (prefix, path, prefix_size) != 0)
     return false;
@@ -193,7 +195,8 @@
       const gp_document_kind_t *kind = &service->kinds[i];
       size_t length = strlen (kind->path_prefix);
 
-      if (length <= longest || !covers (kind->path_prefix, length, path, size))
+      if (length <= longest
+          || !matches_prefix (kind->path_prefix, length, path, size))
         continue;
       found = kind;
       longest = length;
--- a/src/state/document_check.c
+++ b/src/state/document_check.c
@@ -44,8 +44,8 @@
 }
 
 static void
-report_twice (check_t *check, const char *section, uint32_t i,
-              const char *name)
+report_duplicate (check_t *check, const char *section, uint32_t i,
+                  const char *name)
 {
   ERROR (check, PATH ("%s[%u].name", section, i), NULL, "\"%s\" is used twice",
          name);
@@ -60,12 +60,12 @@
 }
 
 static bool
-fits_shape (const gp_document_resources_t *resources,
-            const gp_document_worker_t *shape)
+fits_worker (const gp_document_resources_t *resources,
+             const gp_document_worker_t *worker)
 {
-  return resources->millicores <= shape->millicores
-         && resources->memory_mib <= shape->memory_mib
-         && resources->accelerators <= shape->accelerators;
+  return resources->millicores <= worker->millicores
+         && resources->memory_mib <= worker->memory_mib
+         && resources->accelerators <= worker->accelerators;
 }
 
 static void
@@ -75,7 +75,7 @@
   const gp_document_t *document = check->document;
 
   for (uint32_t i = 0; i < document->workers_count; i++)
-    if (fits_shape (resources, &document->workers[i]))
+    if (fits_worker (resources, &document->workers[i]))
       return;
   if (document->workers_count > 0)
     ERROR (check, path, "what one worker of `workers' has",
@@ -85,8 +85,8 @@
 }
 
 static void
-check_one_quota (check_t *check, const char *path, uint64_t wanted,
-                 uint64_t quota, const char *team)
+check_within_quota (check_t *check, const char *path, uint64_t wanted,
+                    uint64_t quota, const char *team)
 {
   if (wanted > quota)
     ERROR (check, path, "at most the team's quota",
@@ -107,15 +107,15 @@
 
   if (!team)
     return;
-  check_one_quota (check, PATH ("%s[%u].resources.millicores", section, i),
-                   count * resources->millicores, team->quota.millicores,
-                   team_name);
-  check_one_quota (check, PATH ("%s[%u].resources.memory_mib", section, i),
-                   count * resources->memory_mib, team->quota.memory_mib,
-                   team_name);
-  check_one_quota (check, PATH ("%s[%u].resources.accelerators", section, i),
-                   count * resources->accelerators, team->quota.accelerators,
-                   team_name);
+  check_within_quota (check, PATH ("%s[%u].resources.millicores", section, i),
+                      count * resources->millicores, team->quota.millicores,
+                      team_name);
+  check_within_quota (check, PATH ("%s[%u].resources.memory_mib", section, i),
+                      count * resources->memory_mib, team->quota.memory_mib,
+                      team_name);
+  check_within_quota (
+      check, PATH ("%s[%u].resources.accelerators", section, i),
+      count * resources->accelerators, team->quota.accelerators, team_name);
 }
 
 static void
@@ -128,7 +128,7 @@
       const gp_document_batch_job_t *job = &document->batch_jobs[i];
 
       if (gp_document_find_batch_job (document, job->name) != job)
-        report_twice (check, "batch_jobs", i, job->name);
+        report_duplicate (check, "batch_jobs", i, job->name);
       if (gp_document_find_watcher (document, job->name))
         ERROR (check, PATH ("batch_jobs[%u].name", i), NULL,
                "\"%s\" is also a watcher", job->name);
@@ -157,7 +157,7 @@
       const gp_document_watcher_t *watcher = &document->watchers[i];
 
       if (gp_document_find_watcher (document, watcher->name) != watcher)
-        report_twice (check, "watchers", i, watcher->name);
+        report_duplicate (check, "watchers", i, watcher->name);
       check_team (check, "watchers", i, watcher->team);
       check_fits (check, PATH ("watchers[%u].resources", i),
                   &watcher->resources);
@@ -198,8 +198,8 @@
 }
 
 static void
-check_one_share (check_t *check, const char *path, uint32_t quota,
-                 uint64_t fleet)
+check_quota_within_fleet (check_t *check, const char *path, uint32_t quota,
+                          uint64_t fleet)
 {
   if (quota != GP_DOCUMENT_UNLIMITED && quota > fleet)
     ERROR (check, path, "at most what all `workers' have",
@@ -218,16 +218,17 @@
       const gp_document_team_t *team = &document->teams[i];
 
       if (gp_document_find_team (document, team->name) != team)
-        report_twice (check, "teams", i, team->name);
+        report_duplicate (check, "teams", i, team->name);
       check_team_watchers (check, i);
       if (document->workers_count == 0)
         continue;
-      check_one_share (check, PATH ("teams[%u].quota.millicores", i),
-                       team->quota.millicores, check->millicores);
-      check_one_share (check, PATH ("teams[%u].quota.memory_mib", i),
-                       team->quota.memory_mib, check->memory_mib);
-      check_one_share (check, PATH ("teams[%u].quota.accelerators", i),
-                       team->quota.accelerators, check->accelerators);
+      check_quota_within_fleet (check, PATH ("teams[%u].quota.millicores", i),
+                                team->quota.millicores, check->millicores);
+      check_quota_within_fleet (check, PATH ("teams[%u].quota.memory_mib", i),
+                                team->quota.memory_mib, check->memory_mib);
+      check_quota_within_fleet (check,
+                                PATH ("teams[%u].quota.accelerators", i),
+                                team->quota.accelerators, check->accelerators);
       if (team->quota.millicores != GP_DOCUMENT_UNLIMITED)
         millicores += team->quota.millicores;
     }
@@ -262,7 +263,7 @@
 
 /* Check that a kind can meet its own timeout, latency target and rate.  */
 static void
-check_promises (check_t *check, uint32_t i, uint32_t j)
+check_kind_targets (check_t *check, uint32_t i, uint32_t j)
 {
   const gp_document_service_t *service = &check->document->services[i];
   const gp_document_kind_t *kind = &service->kinds[j];
@@ -306,7 +307,7 @@
           ERROR (check, PATH ("services[%u].kinds[%u].name", i, j), NULL,
                  "\"%s\" is used twice", kind->name);
       check_prefixes (check, i, j);
-      check_promises (check, i, j);
+      check_kind_targets (check, i, j);
     }
 }
 
@@ -320,7 +321,7 @@
       const gp_document_service_t *service = &document->services[i];
 
       if (gp_document_find_service (document, service->name) != service)
-        report_twice (check, "services", i, service->name);
+        report_duplicate (check, "services", i, service->name);
       if (service->team)
         check_team (check, "services", i, service->team);
       if (service->connections < service->slots)
@@ -335,7 +336,7 @@
 /* Check that watchers and the reserves of services, which are needed all the
    time, fit into the fleet together.  */
 static void
-check_standing (check_t *check)
+check_permanent_demand (check_t *check)
 {
   const gp_document_t *document = check->document;
   uint64_t millicores = 0;
@@ -382,11 +383,11 @@
   g_hash_table_remove_all (seen);
   for (uint32_t i = 0; i < document->regions_count; i++)
     if (!g_hash_table_add (seen, document->regions[i].name))
-      report_twice (check, "regions", i, document->regions[i].name);
+      report_duplicate (check, "regions", i, document->regions[i].name);
   g_hash_table_remove_all (seen);
   for (uint32_t i = 0; i < document->workers_count; i++)
     if (!g_hash_table_add (seen, document->workers[i].name))
-      report_twice (check, "workers", i, document->workers[i].name);
+      report_duplicate (check, "workers", i, document->workers[i].name);
   g_hash_table_unref (seen);
 }
 
@@ -412,7 +413,7 @@
       char *name = document->evacuated_zones[i].name;
 
       if (!g_hash_table_add (seen, name))
-        report_twice (check, "evacuated_zones", i, name);
+        report_duplicate (check, "evacuated_zones", i, name);
       else if (is_unknown_zone (document, name))
         ERROR (check, PATH ("evacuated_zones[%u].name", i),
                "a zone of `regions'", "zone \"%s\" is in no region", name);
@@ -442,11 +443,11 @@
 
   for (uint32_t i = 0; i < document->workers_count; i++)
     {
-      const gp_document_worker_t *shape = &document->workers[i];
+      const gp_document_worker_t *worker = &document->workers[i];
 
-      check->millicores += (uint64_t)shape->count * shape->millicores;
-      check->memory_mib += (uint64_t)shape->count * shape->memory_mib;
-      check->accelerators += (uint64_t)shape->count * shape->accelerators;
+      check->millicores += (uint64_t)worker->count * worker->millicores;
+      check->memory_mib += (uint64_t)worker->count * worker->memory_mib;
+      check->accelerators += (uint64_t)worker->count * worker->accelerators;
     }
 }
 
@@ -463,6 +464,6 @@
   check_services (&check);
   check_batch_jobs (&check);
   check_watchers (&check);
-  check_standing (&check);
+  check_permanent_demand (&check);
   check_interference (&check);
 }
--- a/src/state/document_items.c
+++ b/src/state/document_items.c
@@ -50,7 +50,8 @@
 /* Compare the keys of the items at I in LEFT and at J in RIGHT.  A list that
    has ended compares greater; at most one of the two may have ended.  */
 static int
-compare_at (const GPtrArray *left, guint i, const GPtrArray *right, guint j)
+compare_items_at (const GPtrArray *left, guint i, const GPtrArray *right,
+                  guint j)
 {
   if (i >= left->len)
     return 1;
@@ -80,7 +81,7 @@
 
   while (i < base->len || j < target->len)
     {
-      int order = compare_at (base, i, target, j);
+      int order = compare_items_at (base, i, target, j);
 
       if (order < 0)
         gp_document_items_add (delta, item_at (base, i)->key, NULL);
@@ -103,7 +104,7 @@
 
   while (i < base->len || j < delta->len)
     {
-      int order = compare_at (base, i, delta, j);
+      int order = compare_items_at (base, i, delta, j);
 
       if (order < 0)
         add_copy (result, item_at (base, i));
@@ -126,7 +127,7 @@
 }
 
 gp_config_item_t *
-gp_document_items_config (const GPtrArray *items)
+gp_document_items_to_config (const GPtrArray *items)
 {
   gp_config_item_t *list = g_new0 (gp_config_item_t, items->len + 1);
 
@@ -178,7 +179,7 @@
 }
 
 static const gp_document_section_t *
-section_of_name (const char *name)
+find_section_by_name (const char *name)
 {
   for (size_t i = 0; i < GP_DOCUMENT_SECTIONS; i++)
     if (strcmp (gp_document_sections[i].name, name) == 0)
@@ -194,7 +195,7 @@
   for (guint i = 0; i < root->children->len; i++)
     {
       const gp_yaml_node_t *child = root->children->pdata[i];
-      const gp_document_section_t *section = section_of_name (child->key);
+      const gp_document_section_t *section = find_section_by_name (child->key);
 
       if (section)
         add_elements (items, section->prefix, child);
@@ -218,7 +219,7 @@
 static const gp_document_section_t *
 open_item (GString *out, const gp_document_section_t *open, const char *key)
 {
-  const gp_document_section_t *section = gp_document_section_of_key (key);
+  const gp_document_section_t *section = gp_document_find_section (key);
 
   if (section && section == open)
     {
@@ -250,7 +251,7 @@
       const char *bytes;
 
       if (!item->value
-          || (!gp_document_section_of_key (item->key)
+          || (!gp_document_find_section (item->key)
               && !is_plain_key (item->key)))
         {
           gp_yaml_report (NULL, issues, GP_ISSUE_ERROR, item->key, NULL,
--- a/src/state/document_items.h
+++ b/src/state/document_items.h
@@ -42,7 +42,7 @@
 
 /* Return ITEMS as an array for state/config.h with ITEMS->len elements that
    point into ITEMS; free it with g_free.  */
-gp_config_item_t *gp_document_items_config (const GPtrArray *items);
+gp_config_item_t *gp_document_items_to_config (const GPtrArray *items);
 
 /* Return the encoding of the canonical tree NODE as an item value.  */
 GBytes *gp_document_item_value (const gp_yaml_node_t *node);
--- a/src/state/document_patch.c
+++ b/src/state/document_patch.c
@@ -27,7 +27,7 @@
 }
 
 static void *
-read_canonical (const gp_document_section_t *section,
+load_canonical (const gp_document_section_t *section,
                 const gp_document_item_t *item, gp_yaml_node_t *root,
                 GPtrArray *issues)
 {
@@ -57,8 +57,8 @@
 }
 
 static void *
-read_element (const gp_document_section_t *section,
-              const gp_document_item_t *item, GPtrArray *issues)
+parse_element (const gp_document_section_t *section,
+               const gp_document_item_t *item, GPtrArray *issues)
 {
   gsize size;
   const char *text = g_bytes_get_data (item->value, &size);
@@ -66,23 +66,23 @@
   void *element = NULL;
 
   if (root)
-    element = read_canonical (section, item, root, issues);
+    element = load_canonical (section, item, root, issues);
   gp_yaml_node_free (root);
   return element;
 }
 
 /* Parse all items of DELTA into CHANGES.  Returns false after an error.  */
 static bool
-read_changes (const GPtrArray *delta, GArray *changes, GPtrArray *issues)
+parse_changes (const GPtrArray *delta, GArray *changes, GPtrArray *issues)
 {
   for (guint i = 0; i < delta->len; i++)
     {
       const gp_document_item_t *item = delta->pdata[i];
-      change_t change = { gp_document_section_of_key (item->key), NULL, NULL };
+      change_t change = { gp_document_find_section (item->key), NULL, NULL };
 
       change.name = item->key + strlen (change.section->prefix);
       if (item->value)
-        change.element = read_element (change.section, item, issues);
+        change.element = parse_element (change.section, item, issues);
       if (item->value && !change.element)
         return false;
       g_array_append_val (changes, change);
@@ -94,11 +94,11 @@
 static void
 clear_element (const gp_document_section_t *section, void *place)
 {
-  gp_yaml_unload (g_memdup2 (place, section->size), &section->schema);
+  gp_yaml_unload (g_memdup2 (place, section->element_size), &section->schema);
 }
 
 static void *
-place_of (const gp_document_t *document, const change_t *change)
+find_element (const gp_document_t *document, const change_t *change)
 {
   char *key = g_strconcat (change->section->prefix, change->name, NULL);
   void *place = g_hash_table_lookup (document->index, key);
@@ -113,9 +113,10 @@
 remove_element (gp_document_t *document, const change_t *change, char *place)
 {
   const gp_document_section_t *section = change->section;
-  char *list = *(char **)(void *)((char *)document + section->list);
-  uint32_t *count = (uint32_t *)(void *)((char *)document + section->count);
-  char *last = list + (size_t)(*count - 1) * section->size;
+  char *list = *(char **)(void *)((char *)document + section->list_offset);
+  uint32_t *count
+      = (uint32_t *)(void *)((char *)document + section->count_offset);
+  char *last = list + (size_t)(*count - 1) * section->element_size;
   char *key = g_strconcat (section->prefix, change->name, NULL);
 
   g_hash_table_remove (document->index, key);
@@ -124,26 +125,27 @@
   (*count)--;
   if (place == last)
     return;
-  memcpy (place, last, section->size);
+  memcpy (place, last, section->element_size);
   key = g_strconcat (section->prefix, *(char **)(void *)place, NULL);
   g_hash_table_insert (document->index, key, place);
 }
 
 /* Append an uninitialized element.  The array may be reallocated.  */
 static char *
-append_place (gp_document_t *document, const gp_document_section_t *section)
+append_element (gp_document_t *document, const gp_document_section_t *section)
 {
-  char **list = (char **)(void *)((char *)document + section->list);
-  uint32_t *count = (uint32_t *)(void *)((char *)document + section->count);
+  char **list = (char **)(void *)((char *)document + section->list_offset);
+  uint32_t *count
+      = (uint32_t *)(void *)((char *)document + section->count_offset);
 
-  *list = g_realloc_n (*list, (size_t)*count + 1, section->size);
-  return *list + (size_t)(*count)++ * section->size;
+  *list = g_realloc_n (*list, (size_t)*count + 1, section->element_size);
+  return *list + (size_t)(*count)++ * section->element_size;
 }
 
 static void
 move_element (change_t *change, char *place)
 {
-  memcpy (place, change->element, change->section->size);
+  memcpy (place, change->element, change->section->element_size);
   g_free (change->element);
   change->element = NULL;
 }
@@ -151,9 +153,9 @@
 /* Apply CHANGE if the document already has the element: replace or remove
    it.  */
 static void
-apply_to_present (gp_document_t *document, change_t *change)
+replace_or_remove (gp_document_t *document, change_t *change)
 {
-  char *place = place_of (document, change);
+  char *place = find_element (document, change);
 
   if (place && change->element)
     {
@@ -165,10 +167,10 @@
 }
 
 static void
-inherit_changed (gp_document_t *document)
+apply_service_defaults (gp_document_t *document)
 {
   for (uint32_t i = 0; i < document->services_count; i++)
-    gp_document_inherit (&document->services[i]);
+    gp_document_apply_service_defaults (&document->services[i]);
 }
 
 static void
@@ -180,27 +182,27 @@
   bool added = false;
 
   for (guint i = 0; i < changes->len; i++)
-    apply_to_present (document, &g_array_index (changes, change_t, i));
+    replace_or_remove (document, &g_array_index (changes, change_t, i));
   for (guint i = 0; i < changes->len; i++)
     {
       change_t *change = &g_array_index (changes, change_t, i);
 
       if (!change->element)
         continue;
-      move_element (change, append_place (document, change->section));
+      move_element (change, append_element (document, change->section));
       added = true;
     }
   if (added) /* the arrays may have been reallocated */
     gp_document_build_index (document);
-  inherit_changed (document);
+  apply_service_defaults (document);
   g_ptr_array_unref (document->items);
   document->items = items;
 }
 
 /* Load the whole document again, for changes outside the lists.  */
 static bool
-load_patched (gp_document_t *document, const GPtrArray *delta,
-              GPtrArray *issues)
+reload_document (gp_document_t *document, const GPtrArray *delta,
+                 GPtrArray *issues)
 {
   GPtrArray *items = gp_document_items_patch (document->items, delta);
   gp_document_t loaded;
@@ -245,12 +247,12 @@
     {
       const gp_document_item_t *item = delta->pdata[i];
 
-      if (!gp_document_section_of_key (item->key))
-        return load_patched (document, delta, issues);
+      if (!gp_document_find_section (item->key))
+        return reload_document (document, delta, issues);
     }
   changes = g_array_new (FALSE, FALSE, sizeof (change_t));
   g_array_set_clear_func (changes, change_clear);
-  ok = read_changes (delta, changes, issues);
+  ok = parse_changes (delta, changes, issues);
   if (ok)
     apply_changes (document, delta, changes);
   g_array_unref (changes);
--- a/src/state/document_schema.c
+++ b/src/state/document_schema.c
@@ -157,12 +157,13 @@
         UINT ("pending_jobs", OPTIONAL, gp_document_limits_t, pending_jobs),
         CYAML_FIELD_END };
 
-#define REMEDY(name) UINT (#name, OPTIONAL, gp_document_interference_t, name)
+#define INTERFERENCE(name)                                                    \
+  UINT (#name, OPTIONAL, gp_document_interference_t, name)
 
 static const cyaml_schema_field_t interference_fields[]
-    = { REMEDY (throttle_percent),   REMEDY (evict_percent),
-        REMEDY (calm_percent),       REMEDY (window_s),
-        REMEDY (evictions_per_hour), CYAML_FIELD_END };
+    = { INTERFERENCE (throttle_percent),   INTERFERENCE (evict_percent),
+        INTERFERENCE (calm_percent),       INTERFERENCE (window_s),
+        INTERFERENCE (evictions_per_hour), CYAML_FIELD_END };
 
 static const cyaml_schema_value_t region_value
     = VALUE (gp_document_region_t, region_fields);
@@ -300,8 +301,9 @@
 #define SECTION(member, prefix_, type, element)                               \
   {                                                                           \
     .name = #member, .prefix = (prefix_),                                     \
-    .list = offsetof (gp_document_t, member),                                 \
-    .count = offsetof (gp_document_t, member##_count), .size = sizeof (type), \
+    .list_offset = offsetof (gp_document_t, member),                          \
+    .count_offset = offsetof (gp_document_t, member##_count),                 \
+    .element_size = sizeof (type),                                            \
     .schema                                                                   \
         = { &(element),                                                       \
             rules,                                                            \
@@ -320,7 +322,7 @@
 };
 
 const gp_document_section_t *
-gp_document_section_of_key (const char *key)
+gp_document_find_section (const char *key)
 {
   for (size_t i = 0; i < GP_DOCUMENT_SECTIONS; i++)
     if (g_str_has_prefix (key, gp_document_sections[i].prefix))
--- a/src/state/fold.c
+++ b/src/state/fold.c
@@ -93,7 +93,8 @@
 }
 
 void
-gp_fold_watch (gp_fold_t *fold, const char *writer, uint64_t incarnation)
+gp_fold_set_own_writer (gp_fold_t *fold, const char *writer,
+                        uint64_t incarnation)
 {
   g_free (fold->own_name);
   fold->own_name = g_strdup (writer);
@@ -198,7 +199,7 @@
 }
 
 static gp_fold_verdict_t
-note_snapshot (gp_fold_t *fold, const Gp__Record__Record *record)
+forward_snapshot (gp_fold_t *fold, const Gp__Record__Record *record)
 {
   gp_fold_change_t change = GP_FOLD_CHANGE (
       fold, GP_FOLD_SNAPSHOT, .u.snapshot = { fold->writer, record });
@@ -241,7 +242,7 @@
     case GP__RECORD__RECORD__RECORD_SNAPSHOT_BEGIN:
     case GP__RECORD__RECORD__RECORD_SNAPSHOT_PART:
     case GP__RECORD__RECORD__RECORD_SNAPSHOT_END:
-      return note_snapshot (fold, record);
+      return forward_snapshot (fold, record);
     case GP__RECORD__RECORD__RECORD__NOT_SET:
     case _GP__RECORD__RECORD__RECORD__CASE_IS_INT_SIZE:
       return GP_FOLD_VOID_MALFORMED;
@@ -314,7 +315,7 @@
   Gp__Record__Batch *batch;
   gp_fold_result_t result;
 
-  g_assert (fold->held == 0);
+  g_assert (fold->active_savers == 0);
   if (offset != fold->next_offset)
     {
       result = offset < fold->next_offset ? GP_FOLD_OLD : GP_FOLD_GAP;
--- a/src/state/fold.h
+++ b/src/state/fold.h
@@ -265,7 +265,7 @@
   /* The writer whose verdicts are reported.  */
   char *own_name;
   uint64_t own_incarnation;
-  uint32_t held; /* number of savers; nothing may be applied unless 0 */
+  uint32_t active_savers; /* nothing may be applied unless 0 */
 } gp_fold_t;
 
 /* Initialize an empty state at offset 0.  LIMITS may be NULL for the
@@ -274,7 +274,8 @@
 void gp_fold_finish (gp_fold_t *fold);
 
 /* Set the own writer, whose batches are reported as GP_FOLD_OWN_BATCH.  */
-void gp_fold_watch (gp_fold_t *fold, const char *writer, uint64_t incarnation);
+void gp_fold_set_own_writer (gp_fold_t *fold, const char *writer,
+                             uint64_t incarnation);
 
 /* Apply the batch at OFFSET.  SINK, which may be NULL, receives the changes in
    order and must not modify the fold.  No saver may be active.  */
@@ -295,7 +296,7 @@
                                         const gp_fold_key_t *key);
 
 /* Return true if TASK has reached GP_FOLD_LOSSES_MAX and is to be parked.  */
-bool gp_fold_takes_runtimes_down (const gp_fold_task_t *task);
+bool gp_fold_loss_limit_reached (const gp_fold_task_t *task);
 
 /* Return true if TASK may be granted to GUARD in its INCARNATION.  */
 bool gp_fold_may_grant (const gp_fold_t *fold, const gp_fold_task_t *task,
@@ -319,7 +320,7 @@
   GByteArray *part; /* not yet emitted */
   uint64_t digest;  /* of the rows so far; finally that of gp_fold_digest */
   int stage;
-  gp_list_t *at; /* next element in the list of the stage */
+  gp_list_t *position; /* next element in the list of the stage */
   GHashTableIter iter;
   gp_fold_guard_t *guard; /* whose grants are being written */
 } gp_fold_saver_t;
--- a/src/state/fold_keys.c
+++ b/src/state/fold_keys.c
@@ -75,7 +75,7 @@
 /* Drop the oldest answers until the limit is met.  The states of their keys
    are kept.  */
 static void
-bound_answers (gp_fold_t *fold)
+limit_answers (gp_fold_t *fold)
 {
   while (fold->answer_bytes > fold->limits.answer_bytes_max)
     {
@@ -164,7 +164,7 @@
       fold->answer_bytes += outcome->answer.len;
     }
   emit_key (fold, GP_FOLD_KEY_DECIDED, key);
-  bound_answers (fold);
+  limit_answers (fold);
   return GP_FOLD_ACCEPTED;
 }
 
--- a/src/state/fold_rows.c
+++ b/src/state/fold_rows.c
@@ -183,7 +183,7 @@
 put_config (gp_fold_saver_t *saver)
 {
   const gp_config_t *config = &saver->fold->config;
-  const gp_config_change_t *newest = gp_config_newest (config);
+  const gp_config_change_t *newest = gp_config_newest_change (config);
   chunk_t chunk = GP__RECORD__STATE_CHUNK__INIT;
   Gp__Record__ConfigRow row = GP__RECORD__CONFIG_ROW__INIT;
   size_t size;
@@ -219,23 +219,23 @@
   switch (stage)
     {
     case STAGE_WRITERS:
-      saver->at = fold->writers_heard.next;
+      saver->position = fold->writers_heard.next;
       break;
     case STAGE_GUARDS_GONE:
-      saver->at = fold->guards_gone.next;
+      saver->position = fold->guards_gone.next;
       break;
     case STAGE_GUARDS:
       g_hash_table_iter_init (&saver->iter, fold->guards);
       saver->guard = NULL;
       break;
     case STAGE_ENDED:
-      saver->at = fold->ended.next;
+      saver->position = fold->ended.next;
       break;
     case STAGE_TASKS:
       g_hash_table_iter_init (&saver->iter, fold->tasks);
       break;
     case STAGE_KEYS:
-      saver->at = fold->keys_opened.next;
+      saver->position = fold->keys_opened.next;
       break;
     case STAGE_TIME:
     case STAGE_CONFIG:
@@ -248,11 +248,11 @@
 static gp_list_t *
 next_link (gp_fold_saver_t *saver, const gp_list_t *head)
 {
-  gp_list_t *link = saver->at;
+  gp_list_t *link = saver->position;
 
   if (link == head)
     return NULL;
-  saver->at = link->next;
+  saver->position = link->next;
   return link;
 }
 
@@ -272,7 +272,7 @@
     }
   if (!g_hash_table_iter_next (&saver->iter, (void **)&saver->guard, NULL))
     return false;
-  saver->at = saver->guard->grants.next;
+  saver->position = saver->guard->grants.next;
   if (!saver->guard->gone)
     put_guard (saver, saver->guard);
   return true;
@@ -371,14 +371,14 @@
   saver->emit = emit;
   saver->data = data;
   saver->part = g_byte_array_sized_new ((guint)part_bytes);
-  fold->held++;
+  fold->active_savers++;
   start_stage (saver, STAGE_TIME);
 }
 
 void
 gp_fold_saver_finish (gp_fold_saver_t *saver)
 {
-  saver->fold->held--;
+  saver->fold->active_savers--;
   g_byte_array_unref (saver->part);
 }
 
--- a/src/state/fold_tasks.c
+++ b/src/state/fold_tasks.c
@@ -146,7 +146,7 @@
 }
 
 static void
-note_failure (gp_fold_task_t *task, const gp_fold_guard_t *guard)
+record_failure (gp_fold_task_t *task, const gp_fold_guard_t *guard)
 {
   uint32_t worker = XXH32 (guard->name, strlen (guard->name), 0);
 
@@ -174,7 +174,7 @@
 }
 
 bool
-gp_fold_takes_runtimes_down (const gp_fold_task_t *task)
+gp_fold_loss_limit_reached (const gp_fold_task_t *task)
 {
   return task->losses >= GP_FOLD_LOSSES_MAX;
 }
@@ -220,7 +220,7 @@
   count_loss (fold, task, state);
   task->changed_us = fold->log_time_us;
   if (state == GP__WIRE__TASK_STATE__TASK_STATE_FAILED)
-    note_failure (task, guard);
+    record_failure (task, guard);
   if (!runs_again (task))
     {
       end_task (fold, task, guard);
--- a/src/state/follower.c
+++ b/src/state/follower.c
@@ -265,7 +265,7 @@
 gp_follower_handle_reply (gp_follower_t *follower,
                           const gp_follower_reply_t *reply)
 {
-  if (follower->fold.held > 0)
+  if (follower->fold.active_savers > 0)
     return follower->phase;
   follower->first_offset = reply->first_offset;
   follower->next_offset = reply->next_offset;
--- a/src/state/follower.h
+++ b/src/state/follower.h
@@ -74,7 +74,7 @@
 } gp_follower_t;
 
 /* SINK receives all changes when READY, and before that only the verdicts on
-   own batches.  The own writer is set once with gp_fold_watch on
+   own batches.  The own writer is set once with gp_fold_set_own_writer on
    FOLLOWER.fold; restarts keep it.  */
 void gp_follower_init (gp_follower_t *follower, const gp_fold_limits_t *limits,
                        gp_fold_sink_t sink, void *data);
--- a/tests/fuzz/fuzz_document.c
+++ b/tests/fuzz/fuzz_document.c
@@ -59,7 +59,7 @@
     {
       const gp_document_item_t *item = document->items->pdata[i];
 
-      if (!gp_document_section_of_key (item->key))
+      if (!gp_document_find_section (item->key))
         gp_document_items_add (rest, item->key, item->value);
     }
   delta = gp_document_items_diff (rest, document->items);
--- a/tests/unit/tasks_world_impl.h
+++ b/tests/unit/tasks_world_impl.h
@@ -439,7 +439,7 @@
   gp_list_init (&host.sessions);
   store = (gp_store_t){ .ready = true };
   gp_fold_init (&store.fold, NULL);
-  gp_fold_watch (&store.fold, ME, 1);
+  gp_fold_set_own_writer (&store.fold, ME, 1);
   store.verdicts = g_array_new (FALSE, FALSE, sizeof (gp_fold_verdict_t));
   for (int i = 0; i < GUARDS; i++)
     sessions[i] = (gp_session_t){ .host = &host,
--- a/tests/unit/test_config.c
+++ b/tests/unit/test_config.c
@@ -160,16 +160,16 @@
   for (int i = 0; i < 5; i++)
     change_config (&source, rand, false);
   follow (&old, &source, 0, NULL, NULL, &bytes);
-  for (int i = 0; i < GP_CONFIG_HISTORY + 5; i++)
+  for (int i = 0; i < GP_CONFIG_HISTORY_MAX + 5; i++)
     change_config (&source, rand, false);
   follow (&holder, &source, 0, NULL, NULL, &bytes);
   CU_ASSERT_EQUAL (follow (&holder, &old, 0, NULL, NULL, &bytes),
-                   GP_CONFIG_LOWER);
+                   GP_CONFIG_STALE);
   CU_ASSERT_EQUAL (holder.revision, source.revision);
   /* A delta on a base that the holder does not have.  */
   CU_ASSERT_EQUAL (
       follow (&old, &source, source.revision - 1, NULL, NULL, &bytes),
-      GP_CONFIG_NO_BASE);
+      GP_CONFIG_BASE_MISMATCH);
   /* Too far back for a delta: the whole comes.  */
   CU_ASSERT_EQUAL (follow (&old, &source, old.revision, NULL, NULL, &bytes),
                    GP_CONFIG_APPLIED);
@@ -179,7 +179,7 @@
   g_tree_replace (holder.items, g_strdup ("c/stray"), g_bytes_new ("x", 1));
   CU_ASSERT_EQUAL (
       follow (&holder, &source, holder.revision, NULL, NULL, &bytes),
-      GP_CONFIG_DIGEST);
+      GP_CONFIG_DIGEST_MISMATCH);
   CU_ASSERT_EQUAL (holder.revision, source.revision - 1);
   gp_config_finish (&source);
   gp_config_finish (&holder);
@@ -239,7 +239,8 @@
   CU_ASSERT_EQUAL (publish (&fold, 1, "ana", 2), GP_FOLD_VOID_BASE);
   CU_ASSERT_EQUAL (fold.verdict_count[GP_FOLD_VOID_BASE], 1);
   CU_ASSERT_EQUAL (fold.config.revision, 2);
-  CU_ASSERT_STRING_EQUAL (gp_config_newest (&fold.config)->author, "josef");
+  CU_ASSERT_STRING_EQUAL (gp_config_newest_change (&fold.config)->author,
+                          "josef");
   gp_fold_finish (&fold);
 }
 
--- a/tests/unit/test_document.c
+++ b/tests/unit/test_document.c
@@ -286,8 +286,8 @@
 apply (gp_config_t *config, uint64_t revision, uint64_t base,
        const GPtrArray *items, const GPtrArray *whole)
 {
-  gp_config_item_t *changed = gp_document_items_config (items);
-  gp_config_item_t *all = gp_document_items_config (whole);
+  gp_config_item_t *changed = gp_document_items_to_config (items);
+  gp_config_item_t *all = gp_document_items_to_config (whole);
   uint8_t digest[GP_CONFIG_DIGEST_SIZE];
   gp_config_update_t update = { .revision = revision,
                                 .base = base,
--- a/tests/unit/test_fold.c
+++ b/tests/unit/test_fold.c
@@ -323,7 +323,7 @@
   g_ptr_array_add (
       run->sent,
       g_bytes_new_take (bytes, gp__record__batch__pack (&batch, bytes)));
-  gp_fold_watch (&run->fold, name, batch.incarnation);
+  gp_fold_set_own_writer (&run->fold, name, batch.incarnation);
   run->wrong += apply_everywhere (run, run->sent->pdata[run->sent->len - 1])
                 != GP_FOLD_APPLIED;
   run->wrong += run->expected_count != 0;
--- a/tests/unit/test_writer.c
+++ b/tests/unit/test_writer.c
@@ -260,7 +260,7 @@
       gp_writer_init (&run.writers[i], i == 0 ? "w0" : "w1", 1, NULL,
                       run.rand);
       gp_fold_init (&run.folds[i], NULL);
-      gp_fold_watch (&run.folds[i], run.writers[i].name, 1);
+      gp_fold_set_own_writer (&run.folds[i], run.writers[i].name, 1);
     }
   for (run.now = 0; run.now < RUN_END; run.now += GP_MSEC)
     {
