--- a/src/protocol/codec.c
+++ b/src/protocol/codec.c
@@ -49,6 +49,6 @@
   envelope = gp__wire__envelope__unpack (&allocator, size, bytes);
   if (envelope == NULL)
     g_set_error (error, GP_PROTOCOL_ERROR, GP_PROTOCOL_ERROR_MALFORMED,
-                 "frame of %zu bytes is not a message", size);
+                 "frame of %zu bytes is not a valid message", size);
   return envelope;
 }
--- a/src/protocol/dialer.c
+++ b/src/protocol/dialer.c
@@ -1,4 +1,4 @@
-/* Dialing with jittered exponential back-off.  */
+/* Connecting with jittered exponential backoff.  */
 
 #include "protocol/dialer.h"
 
--- a/src/protocol/dialer.h
+++ b/src/protocol/dialer.h
@@ -1,5 +1,5 @@
-/* Keeps one session to an address open: connects, and after a failure
-   connects again with jittered exponential back-off.  */
+/* Keeps a session to an address open: connects, and reconnects after a failure
+   with jittered exponential backoff.  */
 
 #ifndef GP_PROTOCOL_DIALER_H
 #define GP_PROTOCOL_DIALER_H
@@ -12,31 +12,33 @@
 {
   gp_session_host_t *host;
   char *address;
-  GRand *rand; /* of the caller */
+  GRand *rand; /* owned by the caller */
   gp_timer_t timer;
   gp_session_t *session; /* NULL while waiting */
-  unsigned int failures; /* in a row */
+  unsigned int failures; /* consecutive */
   bool stopped;
 } gp_dialer_t;
 
-/* Start dialing ADDRESS at once.  */
+/* Start connecting to ADDRESS immediately.  */
 void gp_dialer_init (gp_dialer_t *dialer, gp_session_host_t *host,
                      const char *address, GRand *rand);
 
-/* To be called from the host's callbacks for a session whose owner is this
-   dialer.  */
+/* To be called from the callbacks of the host for each session whose owner is
+   this dialer.  */
 void gp_dialer_on_ready (gp_dialer_t *dialer);
 void gp_dialer_on_close (gp_dialer_t *dialer);
 
-/* Dial no more; an open session stays.  */
+/* Stop connecting.  An open session is kept.  */
 void gp_dialer_stop (gp_dialer_t *dialer);
 
-/* Dial again at once after a stop; without one nothing changes.  */
+/* Undo gp_dialer_stop and connect immediately.  Does nothing if not
+   stopped.  */
 void gp_dialer_resume (gp_dialer_t *dialer);
 void gp_dialer_finish (gp_dialer_t *dialer);
 
-/* Duration before try FAILURES + 1, drawn between half and all of an
-   exponentially growing bound, so that many peers do not return at once.  */
+/* Return the delay before the attempt that follows FAILURES consecutive
+   failures: random between one half and all of an exponentially growing
+   limit, so that many peers do not reconnect at the same time.  */
 gp_time_t gp_dialer_backoff (unsigned int failures, GRand *rand);
 
 #endif
--- a/src/protocol/message.c
+++ b/src/protocol/message.c
@@ -1,4 +1,4 @@
-/* Packing any message into bytes of its own.  */
+/* Packing of messages into newly allocated bytes.  */
 
 #include "protocol/message.h"
 
--- a/src/protocol/message.h
+++ b/src/protocol/message.h
@@ -1,4 +1,4 @@
-/* Packing any message (protobuf-c) into bytes of its own.  */
+/* Packing of protobuf-c messages into newly allocated bytes.  */
 
 #ifndef GP_PROTOCOL_MESSAGE_H
 #define GP_PROTOCOL_MESSAGE_H
@@ -6,7 +6,7 @@
 #include <glib.h>
 #include <protobuf-c/protobuf-c.h>
 
-/* MESSAGE is the base of a generated message.  */
+/* Pack MESSAGE, the base of a generated message.  */
 GBytes *gp_message_pack (const ProtobufCMessage *message);
 
 #endif
--- a/src/protocol/session.c
+++ b/src/protocol/session.c
@@ -6,7 +6,7 @@
 #include "base/error.h"
 #include "base/log.h"
 
-/* Turns of the loop that an aborted session needs at most.  */
+/* Maximum number of event loop iterations to close aborted sessions.  */
 #define FINISH_TURNS 8
 
 static gp_counter_t sessions_refused = GP_COUNTER (
@@ -37,14 +37,14 @@
   if (hello->version != GP_PROTOCOL_VERSION)
     {
       g_set_error (error, GP_PROTOCOL_ERROR, GP_PROTOCOL_ERROR_VERSION,
-                   "peer speaks version %u, this process %d", hello->version,
-                   GP_PROTOCOL_VERSION);
+                   "peer uses protocol version %u, this process uses %d",
+                   hello->version, GP_PROTOCOL_VERSION);
       return false;
     }
   if (strcmp (hello->site, session->host->self.site) != 0)
     {
       g_set_error (error, GP_PROTOCOL_ERROR, GP_PROTOCOL_ERROR_UNEXPECTED,
-                   "peer is of site \"%s\", this process of \"%s\"",
+                   "peer belongs to site \"%s\", this process to \"%s\"",
                    hello->site, session->host->self.site);
       return false;
     }
@@ -52,7 +52,7 @@
     {
       g_set_error_literal (error, GP_PROTOCOL_ERROR,
                            GP_PROTOCOL_ERROR_UNEXPECTED,
-                           "peer gives no process name");
+                           "peer sent no process name");
       return false;
     }
   return true;
@@ -91,7 +91,7 @@
     {
       g_set_error_literal (&error, GP_PROTOCOL_ERROR,
                            GP_PROTOCOL_ERROR_UNEXPECTED,
-                           "message before hello");
+                           "first message is not Hello");
       refuse (session, error);
       return;
     }
@@ -276,7 +276,7 @@
   return NULL;
 }
 
-/* Parts of bodies carry bulk and cause no event.  */
+/* Body parts and credits are frequent and cause no timeline event.  */
 static bool
 is_stamped (const Gp__Wire__Envelope *envelope)
 {
--- a/src/protocol/session.h
+++ b/src/protocol/session.h
@@ -1,12 +1,13 @@
-/* A session: a framed connection after the exchange of Hello.
+/* A session: a framed connection between two peers that starts with Hello.
 
-   Both sides send Hello first.  A far side of another protocol version or
-   site is refused; any other message before Hello is refused.  After that
-   each whole message is handed on.  Sessions are symmetric: it does not
-   matter which side connected.
+   Both sides send Hello first.  A peer with a different protocol version or
+   site, or one that sends another message before Hello, is refused.  After
+   that each complete message is passed to the host's callback.  Sessions are
+   symmetric: it does not matter which side connected.
 
-   With a time line each message but parts of bodies carries the stamp of its
-   clock, and a message that comes moves the clock past its stamp.  */
+   If the host has a timeline, every message except body parts and credits
+   carries a timestamp of its hybrid logical clock, and a received timestamp
+   advances that clock.  */
 
 #ifndef GP_PROTOCOL_SESSION_H
 #define GP_PROTOCOL_SESSION_H
@@ -23,7 +24,7 @@
 typedef struct gp_session gp_session_t;
 typedef struct gp_session_host gp_session_host_t;
 
-/* Who this process is; the strings must stay valid.  */
+/* The identity of this process.  The strings must stay valid.  */
 typedef struct
 {
   const char *site;
@@ -32,7 +33,7 @@
   uint64_t incarnation;
   const char *region;
   const char *zone;
-  const char *address; /* where peers may connect, or "" */
+  const char *address; /* where peers can connect, or "" */
 } gp_identity_t;
 
 typedef struct
@@ -40,14 +41,14 @@
   void (*on_ready) (gp_session_t *session, void *data);
   void (*on_message) (gp_session_t *session,
                       const Gp__Wire__Envelope *envelope, void *data);
-  /* The write backlog has drained.  May be NULL.  */
+  /* The write buffer has drained.  May be NULL.  */
   void (*on_drain) (gp_session_t *session, void *data);
-  /* The last call; READY tells whether on_ready was called before.  */
+  /* The last callback.  READY is true if on_ready was called before.  */
   void (*on_close) (gp_session_t *session, bool ready, const GError *reason,
                     void *data);
 } gp_session_callbacks_t;
 
-/* What all sessions of a process share.  */
+/* State shared by all sessions of a process.  */
 struct gp_session_host
 {
   gp_loop_t *loop;
@@ -58,7 +59,7 @@
   gp_list_t sessions;
   gp_arena_t arena;
   gp_peer_server_t *server;
-  gp_timeline_t *timeline; /* whose clock stamps messages, or NULL */
+  gp_timeline_t *timeline; /* its clock stamps messages; or NULL */
 };
 
 struct gp_session
@@ -75,7 +76,7 @@
   Gp__Wire__Role role;
   uint64_t incarnation;
   void *owner;  /* the dialer of an outgoing session, else NULL */
-  void *object; /* free for the user of the session */
+  void *object; /* for use by the callbacks */
 };
 
 void gp_session_host_init (gp_session_host_t *host, gp_loop_t *loop,
@@ -88,15 +89,16 @@
                              GError **error);
 int gp_session_host_port (const gp_session_host_t *host);
 
-/* Close the listener and every session.  */
+/* Close the listener and all sessions.  */
 void gp_session_host_close (gp_session_host_t *host);
 
-/* Abort every session and run the loop, without waiting, until each on_close
-   has been called; to be called before what the callbacks use goes.  */
+/* Abort all sessions and run the event loop, without blocking, until on_close
+   has been called for each.  To be called before the data that the callbacks
+   use is freed.  */
 void gp_session_host_finish (gp_session_host_t *host);
 
-/* Start a session to ADDRESS; OWNER is kept in it.  NULL and ERROR when the
-   address is unusable.  */
+/* Start a session to ADDRESS with OWNER as its owner.  Returns NULL and sets
+   ERROR if the connection cannot be started.  */
 gp_session_t *gp_session_open (gp_session_host_t *host, const char *address,
                                gp_time_t deadline, void *owner,
                                GError **error);
--- a/src/state/document.h
+++ b/src/state/document.h
@@ -96,7 +96,7 @@
   bool idempotent;
   uint32_t latency_target_ms; /* default: that of the service */
   uint32_t timeout_ms;        /* default: that of the service */
-  uint32_t expected_ms;       /* time in a slot; 0: unknown */
+  uint32_t expected_ms;       /* service time; 0: unknown */
   gp_document_limit_t limits;
 } gp_document_kind_t;
 
