--- a/src/protocol/dialer.c
+++ b/src/protocol/dialer.c
@@ -3,28 +3,28 @@
 #include "protocol/dialer.h"
 
 #define CONNECT_TIMEOUT (2 * GP_SEC)
-#define BACKOFF_FIRST (50 * GP_MSEC)
-#define BACKOFF_LAST (2 * GP_SEC)
-#define BACKOFF_MAX_SHIFT 6
+#define BACKOFF_MIN (50 * GP_MSEC)
+#define BACKOFF_MAX (2 * GP_SEC)
+#define BACKOFF_SHIFT_MAX 6
 
 gp_time_t
 gp_dialer_backoff (unsigned int failures, GRand *rand)
 {
-  unsigned int shift = MIN (failures, BACKOFF_MAX_SHIFT);
-  gp_time_t bound = MIN (BACKOFF_FIRST << shift, BACKOFF_LAST);
+  unsigned int shift = MIN (failures, BACKOFF_SHIFT_MAX);
+  gp_time_t limit = MIN (BACKOFF_MIN << shift, BACKOFF_MAX);
 
-  return (gp_time_t)g_rand_double_range (rand, (double)bound / 2,
-                                         (double)bound);
+  return (gp_time_t)g_rand_double_range (rand, (double)limit / 2,
+                                         (double)limit);
 }
 
 static void
-schedule (gp_dialer_t *dialer)
+schedule_attempt (gp_dialer_t *dialer)
 {
   gp_time_t now = gp_loop_now (dialer->host->loop);
-  gp_time_t wait = gp_dialer_backoff (dialer->failures, dialer->rand);
+  gp_time_t delay = gp_dialer_backoff (dialer->failures, dialer->rand);
 
   dialer->failures++;
-  gp_timer_arm (&dialer->timer, now + wait);
+  gp_timer_arm (&dialer->timer, now + delay);
 }
 
 static void
@@ -40,7 +40,7 @@
   if (dialer->session != NULL)
     return;
   g_clear_error (&error);
-  schedule (dialer);
+  schedule_attempt (dialer);
 }
 
 void
@@ -64,7 +64,7 @@
 {
   dialer->session = NULL;
   if (!dialer->stopped)
-    schedule (dialer);
+    schedule_attempt (dialer);
 }
 
 void
--- a/src/protocol/session.c
+++ b/src/protocol/session.c
@@ -7,7 +7,7 @@
 #include "base/log.h"
 
 /* Maximum number of event loop iterations to close aborted sessions.  */
-#define FINISH_TURNS 8
+#define FINISH_ITERATIONS_MAX 8
 
 static gp_counter_t sessions_refused = GP_COUNTER (
     "peer_sessions_refused_total", "Sessions refused at Hello or after.");
@@ -105,7 +105,7 @@
 }
 
 static void
-receive_stamp (gp_session_host_t *host, const Gp__Wire__Envelope *envelope)
+merge_stamp (gp_session_host_t *host, const Gp__Wire__Envelope *envelope)
 {
   if (envelope->stamp != 0 && host->timeline != NULL)
     gp_timeline_receive (host->timeline, envelope->stamp, gp_time_wall ());
@@ -127,7 +127,7 @@
     on_first_message (session, envelope);
   else
     {
-      receive_stamp (host, envelope);
+      merge_stamp (host, envelope);
       host->callbacks.on_message (session, envelope, host->data);
     }
 }
@@ -216,13 +216,13 @@
 gp_session_host_listen (gp_session_host_t *host, const char *address,
                         GError **error)
 {
-  GError *below = NULL;
+  GError *cause = NULL;
 
   host->server = gp_peer_listen (host->loop, address, host->tls,
-                                 &peer_callbacks, on_accept, host, &below);
+                                 &peer_callbacks, on_accept, host, &cause);
   if (host->server == NULL)
     {
-      gp_error_convert (error, below, GP_PROTOCOL_ERROR,
+      gp_error_convert (error, cause, GP_PROTOCOL_ERROR,
                         GP_PROTOCOL_ERROR_PEER, "listen for peers");
       return false;
     }
@@ -251,7 +251,8 @@
   gp_session_host_close (host);
   GP_LIST_FOREACH (pos, &host->sessions)
   gp_session_close (GP_CONTAINER_OF (pos, gp_session_t, link), true);
-  for (int i = 0; i < FINISH_TURNS && !gp_list_empty (&host->sessions); i++)
+  for (int i = 0;
+       i < FINISH_ITERATIONS_MAX && !gp_list_empty (&host->sessions); i++)
     uv_run (&host->loop->uv, UV_RUN_NOWAIT);
   gp_arena_finish (&host->arena);
 }
@@ -261,17 +262,17 @@
                  gp_time_t deadline, void *owner, GError **error)
 {
   gp_session_t *session = session_new (host);
-  GError *below = NULL;
+  GError *cause = NULL;
 
   session->outgoing = true;
   session->owner = owner;
   session->peer = gp_peer_connect (host->loop, address, host->tls, deadline,
-                                   &peer_callbacks, session, &below);
+                                   &peer_callbacks, session, &cause);
   if (session->peer != NULL)
     return session;
   gp_list_remove (&session->link);
   g_free (session);
-  gp_error_convert (error, below, GP_PROTOCOL_ERROR, GP_PROTOCOL_ERROR_PEER,
+  gp_error_convert (error, cause, GP_PROTOCOL_ERROR, GP_PROTOCOL_ERROR_PEER,
                     address);
   return NULL;
 }
