--- a/tests/unit/fold_twin.h
+++ b/tests/unit/fold_twin.h
@@ -1,4 +1,5 @@
-/* A naive twin of the fold: small arrays, everything found by walking.  */
+/* Naive reference implementation of the fold: small arrays and linear
+   searches.  */
 
 #ifndef TESTS_FOLD_TWIN_H
 #define TESTS_FOLD_TWIN_H
@@ -56,7 +57,7 @@
   fold_twin_key_t keys[KEYS];
   uint64_t incarnation[WRITERS];
   uint64_t sequence[WRITERS];
-  int64_t clock[WRITERS]; /* -1: not heard */
+  int64_t clock[WRITERS]; /* -1: no batch yet */
   uint64_t revision;
   int64_t now;
 } fold_twin_t;
@@ -90,13 +91,13 @@
   Gp__Record__TaskEpoch *running_list[TASKS];
 } fold_slot_t;
 
-/* WRITER said WALL_US.  */
+/* Record WALL_US as the latest clock of WRITER and update the log time.  */
 void fold_twin_clock (fold_twin_t *twin, int writer, int64_t wall_us);
 
-/* Drop what is past its window.  */
+/* Drop everything whose retention window has ended.  */
 void fold_twin_expire (fold_twin_t *twin);
 
-/* The verdict on a record of WRITER, by its number.  */
+/* Apply a record of the writer with index WRITER and return the verdict.  */
 gp_fold_verdict_t fold_twin_record (fold_twin_t *twin, const fold_slot_t *slot,
                                     int writer);
 
--- a/tests/unit/record_cases.c
+++ b/tests/unit/record_cases.c
@@ -1,5 +1,4 @@
-/* Records and frames as this product writes them, and as another writer
-   might.  */
+/* Records and frames, valid and invalid.  */
 
 #include "record_cases.h"
 
@@ -45,7 +44,7 @@
   g_array_append_val (cases, one);
 }
 
-/* Bytes that are nobody's record, under a key that is one.  */
+/* Add values that are not valid records, under a valid key.  */
 static void
 add_foreign (GArray *cases, record_case_kind_t kind, const char *key)
 {
@@ -287,7 +286,7 @@
   add_tasks (cases, &p);
 }
 
-/* Places and the lead.  */
+/* Places and leadership.  */
 
 static void
 add_place (GArray *cases, const char *name, const char *key,
@@ -332,7 +331,7 @@
   add_foreign (cases, RECORD_CASE_PROGRESS, "leader");
 }
 
-/* What was learned.  */
+/* Learned models.  */
 
 static void
 add_learned (GArray *cases, const char *name, int32_t weight, double height,
@@ -573,7 +572,7 @@
   add_frame (cases, name, &frame);
 }
 
-/* Orders with the specification of a job, or with where it is held.  */
+/* Add orders with the specification of a job or the address of its holder.  */
 static void
 add_spec (GArray *cases, const char *name, const char *job, const char *bytes,
           uint64_t digest, const char *holder)
--- a/tests/unit/record_cases.h
+++ b/tests/unit/record_cases.h
@@ -1,16 +1,15 @@
-/* Records and frames as this product writes them, and as another writer
-   might: for the tests of their decoders and as the first inputs of the fuzz
-   target.  */
+/* Records and frames, valid and invalid: test cases for their decoders and the
+   initial corpus of the fuzz target.  */
 
 #ifndef GP_TESTS_RECORD_CASES_H
 #define GP_TESTS_RECORD_CASES_H
 
 #include <glib.h>
 
-/* The job whose records the cases are, with steps of 3 and 2 tasks.  */
+/* The job to which the records belong, with steps of 3 and 2 tasks.  */
 #define RECORD_CASES_JOB "00000000000000aa"
 
-/* What a case is handed to; the fuzz target's first byte.  */
+/* The decoder of a case; also the first byte of a fuzz input.  */
 typedef enum
 {
   RECORD_CASE_JOB,
@@ -23,11 +22,11 @@
 {
   record_case_kind_t kind;
   const char *name;
-  const char *key; /* of a record */
+  const char *key; /* of a record; "" for a frame */
   GBytes *value;   /* owned */
 } record_case_t;
 
-/* All cases, owned: record_case_t.  */
+/* Return all cases, as record_case_t, owned by the array.  */
 GArray *record_cases_new (void);
 
 #endif
--- a/tests/unit/test_config.c
+++ b/tests/unit/test_config.c
@@ -1,4 +1,5 @@
-/* A held configuration: revisions, deltas, slices and races.  */
+/* Replication of the configuration: revisions, deltas, slices and conflicting
+   changes.  */
 
 #include <string.h>
 
@@ -16,14 +17,14 @@
   uint8_t value[4];
 } item_t;
 
-/* Items "a/N" and "b/N"; a slice is those of one letter, or all.  */
+/* The items are named "a/N" and "b/N"; a slice is the items of one letter.  */
 static bool
 in_slice (const char *key, void *data)
 {
   return key[0] == *(const char *)data;
 }
 
-/* The next revision as a delta or as the whole.  */
+/* Apply the next random revision, as a delta or as the full set of items.  */
 static gp_config_result_t
 change_config (gp_config_t *config, GRand *rand, bool whole)
 {
@@ -51,7 +52,7 @@
     }
   if (whole)
     update.base = 0;
-  /* The digest by way of a holder that is built item by item.  */
+  /* Compute the digest from a copy to which the items are added one by one. */
   gp_config_init (&trial);
   if (update.base != 0)
     {
@@ -138,11 +139,11 @@
 static void
 test_follow (void)
 {
-  size_t bytes[2] = { 0, 0 }; /* by deltas, whole */
+  size_t bytes[2] = { 0, 0 }; /* deltas, full updates */
 
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     run_seed (seed, bytes);
-  CU_ASSERT_TRUE (bytes[0] < 2 * bytes[1]); /* two holders */
+  CU_ASSERT_TRUE (bytes[0] < 2 * bytes[1]); /* bytes[0] counts two receivers */
 }
 
 static void
@@ -166,14 +167,14 @@
   CU_ASSERT_EQUAL (follow (&holder, &old, 0, NULL, NULL, &bytes),
                    GP_CONFIG_STALE);
   CU_ASSERT_EQUAL (holder.revision, source.revision);
-  /* A delta on a base that the holder does not have.  */
+  /* A delta to a base that the receiver does not have.  */
   CU_ASSERT_EQUAL (
       follow (&old, &source, source.revision - 1, NULL, NULL, &bytes),
       GP_CONFIG_BASE_MISMATCH);
-  /* Too far back for a delta: the whole comes.  */
+  /* The history is too short for a delta, so all items are sent.  */
   CU_ASSERT_EQUAL (follow (&old, &source, old.revision, NULL, NULL, &bytes),
                    GP_CONFIG_APPLIED);
-  /* A delta that does not give the digest leaves all as it was.  */
+  /* A delta that does not produce the digest changes nothing.  */
   change_config (&source, rand, false);
   source.digest[0]++;
   g_tree_replace (holder.items, g_strdup ("c/stray"), g_bytes_new ("x", 1));
--- a/tests/unit/test_document.c
+++ b/tests/unit/test_document.c
@@ -1,6 +1,6 @@
-/* The operators' document: the examples load, each fault is told with its
-   place, and items split, join, differ and patch.  The transcript of
-   messages is compared with test_document.expected.  */
+/* The operators' document: the examples load, each error is reported with its
+   position, and items can be split, joined, compared and patched.  The
+   messages are compared with test_document.expected.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -176,7 +176,7 @@
   gp_document_finish (&document);
 }
 
-/* How it is written does not matter, what it says does.  */
+/* The items depend on the contents of a document, not on its formatting.  */
 static void
 test_canonical (void)
 {
@@ -195,7 +195,7 @@
   gp_document_finish (&c);
 }
 
-/* Texts that need quoting or escapes survive split and join.  */
+/* Strings that need quotes or escapes survive split and join.  */
 static void
 test_round_trip (void)
 {
@@ -231,8 +231,8 @@
     }
 }
 
-/* Random documents of a few teams, services and watchers; the site changes
-   now and then, which is no item of a list.  */
+/* Return a random document of a few teams, services and watchers.  The site,
+   whose item does not belong to a list, changes now and then.  */
 static char *
 random_text (GRand *random)
 {
@@ -261,7 +261,7 @@
   return g_string_free (text, FALSE);
 }
 
-/* How many items differ between A and B, by looking at every pair.  */
+/* Count the items that differ between A and B by comparing every pair.  */
 static guint
 naive_changes (const GPtrArray *a, const GPtrArray *b)
 {
@@ -281,7 +281,8 @@
   return a->len + b->len - common - same;
 }
 
-/* Bring CONFIG to REVISION by ITEMS on BASE (0: they are the whole).  */
+/* Update CONFIG to REVISION with ITEMS relative to BASE (0: full set).  WHOLE
+   is the full set after the update.  */
 static gp_config_result_t
 apply (gp_config_t *config, uint64_t revision, uint64_t base,
        const GPtrArray *items, const GPtrArray *whole)
@@ -304,8 +305,8 @@
   return result;
 }
 
-/* A holder of one document that takes the difference has the other: the
-   digest of the configuration tells.  */
+/* Applying the difference between two documents to the first one yields the
+   second one, which the digest of the configuration confirms.  */
 static void
 test_diff (void)
 {
@@ -338,7 +339,7 @@
   g_rand_free (random);
 }
 
-/* Every part of WHOLE must be found in PATCHED, and nothing else.  */
+/* Check that PATCHED has the same contents as WHOLE.  */
 static void
 assert_same (const gp_document_t *patched, const gp_document_t *whole)
 {
@@ -365,8 +366,8 @@
         whole->watchers[i].count);
 }
 
-/* One document that takes difference after difference is what a load of the
-   newest text gives.  */
+/* A document that is patched repeatedly equals one loaded from the newest
+   text.  */
 static void
 test_patch (void)
 {
@@ -394,7 +395,7 @@
   g_rand_free (random);
 }
 
-/* A delta with one bad item changes nothing.  */
+/* A delta with one invalid item changes nothing.  */
 static void
 test_bad_patch (void)
 {
@@ -417,7 +418,7 @@
       gp_document_items_add (delta, "team/t", NULL);
       gp_document_items_add (delta, "team/t1", good);
       gp_document_items_add (delta, "team/t2", value);
-      if (i + 1 == G_N_ELEMENTS (bad)) /* sound, but given twice */
+      if (i + 1 == G_N_ELEMENTS (bad)) /* valid, but a duplicate */
         gp_document_items_add (delta, "team/t2", value);
       CU_ASSERT_FALSE (gp_document_patch (&document, delta, issues));
       CU_ASSERT_NOT_EQUAL (issues->len, 0);
@@ -431,7 +432,7 @@
   g_bytes_unref (good);
 }
 
-/* Items that were not made by a split.  */
+/* Items that a split cannot produce are refused.  */
 static void
 test_bad_items (void)
 {
@@ -467,7 +468,7 @@
     }
 }
 
-/* Seconds of a UTC time of 2026-MONTH-DAY.  */
+/* Return a UTC time on 2026-MONTH-DAY in microseconds since the epoch.  */
 static int64_t
 at (int month, int day, int hour, int minute)
 {
@@ -505,7 +506,7 @@
   g_time_zone_unref (offset);
 }
 
-/* Hostile texts are refused at a bounded cost.  */
+/* Malicious texts are refused at a limited cost.  */
 static void
 test_bounds (void)
 {
@@ -531,7 +532,7 @@
   g_ptr_array_unref (issues);
 }
 
-/* The published schema is that of the code.  */
+/* The published schema matches the code.  */
 static void
 test_schema (void)
 {
--- a/tests/unit/test_fold.c
+++ b/tests/unit/test_fold.c
@@ -1,5 +1,6 @@
-/* The fold against its naive twin: random scripts of batches with repeated,
-   stale and malformed ones; replicas that start from a save.  */
+/* Compares the fold with a naive reference implementation (fold_twin.c) on
+   random batches, including duplicate, stale and malformed ones, and with
+   replicas that are loaded from a serialized state.  */
 
 #include <string.h>
 
@@ -10,7 +11,7 @@
 #define STEPS 400
 #define RECORDS 4
 
-/* The script.  */
+/* Generation of random records.  */
 
 #define MAKE(slot, field, type, CASE)                                         \
   do                                                                          \
@@ -176,7 +177,7 @@
     make_config (slot, twin, rand);
 }
 
-/* One run.  */
+/* A test run with one seed.  */
 
 typedef struct
 {
@@ -307,7 +308,7 @@
   batch.wall_us = twin->now + g_rand_int_range (run->rand, -50, 100);
   batch.wall_us = MAX (batch.wall_us, 0);
   if (g_rand_int_range (run->rand, 0, 300) == 0)
-    batch.wall_us += KEY_WINDOW; /* a clock that jumps ahead */
+    batch.wall_us += KEY_WINDOW; /* a clock that jumps forward */
   fold_twin_clock (twin, writer, batch.wall_us);
   fold_twin_expire (twin);
   batch.n_records = (size_t)g_rand_int_range (run->rand, 1, RECORDS + 1);
@@ -399,7 +400,8 @@
   gp_fold_finish (&fold);
 }
 
-/* Three tasks end with results; then a bound drops the oldest.  */
+/* Three tasks end with results of 24 bytes in total, above the limit of 20.
+   The next batch drops the oldest, which can then be submitted again.  */
 static void
 test_result_bytes (void)
 {
--- a/tests/unit/test_snapshot.c
+++ b/tests/unit/test_snapshot.c
@@ -1,6 +1,6 @@
-/* Snapshots and recovery over a log with retention: writers that die
-   half-way, write at once or repeat batches, and readers that are overtaken
-   by retention.  */
+/* Snapshots and recovery on a log with retention: writers that die midway,
+   write at the same time or repeat batches, and readers whose next offset is
+   dropped before they read it.  */
 
 #include <string.h>
 
@@ -31,7 +31,7 @@
   uint64_t incarnation[WRITERS];
   gp_snapshot_t snapshots[WRITERS];
   gp_follower_t live;
-  guint started; /* length of the log when the reader began */
+  guint started; /* length of the log when the reader started */
   size_t ready;
   size_t completed;
 } site_t;
@@ -57,7 +57,7 @@
       g_bytes_new_take (bytes, gp__record__batch__pack (&batch, bytes)));
 }
 
-/* A submission, or the cancellation of one.  */
+/* Append a submission or a cancellation.  */
 static void
 append_load (site_t *site)
 {
@@ -80,7 +80,7 @@
   append_record (site, "load", 1, *sequence, &record);
 }
 
-/* One read by FOLLOWER of at most COUNT records.  */
+/* Let FOLLOWER read at most COUNT records.  */
 static gp_follower_phase_t
 read_some (const site_t *site, gp_follower_t *follower, size_t count)
 {
@@ -159,10 +159,10 @@
       CU_ASSERT_PTR_NULL (gp_snapshot_next (&site->snapshots[i], 0));
       read_some (site, &site->live, 16);
     }
-  CU_ASSERT_EQUAL (gp_follower_read_offset (&site->live), from); /* held */
+  CU_ASSERT_EQUAL (gp_follower_read_offset (&site->live), from); /* not read */
 }
 
-/* One record of the snapshot of writer I.  */
+/* Append the next record of the snapshot of writer I.  */
 static bool
 append_snapshot (site_t *site, int i)
 {
@@ -182,19 +182,19 @@
   gp_snapshot_t *snapshot = &site->snapshots[i];
   int choice = g_rand_int_range (site->rand, 0, 60);
 
-  if (choice == 0) /* it dies and comes back */
+  if (choice == 0) /* the writer dies and restarts */
     {
       gp_snapshot_abandon (snapshot);
       site->incarnation[i]++;
       site->sequence[i] = 0;
     }
   else if (gp_follower_caught_up (&site->live)
-           && (choice == 1 /* at any time */
+           && (choice == 1 /* even if not due */
                || gp_snapshot_due (snapshot, &site->live.fold,
                                    &site->live.catalog, site->first_offset)))
     begin_snapshot (site, i);
   append_snapshot (site, i);
-  if (choice < 15) /* a late duplicate of something recent */
+  if (choice < 15) /* a late duplicate of a recent batch */
     {
       int back = g_rand_int_range (site->rand, 1, 8);
       int at = MAX ((int)site->log->len - back, 0);
@@ -203,8 +203,8 @@
     }
 }
 
-/* A new process reads slowly; whenever it has caught up its state must be
-   that of the live one.  */
+/* Let a new process read some records.  Whenever it has caught up, its state
+   must equal that of the live one.  Returns the number of errors.  */
 static size_t
 step_reader (site_t *site, gp_follower_t *reader)
 {
@@ -265,8 +265,8 @@
   CU_ASSERT_TRUE (ready > SEEDS);
 }
 
-/* Write the whole snapshot of writer I but its last LESS records, each
-   batch twice.  */
+/* Write the snapshot of writer I without its last LESS records, each batch
+   twice.  */
 static void
 write_snapshot (site_t *site, int i, uint32_t less)
 {
@@ -305,7 +305,7 @@
   CU_ASSERT_EQUAL (reader.restarts, 1); /* at offset 0 */
   CU_ASSERT_EQUAL (gp_fold_digest (&reader.fold),
                    gp_fold_digest (&site.live.fold));
-  /* A paused reader finds its place gone.  */
+  /* The next offset of a paused reader is dropped.  */
   for (int i = 0; i < 50; i++)
     append_load (&site);
   CU_ASSERT_TRUE (gp_follower_take_rebuilt (&reader));
@@ -317,7 +317,8 @@
   site_finish (&site);
 }
 
-/* A snapshot that is whole but wrong is not taken; an older one is.  */
+/* A complete snapshot with a wrong digest or checksum is rejected and an older
+   one is used.  */
 static void
 test_corrupt (void)
 {
@@ -368,18 +369,19 @@
   site_init (&site, 3);
   for (; !is_due (&site, 0) && until_due < 100; until_due++)
     append_load (&site);
-  CU_ASSERT_TRUE (until_due >= 40 && until_due <= 60); /* distance x factor */
+  /* offset_interval x threshold_factor */
+  CU_ASSERT_TRUE (until_due >= 40 && until_due <= 60);
   write_snapshot (&site, 0, 1);
-  CU_ASSERT_FALSE (is_due (&site, 1)); /* another is at it */
+  CU_ASSERT_FALSE (is_due (&site, 1)); /* another process is writing one */
   for (int i = 0; i < 10; i++)
     append_load (&site);
-  CU_ASSERT_TRUE (is_due (&site, 1)); /* it has been abandoned */
+  CU_ASSERT_TRUE (is_due (&site, 1)); /* that one is considered abandoned */
   write_snapshot (&site, 1, 0);
   CU_ASSERT_FALSE (is_due (&site, 1));
   for (int i = 0; i < 10; i++)
     append_load (&site);
   CU_ASSERT_FALSE (is_due (&site, 1));
-  site.first_offset = site.log->len - 21; /* half is after the snapshot */
+  site.first_offset = site.log->len - 21; /* half of the log is after it */
   CU_ASSERT_TRUE (is_due (&site, 1));
   site_finish (&site);
 }
--- a/tests/unit/test_writer.c
+++ b/tests/unit/test_writer.c
@@ -1,5 +1,5 @@
-/* Group commit over a log that loses acknowledgements, acts late and has
-   outages, in virtual time.  */
+/* Group commit to a log that loses acknowledgements, applies appends late and
+   has outages, in virtual time.  */
 
 #include <string.h>
 
@@ -27,7 +27,7 @@
   FATE_REFUSED
 } fate_t;
 
-/* One attempt to append.  */
+/* An attempt to append a batch.  */
 typedef struct
 {
   int writer;
@@ -106,11 +106,11 @@
   attempt->effect_at = run->now + delay;
   attempt->ack_at = run->now + 2 * delay;
   attempt->fail_at = GP_TIME_NEVER;
-  if (fault < 3) /* lost ack */
+  if (fault < 3) /* lost acknowledgement */
     attempt->ack_at = GP_TIME_NEVER;
-  if (fault == 1) /* late effect */
+  if (fault == 1) /* applied late */
     attempt->effect_at += 4 * GP_SEC;
-  if (fault == 2) /* failure that took effect */
+  if (fault == 2) /* applied but reported as failed */
     attempt->fail_at = run->now + delay;
   if (run->now >= OUTAGE_START && run->now < OUTAGE_END)
     {
@@ -355,7 +355,8 @@
   g_rand_free (rand);
 }
 
-/* A record that waits behind an append of unknown fate.  */
+/* A record that is queued behind an append with an unknown outcome expires at
+   its deadline.  */
 static void
 test_expiry (void)
 {
@@ -380,7 +381,7 @@
   g_rand_free (rand);
 }
 
-/* Failures that come at once are an outage before any timeout is.  */
+/* Immediate failures are recognized as an outage before any timeout.  */
 static void
 test_outage (void)
 {
@@ -454,7 +455,7 @@
   g_rand_free (rand);
 }
 
-/* Batches of one that always has more to write.  */
+/* Count the batches of a writer that always has records to write.  */
 static int
 count_batches (gp_writer_priority_t priority, uint32_t writers)
 {
@@ -485,8 +486,9 @@
   return batches;
 }
 
-/* Six may write as one does; above that all together make no more, but for
-   urgent records, which wait 50 ms at most.  */
+/* With up to six writers each writes as often as a single one.  With more, all
+   together make no more appends than six, except that urgent records wait at
+   most 50 ms.  */
 static void
 test_spacing (void)
 {
@@ -521,7 +523,7 @@
                  gp__record__batch__pack (&batch, bytes), NULL, NULL);
 }
 
-/* Writers count while they write, whatever their clocks say.  */
+/* Writers are counted while they write, regardless of their clocks.  */
 static void
 test_active_writers (void)
 {
