--- a/tests/unit/fold_twin.c
+++ b/tests/unit/fold_twin.c
@@ -18,7 +18,7 @@
 };
 
 static int
-twin_live (const fold_twin_t *twin)
+twin_count_live (const fold_twin_t *twin)
 {
   int live = 0;
 
@@ -53,7 +53,7 @@
 
   if (task->phase != 0)
     return GP_FOLD_VOID_EXISTS;
-  if (twin_live (twin) >= (int)fold_twin_limits.tasks_max)
+  if (twin_count_live (twin) >= (int)fold_twin_limits.tasks_max)
     return GP_FOLD_VOID_FULL;
   memset (task, 0, sizeof *task);
   task->phase = PHASE (PENDING);
@@ -235,7 +235,7 @@
 }
 
 static gp_fold_verdict_t
-twin_move (fold_twin_t *twin, uint64_t id, int from, int to)
+twin_change_phase (fold_twin_t *twin, uint64_t id, int from, int to)
 {
   fold_twin_task_t *task = &twin->tasks[id - 1];
 
@@ -252,7 +252,7 @@
 twin_unpark (fold_twin_t *twin, uint64_t id)
 {
   gp_fold_verdict_t verdict
-      = twin_move (twin, id, PHASE (PARKED), PHASE (PENDING));
+      = twin_change_phase (twin, id, PHASE (PARKED), PHASE (PENDING));
 
   if (verdict == GP_FOLD_ACCEPTED)
     twin->tasks[id - 1].losses = 0;
@@ -285,8 +285,8 @@
     case GP__RECORD__RECORD__RECORD_CONFIG:
       return twin_config (twin, slot);
     case GP__RECORD__RECORD__RECORD_PARK:
-      return twin_move (twin, slot->record.park->task, PHASE (PENDING),
-                        PHASE (PARKED));
+      return twin_change_phase (twin, slot->record.park->task, PHASE (PENDING),
+                                PHASE (PARKED));
     case GP__RECORD__RECORD__RECORD_UNPARK:
       return twin_unpark (twin, slot->record.unpark->task);
     default:
--- a/tests/unit/test_config.c
+++ b/tests/unit/test_config.c
@@ -26,7 +26,7 @@
 
 /* Apply the next random revision, as a delta or as the full set of items.  */
 static gp_config_result_t
-change_config (gp_config_t *config, GRand *rand, bool whole)
+change_config (gp_config_t *config, GRand *rand, bool full)
 {
   item_t storage[KEYS * 2];
   gp_config_item_t items[KEYS * 2];
@@ -50,7 +50,7 @@
       items[i] = (gp_config_item_t){ storage[i].name, storage[i].value,
                                      (size_t)g_rand_int_range (rand, 0, 5) };
     }
-  if (whole)
+  if (full)
     update.base = 0;
   /* Compute the digest from a copy to which the items are added one by one. */
   gp_config_init (&trial);
@@ -72,8 +72,8 @@
 }
 
 static gp_config_result_t
-follow (gp_config_t *holder, const gp_config_t *source, uint64_t have,
-        gp_config_filter_t filter, char *letter, size_t *bytes)
+send_update (gp_config_t *holder, const gp_config_t *source, uint64_t have,
+             gp_config_filter_t filter, char *letter, size_t *bytes)
 {
   GBytes *packed = gp_config_pack (source, have, filter, letter);
   Gp__Wire__ConfigUpdate *message = gp__wire__config_update__unpack (
@@ -116,10 +116,10 @@
       if (g_rand_int_range (rand, 0, i % 50 == 0 ? 100 : 3) != 0)
         continue;
       CU_ASSERT_EQUAL (
-          follow (&whole, &source, whole.revision, NULL, NULL, &bytes[0]),
+          send_update (&whole, &source, whole.revision, NULL, NULL, &bytes[0]),
           GP_CONFIG_APPLIED);
-      CU_ASSERT_EQUAL (follow (&slice, &source, slice.revision, in_slice,
-                               &letter, &bytes[0]),
+      CU_ASSERT_EQUAL (send_update (&slice, &source, slice.revision, in_slice,
+                                    &letter, &bytes[0]),
                        GP_CONFIG_APPLIED);
       CU_ASSERT_EQUAL (
           memcmp (whole.digest, source.digest, sizeof whole.digest), 0);
@@ -127,7 +127,7 @@
                        g_tree_nnodes (source.items));
       g_tree_foreach (whole.items, compare_item, &source);
       g_tree_foreach (slice.items, compare_item, &source);
-      CU_ASSERT_EQUAL (follow (&whole, &source, 0, NULL, NULL, &bytes[1]),
+      CU_ASSERT_EQUAL (send_update (&whole, &source, 0, NULL, NULL, &bytes[1]),
                        GP_CONFIG_SAME);
     }
   gp_config_finish (&source);
@@ -160,26 +160,27 @@
   gp_config_init (&holder);
   for (int i = 0; i < 5; i++)
     change_config (&source, rand, false);
-  follow (&old, &source, 0, NULL, NULL, &bytes);
+  send_update (&old, &source, 0, NULL, NULL, &bytes);
   for (int i = 0; i < GP_CONFIG_HISTORY_MAX + 5; i++)
     change_config (&source, rand, false);
-  follow (&holder, &source, 0, NULL, NULL, &bytes);
-  CU_ASSERT_EQUAL (follow (&holder, &old, 0, NULL, NULL, &bytes),
+  send_update (&holder, &source, 0, NULL, NULL, &bytes);
+  CU_ASSERT_EQUAL (send_update (&holder, &old, 0, NULL, NULL, &bytes),
                    GP_CONFIG_STALE);
   CU_ASSERT_EQUAL (holder.revision, source.revision);
   /* A delta to a base that the receiver does not have.  */
   CU_ASSERT_EQUAL (
-      follow (&old, &source, source.revision - 1, NULL, NULL, &bytes),
+      send_update (&old, &source, source.revision - 1, NULL, NULL, &bytes),
       GP_CONFIG_BASE_MISMATCH);
   /* The history is too short for a delta, so all items are sent.  */
-  CU_ASSERT_EQUAL (follow (&old, &source, old.revision, NULL, NULL, &bytes),
-                   GP_CONFIG_APPLIED);
+  CU_ASSERT_EQUAL (
+      send_update (&old, &source, old.revision, NULL, NULL, &bytes),
+      GP_CONFIG_APPLIED);
   /* A delta that does not produce the digest changes nothing.  */
   change_config (&source, rand, false);
   source.digest[0]++;
   g_tree_replace (holder.items, g_strdup ("c/stray"), g_bytes_new ("x", 1));
   CU_ASSERT_EQUAL (
-      follow (&holder, &source, holder.revision, NULL, NULL, &bytes),
+      send_update (&holder, &source, holder.revision, NULL, NULL, &bytes),
       GP_CONFIG_DIGEST_MISMATCH);
   CU_ASSERT_EQUAL (holder.revision, source.revision - 1);
   gp_config_finish (&source);
--- a/tests/unit/test_document.c
+++ b/tests/unit/test_document.c
@@ -470,7 +470,7 @@
 
 /* Return a UTC time on 2026-MONTH-DAY in microseconds since the epoch.  */
 static int64_t
-at (int month, int day, int hour, int minute)
+utc_time (int month, int day, int hour, int minute)
 {
   GDateTime *time = g_date_time_new_utc (2026, month, day, hour, minute, 0);
   int64_t result = g_date_time_to_unix (time) * GP_SEC;
@@ -487,16 +487,21 @@
       = g_time_zone_new_identifier ("CET-1CEST,M3.5.0/2,M10.5.0/3");
   gp_document_batch_job_t job = { .deadline = (char *)"06:00" };
 
-  CU_ASSERT_EQUAL (gp_document_job_deadline (&job, offset, at (7, 1, 3, 0)),
-                   at (7, 1, 4, 0));
-  CU_ASSERT_EQUAL (gp_document_job_deadline (&job, offset, at (7, 1, 4, 0)),
-                   at (7, 2, 4, 0));
-  CU_ASSERT_EQUAL (gp_document_job_deadline (&job, offset, at (7, 31, 22, 0)),
-                   at (8, 1, 4, 0));
-  CU_ASSERT_EQUAL (gp_document_job_deadline (&job, spring, at (3, 28, 21, 0)),
-                   at (3, 29, 4, 0));
-  CU_ASSERT_EQUAL (gp_document_job_deadline (&job, spring, at (10, 24, 21, 0)),
-                   at (10, 25, 5, 0));
+  CU_ASSERT_EQUAL (
+      gp_document_job_deadline (&job, offset, utc_time (7, 1, 3, 0)),
+      utc_time (7, 1, 4, 0));
+  CU_ASSERT_EQUAL (
+      gp_document_job_deadline (&job, offset, utc_time (7, 1, 4, 0)),
+      utc_time (7, 2, 4, 0));
+  CU_ASSERT_EQUAL (
+      gp_document_job_deadline (&job, offset, utc_time (7, 31, 22, 0)),
+      utc_time (8, 1, 4, 0));
+  CU_ASSERT_EQUAL (
+      gp_document_job_deadline (&job, spring, utc_time (3, 28, 21, 0)),
+      utc_time (3, 29, 4, 0));
+  CU_ASSERT_EQUAL (
+      gp_document_job_deadline (&job, spring, utc_time (10, 24, 21, 0)),
+      utc_time (10, 25, 5, 0));
   g_time_zone_unref (spring);
   job = (gp_document_batch_job_t){ .deadline_s = 60 };
   CU_ASSERT_EQUAL (gp_document_job_deadline (&job, offset, 5),
--- a/tests/unit/test_fold.c
+++ b/tests/unit/test_fold.c
@@ -331,7 +331,7 @@
 }
 
 static void
-send_again (run_t *run)
+send_duplicate (run_t *run)
 {
   guint at = (guint)g_rand_int_range (run->rand, 0, (int)run->sent->len);
   gp_fold_result_t result = apply_everywhere (run, run->sent->pdata[at]);
@@ -354,7 +354,7 @@
       int choice = g_rand_int_range (run.rand, 0, 20);
 
       if (choice == 0 && run.sent->len > 0)
-        send_again (&run);
+        send_duplicate (&run);
       else if (choice == 1)
         run.wrong += apply_everywhere (&run, junk) != GP_FOLD_MALFORMED;
       else
--- a/tests/unit/test_snapshot.c
+++ b/tests/unit/test_snapshot.c
@@ -114,7 +114,7 @@
 }
 
 static void
-note_change (const gp_fold_change_t *change, void *data)
+count_completed (const gp_fold_change_t *change, void *data)
 {
   site_t *site = data;
 
@@ -130,7 +130,7 @@
   memset (site, 0, sizeof *site);
   site->rand = g_rand_new_with_seed (seed);
   site->log = g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref);
-  gp_follower_init (&site->live, NULL, note_change, site);
+  gp_follower_init (&site->live, NULL, count_completed, site);
   for (int i = 0; i < WRITERS; i++)
     {
       site->incarnation[i] = 1;
--- a/tests/unit/test_writer.c
+++ b/tests/unit/test_writer.c
@@ -13,19 +13,19 @@
 #define RUN_END (60 * GP_SEC)
 #define OUTAGE_START (5 * GP_SEC)
 #define OUTAGE_END (11 * GP_SEC)
-#define DEAF_START (14 * GP_SEC)
-#define DEAF_END (19 * GP_SEC)
+#define READ_OUTAGE_START (14 * GP_SEC)
+#define READ_OUTAGE_END (19 * GP_SEC)
 
 typedef enum
 {
-  FATE_NONE,
-  FATE_QUEUED,
-  FATE_ACCEPTED,
-  FATE_VOID,
-  FATE_EXPIRED,
-  FATE_WITHDRAWN,
-  FATE_REFUSED
-} fate_t;
+  OUTCOME_NONE,
+  OUTCOME_QUEUED,
+  OUTCOME_ACCEPTED,
+  OUTCOME_VOID,
+  OUTCOME_EXPIRED,
+  OUTCOME_WITHDRAWN,
+  OUTCOME_REFUSED
+} outcome_t;
 
 /* An attempt to append a batch.  */
 typedef struct
@@ -46,7 +46,7 @@
   GPtrArray *attempts;
   gp_writer_t writers[WRITERS];
   gp_fold_t folds[WRITERS];
-  GArray *fates; /* of fate_t, by token - 1 */
+  GArray *outcomes; /* of outcome_t, by token - 1 */
   gp_writer_entry_t *last_entry;
   uint64_t last_token;
   size_t wrong;
@@ -78,17 +78,17 @@
                             entry);
 }
 
-static fate_t *
-fate (run_t *run, uint64_t token)
+static outcome_t *
+outcome (run_t *run, uint64_t token)
 {
-  return &g_array_index (run->fates, fate_t, token - 1);
+  return &g_array_index (run->outcomes, outcome_t, token - 1);
 }
 
 static void
-settle (run_t *run, uint64_t token, fate_t new_fate)
+set_outcome (run_t *run, uint64_t token, outcome_t new_outcome)
 {
-  run->wrong += *fate (run, token) != FATE_QUEUED;
-  *fate (run, token) = new_fate;
+  run->wrong += *outcome (run, token) != OUTCOME_QUEUED;
+  *outcome (run, token) = new_outcome;
   if (token == run->last_token)
     run->last_entry = NULL;
 }
@@ -133,12 +133,13 @@
         start_attempt (run, i, &action);
         break;
       case GP_WRITER_VERDICT:
-        settle (run, action.u.verdict.token,
-                action.u.verdict.verdict == GP_FOLD_ACCEPTED ? FATE_ACCEPTED
-                                                             : FATE_VOID);
+        set_outcome (run, action.u.verdict.token,
+                     action.u.verdict.verdict == GP_FOLD_ACCEPTED
+                         ? OUTCOME_ACCEPTED
+                         : OUTCOME_VOID);
         break;
       case GP_WRITER_EXPIRED:
-        settle (run, action.u.expired.token, FATE_EXPIRED);
+        set_outcome (run, action.u.expired.token, OUTCOME_EXPIRED);
         break;
       case GP_WRITER_UNREAD:
         run->wrong++;
@@ -195,7 +196,7 @@
   reader_t reader = { run, i };
   gp_fold_t *fold = &run->folds[i];
 
-  if (run->now >= DEAF_START && run->now < DEAF_END)
+  if (run->now >= READ_OUTAGE_START && run->now < READ_OUTAGE_END)
     return;
   while (fold->next_offset < run->log->len)
     {
@@ -210,39 +211,39 @@
 static void
 add_load (run_t *run, int i)
 {
-  fate_t new_fate = FATE_QUEUED;
+  outcome_t new_outcome = OUTCOME_QUEUED;
   gp_writer_priority_t priority = (gp_writer_priority_t)g_rand_int_range (
       run->rand, 0, GP_WRITER_PRIORITIES);
   gp_time_t deadline
       = run->now + g_rand_int_range (run->rand, 10, 4000) * GP_MSEC;
   uint64_t token;
 
-  g_array_append_val (run->fates, new_fate);
-  token = run->fates->len;
+  g_array_append_val (run->outcomes, new_outcome);
+  token = run->outcomes->len;
   run->last_entry = NULL;
   run->last_token = token;
   if (submit_task (&run->writers[i], token, priority, deadline, run->now,
                    &run->last_entry)
       != GP_WRITER_QUEUED)
-    *fate (run, token) = FATE_REFUSED;
+    *outcome (run, token) = OUTCOME_REFUSED;
   else if (g_rand_int_range (run->rand, 0, 10) == 0
            && gp_writer_withdraw (&run->writers[i], run->last_entry))
-    *fate (run, token) = FATE_WITHDRAWN;
+    *outcome (run, token) = OUTCOME_WITHDRAWN;
 }
 
 static void
-check_fates (run_t *run, size_t counts[])
+check_outcomes (run_t *run, size_t counts[])
 {
-  for (uint64_t token = 1; token <= run->fates->len; token++)
+  for (uint64_t token = 1; token <= run->outcomes->len; token++)
     {
-      fate_t f = *fate (run, token);
+      outcome_t f = *outcome (run, token);
 
       counts[f]++;
       for (int i = 0; i < WRITERS; i++)
         run->wrong += (gp_fold_task (&run->folds[i], token) != NULL)
-                      != (f == FATE_ACCEPTED);
+                      != (f == OUTCOME_ACCEPTED);
     }
-  run->wrong += counts[FATE_QUEUED] + counts[FATE_VOID];
+  run->wrong += counts[OUTCOME_QUEUED] + counts[OUTCOME_VOID];
   for (int i = 0; i < WRITERS; i++)
     run->wrong += run->folds[i].verdict_count[GP_FOLD_VOID_EXISTS];
 }
@@ -254,7 +255,7 @@
 
   run.log = g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref);
   run.attempts = g_ptr_array_new_with_free_func (free_attempt);
-  run.fates = g_array_new (FALSE, TRUE, sizeof (fate_t));
+  run.outcomes = g_array_new (FALSE, TRUE, sizeof (outcome_t));
   for (int i = 0; i < WRITERS; i++)
     {
       gp_writer_init (&run.writers[i], i == 0 ? "w0" : "w1", 1, NULL,
@@ -275,7 +276,7 @@
           take_actions (&run, i);
         }
     }
-  check_fates (&run, counts);
+  check_outcomes (&run, counts);
   *duplicates += run.folds[0].result_count[GP_FOLD_DUPLICATE];
   for (int i = 0; i < WRITERS; i++)
     {
@@ -284,7 +285,7 @@
     }
   g_ptr_array_unref (run.log);
   g_ptr_array_unref (run.attempts);
-  g_array_unref (run.fates);
+  g_array_unref (run.outcomes);
   g_rand_free (run.rand);
   return run.wrong;
 }
@@ -292,15 +293,15 @@
 static void
 test_faults (void)
 {
-  size_t counts[FATE_REFUSED + 1] = { 0 };
+  size_t counts[OUTCOME_REFUSED + 1] = { 0 };
   uint64_t duplicates = 0;
 
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     CU_ASSERT_EQUAL (run_seed (seed, counts, &duplicates), 0);
-  CU_ASSERT_TRUE (counts[FATE_ACCEPTED] > 1000);
-  CU_ASSERT_TRUE (counts[FATE_EXPIRED] > 100);
-  CU_ASSERT_TRUE (counts[FATE_WITHDRAWN] > 100);
-  CU_ASSERT_TRUE (counts[FATE_REFUSED] > 100);
+  CU_ASSERT_TRUE (counts[OUTCOME_ACCEPTED] > 1000);
+  CU_ASSERT_TRUE (counts[OUTCOME_EXPIRED] > 100);
+  CU_ASSERT_TRUE (counts[OUTCOME_WITHDRAWN] > 100);
+  CU_ASSERT_TRUE (counts[OUTCOME_REFUSED] > 100);
   CU_ASSERT_TRUE (duplicates > 100);
 }
 
@@ -492,10 +493,10 @@
 static void
 test_spacing (void)
 {
-  int alone = count_batches (GP_WRITER_URGENT, 1);
+  int single = count_batches (GP_WRITER_URGENT, 1);
 
-  CU_ASSERT (alone >= 115 && alone <= 120); /* 40 a second */
-  CU_ASSERT_EQUAL (count_batches (GP_WRITER_URGENT, 6), alone);
+  CU_ASSERT (single >= 115 && single <= 120); /* 40 a second */
+  CU_ASSERT_EQUAL (count_batches (GP_WRITER_URGENT, 6), single);
   CU_ASSERT (count_batches (GP_WRITER_NORMAL, 18) <= 41);
   CU_ASSERT (count_batches (GP_WRITER_NORMAL, 18) >= 39);
   CU_ASSERT (count_batches (GP_WRITER_URGENT, 18) <= 61);
