--- a/bench/bench_document.c
+++ b/bench/bench_document.c
@@ -1,5 +1,5 @@
-/* Cost of the operators' document at the size of a large site: loading with
-   all checks, splitting, and the difference of one changed item.  */
+/* Benchmarks the operators' document of a large site: loading with all checks,
+   and computing and applying the difference of one changed item.  */
 
 #include <stdio.h>
 
@@ -109,21 +109,22 @@
   return (gp_time_now () - start) / ROUNDS;
 }
 
-/* Bring DOCUMENT to TARGET and back, ROUNDS times.  */
+/* Patch DOCUMENT to TARGET and back, ROUNDS times.  Returns the time of one
+   patch.  */
 static gp_time_t
 time_patch (gp_document_t *document, const GPtrArray *target)
 {
   GPtrArray *issues = gp_issues_new ();
-  GPtrArray *there = gp_document_items_diff (document->items, target);
+  GPtrArray *forward = gp_document_items_diff (document->items, target);
   GPtrArray *back = gp_document_items_diff (target, document->items);
   gp_time_t start = gp_time_now ();
 
   for (int i = 0; i < ROUNDS; i++)
-    if (!gp_document_patch (document, there, issues)
+    if (!gp_document_patch (document, forward, issues)
         || !gp_document_patch (document, back, issues))
       g_error ("the change must fit");
   start = gp_time_now () - start;
-  g_ptr_array_unref (there);
+  g_ptr_array_unref (forward);
   g_ptr_array_unref (back);
   g_ptr_array_unref (issues);
   return start / ROUNDS / 2;
--- a/bench/bench_fold.c
+++ b/bench/bench_fold.c
@@ -1,6 +1,6 @@
-/* The state layer at the size of a large fleet: speed and memory of the
-   fold, snapshots and recovery at 95,000 tasks, group commit at 1,300 task
-   starts a second in virtual time.  */
+/* Benchmarks the state layer for a large fleet: speed and memory of the fold,
+   snapshots and recovery with 95,000 tasks, and group commit of 1,300 task
+   starts per second in virtual time.  */
 
 #include <malloc.h>
 #include <stdio.h>
@@ -24,7 +24,7 @@
 #define ACK_DELAY (10 * GP_MSEC)
 #define READ_DELAY (15 * GP_MSEC)
 
-/* A log in memory, written by one writer in batches.  */
+/* A log in memory, written by a single writer in batches.  */
 typedef struct
 {
   GPtrArray *log; /* of GBytes */
@@ -71,7 +71,7 @@
   site->count = 0;
 }
 
-/* The place of the next record.  */
+/* Return the index of a new record in the current batch.  */
 static size_t
 next_record (site_t *site)
 {
@@ -208,7 +208,7 @@
   return mallinfo2 ().uordblks;
 }
 
-/* Fold what was added since and report its speed and memory.  */
+/* Apply the records added since the last call and report speed and memory.  */
 static void
 measure_fold (gp_fold_t *fold, site_t *site, const char *what, uint64_t each)
 {
@@ -270,7 +270,7 @@
   gp_time_t now = 0;
   gp_time_t start;
   gp_time_t longest = 0;
-  int turns = 0;
+  int steps = 0;
 
   gp_snapshot_init (&snapshot, NULL, rand);
   start = gp_time_now ();
@@ -279,15 +279,15 @@
           (double)(gp_time_now () - start) / 1e3);
   start = gp_time_now ();
   gp_snapshot_begin (&snapshot, fold, now);
-  for (bool more = true; more; turns++)
+  for (bool more = true; more; steps++)
     {
-      gp_time_t turn = gp_time_now ();
+      gp_time_t step_start = gp_time_now ();
 
       more = gp_snapshot_copy (&snapshot);
-      longest = MAX (longest, gp_time_now () - turn);
+      longest = MAX (longest, gp_time_now () - step_start);
     }
   printf ("%-28s %8.1f ms in %d turns, longest %.2f ms, %u parts\n",
-          "copy of the state", (double)(gp_time_now () - start) / 1e3, turns,
+          "copy of the state", (double)(gp_time_now () - start) / 1e3, steps,
           (double)longest / 1e3, snapshot.parts_count);
   while (snapshot.writing)
     {
@@ -309,7 +309,7 @@
   g_rand_free (rand);
 }
 
-/* One read of about READ_BYTES.  */
+/* Read about READ_BYTES from the log.  */
 static void
 read_log (gp_follower_t *follower, const site_t *site, uint64_t first_offset,
           size_t *read)
@@ -369,7 +369,7 @@
 {
   gp_writer_t writer;
   gp_fold_t fold;
-  GQueue events;     /* of event_t, by time */
+  GQueue events;     /* of event_t, ordered by time */
   GArray *queued_at; /* of gp_time_t, by token */
   GArray *latency;   /* of double, ms */
   gp_time_t now;
--- a/bench/bench_spacing.c
+++ b/bench/bench_spacing.c
@@ -1,5 +1,6 @@
-/* Appends of all entries together when many write to one stream, in virtual
-   time: with the spacing of one writer, and with that by their number.  */
+/* Benchmarks the appends of many entries that write to one stream, in virtual
+   time: with the fixed spacing of a single writer, and with a spacing adjusted
+   to the number of writers.  */
 
 #include <stdio.h>
 
@@ -10,7 +11,7 @@
 #define STEP (GP_MSEC / 2)
 #define ACK_DELAY (10 * GP_MSEC)
 #define READ_DELAY (15 * GP_MSEC)
-#define PEAK 3900 /* records a second of the whole site */
+#define PEAK 3900 /* records per second, all entries together */
 #define WRITERS_MAX 18
 
 typedef struct
@@ -27,18 +28,18 @@
   gp_writer_t writer;
   gp_fold_t fold;
   gp_active_writers_t active;
-  gp_time_t now; /* while it reads */
+  gp_time_t now; /* time of the current read */
 } entry_t;
 
 typedef struct
 {
   gp_time_t now;
   int count;
-  bool spaced; /* by the number of writers */
+  bool spaced; /* spacing adjusted to the number of writers */
   gp_writer_priority_t priority;
   entry_t entries[WRITERS_MAX];
-  GQueue acks;       /* of appended_t, as the next */
-  GQueue reads;      /* in log order */
+  GQueue acks;       /* of appended_t */
+  GQueue reads;      /* of appended_t, in log order */
   GArray *queued_at; /* of gp_time_t, by token */
   GArray *latency;   /* of double, ms */
 } site_t;
@@ -112,13 +113,13 @@
 }
 
 static void
-take_actions (site_t *site, int place)
+take_actions (site_t *site, int index)
 {
   gp_writer_action_t action;
 
-  while (gp_writer_next_action (&site->entries[place].writer, &action))
+  while (gp_writer_next_action (&site->entries[index].writer, &action))
     if (action.kind == GP_WRITER_APPEND)
-      append (site, place, action.u.append.sequence, action.u.append.bytes);
+      append (site, index, action.u.append.sequence, action.u.append.bytes);
     else if (action.kind == GP_WRITER_VERDICT)
       {
         gp_time_t at = g_array_index (site->queued_at, gp_time_t,
