--- a/src/state/document_schema.c
+++ b/src/state/document_schema.c
@@ -7,7 +7,7 @@
 #define LIST_MAX_COUNT 65536
 #define KINDS_MAX_COUNT 1024 /* per service */
 #define TEAMS_MAX_COUNT 1024
-#define SHAPES_MAX_COUNT 256
+#define WORKERS_MAX_COUNT 256
 
 #define REQUIRED GP_YAML_REQUIRED
 #define OPTIONAL GP_YAML_OPTIONAL
@@ -187,7 +187,7 @@
   LIST ("regions", gp_document_t, regions, &region_value, LIST_MAX_COUNT),
   LIST ("evacuated_zones", gp_document_t, evacuated_zones,
         &evacuated_zone_value, LIST_MAX_COUNT),
-  LIST ("workers", gp_document_t, workers, &worker_value, SHAPES_MAX_COUNT),
+  LIST ("workers", gp_document_t, workers, &worker_value, WORKERS_MAX_COUNT),
   LIST ("teams", gp_document_t, teams, &team_value, TEAMS_MAX_COUNT),
   LIST ("services", gp_document_t, services, &service_value, LIST_MAX_COUNT),
   LIST ("batch_jobs", gp_document_t, batch_jobs, &batch_job_value,
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -32,7 +32,7 @@
 {
   size_t part_bytes;
   size_t rows_per_step;      /* copied per gp_snapshot_copy */
-  gp_time_t record_interval; /* between two records */
+  gp_time_t record_interval; /* between two records, microseconds */
   uint64_t offset_interval;  /* offsets since the newest snapshot */
   int64_t interval_us;       /* log time since the newest was completed */
   uint64_t abandoned_after;  /* offsets; for an open snapshot */
