--- a/src/daemon/store.c
+++ b/src/daemon/store.c
@@ -72,7 +72,7 @@
   store->up = up;
   gp_log (up ? GP_LOG_INFO : GP_LOG_WARNING, up ? "log.up" : "log.down",
           GP_LOG_S ("stream", store->source.stream),
-          GP_LOG_I ("offset", store->follower.from));
+          GP_LOG_I ("offset", store->follower.read_offset));
   gp_store_note (store, up ? GP_TIMELINE_LOG_UP : GP_TIMELINE_LOG_DOWN);
 }
 
@@ -156,7 +156,7 @@
 {
   gp_writer_action_t action;
 
-  while (gp_writer_next (&store->writer, &action))
+  while (gp_writer_next_action (&store->writer, &action))
     switch (action.kind)
       {
       case GP_WRITER_APPEND:
@@ -224,15 +224,15 @@
 {
   gp_writer_limits_t limits = gp_writer_default_limits;
 
-  limits.hold[GP_WRITER_NORMAL] = settings->timings.log_batch_ms * GP_MSEC;
-  limits.hold[GP_WRITER_BULK] = settings->timings.log_batch_ms * GP_MSEC;
+  limits.linger[GP_WRITER_NORMAL] = settings->timings.log_batch_ms * GP_MSEC;
+  limits.linger[GP_WRITER_BULK] = settings->timings.log_batch_ms * GP_MSEC;
   limits.timeout = settings->timings.log_timeout_ms * GP_MSEC;
   limits.outage_after = MAX (limits.outage_after, limits.timeout);
   store->append_timeout = limits.timeout;
   gp_writer_init (&store->writer, settings->name, store->incarnation, &limits,
                   rand);
-  gp_writer_set_wall (&store->writer,
-                      gp_time_wall () - gp_loop_now (store->loop));
+  gp_writer_set_wall_offset (&store->writer,
+                             gp_time_wall () - gp_loop_now (store->loop));
 }
 
 static gp_store_t *
@@ -257,7 +257,7 @@
   gp_timer_init (&store->timer, loop, on_timer, store);
   gp_timer_init (&store->copy_timer, loop, gp_store_on_copy_timer, store);
   gp_follower_init (&store->follower, NULL, gp_store_on_change, store);
-  gp_fold_watch (&store->follower.fold, store->name, incarnation);
+  gp_fold_set_own_writer (&store->follower.fold, store->name, incarnation);
   gp_snapshot_init (&store->snapshot, NULL, rand);
   gp_active_writers_init (&store->active_writers);
   init_writer (store, settings, rand);
@@ -358,7 +358,7 @@
 {
   *health = (gp_store_health_t){ .ready = gp_store_ready (store),
                                  .available = available (store),
-                                 .offset = store->follower.from,
+                                 .offset = store->follower.read_offset,
                                  .read_at = store->read_at,
                                  .appends = store->writer.appends,
                                  .repeats = store->writer.repeats,
--- a/src/state/config.c
+++ b/src/state/config.c
@@ -4,7 +4,7 @@
 
 #include "protocol/message.h"
 
-/* Visits the items of a slice in the order of their keys.  */
+/* Context for visiting the items of a slice.  */
 typedef struct
 {
   gp_config_filter_t filter;
@@ -136,7 +136,7 @@
   return FALSE;
 }
 
-/* The items after UPDATE, or NULL when the digest is another.  */
+/* Return the items after UPDATE, or NULL if their digest does not match.  */
 static GTree *
 build_items (const gp_config_t *config, const gp_config_update_t *update,
              uint8_t digest[GP_CONFIG_DIGEST_SIZE])
@@ -170,7 +170,7 @@
         g_ptr_array_add (change->keys, g_strdup (update->items[i].key));
     }
   g_queue_push_tail (&config->history, change);
-  if (config->history.length > GP_CONFIG_HISTORY)
+  if (config->history.length > GP_CONFIG_HISTORY_MAX)
     free_change (g_queue_pop_head (&config->history));
 }
 
@@ -192,16 +192,16 @@
   GTree *items;
 
   if (update->revision < config->revision)
-    return GP_CONFIG_LOWER;
+    return GP_CONFIG_STALE;
   if (update->revision == config->revision)
     return GP_CONFIG_SAME;
   if (update->base != 0 && update->base != config->revision)
-    return GP_CONFIG_NO_BASE;
+    return GP_CONFIG_BASE_MISMATCH;
   if (update->digest_size != GP_CONFIG_DIGEST_SIZE)
-    return GP_CONFIG_DIGEST;
+    return GP_CONFIG_DIGEST_MISMATCH;
   items = build_items (config, update, digest);
   if (items == NULL)
-    return GP_CONFIG_DIGEST;
+    return GP_CONFIG_DIGEST_MISMATCH;
   g_tree_unref (config->items);
   config->items = items;
   memcpy (config->digest, digest, sizeof digest);
@@ -258,12 +258,12 @@
 }
 
 const gp_config_change_t *
-gp_config_newest (const gp_config_t *config)
+gp_config_newest_change (const gp_config_t *config)
 {
   return g_queue_peek_tail ((GQueue *)&config->history);
 }
 
-/* Add KEY with VALUE (NULL: removed), both owned by the configuration.  */
+/* Add KEY with VALUE (NULL: removed).  The configuration owns both.  */
 static void
 add_wire_item (walk_t *walk, const char *key, GBytes *value)
 {
@@ -288,8 +288,8 @@
   return FALSE;
 }
 
-/* The changes after revision HAVE as an array of gp_config_change_t, or
-   NULL when they are not all remembered.  */
+/* Return the changes after revision HAVE as an array of gp_config_change_t,
+   or NULL if the history does not cover all of them.  */
 static GPtrArray *
 changes_since (const gp_config_t *config, uint64_t have)
 {
--- a/src/state/document.c
+++ b/src/state/document.c
@@ -9,16 +9,18 @@
 #include "state/document_check.h"
 #include "state/document_schema.h"
 
-/* Names in the index; the first of two equal ones stays.  */
+/* Add the elements of SECTION to the index.  Of elements with the same name
+   the first is kept.  */
 static void
 index_section (gp_document_t *document, const gp_document_section_t *section)
 {
-  char *list = *(char **)(void *)((char *)document + section->list);
-  uint32_t count = *(uint32_t *)(void *)((char *)document + section->count);
+  char *list = *(char **)(void *)((char *)document + section->list_offset);
+  uint32_t count
+      = *(uint32_t *)(void *)((char *)document + section->count_offset);
 
   for (uint32_t i = 0; i < count; i++)
     {
-      char *element = list + (size_t)i * section->size;
+      char *element = list + (size_t)i * section->element_size;
       char *key
           = g_strconcat (section->prefix, *(char **)(void *)element, NULL);
 
@@ -74,7 +76,7 @@
 }
 
 void
-gp_document_inherit (gp_document_service_t *service)
+gp_document_apply_service_defaults (gp_document_service_t *service)
 {
   for (uint32_t i = 0; i < service->kinds_count; i++)
     {
@@ -87,16 +89,17 @@
     }
 }
 
-/* Take LOADED over into DOCUMENT and check it as a whole.  */
+/* Move LOADED into DOCUMENT, free it and check the rules that span several
+   items.  */
 static bool
-complete (gp_document_t *document, gp_document_t *loaded, gp_yaml_node_t *root,
-          GPtrArray *issues)
+finish_load (gp_document_t *document, gp_document_t *loaded,
+             gp_yaml_node_t *root, GPtrArray *issues)
 {
   *document = *loaded;
   g_free (loaded);
   gp_document_build_index (document);
   for (uint32_t i = 0; i < document->services_count; i++)
-    gp_document_inherit (&document->services[i]);
+    gp_document_apply_service_defaults (&document->services[i]);
   gp_document_check_rules (document, root, issues);
   if (gp_issues_count (issues, GP_ISSUE_ERROR) > 0)
     {
@@ -121,7 +124,7 @@
   if (gp_issues_count (issues, GP_ISSUE_ERROR) == 0)
     loaded = gp_yaml_load (text, size, root, &gp_document_schema, issues);
   if (loaded)
-    ok = complete (document, loaded, root, issues);
+    ok = finish_load (document, loaded, root, issues);
   gp_yaml_node_free (root);
   gp_issues_sort (issues);
   return ok;
@@ -147,12 +150,13 @@
 void
 gp_document_finish (gp_document_t *document)
 {
-  /* libcyaml frees the outermost structure too.  */
-  gp_document_t *whole = g_memdup2 (document, sizeof *document);
+  /* gp_yaml_unload also frees the outermost structure, which the caller
+     owns, so it is given a copy.  */
+  gp_document_t *copy = g_memdup2 (document, sizeof *document);
 
   g_clear_pointer (&document->items, g_ptr_array_unref);
   g_clear_pointer (&document->index, g_hash_table_unref);
-  gp_yaml_unload (whole, &gp_document_schema);
+  gp_yaml_unload (copy, &gp_document_schema);
   memset (document, 0, sizeof *document);
 }
 
@@ -167,10 +171,11 @@
   return true;
 }
 
-/* Whether PATH lies under PREFIX: "/a" covers "/a", "/a/b" and "/a?b", not
-   "/ab"; "/a/" covers what starts so.  */
+/* Return true if PREFIX matches PATH: "/a" matches "/a", "/a/b" and "/a?b" but
+   not "/ab"; "/a/" matches every path that starts with it.  */
 static bool
-covers (const char *prefix, size_t prefix_size, const char *path, size_t size)
+matches_prefix (const char *prefix, size_t prefix_size, const char *path,
+                size_t size)
 {
   if (size < prefix_size || memcmp (prefix, path, prefix_size) != 0)
     return false;
@@ -190,7 +195,8 @@
       const gp_document_kind_t *kind = &service->kinds[i];
       size_t length = strlen (kind->path_prefix);
 
-      if (length <= longest || !covers (kind->path_prefix, length, path, size))
+      if (length <= longest
+          || !matches_prefix (kind->path_prefix, length, path, size))
         continue;
       found = kind;
       longest = length;
@@ -206,7 +212,7 @@
   return g_time_zone_new_identifier (document->time_zone);
 }
 
-/* The first HOUR:MINUTE of ZONE after WALL.  */
+/* Return the first time after WALL at which it is HOUR:MINUTE in ZONE.  */
 static int64_t
 next_time_of_day (GTimeZone *zone, int64_t wall, int hour, int minute)
 {
--- a/src/state/document_schema.c
+++ b/src/state/document_schema.c
@@ -1,13 +1,13 @@
-/* The fields of the operators' document, their bounds and defaults.  */
+/* The fields of the operators' document with their ranges and defaults.  */
 
 #include "state/document_schema.h"
 
 #include <stddef.h>
 
 #define LIST_MAX_COUNT 65536
-#define KINDS_MAX_COUNT 1024 /* of a service */
+#define KINDS_MAX_COUNT 1024 /* per service */
 #define TEAMS_MAX_COUNT 1024
-#define SHAPES_MAX_COUNT 256
+#define WORKERS_MAX_COUNT 256
 
 #define REQUIRED GP_YAML_REQUIRED
 #define OPTIONAL GP_YAML_OPTIONAL
@@ -54,21 +54,21 @@
         UINT ("accelerators", OPTIONAL, gp_document_worker_t, accelerators),
         CYAML_FIELD_END };
 
-/* What a job or watcher needs.  */
+/* Resources that a job or watcher requires.  */
 static const cyaml_schema_field_t resources_fields[]
     = { UINT ("millicores", REQUIRED, gp_document_resources_t, millicores),
         UINT ("memory_mib", REQUIRED, gp_document_resources_t, memory_mib),
         UINT ("accelerators", OPTIONAL, gp_document_resources_t, accelerators),
         CYAML_FIELD_END };
 
-/* What a team may use.  */
+/* Resources that a team may use at most.  */
 static const cyaml_schema_field_t quota_fields[]
     = { UINT ("millicores", OPTIONAL, gp_document_resources_t, millicores),
         UINT ("memory_mib", OPTIONAL, gp_document_resources_t, memory_mib),
         UINT ("accelerators", OPTIONAL, gp_document_resources_t, accelerators),
         CYAML_FIELD_END };
 
-/* What a service keeps for itself on a worker.  */
+/* Resources that a service reserves on each of its workers.  */
 static const cyaml_schema_field_t reserve_fields[]
     = { UINT ("millicores", OPTIONAL, gp_document_resources_t, millicores),
         UINT ("memory_mib", OPTIONAL, gp_document_resources_t, memory_mib),
@@ -157,12 +157,13 @@
         UINT ("pending_jobs", OPTIONAL, gp_document_limits_t, pending_jobs),
         CYAML_FIELD_END };
 
-#define REMEDY(name) UINT (#name, OPTIONAL, gp_document_interference_t, name)
+#define INTERFERENCE(name)                                                    \
+  UINT (#name, OPTIONAL, gp_document_interference_t, name)
 
 static const cyaml_schema_field_t interference_fields[]
-    = { REMEDY (throttle_percent),   REMEDY (evict_percent),
-        REMEDY (calm_percent),       REMEDY (window_s),
-        REMEDY (evictions_per_hour), CYAML_FIELD_END };
+    = { INTERFERENCE (throttle_percent),   INTERFERENCE (evict_percent),
+        INTERFERENCE (calm_percent),       INTERFERENCE (window_s),
+        INTERFERENCE (evictions_per_hour), CYAML_FIELD_END };
 
 static const cyaml_schema_value_t region_value
     = VALUE (gp_document_region_t, region_fields);
@@ -186,7 +187,7 @@
   LIST ("regions", gp_document_t, regions, &region_value, LIST_MAX_COUNT),
   LIST ("evacuated_zones", gp_document_t, evacuated_zones,
         &evacuated_zone_value, LIST_MAX_COUNT),
-  LIST ("workers", gp_document_t, workers, &worker_value, SHAPES_MAX_COUNT),
+  LIST ("workers", gp_document_t, workers, &worker_value, WORKERS_MAX_COUNT),
   LIST ("teams", gp_document_t, teams, &team_value, TEAMS_MAX_COUNT),
   LIST ("services", gp_document_t, services, &service_value, LIST_MAX_COUNT),
   LIST ("batch_jobs", gp_document_t, batch_jobs, &batch_job_value,
@@ -300,8 +301,9 @@
 #define SECTION(member, prefix_, type, element)                               \
   {                                                                           \
     .name = #member, .prefix = (prefix_),                                     \
-    .list = offsetof (gp_document_t, member),                                 \
-    .count = offsetof (gp_document_t, member##_count), .size = sizeof (type), \
+    .list_offset = offsetof (gp_document_t, member),                          \
+    .count_offset = offsetof (gp_document_t, member##_count),                 \
+    .element_size = sizeof (type),                                            \
     .schema                                                                   \
         = { &(element),                                                       \
             rules,                                                            \
@@ -320,7 +322,7 @@
 };
 
 const gp_document_section_t *
-gp_document_section_of_key (const char *key)
+gp_document_find_section (const char *key)
 {
   for (size_t i = 0; i < GP_DOCUMENT_SECTIONS; i++)
     if (g_str_has_prefix (key, gp_document_sections[i].prefix))
--- a/src/state/fold.c
+++ b/src/state/fold.c
@@ -7,7 +7,7 @@
 #define HOUR_US (INT64_C (3600) * 1000000)
 #define MIB (UINT64_C (1024) * 1024)
 #define BATCH_RECORDS_MAX 16384
-/* Writers heard last whose clocks make the log time.  */
+/* Number of most recently active writers whose clocks determine log time.  */
 #define CLOCKS 8
 
 const gp_fold_limits_t gp_fold_default_limits = {
@@ -32,7 +32,7 @@
   return length > 0 && length <= GP_FOLD_NAME_MAX;
 }
 
-/* The tables of named rows: the name is the first field.  */
+/* Hash functions for objects whose first field is their name.  */
 static guint
 hash_name (const void *row)
 {
@@ -93,7 +93,8 @@
 }
 
 void
-gp_fold_watch (gp_fold_t *fold, const char *writer, uint64_t incarnation)
+gp_fold_set_own_writer (gp_fold_t *fold, const char *writer,
+                        uint64_t incarnation)
 {
   g_free (fold->own_name);
   fold->own_name = g_strdup (writer);
@@ -126,7 +127,8 @@
   g_free (writer);
 }
 
-/* Drop writers by their window and number, but never the current one.  */
+/* Drop writers beyond their window or their maximum number, but never the
+   current one.  */
 static void
 expire_writers (gp_fold_t *fold)
 {
@@ -145,7 +147,8 @@
     }
 }
 
-/* The second highest clock of the writers heard last, or the only one.  */
+/* Return the second highest clock of the most recently active writers, or the
+   only one.  */
 static int64_t
 second_clock (const gp_fold_t *fold)
 {
@@ -166,7 +169,7 @@
   return count > 1 ? second : highest;
 }
 
-/* Whether the batch comes in its turn; then its writer is current.  */
+/* Check that BATCH is new; if so, make its writer the current one.  */
 static gp_fold_result_t
 accept_writer (gp_fold_t *fold, const Gp__Record__Batch *batch)
 {
@@ -196,7 +199,7 @@
 }
 
 static gp_fold_verdict_t
-note_snapshot (gp_fold_t *fold, const Gp__Record__Record *record)
+forward_snapshot (gp_fold_t *fold, const Gp__Record__Record *record)
 {
   gp_fold_change_t change = GP_FOLD_CHANGE (
       fold, GP_FOLD_SNAPSHOT, .u.snapshot = { fold->writer, record });
@@ -239,7 +242,7 @@
     case GP__RECORD__RECORD__RECORD_SNAPSHOT_BEGIN:
     case GP__RECORD__RECORD__RECORD_SNAPSHOT_PART:
     case GP__RECORD__RECORD__RECORD_SNAPSHOT_END:
-      return note_snapshot (fold, record);
+      return forward_snapshot (fold, record);
     case GP__RECORD__RECORD__RECORD__NOT_SET:
     case _GP__RECORD__RECORD__RECORD__CASE_IS_INT_SIZE:
       return GP_FOLD_VOID_MALFORMED;
@@ -312,7 +315,7 @@
   Gp__Record__Batch *batch;
   gp_fold_result_t result;
 
-  g_assert (fold->held == 0);
+  g_assert (fold->active_savers == 0);
   if (offset != fold->next_offset)
     {
       result = offset < fold->next_offset ? GP_FOLD_OLD : GP_FOLD_GAP;
--- a/tests/unit/test_fold.c
+++ b/tests/unit/test_fold.c
@@ -1,5 +1,6 @@
-/* The fold against its naive twin: random scripts of batches with repeated,
-   stale and malformed ones; replicas that start from a save.  */
+/* Compares the fold with a naive reference implementation (fold_twin.c) on
+   random batches, including duplicate, stale and malformed ones, and with
+   replicas that are loaded from a serialized state.  */
 
 #include <string.h>
 
@@ -10,7 +11,7 @@
 #define STEPS 400
 #define RECORDS 4
 
-/* The script.  */
+/* Generation of random records.  */
 
 #define MAKE(slot, field, type, CASE)                                         \
   do                                                                          \
@@ -176,7 +177,7 @@
     make_config (slot, twin, rand);
 }
 
-/* One run.  */
+/* A test run with one seed.  */
 
 typedef struct
 {
@@ -307,7 +308,7 @@
   batch.wall_us = twin->now + g_rand_int_range (run->rand, -50, 100);
   batch.wall_us = MAX (batch.wall_us, 0);
   if (g_rand_int_range (run->rand, 0, 300) == 0)
-    batch.wall_us += KEY_WINDOW; /* a clock that jumps ahead */
+    batch.wall_us += KEY_WINDOW; /* a clock that jumps forward */
   fold_twin_clock (twin, writer, batch.wall_us);
   fold_twin_expire (twin);
   batch.n_records = (size_t)g_rand_int_range (run->rand, 1, RECORDS + 1);
@@ -323,14 +324,14 @@
   g_ptr_array_add (
       run->sent,
       g_bytes_new_take (bytes, gp__record__batch__pack (&batch, bytes)));
-  gp_fold_watch (&run->fold, name, batch.incarnation);
+  gp_fold_set_own_writer (&run->fold, name, batch.incarnation);
   run->wrong += apply_everywhere (run, run->sent->pdata[run->sent->len - 1])
                 != GP_FOLD_APPLIED;
   run->wrong += run->expected_count != 0;
 }
 
 static void
-send_again (run_t *run)
+send_duplicate (run_t *run)
 {
   guint at = (guint)g_rand_int_range (run->rand, 0, (int)run->sent->len);
   gp_fold_result_t result = apply_everywhere (run, run->sent->pdata[at]);
@@ -353,7 +354,7 @@
       int choice = g_rand_int_range (run.rand, 0, 20);
 
       if (choice == 0 && run.sent->len > 0)
-        send_again (&run);
+        send_duplicate (&run);
       else if (choice == 1)
         run.wrong += apply_everywhere (&run, junk) != GP_FOLD_MALFORMED;
       else
@@ -399,7 +400,8 @@
   gp_fold_finish (&fold);
 }
 
-/* Three tasks end with results; then a bound drops the oldest.  */
+/* Three tasks end with results of 24 bytes in total, above the limit of 20.
+   The next batch drops the oldest, which can then be submitted again.  */
 static void
 test_result_bytes (void)
 {
--- a/tests/unit/test_writer.c
+++ b/tests/unit/test_writer.c
@@ -1,5 +1,5 @@
-/* Group commit over a log that loses acknowledgements, acts late and has
-   outages, in virtual time.  */
+/* Group commit to a log that loses acknowledgements, applies appends late and
+   has outages, in virtual time.  */
 
 #include <string.h>
 
@@ -13,21 +13,21 @@
 #define RUN_END (60 * GP_SEC)
 #define OUTAGE_START (5 * GP_SEC)
 #define OUTAGE_END (11 * GP_SEC)
-#define DEAF_START (14 * GP_SEC)
-#define DEAF_END (19 * GP_SEC)
+#define READ_OUTAGE_START (14 * GP_SEC)
+#define READ_OUTAGE_END (19 * GP_SEC)
 
 typedef enum
 {
-  FATE_NONE,
-  FATE_QUEUED,
-  FATE_ACCEPTED,
-  FATE_VOID,
-  FATE_EXPIRED,
-  FATE_WITHDRAWN,
-  FATE_REFUSED
-} fate_t;
-
-/* One attempt to append.  */
+  OUTCOME_NONE,
+  OUTCOME_QUEUED,
+  OUTCOME_ACCEPTED,
+  OUTCOME_VOID,
+  OUTCOME_EXPIRED,
+  OUTCOME_WITHDRAWN,
+  OUTCOME_REFUSED
+} outcome_t;
+
+/* An attempt to append a batch.  */
 typedef struct
 {
   int writer;
@@ -46,7 +46,7 @@
   GPtrArray *attempts;
   gp_writer_t writers[WRITERS];
   gp_fold_t folds[WRITERS];
-  GArray *fates; /* of fate_t, by token - 1 */
+  GArray *outcomes; /* of outcome_t, by token - 1 */
   gp_writer_entry_t *last_entry;
   uint64_t last_token;
   size_t wrong;
@@ -78,17 +78,17 @@
                             entry);
 }
 
-static fate_t *
-fate (run_t *run, uint64_t token)
+static outcome_t *
+outcome (run_t *run, uint64_t token)
 {
-  return &g_array_index (run->fates, fate_t, token - 1);
+  return &g_array_index (run->outcomes, outcome_t, token - 1);
 }
 
 static void
-settle (run_t *run, uint64_t token, fate_t new_fate)
+set_outcome (run_t *run, uint64_t token, outcome_t new_outcome)
 {
-  run->wrong += *fate (run, token) != FATE_QUEUED;
-  *fate (run, token) = new_fate;
+  run->wrong += *outcome (run, token) != OUTCOME_QUEUED;
+  *outcome (run, token) = new_outcome;
   if (token == run->last_token)
     run->last_entry = NULL;
 }
@@ -106,11 +106,11 @@
   attempt->effect_at = run->now + delay;
   attempt->ack_at = run->now + 2 * delay;
   attempt->fail_at = GP_TIME_NEVER;
-  if (fault < 3) /* lost ack */
+  if (fault < 3) /* lost acknowledgement */
     attempt->ack_at = GP_TIME_NEVER;
-  if (fault == 1) /* late effect */
+  if (fault == 1) /* applied late */
     attempt->effect_at += 4 * GP_SEC;
-  if (fault == 2) /* failure that took effect */
+  if (fault == 2) /* applied but reported as failed */
     attempt->fail_at = run->now + delay;
   if (run->now >= OUTAGE_START && run->now < OUTAGE_END)
     {
@@ -126,19 +126,20 @@
 {
   gp_writer_action_t action;
 
-  while (gp_writer_next (&run->writers[i], &action))
+  while (gp_writer_next_action (&run->writers[i], &action))
     switch (action.kind)
       {
       case GP_WRITER_APPEND:
         start_attempt (run, i, &action);
         break;
       case GP_WRITER_VERDICT:
-        settle (run, action.u.verdict.token,
-                action.u.verdict.verdict == GP_FOLD_ACCEPTED ? FATE_ACCEPTED
-                                                             : FATE_VOID);
+        set_outcome (run, action.u.verdict.token,
+                     action.u.verdict.verdict == GP_FOLD_ACCEPTED
+                         ? OUTCOME_ACCEPTED
+                         : OUTCOME_VOID);
         break;
       case GP_WRITER_EXPIRED:
-        settle (run, action.u.expired.token, FATE_EXPIRED);
+        set_outcome (run, action.u.expired.token, OUTCOME_EXPIRED);
         break;
       case GP_WRITER_UNREAD:
         run->wrong++;
@@ -195,7 +196,7 @@
   reader_t reader = { run, i };
   gp_fold_t *fold = &run->folds[i];
 
-  if (run->now >= DEAF_START && run->now < DEAF_END)
+  if (run->now >= READ_OUTAGE_START && run->now < READ_OUTAGE_END)
     return;
   while (fold->next_offset < run->log->len)
     {
@@ -210,39 +211,39 @@
 static void
 add_load (run_t *run, int i)
 {
-  fate_t new_fate = FATE_QUEUED;
+  outcome_t new_outcome = OUTCOME_QUEUED;
   gp_writer_priority_t priority = (gp_writer_priority_t)g_rand_int_range (
       run->rand, 0, GP_WRITER_PRIORITIES);
   gp_time_t deadline
       = run->now + g_rand_int_range (run->rand, 10, 4000) * GP_MSEC;
   uint64_t token;
 
-  g_array_append_val (run->fates, new_fate);
-  token = run->fates->len;
+  g_array_append_val (run->outcomes, new_outcome);
+  token = run->outcomes->len;
   run->last_entry = NULL;
   run->last_token = token;
   if (submit_task (&run->writers[i], token, priority, deadline, run->now,
                    &run->last_entry)
       != GP_WRITER_QUEUED)
-    *fate (run, token) = FATE_REFUSED;
+    *outcome (run, token) = OUTCOME_REFUSED;
   else if (g_rand_int_range (run->rand, 0, 10) == 0
            && gp_writer_withdraw (&run->writers[i], run->last_entry))
-    *fate (run, token) = FATE_WITHDRAWN;
+    *outcome (run, token) = OUTCOME_WITHDRAWN;
 }
 
 static void
-check_fates (run_t *run, size_t counts[])
+check_outcomes (run_t *run, size_t counts[])
 {
-  for (uint64_t token = 1; token <= run->fates->len; token++)
+  for (uint64_t token = 1; token <= run->outcomes->len; token++)
     {
-      fate_t f = *fate (run, token);
+      outcome_t f = *outcome (run, token);
 
       counts[f]++;
       for (int i = 0; i < WRITERS; i++)
         run->wrong += (gp_fold_task (&run->folds[i], token) != NULL)
-                      != (f == FATE_ACCEPTED);
+                      != (f == OUTCOME_ACCEPTED);
     }
-  run->wrong += counts[FATE_QUEUED] + counts[FATE_VOID];
+  run->wrong += counts[OUTCOME_QUEUED] + counts[OUTCOME_VOID];
   for (int i = 0; i < WRITERS; i++)
     run->wrong += run->folds[i].verdict_count[GP_FOLD_VOID_EXISTS];
 }
@@ -254,13 +255,13 @@
 
   run.log = g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref);
   run.attempts = g_ptr_array_new_with_free_func (free_attempt);
-  run.fates = g_array_new (FALSE, TRUE, sizeof (fate_t));
+  run.outcomes = g_array_new (FALSE, TRUE, sizeof (outcome_t));
   for (int i = 0; i < WRITERS; i++)
     {
       gp_writer_init (&run.writers[i], i == 0 ? "w0" : "w1", 1, NULL,
                       run.rand);
       gp_fold_init (&run.folds[i], NULL);
-      gp_fold_watch (&run.folds[i], run.writers[i].name, 1);
+      gp_fold_set_own_writer (&run.folds[i], run.writers[i].name, 1);
     }
   for (run.now = 0; run.now < RUN_END; run.now += GP_MSEC)
     {
@@ -275,7 +276,7 @@
           take_actions (&run, i);
         }
     }
-  check_fates (&run, counts);
+  check_outcomes (&run, counts);
   *duplicates += run.folds[0].result_count[GP_FOLD_DUPLICATE];
   for (int i = 0; i < WRITERS; i++)
     {
@@ -284,7 +285,7 @@
     }
   g_ptr_array_unref (run.log);
   g_ptr_array_unref (run.attempts);
-  g_array_unref (run.fates);
+  g_array_unref (run.outcomes);
   g_rand_free (run.rand);
   return run.wrong;
 }
@@ -292,15 +293,15 @@
 static void
 test_faults (void)
 {
-  size_t counts[FATE_REFUSED + 1] = { 0 };
+  size_t counts[OUTCOME_REFUSED + 1] = { 0 };
   uint64_t duplicates = 0;
 
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     CU_ASSERT_EQUAL (run_seed (seed, counts, &duplicates), 0);
-  CU_ASSERT_TRUE (counts[FATE_ACCEPTED] > 1000);
-  CU_ASSERT_TRUE (counts[FATE_EXPIRED] > 100);
-  CU_ASSERT_TRUE (counts[FATE_WITHDRAWN] > 100);
-  CU_ASSERT_TRUE (counts[FATE_REFUSED] > 100);
+  CU_ASSERT_TRUE (counts[OUTCOME_ACCEPTED] > 1000);
+  CU_ASSERT_TRUE (counts[OUTCOME_EXPIRED] > 100);
+  CU_ASSERT_TRUE (counts[OUTCOME_WITHDRAWN] > 100);
+  CU_ASSERT_TRUE (counts[OUTCOME_REFUSED] > 100);
   CU_ASSERT_TRUE (duplicates > 100);
 }
 
@@ -309,7 +310,7 @@
 {
   gp_writer_action_t action = { .kind = GP_WRITER_EXPIRED };
 
-  CU_ASSERT_TRUE_FATAL (gp_writer_next (writer, &action));
+  CU_ASSERT_TRUE_FATAL (gp_writer_next_action (writer, &action));
   CU_ASSERT_EQUAL_FATAL (action.kind, GP_WRITER_APPEND);
   *sequence = action.u.append.sequence;
   return action.u.append.bytes;
@@ -343,7 +344,7 @@
                                 10 * GP_SEC, NULL),
                    GP_WRITER_UNAVAILABLE);
   gp_writer_skip (&writer, 1, 10 * GP_SEC);
-  CU_ASSERT_TRUE (gp_writer_next (&writer, &action));
+  CU_ASSERT_TRUE (gp_writer_next_action (&writer, &action));
   CU_ASSERT_EQUAL (action.kind, GP_WRITER_UNREAD);
   CU_ASSERT_EQUAL (action.u.unread.token, 1);
   CU_ASSERT_TRUE (gp_writer_available (&writer, 10 * GP_SEC));
@@ -355,7 +356,8 @@
   g_rand_free (rand);
 }
 
-/* A record that waits behind an append of unknown fate.  */
+/* A record that is queued behind an append with an unknown outcome expires at
+   its deadline.  */
 static void
 test_expiry (void)
 {
@@ -371,16 +373,16 @@
   submit_task (&writer, 2, GP_WRITER_NORMAL, 2 * GP_SEC, GP_SEC, NULL);
   CU_ASSERT_EQUAL (gp_writer_deadline (&writer), 2 * GP_SEC);
   gp_writer_acked (&writer, 1, 2 * GP_SEC);
-  CU_ASSERT_TRUE_FATAL (gp_writer_next (&writer, &action));
+  CU_ASSERT_TRUE_FATAL (gp_writer_next_action (&writer, &action));
   CU_ASSERT_EQUAL (action.kind, GP_WRITER_EXPIRED);
   CU_ASSERT_EQUAL (action.u.expired.token, 2);
-  CU_ASSERT_FALSE (gp_writer_next (&writer, &action));
+  CU_ASSERT_FALSE (gp_writer_next_action (&writer, &action));
   CU_ASSERT_EQUAL (gp_writer_deadline (&writer), GP_TIME_NEVER);
   gp_writer_finish (&writer);
   g_rand_free (rand);
 }
 
-/* Failures that come at once are an outage before any timeout is.  */
+/* Immediate failures are recognized as an outage before any timeout.  */
 static void
 test_outage (void)
 {
@@ -431,10 +433,10 @@
       submit_task (&writer, 5, GP_WRITER_URGENT, GP_TIME_NEVER, 0, NULL),
       GP_WRITER_FULL);
   CU_ASSERT_EQUAL (submit_task (&writer, 5, GP_WRITER_URGENT, 5, 5, NULL),
-                   GP_WRITER_LATE);
+                   GP_WRITER_DEADLINE_PASSED);
   CU_ASSERT_EQUAL (gp_writer_deadline (&writer), 5 * GP_MSEC);
-  CU_ASSERT_TRUE (gp_writer_saw (&writer, 7 * GP_SEC, 3, 0));
-  CU_ASSERT_FALSE (gp_writer_saw (&writer, 60 * GP_SEC, 0, 0));
+  CU_ASSERT_TRUE (gp_writer_merge_time (&writer, 7 * GP_SEC, 3, 0));
+  CU_ASSERT_FALSE (gp_writer_merge_time (&writer, 60 * GP_SEC, 0, 0));
   gp_writer_step (&writer, 5 * GP_MSEC);
   bytes = next_append (&writer, &sequence);
   batch = gp__record__batch__unpack (NULL, g_bytes_get_size (bytes),
@@ -454,7 +456,7 @@
   g_rand_free (rand);
 }
 
-/* Batches of one that always has more to write.  */
+/* Count the batches of a writer that always has records to write.  */
 static int
 count_batches (gp_writer_priority_t priority, uint32_t writers)
 {
@@ -471,7 +473,7 @@
       submit_task (&writer, (uint64_t)now + 1, priority, GP_TIME_NEVER, now,
                    NULL);
       gp_writer_step (&writer, now);
-      while (gp_writer_next (&writer, &action))
+      while (gp_writer_next_action (&writer, &action))
         if (action.kind == GP_WRITER_APPEND)
           {
             batches++;
@@ -485,15 +487,16 @@
   return batches;
 }
 
-/* Six may write as one does; above that all together make no more, but for
-   urgent records, which wait 50 ms at most.  */
+/* With up to six writers each writes as often as a single one.  With more, all
+   together make no more appends than six, except that urgent records wait at
+   most 50 ms.  */
 static void
 test_spacing (void)
 {
-  int alone = count_batches (GP_WRITER_URGENT, 1);
+  int single = count_batches (GP_WRITER_URGENT, 1);
 
-  CU_ASSERT (alone >= 115 && alone <= 120); /* 40 a second */
-  CU_ASSERT_EQUAL (count_batches (GP_WRITER_URGENT, 6), alone);
+  CU_ASSERT (single >= 115 && single <= 120); /* 40 a second */
+  CU_ASSERT_EQUAL (count_batches (GP_WRITER_URGENT, 6), single);
   CU_ASSERT (count_batches (GP_WRITER_NORMAL, 18) <= 41);
   CU_ASSERT (count_batches (GP_WRITER_NORMAL, 18) >= 39);
   CU_ASSERT (count_batches (GP_WRITER_URGENT, 18) <= 61);
@@ -521,7 +524,7 @@
                  gp__record__batch__pack (&batch, bytes), NULL, NULL);
 }
 
-/* Writers count while they write, whatever their clocks say.  */
+/* Writers are counted while they write, regardless of their clocks.  */
 static void
 test_active_writers (void)
 {
