--- a/src/jobs/scheduler.c
+++ b/src/jobs/scheduler.c
@@ -1,4 +1,4 @@
-/* What the end of a run means, and what is stopped.  Placement is in
+/* Handles the ends of runs and decides which runs to stop.  Placement is in
    jobs/placer.c.  */
 
 #include "jobs/scheduler.h"
@@ -12,24 +12,24 @@
 #include "jobs/scheduler_private.h"
 #include "jobs/suspicion.h"
 
-/* Runs that fail one after the other before an executor gets no more work
-   for a while: where one in fifty fails by its own fault, two in a row are
-   chance once in 2,500.  */
+/* Number of consecutive failures after which an executor gets no new work for
+   a while.  Where one run in fifty fails by its own fault, two in a row happen
+   by chance once in 2,500.  */
 #define FAILURES_TO_DISTRUST 2
-/* Duration of the first pause; it doubles with each further failure.  */
+/* Length of the first pause; it doubles with each further failure.  */
 #define DISTRUST_TIME (GP_SEC)
 #define DISTRUST_TIME_MAX (8 * GP_SEC)
-/* Pause after an executor refused for want of room: its own view of what is
-   stopped lags ours by about a stop.  */
+/* Pause after an executor refused a run for lack of capacity: its own view of
+   what has been stopped lags the leader's by about one stop.  */
 #define FULL_TIME (300 * GP_MSEC)
-/* A run that saves its progress is stopped this long before its executor
-   leaves: a stop and a round trip.  */
+/* A run that checkpoints is stopped this long before its executor leaves: the
+   time of a stop and a round trip.  */
 #define LEAVE_MARGIN (1500 * GP_MSEC)
 
 static gp_histogram_t placed_time = GP_HISTOGRAM (
     "job_placed", "From when a job was known here to its first run");
-/* A filling run that is held back for so long is moved, one of an executor
-   in each RELOCATE_TIME: a stop and a start take about a second.  */
+/* A filling run that is throttled for SLOW_TIME is moved, at most one per
+   executor in each RELOCATE_TIME: a stop and a start take about a second.  */
 #define SLOW_TIME (800 * GP_MSEC)
 #define RELOCATE_TIME (500 * GP_MSEC)
 
@@ -153,8 +153,8 @@
       = g_strndup ((const char *)checkpoint->data, checkpoint->len);
 }
 
-/* The tasks of TASK's step and occurrence, TASK among them, from *FIRST on:
-   where it is a gang, its members.  */
+/* Sets *FIRST to the first task of TASK's step and occurrence, for a gang its
+   members, and returns their number.  */
 static uint32_t
 members (gp_job_task_t *task, gp_job_task_t **first)
 {
@@ -165,8 +165,8 @@
   return job->submission->steps[step]->count;
 }
 
-/* All tasks of TASK's step are done: how long was the longest?  Tells nothing
-   when this process has seen less than half of them.  */
+/* All tasks of TASK's step are done: records how long the longest took.
+   Skipped if this process has seen less than half of them.  */
 static void
 learn_step (gp_scheduler_t *scheduler, gp_job_task_t *task)
 {
@@ -188,8 +188,9 @@
                               gp_task_step (task), longest, sum / known);
 }
 
-/* TASK was done.  A run that went on from a checkpoint, was assigned by
-   another process or was held at its guard tells nothing of the whole.  */
+/* TASK was done: records its duration.  A run that resumed from a checkpoint,
+   was assigned by another process or was held at its guard does not show the
+   full duration.  */
 static void
 learn_duration (gp_scheduler_t *scheduler, gp_job_task_t *task, gp_time_t now)
 {
@@ -217,7 +218,7 @@
   gp_job_t *job = task->job;
   gp_job_task_t *counted = task;
 
-  /* The failures of a gang count together, at its first member.  */
+  /* Failures of a gang are counted together, on its first member.  */
   if (gp_task_step (task)->gang)
     members (task, &counted);
   counted->failures++;
@@ -227,7 +228,7 @@
     gp_scheduler_end_job (scheduler, job, GP_JOB_FAILED, wall_ms);
 }
 
-/* A gang ends done as one: its other members need no word of their own.  */
+/* A gang is done as a whole: its other members need not report their ends.  */
 static void
 finish_gang (gp_scheduler_t *scheduler, gp_job_task_t *task, int64_t wall_ms)
 {
@@ -290,10 +291,10 @@
     }
 }
 
-/* Does END tell that the work of TASK, which waits, is done by a run before
-   its last one?  An order that the next life of its executor carried out late
-   has begun that; started again, work would be done twice that was noted as
-   done.  */
+/* Returns whether END reports that the work of TASK, which waits, was done by
+   an earlier run than its last one.  This happens if the next incarnation of
+   the executor carried out an old order late; starting the task again would
+   repeat work that is already done.  */
 static bool
 is_done_late (const gp_job_task_t *task, const gp_job_executor_t *executor,
               const Gp__Jobs__End *end)
@@ -461,8 +462,8 @@
   g_ptr_array_free (placed, TRUE);
 }
 
-/* Say of the runs on EXECUTOR that were assigned at DECIDED_AT or since that
-   they are ordered only NOW.  */
+/* Logs the runs on EXECUTOR that were assigned at DECIDED_AT or later and are
+   ordered only NOW.  */
 static void
 log_put_off (const gp_job_executor_t *executor, gp_time_t decided_at,
              gp_time_t now)
--- a/src/jobs/scheduler_losses.c
+++ b/src/jobs/scheduler_losses.c
@@ -1,4 +1,4 @@
-/* What the end of an executor means for its runs.  */
+/* Handles the death of executors and what it means for their runs.  */
 
 #include "jobs/scheduler_private.h"
 
@@ -8,11 +8,13 @@
 #include "base/log.h"
 #include "jobs/suspicion.h"
 
-/* Executors that are lost without a word within this go together ...  */
+/* Executors that die without a report on suspects within this time count as
+   lost together ...  */
 #define TOGETHER_TIME (GP_SEC)
-/* ... if there are so many others: two may be chance.  */
+/* ... if there are at least this many others; a single other may be
+   chance.  */
 #define TOGETHER_LEAST 2
-/* Jobs that a line on a lost run names.  */
+/* Maximum number of jobs named in a log line on a lost run.  */
 #define SUSPECTS_NAMED 4
 
 static gp_counter_t lost_runs_count
@@ -28,7 +30,7 @@
     "runs_stray_total", "Runs at work that are not wanted where they are");
 static gp_counter_t given_up_count = GP_COUNTER (
     "tasks_given_up_total", "Tasks that have taken their executors down");
-/* Executors that have died, by gp_death_t.  */
+/* Dead executors, indexed by gp_death_t.  */
 static gp_counter_t dead_counts[] = {
   [GP_DEATH_REPLACED]
   = GP_COUNTER ("executors_replaced_total", "Dead: another one is on its VM"),
@@ -77,15 +79,15 @@
   return "";
 }
 
-/* Milliseconds from THEN to NOW, -1 where THEN is not known.  */
+/* Milliseconds from THEN to NOW, or -1 if THEN is unknown.  */
 static int64_t
 ms_ago (gp_time_t then, gp_time_t now)
 {
   return then != 0 ? (now - then) / GP_MSEC : -1;
 }
 
-/* The first jobs of which runs may have taken EXECUTOR down, but for EXCEPT
-   (NULL: none), owned by the caller.  */
+/* Returns the ids of the first jobs whose runs may have crashed EXECUTOR,
+   except that of EXCEPT (may be NULL).  Owned by the caller.  */
 static char *
 name_suspects (const gp_job_executor_t *executor, const gp_job_t *except)
 {
@@ -115,7 +117,8 @@
 {
   const gp_job_executor_t *executor = task->executor;
   char name[GP_TASK_NAME_SIZE];
-  /* Whose beginning has kept the end of a run that was alone from telling.  */
+  /* Jobs whose recent starts make the crash of an isolated run
+     inconclusive.  */
   g_autofree char *beside
       = task->alone ? name_suspects (executor, task->job) : NULL;
 
@@ -136,8 +139,9 @@
           GP_LOG_I ("reported_ms_ago", ms_ago (executor->reported_at, now)));
 }
 
-/* Does the death of EXECUTOR, for the reason WHY, speak against a run that had
-   just begun there?  Not that of one which was to leave, or which answers.  */
+/* Returns whether the death of EXECUTOR, for the reason WHY, counts against
+   runs that had just started there.  It does not if the executor was about to
+   leave or still answers.  */
 static bool
 may_be_crash (const gp_job_executor_t *executor, gp_death_t why)
 {
@@ -155,9 +159,9 @@
   return false;
 }
 
-/* TASK's run ends with its executor: nobody will tell of it again.  Counting
-   only the ends that executors tell, a task that takes them down would be
-   started without end, each time on another executor.  */
+/* TASK's run is lost with its executor; no end will be reported for it.  If
+   only reported ends were counted, a task that crashes its executors would be
+   started for ever, each time on another executor.  */
 static void
 lose_run (gp_scheduler_t *scheduler, gp_job_task_t *task,
           gp_suspicion_t suspicion, const char *suspects, gp_time_t now,
@@ -178,7 +182,7 @@
   gp_scheduler_end_job (scheduler, job, GP_JOB_FAILED, wall_ms);
 }
 
-/* The task whose run on EXECUTOR is RUN, or NULL.  */
+/* Returns the task whose current run on EXECUTOR is RUN, or NULL.  */
 static gp_job_task_t *
 task_of_run (gp_scheduler_t *scheduler, const gp_job_executor_t *executor,
              const Gp__Jobs__TaskRun *run)
@@ -301,9 +305,10 @@
     }
 }
 
-/* Did EXECUTOR, of which no guard has told what may have taken it down, go
-   with half of the others, of which no guard speaks either?  Then power was
-   lost, or a zone; a task takes one executor down.  */
+/* Returns whether EXECUTOR, for which no guard has reported suspects, was lost
+   together with at least half of the others, which no guard reports either.
+   That means a loss of power or of a zone; a task crashes a single
+   executor.  */
 static bool
 went_with_others (const gp_book_t *book, const gp_job_executor_t *executor,
                   gp_time_t now)
@@ -328,8 +333,8 @@
   return gone >= TOGETHER_LEAST && gone * 2 >= others;
 }
 
-/* The only job of which a run had begun on EXECUTOR just when that went down,
-   or NULL.  */
+/* Returns the only job of which runs may have started on EXECUTOR just before
+   it died, if one of them certainly had (`just`), otherwise NULL.  */
 static const gp_job_t *
 proved_job (const gp_job_executor_t *executor)
 {
--- a/src/jobs/scheduler_private.h
+++ b/src/jobs/scheduler_private.h
@@ -1,21 +1,21 @@
-/* What the files of the scheduler share.  */
+/* Functions shared by the source files of the scheduler.  */
 
 #ifndef GP_JOBS_SCHEDULER_PRIVATE_H
 #define GP_JOBS_SCHEDULER_PRIVATE_H
 
 #include "jobs/scheduler.h"
 
-/* The progress of JOB has changed, and is to be written.  */
+/* Marks the progress of JOB as changed; it has to be written.  */
 void gp_scheduler_mark_dirty (gp_scheduler_t *scheduler, gp_job_t *job);
 
-/* JOB has come to STATE; what runs of it is stopped.  */
+/* Sets the final STATE of JOB and stops its runs.  */
 void gp_scheduler_end_job (gp_scheduler_t *scheduler, gp_job_t *job,
                            gp_job_state_t state, int64_t wall_ms);
 
-/* Take TASK off its executor; it waits again.  */
+/* Takes TASK off its executor; it waits again.  */
 void gp_scheduler_release (gp_scheduler_t *scheduler, gp_job_task_t *task);
 
-/* The counters of executors that have died, and of what went with them.  */
+/* Registers the counters of dead executors and lost runs.  */
 void gp_scheduler_register_losses (void);
 
 #endif
--- a/src/jobs/suspicion.c
+++ b/src/jobs/suspicion.c
@@ -1,11 +1,11 @@
-/* Which task takes its executors down.  */
+/* Detects tasks that crash the executors they run on.  */
 
 #include "jobs/suspicion.h"
 
 #include <string.h>
 
-/* The loss of a run that lasts, or of one that another leader has assigned: as
-   long as it takes until such work is back.  */
+/* Assumed loss for a long-running run, or for a run assigned by a previous
+   leader: the time until such work is running again.  */
 #define LASTING_LOSS_TIME (5 * GP_SEC)
 
 gp_time_t
@@ -14,9 +14,9 @@
   return GP_SUSPICION_SETTLE_TIME + (gang ? GP_SUSPICION_GANG_TIME : 0);
 }
 
-/* For how long this process knows the run of TASK to have been there, at
-   least.  A run that a leader before assigned counts from the first report of
-   its executor on.  */
+/* Returns the minimum time for which this process knows the run of TASK to
+   have been present.  A run assigned by a previous leader counts from the
+   first report about its executor.  */
 static gp_time_t
 known_time (const gp_job_task_t *task)
 {
@@ -31,9 +31,9 @@
   return task->suspect && !task->settled && (task->fresh || task->unanswered);
 }
 
-/* The same, or where its guard said nothing, by what this process knows.  A
-   run that is alone may have begun long after it was assigned; its guard tells
-   when it has settled.  */
+/* Like gp_suspicion_is_beginner, but if the guard reported no suspects,
+   decides by what this process knows.  An isolated run may have started long
+   after it was assigned; only its guard can report that it has settled.  */
 static bool
 is_suspect (const gp_job_task_t *task)
 {
@@ -80,9 +80,9 @@
   return job;
 }
 
-/* Did the guard of TASK's executor go just after TASK was ordered?  They share
-   a VM, so that the executor's end is told by that where no guard is left to
-   tell it.  */
+/* Returns whether the guard of TASK's executor disappeared just after TASK was
+   ordered.  Guard and executor share a VM, so the loss of the guard indicates
+   when the executor died if no guard is left to report it.  */
 static bool
 went_with_guard (const gp_job_task_t *task)
 {
@@ -92,8 +92,8 @@
          && cut_at - task->since <= GP_SUSPICION_JUST_TIME;
 }
 
-/* What the end of its executor adds to the evidence against TASK, which may
-   have begun just then.  */
+/* Returns the evidence that the death of the executor adds against TASK, which
+   may have just started.  */
 static uint32_t
 weight (const gp_job_task_t *task, const gp_job_t *sole_job)
 {
@@ -150,9 +150,10 @@
   task->held = false;
 }
 
-/* Is TASK to be started alone?  Not yet one that stood beside others under the
-   end of one executor, by the lists alone: executors that go down by
-   themselves leave many such behind.  */
+/* Returns whether TASK has to be started in isolation.  A task with a single
+   crash that shared its executor with other recently started runs, known only
+   from the executor's lists, does not yet qualify: executors that crash for
+   reasons of their own leave many such tasks behind.  */
 static bool
 is_isolated (const gp_job_task_t *task)
 {
@@ -162,8 +163,9 @@
          || (task->crashes == 1 && !by_lists);
 }
 
-/* Its patience begins when it can be assigned: suspects that lose theirs while
-   the store is away would go to one executor, and down with it.  */
+/* The isolation timeout starts when the task can be assigned.  If it expired
+   while the store is unavailable, the suspects would all go to one executor
+   and crash it together.  */
 void
 gp_suspicion_waits (gp_job_task_t *task, gp_time_t now)
 {
@@ -184,8 +186,9 @@
   return task->evidence > 0 || task->crashes >= GP_SUSPICION_PATIENT;
 }
 
-/* Until when TASK waits to be started alone.  A gang needs several executors
-   at once, and two gangs may keep some of each other's.  */
+/* Returns the time until which TASK waits for an isolated start.  A gang needs
+   several executors at once, and two gangs may each hold some that the other
+   needs, so its wait is bounded.  */
 static gp_time_t
 patient_until (const gp_job_task_t *task)
 {
@@ -206,8 +209,8 @@
          && now <= patient_until (task);
 }
 
-/* Until when EXECUTOR is kept.  What a leader before has kept counts from the
-   first report to this one on.  */
+/* Returns the time until which EXECUTOR is dedicated.  A dedication made by a
+   previous leader counts from the first report to this leader.  */
 static gp_time_t
 kept_until (const gp_job_executor_t *executor)
 {
@@ -241,9 +244,9 @@
          || gp_suspicion_is_kept_for (executor, task->job, now);
 }
 
-/* Has all that is there, but for the job that it is kept for, begun for
-   certain?  What a leader before has assigned is older than the first report
-   to this one.  */
+/* Returns whether every run on EXECUTOR, except those of the job it is
+   dedicated to, has certainly started.  What a previous leader assigned is
+   older than the first report to this leader.  */
 bool
 gp_suspicion_is_quiet (const gp_job_executor_t *executor, gp_time_t now)
 {
@@ -303,8 +306,8 @@
   return sum / MAX (executor->capacity.cpu_milli, 1);
 }
 
-/* A run of JOB has been assigned to EXECUTOR: those of others that were alone
-   there no longer are.  */
+/* A run of JOB has been assigned to EXECUTOR: runs of other jobs there are no
+   longer isolated.  */
 static void
 end_alone (gp_job_executor_t *executor, const gp_job_t *job)
 {
@@ -317,8 +320,8 @@
   }
 }
 
-/* Keep the executor of TASK, which is ordered alone NOW, until it has
-   settled.  */
+/* Dedicates the executor of TASK, whose isolated start is ordered at NOW,
+   until the run has settled.  */
 static void
 keep_for_start (const gp_job_task_t *task, gp_time_t now)
 {
@@ -341,8 +344,9 @@
     executor->assigned_at = now;
 }
 
-/* What waits for ALONE, which has not settled, and that itself may have begun
-   long after they were assigned.  */
+/* Marks the runs that are held at the guard until the isolated run ALONE has
+   settled, and ALONE itself: they may have started long after they were
+   assigned.  */
 static void
 note_held (gp_job_executor_t *executor, const gp_job_task_t *alone)
 {
@@ -376,7 +380,7 @@
 {
   if (executor->assigned_at >= decided_at)
     executor->assigned_at = now;
-  /* It was kept for a time that begins with the decision.  */
+  /* The dedication period started at the time of the decision.  */
   if (executor->kept_until > decided_at)
     executor->kept_until += now - decided_at;
   GP_LIST_FOREACH (link, &executor->tasks)
--- a/src/jobs/suspicion.h
+++ b/src/jobs/suspicion.h
@@ -1,33 +1,37 @@
-/* Which task takes its executors down.
-
-   A task may bring down every executor that starts it.  Such a run tells no
-   end, so its executor is found dead.  Beside it stand others that have done
-   nothing; what tells them apart is evidence, never a count of ends, as any
-   number of them proves nothing against who only stood nearby:
-
-   - Such a task does it as soon as it begins.  An end speaks only against runs
-     that had just begun or, as their start was held up or nobody is left to
-     tell, may have.  Others on the executor have nothing to do with it.
-   - It is a PROOF where all of these are of one job, which is given up as a
-     whole, and had begun just then, or, where the lists alone tell, were
-     started alone; or where a run was alone, and executor and guard went
-     together just after its order.  It is a HINT where they had begun a little
-     earlier, or where nobody can tell anything of a run that was alone.
-   - A run that has settled, which was listed as at work for SETTLE_TIME, did
-     not take its executor down by being started.  Its task is above suspicion
-     again, and what was counted of it is forgotten.
-   - A task is given up for GUILT: two proofs, as an executor may also go down
-     by itself under a task that has just begun, or what hints make up.
-
-   So that the next end tells, a task under which an executor has gone down is
-   started alone, unless others had begun with it and no more is known: on an
-   executor that takes nothing else until the run has settled, but for tasks of
-   the same job.  Where no executor is quiet, the one with the least to lose is
-   kept until it is.  Only a few executors at a time are kept; after a disaster
-   many are under suspicion, and all have to run again, so that those of which
-   no more is known wait no longer than PATIENCE.
-
-   What was counted stands in the job's progress, in the same record as the run
+/* Detects tasks that crash the executors they run on.
+
+   A task may crash every executor that starts it.  No end is reported for such
+   a run; its executor is found dead.  Other runs on the same executor are
+   innocent.  Evidence tells them apart, never a count of crashes: any number
+   of crashes proves nothing against a task that merely shared the executors.
+
+   - A crashing task crashes the executor as soon as it starts.  A crash
+     therefore counts only against runs that had just started, or that may
+     have, if their start was delayed or nobody is left to report it.  Other
+     runs on the executor are not affected.
+   - A crash is strong evidence if all such runs belong to one job, which is
+     given up as a whole, and they had started within JUST_TIME or, where only
+     the executor's lists tell, were started in isolation.  It is also strong
+     evidence if a run was isolated and executor and guard disappeared together
+     just after its order.  It is weak evidence if the runs had started a
+     little earlier, or if nothing is known about a run that was isolated.
+   - A run that has settled, which means that it was listed as running for
+     SETTLE_TIME, did not crash its executor by starting.  Its task is no
+     longer suspect, and what was counted against it is cleared.
+   - A task is given up once its evidence reaches the threshold: two crashes
+     with strong evidence, because an executor may also crash by itself under a
+     task that has just started, or the equivalent in weak evidence.
+
+   To make the next crash conclusive, a task whose executor has crashed is
+   started in isolation, unless other runs had started with it and nothing more
+   is known: on an executor that takes no other work until the run has settled,
+   except tasks of the same job.  If no executor is without recent starts, the
+   one with the least work to lose is dedicated until it is.  Only a few
+   executors are dedicated at a time.  After a large outage many tasks are
+   suspect, and all have to run again, so those with no further evidence wait
+   no longer than the isolation timeout.
+
+   The counts are stored in the job's progress, in the same record as the run
    that is assigned next: no start is made that a later leader does not know
    of.  Each member of a gang counts for itself.
 
@@ -38,145 +42,157 @@
 
 #include "jobs/executor.h"
 
-/* After so many executors a task waits for a start that tells, for as long as
-   that takes: users allow two starts after three.  */
+/* Number of crashes after which a task waits for an isolated start without a
+   time limit.  Users allow two starts after three.  */
 #define GP_SUSPICION_PATIENT 2
-/* Executors that are counted at the most: more of them change nothing.  */
+/* Maximum number of crashes counted; further ones change nothing.  */
 #define GP_SUSPICION_MOST 4
 
-/* What ends weigh, and what a task is given up for.  With hints alone that is
-   the fifth start, the last that users allow.  */
+/* Evidence that one crash adds, and the sum at which a task is given up.  With
+   weak evidence alone that is the fifth start, the last that users allow.  */
 #define GP_SUSPICION_PROOF 2
 #define GP_SUSPICION_HINT 1
 #define GP_SUSPICION_GUILT 4
 
-/* How long a run has to be listed as at work to have settled.  Tasks that take
-   their executor down do so milliseconds after their start; the longer this is
-   the longer executors are kept.  */
+/* How long a run has to be listed as running to have settled.  Tasks that
+   crash their executor do so within milliseconds of their start; a longer time
+   keeps executors dedicated for longer.  */
 #define GP_SUSPICION_SETTLE_TIME (GP_SEC)
-/* A run that its executor outlived for longer had not begun lately.  Answers
-   tell that in steps of a quarter of a second ...  */
+/* A run that its executor outlived by more than this was not a recent start.
+   The executor's answers show this in steps of 250 ms ...  */
 #define GP_SUSPICION_FRESH_TIME (500 * GP_MSEC)
-/* ... a connection that ends with the executor at once: ten times what such a
-   task takes, as a VM may be busy, and little else begins in that time.  */
+/* ... while a connection that closes with the executor shows it at once: ten
+   times what a crashing task takes, as a VM may be busy, and little else
+   starts in that time.  */
 #define GP_SUSPICION_JUST_TIME (100 * GP_MSEC)
-/* Members of a gang are listed while they wait for each other, up to 3 s.  */
+/* Added for gangs: members are listed while they wait for each other, up to 3
+   s.  */
 #define GP_SUSPICION_GANG_TIME (3 * GP_SEC)
 
-/* A run that was assigned so long ago has not begun lately: its order is
-   answered within milliseconds, or made again after 300 ms.  */
+/* A run that was assigned longer ago than this is not a recent start: its
+   order is answered within milliseconds, or repeated after 300 ms.  */
 #define GP_SUSPICION_BEGIN_TIME (GP_SUSPICION_FRESH_TIME + 100 * GP_MSEC)
-/* An executor is kept for a start for so long, until all there has begun and
-   the next look at what waits.  */
+/* How long an executor is dedicated ahead of an isolated start: until
+   everything on it has started, and until the next planning pass.  */
 #define GP_SUSPICION_QUIET_TIME (GP_SUSPICION_BEGIN_TIME + 250 * GP_MSEC)
-/* A task waits no longer for an executor of its own: one that lasts has to run
-   again within 6 s, the others are late already.  */
+/* How long a task waits for an isolated start.  Long-running ones have to run
+   again within 6 s; the others are late already.  */
 #define GP_SUSPICION_LASTING_PATIENCE (3 * GP_SEC)
 #define GP_SUSPICION_PATIENCE (10 * GP_SEC)
-/* Nor do the members of a gang against which something speaks.  */
+/* The limit for members of a gang with evidence against them.  */
 #define GP_SUSPICION_GANG_PATIENCE (60 * GP_SEC)
-/* Of all executors, at most one in so many is kept (but one may be) ... */
+/* At most one in so many of all executors is dedicated, but always at least
+   one is allowed.  */
 #define GP_SUSPICION_SHARE 4
-/* ... and for no longer: three orders without an answer, and what it takes to
-   settle.  A run that can't be begun must not close its executor.  */
+/* Limit on the dedication of an executor for one start: three unanswered
+   orders, plus the time to settle.  A run that cannot be started must not
+   block its executor.  */
 #define GP_SUSPICION_KEEP_TIME (2 * GP_SEC)
 
-/* What the loss of a run with its executor says of its task.  */
+/* What the loss of a run with its executor means for its task.  */
 typedef enum
 {
-  GP_SUSPICION_NONE, /* it only stood beside */
+  GP_SUSPICION_NONE, /* not suspect */
   GP_SUSPICION_COUNTED,
-  GP_SUSPICION_GUILTY /* it is to be given up */
+  GP_SUSPICION_GUILTY /* the task is to be given up */
 } gp_suspicion_t;
 
-/* How long a run of a task, a member of a GANG, has to be at work.  */
+/* Returns how long a run has to be at work to have settled.  GANG: the task is
+   a member of a gang.  */
 gp_time_t gp_suspicion_settle_time (bool gang);
 
-/* The run of TASK has settled, or its end was done.  Returns whether what was
-   counted of it has changed, so that its progress has to be written.  */
+/* The run of TASK has settled or ended as done.  Clears what was counted
+   against TASK and returns whether that changed, in which case the job's
+   progress has to be written.  */
 bool gp_suspicion_clear (gp_job_task_t *task);
 
-/* May the run of TASK have begun just when its executor went down, by what its
-   guard told?  */
+/* Returns whether the run of TASK may have just started when its executor
+   died, according to the guard's report.  */
 bool gp_suspicion_is_beginner (const gp_job_task_t *task);
 
-/* The job of all runs on EXECUTOR, which went down without a word, that may
-   have begun just then by what its guard told; NULL: there is none, or they
-   are of several.  */
+/* EXECUTOR died without reporting the end of its runs.  Returns the job of all
+   runs on it that may have just started according to the guard's report, or
+   NULL if there are none or they belong to several jobs.  */
 const gp_job_t *gp_suspicion_sole_job (const gp_job_executor_t *executor);
 
-/* TASK's executor went down without a word; TASK is still on it, and SOLE_JOB
-   is what gp_suspicion_sole_job said.  */
+/* TASK's executor died without reporting the end of its runs.  TASK is still
+   on it, and SOLE_JOB is the result of gp_suspicion_sole_job.  */
 gp_suspicion_t gp_suspicion_crashed (gp_job_task_t *task,
                                      const gp_job_t *sole_job);
 
-/* The same where half of the others went TOGETHER with the executor, of which
-   nobody tells: power was lost, or several tasks took executors and guards
-   down at once.  A start that was alone counts nevertheless, and so does the
-   second such end in a row of any other.  */
+/* Like gp_suspicion_crashed, for an executor that was lost together with half
+   of the others and whose guard reported nothing: power was lost, or several
+   tasks crashed executors and guards at once.  Only an isolated start counts
+   then, or the second such crash in a row of any other task.  */
 gp_suspicion_t gp_suspicion_crashed_together (gp_job_task_t *task,
                                               const gp_job_t *sole_job);
 
-/* What a guard has told of the run of TASK as a suspect is void.  */
+/* Discards what a guard has reported about the run of TASK as a suspect.  */
 void gp_suspicion_forget_told (gp_job_task_t *task);
 
-/* Nothing is known of the run of TASK any more, or not yet.  */
+/* Discards everything known about the run of TASK.  */
 void gp_suspicion_forget_run (gp_job_task_t *task);
 
-/* TASK waits, and is about to be assigned if there is a place for it.  */
+/* TASK is waiting and will be assigned as soon as there is a place for it.
+   Starts its isolation timeout.  */
 void gp_suspicion_waits (gp_job_task_t *task, gp_time_t now);
 
-/* Does something speak against TASK, or has it been counted for so long that
-   only a start that tells helps?  */
+/* Returns whether there is evidence against TASK, or it has so many crashes
+   that only an isolated start can settle the question.  */
 bool gp_suspicion_is_strong (const gp_job_task_t *task);
 
-/* Is TASK to be started alone?  */
+/* Returns whether TASK has to be started in isolation.  */
 bool gp_suspicion_wants_alone (const gp_job_task_t *task, gp_time_t now);
 
-/* Is EXECUTOR kept for one job with suspects?  And for JOB?  */
+/* Return whether EXECUTOR is dedicated to one job with suspects, and to
+   JOB.  */
 bool gp_suspicion_is_kept (const gp_job_executor_t *executor, gp_time_t now);
 bool gp_suspicion_is_kept_for (const gp_job_executor_t *executor,
                                const gp_job_t *job, gp_time_t now);
 
-/* Does EXECUTOR take TASK, for what it is kept for?  */
+/* Returns whether EXECUTOR's dedication, if any, allows TASK on it.  */
 bool gp_suspicion_admits (const gp_job_executor_t *executor,
                           const gp_job_task_t *task, gp_time_t now);
 
-/* Would TASK, which EXECUTOR takes, be alone if it were assigned now?  */
+/* Returns whether TASK, if allowed on EXECUTOR, would be isolated if it were
+   assigned now.  */
 bool gp_suspicion_is_quiet (const gp_job_executor_t *executor, gp_time_t now);
 
-/* A record tells that TASK is on its executor, ALONE or not.  */
+/* Restores from a record that TASK is on its executor; ALONE: it was started
+   in isolation.  */
 void gp_suspicion_folded (gp_job_task_t *task, bool alone);
 
-/* Keep EXECUTOR for TASK, which is to be started there when it is quiet.  */
+/* Dedicates EXECUTOR to TASK, which is to be started there once all other runs
+   there have certainly started.  */
 void gp_suspicion_keep (gp_job_executor_t *executor, const gp_job_task_t *task,
                         gp_time_t now);
 
-/* Keep EXECUTOR, on which a task of JOB is assigned, for it until UNTIL at
-   least.  */
+/* Dedicates EXECUTOR, to which a task of JOB is assigned, to JOB until UNTIL
+   or later.  */
 void gp_suspicion_keep_for (gp_job_executor_t *executor, const gp_job_t *job,
                             gp_time_t until);
 
-/* From DECIDED_AT to NOW nothing could be assigned: TASK's patience, if it
-   waits, does not run in that time.  */
+/* Nothing could be assigned from DECIDED_AT to NOW: extends TASK's isolation
+   timeout by that time if TASK is waiting.  */
 void gp_suspicion_put_off (gp_job_task_t *task, gp_time_t decided_at,
                            gp_time_t now);
 
-/* What the end of EXECUTOR would cost: milliseconds of work on all its
+/* Returns the cost of losing EXECUTOR now: milliseconds of work on all its
    processors.  */
 int64_t gp_suspicion_at_stake (const gp_job_executor_t *executor,
                                gp_time_t now);
 
-/* TASK is on its executor now, assigned anew.  */
+/* TASK has been newly assigned to its executor.  */
 void gp_suspicion_assigned (gp_job_task_t *task, gp_time_t now);
 
-/* EXECUTOR's guard tells that a run which is to be alone has not settled
-   there, and that others wait for it: they are better assigned elsewhere.  */
+/* EXECUTOR's guard reports that an isolated run has not settled there and that
+   other runs are held back until it does; the leader had better assign those
+   elsewhere.  */
 void gp_suspicion_goes_on (gp_job_executor_t *executor, gp_time_t now);
 
-/* What was assigned to EXECUTOR at DECIDED_AT or since is ordered only NOW, as
-   its record had to wait: it begins now, and what EXECUTOR is kept for is kept
-   from now on.  */
+/* What was assigned to EXECUTOR at DECIDED_AT or later is ordered only NOW,
+   because its record could not be written earlier.  The runs start now, and
+   dedications are extended accordingly.  */
 void gp_suspicion_ordered (gp_job_executor_t *executor, gp_time_t decided_at,
                            gp_time_t now);
 
