--- a/src/jobs/forecast.c
+++ b/src/jobs/forecast.c
@@ -1,4 +1,4 @@
-/* How long tasks take, learned online.  */
+/* Predicts how long tasks take, learned online.  */
 
 #include "jobs/forecast.h"
 
@@ -7,34 +7,36 @@
 #include "coordination/regression.h"
 #include "jobs/fields.h"
 
-/* A line: its height at an estimate of one second, and its slope.  */
+/* The coefficients of a line: its height at an estimate of one second, and its
+   slope.  */
 #define FEATURES 2
-/* Variances of both before anything is known: estimates are off by a factor
-   of two, and some tell little.  */
+/* Prior variances of both: estimates are off by a factor of two, and some say
+   little.  */
 #define HEIGHT_VARIANCE 0.5
 #define SLOPE_VARIANCE 0.3
-/* The same of what another has learned.  */
+/* Variances for a model learned by another process.  */
 #define LEARNED_VARIANCE 0.02
-/* Variance of a logarithm of a duration around the line, to begin with.  */
+/* Initial variance of the logarithm of a duration around the line.  */
 #define NOISE_VARIANCE 0.3
-/* The longest task of a step over the mean, before it is known, and the
-   weight of the last step in what is learned.  */
+/* The ratio of a step's longest task to the mean before anything was learned,
+   and the weight of the latest step in the moving average.  */
 #define SPREAD_UNKNOWN 1.3
 #define SPREAD_GAIN 0.05
-/* A step with fewer tasks says little of the longest.  */
+/* Steps with fewer tasks say little about the longest.  */
 #define SPREAD_TASKS_MIN 4
-/* An estimate that is missing.  */
+/* Used if a step has no estimate.  */
 #define ESTIMATE_UNKNOWN_MS 1000
-/* A forecast of a job is good for so long; much is learned in a second.  */
+/* A job's forecast is valid for this long; much is learned in a second.  */
 #define FORECAST_TIME (500 * GP_MSEC)
-/* An end earns nothing after so many objectives, by the users' terms.  */
+/* A job is no longer useful after this many objectives, by the users'
+   terms.  */
 #define USELESS_FACTOR 3
-/* No task is expected to take longer than 30 days: sums and products of such
-   durations are still points in time.  */
+/* No task is expected to take longer than 30 days, so that sums and products
+   of such durations are still valid times.  */
 #define TASK_TIME_MAX ((gp_time_t)30 * 24 * 3600 * GP_SEC)
-/* Bounds of what is learned: a task with an estimate of one second takes from
-   nanoseconds to years, and more than in proportion to the third power of
-   estimates is noise.  */
+/* Bounds of learned values.  A task with an estimate of one second takes from
+   nanoseconds to years, and a slope beyond the third power of the estimate is
+   noise.  */
 #define HEIGHT_MAX 20.0
 #define SLOPE_MAX 3.0
 
@@ -168,7 +170,8 @@
   return true;
 }
 
-/* The mean of what is distributed by its logarithm lies above the middle.  */
+/* Returns the expected duration of a task of STEP.  The mean of a log-normal
+   distribution lies above its median.  */
 static gp_time_t
 task_time (const gp_forecast_t *forecast, const char *queue,
            const Gp__Jobs__Step *step)
@@ -198,7 +201,7 @@
   return model != NULL ? model->spread : SPREAD_UNKNOWN;
 }
 
-/* The longest chain of SUBMISSION's steps, which take DURATIONS.  */
+/* Returns the longest chain of SUBMISSION's steps, which take DURATIONS.  */
 static gp_time_t
 longest_chain (const Gp__Jobs__Submission *submission,
                const gp_time_t *durations)
@@ -219,7 +222,8 @@
   return longest;
 }
 
-/* The longest chain of the whole job, by the longest task of each step.  */
+/* Returns the longest chain of the whole job, by the longest task of each
+   step.  */
 static gp_time_t
 whole_chain (const gp_forecast_t *forecast, const gp_job_t *job)
 {
@@ -244,7 +248,8 @@
   return true;
 }
 
-/* When what JOB has to do next was, or is, due to begin.  */
+/* Returns the time at which JOB's first unfinished occurrence is due to
+   start.  */
 static gp_time_t
 begins_at (const gp_job_t *job)
 {
@@ -276,8 +281,8 @@
   job->useless_at = begin + USELESS_FACTOR * objective;
 }
 
-/* What is left of one occurrence, by the mean of its tasks: a job is not
-   given up because its longest task might be late.  */
+/* Returns the remaining duration of one occurrence, by the mean of its tasks:
+   a job must not be given up because its longest task might be late.  */
 static gp_time_t
 chain_left (const gp_job_t *job, const gp_step_tally_t *tallies)
 {
--- a/src/jobs/forecast.h
+++ b/src/jobs/forecast.h
@@ -1,11 +1,11 @@
-/* How long tasks take, learned online.
+/* Predicts how long tasks take, learned online.
 
-   The estimates that come with a job are rough, for some images more than for
-   others.  So for each image (for each queue where steps name none) the
-   logarithm of a run's duration is a line over the logarithm of its estimate,
-   learned from runs that are done, and the longest task of a step is a learned
-   multiple of the mean.  A process that knows nothing yet takes estimates as
-   they are.  */
+   The estimates submitted with a job are rough, for some images more than for
+   others.  For each image (or queue, if steps name no image), the logarithm of
+   a run's duration is modelled as a linear function of the logarithm of its
+   estimate, learned from runs that are done.  The longest task of a step is
+   modelled as a learned multiple of the mean.  Without any data, estimates are
+   used as they are.  */
 
 #ifndef GP_JOBS_FORECAST_H
 #define GP_JOBS_FORECAST_H
@@ -20,34 +20,35 @@
 void gp_forecast_init (gp_forecast_t *forecast);
 void gp_forecast_finish (gp_forecast_t *forecast);
 
-/* A task of STEP, from a job of QUEUE, has been done by a run that took
+/* Learns that a task of STEP, from a job of QUEUE, was done by a run that took
    DURATION.  */
 void gp_forecast_learn (gp_forecast_t *forecast, const char *queue,
                         const Gp__Jobs__Step *step, gp_time_t duration);
 
-/* All tasks of STEP are done: the longest took LONGEST, MEAN is the mean of
-   all.  */
+/* Learns from a STEP whose tasks are all done: the longest took LONGEST, and
+   MEAN is the mean of all.  */
 void gp_forecast_learn_spread (gp_forecast_t *forecast, const char *queue,
                                const Gp__Jobs__Step *step, gp_time_t longest,
                                gp_time_t mean);
 
-/* What was learned, as rows of Gp__Jobs__Forecast that point into FORECAST,
-   are added to ROWS.  */
+/* Appends what was learned to ROWS, as rows of Gp__Jobs__Forecast that point
+   into FORECAST.  */
 void gp_forecast_pack (const gp_forecast_t *forecast, GArray *rows);
-/* Can ROW have been learned?  FALSE sets ERROR.  */
+/* Returns whether ROW is within the bounds of what can be learned.  FALSE sets
+   ERROR.  */
 bool gp_forecast_check (const Gp__Jobs__Forecast *row, GError **error);
-/* Take over what another has learned of an image; false, and nothing is
-   changed, when ROW is none that gp_forecast_pack makes.  */
+/* Takes over what another process has learned about an image.  Returns false
+   and changes nothing if gp_forecast_check refuses ROW.  */
 bool gp_forecast_set (gp_forecast_t *forecast, const Gp__Jobs__Forecast *row);
 
-/* Bring JOB's task times and objective up to what is known NOW, unless that
-   was done lately.  A timed job has the objective of its first occurrence that
+/* Updates JOB's task times and objective to what is known NOW, unless that was
+   done recently.  A timed job has the objective of its first occurrence that
    is not done.  */
 void gp_forecast_job (const gp_forecast_t *forecast, gp_job_t *job,
                       gp_time_t now);
 
-/* The expected duration of the longest chain of steps that JOB, whose
-   forecast was made, still has to do on free executors.  */
+/* Returns the expected duration, on free executors, of the longest chain of
+   steps that JOB still has to do.  JOB's forecast has to be up to date.  */
 gp_time_t gp_forecast_remaining (const gp_job_t *job);
 
 #endif
--- a/src/jobs/headroom.c
+++ b/src/jobs/headroom.c
@@ -1,30 +1,31 @@
-/* The headroom of runs that serve, tracked over time.  */
+/* Tracks the headroom of serving runs over time.  */
 
 #include "jobs/headroom.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Deviation of a measurement: a share of it, and what rounding to whole
-   milliseconds and the time between measure and report add.  */
+/* Standard deviation of a measurement: a share of it, plus what rounding to
+   whole milliseconds and the delay between measurement and report add.  */
 #define NOISE_SHARE 0.05
 #define NOISE_LEAST 0.05
-/* Deviations of mean, displacement and speed before they are known.  */
+/* Prior standard deviations of mean, displacement and speed.  */
 #define MEAN_DEVIATION 0.4
 #define DISPLACEMENT_DEVIATION 0.9
 #define SPEED_DEVIATION 0.5
-/* What the variances of mean and speed gain in a second, for a swing that is
-   not quite regular and a period between two of those below.  */
+/* Increase of the variances of mean and speed per second, to allow for
+   oscillations that are not quite regular and for periods between two of those
+   below.  */
 #define MEAN_DRIFT 0.0005
 #define SPEED_DRIFT 0.01
-/* Share of the likelihood that is kept from measure to measure: of some ten
-   seconds of a job with six runs.  */
+/* Decay of the likelihood per measurement: a memory of about ten seconds for a
+   job with six runs.  */
 #define LIKELIHOOD_KEPT 0.99
-/* A surprise counts at most so many deviations.  */
+/* Prediction errors are clipped at this many standard deviations.  */
 #define CLIP_DEVIATIONS 3.0
 
-/* Seconds, a factor of 1.2 apart: a swing between two of these is followed by
-   the nearer one.  */
+/* Seconds, spaced by a factor of 1.2: a period between two of these is
+   followed by the nearer one.  */
 static const double periods[GP_HEADROOM_PERIODS]
     = { 5.8, 7.0, 8.4, 10.0, 12.0, 14.0, 17.0, 22.0 };
 
@@ -80,7 +81,8 @@
     }
 }
 
-/* The matrix that moves the states on by SECONDS in a swing of PERIOD.  */
+/* Fills the matrix that advances the state by SECONDS in an oscillation of
+   PERIOD.  */
 static void
 make_transition (matrix_t transition, double period, double seconds)
 {
@@ -96,7 +98,7 @@
   transition[SPEED][SPEED] = c;
 }
 
-/* RESULT = A B, or A B' where TRANSPOSED.  */
+/* RESULT = A B, or A B' if TRANSPOSED.  */
 static void
 multiply (matrix_t result, matrix_t a, matrix_t b, bool transposed)
 {
@@ -109,7 +111,7 @@
       }
 }
 
-/* Move the state of FILTER on by TRANSITION, not its covariance.  */
+/* Advances the state of FILTER by TRANSITION, but not its covariance.  */
 static void
 move_state (gp_headroom_filter_t *filter, matrix_t transition)
 {
@@ -124,7 +126,7 @@
   memcpy (filter->state, state, sizeof state);
 }
 
-/* Move FILTER on by SECONDS in a swing of PERIOD.  */
+/* Advances FILTER by SECONDS in an oscillation of PERIOD.  */
 static void
 predict (gp_headroom_filter_t *filter, double period, double seconds)
 {
@@ -159,8 +161,9 @@
   return (double)(when - track->at) / GP_SEC;
 }
 
-/* The best filter of TRACK with its state moved on to WHEN.  Placement asks
-   for it for each serving run and place, so that the covariance is left.  */
+/* Returns the best filter of TRACK with its state advanced to WHEN.  Placement
+   needs this for each serving run and place, so the covariance is not
+   advanced.  */
 static gp_headroom_filter_t
 foresee (const gp_headroom_t *track, gp_time_t when)
 {
--- a/src/jobs/placer.c
+++ b/src/jobs/placer.c
@@ -9,25 +9,27 @@
 #include "jobs/urgency.h"
 
 /* Share of an executor's processors, in thousandths, that only jobs of the
-   first priority may take: quick work then finds room without preemption.  */
+   first priority may take, so that short work is placed without
+   preemption.  */
 #define RESERVED_PERMILLE 60
-/* A filling task is placed where at least this share, in thousandths, of
-   what it asks for is left over; with less it waits for a better place.  */
+/* A filling task is placed where at least this share, in thousandths, of the
+   processors that it asks for is unused; with less it waits for a better
+   place.  */
 #define FILL_PERMILLE 700
-/* The longest time without a look at what waits: the phases in which a place
-   is harmless last some seconds.  */
+/* Longest interval between placement passes: the phases in which a place is
+   free of interference last some seconds.  */
 #define LOOK_AGAIN_TIME (20 * GP_MSEC)
 
-/* A place with no more harm than this is worth a move of a run that is held
-   back where it is.  */
+/* A place with no more interference than this is worth moving a throttled run
+   to.  */
 #define HARM_BETTER 0.05
-/* A job that has had no run for so long takes a place with less left over as
-   well, on an executor of which less than half is reserved: filling work asks
-   for no room there, only its speed suffers, and an accepted job is not to
-   stand still while most of the room is free.  */
+/* A job that has had no run for this long also takes a place with less unused
+   processor time, on an executor of which less than half is reserved.  Filling
+   work reserves no processors, so only its speed suffers, and an accepted job
+   must not be stuck while most of the capacity is free.  */
 #define STARVED_TIME (2 * GP_SEC)
 
-/* May EXECUTOR get new work, but for its zone?  */
+/* Returns whether EXECUTOR may get new work, apart from its zone.  */
 static bool
 is_usable (const gp_job_executor_t *executor, gp_time_t now)
 {
@@ -60,7 +62,7 @@
   return candidates;
 }
 
-/* Number of tasks of TASK's step and occurrence on EXECUTOR.  */
+/* Returns the number of tasks of TASK's step and occurrence on EXECUTOR.  */
 static uint32_t
 siblings_on (const gp_job_executor_t *executor, const gp_job_task_t *task)
 {
@@ -86,7 +88,8 @@
   return job->idle_since != 0 && now - job->idle_since > time;
 }
 
-/* May the filling TASK have less than its share on EXECUTOR?  */
+/* Returns whether the filling TASK may get less than its share on
+   EXECUTOR.  */
 static bool
 may_crowd (const gp_job_executor_t *executor, const gp_job_task_t *task,
            gp_time_t now)
@@ -206,7 +209,8 @@
   g_ptr_array_add (pass->placed, task);
 }
 
-/* Would TASK be placed if no availability zone were evacuated?  */
+/* Returns whether TASK would be placed if no availability zone were
+   evacuated.  */
 static bool
 waits_for_zone (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
@@ -225,7 +229,7 @@
   return false;
 }
 
-/* TASK found no place: does its job have any run?  */
+/* TASK found no place: records whether its job is left without any run.  */
 static void
 note_idle (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
@@ -239,8 +243,9 @@
             GP_LOG_S ("why", "zone evacuated"));
 }
 
-/* Assign the waiting tasks of a step one by one, up to one that finds no
-   place: those after it are like it, unless it is to be kept apart.  */
+/* Assigns the waiting tasks of a step one by one until one finds no place.
+   The later tasks need the same, so they are skipped.  A task that needs an
+   isolated start or waits for a stray run to end does not stop the others.  */
 static void
 assign_each (gp_placer_pass_t *pass, gp_job_task_t *first, uint32_t count)
 {
@@ -270,7 +275,8 @@
     }
 }
 
-/* TASK does not start after all; what is kept for it stays so.  */
+/* Cancels the assignment of TASK; an executor that was dedicated to it remains
+   so.  */
 static void
 withdraw_one (const gp_placer_pass_t *pass, gp_job_task_t *task)
 {
@@ -294,7 +300,8 @@
     }
 }
 
-/* All members go on from the same point: any member's is good for all.  */
+/* All members resume from the same point: the checkpoint of any member is
+   valid for all.  */
 static void
 share_checkpoint (gp_job_task_t *first, uint32_t count)
 {
@@ -310,7 +317,7 @@
       }
 }
 
-/* Assign all members of a gang under one run number, or none.  */
+/* Assigns all members of a gang under one run number, or none.  */
 static void
 assign_gang (gp_placer_pass_t *pass, gp_job_task_t *first, uint32_t count)
 {
@@ -373,8 +380,8 @@
         assign_step (pass, job, k, s);
 }
 
-/* The jobs of what was placed have begun; a gang that was withdrawn has not,
-   nor has what waits for an executor that is down.  */
+/* Marks the jobs of the placed tasks as started.  Excluded are gangs that were
+   withdrawn and tasks on executors that are down.  */
 static void
 note_begun (const GPtrArray *placed)
 {
--- a/src/jobs/placer_private.h
+++ b/src/jobs/placer_private.h
@@ -1,16 +1,16 @@
-/* What the files of the placer share.  */
+/* Functions shared by the source files of the placer.  */
 
 #ifndef GP_JOBS_PLACER_PRIVATE_H
 #define GP_JOBS_PLACER_PRIVATE_H
 
 #include "jobs/placer.h"
 
-/* What a pass needs of an executor more than once.  */
+/* Data about an executor that a pass needs more than once.  */
 typedef struct
 {
   gp_job_executor_t *executor;
   bool counted;
-  gp_pressure_work_t fillings; /* busy work to be expected */
+  gp_pressure_work_t fillings; /* expected busy work of its filling runs */
 } gp_placer_candidate_t;
 
 typedef struct
@@ -19,71 +19,81 @@
   gp_pressure_t *pressure;
   gp_time_t now;
   gp_quarantine_t *quarantine; /* NULL: nothing is assigned in this pass */
-  GArray *candidates; /* gp_placer_candidate_t of those that may take work */
+  GArray
+      *candidates; /* gp_placer_candidate_t of executors that may take work */
   GPtrArray *placed;
 } gp_placer_pass_t;
 
-/* Is EXECUTOR of the service and label that TASK, of STEP, asks for?  */
+/* Returns whether EXECUTOR has the service and the label that TASK, of STEP,
+   requires.  */
 bool gp_placer_serves (const gp_job_executor_t *executor,
                        const gp_job_task_t *task, const Gp__Jobs__Step *step);
-/* Has it room for TASK?  */
+/* Returns whether EXECUTOR has enough free capacity for TASK.  */
 bool gp_placer_has_room (const gp_job_executor_t *executor,
                          const gp_job_task_t *task, const Gp__Jobs__Step *step,
                          gp_time_t now);
-/* Has it fewer of TASK's step than may be together?  */
+/* Returns whether EXECUTOR has fewer tasks of TASK's step than the step's
+   max_per_executor.  */
 bool gp_placer_is_apart (const gp_job_executor_t *executor,
                          const gp_job_task_t *task,
                          const Gp__Jobs__Step *step);
 
-/* All of these, and is it not kept for others?  */
+/* Returns whether all of these hold and EXECUTOR is not dedicated to another
+   job.  */
 bool gp_placer_fits (const gp_job_executor_t *executor,
                      const gp_job_task_t *task, const Gp__Jobs__Step *step,
                      gp_time_t now);
 
-/* Has JOB had work and no run for longer than TIME?  */
+/* Returns whether JOB has had work but no run for longer than TIME.  */
 bool gp_placer_has_waited (const gp_job_t *job, gp_time_t time, gp_time_t now);
 
-/* Expect one more filling run of IMAGE on CANDIDATE.  */
+/* Adds one filling run of IMAGE to the work expected on CANDIDATE.  */
 void gp_placer_add_filling (const gp_placer_pass_t *pass,
                             gp_placer_candidate_t *candidate,
                             const char *image);
 
-/* What one more filling run of IMAGE adds to the lack of the runs that serve
-   on CANDIDATE.  */
+/* Returns how far one more filling run of IMAGE would push the serving runs on
+   CANDIDATE below their headroom goal.  */
 double gp_placer_harm (const gp_placer_pass_t *pass,
                        gp_placer_candidate_t *candidate, const char *image);
 
-/* What CANDIDATE is worth to TASK, of STEP: higher is better; thousandths of
-   the executor's processors.  INT64_MIN: not there.  */
+/* Returns the score of CANDIDATE for TASK, of STEP, in thousandths of the
+   executor's processors; higher is better.  INT64_MIN: TASK must not be placed
+   there.  */
 int64_t gp_placer_score (const gp_placer_pass_t *pass,
                          gp_placer_candidate_t *candidate,
                          const gp_job_task_t *task,
                          const Gp__Jobs__Step *step);
 
-/* Does a candidate with POINTS go before BEST, with BEST_POINTS?  */
+/* Returns whether a candidate with POINTS is preferred to BEST, which has
+   BEST_POINTS.  */
 bool gp_placer_is_better (const gp_placer_candidate_t *candidate,
                           int64_t points, const gp_placer_candidate_t *best,
                           int64_t best_points);
 
-/* Is TASK to be started alone?  A gang is as a whole: its other members would
-   make the executor unquiet.  */
+/* Returns whether TASK has to be started in isolation.  This applies to a gang
+   as a whole: recent starts of its other members would make the result
+   inconclusive.  */
 bool gp_placer_wants_alone (const gp_placer_pass_t *pass,
                             const gp_job_task_t *task);
 
-/* Is TASK to be started in quarantine?  While there is one, also suspects of
-   other queues are, of which no more is known yet.  */
+/* Returns whether TASK has to be started in quarantine.  While a quarantine is
+   active, this includes suspects of other queues against which there is no
+   strong evidence yet.  */
 bool gp_placer_wants_quarantine (const gp_placer_pass_t *pass,
                                  const gp_job_task_t *task);
 
-/* Where TASK is started in quarantine: where its job is just beginning, or
-   else on the executor there with the least to lose on which nothing is.  */
+/* Returns the place for TASK in quarantine: an executor dedicated to its job,
+   or else the quarantined executor with the least work to lose that is not
+   dedicated to another job.  */
 gp_placer_candidate_t *
 gp_placer_choose_quarantined (const gp_placer_pass_t *pass,
                               const gp_job_task_t *task);
 
-/* Where the suspect TASK is to be started alone: where its job's are, or else
-   where the least is lost.  NULL: nowhere yet; the executor is kept for it
-   until all there has begun.  */
+/* Returns the place for an isolated start of the suspect TASK: an executor
+   dedicated to its job, or else the one with the least work to lose.  NULL:
+   none yet; an executor may then have been dedicated to the task until
+   everything on it has started.  */
 gp_placer_candidate_t *gp_placer_choose_alone (const gp_placer_pass_t *pass,
                                                gp_job_task_t *task);
 
--- a/src/jobs/placer_score.c
+++ b/src/jobs/placer_score.c
@@ -1,40 +1,43 @@
-/* What a place is worth to a waiting task: room, the harm that it would do to
-   those who serve there, its rack, and those beside it.  */
+/* Scores places for waiting tasks: free capacity, interference with serving
+   runs, rack, and the other runs there.  */
 
 #include "jobs/placer_private.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Filling work harms a serving run that has less headroom than this left:
-   twice that of the target, as the load goes on while the filling run works,
-   and its phase turns.  */
+/* Headroom below which a serving run is considered harmed by filling work:
+   twice that at its target, as its load and its phase may change while the
+   filling run works.  */
 #define HEADROOM_GOAL 2.0
-/* Harm is the mean of what is expected at these times from now on, which lie
-   within the duration of most filling runs.  */
+/* Interference is the mean of what is expected at these times from now, which
+   lie within the duration of most filling runs.  */
 static const gp_time_t harm_times[] = { 300 * GP_MSEC, 1500 * GP_MSEC };
-/* Points that a task loses for each unit of harm that it is expected to do.
-   A unit is as much headroom as a run has at its target; all the processors of
-   an executor are 1000.  */
+/* Points that a task loses for each unit of expected interference.  One unit
+   is the headroom that a run has at its target; all processors of an executor
+   are worth 1000 points.  */
 #define HARM_POINTS 3000.0
-/* A filling task waits rather than do more harm than this, but no longer
-   than the time below when its job has no other run: the pacer then keeps
-   the harm down.  */
+/* A filling task waits rather than cause more interference than this, but no
+   longer than IDLE_MAX_TIME if its job has no other run: the pacer then limits
+   the interference.  */
 #define HARM_MAX 0.3
 #define IDLE_MAX_TIME (1200 * GP_MSEC)
 
-/* Points for each run of the same image on the executor: like images suffer
-   from the same neighbours, so that others are left for those.  */
+/* Points for each run of the same image on the executor.  Runs of one image
+   suffer from the same neighbours, so grouping them leaves other executors
+   free for those neighbours.  */
 #define ALIKE_POINTS 300
 
-/* Points for the right rack: as much as an executor that is empty has over
-   one that is full, as the work takes 1.5 to 3 times as long elsewhere.  */
+/* Points for the preferred rack: as much as an empty executor has over a full
+   one, as the work takes 1.5 to 3 times as long elsewhere.  */
 #define RACK_POINTS 1000
-/* Points that an executor loses on which the task has failed: four times what
-   one that is empty has over one that is full, so that it is a last resort. */
+/* Points subtracted for an executor on which the task has failed: four times
+   the difference between an empty and a full one, so that it is a last
+   resort.  */
 #define FAILED_POINTS 4000
 
-/* And that one loses that is in quarantine: a last resort as well.  */
+/* Points subtracted for an executor in quarantine, which is also a last
+   resort.  */
 #define QUARANTINE_POINTS 4000
 
 void
@@ -62,15 +65,16 @@
   }
 }
 
-/* What a run with HEADROOM lacks of the goal.  */
+/* Returns by how much HEADROOM falls short of the goal.  */
 static double
 lack_of (double headroom)
 {
   return fmax (0.0, HEADROOM_GOAL - headroom);
 }
 
-/* What a run that takes WEIGHT, when it is busy, adds to the lack of the
-   serving TASK beside the filling work TAKEN.  */
+/* Returns by how much a filling run of WEIGHT, when it is busy, increases the
+   shortfall of the serving TASK, from which the filling work already takes
+   TAKEN.  */
 static double
 harm_to (const gp_placer_pass_t *pass, const gp_job_task_t *task, double taken,
          double weight)
@@ -112,7 +116,7 @@
   return sum;
 }
 
-/* Runs of IMAGE on EXECUTOR.  */
+/* Returns the number of runs of IMAGE on EXECUTOR.  */
 static unsigned
 alike_on (const gp_job_executor_t *executor, const char *image)
 {
@@ -128,8 +132,8 @@
   return alike;
 }
 
-/* The label that tells the rack: executors name their kind first and their
-   rack after it.  */
+/* Returns the label that names the rack: executors list their kind first and
+   their rack last.  */
 static const char *
 rack_of (const gp_job_executor_t *executor)
 {
@@ -139,8 +143,8 @@
   return count > 1 ? executor->labels[count - 1] : NULL;
 }
 
-/* Do the runs of TASK's step and occurrence that were placed before stand in
-   EXECUTOR's rack, or are there none?  */
+/* Returns whether the runs of TASK's step and occurrence that are already
+   placed are in EXECUTOR's rack, or there are none.  */
 static bool
 is_with_siblings (const gp_job_executor_t *executor, const gp_job_task_t *task)
 {
--- a/src/jobs/placer_suspects.c
+++ b/src/jobs/placer_suspects.c
@@ -1,4 +1,4 @@
-/* Where tasks are started that are under suspicion, or whose queue is.  */
+/* Places suspect tasks and the tasks of suspect queues.  */
 
 #include "jobs/placer_private.h"
 
@@ -15,7 +15,7 @@
   return strcmp (candidate->executor->id, best->executor->id) < 0;
 }
 
-/* Is TASK of a queue that is under suspicion?  */
+/* Returns whether TASK belongs to a suspect queue.  */
 static bool
 is_of_suspects (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
@@ -49,8 +49,9 @@
   return is_of_suspects (pass, task);
 }
 
-/* May one more executor be kept for the suspect TASK?  The suspects of a job
-   share one, but for those of a gang, which start together.  */
+/* Returns whether one more executor may be dedicated to the suspect TASK.  The
+   suspects of a job share one, except those of a gang, which start
+   together.  */
 static bool
 may_keep_one (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
@@ -70,9 +71,9 @@
   return kept < MAX (pass->candidates->len / GP_SUSPICION_SHARE, 1);
 }
 
-/* Of the executors in quarantine, of those that are kept for TASK's job, and
-   where it may be ELSEWHERE of all others: one that is kept, or else the one
-   with the least to lose.  */
+/* Chooses among the executors in quarantine, those dedicated to TASK's job
+   and, if ELSEWHERE is set, all others: a dedicated one, or else the one with
+   the least work to lose.  */
 static gp_placer_candidate_t *
 least_at_stake (const gp_placer_pass_t *pass, const gp_job_task_t *task,
                 bool elsewhere)
--- a/src/jobs/placer_waits.c
+++ b/src/jobs/placer_waits.c
@@ -1,4 +1,4 @@
-/* What work waits for that finds no place, told once a step waits for long. */
+/* Diagnoses why tasks wait for a place.  */
 
 #include "jobs/placer_waits.h"
 
@@ -6,10 +6,10 @@
 #include "base/log.h"
 #include "jobs/suspicion.h"
 
-/* A look at one step goes through all executors: none before it has waited for
-   so long, and none more often.  */
+/* Time before the first examination of a waiting step and between
+   examinations, each of which goes through all executors.  */
 #define LOOK_TIME (GP_SEC)
-/* Work that could run begins within this.  */
+/* Work that could run has to start within this.  */
 #define BOUND_TIME (3 * GP_SEC)
 
 static const char *const cause_names[] = {
@@ -65,7 +65,7 @@
   return cause_names[cause];
 }
 
-/* What keeps TASK from EXECUTOR, which is not dead.  */
+/* Returns what keeps TASK from EXECUTOR, which is not dead.  */
 static gp_wait_cause_t
 cause_at (const gp_placer_pass_t *pass, const gp_job_executor_t *executor,
           const gp_job_task_t *task)
@@ -116,7 +116,8 @@
   return nearest;
 }
 
-/* Is less than half of what TASK's service has in use?  */
+/* Returns whether less than half of the processors of TASK's service are in
+   use.  */
 static bool
 is_mostly_free (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
@@ -139,7 +140,8 @@
   return used * 2 < capacity;
 }
 
-/* Does CAUSE hold work back though there is room for it?  */
+/* Returns whether CAUSE holds work back even though there is capacity for
+   it.  */
 static bool
 holds_back (gp_wait_cause_t cause)
 {
@@ -189,8 +191,7 @@
   gp_counter_add (&counts[cause], 1);
 }
 
-/* No place was found for the tasks of JOB that wait and whose turn has come.
- */
+/* No place was found for the waiting tasks of JOB that are ready to run.  */
 static void
 found_none_of (const gp_placer_pass_t *pass, const gp_job_t *job,
                int64_t wall_ms)
--- a/src/jobs/placer_waits.h
+++ b/src/jobs/placer_waits.h
@@ -1,13 +1,14 @@
-/* What work waits for that finds no place.
+/* Diagnoses why tasks wait for a place.
 
-   A step of which a task finds no place is looked at each second: what keeps
-   the task from the executor that is nearest to taking it is told when that
-   changes.  One that waits for longer than three seconds with most of its
-   service's room free, and not for want of room, is counted by its cause: that
-   is never to be.  Where its job has a run, which may be one of many tasks
-   that wait for room, only such a cause is told.
+   A step with a task that finds no place is examined once per second.  What
+   keeps the task from the executor that comes nearest to taking it is logged
+   when it changes.  A step that waits for longer than three seconds while most
+   of its service's capacity is free, for another reason than lack of capacity,
+   is counted under that reason: this should never happen.  If the job has a
+   run, it may be one of many tasks that wait for capacity, so only reasons of
+   that kind are logged.
 
-   Pure but for its lines and counters.  */
+   Pure but for its log lines and counters.  */
 
 #ifndef GP_JOBS_PLACER_WAITS_H
 #define GP_JOBS_PLACER_WAITS_H
@@ -16,7 +17,7 @@
 
 const char *gp_wait_cause_name (gp_wait_cause_t cause);
 
-/* What keeps TASK, whose turn has come, from a place.  */
+/* Returns what keeps TASK, which is ready to run, from being placed.  */
 gp_wait_cause_t gp_placer_wait_cause (const gp_placer_pass_t *pass,
                                       const gp_job_task_t *task);
 
@@ -24,11 +25,11 @@
 void gp_placer_found_none (const gp_placer_pass_t *pass,
                            const gp_job_task_t *task);
 
-/* No executor takes work: there is no place for any task whose turn has come.
- */
+/* No executor takes work: records that no task which is ready to run has found
+   a place.  */
 void gp_placer_look_at_all (const gp_placer_pass_t *pass, int64_t wall_ms);
 
-/* A task like TASK, of its step, has found a place.  */
+/* A task of the same step as TASK, or TASK itself, has been placed.  */
 void gp_placer_found_place (const gp_job_task_t *task);
 
 #endif
--- a/src/jobs/pressure.c
+++ b/src/jobs/pressure.c
@@ -1,4 +1,4 @@
-/* How much filling runs slow down the runs that serve beside them.  */
+/* Learns how much filling runs slow down the serving runs beside them.  */
 
 #include "jobs/pressure.h"
 
@@ -6,18 +6,17 @@
 
 #include "coordination/regression.h"
 
-/* Variance of a weight before it is known: a third of them lie around 0.9,
-   the others at zero.  */
+/* Prior variance of a weight: a third of them lie around 0.9, the others at
+   zero.  */
 #define WEIGHT_VARIANCE 0.2
-/* The same of a weight that another has learned.  */
+/* Variance of a weight learned by another process.  */
 #define LEARNED_VARIANCE 0.02
-/* Variance of a surprise in units of what was expected of it, to begin
-   with.  */
+/* Initial variance of the normalised prediction error.  */
 #define SURPRISE_VARIANCE 1.0
-/* Deviation of what was taken of a headroom, as a share of it: filling runs
-   come, go and change their phase within the time of a measure.  */
+/* Standard deviation of the headroom taken by filling runs, as a share of it:
+   filling runs come, go and change phase during a measurement.  */
 #define TAKEN_NOISE 0.3
-/* Less busy work than this, of a run at full speed, presses nothing.  */
+/* Busy work below this, in runs at full speed, is ignored.  */
 #define WORK_MIN 0.02
 
 typedef struct
@@ -103,8 +102,8 @@
   size_t row = (size_t)place * GP_PRESSURE_IMAGES;
 
   model->weights[place] = weight;
-  /* What was known of it together with others goes, too: a variance that is
-     smaller than its covariances is none.  */
+  /* Clears the covariances as well: a variance that is too small for its
+     covariances is invalid.  */
   for (size_t i = 0; i < GP_PRESSURE_IMAGES; i++)
     {
       model->covariance[row + i] = 0.0;
@@ -113,7 +112,8 @@
   model->covariance[row + place] = LEARNED_VARIANCE;
 }
 
-/* The sum of weight times WORK by MODEL, NULL: nothing was learned.  */
+/* Returns the sum of weight times WORK according to MODEL; NULL: nothing was
+   learned.  */
 static double
 sum_by (const model_t *model, const gp_pressure_work_t *work)
 {
@@ -132,7 +132,7 @@
   return sum_by (g_hash_table_lookup (pressure->models, serving), work);
 }
 
-/* Neighbours do not speed a run up: what says so is noise.  */
+/* Neighbours do not speed a run up; a negative weight is noise.  */
 static void
 clamp_weights (model_t *model)
 {
@@ -140,7 +140,7 @@
     model->weights[i] = fmax (model->weights[i], 0.0);
 }
 
-/* The regression's input for WORK, in units of DEVIATION.  */
+/* Returns the regression's input for WORK, in units of DEVIATION.  */
 static gp_regression_input_t
 input_of (const gp_pressure_work_t *work, double deviation)
 {
@@ -152,7 +152,8 @@
   return input;
 }
 
-/* Learn that WORK took LOST of the headroom of a run, known with VARIANCE.  */
+/* Learns that WORK took LOST, known with VARIANCE, of the headroom of a
+   run.  */
 static void
 learn_lost (model_t *model, const gp_pressure_work_t *work, double lost,
             double variance)
@@ -180,7 +181,8 @@
   gp_regression_input_t input = input_of (work, 1.0);
   bool overloaded = headroom < GP_HEADROOM_LEAST;
 
-  /* An overloaded run tells only that as much was taken at least.  */
+  /* The headroom of an overloaded run is only an upper bound: the filling work
+     took at least this much.  */
   if (gp_headroom_is_known (load) && (!overloaded || expected - taken > least))
     learn_lost (model, work, expected - least,
                 noise + gp_headroom_variance (load, now));
--- a/src/jobs/pressure.h
+++ b/src/jobs/pressure.h
@@ -1,16 +1,16 @@
-/* How much filling runs press the runs that serve beside them, learned
-   online.
+/* Learns online how much filling runs slow down the serving runs beside them.
 
-   A serving run has a headroom (jobs/headroom.h) by its own load, of which
-   each filling run beside it takes a weight.  The weight belongs to the pair
-   of images: about two thirds of the pairs are harmless, the others weigh
-   around one.  A filling run presses only in its busy phases, in which it uses
-   all processors that it may; in the others it uses two thirds of them and
-   presses next to nothing.
+   A serving run is one with a target for its tail latency.  It has a headroom
+   (jobs/headroom.h) determined by its own load.  Each filling run beside it
+   reduces that headroom by a weight, which depends on the pair of images:
+   about two thirds of the pairs are harmless, the others have weights around
+   one.  A filling run interferes only in its busy phases, in which it uses all
+   processors it may; in the other phases it uses two thirds of them and has
+   next to no effect.
 
    The same weights hold at all loads: a busy run takes as much of a headroom
-   of 2 as of one of 3.5, where the logarithm of the latency rises by other
-   amounts.  */
+   of 2 as of one of 3.5, whereas the logarithm of the latency rises by
+   different amounts.  */
 
 #ifndef GP_JOBS_PRESSURE_H
 #define GP_JOBS_PRESSURE_H
@@ -19,22 +19,22 @@
 
 #include "jobs/headroom.h"
 
-/* Images of filling runs that are told apart; further ones share places.  */
+/* Number of images of filling runs that are distinguished; further ones share
+   indices.  */
 #define GP_PRESSURE_IMAGES 32
 
-/* The weight of a pair of which nothing is known: a third of 0.9.  */
+/* The weight of a pair without data: a third of 0.9.  */
 #define GP_PRESSURE_PRIOR 0.3
 
-/* The most that a weight can be, in thousandths: one run that takes a hundred
-   times the headroom that a run has at its target.  Those known stay below
-   two.  */
+/* Maximum weight, in thousandths: one run that takes a hundred times the
+   headroom that a run has at its target.  Known weights are below two.  */
 #define GP_PRESSURE_MAX_PERMILLE 100000
 
 /* The share of time for which a filling run is busy.  */
 #define GP_PRESSURE_BUSY_SHARE 0.6
 
-/* Busy work that filling runs do, by the place of their image; 1 is one busy
-   run at full speed.  */
+/* Busy work of filling runs, by the index of their image; 1 is one busy run at
+   full speed.  */
 typedef struct
 {
   double work[GP_PRESSURE_IMAGES];
@@ -42,31 +42,33 @@
 
 typedef struct
 {
-  GHashTable *places; /* image of filling runs to its place plus one */
+  GHashTable *places; /* image of filling runs to its index plus one */
   GHashTable *models; /* image of serving runs to its model, owned */
 } gp_pressure_t;
 
 void gp_pressure_init (gp_pressure_t *pressure);
 void gp_pressure_finish (gp_pressure_t *pressure);
 
-/* The place of IMAGE, which is remembered.  */
+/* Returns the index of IMAGE, assigning one if needed.  */
 unsigned int gp_pressure_place (gp_pressure_t *pressure, const char *image);
 
-/* The weight of the images at PLACE on SERVING.  */
+/* Returns the weight of the filling images at index PLACE on SERVING.  */
 double gp_pressure_weight (const gp_pressure_t *pressure, const char *serving,
                            unsigned int place);
-/* Set it to what another has learned, which goes on being learned.  */
+/* Sets the weight to one learned by another process; learning continues from
+   there.  */
 void gp_pressure_set (gp_pressure_t *pressure, const char *serving,
                       unsigned int place, double weight);
 
-/* The headroom that WORK takes from a run of SERVING: the sum of weight times
-   work.  */
+/* Returns the headroom that WORK takes from a run of SERVING: the sum of
+   weight times work.  */
 double gp_pressure_sum (const gp_pressure_t *pressure, const char *serving,
                         const gp_pressure_work_t *work);
 
-/* Take in that a run of SERVING had HEADROOM beside WORK at NOW.  LOAD, the
-   track of what all runs of its step would have without filling work, and the
-   weights share the surprise by how sure they are.  */
+/* Learns that a run of SERVING had HEADROOM beside WORK at NOW.  LOAD is the
+   track of the headroom that runs of its step would have without filling work.
+   The prediction error is divided between LOAD and the weights according to
+   their uncertainty.  */
 void gp_pressure_learn (gp_pressure_t *pressure, const char *serving,
                         const gp_pressure_work_t *work, double headroom,
                         gp_headroom_t *load, gp_time_t now);
--- a/src/jobs/urgency.c
+++ b/src/jobs/urgency.c
@@ -1,4 +1,4 @@
-/* In which order jobs get room.  */
+/* Ranks jobs by urgency.  */
 
 #include "jobs/urgency.h"
 
@@ -6,10 +6,11 @@
 
 #include "jobs/executor.h"
 
-/* Share of a task that is at work that counts as done.  */
+/* Share of a running task that counts as done.  */
 #define AT_WORK_DONE 0.5
 
-/* Kinds of room on an executor: filling tasks live on what others leave.  */
+/* Kinds of capacity on an executor: filling tasks use what the reservations of
+   the others leave unused.  */
 typedef enum
 {
   KIND_RESERVED,
@@ -17,8 +18,9 @@
   KINDS
 } kind_t;
 
-/* The executors of a service: their room, in thousandths of a core, and the
-   work that admitted jobs want of it, in these times a duration.  */
+/* The executors of a service: their capacity, in thousandths of a core, and
+   the work that admitted jobs require of it, in thousandths of a core times a
+   duration.  */
 typedef struct
 {
   const char *name;
@@ -28,9 +30,9 @@
 
 typedef struct
 {
-  gp_ranked_job_t ranked; /* first: the list of both is sorted by it */
-  service_t *service;     /* NULL: it has no executor */
-  double work[KINDS];     /* what the job still wants */
+  gp_ranked_job_t ranked; /* first member: the array is sorted by it */
+  service_t *service;     /* NULL: the service has no executor */
+  double work[KINDS];     /* remaining work of the job */
 } rated_job_t;
 
 static service_t *
@@ -75,8 +77,8 @@
   return services;
 }
 
-/* Count what the job wants by now and how far it has got; occurrences whose
-   time has not come want nothing.  */
+/* Computes the job's remaining work and its progress; occurrences that are not
+   due yet require nothing.  */
 static void
 count_work (rated_job_t *rated_job, gp_time_t now)
 {
@@ -99,10 +101,11 @@
   rated_job->ranked.progress = 1.0 - left / job->task_count;
 }
 
-/* Has JOB runs that last?  It earns as long as they are at work, so that its
-   time is never past.  Ranked by the objective of its first start it would
-   come behind all others of its priority from a few seconds on, and runs that
-   have to move would wait for as long as there is more work than room.  */
+/* Returns whether JOB has long-running runs.  Such a job is useful for as long
+   as they run, so it never becomes useless.  Ranked by the objective of its
+   first start it would come after all others of its priority from a few
+   seconds on, and runs that have to move would wait for as long as there is
+   more work than capacity.  */
 static bool
 lasts (const gp_job_t *job)
 {
@@ -112,7 +115,7 @@
   return false;
 }
 
-/* What is expected of JOB by itself.  */
+/* Assesses JOB on its own, without regard to the others.  */
 static rated_job_t
 assess (const GArray *services, gp_job_t *job, gp_time_t now)
 {
@@ -156,7 +159,8 @@
     rated_job->service->work[kind] += sign * rated_job->work[kind];
 }
 
-/* Will work of the job not be through by its objective?  */
+/* Returns whether some work of the job will not be finished by its
+   objective.  */
 static bool
 is_overbooked (const rated_job_t *rated_job, gp_time_t now)
 {
@@ -177,9 +181,9 @@
          || rated_job->work[KIND_FILLING] > 0.0;
 }
 
-/* The job to put behind so that the one at LAST may be in time: of those up
-   to it with its service and priority, in time, the one that has got least
-   far; the later of two.  */
+/* Returns the job to demote so that the one at LAST may be in time: of the
+   jobs up to it with the same service and priority that are in time, the one
+   with the least progress; of two, the later one.  */
 static rated_job_t *
 least_far (GArray *rated, guint last)
 {
