--- a/src/jobs/book.c
+++ b/src/jobs/book.c
@@ -1,4 +1,4 @@
-/* Fold of submissions, cancellations and progress.  */
+/* Applies submissions, cancellations and progress to the book.  */
 
 #include "jobs/book.h"
 
@@ -10,7 +10,7 @@
 #include "jobs/records.h"
 #include "jobs/suspicion.h"
 
-/* More than any job is kept; an older time is a clock that is wrong.  */
+/* Longer than any job is kept; an older time comes from a wrong clock.  */
 #define AGE_MAX_MS ((int64_t)3600 * 1000)
 
 static void
@@ -128,14 +128,14 @@
 
   g_strlcpy (id, name, sizeof id);
   job = gp_book_find (book, id);
-  /* A submission that cannot be read never comes: waiting for it would hold
-     up all later ends of the executor.  */
+  /* A submission that cannot be read never arrives: waiting for it would block
+     all later ends of the executor.  */
   return job != NULL && job->submission == NULL && !job->lacks_submission
          && job->early_progress != NULL
          && job->early_progress->state < GP_JOB_COMPLETED;
 }
 
-/* Set a task back to its beginning before a record is applied.  */
+/* Resets a task to its initial state before a record is applied.  */
 static void
 reset_task (gp_job_task_t *task)
 {
@@ -169,7 +169,7 @@
                      progress->stopping ? GP_TASK_STOPPING : GP_TASK_ASSIGNED);
 }
 
-/* Bring the list of live jobs up to date with JOB.  */
+/* Adds JOB to the list of live jobs or removes it.  */
 static void
 update_live (gp_book_t *book, gp_job_t *job)
 {
@@ -192,7 +192,8 @@
   for (size_t i = 0; i < progress->n_tasks; i++)
     apply_task (book, &job->tasks[progress->tasks[i]->index],
                 progress->tasks[i]);
-  /* It waits as long as its runs are on executors that are down.  */
+  /* A job remains queued as long as its runs are on executors that are
+     down.  */
   job->started = progress->n_done > 0 || progress->state > GP_JOB_QUEUED;
   job->ended_wall_ms = progress->ended_wall_ms;
   job->state = (gp_job_state_t)progress->state;
@@ -200,7 +201,7 @@
   update_live (book, job);
 }
 
-/* Apply what came before the submission.  */
+/* Applies the progress received before the submission.  */
 static bool
 apply_early (gp_book_t *book, gp_job_t *job, GError **error)
 {
@@ -216,7 +217,8 @@
   return fits;
 }
 
-/* How long ago SUBMISSION was accepted; clocks may differ a little.  */
+/* Returns how long ago SUBMISSION was accepted; clocks may differ a
+   little.  */
 static gp_time_t
 age_of (const Gp__Jobs__Submission *submission, int64_t wall_ms)
 {
@@ -275,10 +277,10 @@
   job->early_progress = progress;
 }
 
-/* The number that stands in a record for the run of a task that is done.  */
+/* Stands for the run number of a task that is done.  */
 #define RUN_DONE UINT64_MAX
 
-/* The runs that PROGRESS tells, by task; owned by the caller.  */
+/* Returns the run numbers in PROGRESS, by task; owned by the caller.  */
 static uint64_t *
 told_runs (const gp_job_t *job, const Gp__Jobs__Progress *progress)
 {
@@ -291,9 +293,10 @@
   return runs;
 }
 
-/* Can PROGRESS come after what is known of JOB?  Numbers of runs only grow,
-   and what is done stays so; a record that says otherwise would have a run
-   started twice.  A job that has ended tells no more of its tasks.  */
+/* Returns whether PROGRESS can follow the known state of JOB.  Run numbers
+   only grow, and a done task stays done; a record that says otherwise would
+   cause a run to be started twice.  The record of a job that has ended does
+   not list all its tasks.  */
 static bool
 follows (const gp_job_t *job, const Gp__Jobs__Progress *progress,
          GError **error)
@@ -314,7 +317,8 @@
   return grows || gp_field_fail (error, "run", "goes back");
 }
 
-/* Is PROGRESS one of JOB, whose submission may still have to come?  */
+/* Returns whether PROGRESS can belong to JOB, whose submission may not have
+   arrived yet.  */
 static bool
 is_of_job (const gp_job_t *job, const Gp__Jobs__Progress *progress,
            GError **error)
@@ -387,8 +391,8 @@
   update_live (book, job);
 }
 
-/* Does a record of the job need TASK?  When the job has ended, only what may
-   still be at work.  */
+/* Returns whether TASK has to be in its job's record.  If the job has ended,
+   only tasks that may still be running are.  */
 static bool
 is_packed (const gp_job_task_t *task, bool ended)
 {
@@ -470,7 +474,6 @@
   return pending;
 }
 
-/* Has JOB ended, so long ago that nothing of it is at work?  */
 bool
 gp_book_expired (const gp_job_t *job, int64_t wall_ms)
 {
--- a/src/jobs/evacuations.c
+++ b/src/jobs/evacuations.c
@@ -1,13 +1,13 @@
-/* Availability zones that operators have evacuated.  */
+/* The availability zones that operators have evacuated.  */
 
 #include "jobs/evacuations.h"
 
 /* A zone that was evacuated at least once while this process ran.  */
 typedef struct
 {
-  uint64_t offset; /* of the newest record known */
+  uint64_t offset; /* of the newest known record */
   bool evacuated;
-  bool shown; /* by the load that is in progress, or the last one */
+  bool shown; /* delivered by the load in progress or the last one */
 } zone_t;
 
 void
--- a/src/jobs/evacuations.h
+++ b/src/jobs/evacuations.h
@@ -1,10 +1,10 @@
-/* Availability zones that operators have evacuated: nothing is started in them
-   until they are taken back.
+/* The availability zones that operators have evacuated: nothing is started in
+   them until the evacuation is revoked.
 
-   A zone is evacuated from the first record that says so until one that takes
-   it back, or until a load of the whole topic, which shows the newest record
-   of each key, does not show it any more.  What a load that is not over has
-   not shown yet stays as it was.
+   A zone is evacuated from the first record that says so until a record
+   revokes it, or until a load of the whole topic, which delivers the newest
+   record of each key, no longer contains it.  Zones that a load in progress
+   has not delivered yet keep their state.
 
    Pure.  */
 
@@ -17,23 +17,25 @@
 
 typedef struct
 {
-  GHashTable *zones; /* name to what is known of it, owned */
+  GHashTable *zones; /* name to its state, owned */
 } gp_evacuations_t;
 
 void gp_evacuations_init (gp_evacuations_t *evacuations);
 void gp_evacuations_finish (gp_evacuations_t *evacuations);
 
-/* The record at OFFSET evacuates ZONE, or takes it back; an older one than is
-   known changes nothing.  Returns whether the zone is another way now.  */
+/* The record at OFFSET evacuates ZONE, or revokes its evacuation.  A record
+   older than the known one changes nothing.  Return whether the state of the
+   zone has changed.  */
 bool gp_evacuations_put (gp_evacuations_t *evacuations, const char *zone,
                          uint64_t offset);
 bool gp_evacuations_take_back (gp_evacuations_t *evacuations, const char *zone,
                                uint64_t offset);
 
-/* A load of the topic begins, from the first record on.  */
+/* A load of the topic starts from its first record.  */
 void gp_evacuations_begin_load (gp_evacuations_t *evacuations);
-/* It is over: what it did not show has been taken back.  Adds the names,
-   owned, of the zones that are another way now to CHANGED.  */
+/* The load is complete: zones that it did not deliver are no longer evacuated.
+   Appends the names, owned, of the zones whose state has changed to
+   CHANGED.  */
 void gp_evacuations_end_load (gp_evacuations_t *evacuations,
                               GPtrArray *changed);
 
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -1,4 +1,4 @@
-/* A job of steps and its tasks.  */
+/* A job, its steps and its tasks.  */
 
 #include "jobs/job.h"
 
@@ -101,8 +101,8 @@
   return false;
 }
 
-/* Times are added and multiplied later on: they stay far from where that
-   overflows.  */
+/* Limits times so that later additions and multiplications cannot
+   overflow.  */
 static bool
 check_times (const Gp__Jobs__Submission *submission, GError **error)
 {
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,14 +1,15 @@
-/* A job of steps and its tasks.
+/* A job, its steps and its tasks.
 
-   A job is a Submission (protocol/jobs.proto) and what became of its tasks.
-   Step S of occurrence K has COUNT tasks; all tasks of a job stand in one
-   array, occurrence after occurrence and in it step after step, so that a
-   task has one index.  What a task has come to is packed into a Progress
-   record, which replaces the one before; a reader needs only the newest.
+   A job is a Submission (protocol/jobs.proto) and the state of its tasks.
+   Step S of occurrence K has COUNT tasks.  All tasks of a job are stored in
+   one array, ordered by occurrence and then by step, so each task has a single
+   index.  The state of the tasks is packed into a Progress record, which
+   replaces the previous one; a reader needs only the newest.
 
-   The right to run: a task has at most one run that may be at work, the one
-   numbered RUN on EXECUTOR.  It is given up only when that executor has told
-   its end or its absence, or is certainly dead (see jobs/scheduler.h).  */
+   The right to run: at most one run of a task may be running, the one numbered
+   RUN on EXECUTOR.  It is given up only when the run's end or absence on that
+   executor has been reported, or the executor is certainly dead (see
+   jobs/scheduler.h).  */
 
 #ifndef GP_JOBS_JOB_H
 #define GP_JOBS_JOB_H
@@ -28,11 +29,11 @@
 
 /* Hexadecimal digits of a job's id.  */
 #define GP_JOB_ID_SIZE 16
-/* Bounds of a submission; beyond them it is refused.  */
+/* Limits on a submission; it is refused if it exceeds them.  */
 #define GP_JOB_MAX_STEPS 64
 #define GP_JOB_MAX_TASKS 5000
-/* The same of an objective's stretch: ten thousand times the duration of the
-   work.  The product with the longest duration is still a point in time.  */
+/* Limit on an objective's stretch: ten thousand times the duration of the
+   work.  Its product with the longest duration is still a valid time.  */
 #define GP_JOB_MAX_STRETCH_PERCENT 1000000
 /* Enough for the name of any task: id, occurrence, step and index.  */
 #define GP_TASK_NAME_SIZE 64
@@ -49,20 +50,20 @@
 typedef enum
 {
   GP_TASK_WAITING,
-  GP_TASK_ASSIGNED, /* its run may be at work on its executor */
-  GP_TASK_STOPPING, /* the same, and the run is to end */
+  GP_TASK_ASSIGNED, /* its run may be running on its executor */
+  GP_TASK_STOPPING, /* the same, and the run has been told to end */
   GP_TASK_DONE
 } gp_task_state_t;
 
-/* How a run has ended.  */
+/* How a run ended.  */
 typedef enum
 {
   GP_END_DONE,
   GP_END_FAILED,  /* by its own or the executor's fault */
   GP_END_STOPPED, /* on order */
-  GP_END_LAPSED,  /* the executor's lease ran out */
+  GP_END_LAPSED,  /* the executor's lease expired */
   GP_END_BROKEN,  /* another member of its gang ended */
-  GP_END_ALONE    /* the others of its gang did not come in time */
+  GP_END_ALONE    /* the other members of its gang did not arrive in time */
 } gp_end_t;
 
 struct gp_job_task
@@ -72,68 +73,69 @@
   gp_task_state_t state;
   uint32_t run; /* the last number used, 0: none */
   uint32_t failures;
-  uint32_t crashes;      /* executors that have gone down under it, one after
-                            the other; see jobs/suspicion.h */
-  uint32_t evidence;     /* of these ends, that it has brought them about */
-  gp_time_t alone_since; /* it looks for an executor of its own, 0: not yet; by
-                            this process */
-  bool excused;    /* the end of its last run passed for a loss of power; by
-                      this process */
-  bool alone;      /* nothing of other jobs had just begun beside its run, nor
-                      will */
-  bool settled;    /* its run was at work for long enough not to be what
-                      takes its executor down */
-  bool suspect;    /* its guard told that its run may be ... */
-  bool fresh;      /* ... and had begun lately ... */
-  bool just;       /* ... or just then ... */
-  uint32_t age_ms; /* ... so long before, 0: not known */
-  bool unanswered; /* ... or may have: its start was not answered */
-  bool timed;      /* by when its executor ended, not by the lists */
+  uint32_t crashes;  /* consecutive crashes of executors that count against the
+                        task; see jobs/suspicion.h */
+  uint32_t evidence; /* evidence of these that the task caused them */
+  gp_time_t alone_since; /* since when it waits for an isolated start, 0: it
+                            does not; known to this process only */
+  bool excused; /* the loss of its last run was attributed to an outage; known
+                   to this process only */
+  bool alone; /* its run is isolated: no run of another job on the executor had
+                 just started, nor will any be started there */
+  bool settled;    /* its run has run for long enough not to be the one that
+                      crashes its executor */
+  bool suspect;    /* its guard reported the run as a suspect ... */
+  bool fresh;      /* ... that had started recently ... */
+  bool just;       /* ... or immediately before the crash ... */
+  uint32_t age_ms; /* ... by this time, 0: unknown ... */
+  bool unanswered; /* ... or may have, as its start was not answered */
+  bool timed;      /* known from when its executor ended, not from its lists */
   gp_job_executor_t *executor; /* while assigned or stopping */
   gp_list_t on_executor;       /* in gp_job_executor_t.tasks */
   char *checkpoint;            /* NULL: none */
-  gp_time_t took;              /* duration of the run that was done, as seen
-                                  by this process, 0: not known */
-  gp_time_t since; /* when the run was assigned, or ordered where that was put
-                      off, by this process */
-  bool held;       /* it may have begun long after that: it is alone, or waits
-                      for one that is */
+  gp_time_t took;  /* duration of the run that was done, as seen by this
+                      process, 0: unknown */
+  gp_time_t since; /* when this process assigned the run, or ordered it if the
+                      order was delayed */
+  bool held; /* it may have started long after that, because it is isolated or
+                waits for an isolated run to settle */
   gp_job_executor_t *failed_on; /* the last executor it failed on */
-  gp_job_executor_t *stray_on;  /* that was told to be at work with a run which
-                                   is not wanted there, NULL: none ... */
-  uint64_t stray_report;        /* ... in this report of its guard */
-  gp_time_t slow_since; /* a filling run is held to little speed since, 0:
+  gp_job_executor_t *stray_on;  /* the executor reported to have a stray run of
+                                   it, NULL: none ... */
+  uint64_t stray_report;        /* ... and the number of the guard's report */
+  gp_time_t slow_since; /* since when this filling run has been throttled, 0:
                            it is not */
 };
 
-/* What keeps a task from a place, the nearest to one last.  */
+/* What keeps a task from being placed, in order of how close the task is to
+   being placed.  */
 typedef enum
 {
   GP_WAIT_NOT,
   GP_WAIT_NOBODY, /* no executor of its service and label */
-  GP_WAIT_ROOM,   /* no room on any */
-  GP_WAIT_APART,  /* only beside others of its step */
-  /* There is room on executors that ...  */
+  GP_WAIT_ROOM,   /* no executor has enough free capacity */
+  GP_WAIT_APART,  /* only where its step's max_per_executor is reached */
+  /* There are executors with enough free capacity that ...  */
   GP_WAIT_ZONE,        /* ... are in an evacuated zone */
-  GP_WAIT_UNREACHABLE, /* ... are silent, or have no leader's word yet */
+  GP_WAIT_UNREACHABLE, /* ... are not reported, or do not answer */
   GP_WAIT_DRAINING,    /* ... are about to leave */
   GP_WAIT_DISTRUSTED,  /* ... have just failed runs or refused one */
-  GP_WAIT_KEPT,        /* ... are kept for suspects, or in quarantine */
-  GP_WAIT_HARM,        /* ... run what it would harm */
+  GP_WAIT_KEPT,        /* ... are dedicated to suspects, or in quarantine */
+  GP_WAIT_HARM,        /* ... have runs that it would interfere with */
   GP_WAIT_GANG,        /* ... are too few for all of its gang */
-  /* It is held back itself: */
-  GP_WAIT_ALONE,      /* a suspect, which starts alone */
-  GP_WAIT_QUARANTINE, /* of a queue that brings suspects */
+  /* The task itself is held back:  */
+  GP_WAIT_ALONE,      /* a suspect that waits for an isolated start */
+  GP_WAIT_QUARANTINE, /* it belongs to a suspect queue */
   GP_WAIT_STRAY       /* see gp_job_executor_has_stray */
 } gp_wait_cause_t;
 
-/* A step's wait for a place.  */
+/* How a step waits for a place.  */
 typedef struct
 {
-  gp_time_t since;       /* a task of it finds none, 0: none waits */
-  gp_time_t look_at;     /* no look before */
-  gp_wait_cause_t cause; /* as last told */
-  bool counted;          /* among those that could run */
+  gp_time_t since;   /* since when a task of it finds none, 0: none waits */
+  gp_time_t look_at; /* time of the next examination */
+  gp_wait_cause_t cause; /* as last logged */
+  bool counted;          /* counted among the steps that could run */
 } gp_job_wait_t;
 
 /* The tasks of one step in one occurrence.  */
@@ -149,24 +151,24 @@
   char id[GP_JOB_ID_SIZE + 1];
   Gp__Jobs__Submission *submission; /* NULL until its record is read */
   gp_job_state_t state;
-  gp_job_state_t recorded; /* the state that is on the log: what callers are
-                              told, as a later one may be lost */
+  gp_job_state_t recorded; /* the state that is in the log.  Callers are told
+                              this one, as a later one may be lost */
   bool cancelled;
   bool lacks_submission; /* its record cannot be read */
-  bool lacks_progress;   /* the same, and what stood before was not seen: which
-                            runs it has is unknown, so none is started */
-  bool overwritten;      /* the newest progress cannot be read, and what stood
-                            before is known here */
-  uint64_t progress_end; /* one past the offset of the newest progress that was
-                            folded, 0: none was */
+  bool lacks_progress;   /* its progress cannot be read, and no earlier one was
+                            seen: its runs are unknown, so none is started */
+  bool overwritten; /* the newest progress cannot be read, but the one before
+                       is known */
+  uint64_t progress_end; /* one past the offset of the newest progress applied,
+                            0: none */
   int64_t ended_wall_ms;
   gp_time_t submitted_at; /* by its record, on this process's clock */
-  gp_time_t forecast_at;  /* what follows was computed, 0: it was not; see
-                             jobs/forecast.h */
+  gp_time_t forecast_at;  /* when due_at, useless_at and task_times were
+                             computed, 0: never; see jobs/forecast.h */
   gp_time_t due_at;       /* its objective */
-  gp_time_t useless_at;   /* its end earns nothing after */
+  gp_time_t useless_at;   /* its result is of no use after this */
   gp_time_t *task_times;  /* expected duration of a task, by step */
-  gp_headroom_t *loads;   /* of the runs that serve, by step */
+  gp_headroom_t *loads;   /* headroom of the serving runs, by step */
   uint32_t occurrences;
   uint32_t tasks_per_occurrence;
   uint32_t *step_start; /* first index of each step in an occurrence */
@@ -174,46 +176,48 @@
   gp_step_tally_t *tallies; /* by occurrence and step */
   uint32_t task_count;
   uint32_t done_count;
-  bool started;         /* a run was assigned once, to an executor that was
-                           not known to be down */
-  gp_time_t idle_since; /* it has work and no run since, 0: it has a run */
+  bool started; /* a run was assigned at some time to an executor that was not
+                   known to be down */
+  gp_time_t idle_since; /* no run but work to do since then, 0: it has a run */
   bool dropped;         /* its submission is being dropped from the log */
-  gp_list_t link;       /* in gp_book_t.live while it has not ended and
-                           its progress is known */
-  gp_list_t dirty_link; /* in gp_scheduler_t.dirty */
-  Gp__Jobs__Progress *early_progress; /* came before its submission */
+  gp_list_t link; /* in gp_book_t.live while it has not ended and its progress
+                     is known */
+  gp_list_t dirty_link;               /* in gp_scheduler_t.dirty */
+  Gp__Jobs__Progress *early_progress; /* received before its submission */
 };
 
 gp_job_t *gp_job_new (const char *id);
 void gp_job_free (gp_job_t *job);
 
-/* Is TEXT, SIZE bytes long, the id of a job?  */
+/* Returns whether TEXT, SIZE bytes long, is the id of a job.  */
 bool gp_job_id_valid (const char *text, size_t size);
 
-/* Take SUBMISSION, which the job owns from then on, once.  False when it
-   breaks a bound; SUBMISSION is then the caller's.  */
+/* Sets SUBMISSION, which the job then owns; possible only once.  Returns false
+   if it exceeds a limit; the caller keeps SUBMISSION then.  */
 bool gp_job_define (gp_job_t *job, Gp__Jobs__Submission *submission,
                     gp_time_t submitted_at);
 
-/* Can SUBMISSION be scheduled at all?  FALSE sets ERROR.  */
+/* Returns whether SUBMISSION can be scheduled at all.  FALSE sets ERROR.  */
 bool gp_job_check (const Gp__Jobs__Submission *submission, GError **error);
 
-/* Are the newest records of JOB, or what stood before them, known?  */
+/* Returns whether the newest records of JOB, or earlier ones, are known.  */
 bool gp_job_is_readable (const gp_job_t *job);
 
 bool gp_job_ended (const gp_job_t *job);
 
-/* Is any task of JOB on an executor?  */
+/* Returns whether any task of JOB is on an executor.  */
 bool gp_job_has_run (const gp_job_t *job);
 
-/* A run of JOB may be at work: it waits no longer.  FALSE: nor did it
-   before.  */
+/* A run of JOB may be running: the job is no longer queued.  Returns whether
+   it was.  */
 bool gp_job_begin (gp_job_t *job);
 
-/* The same by what is on the log, which is what callers are told.  */
+/* Like gp_job_ended, but by the state in the log, which is what callers are
+   told.  */
 bool gp_job_end_is_recorded (const gp_job_t *job);
 
-/* Is an end before WALL_MS (since 1970) on the log?  */
+/* Returns whether JOB's end is in the log and was before WALL_MS (since
+   1970).  */
 bool gp_job_ended_before (const gp_job_t *job, int64_t wall_ms);
 
 const Gp__Jobs__Step *gp_task_step (const gp_job_task_t *task);
@@ -221,27 +225,27 @@
 uint32_t gp_task_occurrence (const gp_job_task_t *task);
 gp_step_tally_t *gp_task_tally (const gp_job_task_t *task);
 
-/* The tasks of STEP in OCCURRENCE, as many as the step counts.  */
+/* Returns the tasks of STEP in OCCURRENCE, as many as the step counts.  */
 gp_job_task_t *gp_job_step_tasks (const gp_job_t *job, uint32_t occurrence,
                                   uint32_t step);
 
-/* The tallies of OCCURRENCE, one for each step.  */
+/* Returns the tallies of OCCURRENCE, one for each step.  */
 gp_step_tally_t *gp_job_tallies (const gp_job_t *job, uint32_t occurrence);
 
-/* Write the task's name, "ID.OCCURRENCE.STEP.INDEX".  */
+/* Writes the task's name, "ID.OCCURRENCE.STEP.INDEX".  */
 void gp_task_name (const gp_job_task_t *task, char name[GP_TASK_NAME_SIZE]);
 
-/* Are all steps that STEP of OCCURRENCE waits for done, and its time come
-   (WALL_MS since 1970)?  */
+/* Returns whether all steps that STEP of OCCURRENCE depends on are done and
+   the occurrence is due (WALL_MS since 1970).  */
 bool gp_job_step_ready (const gp_job_t *job, uint32_t occurrence,
                         uint32_t step, int64_t wall_ms);
 
-/* When OCCURRENCE is due, on this process's clock: for a job that is not timed
-   when it was submitted.  */
+/* Returns when OCCURRENCE is due, on this process's clock; for a job that is
+   not timed, when it was submitted.  */
 gp_time_t gp_job_occurrence_at (const gp_job_t *job, uint32_t occurrence);
 
-/* Set the state of TASK and keep the tallies; the executor's lists are the
-   caller's.  */
+/* Sets the state of TASK and updates the tallies.  The caller updates the
+   executor's list.  */
 void gp_task_set_state (gp_job_task_t *task, gp_task_state_t state);
 
 const char *gp_job_state_name (gp_job_state_t state);
--- a/src/jobs/placer_private.h
+++ b/src/jobs/placer_private.h
@@ -19,8 +19,7 @@
   gp_pressure_t *pressure;
   gp_time_t now;
   gp_quarantine_t *quarantine; /* NULL: nothing is assigned in this pass */
-  GArray
-      *candidates; /* gp_placer_candidate_t of executors that may take work */
+  GArray *candidates; /* gp_placer_candidate_t, those that may take work */
   GPtrArray *placed;
 } gp_placer_pass_t;
 
--- a/src/jobs/progress_compact.c
+++ b/src/jobs/progress_compact.c
@@ -1,4 +1,4 @@
-/* Progress of jobs in few bytes.  */
+/* Compact encoding of the progress of jobs.  */
 
 #include "jobs/progress_compact.h"
 
@@ -8,16 +8,17 @@
 #include "jobs/job.h"
 #include "protocol/message.h"
 
-/* Hexadecimal digits of a number of an executor.  */
+/* Maximum number of hexadecimal digits in an executor's number.  */
 #define DIGITS_MAX 15
-/* Bytes of an id that is split.  */
+/* Size limit of an id that is split.  */
 #define ID_MAX 64
 
-/* An executor's id as PREFIX and NUMBER in DIGITS hexadecimal digits.  */
+/* An executor's id, split into PREFIX and NUMBER with DIGITS hexadecimal
+   digits.  */
 typedef struct
 {
   char prefix[ID_MAX];
-  uint32_t digits; /* 0: it has none */
+  uint32_t digits; /* 0: the id has no digits, or is too long */
   uint64_t number;
 } split_id_t;
 
@@ -53,9 +54,9 @@
   GArray *gaps;    /* uint32_t */
   GArray *runs;    /* uint32_t */
   GArray *numbers; /* uint64_t */
-  GPtrArray *rest; /* Gp__Jobs__TaskProgress, of the caller */
+  GPtrArray *rest; /* Gp__Jobs__TaskProgress, owned by the caller */
   split_id_t first;
-  uint32_t next; /* one past the last run in a column */
+  uint32_t next; /* one past the index of the last run in a column */
 } columns_t;
 
 static void
@@ -79,8 +80,8 @@
   g_ptr_array_unref (columns->rest);
 }
 
-/* Each range is two numbers: tasks between the one before and it, and tasks
-   in it.  */
+/* A range is two numbers: the count of tasks since the previous range, and the
+   count of tasks in the range.  */
 static void
 add_done (columns_t *columns, const Gp__Jobs__Progress *progress)
 {
@@ -110,7 +111,7 @@
          && task->checkpoint.len == 0 && !task->stopping;
 }
 
-/* Put TASK into the columns, if it fits there.  */
+/* Adds TASK to the columns if it fits.  Returns whether it did.  */
 static bool
 add_run (columns_t *columns, const Gp__Jobs__TaskProgress *task)
 {
@@ -161,8 +162,8 @@
   return bytes;
 }
 
-/* Expanding.  What stays in a message is made with malloc, as protobuf-c does
-   when it unpacks without an allocator.  */
+/* Expanding.  Data that remains in a message is allocated with malloc, as
+   protobuf-c does when it unpacks without an allocator.  */
 
 static bool
 check_ranges (const Gp__Jobs__Progress *progress, GError **error)
--- a/src/jobs/progress_compact.h
+++ b/src/jobs/progress_compact.h
@@ -1,13 +1,13 @@
-/* Progress of jobs in few bytes.
+/* Compact encoding of the progress of jobs.
 
-   A record of progress replaces the one before with each change of the job,
-   and all entries read it: 43 KB a second for 100 starts a second with one
-   message for each run (346 bytes a record, 15 runs and 32 done tasks in the
-   mean).  In the compact form tasks that are done are ranges, and runs that
-   are at work columns of numbers: the executor's id is a prefix, which most
-   of a record's executors share, and hexadecimal digits.  What doesn't fit
-   stays a message of its own, and so does all in a record that was written
-   without columns.
+   A progress record replaces the previous one with each change of the job, and
+   all entries read it.  With one message for each run that took 43 KB/s at 100
+   starts per second (346 bytes per record, with 15 runs and 32 done tasks on
+   average).  In the compact form, done tasks are ranges and running tasks are
+   columns of numbers; an executor's id is split into a prefix, which most
+   executors in a record share, and hexadecimal digits.  Tasks that do not fit
+   remain separate messages, and so does everything in a record that was
+   written without columns.
 
    Pure.  */
 
@@ -19,13 +19,13 @@
 
 #include "jobs.pb-c.h"
 
-/* PROGRESS as bytes, in the compact form; tasks come in the order of their
-   index.  */
+/* Returns PROGRESS as bytes in the compact form.  Its tasks have to be ordered
+   by index.  */
 GBytes *gp_progress_pack (const Gp__Jobs__Progress *progress);
 
-/* Bring PROGRESS, as it was unpacked, into the form with one message for each
-   run.  False and ERROR, with the field, when that is not possible; PROGRESS
-   is then as it was.  */
+/* Converts the unpacked PROGRESS to the form with one message for each run.
+   Returns false and sets ERROR, naming the field, if that is not possible;
+   PROGRESS is unchanged then.  */
 bool gp_progress_expand (Gp__Jobs__Progress *progress, GError **error);
 
 #endif
--- a/src/jobs/records.c
+++ b/src/jobs/records.c
@@ -1,4 +1,4 @@
-/* The records that processes keep on the log, as typed values.  */
+/* Typed values of the records that processes keep in the log.  */
 
 #include "jobs/records.h"
 
@@ -13,7 +13,7 @@
 #include "jobs/progress_compact.h"
 #include "jobs/suspicion.h"
 
-/* The message of DESCRIPTOR in VALUE, NULL and ERROR when there is none.  */
+/* Decodes the message of DESCRIPTOR in VALUE; NULL sets ERROR.  */
 static void *
 unpack (const ProtobufCMessageDescriptor *descriptor, const uint8_t *value,
         size_t size, GError **error)
@@ -27,7 +27,8 @@
   return message;
 }
 
-/* MESSAGE where its fields are VALID; otherwise it is freed.  */
+/* Returns MESSAGE if its fields are VALID, otherwise frees it and returns
+   NULL.  */
 static void *
 keep_valid (void *message, bool valid)
 {
@@ -52,7 +53,7 @@
 
 /* Progress.  */
 
-/* Note that the task INDEX was named; SEEN has a place for each.  */
+/* Marks the task INDEX as named; SEEN has one element for each task.  */
 static bool
 check_index (uint32_t index, bool *seen, GError **error)
 {
@@ -102,9 +103,9 @@
   return true;
 }
 
-/* A job has a time of its end exactly when it has ended.  One that has not is
-   written down for its runs: bytes that tell none would set it back to its
-   beginning.  */
+/* A job has an end time exactly if it has ended.  The progress of a job that
+   has not ended is written for the sake of its runs: bytes without any would
+   reset it to its beginning.  */
 static bool
 check_progress (const Gp__Jobs__Progress *progress, GError **error)
 {
@@ -148,7 +149,7 @@
   return fits;
 }
 
-/* Places, the lead and nodes.  */
+/* Places, leadership and nodes.  */
 
 static Gp__Jobs__Place *
 parse_place (const uint8_t *value, size_t size, GError **error)
@@ -163,9 +164,9 @@
                                     "born_ms", error));
 }
 
-/* The numbers begin with 1, and an incarnation is a time.  */
-/* Numbers of processes are taken from the time of day and count on from
-   there.  */
+/* Incarnation numbers of processes start at the time of day and count up from
+   there, and other numbers start at 1: zero means that the field is
+   missing.  */
 static bool
 check_incarnation (uint64_t incarnation, const char *field, GError **error)
 {
@@ -176,7 +177,7 @@
   return true;
 }
 
-/* Nobody gives leases for longer than a term.  */
+/* No lease is granted for longer than a term.  */
 static bool
 check_term (uint32_t milliseconds, const char *field, GError **error)
 {
@@ -239,8 +240,8 @@
   return keep_valid (node, node != NULL && check_node (node, error));
 }
 
-/* What was learned: rows that stand for themselves, so that one that is wrong
-   is left out and the others hold.  */
+/* Learned values.  The rows are independent of each other: an invalid one is
+   left out and the others remain valid.  */
 
 static bool
 check_pressure (const Gp__Jobs__Pressure *row, GError **error)
@@ -320,8 +321,8 @@
   record->subject = copy;
 }
 
-/* The kind is not known yet, the subject is the key: as far as a byte of
-   value 0, which no key of ours has.  */
+/* The kind is not known yet.  The subject is the key up to the first zero
+   byte, which no valid key contains.  */
 static void
 begin (gp_record_t *record, const char *key, size_t key_size)
 {
@@ -338,14 +339,15 @@
   return false;
 }
 
-/* Is NAME, cut from SIZE bytes of a key, the name of a VM?  */
+/* Returns whether NAME, taken from SIZE bytes of a key, is the name of a
+   VM.  */
 static bool
 is_node_name (const char *name, size_t size)
 {
   return strlen (name) == size && gp_field_name (name, "key", NULL);
 }
 
-/* What stands after PREFIX in KEY, SIZE bytes long, or NULL.  */
+/* Returns the part of KEY, SIZE bytes long, after PREFIX, or NULL.  */
 static const char *
 after_prefix (const char *key, const char *prefix, size_t *size)
 {
@@ -386,14 +388,14 @@
   record->u.submission = gp_record_submission (value, value_size, error);
   if (record->u.submission == NULL)
     return false;
-  /* Its last field: without it the record was cut off behind its steps, which
-     would be run under the policy of no queue.  */
+  /* This is the last field: without it the record was truncated after its
+     steps, and they would run without the policy of their queue.  */
   if (record->u.submission->accepted_wall_ms == 0)
     return gp_field_fail (error, "accepted_wall_ms", "missing");
   return true;
 }
 
-/* The kind of a record of progress by its key.  */
+/* Sets the kind of a progress record according to its key.  */
 static void
 find_kind (gp_record_t *record, size_t key_size)
 {
@@ -453,7 +455,7 @@
   return record->u.node != NULL;
 }
 
-/* Free the message of RECORD: each begins with its base.  */
+/* Frees the message of a record; each message begins with its base.  */
 static void
 free_message (ProtobufCMessage *message)
 {
--- a/src/jobs/records.h
+++ b/src/jobs/records.h
@@ -1,19 +1,19 @@
-/* The records that processes keep on the log, as typed values.
+/* Typed values of the records that processes keep in the log.
 
    The one place that decides whether a record is valid.  A record may come
-   from another writer: under a key that is none of ours, with bytes that do
-   not decode, or with bytes that decode by chance and mean nothing.  Each
-   decoder takes the key and the bytes of a record and gives a tagged union of
-   messages in which every field was checked, or an error with the place and
-   the cause:
+   from another writer: it may have an unknown key, bytes that do not decode,
+   or bytes that decode by chance and are meaningless.  Each decoder takes the
+   key and the bytes of a record and returns a tagged union of messages in
+   which every field was checked, or an error with the place and the cause:
 
-   GP_STATE_ERROR_UNKNOWN   the key is none of this topic's;
-   GP_STATE_ERROR_CORRUPT   the bytes are no message;
+   GP_STATE_ERROR_UNKNOWN   the key does not belong to this topic;
+   GP_STATE_ERROR_CORRUPT   the bytes are not a message;
    GP_STATE_ERROR_INVALID   a field breaks a rule; the message names it.
 
-   What one record cannot tell alone is checked by who folds it: whether the
-   tasks of a progress are tasks of its job (jobs/book.h), and whether a place
-   names an executor that stands elsewhere (jobsd/leader.h).
+   What cannot be checked from one record alone is checked by whoever applies
+   it: whether the tasks of a progress belong to its job (jobs/book.h), and
+   whether a place names an executor that is known to be elsewhere
+   (jobsd/leader.h).
 
    Pure: no log line, no counter.  */
 
@@ -26,20 +26,20 @@
 
 #include "jobs.pb-c.h"
 
-/* Before a job's id in the key of its cancellation.  */
+/* Prefix of a job's id in the key of its cancellation.  */
 #define GP_CANCEL_PREFIX "c."
-/* Its value.  */
+/* The value of a cancellation.  */
 #define GP_CANCEL_VALUE "1"
 /* The key of the leader's record.  */
 #define GP_LEADER_KEY "leader"
 /* The key of what leaders have learned.  */
 #define GP_LEARNED_KEY "learned"
-/* Before the name of a VM in the key that tells its executor.  */
+/* Prefix of a VM's name in the key that gives its executor.  */
 #define GP_PLACE_PREFIX "at."
 
 typedef enum
 {
-  GP_RECORD_UNKNOWN, /* the key is none of ours */
+  GP_RECORD_UNKNOWN, /* the key does not belong to the topic */
   GP_RECORD_SUBMISSION,
   GP_RECORD_CANCELLATION,
   GP_RECORD_PROGRESS,
@@ -51,7 +51,7 @@
 
 typedef struct
 {
-  gp_record_kind_t kind; /* by the key, also of a record that is refused */
+  gp_record_kind_t kind; /* from the key, also for a refused record */
   char *subject;         /* owned: a job's id, the name of a VM, or the key */
   union
   {
@@ -61,15 +61,15 @@
     Gp__Jobs__Leadership *leadership;
     Gp__Jobs__Learned *learned; /* without the rows that were refused */
     Gp__Jobs__Node *node;
-  } u;             /* NULL where the record was refused or taken */
-  GError *refused; /* owned: why the first row of a record that is taken was
-                      left out, NULL: none was */
+  } u; /* NULL if the record was refused or the message taken over */
+  GError *refused; /* owned: why the first row of an accepted record was left
+                      out, NULL: none was */
 } gp_record_t;
 
 /* Decode a record of the topic of jobs, of progress, or of nodes.  KEY is not
-   terminated; the value is not empty, as that is the drop of a key.  FALSE
-   sets ERROR.  RECORD is to be finished in both cases; a caller that takes a
-   message over sets its place to NULL.  */
+   terminated.  The value is not empty, because an empty value drops a key.
+   FALSE sets ERROR.  Call gp_record_finish on RECORD in both cases; a caller
+   that takes over a message sets its pointer to NULL.  */
 bool gp_record_parse_job (gp_record_t *record, const char *key,
                           size_t key_size, const uint8_t *value,
                           size_t value_size, GError **error);
@@ -81,19 +81,20 @@
                            size_t value_size, GError **error);
 void gp_record_finish (gp_record_t *record);
 
-/* The messages of a job without their keys; NULL sets ERROR.  */
+/* Decode the messages of a job without their keys; NULL sets ERROR.  */
 Gp__Jobs__Submission *gp_record_submission (const uint8_t *value, size_t size,
                                             GError **error);
 Gp__Jobs__Progress *gp_record_progress (const uint8_t *value, size_t size,
                                         GError **error);
 
-/* Does PROGRESS name only the tasks of a job of TASK_COUNT, each once?  FALSE
-   sets ERROR.  */
+/* Returns whether PROGRESS, as decoded, names only tasks of a job with
+   TASK_COUNT tasks.  FALSE sets ERROR.  Decoding has checked that each is
+   named once.  */
 bool gp_record_progress_fits (const Gp__Jobs__Progress *progress,
                               uint32_t task_count, GError **error);
 
-/* Leave out the rows that nobody can have learned, from a record or from a
-   frame; the error of the first, or NULL.  */
+/* Removes the rows that cannot have been learned, from a record or a frame.
+   If *REFUSED is NULL, it is set to the error of the first one removed.  */
 void gp_record_sift_pressures (Gp__Jobs__Pressure **rows, size_t *count,
                                GError **refused);
 
--- a/src/jobs/scheduler.h
+++ b/src/jobs/scheduler.h
@@ -117,7 +117,7 @@
   GP_DEATH_RESTARTED, /* its next incarnation is up */
   GP_DEATH_LEFT, /* it signed off, and nothing listens on its address any more
                   */
-  GP_DEATH_LAPSED,  /* its guard reports that its lease has expired ...  */
+  GP_DEATH_LAPSED,  /* its guard reports that its lease has expired ... */
   GP_DEATH_UNHEARD, /* ... and that it does not answer */
   GP_DEATH_SILENT   /* no guard reports it, and all leases have expired */
 } gp_death_t;
