--- a/src/jobs/agent_alone.c
+++ b/src/jobs/agent_alone.c
@@ -137,7 +137,7 @@
 hold_by (gp_agent_t *agent, const gp_agent_run_t *other, gp_time_t now,
          gp_time_t *again_at)
 {
-  gp_time_t begun_at = other->began_at + GP_SUSPICION_BEGIN_TIME;
+  gp_time_t begun_at = other->began_at + GP_SUSPICION_START_WINDOW;
 
   if (may_begin_yet (other))
     {
@@ -240,7 +240,8 @@
   const gp_agent_run_t *run = gp_agent_alone_run (agent);
 
   if (run == NULL || run->phase != GP_RUN_STARTING || run->in_flight
-      || run->tried_at == 0 || now - run->tried_at < GP_SUSPICION_KEEP_TIME)
+      || run->tried_at == 0
+      || now - run->tried_at < GP_SUSPICION_DEDICATE_TIME)
     return;
   gp_log (GP_LOG_INFO, "run.given_back", GP_LOG_S ("task", run->name),
           GP_LOG_I ("run", run->run),
--- a/src/jobs/agent_measure.c
+++ b/src/jobs/agent_measure.c
@@ -96,7 +96,7 @@
 static unsigned int
 place_of (gp_agent_t *agent, const char *image)
 {
-  return gp_pressure_place (&agent->pacer.pressure, image);
+  return gp_pressure_image_index (&agent->pacer.pressure, image);
 }
 
 void
--- a/src/jobs/book.c
+++ b/src/jobs/book.c
@@ -82,8 +82,8 @@
 }
 
 gp_job_executor_t *
-gp_book_next_life (gp_book_t *book, gp_job_executor_t *executor,
-                   int64_t born_ms)
+gp_book_next_incarnation (gp_book_t *book, gp_job_executor_t *executor,
+                          int64_t born_ms)
 {
   gp_job_executor_t *next = gp_job_executor_new (executor->id);
 
@@ -121,7 +121,7 @@
 }
 
 bool
-gp_book_awaits (const gp_book_t *book, const char *name)
+gp_book_awaits_submission (const gp_book_t *book, const char *name)
 {
   char id[GP_JOB_ID_SIZE + 1];
   const gp_job_t *job;
@@ -130,7 +130,7 @@
   job = gp_book_find (book, id);
   /* A submission that cannot be read never arrives: waiting for it would block
      all later ends of the executor.  */
-  return job != NULL && job->submission == NULL && !job->lacks_submission
+  return job != NULL && job->submission == NULL && !job->submission_unreadable
          && job->early_progress != NULL
          && job->early_progress->state < GP_JOB_COMPLETED;
 }
@@ -146,7 +146,7 @@
   task->failures = 0;
   task->crashes = 0;
   task->evidence = 0;
-  gp_suspicion_forget_run (task);
+  gp_suspicion_reset_run (task);
   g_clear_pointer (&task->checkpoint, g_free);
 }
 
@@ -164,7 +164,7 @@
   if (*progress->executor == '\0')
     return;
   gp_job_executor_add (gp_book_executor (book, progress->executor), task);
-  gp_suspicion_folded (task, progress->alone);
+  gp_suspicion_restore (task, progress->alone);
   gp_task_set_state (task,
                      progress->stopping ? GP_TASK_STOPPING : GP_TASK_ASSIGNED);
 }
@@ -173,8 +173,8 @@
 static void
 update_live (gp_book_t *book, gp_job_t *job)
 {
-  bool live
-      = job->submission != NULL && !gp_job_ended (job) && !job->lacks_progress;
+  bool live = job->submission != NULL && !gp_job_ended (job)
+              && !job->progress_unknown;
 
   if (!live)
     gp_list_remove (&job->link);
@@ -211,7 +211,7 @@
   if (early == NULL)
     return true;
   fits = gp_record_progress_fits (early, job->task_count, error);
-  if (fits && !job->lacks_progress)
+  if (fits && !job->progress_unknown)
     apply (book, job, early);
   gp__jobs__progress__free_unpacked (early, NULL);
   return fits;
@@ -228,9 +228,9 @@
 }
 
 gp_job_t *
-gp_book_take_submission (gp_book_t *book, const char *id,
-                         Gp__Jobs__Submission *submission, gp_time_t now,
-                         int64_t wall_ms, GError **error)
+gp_book_apply_submission (gp_book_t *book, const char *id,
+                          Gp__Jobs__Submission *submission, gp_time_t now,
+                          int64_t wall_ms, GError **error)
 {
   gp_job_t *job = get_job (book, id);
 
@@ -239,10 +239,10 @@
       gp__jobs__submission__free_unpacked (submission, NULL);
       return job;
     }
-  job->lacks_submission = false;
+  job->submission_unreadable = false;
   if (!apply_early (book, job, error))
     {
-      job->lacks_progress = true;
+      job->progress_unknown = true;
       return NULL;
     }
   update_live (book, job);
@@ -257,7 +257,7 @@
 
   if (submission == NULL)
     return NULL;
-  return gp_book_take_submission (book, id, submission, now, wall_ms, error);
+  return gp_book_apply_submission (book, id, submission, now, wall_ms, error);
 }
 
 gp_job_t *
@@ -270,7 +270,7 @@
 }
 
 static void
-keep_early (gp_job_t *job, Gp__Jobs__Progress *progress)
+store_early (gp_job_t *job, Gp__Jobs__Progress *progress)
 {
   if (job->early_progress != NULL)
     gp__jobs__progress__free_unpacked (job->early_progress, NULL);
@@ -282,7 +282,7 @@
 
 /* Returns the run numbers in PROGRESS, by task; owned by the caller.  */
 static uint64_t *
-told_runs (const gp_job_t *job, const Gp__Jobs__Progress *progress)
+recorded_runs (const gp_job_t *job, const Gp__Jobs__Progress *progress)
 {
   uint64_t *runs = g_new0 (uint64_t, job->task_count);
 
@@ -298,8 +298,8 @@
    cause a run to be started twice.  The record of a job that has ended does
    not list all its tasks.  */
 static bool
-follows (const gp_job_t *job, const Gp__Jobs__Progress *progress,
-         GError **error)
+can_follow (const gp_job_t *job, const Gp__Jobs__Progress *progress,
+            GError **error)
 {
   uint64_t *runs;
   bool grows = true;
@@ -308,7 +308,7 @@
     return true;
   if (gp_job_ended (job))
     return gp_field_fail (error, "state", "the job has ended");
-  runs = told_runs (job, progress);
+  runs = recorded_runs (job, progress);
   for (uint32_t i = 0; i < job->task_count; i++)
     if (runs[i]
         < (job->tasks[i].state == GP_TASK_DONE ? RUN_DONE : job->tasks[i].run))
@@ -325,13 +325,13 @@
 {
   return job->submission == NULL
          || (gp_record_progress_fits (progress, job->task_count, error)
-             && follows (job, progress, error));
+             && can_follow (job, progress, error));
 }
 
 gp_job_t *
-gp_book_take_progress (gp_book_t *book, const char *id,
-                       Gp__Jobs__Progress *progress, gp_book_place_t place,
-                       GError **error)
+gp_book_apply_progress (gp_book_t *book, const char *id,
+                        Gp__Jobs__Progress *progress, gp_book_position_t place,
+                        GError **error)
 {
   gp_job_t *job = get_job (book, id);
 
@@ -347,10 +347,10 @@
       return NULL;
     }
   job->progress_end = place.offset + 1;
-  job->lacks_progress = false;
-  job->overwritten = false;
+  job->progress_unknown = false;
+  job->newest_unreadable = false;
   if (job->submission == NULL)
-    keep_early (job, progress);
+    store_early (job, progress);
   else
     {
       apply (book, job, progress);
@@ -364,11 +364,11 @@
                   size_t size, GError **error)
 {
   Gp__Jobs__Progress *progress = gp_record_progress (bytes, size, error);
-  gp_book_place_t place = { .offset = get_job (book, id)->progress_end };
+  gp_book_position_t place = { .offset = get_job (book, id)->progress_end };
 
   if (progress == NULL)
     return NULL;
-  return gp_book_take_progress (book, id, progress, place, error);
+  return gp_book_apply_progress (book, id, progress, place, error);
 }
 
 void
@@ -376,18 +376,18 @@
 {
   gp_job_t *job = get_job (book, id);
 
-  job->lacks_submission = job->submission == NULL;
+  job->submission_unreadable = job->submission == NULL;
 }
 
 void
 gp_book_refuse_progress (gp_book_t *book, const char *id,
-                         gp_book_place_t place)
+                         gp_book_position_t place)
 {
   gp_job_t *job = get_job (book, id);
 
   if (place.loading)
-    job->lacks_progress = true;
-  job->overwritten = !job->lacks_progress;
+    job->progress_unknown = true;
+  job->newest_unreadable = !job->progress_unknown;
   update_live (book, job);
 }
 
@@ -454,7 +454,7 @@
 {
   job->state = state;
   job->ended_wall_ms = wall_ms;
-  job->lacks_progress = false;
+  job->progress_unknown = false;
   gp_list_remove (&job->link);
 }
 
--- a/src/jobs/book.h
+++ b/src/jobs/book.h
@@ -34,9 +34,9 @@
 /* Adds the next incarnation of EXECUTOR, born at BORN_MS, under its id.
    EXECUTOR remains as the previous incarnation, with its runs, under a name of
    its own.  */
-gp_job_executor_t *gp_book_next_life (gp_book_t *book,
-                                      gp_job_executor_t *executor,
-                                      int64_t born_ms);
+gp_job_executor_t *gp_book_next_incarnation (gp_book_t *book,
+                                             gp_job_executor_t *executor,
+                                             int64_t born_ms);
 
 /* Returns the task NAME ("ID.OCCURRENCE.STEP.INDEX"), or NULL.  */
 gp_job_task_t *gp_book_task (const gp_book_t *book, const char *name);
@@ -44,7 +44,7 @@
 /* Returns whether the job of the task NAME has not ended and its progress was
    received before its submission.  The submission of a job that has ended may
    never come, as it is dropped before the progress.  */
-bool gp_book_awaits (const gp_book_t *book, const char *name);
+bool gp_book_awaits_submission (const gp_book_t *book, const char *name);
 
 /* The position of a record in the log.  */
 typedef struct
@@ -52,7 +52,7 @@
   uint64_t offset;
   bool loading; /* it is the newest of its key, and earlier ones were not seen:
                    what is known may be older than this record */
-} gp_book_place_t;
+} gp_book_position_t;
 
 /* Apply one record each and take ownership of the message.  They return the
    job that has changed.  NOW and WALL_MS denote the same moment; they are used
@@ -61,20 +61,20 @@
    known one.  NULL and ERROR for a progress that cannot belong to this job: it
    names other tasks, or run numbers or completed tasks go back, which no
    leader writes.  */
-gp_job_t *gp_book_take_submission (gp_book_t *book, const char *id,
-                                   Gp__Jobs__Submission *submission,
-                                   gp_time_t now, int64_t wall_ms,
-                                   GError **error);
-gp_job_t *gp_book_take_progress (gp_book_t *book, const char *id,
-                                 Gp__Jobs__Progress *progress,
-                                 gp_book_place_t place, GError **error);
+gp_job_t *gp_book_apply_submission (gp_book_t *book, const char *id,
+                                    Gp__Jobs__Submission *submission,
+                                    gp_time_t now, int64_t wall_ms,
+                                    GError **error);
+gp_job_t *gp_book_apply_progress (gp_book_t *book, const char *id,
+                                  Gp__Jobs__Progress *progress,
+                                  gp_book_position_t place, GError **error);
 
 /* The newest submission or progress of the job ID cannot be read.  What was
    known before remains valid.  If no earlier progress was seen, the job's runs
    are unknown, and it gets no new ones until its progress is known again.  */
 void gp_book_refuse_submission (gp_book_t *book, const char *id);
 void gp_book_refuse_progress (gp_book_t *book, const char *id,
-                              gp_book_place_t place);
+                              gp_book_position_t place);
 
 /* The same from the bytes of a record.  NULL and ERROR for bytes that do not
    decode or break a rule; they are not applied.  */
--- a/src/jobs/evacuations.c
+++ b/src/jobs/evacuations.c
@@ -7,7 +7,7 @@
 {
   uint64_t offset; /* of the newest known record */
   bool evacuated;
-  bool shown; /* delivered by the load in progress or the last one */
+  bool delivered; /* delivered by the load in progress or the last one */
 } zone_t;
 
 void
@@ -54,13 +54,13 @@
   if (offset < known->offset)
     return false;
   known->offset = offset;
-  known->shown = true;
+  known->delivered = true;
   return set_evacuated (known, true);
 }
 
 bool
-gp_evacuations_take_back (gp_evacuations_t *evacuations, const char *zone,
-                          uint64_t offset)
+gp_evacuations_revoke (gp_evacuations_t *evacuations, const char *zone,
+                       uint64_t offset)
 {
   zone_t *known = g_hash_table_lookup (evacuations->zones, zone);
 
@@ -78,7 +78,7 @@
 
   g_hash_table_iter_init (&iter, evacuations->zones);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    ((zone_t *)value)->shown = false;
+    ((zone_t *)value)->delivered = false;
 }
 
 void
@@ -93,7 +93,7 @@
     {
       zone_t *zone = value;
 
-      if (!zone->shown && set_evacuated (zone, false))
+      if (!zone->delivered && set_evacuated (zone, false))
         g_ptr_array_add (changed, g_strdup (key));
     }
 }
--- a/src/jobs/evacuations.h
+++ b/src/jobs/evacuations.h
@@ -28,8 +28,8 @@
    zone has changed.  */
 bool gp_evacuations_put (gp_evacuations_t *evacuations, const char *zone,
                          uint64_t offset);
-bool gp_evacuations_take_back (gp_evacuations_t *evacuations, const char *zone,
-                               uint64_t offset);
+bool gp_evacuations_revoke (gp_evacuations_t *evacuations, const char *zone,
+                            uint64_t offset);
 
 /* A load of the topic starts from its first record.  */
 void gp_evacuations_begin_load (gp_evacuations_t *evacuations);
--- a/src/jobs/executor.h
+++ b/src/jobs/executor.h
@@ -4,7 +4,7 @@
    executor tells one: it may start again under the id that it had, and then
    runs nothing and knows nothing of before.  Each life has an object of its
    own, so that what was believed of the one before, or ordered of it, stays
-   with that; see gp_book_next_life.
+   with that; see gp_book_next_incarnation.
 
    What the leading entry believes of its executors stands here: capacity and
    labels as reported by the guard, what is reserved by the runs assigned to
--- a/src/jobs/forecast.c
+++ b/src/jobs/forecast.c
@@ -20,7 +20,7 @@
 #define NOISE_VARIANCE 0.3
 /* The ratio of a step's longest task to the mean before anything was learned,
    and the weight of the latest step in the moving average.  */
-#define SPREAD_UNKNOWN 1.3
+#define SPREAD_PRIOR 1.3
 #define SPREAD_GAIN 0.05
 /* Steps with fewer tasks say little about the longest.  */
 #define SPREAD_TASKS_MIN 4
@@ -62,7 +62,7 @@
 }
 
 static model_t *
-need_model (gp_forecast_t *forecast, const char *image)
+get_model (gp_forecast_t *forecast, const char *image)
 {
   model_t *model = g_hash_table_lookup (forecast->models, image);
 
@@ -72,7 +72,7 @@
   model->coefficients[1] = 1.0;
   model->covariance[0] = HEIGHT_VARIANCE;
   model->covariance[FEATURES + 1] = SLOPE_VARIANCE;
-  model->spread = SPREAD_UNKNOWN;
+  model->spread = SPREAD_PRIOR;
   gp_regression_init (&model->regression, FEATURES, model->coefficients,
                       model->covariance, NOISE_VARIANCE);
   g_hash_table_insert (forecast->models, g_strdup (image), model);
@@ -102,7 +102,7 @@
                    const Gp__Jobs__Step *step, gp_time_t duration)
 {
   gp_regression_input_t input = input_of (step);
-  model_t *model = need_model (forecast, model_key (queue, step));
+  model_t *model = get_model (forecast, model_key (queue, step));
 
   if (duration <= 0)
     return;
@@ -115,7 +115,7 @@
                           const Gp__Jobs__Step *step, gp_time_t longest,
                           gp_time_t mean)
 {
-  model_t *model = need_model (forecast, model_key (queue, step));
+  model_t *model = get_model (forecast, model_key (queue, step));
 
   if (mean > 0 && step->count >= SPREAD_TASKS_MIN)
     model->spread
@@ -161,7 +161,7 @@
 
   if (!gp_forecast_check (row, NULL))
     return false;
-  model = need_model (forecast, row->image);
+  model = get_model (forecast, row->image);
   model->coefficients[0] = row->height;
   model->coefficients[1] = row->slope;
   model->covariance[0] = LEARNED_VARIANCE;
@@ -198,7 +198,7 @@
 
   if (step->count < SPREAD_TASKS_MIN)
     return 1.0;
-  return model != NULL ? model->spread : SPREAD_UNKNOWN;
+  return model != NULL ? model->spread : SPREAD_PRIOR;
 }
 
 /* Returns the longest chain of SUBMISSION's steps, which take DURATIONS.  */
@@ -225,7 +225,7 @@
 /* Returns the longest chain of the whole job, by the longest task of each
    step.  */
 static gp_time_t
-whole_chain (const gp_forecast_t *forecast, const gp_job_t *job)
+full_chain (const gp_forecast_t *forecast, const gp_job_t *job)
 {
   const Gp__Jobs__Submission *submission = job->submission;
   gp_time_t durations[GP_JOB_MAX_STEPS];
@@ -251,7 +251,7 @@
 /* Returns the time at which JOB's first unfinished occurrence is due to
    start.  */
 static gp_time_t
-begins_at (const gp_job_t *job)
+next_start_at (const gp_job_t *job)
 {
   uint32_t occurrence = 0;
 
@@ -272,10 +272,10 @@
   for (size_t i = 0; i < submission->n_steps; i++)
     job->task_times[i]
         = task_time (forecast, submission->queue, submission->steps[i]);
-  objective = MIN (whole_chain (forecast, job), TASK_TIME_MAX)
+  objective = MIN (full_chain (forecast, job), TASK_TIME_MAX)
                   * submission->stretch_percent / 100
               + submission->target_ms * GP_MSEC;
-  begin = begins_at (job);
+  begin = next_start_at (job);
   job->forecast_at = now;
   job->due_at = begin + objective;
   job->useless_at = begin + USELESS_FACTOR * objective;
@@ -284,7 +284,7 @@
 /* Returns the remaining duration of one occurrence, by the mean of its tasks:
    a job must not be given up because its longest task might be late.  */
 static gp_time_t
-chain_left (const gp_job_t *job, const gp_step_tally_t *tallies)
+remaining_chain (const gp_job_t *job, const gp_step_tally_t *tallies)
 {
   const Gp__Jobs__Submission *submission = job->submission;
   gp_time_t durations[GP_JOB_MAX_STEPS];
@@ -306,6 +306,6 @@
   gp_time_t longest = 0;
 
   for (uint32_t k = 0; k < job->occurrences; k++)
-    longest = MAX (longest, chain_left (job, gp_job_tallies (job, k)));
+    longest = MAX (longest, remaining_chain (job, gp_job_tallies (job, k)));
   return longest;
 }
--- a/src/jobs/headroom.c
+++ b/src/jobs/headroom.c
@@ -8,7 +8,7 @@
 /* Standard deviation of a measurement: a share of it, plus what rounding to
    whole milliseconds and the delay between measurement and report add.  */
 #define NOISE_SHARE 0.05
-#define NOISE_LEAST 0.05
+#define NOISE_MIN 0.05
 /* Prior standard deviations of mean, displacement and speed.  */
 #define MEAN_DEVIATION 0.4
 #define DISPLACEMENT_DEVIATION 0.9
@@ -20,7 +20,7 @@
 #define SPEED_DRIFT 0.01
 /* Decay of the likelihood per measurement: a memory of about ten seconds for a
    job with six runs.  */
-#define LIKELIHOOD_KEPT 0.99
+#define LIKELIHOOD_DECAY 0.99
 /* Prediction errors are clipped at this many standard deviations.  */
 #define CLIP_DEVIATIONS 3.0
 
@@ -47,7 +47,7 @@
 double
 gp_headroom_noise (double headroom)
 {
-  double deviation = NOISE_LEAST + NOISE_SHARE * headroom;
+  double deviation = NOISE_MIN + NOISE_SHARE * headroom;
 
   return deviation * deviation;
 }
@@ -65,7 +65,7 @@
 }
 
 static void
-begin (gp_headroom_t *track, gp_time_t now)
+start_track (gp_headroom_t *track, gp_time_t now)
 {
   track->at = now;
   for (unsigned int i = 0; i < GP_HEADROOM_PERIODS; i++)
@@ -73,7 +73,7 @@
       gp_headroom_filter_t *filter = &track->filters[i];
 
       memset (filter, 0, sizeof *filter);
-      filter->state[MEAN] = GP_HEADROOM_UNKNOWN;
+      filter->state[MEAN] = GP_HEADROOM_PRIOR;
       filter->covariance[MEAN][MEAN] = MEAN_DEVIATION * MEAN_DEVIATION;
       filter->covariance[DISPLACEMENT][DISPLACEMENT]
           = DISPLACEMENT_DEVIATION * DISPLACEMENT_DEVIATION;
@@ -113,7 +113,7 @@
 
 /* Advances the state of FILTER by TRANSITION, but not its covariance.  */
 static void
-move_state (gp_headroom_filter_t *filter, matrix_t transition)
+advance_state (gp_headroom_filter_t *filter, matrix_t transition)
 {
   double state[GP_HEADROOM_STATES];
 
@@ -138,7 +138,7 @@
   multiply (filter->covariance, half, transition, true);
   filter->covariance[MEAN][MEAN] += MEAN_DRIFT * seconds;
   filter->covariance[SPEED][SPEED] += SPEED_DRIFT * seconds;
-  move_state (filter, transition);
+  advance_state (filter, transition);
 }
 
 static double
@@ -165,14 +165,14 @@
    needs this for each serving run and place, so the covariance is not
    advanced.  */
 static gp_headroom_filter_t
-foresee (const gp_headroom_t *track, gp_time_t when)
+predict_best (const gp_headroom_t *track, gp_time_t when)
 {
   gp_headroom_filter_t filter = track->filters[track->best];
   matrix_t transition;
 
   make_transition (transition, periods[track->best],
                    seconds_until (track, when));
-  move_state (&filter, transition);
+  advance_state (&filter, transition);
   return filter;
 }
 
@@ -182,8 +182,8 @@
   gp_headroom_filter_t filter;
 
   if (!gp_headroom_is_known (track))
-    return GP_HEADROOM_UNKNOWN;
-  filter = foresee (track, when);
+    return GP_HEADROOM_PRIOR;
+  filter = predict_best (track, when);
   return level_of (&filter);
 }
 
@@ -194,7 +194,7 @@
 
   if (!gp_headroom_is_known (track))
     return 0.0;
-  filter = foresee (track, when);
+  filter = predict_best (track, when);
   return filter.state[SPEED];
 }
 
@@ -214,8 +214,8 @@
 correct (gp_headroom_filter_t *filter, double value, double variance)
 {
   double total = variance_of (filter) + variance;
-  double most = CLIP_DEVIATIONS * sqrt (total);
-  double surprise = fmax (-most, fmin (most, value - level_of (filter)));
+  double limit = CLIP_DEVIATIONS * sqrt (total);
+  double innovation = fmax (-limit, fmin (limit, value - level_of (filter)));
   double gain[GP_HEADROOM_STATES];
 
   for (int i = 0; i < GP_HEADROOM_STATES; i++)
@@ -224,12 +224,12 @@
           / total;
   for (int i = 0; i < GP_HEADROOM_STATES; i++)
     {
-      filter->state[i] += gain[i] * surprise;
+      filter->state[i] += gain[i] * innovation;
       for (int j = 0; j < GP_HEADROOM_STATES; j++)
         filter->covariance[i][j] -= gain[i] * gain[j] * total;
     }
-  filter->likelihood = LIKELIHOOD_KEPT * filter->likelihood
-                       - (log (total) + surprise * surprise / total) / 2.0;
+  filter->likelihood = LIKELIHOOD_DECAY * filter->likelihood
+                       - (log (total) + innovation * innovation / total) / 2.0;
 }
 
 void
@@ -239,7 +239,7 @@
   double seconds;
 
   if (!gp_headroom_is_known (track))
-    begin (track, now);
+    start_track (track, now);
   seconds = seconds_until (track, now);
   track->at = now;
   for (unsigned int i = 0; i < GP_HEADROOM_PERIODS; i++)
--- a/src/jobs/headroom.h
+++ b/src/jobs/headroom.h
@@ -22,11 +22,11 @@
 
 /* Below this a run is overloaded and its latency no longer shows by how much:
    measurements were linear down to this value.  */
-#define GP_HEADROOM_LEAST 0.15
+#define GP_HEADROOM_MIN 0.15
 
 /* Assumed headroom before the first measurement: the middle between overloaded
    and idle.  */
-#define GP_HEADROOM_UNKNOWN 2.5
+#define GP_HEADROOM_PRIOR 2.5
 
 /* Number of periods in the filter bank.  */
 #define GP_HEADROOM_PERIODS 8
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -194,11 +194,11 @@
 bool
 gp_job_is_readable (const gp_job_t *job)
 {
-  return !job->lacks_submission && !job->lacks_progress;
+  return !job->submission_unreadable && !job->progress_unknown;
 }
 
 bool
-gp_job_begin (gp_job_t *job)
+gp_job_mark_started (gp_job_t *job)
 {
   bool waited = job->state == GP_JOB_QUEUED;
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -76,10 +76,10 @@
   uint32_t crashes;  /* consecutive crashes of executors that count against the
                         task; see jobs/suspicion.h */
   uint32_t evidence; /* evidence of these that the task caused them */
-  gp_time_t alone_since; /* since when it waits for an isolated start, 0: it
-                            does not; known to this process only */
-  bool excused; /* the loss of its last run was attributed to an outage; known
-                   to this process only */
+  gp_time_t isolation_wait_since; /* waits for an isolated start since then, 0:
+                                     it does not; known to this process only */
+  bool lost_in_outage; /* the loss of its last run was attributed to an outage;
+                          known to this process only */
   bool alone; /* its run is isolated: no run of another job on the executor had
                  just started, nor will any be started there */
   bool settled;    /* its run has run for long enough not to be the one that
@@ -93,38 +93,38 @@
   gp_job_executor_t *executor; /* while assigned or stopping */
   gp_list_t on_executor;       /* in gp_job_executor_t.tasks */
   char *checkpoint;            /* NULL: none */
-  gp_time_t took;  /* duration of the run that was done, as seen by this
-                      process, 0: unknown */
-  gp_time_t since; /* when this process assigned the run, or ordered it if the
-                      order was delayed */
-  bool held; /* it may have started long after that, because it is isolated or
-                waits for an isolated run to settle */
+  gp_time_t duration;   /* duration of the run that was done, as seen by this
+                           process, 0: unknown */
+  gp_time_t ordered_at; /* when this process assigned the run, or ordered it if
+                           the order was delayed */
+  bool may_start_late;  /* it may have started long after that, because it is
+                           isolated or waits for an isolated run to settle */
   gp_job_executor_t *failed_on; /* the last executor it failed on */
   gp_job_executor_t *stray_on;  /* the executor reported to have a stray run of
                                    it, NULL: none ... */
   uint64_t stray_report;        /* ... and the number of the guard's report */
-  gp_time_t slow_since; /* since when this filling run has been throttled, 0:
-                           it is not */
+  gp_time_t throttled_since; /* since when this filling run has been throttled,
+                                0: it is not */
 };
 
 /* What keeps a task from being placed, in order of how close the task is to
    being placed.  */
 typedef enum
 {
-  GP_WAIT_NOT,
-  GP_WAIT_NOBODY, /* no executor of its service and label */
-  GP_WAIT_ROOM,   /* no executor has enough free capacity */
-  GP_WAIT_APART,  /* only where its step's max_per_executor is reached */
+  GP_WAIT_NONE,
+  GP_WAIT_NO_EXECUTOR, /* no executor of its service and label */
+  GP_WAIT_CAPACITY,    /* no executor has enough free capacity */
+  GP_WAIT_SPREAD,      /* only where its step's max_per_executor is reached */
   /* There are executors with enough free capacity that ...  */
-  GP_WAIT_ZONE,        /* ... are in an evacuated zone */
-  GP_WAIT_UNREACHABLE, /* ... are not reported, or do not answer */
-  GP_WAIT_DRAINING,    /* ... are about to leave */
-  GP_WAIT_DISTRUSTED,  /* ... have just failed runs or refused one */
-  GP_WAIT_KEPT,        /* ... are dedicated to suspects, or in quarantine */
-  GP_WAIT_HARM,        /* ... have runs that it would interfere with */
-  GP_WAIT_GANG,        /* ... are too few for all of its gang */
+  GP_WAIT_ZONE,         /* ... are in an evacuated zone */
+  GP_WAIT_UNREACHABLE,  /* ... are not reported, or do not answer */
+  GP_WAIT_DRAINING,     /* ... are about to leave */
+  GP_WAIT_DISTRUSTED,   /* ... have just failed runs or refused one */
+  GP_WAIT_DEDICATED,    /* ... are dedicated to suspects, or in quarantine */
+  GP_WAIT_INTERFERENCE, /* ... have runs that it would interfere with */
+  GP_WAIT_GANG,         /* ... are too few for all of its gang */
   /* The task itself is held back:  */
-  GP_WAIT_ALONE,      /* a suspect that waits for an isolated start */
+  GP_WAIT_ISOLATION,  /* a suspect that waits for an isolated start */
   GP_WAIT_QUARANTINE, /* it belongs to a suspect queue */
   GP_WAIT_STRAY       /* see gp_job_executor_has_stray */
 } gp_wait_cause_t;
@@ -132,10 +132,10 @@
 /* How a step waits for a place.  */
 typedef struct
 {
-  gp_time_t since;   /* since when a task of it finds none, 0: none waits */
-  gp_time_t look_at; /* time of the next examination */
-  gp_wait_cause_t cause; /* as last logged */
-  bool counted;          /* counted among the steps that could run */
+  gp_time_t since; /* since when a task of it finds none, 0: none waits */
+  gp_time_t next_check_at; /* time of the next examination */
+  gp_wait_cause_t cause;   /* as last logged */
+  bool counted;            /* counted among the steps that could run */
 } gp_job_wait_t;
 
 /* The tasks of one step in one occurrence.  */
@@ -154,11 +154,11 @@
   gp_job_state_t recorded; /* the state that is in the log.  Callers are told
                               this one, as a later one may be lost */
   bool cancelled;
-  bool lacks_submission; /* its record cannot be read */
-  bool lacks_progress;   /* its progress cannot be read, and no earlier one was
+  bool submission_unreadable; /* its record cannot be read */
+  bool progress_unknown; /* its progress cannot be read, and no earlier one was
                             seen: its runs are unknown, so none is started */
-  bool overwritten; /* the newest progress cannot be read, but the one before
-                       is known */
+  bool newest_unreadable; /* the newest progress cannot be read, but the one
+                             before is known */
   uint64_t progress_end; /* one past the offset of the newest progress applied,
                             0: none */
   int64_t ended_wall_ms;
@@ -210,7 +210,7 @@
 
 /* A run of JOB may be running: the job is no longer queued.  Returns whether
    it was.  */
-bool gp_job_begin (gp_job_t *job);
+bool gp_job_mark_started (gp_job_t *job);
 
 /* Like gp_job_ended, but by the state in the log, which is what callers are
    told.  */
--- a/src/jobs/pacer.c
+++ b/src/jobs/pacer.c
@@ -47,7 +47,7 @@
 uint32_t
 gp_pacer_pace (gp_pacer_t *pacer, const char *image)
 {
-  return pacer->paces[gp_pressure_place (&pacer->pressure, image)];
+  return pacer->paces[gp_pressure_image_index (&pacer->pressure, image)];
 }
 
 /* The place of the image that presses SERVING most with the PLAN, by more than
--- a/src/jobs/placer.c
+++ b/src/jobs/placer.c
@@ -18,11 +18,11 @@
 #define FILL_PERMILLE 700
 /* Longest interval between placement passes: the phases in which a place is
    free of interference last some seconds.  */
-#define LOOK_AGAIN_TIME (20 * GP_MSEC)
+#define PASS_INTERVAL (20 * GP_MSEC)
 
 /* A place with no more interference than this is worth moving a throttled run
    to.  */
-#define HARM_BETTER 0.05
+#define RELOCATE_MAX_INTERFERENCE 0.05
 /* A job that has had no run for this long also takes a place with less unused
    processor time, on an executor of which less than half is reserved.  Filling
    work reserves no processors, so only its speed suffers, and an accepted job
@@ -38,7 +38,7 @@
 }
 
 static bool
-takes_work (const gp_job_executor_t *executor, gp_time_t now)
+accepts_work (const gp_job_executor_t *executor, gp_time_t now)
 {
   return !executor->evacuated && is_usable (executor, now);
 }
@@ -53,7 +53,7 @@
 
   g_hash_table_iter_init (&iter, book->executors);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (takes_work (value, now))
+    if (accepts_work (value, now))
       {
         gp_placer_candidate_t candidate = { .executor = value };
 
@@ -64,7 +64,7 @@
 
 /* Returns the number of tasks of TASK's step and occurrence on EXECUTOR.  */
 static uint32_t
-siblings_on (const gp_job_executor_t *executor, const gp_job_task_t *task)
+count_siblings (const gp_job_executor_t *executor, const gp_job_task_t *task)
 {
   uint32_t step = gp_task_step_number (task);
   uint32_t occurrence = gp_task_occurrence (task);
@@ -83,7 +83,7 @@
 }
 
 bool
-gp_placer_has_waited (const gp_job_t *job, gp_time_t time, gp_time_t now)
+gp_placer_has_idled (const gp_job_t *job, gp_time_t time, gp_time_t now)
 {
   return job->idle_since != 0 && now - job->idle_since > time;
 }
@@ -91,10 +91,10 @@
 /* Returns whether the filling TASK may get less than its share on
    EXECUTOR.  */
 static bool
-may_crowd (const gp_job_executor_t *executor, const gp_job_task_t *task,
-           gp_time_t now)
+may_overcommit (const gp_job_executor_t *executor, const gp_job_task_t *task,
+                gp_time_t now)
 {
-  return gp_placer_has_waited (task->job, STARVED_TIME, now)
+  return gp_placer_has_idled (task->job, STARVED_TIME, now)
          && executor->used.cpu_milli * 2 < executor->capacity.cpu_milli;
 }
 
@@ -107,7 +107,7 @@
   if (step->fills)
     return gp_job_executor_left_over (executor)
                >= (int64_t)step->cpu_milli * FILL_PERMILLE / 1000
-           || may_crowd (executor, task, now);
+           || may_overcommit (executor, task, now);
   if (task->job->submission->priority == 0)
     reserved = 0;
   return executor->used.cpu_milli + step->cpu_milli + reserved
@@ -115,8 +115,8 @@
 }
 
 bool
-gp_placer_serves (const gp_job_executor_t *executor, const gp_job_task_t *task,
-                  const Gp__Jobs__Step *step)
+gp_placer_matches (const gp_job_executor_t *executor,
+                   const gp_job_task_t *task, const Gp__Jobs__Step *step)
 {
   return g_strcmp0 (executor->service, task->job->submission->service) == 0
          && (*step->required_label == '\0'
@@ -124,9 +124,9 @@
 }
 
 bool
-gp_placer_has_room (const gp_job_executor_t *executor,
-                    const gp_job_task_t *task, const Gp__Jobs__Step *step,
-                    gp_time_t now)
+gp_placer_has_capacity (const gp_job_executor_t *executor,
+                        const gp_job_task_t *task, const Gp__Jobs__Step *step,
+                        gp_time_t now)
 {
   const gp_room_t *capacity = &executor->capacity;
   const gp_room_t *used = &executor->used;
@@ -137,21 +137,22 @@
 }
 
 bool
-gp_placer_is_apart (const gp_job_executor_t *executor,
-                    const gp_job_task_t *task, const Gp__Jobs__Step *step)
+gp_placer_within_spread_limit (const gp_job_executor_t *executor,
+                               const gp_job_task_t *task,
+                               const Gp__Jobs__Step *step)
 {
   return step->max_per_executor == 0
-         || siblings_on (executor, task) < step->max_per_executor;
+         || count_siblings (executor, task) < step->max_per_executor;
 }
 
 bool
 gp_placer_fits (const gp_job_executor_t *executor, const gp_job_task_t *task,
                 const Gp__Jobs__Step *step, gp_time_t now)
 {
-  return gp_placer_serves (executor, task, step)
-         && gp_placer_has_room (executor, task, step, now)
-         && gp_suspicion_admits (executor, task, now)
-         && gp_placer_is_apart (executor, task, step);
+  return gp_placer_matches (executor, task, step)
+         && gp_placer_has_capacity (executor, task, step, now)
+         && gp_suspicion_allows (executor, task, now)
+         && gp_placer_within_spread_limit (executor, task, step);
 }
 
 static gp_placer_candidate_t *
@@ -161,11 +162,11 @@
   gp_placer_candidate_t *best = NULL;
   int64_t best_score = INT64_MIN;
 
-  gp_suspicion_waits (task, pass->now);
-  if (gp_placer_wants_quarantine (pass, task))
+  gp_suspicion_begin_wait (task, pass->now);
+  if (gp_placer_needs_quarantine (pass, task))
     return gp_placer_choose_quarantined (pass, task);
-  if (gp_placer_wants_alone (pass, task))
-    return gp_placer_choose_alone (pass, task);
+  if (gp_placer_needs_isolation (pass, task))
+    return gp_placer_choose_isolated (pass, task);
   for (guint i = 0; i < pass->candidates->len; i++)
     {
       gp_placer_candidate_t *candidate
@@ -193,16 +194,16 @@
   gp_job_t *job = task->job;
 
   task->run = run;
-  task->since = pass->now;
-  task->slow_since = 0;
+  task->ordered_at = pass->now;
+  task->throttled_since = 0;
   gp_task_set_state (task, GP_TASK_ASSIGNED);
   gp_job_executor_add (candidate->executor, task);
-  if (gp_placer_wants_quarantine (pass, task))
-    gp_suspicion_keep_for (candidate->executor, job,
-                           pass->now + GP_QUARANTINE_KEEP_TIME);
-  else if (gp_placer_wants_alone (pass, task))
-    gp_suspicion_keep (candidate->executor, task, pass->now);
-  gp_suspicion_assigned (task, pass->now);
+  if (gp_placer_needs_quarantine (pass, task))
+    gp_suspicion_dedicate_until (candidate->executor, job,
+                                 pass->now + GP_QUARANTINE_KEEP_TIME);
+  else if (gp_placer_needs_isolation (pass, task))
+    gp_suspicion_dedicate (candidate->executor, task, pass->now);
+  gp_suspicion_note_assigned (task, pass->now);
   if (step->fills && candidate->counted)
     gp_placer_add_filling (pass, candidate, step->image);
   job->idle_since = 0;
@@ -257,13 +258,14 @@
         continue;
       if (gp_job_executor_has_stray (&first[i]))
         {
-          gp_placer_found_none (pass, &first[i]);
+          gp_placer_note_unplaced (pass, &first[i]);
           continue;
         }
       candidate = choose (pass, &first[i]);
       if (candidate == NULL)
-        gp_placer_found_none (pass, &first[i]);
-      if (candidate == NULL && gp_suspicion_wants_alone (&first[i], pass->now))
+        gp_placer_note_unplaced (pass, &first[i]);
+      if (candidate == NULL
+          && gp_suspicion_needs_isolation (&first[i], pass->now))
         continue;
       if (candidate == NULL)
         {
@@ -271,7 +273,7 @@
           return;
         }
       assign (pass, &first[i], candidate, first[i].run + 1);
-      gp_placer_found_place (&first[i]);
+      gp_placer_clear_wait (&first[i]);
     }
 }
 
@@ -284,8 +286,8 @@
 
   gp_job_executor_remove (executor, task);
   gp_task_set_state (task, GP_TASK_WAITING);
-  if (gp_placer_wants_alone (pass, task))
-    gp_suspicion_keep (executor, task, pass->now);
+  if (gp_placer_needs_isolation (pass, task))
+    gp_suspicion_dedicate (executor, task, pass->now);
 }
 
 static void
@@ -334,7 +336,7 @@
       waiting = waiting && first[i].state == GP_TASK_WAITING;
       if (gp_job_executor_has_stray (&first[i]))
         held = &first[i];
-      gp_suspicion_waits (&first[i], pass->now);
+      gp_suspicion_begin_wait (&first[i], pass->now);
     }
   if (waiting)
     share_checkpoint (first, count);
@@ -349,9 +351,9 @@
   if (placed < count)
     withdraw (pass, first, placed, runs);
   if (waiting && placed < count)
-    gp_placer_found_none (pass, held != NULL ? held : &first[placed]);
+    gp_placer_note_unplaced (pass, held != NULL ? held : &first[placed]);
   if (waiting && placed == count)
-    gp_placer_found_place (first);
+    gp_placer_clear_wait (first);
   g_free (runs);
 }
 
@@ -383,20 +385,20 @@
 /* Marks the jobs of the placed tasks as started.  Excluded are gangs that were
    withdrawn and tasks on executors that are down.  */
 static void
-note_begun (const GPtrArray *placed)
+mark_jobs_started (const GPtrArray *placed)
 {
   for (guint i = 0; i < placed->len; i++)
     {
       const gp_job_task_t *task = g_ptr_array_index (placed, i);
 
       if (!task->executor->down)
-        gp_job_begin (task->job);
+        gp_job_mark_started (task->job);
     }
 }
 
 bool
-gp_placer_has_better (gp_book_t *book, gp_pressure_t *pressure,
-                      const gp_job_task_t *task, gp_time_t now)
+gp_placer_has_better_place (gp_book_t *book, gp_pressure_t *pressure,
+                            const gp_job_task_t *task, gp_time_t now)
 {
   const Gp__Jobs__Step *step = gp_task_step (task);
   gp_placer_pass_t pass = { .book = book, .pressure = pressure, .now = now };
@@ -410,7 +412,8 @@
 
       found = candidate->executor != task->executor
               && gp_placer_fits (candidate->executor, task, step, now)
-              && gp_placer_harm (&pass, candidate, step->image) <= HARM_BETTER;
+              && gp_placer_interference (&pass, candidate, step->image)
+                     <= RELOCATE_MAX_INTERFERENCE;
     }
   g_array_free (pass.candidates, TRUE);
   return found;
@@ -431,7 +434,7 @@
   gp_quarantine_choose (quarantine, book, now);
   pass.candidates = find_candidates (book, now);
   if (pass.candidates->len == 0)
-    gp_placer_look_at_all (&pass, wall_ms);
+    gp_placer_note_all_unplaced (&pass, wall_ms);
   else
     {
       jobs = gp_urgency_rank (book, forecast, now);
@@ -440,7 +443,7 @@
                     wall_ms);
       g_array_free (jobs, TRUE);
     }
-  note_begun (placed);
+  mark_jobs_started (placed);
   g_array_free (pass.candidates, TRUE);
-  return now + LOOK_AGAIN_TIME;
+  return now + PASS_INTERVAL;
 }
--- a/src/jobs/placer.h
+++ b/src/jobs/placer.h
@@ -15,8 +15,8 @@
 
 /* Returns whether there is another executor where the filling TASK fits and
    would interfere with almost nothing.  */
-bool gp_placer_has_better (gp_book_t *book, gp_pressure_t *pressure,
-                           const gp_job_task_t *task, gp_time_t now);
+bool gp_placer_has_better_place (gp_book_t *book, gp_pressure_t *pressure,
+                                 const gp_job_task_t *task, gp_time_t now);
 
 /* Registers the counters of waiting work, see jobs/placer_waits.h.  */
 void gp_placer_register_waits (void);
--- a/src/jobs/placer_private.h
+++ b/src/jobs/placer_private.h
@@ -25,17 +25,17 @@
 
 /* Returns whether EXECUTOR has the service and the label that TASK, of STEP,
    requires.  */
-bool gp_placer_serves (const gp_job_executor_t *executor,
-                       const gp_job_task_t *task, const Gp__Jobs__Step *step);
+bool gp_placer_matches (const gp_job_executor_t *executor,
+                        const gp_job_task_t *task, const Gp__Jobs__Step *step);
 /* Returns whether EXECUTOR has enough free capacity for TASK.  */
-bool gp_placer_has_room (const gp_job_executor_t *executor,
-                         const gp_job_task_t *task, const Gp__Jobs__Step *step,
-                         gp_time_t now);
+bool gp_placer_has_capacity (const gp_job_executor_t *executor,
+                             const gp_job_task_t *task,
+                             const Gp__Jobs__Step *step, gp_time_t now);
 /* Returns whether EXECUTOR has fewer tasks of TASK's step than the step's
    max_per_executor.  */
-bool gp_placer_is_apart (const gp_job_executor_t *executor,
-                         const gp_job_task_t *task,
-                         const Gp__Jobs__Step *step);
+bool gp_placer_within_spread_limit (const gp_job_executor_t *executor,
+                                    const gp_job_task_t *task,
+                                    const Gp__Jobs__Step *step);
 
 /* Returns whether all of these hold and EXECUTOR is not dedicated to another
    job.  */
@@ -44,7 +44,7 @@
                      gp_time_t now);
 
 /* Returns whether JOB has had work but no run for longer than TIME.  */
-bool gp_placer_has_waited (const gp_job_t *job, gp_time_t time, gp_time_t now);
+bool gp_placer_has_idled (const gp_job_t *job, gp_time_t time, gp_time_t now);
 
 /* Adds one filling run of IMAGE to the work expected on CANDIDATE.  */
 void gp_placer_add_filling (const gp_placer_pass_t *pass,
@@ -53,8 +53,9 @@
 
 /* Returns how far one more filling run of IMAGE would push the serving runs on
    CANDIDATE below their headroom goal.  */
-double gp_placer_harm (const gp_placer_pass_t *pass,
-                       gp_placer_candidate_t *candidate, const char *image);
+double gp_placer_interference (const gp_placer_pass_t *pass,
+                               gp_placer_candidate_t *candidate,
+                               const char *image);
 
 /* Returns the score of CANDIDATE for TASK, of STEP, in thousandths of the
    executor's processors; higher is better.  INT64_MIN: TASK must not be placed
@@ -73,13 +74,13 @@
 /* Returns whether TASK has to be started in isolation.  This applies to a gang
    as a whole: recent starts of its other members would make the result
    inconclusive.  */
-bool gp_placer_wants_alone (const gp_placer_pass_t *pass,
-                            const gp_job_task_t *task);
+bool gp_placer_needs_isolation (const gp_placer_pass_t *pass,
+                                const gp_job_task_t *task);
 
 /* Returns whether TASK has to be started in quarantine.  While a quarantine is
    active, this includes suspects of other queues against which there is no
    strong evidence yet.  */
-bool gp_placer_wants_quarantine (const gp_placer_pass_t *pass,
+bool gp_placer_needs_quarantine (const gp_placer_pass_t *pass,
                                  const gp_job_task_t *task);
 
 /* Returns the place for TASK in quarantine: an executor dedicated to its job,
@@ -93,7 +94,7 @@
    dedicated to its job, or else the one with the least work to lose.  NULL:
    none yet; an executor may then have been dedicated to the task until
    everything on it has started.  */
-gp_placer_candidate_t *gp_placer_choose_alone (const gp_placer_pass_t *pass,
-                                               gp_job_task_t *task);
+gp_placer_candidate_t *gp_placer_choose_isolated (const gp_placer_pass_t *pass,
+                                                  gp_job_task_t *task);
 
 #endif
--- a/src/jobs/placer_score.c
+++ b/src/jobs/placer_score.c
@@ -12,21 +12,22 @@
 #define HEADROOM_GOAL 2.0
 /* Interference is the mean of what is expected at these times from now, which
    lie within the duration of most filling runs.  */
-static const gp_time_t harm_times[] = { 300 * GP_MSEC, 1500 * GP_MSEC };
+static const gp_time_t interference_times[]
+    = { 300 * GP_MSEC, 1500 * GP_MSEC };
 /* Points that a task loses for each unit of expected interference.  One unit
    is the headroom that a run has at its target; all processors of an executor
    are worth 1000 points.  */
-#define HARM_POINTS 3000.0
+#define INTERFERENCE_POINTS 3000.0
 /* A filling task waits rather than cause more interference than this, but no
-   longer than IDLE_MAX_TIME if its job has no other run: the pacer then limits
-   the interference.  */
-#define HARM_MAX 0.3
-#define IDLE_MAX_TIME (1200 * GP_MSEC)
+   longer than MAX_INTERFERENCE_WAIT if its job has no other run: the pacer
+   then limits the interference.  */
+#define MAX_INTERFERENCE 0.3
+#define MAX_INTERFERENCE_WAIT (1200 * GP_MSEC)
 
 /* Points for each run of the same image on the executor.  Runs of one image
    suffer from the same neighbours, so grouping them leaves other executors
    free for those neighbours.  */
-#define ALIKE_POINTS 300
+#define SAME_IMAGE_POINTS 300
 
 /* Points for the preferred rack: as much as an empty executor has over a full
    one, as the work takes 1.5 to 3 times as long elsewhere.  */
@@ -44,7 +45,7 @@
 gp_placer_add_filling (const gp_placer_pass_t *pass,
                        gp_placer_candidate_t *candidate, const char *image)
 {
-  candidate->fillings.work[gp_pressure_place (pass->pressure, image)]
+  candidate->fillings.work[gp_pressure_image_index (pass->pressure, image)]
       += GP_PRESSURE_BUSY_SHARE;
 }
 
@@ -67,7 +68,7 @@
 
 /* Returns by how much HEADROOM falls short of the goal.  */
 static double
-lack_of (double headroom)
+shortfall (double headroom)
 {
   return fmax (0.0, HEADROOM_GOAL - headroom);
 }
@@ -76,26 +77,27 @@
    shortfall of the serving TASK, from which the filling work already takes
    TAKEN.  */
 static double
-harm_to (const gp_placer_pass_t *pass, const gp_job_task_t *task, double taken,
-         double weight)
+added_shortfall (const gp_placer_pass_t *pass, const gp_job_task_t *task,
+                 double taken, double weight)
 {
   const gp_headroom_t *load = &task->job->loads[gp_task_step_number (task)];
   double sum = 0.0;
 
-  for (size_t i = 0; i < G_N_ELEMENTS (harm_times); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (interference_times); i++)
     {
-      double before = gp_headroom_at (load, pass->now + harm_times[i]) - taken;
+      double before
+          = gp_headroom_at (load, pass->now + interference_times[i]) - taken;
 
-      sum += lack_of (before - weight) - lack_of (before);
+      sum += shortfall (before - weight) - shortfall (before);
     }
-  return sum / G_N_ELEMENTS (harm_times) * GP_PRESSURE_BUSY_SHARE;
+  return sum / G_N_ELEMENTS (interference_times) * GP_PRESSURE_BUSY_SHARE;
 }
 
 double
-gp_placer_harm (const gp_placer_pass_t *pass, gp_placer_candidate_t *candidate,
-                const char *image)
+gp_placer_interference (const gp_placer_pass_t *pass,
+                        gp_placer_candidate_t *candidate, const char *image)
 {
-  unsigned int place = gp_pressure_place (pass->pressure, image);
+  unsigned int place = gp_pressure_image_index (pass->pressure, image);
   double sum = 0.0;
 
   if (candidate->executor->serving == 0)
@@ -108,7 +110,7 @@
     const Gp__Jobs__Step *step = gp_task_step (task);
 
     if (step->target_ms > 0)
-      sum += harm_to (
+      sum += added_shortfall (
           pass, task,
           gp_pressure_sum (pass->pressure, step->image, &candidate->fillings),
           gp_pressure_weight (pass->pressure, step->image, place));
@@ -118,18 +120,18 @@
 
 /* Returns the number of runs of IMAGE on EXECUTOR.  */
 static unsigned
-alike_on (const gp_job_executor_t *executor, const char *image)
+count_same_image (const gp_job_executor_t *executor, const char *image)
 {
-  unsigned alike = 0;
+  unsigned count = 0;
 
   GP_LIST_FOREACH (link, &executor->tasks)
   {
     const gp_job_task_t *task
         = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
 
-    alike += strcmp (gp_task_step (task)->image, image) == 0;
+    count += strcmp (gp_task_step (task)->image, image) == 0;
   }
-  return alike;
+  return count;
 }
 
 /* Returns the label that names the rack: executors list their kind first and
@@ -160,9 +162,11 @@
 }
 
 static double
-harm_limit (const gp_job_t *job, gp_time_t now)
+interference_limit (const gp_job_t *job, gp_time_t now)
 {
-  return gp_placer_has_waited (job, IDLE_MAX_TIME, now) ? INFINITY : HARM_MAX;
+  return gp_placer_has_idled (job, MAX_INTERFERENCE_WAIT, now)
+             ? INFINITY
+             : MAX_INTERFERENCE;
 }
 
 int64_t
@@ -177,17 +181,18 @@
 
   if (step->fills)
     {
-      double expected = gp_placer_harm (pass, candidate, step->image);
+      double expected = gp_placer_interference (pass, candidate, step->image);
 
-      if (expected > harm_limit (task->job, pass->now))
+      if (expected > interference_limit (task->job, pass->now))
         return INT64_MIN;
       points = gp_job_executor_left_over (executor) * 1000 / capacity
-               - (int64_t)(expected * HARM_POINTS);
+               - (int64_t)(expected * INTERFERENCE_POINTS);
     }
   else
     points = (free - executor->filling / 2) * 1000 / capacity;
   if (step->target_ms > 0)
-    points += (int64_t)ALIKE_POINTS * alike_on (executor, step->image);
+    points += (int64_t)SAME_IMAGE_POINTS
+              * count_same_image (executor, step->image);
   if (*step->preferred_rack != '\0'
       && gp_job_executor_has_label (executor, step->preferred_rack))
     points += RACK_POINTS;
--- a/src/jobs/placer_suspects.c
+++ b/src/jobs/placer_suspects.c
@@ -17,45 +17,46 @@
 
 /* Returns whether TASK belongs to a suspect queue.  */
 static bool
-is_of_suspects (const gp_placer_pass_t *pass, const gp_job_task_t *task)
+is_of_suspect_queue (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
   return gp_quarantine_has (pass->quarantine, task->job->submission->queue,
                             pass->now);
 }
 
 bool
-gp_placer_wants_alone (const gp_placer_pass_t *pass, const gp_job_task_t *task)
+gp_placer_needs_isolation (const gp_placer_pass_t *pass,
+                           const gp_job_task_t *task)
 {
   const gp_job_task_t *first;
   uint32_t step = gp_task_step_number (task);
 
   if (!gp_task_step (task)->gang)
-    return gp_suspicion_wants_alone (task, pass->now);
+    return gp_suspicion_needs_isolation (task, pass->now);
   first = gp_job_step_tasks (task->job, gp_task_occurrence (task), step);
   for (uint32_t i = 0; i < task->job->submission->steps[step]->count; i++)
-    if (gp_suspicion_wants_alone (&first[i], pass->now))
+    if (gp_suspicion_needs_isolation (&first[i], pass->now))
       return true;
   return false;
 }
 
 bool
-gp_placer_wants_quarantine (const gp_placer_pass_t *pass,
+gp_placer_needs_quarantine (const gp_placer_pass_t *pass,
                             const gp_job_task_t *task)
 {
   if (!gp_quarantine_is_on (pass->quarantine, pass->now))
     return false;
-  if (gp_placer_wants_alone (pass, task))
+  if (gp_placer_needs_isolation (pass, task))
     return !gp_suspicion_is_strong (task);
-  return is_of_suspects (pass, task);
+  return is_of_suspect_queue (pass, task);
 }
 
 /* Returns whether one more executor may be dedicated to the suspect TASK.  The
    suspects of a job share one, except those of a gang, which start
    together.  */
 static bool
-may_keep_one (const gp_placer_pass_t *pass, const gp_job_task_t *task)
+may_dedicate_one (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
-  guint kept = 0;
+  guint dedicated = 0;
 
   for (guint i = 0; i < pass->candidates->len; i++)
     {
@@ -63,20 +64,21 @@
           = g_array_index (pass->candidates, gp_placer_candidate_t, i)
                 .executor;
 
-      if (gp_suspicion_is_kept_for (executor, task->job, pass->now))
+      if (gp_suspicion_is_dedicated_to (executor, task->job, pass->now))
         return gp_task_step (task)->gang;
-      kept += !executor->quarantined
-              && gp_suspicion_is_kept (executor, pass->now);
+      dedicated += !executor->quarantined
+                   && gp_suspicion_is_dedicated (executor, pass->now);
     }
-  return kept < MAX (pass->candidates->len / GP_SUSPICION_SHARE, 1);
+  return dedicated
+         < MAX (pass->candidates->len / GP_SUSPICION_DEDICATED_SHARE, 1);
 }
 
 /* Chooses among the executors in quarantine, those dedicated to TASK's job
    and, if ELSEWHERE is set, all others: a dedicated one, or else the one with
    the least work to lose.  */
 static gp_placer_candidate_t *
-least_at_stake (const gp_placer_pass_t *pass, const gp_job_task_t *task,
-                bool elsewhere)
+choose_least_work_at_risk (const gp_placer_pass_t *pass,
+                           const gp_job_task_t *task, bool elsewhere)
 {
   const Gp__Jobs__Step *step = gp_task_step (task);
   gp_placer_candidate_t *best = NULL;
@@ -87,13 +89,16 @@
       gp_placer_candidate_t *candidate
           = &g_array_index (pass->candidates, gp_placer_candidate_t, i);
       gp_job_executor_t *executor = candidate->executor;
-      bool kept = gp_suspicion_is_kept_for (executor, task->job, pass->now);
+      bool dedicated
+          = gp_suspicion_is_dedicated_to (executor, task->job, pass->now);
       int64_t points;
 
-      if (executor->down || (!kept && !executor->quarantined && !elsewhere)
+      if (executor->down
+          || (!dedicated && !executor->quarantined && !elsewhere)
           || !gp_placer_fits (executor, task, step, pass->now))
         continue;
-      points = kept ? INT64_MAX : -gp_suspicion_at_stake (executor, pass->now);
+      points = dedicated ? INT64_MAX
+                         : -gp_suspicion_work_at_risk (executor, pass->now);
       if (gp_placer_is_better (candidate, points, best, best_points))
         {
           best = candidate;
@@ -104,14 +109,15 @@
 }
 
 gp_placer_candidate_t *
-gp_placer_choose_alone (const gp_placer_pass_t *pass, gp_job_task_t *task)
+gp_placer_choose_isolated (const gp_placer_pass_t *pass, gp_job_task_t *task)
 {
   gp_placer_candidate_t *best
-      = least_at_stake (pass, task, may_keep_one (pass, task));
+      = choose_least_work_at_risk (pass, task, may_dedicate_one (pass, task));
 
-  if (best == NULL || gp_suspicion_is_quiet (best->executor, pass->now))
+  if (best == NULL
+      || gp_suspicion_has_no_recent_starts (best->executor, pass->now))
     return best;
-  gp_suspicion_keep (best->executor, task, pass->now);
+  gp_suspicion_dedicate (best->executor, task, pass->now);
   return NULL;
 }
 
@@ -119,9 +125,9 @@
 gp_placer_choose_quarantined (const gp_placer_pass_t *pass,
                               const gp_job_task_t *task)
 {
-  gp_placer_candidate_t *best = least_at_stake (pass, task, false);
+  gp_placer_candidate_t *best = choose_least_work_at_risk (pass, task, false);
 
-  if (best == NULL && is_of_suspects (pass, task))
+  if (best == NULL && is_of_suspect_queue (pass, task))
     gp_quarantine_note_waiting (pass->quarantine, task->job->submission->queue,
                                 pass->now);
   return best;
--- a/src/jobs/placer_waits.c
+++ b/src/jobs/placer_waits.c
@@ -8,23 +8,23 @@
 
 /* Time before the first examination of a waiting step and between
    examinations, each of which goes through all executors.  */
-#define LOOK_TIME (GP_SEC)
+#define CHECK_INTERVAL (GP_SEC)
 /* Work that could run has to start within this.  */
-#define BOUND_TIME (3 * GP_SEC)
+#define WAIT_LIMIT (3 * GP_SEC)
 
 static const char *const cause_names[] = {
-  [GP_WAIT_NOT] = "nothing",
-  [GP_WAIT_NOBODY] = "no executor of its service and label",
-  [GP_WAIT_ROOM] = "no room on any executor",
-  [GP_WAIT_APART] = "no room apart from the others of its step",
+  [GP_WAIT_NONE] = "nothing",
+  [GP_WAIT_NO_EXECUTOR] = "no executor of its service and label",
+  [GP_WAIT_CAPACITY] = "no room on any executor",
+  [GP_WAIT_SPREAD] = "no room apart from the others of its step",
   [GP_WAIT_ZONE] = "zone evacuated",
   [GP_WAIT_UNREACHABLE] = "executors with room are not reached",
   [GP_WAIT_DRAINING] = "executors with room are about to leave",
   [GP_WAIT_DISTRUSTED] = "executors with room have just failed or refused",
-  [GP_WAIT_KEPT] = "executors with room are kept for suspects",
-  [GP_WAIT_HARM] = "it would harm what serves there",
+  [GP_WAIT_DEDICATED] = "executors with room are kept for suspects",
+  [GP_WAIT_INTERFERENCE] = "it would harm what serves there",
   [GP_WAIT_GANG] = "no room for all of its gang",
-  [GP_WAIT_ALONE] = "it is a suspect and starts alone",
+  [GP_WAIT_ISOLATION] = "it is a suspect and starts alone",
   [GP_WAIT_QUARANTINE] = "its queue is in quarantine",
   [GP_WAIT_STRAY] = "a run that nobody wants has not ended",
 };
@@ -39,11 +39,11 @@
   = GP_COUNTER ("jobs_held_draining_total", "The same: about to leave"),
   [GP_WAIT_DISTRUSTED]
   = GP_COUNTER ("jobs_held_distrusted_total", "The same: failing"),
-  [GP_WAIT_KEPT]
+  [GP_WAIT_DEDICATED]
   = GP_COUNTER ("jobs_held_kept_total", "The same: kept for suspects"),
-  [GP_WAIT_HARM]
+  [GP_WAIT_INTERFERENCE]
   = GP_COUNTER ("jobs_held_harm_total", "The same: they would do harm"),
-  [GP_WAIT_ALONE]
+  [GP_WAIT_ISOLATION]
   = GP_COUNTER ("jobs_held_alone_total", "The same: suspects, to start alone"),
   [GP_WAIT_QUARANTINE] = GP_COUNTER ("jobs_held_quarantine_total",
                                      "The same: of a queue in quarantine"),
@@ -72,12 +72,12 @@
 {
   const Gp__Jobs__Step *step = gp_task_step (task);
 
-  if (!gp_placer_serves (executor, task, step))
-    return GP_WAIT_NOBODY;
-  if (!gp_placer_has_room (executor, task, step, pass->now))
-    return GP_WAIT_ROOM;
-  if (!gp_placer_is_apart (executor, task, step))
-    return GP_WAIT_APART;
+  if (!gp_placer_matches (executor, task, step))
+    return GP_WAIT_NO_EXECUTOR;
+  if (!gp_placer_has_capacity (executor, task, step, pass->now))
+    return GP_WAIT_CAPACITY;
+  if (!gp_placer_within_spread_limit (executor, task, step))
+    return GP_WAIT_SPREAD;
   if (executor->evacuated)
     return GP_WAIT_ZONE;
   if (!executor->reachable || executor->down)
@@ -87,24 +87,24 @@
   if (pass->now < executor->trusted_again || pass->now < executor->full_until)
     return GP_WAIT_DISTRUSTED;
   if (executor->quarantined
-      || !gp_suspicion_admits (executor, task, pass->now))
-    return GP_WAIT_KEPT;
-  return step->gang ? GP_WAIT_GANG : GP_WAIT_HARM;
+      || !gp_suspicion_allows (executor, task, pass->now))
+    return GP_WAIT_DEDICATED;
+  return step->gang ? GP_WAIT_GANG : GP_WAIT_INTERFERENCE;
 }
 
 gp_wait_cause_t
 gp_placer_wait_cause (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
-  gp_wait_cause_t nearest = GP_WAIT_NOBODY;
+  gp_wait_cause_t nearest = GP_WAIT_NO_EXECUTOR;
   GHashTableIter iter;
   gpointer value;
 
   if (gp_job_executor_has_stray (task))
     return GP_WAIT_STRAY;
-  if (gp_placer_wants_quarantine (pass, task))
+  if (gp_placer_needs_quarantine (pass, task))
     return GP_WAIT_QUARANTINE;
-  if (gp_placer_wants_alone (pass, task))
-    return GP_WAIT_ALONE;
+  if (gp_placer_needs_isolation (pass, task))
+    return GP_WAIT_ISOLATION;
   g_hash_table_iter_init (&iter, pass->book->executors);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -149,8 +149,8 @@
 }
 
 static void
-tell (const gp_job_task_t *task, gp_wait_cause_t cause, gp_time_t waited,
-      bool free)
+log_wait (const gp_job_task_t *task, gp_wait_cause_t cause, gp_time_t waited,
+          bool free)
 {
   char name[GP_TASK_NAME_SIZE];
 
@@ -162,7 +162,8 @@
 }
 
 void
-gp_placer_found_none (const gp_placer_pass_t *pass, const gp_job_task_t *task)
+gp_placer_note_unplaced (const gp_placer_pass_t *pass,
+                         const gp_job_task_t *task)
 {
   gp_job_wait_t *wait = &gp_task_tally (task)->wait;
   gp_time_t waited = pass->now - wait->since;
@@ -173,19 +174,19 @@
   if (wait->since == 0)
     {
       *wait = (gp_job_wait_t){ .since = pass->now,
-                               .look_at = pass->now + LOOK_TIME };
+                               .next_check_at = pass->now + CHECK_INTERVAL };
       return;
     }
-  if (pass->now < wait->look_at)
+  if (pass->now < wait->next_check_at)
     return;
-  wait->look_at = pass->now + LOOK_TIME;
+  wait->next_check_at = pass->now + CHECK_INTERVAL;
   cause = gp_placer_wait_cause (pass, task);
   free = is_mostly_free (pass, task);
   could_run = free && holds_back (cause);
   if (cause != wait->cause && (could_run || !gp_job_has_run (task->job)))
-    tell (task, cause, waited, free);
+    log_wait (task, cause, waited, free);
   wait->cause = cause;
-  if (waited <= BOUND_TIME || wait->counted || !could_run)
+  if (waited <= WAIT_LIMIT || wait->counted || !could_run)
     return;
   wait->counted = true;
   gp_counter_add (&counts[cause], 1);
@@ -193,8 +194,8 @@
 
 /* No place was found for the waiting tasks of JOB that are ready to run.  */
 static void
-found_none_of (const gp_placer_pass_t *pass, const gp_job_t *job,
-               int64_t wall_ms)
+note_job_unplaced (const gp_placer_pass_t *pass, const gp_job_t *job,
+                   int64_t wall_ms)
 {
   for (uint32_t k = 0; k < job->occurrences; k++)
     for (uint32_t s = 0; s < job->submission->n_steps; s++)
@@ -206,21 +207,21 @@
           continue;
         while (task->state != GP_TASK_WAITING)
           task++;
-        gp_placer_found_none (pass, task);
+        gp_placer_note_unplaced (pass, task);
       }
 }
 
 void
-gp_placer_look_at_all (const gp_placer_pass_t *pass, int64_t wall_ms)
+gp_placer_note_all_unplaced (const gp_placer_pass_t *pass, int64_t wall_ms)
 {
   GP_LIST_FOREACH (link, &pass->book->live)
   {
-    found_none_of (pass, GP_CONTAINER_OF (link, gp_job_t, link), wall_ms);
+    note_job_unplaced (pass, GP_CONTAINER_OF (link, gp_job_t, link), wall_ms);
   }
 }
 
 void
-gp_placer_found_place (const gp_job_task_t *task)
+gp_placer_clear_wait (const gp_job_task_t *task)
 {
   gp_task_tally (task)->wait = (gp_job_wait_t){ 0 };
 }
--- a/src/jobs/placer_waits.h
+++ b/src/jobs/placer_waits.h
@@ -22,14 +22,15 @@
                                       const gp_job_task_t *task);
 
 /* PASS has found no place for TASK.  */
-void gp_placer_found_none (const gp_placer_pass_t *pass,
-                           const gp_job_task_t *task);
+void gp_placer_note_unplaced (const gp_placer_pass_t *pass,
+                              const gp_job_task_t *task);
 
 /* No executor takes work: records that no task which is ready to run has found
    a place.  */
-void gp_placer_look_at_all (const gp_placer_pass_t *pass, int64_t wall_ms);
+void gp_placer_note_all_unplaced (const gp_placer_pass_t *pass,
+                                  int64_t wall_ms);
 
 /* A task of the same step as TASK, or TASK itself, has been placed.  */
-void gp_placer_found_place (const gp_job_task_t *task);
+void gp_placer_clear_wait (const gp_job_task_t *task);
 
 #endif
--- a/src/jobs/pressure.c
+++ b/src/jobs/pressure.c
@@ -12,7 +12,7 @@
 /* Variance of a weight learned by another process.  */
 #define LEARNED_VARIANCE 0.02
 /* Initial variance of the normalised prediction error.  */
-#define SURPRISE_VARIANCE 1.0
+#define ERROR_VARIANCE 1.0
 /* Standard deviation of the headroom taken by filling runs, as a share of it:
    filling runs come, go and change phase during a measurement.  */
 #define TAKEN_NOISE 0.3
@@ -29,7 +29,7 @@
 void
 gp_pressure_init (gp_pressure_t *pressure)
 {
-  pressure->places
+  pressure->image_indices
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   pressure->models
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -38,23 +38,24 @@
 void
 gp_pressure_finish (gp_pressure_t *pressure)
 {
-  g_hash_table_destroy (pressure->places);
+  g_hash_table_destroy (pressure->image_indices);
   g_hash_table_destroy (pressure->models);
 }
 
 unsigned int
-gp_pressure_place (gp_pressure_t *pressure, const char *image)
+gp_pressure_image_index (gp_pressure_t *pressure, const char *image)
 {
-  guint place
-      = GPOINTER_TO_UINT (g_hash_table_lookup (pressure->places, image));
+  guint index = GPOINTER_TO_UINT (
+      g_hash_table_lookup (pressure->image_indices, image));
 
-  if (place == 0)
+  if (index == 0)
     {
-      place = g_hash_table_size (pressure->places) % GP_PRESSURE_IMAGES + 1;
-      g_hash_table_insert (pressure->places, g_strdup (image),
-                           GUINT_TO_POINTER (place));
+      index = g_hash_table_size (pressure->image_indices) % GP_PRESSURE_IMAGES
+              + 1;
+      g_hash_table_insert (pressure->image_indices, g_strdup (image),
+                           GUINT_TO_POINTER (index));
     }
-  return place - 1;
+  return index - 1;
 }
 
 static model_t *
@@ -68,12 +69,12 @@
       model->covariance[i * GP_PRESSURE_IMAGES + i] = WEIGHT_VARIANCE;
     }
   gp_regression_init (&model->regression, GP_PRESSURE_IMAGES, model->weights,
-                      model->covariance, SURPRISE_VARIANCE);
+                      model->covariance, ERROR_VARIANCE);
   return model;
 }
 
 static model_t *
-need_model (gp_pressure_t *pressure, const char *serving)
+get_model (gp_pressure_t *pressure, const char *serving)
 {
   model_t *model = g_hash_table_lookup (pressure->models, serving);
 
@@ -87,29 +88,29 @@
 
 double
 gp_pressure_weight (const gp_pressure_t *pressure, const char *serving,
-                    unsigned int place)
+                    unsigned int index)
 {
   const model_t *model = g_hash_table_lookup (pressure->models, serving);
 
-  return model != NULL ? model->weights[place] : GP_PRESSURE_PRIOR;
+  return model != NULL ? model->weights[index] : GP_PRESSURE_PRIOR;
 }
 
 void
 gp_pressure_set (gp_pressure_t *pressure, const char *serving,
-                 unsigned int place, double weight)
+                 unsigned int index, double weight)
 {
-  model_t *model = need_model (pressure, serving);
-  size_t row = (size_t)place * GP_PRESSURE_IMAGES;
+  model_t *model = get_model (pressure, serving);
+  size_t row = (size_t)index * GP_PRESSURE_IMAGES;
 
-  model->weights[place] = weight;
+  model->weights[index] = weight;
   /* Clears the covariances as well: a variance that is too small for its
      covariances is invalid.  */
   for (size_t i = 0; i < GP_PRESSURE_IMAGES; i++)
     {
       model->covariance[row + i] = 0.0;
-      model->covariance[i * GP_PRESSURE_IMAGES + place] = 0.0;
+      model->covariance[i * GP_PRESSURE_IMAGES + index] = 0.0;
     }
-  model->covariance[row + place] = LEARNED_VARIANCE;
+  model->covariance[row + index] = LEARNED_VARIANCE;
 }
 
 /* Returns the sum of weight times WORK according to MODEL; NULL: nothing was
@@ -172,14 +173,14 @@
                    const gp_pressure_work_t *work, double headroom,
                    gp_headroom_t *load, gp_time_t now)
 {
-  model_t *model = need_model (pressure, serving);
-  double least = fmax (headroom, GP_HEADROOM_LEAST);
+  model_t *model = get_model (pressure, serving);
+  double least = fmax (headroom, GP_HEADROOM_MIN);
   double expected = gp_headroom_at (load, now);
   double taken = sum_by (model, work);
   double noise = gp_headroom_noise (headroom)
                  + TAKEN_NOISE * taken * TAKEN_NOISE * taken;
   gp_regression_input_t input = input_of (work, 1.0);
-  bool overloaded = headroom < GP_HEADROOM_LEAST;
+  bool overloaded = headroom < GP_HEADROOM_MIN;
 
   /* The headroom of an overloaded run is only an upper bound: the filling work
      took at least this much.  */
--- a/src/jobs/pressure.h
+++ b/src/jobs/pressure.h
@@ -42,23 +42,24 @@
 
 typedef struct
 {
-  GHashTable *places; /* image of filling runs to its index plus one */
-  GHashTable *models; /* image of serving runs to its model, owned */
+  GHashTable *image_indices; /* image of filling runs to its index plus one */
+  GHashTable *models;        /* image of serving runs to its model, owned */
 } gp_pressure_t;
 
 void gp_pressure_init (gp_pressure_t *pressure);
 void gp_pressure_finish (gp_pressure_t *pressure);
 
 /* Returns the index of IMAGE, assigning one if needed.  */
-unsigned int gp_pressure_place (gp_pressure_t *pressure, const char *image);
+unsigned int gp_pressure_image_index (gp_pressure_t *pressure,
+                                      const char *image);
 
-/* Returns the weight of the filling images at index PLACE on SERVING.  */
+/* Returns the weight of the filling images at INDEX on SERVING.  */
 double gp_pressure_weight (const gp_pressure_t *pressure, const char *serving,
-                           unsigned int place);
+                           unsigned int index);
 /* Sets the weight to one learned by another process; learning continues from
    there.  */
 void gp_pressure_set (gp_pressure_t *pressure, const char *serving,
-                      unsigned int place, double weight);
+                      unsigned int index, double weight);
 
 /* Returns the headroom that WORK takes from a run of SERVING: the sum of
    weight times work.  */
--- a/src/jobs/progress_compact.c
+++ b/src/jobs/progress_compact.c
@@ -105,7 +105,7 @@
 }
 
 static bool
-is_plain (const Gp__Jobs__TaskProgress *task)
+fits_columns (const Gp__Jobs__TaskProgress *task)
 {
   return task->failures == 0 && task->crashes == 0 && !task->alone
          && task->checkpoint.len == 0 && !task->stopping;
@@ -118,7 +118,7 @@
   split_id_t id = split (task->executor);
   uint32_t gap = task->index - columns->next;
 
-  if (!is_plain (task) || id.digits == 0 || task->index < columns->next)
+  if (!fits_columns (task) || id.digits == 0 || task->index < columns->next)
     return false;
   if (columns->numbers->len == 0)
     columns->first = id;
--- a/src/jobs/quarantine.c
+++ b/src/jobs/quarantine.c
@@ -181,7 +181,7 @@
           *down += row.executor->quarantined;
           continue;
         }
-      row.at_stake = gp_suspicion_at_stake (row.executor, now);
+      row.at_stake = gp_suspicion_work_at_risk (row.executor, now);
       g_array_append_val (rated, row);
     }
   g_array_sort (rated, by_stake);
--- a/src/jobs/records.c
+++ b/src/jobs/records.c
@@ -70,10 +70,10 @@
 {
   if (!check_index (task->index, seen, error)
       || !gp_field_range (task->run, 1, UINT32_MAX, "run", error)
-      || !gp_field_range (task->crashes, 0, GP_SUSPICION_MOST, "crashes",
-                          error)
-      || !gp_field_range (task->evidence, 0, GP_SUSPICION_GUILT, "evidence",
-                          error)
+      || !gp_field_range (task->crashes, 0, GP_SUSPICION_MAX_CRASHES,
+                          "crashes", error)
+      || !gp_field_range (task->evidence, 0, GP_SUSPICION_EVIDENCE_LIMIT,
+                          "evidence", error)
       || !gp_field_name_or_empty (task->executor, "executor", error)
       || !gp_field_text (&task->checkpoint, GP_FIELD_CHECKPOINT_MAX,
                          "checkpoint", error))
@@ -253,8 +253,8 @@
 }
 
 void
-gp_record_sift_pressures (Gp__Jobs__Pressure **rows, size_t *count,
-                          GError **refused)
+gp_record_filter_pressures (Gp__Jobs__Pressure **rows, size_t *count,
+                            GError **refused)
 {
   size_t kept = 0;
 
@@ -274,7 +274,7 @@
 }
 
 static void
-sift_forecasts (Gp__Jobs__Learned *learned, GError **refused)
+filter_forecasts (Gp__Jobs__Learned *learned, GError **refused)
 {
   size_t kept = 0;
 
@@ -303,9 +303,9 @@
 
   if (learned == NULL)
     return NULL;
-  gp_record_sift_pressures (learned->pressures, &learned->n_pressures,
-                            refused);
-  sift_forecasts (learned, refused);
+  gp_record_filter_pressures (learned->pressures, &learned->n_pressures,
+                              refused);
+  filter_forecasts (learned, refused);
   return learned;
 }
 
@@ -324,7 +324,7 @@
 /* The kind is not known yet.  The subject is the key up to the first zero
    byte, which no valid key contains.  */
 static void
-begin (gp_record_t *record, const char *key, size_t key_size)
+begin_record (gp_record_t *record, const char *key, size_t key_size)
 {
   *record = (gp_record_t){ .kind = GP_RECORD_UNKNOWN,
                            .subject = key_size > 0 ? g_strndup (key, key_size)
@@ -375,7 +375,7 @@
   size_t size = key_size;
   const char *id;
 
-  begin (record, key, key_size);
+  begin_record (record, key, key_size);
   id = after_prefix (record->subject, GP_CANCEL_PREFIX, &size);
   if (id != NULL && gp_job_id_valid (id, size))
     {
@@ -417,7 +417,7 @@
                           size_t key_size, const uint8_t *value,
                           size_t value_size, GError **error)
 {
-  begin (record, key, key_size);
+  begin_record (record, key, key_size);
   find_kind (record, key_size);
   switch (record->kind)
     {
@@ -447,7 +447,7 @@
 gp_record_parse_node (gp_record_t *record, const char *key, size_t key_size,
                       const uint8_t *value, size_t value_size, GError **error)
 {
-  begin (record, key, key_size);
+  begin_record (record, key, key_size);
   if (!is_node_name (record->subject, key_size))
     return fail_unknown (error);
   record->kind = GP_RECORD_NODE;
--- a/src/jobs/records.h
+++ b/src/jobs/records.h
@@ -95,7 +95,7 @@
 
 /* Removes the rows that cannot have been learned, from a record or a frame.
    If *REFUSED is NULL, it is set to the error of the first one removed.  */
-void gp_record_sift_pressures (Gp__Jobs__Pressure **rows, size_t *count,
-                               GError **refused);
+void gp_record_filter_pressures (Gp__Jobs__Pressure **rows, size_t *count,
+                                 GError **refused);
 
 #endif
--- a/src/jobs/scheduler.c
+++ b/src/jobs/scheduler.c
@@ -21,16 +21,16 @@
 #define DISTRUST_TIME_MAX (8 * GP_SEC)
 /* Pause after an executor refused a run for lack of capacity: its own view of
    what has been stopped lags the leader's by about one stop.  */
-#define FULL_TIME (300 * GP_MSEC)
+#define REFUSED_PAUSE_TIME (300 * GP_MSEC)
 /* A run that checkpoints is stopped this long before its executor leaves: the
    time of a stop and a round trip.  */
 #define LEAVE_MARGIN (1500 * GP_MSEC)
 
 static gp_histogram_t placed_time = GP_HISTOGRAM (
     "job_placed", "From when a job was known here to its first run");
-/* A filling run that is throttled for SLOW_TIME is moved, at most one per
+/* A filling run that is throttled for THROTTLED_TIME is moved, at most one per
    executor in each RELOCATE_TIME: a stop and a start take about a second.  */
-#define SLOW_TIME (800 * GP_MSEC)
+#define THROTTLED_TIME (800 * GP_MSEC)
 #define RELOCATE_TIME (500 * GP_MSEC)
 
 void
@@ -85,7 +85,7 @@
 }
 
 bool
-gp_scheduler_wanted (const gp_job_task_t *task)
+gp_scheduler_expects_run (const gp_job_task_t *task)
 {
   return task->state == GP_TASK_ASSIGNED && !gp_job_ended (task->job);
 }
@@ -120,7 +120,8 @@
 }
 
 void
-gp_scheduler_job (gp_scheduler_t *scheduler, gp_job_t *job, int64_t wall_ms)
+gp_scheduler_job_changed (gp_scheduler_t *scheduler, gp_job_t *job,
+                          int64_t wall_ms)
 {
   if (job->submission == NULL || gp_job_ended (job))
     return;
@@ -131,7 +132,7 @@
 void
 gp_scheduler_rewrite (gp_scheduler_t *scheduler, gp_job_t *job)
 {
-  job->overwritten = false;
+  job->newest_unreadable = false;
   gp_scheduler_mark_dirty (scheduler, job);
 }
 
@@ -156,7 +157,7 @@
 /* Sets *FIRST to the first task of TASK's step and occurrence, for a gang its
    members, and returns their number.  */
 static uint32_t
-members (gp_job_task_t *task, gp_job_task_t **first)
+sibling_tasks (gp_job_task_t *task, gp_job_task_t **first)
 {
   gp_job_t *job = task->job;
   uint32_t step = gp_task_step_number (task);
@@ -171,16 +172,16 @@
 learn_step (gp_scheduler_t *scheduler, gp_job_task_t *task)
 {
   gp_job_task_t *first;
-  uint32_t count = members (task, &first);
+  uint32_t count = sibling_tasks (task, &first);
   gp_time_t longest = 0;
   gp_time_t sum = 0;
   uint32_t known = 0;
 
   for (uint32_t i = 0; i < count; i++)
     {
-      longest = MAX (longest, first[i].took);
-      sum += first[i].took;
-      known += first[i].took > 0;
+      longest = MAX (longest, first[i].duration);
+      sum += first[i].duration;
+      known += first[i].duration > 0;
     }
   if (known > 0 && known * 2 >= count)
     gp_forecast_learn_spread (&scheduler->forecast,
@@ -194,11 +195,12 @@
 static void
 learn_duration (gp_scheduler_t *scheduler, gp_job_task_t *task, gp_time_t now)
 {
-  if (task->since == 0 || task->checkpoint != NULL || task->held)
+  if (task->ordered_at == 0 || task->checkpoint != NULL
+      || task->may_start_late)
     return;
-  task->took = now - task->since;
+  task->duration = now - task->ordered_at;
   gp_forecast_learn (&scheduler->forecast, task->job->submission->queue,
-                     gp_task_step (task), task->took);
+                     gp_task_step (task), task->duration);
 }
 
 static void
@@ -220,7 +222,7 @@
 
   /* Failures of a gang are counted together, on its first member.  */
   if (gp_task_step (task)->gang)
-    members (task, &counted);
+    sibling_tasks (task, &counted);
   counted->failures++;
   if (gp_task_step (task)->long_running || gp_job_ended (job))
     return;
@@ -233,7 +235,7 @@
 finish_gang (gp_scheduler_t *scheduler, gp_job_task_t *task, int64_t wall_ms)
 {
   gp_job_task_t *first;
-  uint32_t count = members (task, &first);
+  uint32_t count = sibling_tasks (task, &first);
 
   for (uint32_t i = 0; i < count; i++)
     {
@@ -245,7 +247,7 @@
 }
 
 static void
-judge (gp_job_executor_t *executor, gp_end_t how, gp_time_t now)
+update_distrust (gp_job_executor_t *executor, gp_end_t how, gp_time_t now)
 {
   gp_time_t pause = DISTRUST_TIME;
 
@@ -270,7 +272,7 @@
   const Gp__Jobs__Step *step = gp_task_step (task);
   gp_job_executor_t *executor = task->executor;
 
-  judge (executor, how, now);
+  update_distrust (executor, how, now);
   if (how == GP_END_DONE)
     gp_suspicion_clear (task);
   gp_scheduler_release (scheduler, task);
@@ -309,9 +311,9 @@
 }
 
 static void
-take_done_late (gp_scheduler_t *scheduler, gp_job_task_t *task,
-                const gp_job_executor_t *executor, const Gp__Jobs__End *end,
-                int64_t wall_ms)
+accept_late_done (gp_scheduler_t *scheduler, gp_job_task_t *task,
+                  const gp_job_executor_t *executor, const Gp__Jobs__End *end,
+                  int64_t wall_ms)
 {
   gp_log (GP_LOG_INFO, "run.done_late", GP_LOG_S ("task", end->task),
           GP_LOG_I ("run", end->run), GP_LOG_I ("last_run", task->run),
@@ -322,8 +324,9 @@
 }
 
 bool
-gp_scheduler_end (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
-                  const Gp__Jobs__End *end, gp_time_t now, int64_t wall_ms)
+gp_scheduler_run_ended (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
+                        const Gp__Jobs__End *end, gp_time_t now,
+                        int64_t wall_ms)
 {
   gp_job_task_t *task = gp_book_task (scheduler->book, end->task);
   const gp_order_t order
@@ -331,26 +334,28 @@
   bool current
       = task != NULL && task->executor == executor && task->run == end->run;
 
-  if (task == NULL && gp_book_awaits (scheduler->book, end->task))
+  if (task == NULL && gp_book_awaits_submission (scheduler->book, end->task))
     return false;
   g_array_append_val (scheduler->orders, order);
   if (is_done_late (task, executor, end))
-    take_done_late (scheduler, task, executor, end, wall_ms);
+    accept_late_done (scheduler, task, executor, end, wall_ms);
   if (!current)
     return true;
-  gp_log (
-      GP_LOG_INFO, "run.ended", GP_LOG_S ("task", end->task),
-      GP_LOG_I ("run", end->run), GP_LOG_S ("executor", executor->id),
-      GP_LOG_S ("how", gp_end_name ((gp_end_t)end->how)),
-      GP_LOG_I ("after_ms", task->since ? (now - task->since) / GP_MSEC : -1));
+  gp_log (GP_LOG_INFO, "run.ended", GP_LOG_S ("task", end->task),
+          GP_LOG_I ("run", end->run), GP_LOG_S ("executor", executor->id),
+          GP_LOG_S ("how", gp_end_name ((gp_end_t)end->how)),
+          GP_LOG_I ("after_ms", task->ordered_at
+                                    ? (now - task->ordered_at) / GP_MSEC
+                                    : -1));
   set_checkpoint (task, &end->checkpoint);
   apply_end (scheduler, task, (gp_end_t)end->how, now, wall_ms);
   return true;
 }
 
 void
-gp_scheduler_absent (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
-                     const Gp__Jobs__TaskRun *run, gp_time_t now)
+gp_scheduler_run_absent (gp_scheduler_t *scheduler,
+                         gp_job_executor_t *executor,
+                         const Gp__Jobs__TaskRun *run, gp_time_t now)
 {
   gp_job_task_t *task = gp_book_task (scheduler->book, run->task);
 
@@ -359,7 +364,7 @@
   if (task->executor == executor && task->run == run->run)
     {
       add_order (scheduler, GP_ORDER_FORGET, task);
-      executor->full_until = now + FULL_TIME;
+      executor->full_until = now + REFUSED_PAUSE_TIME;
       gp_scheduler_release (scheduler, task);
       gp_log (GP_LOG_INFO, "run.absent", GP_LOG_S ("task", run->task),
               GP_LOG_I ("run", run->run), GP_LOG_S ("executor", executor->id));
@@ -395,8 +400,8 @@
   const Gp__Jobs__Step *step = gp_task_step (task);
 
   return task->state == GP_TASK_ASSIGNED && step->fills && step->checkpointing
-         && !step->gang && task->slow_since != 0
-         && now - task->slow_since >= SLOW_TIME;
+         && !step->gang && task->throttled_since != 0
+         && now - task->throttled_since >= THROTTLED_TIME;
 }
 
 void
@@ -410,14 +415,14 @@
     gp_job_task_t *task = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
 
     if (!may_move (task, now)
-        || !gp_placer_has_better (scheduler->book, scheduler->pressure, task,
-                                  now))
+        || !gp_placer_has_better_place (scheduler->book, scheduler->pressure,
+                                        task, now))
       continue;
     executor->relocated_at = now;
     gp_log (GP_LOG_INFO, "run.relocated", GP_LOG_S ("job", task->job->id),
             GP_LOG_I ("index", task->index),
             GP_LOG_S ("executor", executor->id),
-            GP_LOG_I ("slow_ms", (now - task->slow_since) / GP_MSEC));
+            GP_LOG_I ("slow_ms", (now - task->throttled_since) / GP_MSEC));
     stop_task (scheduler, task);
     return;
   }
@@ -465,8 +470,8 @@
 /* Logs the runs on EXECUTOR that were assigned at DECIDED_AT or later and are
    ordered only NOW.  */
 static void
-log_put_off (const gp_job_executor_t *executor, gp_time_t decided_at,
-             gp_time_t now)
+log_delayed_orders (const gp_job_executor_t *executor, gp_time_t decided_at,
+                    gp_time_t now)
 {
   GP_LIST_FOREACH (link, &executor->tasks)
   {
@@ -474,19 +479,19 @@
         = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
     char name[GP_TASK_NAME_SIZE];
 
-    if (task->since < decided_at)
+    if (task->ordered_at < decided_at)
       continue;
     gp_task_name (task, name);
     gp_log (GP_LOG_INFO, "run.put_off", GP_LOG_S ("task", name),
             GP_LOG_I ("run", task->run),
             GP_LOG_S ("why", "its record could not be written"),
-            GP_LOG_I ("for_ms", (now - task->since) / GP_MSEC));
+            GP_LOG_I ("for_ms", (now - task->ordered_at) / GP_MSEC));
   }
 }
 
 void
-gp_scheduler_ordered (gp_scheduler_t *scheduler, gp_time_t decided_at,
-                      gp_time_t now)
+gp_scheduler_orders_delayed (gp_scheduler_t *scheduler, gp_time_t decided_at,
+                             gp_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
@@ -494,14 +499,14 @@
   g_hash_table_iter_init (&iter, scheduler->book->executors);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      log_put_off (value, decided_at, now);
-      gp_suspicion_ordered (value, decided_at, now);
+      log_delayed_orders (value, decided_at, now);
+      gp_suspicion_orders_delayed (value, decided_at, now);
     }
   GP_LIST_FOREACH (link, &scheduler->book->live)
   {
     gp_job_t *job = GP_CONTAINER_OF (link, gp_job_t, link);
 
     for (uint32_t i = 0; i < job->task_count; i++)
-      gp_suspicion_put_off (&job->tasks[i], decided_at, now);
+      gp_suspicion_extend_wait (&job->tasks[i], decided_at, now);
   }
 }
--- a/src/jobs/scheduler.h
+++ b/src/jobs/scheduler.h
@@ -52,8 +52,8 @@
 void gp_scheduler_reset (gp_scheduler_t *scheduler);
 
 /* JOB was submitted or cancelled.  */
-void gp_scheduler_job (gp_scheduler_t *scheduler, gp_job_t *job,
-                       int64_t wall_ms);
+void gp_scheduler_job_changed (gp_scheduler_t *scheduler, gp_job_t *job,
+                               int64_t wall_ms);
 
 /* Marks the progress of JOB to be written again, as its newest record cannot
    be read.  */
@@ -62,53 +62,55 @@
 /* EXECUTOR lists END.  Returns FALSE if the submission of the job is not known
    yet: END must not be confirmed and has to be reported again.  A confirmation
    covers all earlier numbers, so the ends after it wait as well.  */
-bool gp_scheduler_end (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
-                       const Gp__Jobs__End *end, gp_time_t now,
-                       int64_t wall_ms);
+bool gp_scheduler_run_ended (gp_scheduler_t *scheduler,
+                             gp_job_executor_t *executor,
+                             const Gp__Jobs__End *end, gp_time_t now,
+                             int64_t wall_ms);
 
 /* The guard reports that RUN never ran on EXECUTOR and never will.  */
-void gp_scheduler_absent (gp_scheduler_t *scheduler,
-                          gp_job_executor_t *executor,
-                          const Gp__Jobs__TaskRun *run, gp_time_t now);
+void gp_scheduler_run_absent (gp_scheduler_t *scheduler,
+                              gp_job_executor_t *executor,
+                              const Gp__Jobs__TaskRun *run, gp_time_t now);
 
 /* The incarnation NEXT has executed RUN of the task NAME, which was ordered
    from the incarnation BEFORE and carried out late.  If the run is still
    wanted there, it is moved to NEXT.  */
-void gp_scheduler_carry (gp_scheduler_t *scheduler, gp_job_executor_t *before,
-                         gp_job_executor_t *next, const char *name,
-                         uint32_t run);
+void gp_scheduler_move_run (gp_scheduler_t *scheduler,
+                            gp_job_executor_t *before, gp_job_executor_t *next,
+                            const char *name, uint32_t run);
 
 /* EXECUTOR's guard reports the COUNT RUNS on the latest list of running tasks.
    Runs that are not wanted there are strays: an order to an earlier
    incarnation was carried out late.  */
-void gp_scheduler_strays (gp_scheduler_t *scheduler,
-                          gp_job_executor_t *executor,
-                          Gp__Jobs__TaskRun *const *runs, size_t count);
+void gp_scheduler_note_strays (gp_scheduler_t *scheduler,
+                               gp_job_executor_t *executor,
+                               Gp__Jobs__TaskRun *const *runs, size_t count);
 
 /* EXECUTOR's guard reports that the COUNT RUNS there have settled; see
    jobs/suspicion.h.  */
-void gp_scheduler_settled (gp_scheduler_t *scheduler,
-                           gp_job_executor_t *executor,
-                           Gp__Jobs__TaskRun *const *runs, size_t count);
+void gp_scheduler_note_settled (gp_scheduler_t *scheduler,
+                                gp_job_executor_t *executor,
+                                Gp__Jobs__TaskRun *const *runs, size_t count);
 
 /* EXECUTOR's guard reports that of all runs there the COUNT RUNS, and no
    others, may have crashed it.  */
-void gp_scheduler_suspects (gp_scheduler_t *scheduler,
-                            gp_job_executor_t *executor,
-                            Gp__Jobs__TaskRun *const *runs, size_t count);
+void gp_scheduler_note_suspects (gp_scheduler_t *scheduler,
+                                 gp_job_executor_t *executor,
+                                 Gp__Jobs__TaskRun *const *runs, size_t count);
 
 /* EXECUTOR does not answer, and the runs that may have crashed it have been
    reported: counts this against their queue, see jobs/quarantine.h.  */
-void gp_scheduler_down (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
-                        gp_time_t now);
+void gp_scheduler_executor_down (gp_scheduler_t *scheduler,
+                                 gp_job_executor_t *executor, gp_time_t now);
 
 /* Discards what was reported about suspects on EXECUTOR.  */
-void gp_scheduler_no_suspects (gp_job_executor_t *executor);
+void gp_scheduler_clear_suspects (gp_job_executor_t *executor);
 
 /* EXECUTOR answers, for the first time or again.  Runs that were assigned to
    it while it did not answer may start now, which is recorded for the other
    entries.  */
-void gp_scheduler_up (gp_scheduler_t *scheduler, gp_job_executor_t *executor);
+void gp_scheduler_executor_up (gp_scheduler_t *scheduler,
+                               gp_job_executor_t *executor);
 
 /* What proves that an executor no longer runs anything.  */
 typedef enum
@@ -125,8 +127,9 @@
 /* EXECUTOR no longer runs anything, for the reason WHY.  Crashes are counted
    against tasks whose run may have crashed it; a task with enough evidence
    against it is given up.  */
-void gp_scheduler_dead (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
-                        gp_death_t why, gp_time_t now, int64_t wall_ms);
+void gp_scheduler_executor_dead (gp_scheduler_t *scheduler,
+                                 gp_job_executor_t *executor, gp_death_t why,
+                                 gp_time_t now, int64_t wall_ms);
 
 /* EXECUTOR is about to leave: stops runs that have to continue elsewhere.  */
 void gp_scheduler_drain (gp_scheduler_t *scheduler,
@@ -143,11 +146,11 @@
 
 /* What was decided at DECIDED_AT or later is ordered only NOW, because its
    record could not be written earlier.  */
-void gp_scheduler_ordered (gp_scheduler_t *scheduler, gp_time_t decided_at,
-                           gp_time_t now);
+void gp_scheduler_orders_delayed (gp_scheduler_t *scheduler,
+                                  gp_time_t decided_at, gp_time_t now);
 
 /* Returns whether TASK, which is on an executor's list, should be running
    there.  */
-bool gp_scheduler_wanted (const gp_job_task_t *task);
+bool gp_scheduler_expects_run (const gp_job_task_t *task);
 
 #endif
--- a/src/jobs/scheduler_losses.c
+++ b/src/jobs/scheduler_losses.c
@@ -10,19 +10,19 @@
 
 /* Executors that die without a report on suspects within this time count as
    lost together ...  */
-#define TOGETHER_TIME (GP_SEC)
+#define OUTAGE_TIME (GP_SEC)
 /* ... if there are at least this many others; a single other may be
    chance.  */
-#define TOGETHER_LEAST 2
+#define OUTAGE_MIN_OTHERS 2
 /* Maximum number of jobs named in a log line on a lost run.  */
-#define SUSPECTS_NAMED 4
+#define MAX_SUSPECTS_LOGGED 4
 
 static gp_counter_t lost_runs_count
     = GP_COUNTER ("runs_lost_total", "Runs on executors that have died");
 static gp_counter_t suspect_runs_count
     = GP_COUNTER ("runs_suspect_total",
                   "Of these, runs that may have taken their executor down");
-static gp_counter_t beside_runs_count = GP_COUNTER (
+static gp_counter_t bystander_runs_count = GP_COUNTER (
     "runs_lost_beside_total",
     "Of these, runs of others on executors that a task has taken down, by "
     "what had just begun there");
@@ -51,7 +51,7 @@
 {
   gp_counter_register (&lost_runs_count);
   gp_counter_register (&suspect_runs_count);
-  gp_counter_register (&beside_runs_count);
+  gp_counter_register (&bystander_runs_count);
   gp_counter_register (&given_up_count);
   gp_counter_register (&stray_runs_count);
   for (size_t i = 0; i < G_N_ELEMENTS (dead_counts); i++)
@@ -99,10 +99,10 @@
     const gp_job_task_t *task
         = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
 
-    if (!gp_suspicion_is_beginner (task) || task->job == except
+    if (!gp_suspicion_may_have_just_started (task) || task->job == except
         || strstr (names->str, task->job->id) != NULL)
       continue;
-    if (count++ == SUSPECTS_NAMED)
+    if (count++ == MAX_SUSPECTS_LOGGED)
       break;
     if (names->len > 0)
       g_string_append_c (names, ' ');
@@ -119,24 +119,25 @@
   char name[GP_TASK_NAME_SIZE];
   /* Jobs whose recent starts make the crash of an isolated run
      inconclusive.  */
-  g_autofree char *beside
+  g_autofree char *inconclusive_jobs
       = task->alone ? name_suspects (executor, task->job) : NULL;
 
   gp_task_name (task, name);
-  gp_log (GP_LOG_INFO, "run.lost", GP_LOG_S ("task", name),
-          GP_LOG_I ("run", task->run), GP_LOG_S ("executor", executor->id),
-          GP_LOG_I ("suspect", suspicion != GP_SUSPICION_NONE),
-          GP_LOG_I ("crashes", task->crashes),
-          GP_LOG_I ("evidence", task->evidence),
-          GP_LOG_I ("told", executor->suspects_told),
-          GP_LOG_I ("fresh", task->fresh), GP_LOG_I ("just", task->just),
-          GP_LOG_I ("unanswered", task->unanswered),
-          GP_LOG_I ("alone", task->alone), GP_LOG_I ("age_ms", task->age_ms),
-          GP_LOG_S ("suspects", suspects),
-          GP_LOG_S ("beside", beside != NULL ? beside : ""),
-          GP_LOG_I ("assigned_ms_ago", ms_ago (task->since, now)),
-          GP_LOG_I ("guard_gone_ms_ago", ms_ago (executor->cut_at, now)),
-          GP_LOG_I ("reported_ms_ago", ms_ago (executor->reported_at, now)));
+  gp_log (
+      GP_LOG_INFO, "run.lost", GP_LOG_S ("task", name),
+      GP_LOG_I ("run", task->run), GP_LOG_S ("executor", executor->id),
+      GP_LOG_I ("suspect", suspicion != GP_SUSPICION_NONE),
+      GP_LOG_I ("crashes", task->crashes),
+      GP_LOG_I ("evidence", task->evidence),
+      GP_LOG_I ("told", executor->suspects_told),
+      GP_LOG_I ("fresh", task->fresh), GP_LOG_I ("just", task->just),
+      GP_LOG_I ("unanswered", task->unanswered),
+      GP_LOG_I ("alone", task->alone), GP_LOG_I ("age_ms", task->age_ms),
+      GP_LOG_S ("suspects", suspects),
+      GP_LOG_S ("beside", inconclusive_jobs != NULL ? inconclusive_jobs : ""),
+      GP_LOG_I ("assigned_ms_ago", ms_ago (task->ordered_at, now)),
+      GP_LOG_I ("guard_gone_ms_ago", ms_ago (executor->cut_at, now)),
+      GP_LOG_I ("reported_ms_ago", ms_ago (executor->reported_at, now)));
 }
 
 /* Returns whether the death of EXECUTOR, for the reason WHY, counts against
@@ -173,7 +174,7 @@
   gp_counter_add (&lost_runs_count, 1);
   gp_counter_add (&suspect_runs_count, suspicion != GP_SUSPICION_NONE);
   gp_scheduler_release (scheduler, task);
-  if (suspicion != GP_SUSPICION_GUILTY || gp_job_ended (job))
+  if (suspicion != GP_SUSPICION_GIVE_UP || gp_job_ended (job))
     return;
   gp_counter_add (&given_up_count, 1);
   gp_log (GP_LOG_WARNING, "task.given_up", GP_LOG_S ("job", job->id),
@@ -195,8 +196,8 @@
 }
 
 void
-gp_scheduler_carry (gp_scheduler_t *scheduler, gp_job_executor_t *before,
-                    gp_job_executor_t *next, const char *name, uint32_t run)
+gp_scheduler_move_run (gp_scheduler_t *scheduler, gp_job_executor_t *before,
+                       gp_job_executor_t *next, const char *name, uint32_t run)
 {
   const Gp__Jobs__TaskRun row = { .task = (char *)name, .run = run };
   gp_job_task_t *task = task_of_run (scheduler, before, &row);
@@ -211,8 +212,8 @@
 }
 
 static void
-note_stray (gp_job_executor_t *executor, gp_job_task_t *task,
-            const Gp__Jobs__TaskRun *run)
+record_stray (gp_job_executor_t *executor, gp_job_task_t *task,
+              const Gp__Jobs__TaskRun *run)
 {
   bool known = task->stray_on == executor
                && task->stray_report + 1 == executor->reports;
@@ -231,8 +232,9 @@
 }
 
 void
-gp_scheduler_strays (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
-                     Gp__Jobs__TaskRun *const *runs, size_t count)
+gp_scheduler_note_strays (gp_scheduler_t *scheduler,
+                          gp_job_executor_t *executor,
+                          Gp__Jobs__TaskRun *const *runs, size_t count)
 {
   executor->reports++;
   for (size_t i = 0; i < count; i++)
@@ -241,13 +243,14 @@
 
       if (task != NULL
           && (task->executor != executor || task->run != runs[i]->run))
-        note_stray (executor, task, runs[i]);
+        record_stray (executor, task, runs[i]);
     }
 }
 
 void
-gp_scheduler_settled (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
-                      Gp__Jobs__TaskRun *const *runs, size_t count)
+gp_scheduler_note_settled (gp_scheduler_t *scheduler,
+                           gp_job_executor_t *executor,
+                           Gp__Jobs__TaskRun *const *runs, size_t count)
 {
   for (size_t i = 0; i < count; i++)
     {
@@ -259,18 +262,19 @@
 }
 
 void
-gp_scheduler_no_suspects (gp_job_executor_t *executor)
+gp_scheduler_clear_suspects (gp_job_executor_t *executor)
 {
   executor->suspects_told = false;
   GP_LIST_FOREACH (link, &executor->tasks)
   {
-    gp_suspicion_forget_told (
+    gp_suspicion_discard_report (
         GP_CONTAINER_OF (link, gp_job_task_t, on_executor));
   }
 }
 
 void
-gp_scheduler_up (gp_scheduler_t *scheduler, gp_job_executor_t *executor)
+gp_scheduler_executor_up (gp_scheduler_t *scheduler,
+                          gp_job_executor_t *executor)
 {
   executor->down = false;
   executor->blamed = false;
@@ -279,14 +283,15 @@
     const gp_job_task_t *task
         = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
 
-    if (!gp_job_ended (task->job) && gp_job_begin (task->job))
+    if (!gp_job_ended (task->job) && gp_job_mark_started (task->job))
       gp_scheduler_mark_dirty (scheduler, task->job);
   }
 }
 
 void
-gp_scheduler_suspects (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
-                       Gp__Jobs__TaskRun *const *runs, size_t count)
+gp_scheduler_note_suspects (gp_scheduler_t *scheduler,
+                            gp_job_executor_t *executor,
+                            Gp__Jobs__TaskRun *const *runs, size_t count)
 {
   executor->suspects_told = true;
   for (size_t i = 0; i < count; i++)
@@ -310,7 +315,7 @@
    That means a loss of power or of a zone; a task crashes a single
    executor.  */
 static bool
-went_with_others (const gp_book_t *book, const gp_job_executor_t *executor,
+lost_with_others (const gp_book_t *book, const gp_job_executor_t *executor,
                   gp_time_t now)
 {
   unsigned others = 0;
@@ -323,20 +328,20 @@
     {
       const gp_job_executor_t *other = value;
       bool lost = other->dead && other->lost_at != 0
-                  && now - other->lost_at <= TOGETHER_TIME;
+                  && now - other->lost_at <= OUTAGE_TIME;
 
       if (other == executor || (other->dead && !lost))
         continue;
       others++;
       gone += lost || !other->reachable;
     }
-  return gone >= TOGETHER_LEAST && gone * 2 >= others;
+  return gone >= OUTAGE_MIN_OTHERS && gone * 2 >= others;
 }
 
 /* Returns the only job of which runs may have started on EXECUTOR just before
    it died, if one of them certainly had (`just`), otherwise NULL.  */
 static const gp_job_t *
-proved_job (const gp_job_executor_t *executor)
+crashing_job (const gp_job_executor_t *executor)
 {
   const gp_job_t *job = gp_suspicion_sole_job (executor);
 
@@ -351,10 +356,10 @@
 }
 
 void
-gp_scheduler_down (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
-                   gp_time_t now)
+gp_scheduler_executor_down (gp_scheduler_t *scheduler,
+                            gp_job_executor_t *executor, gp_time_t now)
 {
-  const gp_job_t *job = proved_job (executor);
+  const gp_job_t *job = crashing_job (executor);
 
   if (job == NULL || executor->blamed)
     return;
@@ -364,18 +369,19 @@
 }
 
 void
-gp_scheduler_dead (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
-                   gp_death_t why, gp_time_t now, int64_t wall_ms)
+gp_scheduler_executor_dead (gp_scheduler_t *scheduler,
+                            gp_job_executor_t *executor, gp_death_t why,
+                            gp_time_t now, int64_t wall_ms)
 {
   const gp_job_t *sole_job = gp_suspicion_sole_job (executor);
   char *suspects = name_suspects (executor, NULL);
   bool crash = may_be_crash (executor, why);
-  bool together = crash && !executor->suspects_told
-                  && went_with_others (scheduler->book, executor, now);
-  bool proved = crash && proved_job (executor) != NULL;
+  bool in_outage = crash && !executor->suspects_told
+                   && lost_with_others (scheduler->book, executor, now);
+  bool proved = crash && crashing_job (executor) != NULL;
 
   if (proved)
-    gp_scheduler_down (scheduler, executor, now);
+    gp_scheduler_executor_down (scheduler, executor, now);
   gp_log (GP_LOG_INFO, "executor.dead", GP_LOG_S ("executor", executor->id),
           GP_LOG_I ("runs", executor->task_count),
           GP_LOG_S ("why", death_name (why)));
@@ -389,10 +395,10 @@
     gp_suspicion_t suspicion = GP_SUSPICION_NONE;
 
     if (crash)
-      suspicion = together ? gp_suspicion_crashed_together (task, sole_job)
-                           : gp_suspicion_crashed (task, sole_job);
+      suspicion = in_outage ? gp_suspicion_crashed_in_outage (task, sole_job)
+                            : gp_suspicion_crashed (task, sole_job);
 
-    gp_counter_add (&beside_runs_count, proved && task->job != sole_job);
+    gp_counter_add (&bystander_runs_count, proved && task->job != sole_job);
     lose_run (scheduler, task, suspicion, suspects, now, wall_ms);
   }
   executor->suspects_told = false;
--- a/src/jobs/suspicion.c
+++ b/src/jobs/suspicion.c
@@ -6,43 +6,45 @@
 
 /* Assumed loss for a long-running run, or for a run assigned by a previous
    leader: the time until such work is running again.  */
-#define LASTING_LOSS_TIME (5 * GP_SEC)
+#define LONG_RUNNING_LOSS_TIME (5 * GP_SEC)
 
 gp_time_t
 gp_suspicion_settle_time (bool gang)
 {
-  return GP_SUSPICION_SETTLE_TIME + (gang ? GP_SUSPICION_GANG_TIME : 0);
+  return GP_SUSPICION_SETTLE_TIME + (gang ? GP_SUSPICION_GANG_SETTLE_TIME : 0);
 }
 
 /* Returns the minimum time for which this process knows the run of TASK to
    have been present.  A run assigned by a previous leader counts from the
    first report about its executor.  */
 static gp_time_t
-known_time (const gp_job_task_t *task)
+observed_time (const gp_job_task_t *task)
 {
   const gp_job_executor_t *executor = task->executor;
 
-  return executor->reported_at - MAX (task->since, executor->reported_since);
+  return executor->reported_at
+         - MAX (task->ordered_at, executor->reported_since);
 }
 
 bool
-gp_suspicion_is_beginner (const gp_job_task_t *task)
+gp_suspicion_may_have_just_started (const gp_job_task_t *task)
 {
   return task->suspect && !task->settled && (task->fresh || task->unanswered);
 }
 
-/* Like gp_suspicion_is_beginner, but if the guard reported no suspects,
-   decides by what this process knows.  An isolated run may have started long
-   after it was assigned; only its guard can report that it has settled.  */
+/* Like gp_suspicion_may_have_just_started, but if the guard reported no
+   suspects, decides by what this process knows.  An isolated run may have
+   started long after it was assigned; only its guard can report that it has
+   settled.  */
 static bool
 is_suspect (const gp_job_task_t *task)
 {
   if (task->executor->suspects_told || task->settled)
-    return gp_suspicion_is_beginner (task);
+    return gp_suspicion_may_have_just_started (task);
   if (task->alone)
     return true;
   return task->executor->reported_at == 0
-         || known_time (task)
+         || observed_time (task)
                 < gp_suspicion_settle_time (gp_task_step (task)->gang);
 }
 
@@ -52,7 +54,7 @@
   bool changed = task->crashes > 0;
 
   task->settled = true;
-  task->excused = false;
+  task->lost_in_outage = false;
   task->crashes = 0;
   task->evidence = 0;
   task->alone = false;
@@ -71,7 +73,7 @@
     const gp_job_task_t *task
         = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
 
-    if (!gp_suspicion_is_beginner (task))
+    if (!gp_suspicion_may_have_just_started (task))
       continue;
     if (job != NULL && job != task->job)
       return NULL;
@@ -84,28 +86,29 @@
    ordered.  Guard and executor share a VM, so the loss of the guard indicates
    when the executor died if no guard is left to report it.  */
 static bool
-went_with_guard (const gp_job_task_t *task)
+guard_lost_after_order (const gp_job_task_t *task)
 {
   gp_time_t cut_at = task->executor->cut_at;
 
-  return task->since != 0 && cut_at >= task->since
-         && cut_at - task->since <= GP_SUSPICION_JUST_TIME;
+  return task->ordered_at != 0 && cut_at >= task->ordered_at
+         && cut_at - task->ordered_at <= GP_SUSPICION_JUST_TIME;
 }
 
 /* Returns the evidence that the death of the executor adds against TASK, which
    may have just started.  */
 static uint32_t
-weight (const gp_job_task_t *task, const gp_job_t *sole_job)
+added_evidence (const gp_job_task_t *task, const gp_job_t *sole_job)
 {
   bool sole = sole_job == task->job;
 
   if (task->alone && !task->executor->suspects_told)
-    return went_with_guard (task) ? GP_SUSPICION_PROOF : GP_SUSPICION_HINT;
+    return guard_lost_after_order (task) ? GP_SUSPICION_STRONG_EVIDENCE
+                                         : GP_SUSPICION_WEAK_EVIDENCE;
   if (sole && (task->just || (task->fresh && task->alone && !task->timed)))
-    return GP_SUSPICION_PROOF;
+    return GP_SUSPICION_STRONG_EVIDENCE;
   if (sole && task->fresh)
-    return GP_SUSPICION_HINT;
-  return task->alone && sole ? GP_SUSPICION_HINT : 0;
+    return GP_SUSPICION_WEAK_EVIDENCE;
+  return task->alone && sole ? GP_SUSPICION_WEAK_EVIDENCE : 0;
 }
 
 gp_suspicion_t
@@ -113,25 +116,25 @@
 {
   if (!is_suspect (task))
     return GP_SUSPICION_NONE;
-  task->alone_since = 0;
-  task->crashes = MIN (task->crashes + 1, GP_SUSPICION_MOST);
-  task->evidence
-      = MIN (task->evidence + weight (task, sole_job), GP_SUSPICION_GUILT);
-  return task->evidence == GP_SUSPICION_GUILT ? GP_SUSPICION_GUILTY
-                                              : GP_SUSPICION_COUNTED;
+  task->isolation_wait_since = 0;
+  task->crashes = MIN (task->crashes + 1, GP_SUSPICION_MAX_CRASHES);
+  task->evidence = MIN (task->evidence + added_evidence (task, sole_job),
+                        GP_SUSPICION_EVIDENCE_LIMIT);
+  return task->evidence == GP_SUSPICION_EVIDENCE_LIMIT ? GP_SUSPICION_GIVE_UP
+                                                       : GP_SUSPICION_COUNTED;
 }
 
 gp_suspicion_t
-gp_suspicion_crashed_together (gp_job_task_t *task, const gp_job_t *sole_job)
+gp_suspicion_crashed_in_outage (gp_job_task_t *task, const gp_job_t *sole_job)
 {
-  if (task->alone || task->excused)
+  if (task->alone || task->lost_in_outage)
     return gp_suspicion_crashed (task, sole_job);
-  task->excused = is_suspect (task);
+  task->lost_in_outage = is_suspect (task);
   return GP_SUSPICION_NONE;
 }
 
 void
-gp_suspicion_forget_told (gp_job_task_t *task)
+gp_suspicion_discard_report (gp_job_task_t *task)
 {
   task->suspect = false;
   task->fresh = false;
@@ -142,12 +145,12 @@
 }
 
 void
-gp_suspicion_forget_run (gp_job_task_t *task)
+gp_suspicion_reset_run (gp_job_task_t *task)
 {
-  gp_suspicion_forget_told (task);
+  gp_suspicion_discard_report (task);
   task->settled = false;
   task->alone = false;
-  task->held = false;
+  task->may_start_late = false;
 }
 
 /* Returns whether TASK has to be started in isolation.  A task with a single
@@ -155,140 +158,147 @@
    from the executor's lists, does not yet qualify: executors that crash for
    reasons of their own leave many such tasks behind.  */
 static bool
-is_isolated (const gp_job_task_t *task)
+requires_isolation (const gp_job_task_t *task)
 {
-  bool by_lists = task->fresh && !task->just;
+  bool from_lists = task->fresh && !task->just;
 
   return task->evidence > 0 || task->crashes > 1
-         || (task->crashes == 1 && !by_lists);
+         || (task->crashes == 1 && !from_lists);
 }
 
 /* The isolation timeout starts when the task can be assigned.  If it expired
    while the store is unavailable, the suspects would all go to one executor
    and crash it together.  */
 void
-gp_suspicion_waits (gp_job_task_t *task, gp_time_t now)
+gp_suspicion_begin_wait (gp_job_task_t *task, gp_time_t now)
 {
-  if (is_isolated (task) && task->alone_since == 0)
-    task->alone_since = now;
+  if (requires_isolation (task) && task->isolation_wait_since == 0)
+    task->isolation_wait_since = now;
 }
 
 void
-gp_suspicion_put_off (gp_job_task_t *task, gp_time_t decided_at, gp_time_t now)
+gp_suspicion_extend_wait (gp_job_task_t *task, gp_time_t decided_at,
+                          gp_time_t now)
 {
-  if (task->state == GP_TASK_WAITING && task->alone_since != 0)
-    task->alone_since += now - MAX (decided_at, task->alone_since);
+  if (task->state == GP_TASK_WAITING && task->isolation_wait_since != 0)
+    task->isolation_wait_since
+        += now - MAX (decided_at, task->isolation_wait_since);
 }
 
 bool
 gp_suspicion_is_strong (const gp_job_task_t *task)
 {
-  return task->evidence > 0 || task->crashes >= GP_SUSPICION_PATIENT;
+  return task->evidence > 0 || task->crashes >= GP_SUSPICION_STRONG_CRASHES;
 }
 
 /* Returns the time until which TASK waits for an isolated start.  A gang needs
    several executors at once, and two gangs may each hold some that the other
    needs, so its wait is bounded.  */
 static gp_time_t
-patient_until (const gp_job_task_t *task)
+isolation_deadline (const gp_job_task_t *task)
 {
   const Gp__Jobs__Step *step = gp_task_step (task);
 
   if (gp_suspicion_is_strong (task))
-    return step->gang ? task->alone_since + GP_SUSPICION_GANG_PATIENCE
+    return step->gang ? task->isolation_wait_since
+                            + GP_SUSPICION_ISOLATION_TIMEOUT_GANG
                       : GP_TIME_NEVER;
-  return task->alone_since
-         + (step->long_running ? GP_SUSPICION_LASTING_PATIENCE
-                               : GP_SUSPICION_PATIENCE);
+  return task->isolation_wait_since
+         + (step->long_running ? GP_SUSPICION_ISOLATION_TIMEOUT_LONG_RUNNING
+                               : GP_SUSPICION_ISOLATION_TIMEOUT);
 }
 
 bool
-gp_suspicion_wants_alone (const gp_job_task_t *task, gp_time_t now)
+gp_suspicion_needs_isolation (const gp_job_task_t *task, gp_time_t now)
 {
-  return is_isolated (task) && task->alone_since != 0
-         && now <= patient_until (task);
+  return requires_isolation (task) && task->isolation_wait_since != 0
+         && now <= isolation_deadline (task);
 }
 
 /* Returns the time until which EXECUTOR is dedicated.  A dedication made by a
    previous leader counts from the first report to this leader.  */
 static gp_time_t
-kept_until (const gp_job_executor_t *executor)
+dedicated_until (const gp_job_executor_t *executor)
 {
   if (executor->kept_until != 0)
     return executor->kept_until;
   return executor->reported_since == 0
              ? GP_TIME_NEVER
              : executor->reported_since + GP_SUSPICION_SETTLE_TIME
-                   + GP_SUSPICION_KEEP_TIME;
+                   + GP_SUSPICION_DEDICATE_TIME;
 }
 
 bool
-gp_suspicion_is_kept (const gp_job_executor_t *executor, gp_time_t now)
+gp_suspicion_is_dedicated (const gp_job_executor_t *executor, gp_time_t now)
 {
-  return *executor->kept_for != '\0' && now < kept_until (executor);
+  return *executor->kept_for != '\0' && now < dedicated_until (executor);
 }
 
 bool
-gp_suspicion_is_kept_for (const gp_job_executor_t *executor,
-                          const gp_job_t *job, gp_time_t now)
+gp_suspicion_is_dedicated_to (const gp_job_executor_t *executor,
+                              const gp_job_t *job, gp_time_t now)
 {
-  return gp_suspicion_is_kept (executor, now)
+  return gp_suspicion_is_dedicated (executor, now)
          && strcmp (executor->kept_for, job->id) == 0;
 }
 
 bool
-gp_suspicion_admits (const gp_job_executor_t *executor,
+gp_suspicion_allows (const gp_job_executor_t *executor,
                      const gp_job_task_t *task, gp_time_t now)
 {
-  return !gp_suspicion_is_kept (executor, now)
-         || gp_suspicion_is_kept_for (executor, task->job, now);
+  return !gp_suspicion_is_dedicated (executor, now)
+         || gp_suspicion_is_dedicated_to (executor, task->job, now);
 }
 
 /* Returns whether every run on EXECUTOR, except those of the job it is
    dedicated to, has certainly started.  What a previous leader assigned is
    older than the first report to this leader.  */
 bool
-gp_suspicion_is_quiet (const gp_job_executor_t *executor, gp_time_t now)
+gp_suspicion_has_no_recent_starts (const gp_job_executor_t *executor,
+                                   gp_time_t now)
 {
   return executor->task_count == 0
          || now - MAX (executor->assigned_at, executor->reported_since)
-                >= GP_SUSPICION_BEGIN_TIME;
+                >= GP_SUSPICION_START_WINDOW;
 }
 
 static void
-keep_until (gp_job_executor_t *executor, const gp_job_t *job, gp_time_t until)
+set_dedication (gp_job_executor_t *executor, const gp_job_t *job,
+                gp_time_t until)
 {
   g_strlcpy (executor->kept_for, job->id, sizeof executor->kept_for);
   executor->kept_until = until;
 }
 
 void
-gp_suspicion_folded (gp_job_task_t *task, bool alone)
+gp_suspicion_restore (gp_job_task_t *task, bool alone)
 {
   task->alone = alone;
   if (alone)
-    keep_until (task->executor, task->job, 0);
+    set_dedication (task->executor, task->job, 0);
 }
 
 void
-gp_suspicion_keep (gp_job_executor_t *executor, const gp_job_task_t *task,
-                   gp_time_t now)
+gp_suspicion_dedicate (gp_job_executor_t *executor, const gp_job_task_t *task,
+                       gp_time_t now)
 {
-  if (!gp_suspicion_is_kept (executor, now))
-    keep_until (executor, task->job, now + GP_SUSPICION_QUIET_TIME);
+  if (!gp_suspicion_is_dedicated (executor, now))
+    set_dedication (executor, task->job,
+                    now + GP_SUSPICION_DEDICATE_AHEAD_TIME);
 }
 
 void
-gp_suspicion_keep_for (gp_job_executor_t *executor, const gp_job_t *job,
-                       gp_time_t until)
+gp_suspicion_dedicate_until (gp_job_executor_t *executor, const gp_job_t *job,
+                             gp_time_t until)
 {
-  bool kept = strcmp (executor->kept_for, job->id) == 0;
+  bool dedicated = strcmp (executor->kept_for, job->id) == 0;
 
-  keep_until (executor, job, kept ? MAX (until, executor->kept_until) : until);
+  set_dedication (executor, job,
+                  dedicated ? MAX (until, executor->kept_until) : until);
 }
 
 int64_t
-gp_suspicion_at_stake (const gp_job_executor_t *executor, gp_time_t now)
+gp_suspicion_work_at_risk (const gp_job_executor_t *executor, gp_time_t now)
 {
   int64_t sum = 0;
 
@@ -297,11 +307,11 @@
     const gp_job_task_t *task
         = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
     const Gp__Jobs__Step *step = gp_task_step (task);
-    gp_time_t worked = now - task->since;
+    gp_time_t work_time = now - task->ordered_at;
 
-    if (step->long_running || task->since == 0)
-      worked = LASTING_LOSS_TIME;
-    sum += worked / GP_MSEC * step->cpu_milli;
+    if (step->long_running || task->ordered_at == 0)
+      work_time = LONG_RUNNING_LOSS_TIME;
+    sum += work_time / GP_MSEC * step->cpu_milli;
   }
   return sum / MAX (executor->capacity.cpu_milli, 1);
 }
@@ -309,7 +319,7 @@
 /* A run of JOB has been assigned to EXECUTOR: runs of other jobs there are no
    longer isolated.  */
 static void
-end_alone (gp_job_executor_t *executor, const gp_job_t *job)
+end_isolation (gp_job_executor_t *executor, const gp_job_t *job)
 {
   GP_LIST_FOREACH (link, &executor->tasks)
   {
@@ -323,24 +333,24 @@
 /* Dedicates the executor of TASK, whose isolated start is ordered at NOW,
    until the run has settled.  */
 static void
-keep_for_start (const gp_job_task_t *task, gp_time_t now)
+dedicate_for_start (const gp_job_task_t *task, gp_time_t now)
 {
-  keep_until (task->executor, task->job,
-              now + gp_suspicion_settle_time (gp_task_step (task)->gang)
-                  + GP_SUSPICION_KEEP_TIME);
+  set_dedication (task->executor, task->job,
+                  now + gp_suspicion_settle_time (gp_task_step (task)->gang)
+                      + GP_SUSPICION_DEDICATE_TIME);
 }
 
 void
-gp_suspicion_assigned (gp_job_task_t *task, gp_time_t now)
+gp_suspicion_note_assigned (gp_job_task_t *task, gp_time_t now)
 {
   gp_job_executor_t *executor = task->executor;
 
-  gp_suspicion_forget_run (task);
-  end_alone (executor, task->job);
-  task->alone = gp_suspicion_wants_alone (task, now);
+  gp_suspicion_reset_run (task);
+  end_isolation (executor, task->job);
+  task->alone = gp_suspicion_needs_isolation (task, now);
   if (task->alone)
-    keep_for_start (task, now);
-  else if (!gp_suspicion_is_kept_for (executor, task->job, now))
+    dedicate_for_start (task, now);
+  else if (!gp_suspicion_is_dedicated_to (executor, task->job, now))
     executor->assigned_at = now;
 }
 
@@ -348,18 +358,19 @@
    settled, and ALONE itself: they may have started long after they were
    assigned.  */
 static void
-note_held (gp_job_executor_t *executor, const gp_job_task_t *alone)
+mark_late_starts (gp_job_executor_t *executor, const gp_job_task_t *alone)
 {
   GP_LIST_FOREACH (link, &executor->tasks)
   {
     gp_job_task_t *task = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
 
-    task->held = task->held || task->since >= alone->since;
+    task->may_start_late
+        = task->may_start_late || task->ordered_at >= alone->ordered_at;
   }
 }
 
 void
-gp_suspicion_goes_on (gp_job_executor_t *executor, gp_time_t now)
+gp_suspicion_extend_dedication (gp_job_executor_t *executor, gp_time_t now)
 {
   GP_LIST_FOREACH (link, &executor->tasks)
   {
@@ -368,15 +379,15 @@
 
     if (!task->alone || task->settled)
       continue;
-    gp_suspicion_keep_for (executor, task->job,
-                           now + GP_SUSPICION_SETTLE_TIME);
-    note_held (executor, task);
+    gp_suspicion_dedicate_until (executor, task->job,
+                                 now + GP_SUSPICION_SETTLE_TIME);
+    mark_late_starts (executor, task);
   }
 }
 
 void
-gp_suspicion_ordered (gp_job_executor_t *executor, gp_time_t decided_at,
-                      gp_time_t now)
+gp_suspicion_orders_delayed (gp_job_executor_t *executor, gp_time_t decided_at,
+                             gp_time_t now)
 {
   if (executor->assigned_at >= decided_at)
     executor->assigned_at = now;
@@ -387,10 +398,10 @@
   {
     gp_job_task_t *task = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
 
-    if (task->since < decided_at)
+    if (task->ordered_at < decided_at)
       continue;
-    task->since = now;
+    task->ordered_at = now;
     if (task->alone)
-      keep_for_start (task, now);
+      dedicate_for_start (task, now);
   }
 }
--- a/src/jobs/suspicion.h
+++ b/src/jobs/suspicion.h
@@ -44,15 +44,15 @@
 
 /* Number of crashes after which a task waits for an isolated start without a
    time limit.  Users allow two starts after three.  */
-#define GP_SUSPICION_PATIENT 2
+#define GP_SUSPICION_STRONG_CRASHES 2
 /* Maximum number of crashes counted; further ones change nothing.  */
-#define GP_SUSPICION_MOST 4
+#define GP_SUSPICION_MAX_CRASHES 4
 
 /* Evidence that one crash adds, and the sum at which a task is given up.  With
    weak evidence alone that is the fifth start, the last that users allow.  */
-#define GP_SUSPICION_PROOF 2
-#define GP_SUSPICION_HINT 1
-#define GP_SUSPICION_GUILT 4
+#define GP_SUSPICION_STRONG_EVIDENCE 2
+#define GP_SUSPICION_WEAK_EVIDENCE 1
+#define GP_SUSPICION_EVIDENCE_LIMIT 4
 
 /* How long a run has to be listed as running to have settled.  Tasks that
    crash their executor do so within milliseconds of their start; a longer time
@@ -67,34 +67,35 @@
 #define GP_SUSPICION_JUST_TIME (100 * GP_MSEC)
 /* Added for gangs: members are listed while they wait for each other, up to 3
    s.  */
-#define GP_SUSPICION_GANG_TIME (3 * GP_SEC)
+#define GP_SUSPICION_GANG_SETTLE_TIME (3 * GP_SEC)
 
 /* A run that was assigned longer ago than this is not a recent start: its
    order is answered within milliseconds, or repeated after 300 ms.  */
-#define GP_SUSPICION_BEGIN_TIME (GP_SUSPICION_FRESH_TIME + 100 * GP_MSEC)
+#define GP_SUSPICION_START_WINDOW (GP_SUSPICION_FRESH_TIME + 100 * GP_MSEC)
 /* How long an executor is dedicated ahead of an isolated start: until
    everything on it has started, and until the next planning pass.  */
-#define GP_SUSPICION_QUIET_TIME (GP_SUSPICION_BEGIN_TIME + 250 * GP_MSEC)
+#define GP_SUSPICION_DEDICATE_AHEAD_TIME                                      \
+  (GP_SUSPICION_START_WINDOW + 250 * GP_MSEC)
 /* How long a task waits for an isolated start.  Long-running ones have to run
    again within 6 s; the others are late already.  */
-#define GP_SUSPICION_LASTING_PATIENCE (3 * GP_SEC)
-#define GP_SUSPICION_PATIENCE (10 * GP_SEC)
+#define GP_SUSPICION_ISOLATION_TIMEOUT_LONG_RUNNING (3 * GP_SEC)
+#define GP_SUSPICION_ISOLATION_TIMEOUT (10 * GP_SEC)
 /* The limit for members of a gang with evidence against them.  */
-#define GP_SUSPICION_GANG_PATIENCE (60 * GP_SEC)
+#define GP_SUSPICION_ISOLATION_TIMEOUT_GANG (60 * GP_SEC)
 /* At most one in so many of all executors is dedicated, but always at least
    one is allowed.  */
-#define GP_SUSPICION_SHARE 4
+#define GP_SUSPICION_DEDICATED_SHARE 4
 /* Limit on the dedication of an executor for one start: three unanswered
    orders, plus the time to settle.  A run that cannot be started must not
    block its executor.  */
-#define GP_SUSPICION_KEEP_TIME (2 * GP_SEC)
+#define GP_SUSPICION_DEDICATE_TIME (2 * GP_SEC)
 
 /* What the loss of a run with its executor means for its task.  */
 typedef enum
 {
   GP_SUSPICION_NONE, /* not suspect */
   GP_SUSPICION_COUNTED,
-  GP_SUSPICION_GUILTY /* the task is to be given up */
+  GP_SUSPICION_GIVE_UP /* the task is to be given up */
 } gp_suspicion_t;
 
 /* Returns how long a run has to be at work to have settled.  GANG: the task is
@@ -108,7 +109,7 @@
 
 /* Returns whether the run of TASK may have just started when its executor
    died, according to the guard's report.  */
-bool gp_suspicion_is_beginner (const gp_job_task_t *task);
+bool gp_suspicion_may_have_just_started (const gp_job_task_t *task);
 
 /* EXECUTOR died without reporting the end of its runs.  Returns the job of all
    runs on it that may have just started according to the guard's report, or
@@ -124,76 +125,79 @@
    of the others and whose guard reported nothing: power was lost, or several
    tasks crashed executors and guards at once.  Only an isolated start counts
    then, or the second such crash in a row of any other task.  */
-gp_suspicion_t gp_suspicion_crashed_together (gp_job_task_t *task,
-                                              const gp_job_t *sole_job);
+gp_suspicion_t gp_suspicion_crashed_in_outage (gp_job_task_t *task,
+                                               const gp_job_t *sole_job);
 
 /* Discards what a guard has reported about the run of TASK as a suspect.  */
-void gp_suspicion_forget_told (gp_job_task_t *task);
+void gp_suspicion_discard_report (gp_job_task_t *task);
 
 /* Discards everything known about the run of TASK.  */
-void gp_suspicion_forget_run (gp_job_task_t *task);
+void gp_suspicion_reset_run (gp_job_task_t *task);
 
 /* TASK is waiting and will be assigned as soon as there is a place for it.
    Starts its isolation timeout.  */
-void gp_suspicion_waits (gp_job_task_t *task, gp_time_t now);
+void gp_suspicion_begin_wait (gp_job_task_t *task, gp_time_t now);
 
 /* Returns whether there is evidence against TASK, or it has so many crashes
    that only an isolated start can settle the question.  */
 bool gp_suspicion_is_strong (const gp_job_task_t *task);
 
 /* Returns whether TASK has to be started in isolation.  */
-bool gp_suspicion_wants_alone (const gp_job_task_t *task, gp_time_t now);
+bool gp_suspicion_needs_isolation (const gp_job_task_t *task, gp_time_t now);
 
 /* Return whether EXECUTOR is dedicated to one job with suspects, and to
    JOB.  */
-bool gp_suspicion_is_kept (const gp_job_executor_t *executor, gp_time_t now);
-bool gp_suspicion_is_kept_for (const gp_job_executor_t *executor,
-                               const gp_job_t *job, gp_time_t now);
+bool gp_suspicion_is_dedicated (const gp_job_executor_t *executor,
+                                gp_time_t now);
+bool gp_suspicion_is_dedicated_to (const gp_job_executor_t *executor,
+                                   const gp_job_t *job, gp_time_t now);
 
 /* Returns whether EXECUTOR's dedication, if any, allows TASK on it.  */
-bool gp_suspicion_admits (const gp_job_executor_t *executor,
+bool gp_suspicion_allows (const gp_job_executor_t *executor,
                           const gp_job_task_t *task, gp_time_t now);
 
 /* Returns whether TASK, if allowed on EXECUTOR, would be isolated if it were
    assigned now.  */
-bool gp_suspicion_is_quiet (const gp_job_executor_t *executor, gp_time_t now);
+bool gp_suspicion_has_no_recent_starts (const gp_job_executor_t *executor,
+                                        gp_time_t now);
 
 /* Restores from a record that TASK is on its executor; ALONE: it was started
    in isolation.  */
-void gp_suspicion_folded (gp_job_task_t *task, bool alone);
+void gp_suspicion_restore (gp_job_task_t *task, bool alone);
 
 /* Dedicates EXECUTOR to TASK, which is to be started there once all other runs
    there have certainly started.  */
-void gp_suspicion_keep (gp_job_executor_t *executor, const gp_job_task_t *task,
-                        gp_time_t now);
+void gp_suspicion_dedicate (gp_job_executor_t *executor,
+                            const gp_job_task_t *task, gp_time_t now);
 
 /* Dedicates EXECUTOR, to which a task of JOB is assigned, to JOB until UNTIL
    or later.  */
-void gp_suspicion_keep_for (gp_job_executor_t *executor, const gp_job_t *job,
-                            gp_time_t until);
+void gp_suspicion_dedicate_until (gp_job_executor_t *executor,
+                                  const gp_job_t *job, gp_time_t until);
 
 /* Nothing could be assigned from DECIDED_AT to NOW: extends TASK's isolation
    timeout by that time if TASK is waiting.  */
-void gp_suspicion_put_off (gp_job_task_t *task, gp_time_t decided_at,
-                           gp_time_t now);
+void gp_suspicion_extend_wait (gp_job_task_t *task, gp_time_t decided_at,
+                               gp_time_t now);
 
 /* Returns the cost of losing EXECUTOR now: milliseconds of work on all its
    processors.  */
-int64_t gp_suspicion_at_stake (const gp_job_executor_t *executor,
-                               gp_time_t now);
+int64_t gp_suspicion_work_at_risk (const gp_job_executor_t *executor,
+                                   gp_time_t now);
 
 /* TASK has been newly assigned to its executor.  */
-void gp_suspicion_assigned (gp_job_task_t *task, gp_time_t now);
+void gp_suspicion_note_assigned (gp_job_task_t *task, gp_time_t now);
 
 /* EXECUTOR's guard reports that an isolated run has not settled there and that
    other runs are held back until it does; the leader had better assign those
    elsewhere.  */
-void gp_suspicion_goes_on (gp_job_executor_t *executor, gp_time_t now);
+void gp_suspicion_extend_dedication (gp_job_executor_t *executor,
+                                     gp_time_t now);
 
 /* What was assigned to EXECUTOR at DECIDED_AT or later is ordered only NOW,
    because its record could not be written earlier.  The runs start now, and
    dedications are extended accordingly.  */
-void gp_suspicion_ordered (gp_job_executor_t *executor, gp_time_t decided_at,
-                           gp_time_t now);
+void gp_suspicion_orders_delayed (gp_job_executor_t *executor,
+                                  gp_time_t decided_at, gp_time_t now);
 
 #endif
--- a/src/jobs/urgency.c
+++ b/src/jobs/urgency.c
@@ -7,7 +7,7 @@
 #include "jobs/executor.h"
 
 /* Share of a running task that counts as done.  */
-#define AT_WORK_DONE 0.5
+#define RUNNING_PROGRESS 0.5
 
 /* Kinds of capacity on an executor: filling tasks use what the reservations of
    the others leave unused.  */
@@ -24,7 +24,7 @@
 typedef struct
 {
   const char *name;
-  double room[KINDS];
+  double capacity[KINDS];
   double work[KINDS];
 } service_t;
 
@@ -49,7 +49,7 @@
 }
 
 static GArray *
-count_room (const gp_book_t *book)
+sum_capacity (const gp_book_t *book)
 {
   GArray *services = g_array_new (FALSE, FALSE, sizeof (service_t));
   GHashTableIter iter;
@@ -68,9 +68,9 @@
       if (find_service (services, executor->service) == NULL)
         g_array_append_val (services, added);
       service = find_service (services, executor->service);
-      service->room[KIND_RESERVED]
+      service->capacity[KIND_RESERVED]
           += (double)(executor->capacity.cpu_milli - executor->lasting);
-      service->room[KIND_FILLING]
+      service->capacity[KIND_FILLING]
           += (double)(executor->filling
                       + MAX (gp_job_executor_left_over (executor), 0));
     }
@@ -90,8 +90,8 @@
       {
         const Gp__Jobs__Step *step = job->submission->steps[s];
         const gp_step_tally_t *tally = &gp_job_tallies (job, k)[s];
-        uint32_t at_work = step->count - tally->done - tally->waiting;
-        double tasks = tally->waiting + at_work * (1.0 - AT_WORK_DONE);
+        uint32_t running = step->count - tally->done - tally->waiting;
+        double tasks = tally->waiting + running * (1.0 - RUNNING_PROGRESS);
 
         left += tasks;
         if (!step->long_running && gp_job_occurrence_at (job, k) <= now)
@@ -107,7 +107,7 @@
    seconds on, and runs that have to move would wait for as long as there is
    more work than capacity.  */
 static bool
-lasts (const gp_job_t *job)
+is_long_running (const gp_job_t *job)
 {
   for (size_t s = 0; s < job->submission->n_steps; s++)
     if (job->submission->steps[s]->long_running)
@@ -121,14 +121,16 @@
 {
   gp_time_t remaining = gp_forecast_remaining (job);
   rated_job_t rated_job
-      = { .ranked = { .job = job, .hope = GP_HOPE_NONE, .rank = job->due_at },
+      = { .ranked = { .job = job,
+                      .deadline_class = GP_DEADLINE_USELESS,
+                      .rank = job->due_at },
           .service = find_service (services, job->submission->service) };
 
-  if (now + remaining <= job->due_at || lasts (job))
-    rated_job.ranked.hope = GP_HOPE_IN_TIME;
+  if (now + remaining <= job->due_at || is_long_running (job))
+    rated_job.ranked.deadline_class = GP_DEADLINE_IN_TIME;
   else if (now + remaining <= job->useless_at)
     {
-      rated_job.ranked.hope = GP_HOPE_LATE;
+      rated_job.ranked.deadline_class = GP_DEADLINE_LATE;
       rated_job.ranked.rank = remaining;
     }
   count_work (&rated_job, now);
@@ -145,8 +147,8 @@
 
   if (left_priority != right_priority)
     return left_priority < right_priority ? -1 : 1;
-  if (left->hope != right->hope)
-    return left->hope < right->hope ? -1 : 1;
+  if (left->deadline_class != right->deadline_class)
+    return left->deadline_class < right->deadline_class ? -1 : 1;
   if (left->rank != right->rank)
     return left->rank < right->rank ? -1 : 1;
   return strcmp (left->job->id, right->job->id);
@@ -169,13 +171,13 @@
 
   for (int kind = 0; kind < KINDS; kind++)
     if (rated_job->work[kind] > 0.0
-        && service->work[kind] > service->room[kind] * time)
+        && service->work[kind] > service->capacity[kind] * time)
       return true;
   return false;
 }
 
 static bool
-wants_work (const rated_job_t *rated_job)
+has_work_left (const rated_job_t *rated_job)
 {
   return rated_job->work[KIND_RESERVED] > 0.0
          || rated_job->work[KIND_FILLING] > 0.0;
@@ -185,7 +187,7 @@
    jobs up to it with the same service and priority that are in time, the one
    with the least progress; of two, the later one.  */
 static rated_job_t *
-least_far (GArray *rated, guint last)
+least_progressed (GArray *rated, guint last)
 {
   rated_job_t *least = &g_array_index (rated, rated_job_t, last);
   uint32_t priority = least->ranked.job->submission->priority;
@@ -197,8 +199,9 @@
 
       if (other->ranked.job->submission->priority != priority)
         break;
-      if (other->service == service && other->ranked.hope == GP_HOPE_IN_TIME
-          && wants_work (other)
+      if (other->service == service
+          && other->ranked.deadline_class == GP_DEADLINE_IN_TIME
+          && has_work_left (other)
           && other->ranked.progress < least->ranked.progress)
         least = other;
     }
@@ -212,18 +215,18 @@
     {
       rated_job_t *rated_job = &g_array_index (rated, rated_job_t, i);
 
-      if (rated_job->ranked.hope != GP_HOPE_IN_TIME
+      if (rated_job->ranked.deadline_class != GP_DEADLINE_IN_TIME
           || rated_job->service == NULL)
         continue;
       add_work (rated_job, 1.0);
-      while (rated_job->ranked.hope == GP_HOPE_IN_TIME
+      while (rated_job->ranked.deadline_class == GP_DEADLINE_IN_TIME
              && is_overbooked (rated_job, now))
         {
-          rated_job_t *behind = least_far (rated, i);
+          rated_job_t *demoted = least_progressed (rated, i);
 
-          add_work (behind, -1.0);
-          behind->ranked.hope = GP_HOPE_LATE;
-          behind->ranked.rank = gp_forecast_remaining (behind->ranked.job);
+          add_work (demoted, -1.0);
+          demoted->ranked.deadline_class = GP_DEADLINE_LATE;
+          demoted->ranked.rank = gp_forecast_remaining (demoted->ranked.job);
         }
     }
 }
@@ -243,7 +246,7 @@
                  gp_time_t now)
 {
   GArray *rated = g_array_new (FALSE, FALSE, sizeof (rated_job_t));
-  GArray *services = count_room (book);
+  GArray *services = sum_capacity (book);
   GArray *ranked;
 
   GP_LIST_FOREACH (link, &book->live)
--- a/src/jobs/urgency.h
+++ b/src/jobs/urgency.h
@@ -24,15 +24,15 @@
 
 typedef enum
 {
-  GP_HOPE_IN_TIME, /* it can meet its objective */
-  GP_HOPE_LATE,    /* it will be late but is still useful */
-  GP_HOPE_NONE
-} gp_hope_t;
+  GP_DEADLINE_IN_TIME, /* it can meet its objective */
+  GP_DEADLINE_LATE,    /* it will be late but is still useful */
+  GP_DEADLINE_USELESS
+} gp_deadline_class_t;
 
 typedef struct
 {
   gp_job_t *job;
-  gp_hope_t hope;
+  gp_deadline_class_t deadline_class;
   gp_time_t rank;  /* lower first, among jobs with the same hope */
   double progress; /* share of its tasks that is done or running */
 } gp_ranked_job_t;
--- a/src/jobsd/entry.c
+++ b/src/jobsd/entry.c
@@ -40,7 +40,7 @@
 {
   if (record->kind == GP_RECORD_CANCELLATION)
     return gp_book_cancel (&entry->book, record->subject);
-  return gp_book_take_submission (
+  return gp_book_apply_submission (
       &entry->book, record->subject, g_steal_pointer (&record->u.submission),
       gp_loop_now (&entry->loop), gp_time_wall_ms (), error);
 }
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -246,7 +246,7 @@
   for (size_t i = 0; i < weights->n_permille && i < fillings->len; i++)
     gp_pressure_set (
         pressure, weights->serving,
-        gp_pressure_place (pressure, g_ptr_array_index (fillings, i)),
+        gp_pressure_image_index (pressure, g_ptr_array_index (fillings, i)),
         weights->permille[i] / 1000.0);
 }
 
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -101,9 +101,9 @@
     {
       gp_job_t *job = value;
 
-      if (job->overwritten && job->submission != NULL)
+      if (job->newest_unreadable && job->submission != NULL)
         gp_scheduler_rewrite (&leader->scheduler, job);
-      gp_scheduler_job (&leader->scheduler, job, gp_time_wall_ms ());
+      gp_scheduler_job_changed (&leader->scheduler, job, gp_time_wall_ms ());
     }
 }
 
@@ -257,15 +257,15 @@
 /* Take in a record that was decoded; false and ERROR when it does not fit
    what is known.  */
 static bool
-take_record (gp_leader_t *leader, gp_record_t *record, gp_book_place_t place,
-             GError **error)
+take_record (gp_leader_t *leader, gp_record_t *record,
+             gp_book_position_t place, GError **error)
 {
   switch (record->kind)
     {
     case GP_RECORD_PROGRESS:
-      return gp_book_take_progress (leader->book, record->subject,
-                                    g_steal_pointer (&record->u.progress),
-                                    place, error)
+      return gp_book_apply_progress (leader->book, record->subject,
+                                     g_steal_pointer (&record->u.progress),
+                                     place, error)
              != NULL;
     case GP_RECORD_PLACE:
       return on_place (leader, record->subject, record->u.place, error);
@@ -289,7 +289,7 @@
 /* What a record means that cannot be read, by its key.  */
 static void
 refuse_record (gp_leader_t *leader, const gp_record_t *record,
-               gp_book_place_t place)
+               gp_book_position_t place)
 {
   if (record->kind == GP_RECORD_PROGRESS)
     gp_book_refuse_progress (leader->book, record->subject, place);
@@ -301,7 +301,7 @@
 gp_leader_record (gp_leader_t *leader,
                   const gp_platform_store_record_t *record, bool loading)
 {
-  const gp_book_place_t place
+  const gp_book_position_t place
       = { .offset = record->offset, .loading = loading };
   gp_record_t decoded;
   GError *error = NULL;
@@ -329,7 +329,7 @@
 {
   if (leader->role != GP_LEADER_LEADING)
     return;
-  gp_scheduler_job (&leader->scheduler, job, gp_time_wall_ms ());
+  gp_scheduler_job_changed (&leader->scheduler, job, gp_time_wall_ms ());
   gp_leader_turn_soon (leader);
 }
 
--- a/src/jobsd/leader_append.c
+++ b/src/jobsd/leader_append.c
@@ -148,7 +148,8 @@
   gp_log (GP_LOG_INFO, "append.put_off", GP_LOG_I ("for_ms", took / GP_MSEC),
           GP_LOG_I ("jobs", leader->batch_states->len),
           GP_LOG_I ("frames", leader->frames->len));
-  gp_scheduler_ordered (&leader->scheduler, leader->batch_began_at, now);
+  gp_scheduler_orders_delayed (&leader->scheduler, leader->batch_began_at,
+                               now);
 }
 
 static void
--- a/src/jobsd/leader_frames.c
+++ b/src/jobsd/leader_frames.c
@@ -160,7 +160,7 @@
     case GP_ORDER_START:
       if (order->task->executor == order->executor
           && order->task->run == order->run
-          && gp_scheduler_wanted (order->task))
+          && gp_scheduler_expects_run (order->task))
         g_ptr_array_add (outbox->starts, start_message (order->task));
       break;
     case GP_ORDER_STOP:
@@ -281,7 +281,7 @@
     const gp_job_task_t *task
         = GP_CONTAINER_OF (at, gp_job_task_t, on_executor);
 
-    if (gp_scheduler_wanted (task))
+    if (gp_scheduler_expects_run (task))
       g_ptr_array_add (starts, start_message (task));
   }
   link->sync = ++link->leader->sync_count;
--- a/src/jobsd/leader_learn.c
+++ b/src/jobsd/leader_learn.c
@@ -23,7 +23,7 @@
   gpointer image;
   gpointer place;
 
-  g_hash_table_iter_init (&iter, pressure->places);
+  g_hash_table_iter_init (&iter, pressure->image_indices);
   while (g_hash_table_iter_next (&iter, &image, &place))
     {
       Gp__Jobs__Pressure row = GP__JOBS__PRESSURE__INIT;
@@ -88,9 +88,10 @@
   GHashTableIter iter;
   gpointer image;
 
-  if (leader->fillings->len == g_hash_table_size (leader->pressure.places))
+  if (leader->fillings->len
+      == g_hash_table_size (leader->pressure.image_indices))
     return;
-  g_hash_table_iter_init (&iter, leader->pressure.places);
+  g_hash_table_iter_init (&iter, leader->pressure.image_indices);
   while (g_hash_table_iter_next (&iter, &image, NULL))
     if (!g_ptr_array_find_with_equal_func (leader->fillings, image,
                                            g_str_equal, NULL))
@@ -118,7 +119,7 @@
     weights->permille[i]
         = (int32_t)(gp_pressure_weight (
                         &leader->pressure, serving,
-                        gp_pressure_place (
+                        gp_pressure_image_index (
                             &leader->pressure,
                             g_ptr_array_index (leader->fillings, i)))
                     * 1000.0);
@@ -197,9 +198,9 @@
   if (task == NULL || task->executor != link->executor)
     return;
   if (filling->pace_percent > SLOW_PERCENT)
-    task->slow_since = 0;
-  else if (task->slow_since == 0)
-    task->slow_since = now;
+    task->throttled_since = 0;
+  else if (task->throttled_since == 0)
+    task->throttled_since = now;
 }
 
 static gp_pressure_work_t
@@ -215,7 +216,7 @@
                               : filling->image;
 
       if (image != NULL)
-        work.work[gp_pressure_place (&link->leader->pressure, image)]
+        work.work[gp_pressure_image_index (&link->leader->pressure, image)]
             += filling->work_permille / 1000.0;
     }
   return work;
@@ -296,7 +297,7 @@
       const Gp__Jobs__Pressure *row = learned->pressures[i];
 
       gp_pressure_set (pressure, row->serving,
-                       gp_pressure_place (pressure, row->filling),
+                       gp_pressure_image_index (pressure, row->filling),
                        row->weight_permille / 1000.0);
     }
   for (size_t i = 0; i < learned->n_forecasts; i++)
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -87,8 +87,8 @@
 static void
 declare_dead (gp_leader_t *leader, gp_job_executor_t *executor, gp_death_t why)
 {
-  gp_scheduler_dead (&leader->scheduler, executor, why,
-                     gp_loop_now (leader->loop), gp_time_wall_ms ());
+  gp_scheduler_executor_dead (&leader->scheduler, executor, why,
+                              gp_loop_now (leader->loop), gp_time_wall_ms ());
 }
 
 /* Is PREDECESSOR, as a guard tells of it, that life?  */
@@ -110,9 +110,10 @@
 {
   if (is_predecessor (predecessor, executor))
     {
-      gp_scheduler_no_suspects (executor);
-      gp_scheduler_suspects (&leader->scheduler, executor,
-                             predecessor->suspects, predecessor->n_suspects);
+      gp_scheduler_clear_suspects (executor);
+      gp_scheduler_note_suspects (&leader->scheduler, executor,
+                                  predecessor->suspects,
+                                  predecessor->n_suspects);
     }
   declare_dead (leader, executor, why);
 }
@@ -135,15 +136,15 @@
 begin_next_life (gp_leader_t *leader, gp_job_executor_t *executor,
                  const Gp__Jobs__Report *report)
 {
-  gp_job_executor_t *next
-      = gp_book_next_life (leader->book, executor, report->executor->born_ms);
+  gp_job_executor_t *next = gp_book_next_incarnation (
+      leader->book, executor, report->executor->born_ms);
 
   for (size_t i = 0; i < report->n_carried; i++)
-    gp_scheduler_carry (&leader->scheduler, executor, next,
-                        report->carried[i]->task, report->carried[i]->run);
+    gp_scheduler_move_run (&leader->scheduler, executor, next,
+                           report->carried[i]->task, report->carried[i]->run);
   for (size_t i = 0; i < report->n_ends; i++)
-    gp_scheduler_carry (&leader->scheduler, executor, next,
-                        report->ends[i]->task, report->ends[i]->run);
+    gp_scheduler_move_run (&leader->scheduler, executor, next,
+                           report->ends[i]->task, report->ends[i]->run);
   gp_log (GP_LOG_INFO, "executor.next_life",
           GP_LOG_S ("executor", executor->id),
           GP_LOG_I ("born_ms", next->born_ms),
@@ -205,29 +206,30 @@
   if (!report->executor->unchanged)
     gp_job_executor_update (executor, report->executor, now);
   executor->evacuated = is_evacuated (link);
-  gp_scheduler_strays (&leader->scheduler, executor, report->carried,
-                       report->n_carried);
+  gp_scheduler_note_strays (&leader->scheduler, executor, report->carried,
+                            report->n_carried);
   for (size_t i = 0; i < report->n_ends; i++)
     {
-      if (!gp_scheduler_end (&leader->scheduler, executor, report->ends[i],
-                             now, gp_time_wall_ms ()))
+      if (!gp_scheduler_run_ended (&leader->scheduler, executor,
+                                   report->ends[i], now, gp_time_wall_ms ()))
         break;
     }
   for (size_t i = 0; i < report->n_absent; i++)
-    gp_scheduler_absent (&leader->scheduler, executor, report->absent[i], now);
-  gp_scheduler_settled (&leader->scheduler, executor, report->settled,
-                        report->n_settled);
+    gp_scheduler_run_absent (&leader->scheduler, executor, report->absent[i],
+                             now);
+  gp_scheduler_note_settled (&leader->scheduler, executor, report->settled,
+                             report->n_settled);
   if (report->ended && !executor->dead)
     declare_dead (leader, executor, GP_DEATH_LEFT);
   if (report->keeps_alone)
-    gp_suspicion_goes_on (executor, now);
+    gp_suspicion_extend_dedication (executor, now);
   if (executor->suspects_told)
-    gp_scheduler_no_suspects (executor);
+    gp_scheduler_clear_suspects (executor);
   if ((report->lapsed || report->down) && !executor->dead)
-    gp_scheduler_suspects (&leader->scheduler, executor, report->suspects,
-                           report->n_suspects);
+    gp_scheduler_note_suspects (&leader->scheduler, executor, report->suspects,
+                                report->n_suspects);
   if (report->down && !executor->dead)
-    gp_scheduler_down (&leader->scheduler, executor, now);
+    gp_scheduler_executor_down (&leader->scheduler, executor, now);
   if (report->lapsed && !executor->dead)
     declare_dead (leader, executor,
                   report->answers ? GP_DEATH_LAPSED : GP_DEATH_UNHEARD);
@@ -237,7 +239,7 @@
   if (report->synced != link->sync && now - link->synced_at > RESYNC_TIME)
     link->wants_sync = true;
   if (!report->down && (executor->down || executor->reported_since == 0))
-    gp_scheduler_up (&leader->scheduler, executor);
+    gp_scheduler_executor_up (&leader->scheduler, executor);
   executor->down = report->down;
   link->silent = report->ended || (report->lapsed && !report->answers);
   executor->reported_at = now;
--- a/src/jobsd/operator_feed.c
+++ b/src/jobsd/operator_feed.c
@@ -57,7 +57,7 @@
   bool changed
       = record->value_size > 0
             ? gp_evacuations_put (evacuations, zone, record->offset)
-            : gp_evacuations_take_back (evacuations, zone, record->offset);
+            : gp_evacuations_revoke (evacuations, zone, record->offset);
 
   if (changed)
     note_zone (operators, zone);
--- a/tests/fuzz/fuzz_records.c
+++ b/tests/fuzz/fuzz_records.c
@@ -92,10 +92,10 @@
 learn (site_t *site, const Gp__Jobs__Learned *learned)
 {
   for (size_t i = 0; i < learned->n_pressures; i++)
-    gp_pressure_set (
-        &site->pressure, learned->pressures[i]->serving,
-        gp_pressure_place (&site->pressure, learned->pressures[i]->filling),
-        learned->pressures[i]->weight_permille / 1000.0);
+    gp_pressure_set (&site->pressure, learned->pressures[i]->serving,
+                     gp_pressure_image_index (&site->pressure,
+                                              learned->pressures[i]->filling),
+                     learned->pressures[i]->weight_permille / 1000.0);
   for (size_t i = 0; i < learned->n_forecasts; i++)
     gp_forecast_set (&site->scheduler.forecast, learned->forecasts[i]);
 }
@@ -103,22 +103,22 @@
 static void
 fold (site_t *site, gp_record_t *record)
 {
-  const gp_book_place_t place = { .offset = 1 };
+  const gp_book_position_t place = { .offset = 1 };
 
   switch (record->kind)
     {
     case GP_RECORD_SUBMISSION:
-      gp_book_take_submission (&site->book, record->subject,
-                               g_steal_pointer (&record->u.submission), NOW,
-                               WALL_MS, NULL);
+      gp_book_apply_submission (&site->book, record->subject,
+                                g_steal_pointer (&record->u.submission), NOW,
+                                WALL_MS, NULL);
       break;
     case GP_RECORD_CANCELLATION:
       gp_book_cancel (&site->book, record->subject);
       break;
     case GP_RECORD_PROGRESS:
-      gp_book_take_progress (&site->book, record->subject,
-                             g_steal_pointer (&record->u.progress), place,
-                             NULL);
+      gp_book_apply_progress (&site->book, record->subject,
+                              g_steal_pointer (&record->u.progress), place,
+                              NULL);
       break;
     case GP_RECORD_LEARNED:
       learn (site, record->u.learned);
@@ -144,7 +144,7 @@
     {
       gp_job_t *job = value;
 
-      gp_scheduler_job (&site->scheduler, job, WALL_MS);
+      gp_scheduler_job_changed (&site->scheduler, job, WALL_MS);
       if (job->submission != NULL)
         g_bytes_unref (gp_book_pack (job));
     }
--- a/tests/unit/jobs_site.c
+++ b/tests/unit/jobs_site.c
@@ -138,8 +138,8 @@
 void
 jobs_site_dead (jobs_site_t *site, gp_job_executor_t *executor, gp_death_t why)
 {
-  gp_scheduler_dead (&site->scheduler, executor, why, site->now,
-                     site->now / GP_MSEC);
+  gp_scheduler_executor_dead (&site->scheduler, executor, why, site->now,
+                              site->now / GP_MSEC);
 }
 
 void
@@ -154,8 +154,8 @@
   end.task = name;
   end.run = task->run;
   end.how = how;
-  gp_scheduler_end (&site->scheduler, task->executor, &end, site->now,
-                    site->now / GP_MSEC);
+  gp_scheduler_run_ended (&site->scheduler, task->executor, &end, site->now,
+                          site->now / GP_MSEC);
 }
 
 void
--- a/tests/unit/late_world_leader.c
+++ b/tests/unit/late_world_leader.c
@@ -37,7 +37,7 @@
     const gp_job_task_t *task
         = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
 
-    if (gp_scheduler_wanted (task))
+    if (gp_scheduler_expects_run (task))
       g_ptr_array_add (starts, start_of (task));
   }
   sync.number = worker->sync;
@@ -75,7 +75,8 @@
   Gp__Jobs__Start *start;
 
   if (order->task->executor != order->executor
-      || order->task->run != order->run || !gp_scheduler_wanted (order->task))
+      || order->task->run != order->run
+      || !gp_scheduler_expects_run (order->task))
     return;
   start = start_of (order->task);
   agent_hold_spec (&worker->agent, start->task, world->site.now);
@@ -146,7 +147,8 @@
   world->append_at = GP_TIME_NEVER;
   write_log (world);
   if (now - world->decided_at > 200 * GP_MSEC)
-    gp_scheduler_ordered (&world->site.scheduler, world->decided_at, now);
+    gp_scheduler_orders_delayed (&world->site.scheduler, world->decided_at,
+                                 now);
   for (unsigned i = 0; i < LATE_WORKERS; i++)
     if (world->syncs[i] && world->workers[i].met
         && late_worker_has_guard (world, &world->workers[i])
@@ -217,8 +219,8 @@
       row.task = (char *)run->name;
       row.run = run->run;
       gp_agent_describe_suspect (&worker->agent, run, &row);
-      gp_scheduler_suspects (&world->site.scheduler, worker->executor, &rows,
-                             1);
+      gp_scheduler_note_suspects (&world->site.scheduler, worker->executor,
+                                  &rows, 1);
     }
 }
 
@@ -239,10 +241,10 @@
       row.task = run->name;
       row.run = run->run;
       if (run->phase == GP_RUN_ABSENT)
-        gp_scheduler_absent (scheduler, worker->executor, &row,
-                             world->site.now);
+        gp_scheduler_run_absent (scheduler, worker->executor, &row,
+                                 world->site.now);
       if (gp_agent_tells_settled (run))
-        gp_scheduler_settled (scheduler, worker->executor, &rows, 1);
+        gp_scheduler_note_settled (scheduler, worker->executor, &rows, 1);
     }
 }
 
@@ -261,9 +263,9 @@
       executor = gp_book_executor (book, worker->place);
       if (before != NULL && strcmp (before->executor, executor->id) == 0)
         {
-          gp_scheduler_no_suspects (executor);
-          gp_scheduler_suspects (&world->site.scheduler, executor,
-                                 before->suspects, before->n_suspects);
+          gp_scheduler_clear_suspects (executor);
+          gp_scheduler_note_suspects (&world->site.scheduler, executor,
+                                      before->suspects, before->n_suspects);
         }
       jobs_site_dead (&world->site, executor, GP_DEATH_REPLACED);
     }
@@ -291,13 +293,14 @@
   worker->executor = executor;
   jobs_site_executor (&world->site, executor->id, CORES);
   for (guint i = 0; i < agent->ends->len; i++)
-    gp_scheduler_end (&world->site.scheduler, executor,
-                      g_ptr_array_index (agent->ends, i), now, now / GP_MSEC);
+    gp_scheduler_run_ended (&world->site.scheduler, executor,
+                            g_ptr_array_index (agent->ends, i), now,
+                            now / GP_MSEC);
   take_runs (world, worker);
   if (gp_agent_keeps_alone (agent))
-    gp_suspicion_goes_on (executor, now);
+    gp_suspicion_extend_dedication (executor, now);
   if (executor->suspects_told)
-    gp_scheduler_no_suspects (executor);
+    gp_scheduler_clear_suspects (executor);
   if ((lapsed || down) && !executor->dead)
     tell_suspects (world, worker);
   if (lapsed && !executor->dead)
--- a/tests/unit/test_agent_measure.c
+++ b/tests/unit/test_agent_measure.c
@@ -49,7 +49,7 @@
   gp_agent_sync (agent, sync);
   gp__jobs__sync__free_unpacked (sync, NULL);
   gp_pressure_set (&agent->pacer.pressure, "s",
-                   gp_pressure_place (&agent->pacer.pressure, "f"), 0.9);
+                   gp_pressure_image_index (&agent->pacer.pressure, "f"), 0.9);
 }
 
 /* The leader says that the serving run has HEADROOM without filling work.  */
--- a/tests/unit/test_alone.c
+++ b/tests/unit/test_alone.c
@@ -151,7 +151,7 @@
   leave_unanswered (&guard);
   list (&guard, OTHER, NULL);
   call (&guard, GP_AGENT_TAKEN);
-  guard.now += GP_SUSPICION_BEGIN_TIME;
+  guard.now += GP_SUSPICION_START_WINDOW;
   call (&guard, GP_AGENT_TAKEN);
   gp_agent_finish (&guard.agent);
 }
@@ -211,7 +211,7 @@
       list (&guard, NULL, NULL);
     }
   printf ("it can't be begun: the leader gets it back, others go on\n");
-  guard.now += GP_SUSPICION_KEEP_TIME;
+  guard.now += GP_SUSPICION_DEDICATE_TIME;
   list (&guard, NULL, NULL);
   call (&guard, GP_AGENT_TAKEN);
   list (&guard, NULL, NULL);
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -48,11 +48,11 @@
   CU_ASSERT_FALSE (gp_evacuations_put (&evacuations, "a", 4));
   show (&evacuations, "a put");
   CU_ASSERT_TRUE (gp_evacuations_put (&evacuations, "b", 5));
-  CU_ASSERT_TRUE (gp_evacuations_take_back (&evacuations, "a", 6));
-  CU_ASSERT_FALSE (gp_evacuations_take_back (&evacuations, "a", 6));
+  CU_ASSERT_TRUE (gp_evacuations_revoke (&evacuations, "a", 6));
+  CU_ASSERT_FALSE (gp_evacuations_revoke (&evacuations, "a", 6));
   show (&evacuations, "b put as a is taken back");
   CU_ASSERT_FALSE (gp_evacuations_put (&evacuations, "a", 4));
-  CU_ASSERT_FALSE (gp_evacuations_take_back (&evacuations, "b", 4));
+  CU_ASSERT_FALSE (gp_evacuations_revoke (&evacuations, "b", 4));
   show (&evacuations, "older records once more");
   CU_ASSERT_EQUAL (gp_evacuations_count (&evacuations), 1);
   gp_evacuations_finish (&evacuations);
@@ -355,7 +355,8 @@
   executor->evacuated = true;
   ranked = gp_urgency_rank (&site.book, &site.scheduler.forecast, site.now);
   printf ("  in time: %s\n",
-          g_array_index (ranked, gp_ranked_job_t, 0).hope == GP_HOPE_IN_TIME
+          g_array_index (ranked, gp_ranked_job_t, 0).deadline_class
+                  == GP_DEADLINE_IN_TIME
               ? "yes"
               : "no");
   g_array_free (ranked, TRUE);
--- a/tests/unit/test_filling_load.c
+++ b/tests/unit/test_filling_load.c
@@ -106,7 +106,7 @@
       gp_headroom_init (&site->loads[s]);
     }
   for (int f = 0; f < FILLING_IMAGES; f++)
-    gp_pressure_place (&site->pacer.pressure, fillings[f]);
+    gp_pressure_image_index (&site->pacer.pressure, fillings[f]);
   for (int e = 0; e < EXECUTORS; e++)
     {
       site->places[e] = (place_t){ .image = (unsigned)e % SERVING_IMAGES };
--- a/tests/unit/test_headroom.c
+++ b/tests/unit/test_headroom.c
@@ -80,7 +80,7 @@
 
   gp_headroom_init (&track);
   CU_ASSERT_FALSE (gp_headroom_is_known (&track));
-  CU_ASSERT_EQUAL (gp_headroom_at (&track, GP_SEC), GP_HEADROOM_UNKNOWN);
+  CU_ASSERT_EQUAL (gp_headroom_at (&track, GP_SEC), GP_HEADROOM_PRIOR);
   CU_ASSERT_EQUAL (gp_headroom_slope_at (&track, GP_SEC), 0.0);
   gp_headroom_update (&track, 3.5, 0.01, GP_SEC);
   CU_ASSERT (gp_headroom_is_known (&track));
--- a/tests/unit/test_jobs.c
+++ b/tests/unit/test_jobs.c
@@ -97,7 +97,7 @@
   jobs_site_plan (&site);
   print_orders (&site);
   gp_book_cancel (&site.book, JOB_A);
-  gp_scheduler_job (&site.scheduler, job, 5);
+  gp_scheduler_job_changed (&site.scheduler, job, 5);
   print_orders (&site);
   jobs_site_print_job (job);
   jobs_site_end (&site, &job->tasks[0], GP_END_STOPPED);
@@ -269,7 +269,7 @@
   jobs_site_plan (&site);
   filling->steps[0]->fills = true;
   gp_pressure_set (&site.pressure, "image",
-                   gp_pressure_place (&site.pressure, "image"), 3.0);
+                   gp_pressure_image_index (&site.pressure, "image"), 3.0);
   job = jobs_site_submit (&site, JOB_B, filling);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
@@ -294,7 +294,7 @@
   filling->steps[0]->checkpointing = true;
   job = jobs_site_submit (&site, JOB_A, filling);
   jobs_site_plan (&site);
-  job->tasks[0].slow_since = site.now;
+  job->tasks[0].throttled_since = site.now;
   site.now += 2 * GP_SEC;
   gp_scheduler_relocate (&site.scheduler, executor, site.now);
   jobs_site_print_job (job);
@@ -497,7 +497,7 @@
         if (job == NULL)
           break;
         gp_book_cancel (&site->book, job_id);
-        gp_scheduler_job (&site->scheduler, job, site->now / GP_MSEC);
+        gp_scheduler_job_changed (&site->scheduler, job, site->now / GP_MSEC);
         break;
       }
     default:
@@ -566,9 +566,9 @@
   size = gp__jobs__progress__pack (&progress, packed);
   CU_ASSERT_PTR_NOT_NULL (
       gp_book_progress (&site.book, id, packed, size, NULL));
-  CU_ASSERT_TRUE (gp_book_awaits (&site.book, name));
+  CU_ASSERT_TRUE (gp_book_awaits_submission (&site.book, name));
   CU_ASSERT_FALSE (
-      gp_scheduler_end (&site.scheduler, executor, &end, site.now, 0));
+      gp_scheduler_run_ended (&site.scheduler, executor, &end, site.now, 0));
   CU_ASSERT_EQUAL (site.scheduler.orders->len, before);
 
   /* A job that has ended awaits nothing.  */
@@ -577,12 +577,12 @@
   size = gp__jobs__progress__pack (&progress, packed);
   CU_ASSERT_PTR_NOT_NULL (
       gp_book_progress (&site.book, id, packed, size, NULL));
-  CU_ASSERT_FALSE (gp_book_awaits (&site.book, name));
+  CU_ASSERT_FALSE (gp_book_awaits_submission (&site.book, name));
 
   /* An end of a job that nobody knows is confirmed: it has expired.  */
   name[0] = '1';
   CU_ASSERT_TRUE (
-      gp_scheduler_end (&site.scheduler, executor, &end, site.now, 0));
+      gp_scheduler_run_ended (&site.scheduler, executor, &end, site.now, 0));
   CU_ASSERT_EQUAL (site.scheduler.orders->len, before + 1);
   jobs_site_finish (&site);
 }
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -198,8 +198,8 @@
 static gp_job_executor_t *
 next_life (jobs_site_t *site, gp_job_executor_t *executor)
 {
-  gp_job_executor_t *next
-      = gp_book_next_life (&site->book, executor, executor->born_ms + 1);
+  gp_job_executor_t *next = gp_book_next_incarnation (&site->book, executor,
+                                                      executor->born_ms + 1);
 
   next->reachable = true;
   next->service = g_strdup (executor->service);
@@ -227,11 +227,12 @@
   jobs_site_print_job (job);
   second = next_life (&site, first);
   CU_ASSERT_PTR_EQUAL (gp_book_executor (&site.book, ID), second);
-  gp_scheduler_carry (&site.scheduler, first, second, TASK, 1);
-  gp_scheduler_carry (&site.scheduler, first, second, TASK, 7);
+  gp_scheduler_move_run (&site.scheduler, first, second, TASK, 1);
+  gp_scheduler_move_run (&site.scheduler, first, second, TASK, 7);
   jobs_site_dead (&site, first, GP_DEATH_RESTARTED);
   jobs_site_print_job (job);
-  CU_ASSERT (gp_scheduler_end (&site.scheduler, second, &end, site.now, 1));
+  CU_ASSERT (
+      gp_scheduler_run_ended (&site.scheduler, second, &end, site.now, 1));
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   jobs_site_finish (&site);
@@ -258,10 +259,10 @@
   jobs_site_plan (&site);
   second = next_life (&site, first);
   jobs_site_dead (&site, first, GP_DEATH_RESTARTED);
-  gp_scheduler_end (&site.scheduler, second, &end, site.now, 1);
+  gp_scheduler_run_ended (&site.scheduler, second, &end, site.now, 1);
   jobs_site_print_job (job);
   end.how = GP_END_DONE;
-  gp_scheduler_end (&site.scheduler, second, &end, site.now, 1);
+  gp_scheduler_run_ended (&site.scheduler, second, &end, site.now, 1);
   jobs_site_print_job (job);
   jobs_site_finish (&site);
 }
--- a/tests/unit/test_pressure.c
+++ b/tests/unit/test_pressure.c
@@ -52,9 +52,9 @@
 
   gp_pressure_init (&pressure);
   gp_headroom_init (&load);
-  gp_pressure_place (&pressure, "a");
-  gp_pressure_place (&pressure, "b");
-  gp_pressure_place (&pressure, "c");
+  gp_pressure_image_index (&pressure, "a");
+  gp_pressure_image_index (&pressure, "b");
+  gp_pressure_image_index (&pressure, "c");
   for (int i = 0; i < 600; i++)
     measure (&pressure, &load, i, random);
   CU_ASSERT (worst_error (&pressure) < 0.12);
@@ -75,7 +75,7 @@
 
   gp_pressure_init (&pressure);
   gp_headroom_init (&load);
-  gp_pressure_place (&pressure, "a");
+  gp_pressure_image_index (&pressure, "a");
   for (int i = 1; i <= 20; i++)
     gp_pressure_learn (&pressure, "s", &none, 2.0, &load, i * STEP);
   for (int i = 21; i <= 30; i++)
@@ -99,8 +99,8 @@
 
   gp_pressure_init (&pressure);
   gp_headroom_init (&load);
-  gp_pressure_place (&pressure, "a");
-  gp_pressure_place (&pressure, "b");
+  gp_pressure_image_index (&pressure, "a");
+  gp_pressure_image_index (&pressure, "b");
   for (int i = 1; i <= 40; i++)
     gp_pressure_learn (&pressure, "s", &none, 2.0, &load, i * STEP);
   for (int i = 41; i <= 200; i++)
@@ -138,9 +138,10 @@
   printf ("the image that presses is slowed down\n");
   gp_pacer_init (&pacer);
   gp_pressure_set (&pacer.pressure, "s",
-                   gp_pressure_place (&pacer.pressure, "harmful"), 0.6);
+                   gp_pressure_image_index (&pacer.pressure, "harmful"), 0.6);
   gp_pressure_set (&pacer.pressure, "s",
-                   gp_pressure_place (&pacer.pressure, "harmless"), 0.02);
+                   gp_pressure_image_index (&pacer.pressure, "harmless"),
+                   0.02);
   show (&pacer, 3.50, 0.0, 0.0);
   show (&pacer, 1.90, 0.0, 0.0);
   show (&pacer, 1.40, 0.0, 0.0);
@@ -168,7 +169,7 @@
 
   gp_pacer_init (&pacer);
   gp_pressure_set (&pacer.pressure, "s",
-                   gp_pressure_place (&pacer.pressure, "f"), 2.101);
+                   gp_pressure_image_index (&pacer.pressure, "f"), 2.101);
   for (int i = 0; i < 20000; i++)
     {
       serving.headroom = 3.0 + i * 1e-5 + i * 1e-13;
@@ -189,7 +190,7 @@
 
   gp_pacer_init (&pacer);
   gp_pressure_set (&pacer.pressure, "s",
-                   gp_pressure_place (&pacer.pressure, "f"), 0.0);
+                   gp_pressure_image_index (&pacer.pressure, "f"), 0.0);
   gp_pacer_update (&pacer, &serving, 1, &busy);
   CU_ASSERT_EQUAL (gp_pacer_pace (&pacer, "f"), GP_PACER_FULL);
   serving.over = 2.0;
--- a/tests/unit/test_put_off.c
+++ b/tests/unit/test_put_off.c
@@ -24,12 +24,12 @@
   suspect = jobs_site_submit (&site, "00000000000000aa",
                               jobs_site_submission (1, 1000));
   suspect->tasks[0].crashes = 2;
-  suspect->tasks[0].evidence = GP_SUSPICION_PROOF;
+  suspect->tasks[0].evidence = GP_SUSPICION_STRONG_EVIDENCE;
   decided_at = site.now;
   jobs_site_plan (&site);
   jobs_site_print_job (suspect);
   site.now += delay;
-  gp_scheduler_ordered (&site.scheduler, decided_at, site.now);
+  gp_scheduler_orders_delayed (&site.scheduler, decided_at, site.now);
   beside = jobs_site_submit (&site, "00000000000000bb",
                              jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
@@ -69,10 +69,10 @@
                           jobs_site_submission (2, 1000));
   jobs_site_plan (&site);
   job->tasks[1].alone = held;
-  gp_suspicion_goes_on (executor, site.now);
+  gp_suspicion_extend_dedication (executor, site.now);
   site.now += 2 * GP_SEC;
   jobs_site_end (&site, &job->tasks[0], GP_END_DONE);
-  took = job->tasks[0].took;
+  took = job->tasks[0].duration;
   jobs_site_finish (&site);
   return took;
 }
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -170,8 +170,8 @@
       jobs[i]->tasks[0].just = just;
     }
   gp_quarantine_note (&site.scheduler.quarantine, &site.book, "bad", site.now);
-  gp_scheduler_down (&site.scheduler, executor, site.now);
-  gp_scheduler_down (&site.scheduler, executor, site.now);
+  gp_scheduler_executor_down (&site.scheduler, executor, site.now);
+  gp_scheduler_executor_down (&site.scheduler, executor, site.now);
   show (&site, what);
   jobs_site_finish (&site);
 }
@@ -299,7 +299,7 @@
   jobs_site_print_job (job);
   print_pending (&site);
   printf ("until that answers\n");
-  gp_scheduler_up (&site.scheduler, executor);
+  gp_scheduler_executor_up (&site.scheduler, executor);
   jobs_site_print_job (job);
   print_pending (&site);
   jobs_site_finish (&site);
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -19,8 +19,8 @@
 #define JOB RECORD_CASES_JOB
 #define NOW GP_SEC
 
-static const gp_book_place_t in_order = { .offset = 1 };
-static const gp_book_place_t in_load = { .offset = 1, .loading = true };
+static const gp_book_position_t in_order = { .offset = 1 };
+static const gp_book_position_t in_load = { .offset = 1, .loading = true };
 
 /* Decode a frame; the reasons go to REFUSED and ERROR.  */
 static bool
@@ -162,7 +162,7 @@
     }
   printf ("  %s: %s%s%s,", when, gp_job_state_name (job->state),
           gp_job_is_readable (job) ? "" : ", unreadable",
-          job->overwritten ? ", overwritten" : "");
+          job->newest_unreadable ? ", overwritten" : "");
   for (uint32_t i = 0; i < job->task_count; i++)
     printf (" %s/%u",
             job->tasks[i].executor ? job->tasks[i].executor->id : "-",
@@ -202,11 +202,11 @@
                bool loading)
 {
   static uint64_t offset = 100;
-  const gp_book_place_t place = { .offset = offset++, .loading = loading };
+  const gp_book_position_t place = { .offset = offset++, .loading = loading };
   GError *error = NULL;
 
-  if (gp_book_take_progress (&site->book, JOB, make_progress (executor, index),
-                             place, &error)
+  if (gp_book_apply_progress (&site->book, JOB,
+                              make_progress (executor, index), place, &error)
       == NULL)
     printf ("  refused: %s\n", error->message);
   g_clear_error (&error);
@@ -256,7 +256,7 @@
   gp_book_refuse_progress (&site.book, JOB, in_load);
   print_job ("unreadable in a new load", job);
   job->cancelled = true;
-  gp_scheduler_job (&site.scheduler, job, 1000);
+  gp_scheduler_job_changed (&site.scheduler, job, 1000);
   print_job ("cancelled", job);
   jobs_site_finish (&site);
 }
@@ -295,7 +295,7 @@
   older = make_progress ("x1", 0);
   job->progress_end = 10;
   CU_ASSERT_PTR_EQUAL (
-      gp_book_take_progress (&site.book, JOB, older, in_order, NULL), job);
+      gp_book_apply_progress (&site.book, JOB, older, in_order, NULL), job);
   print_job ("an older record", job);
   gp_book_end (job, GP_JOB_COMPLETED, 1000);
   take_progress (&site, "x1", 0, false);
@@ -340,10 +340,10 @@
   end.task = task;
   end.run = 1;
   CU_ASSERT_FALSE (
-      gp_scheduler_end (&site.scheduler, executor, &end, site.now, 0));
+      gp_scheduler_run_ended (&site.scheduler, executor, &end, site.now, 0));
   gp_book_refuse_submission (&site.book, JOB);
   CU_ASSERT_TRUE (
-      gp_scheduler_end (&site.scheduler, executor, &end, site.now, 0));
+      gp_scheduler_run_ended (&site.scheduler, executor, &end, site.now, 0));
   job = gp_book_find (&site.book, JOB);
   CU_ASSERT_PTR_NOT_NULL_FATAL (job);
   printf ("a submission that cannot be read\n");
--- a/tests/unit/test_strays.c
+++ b/tests/unit/test_strays.c
@@ -21,7 +21,7 @@
 
   row.task = (char *)TASK;
   row.run = run;
-  gp_scheduler_strays (&site->scheduler, executor, rows, run != 0);
+  gp_scheduler_note_strays (&site->scheduler, executor, rows, run != 0);
 }
 
 static void
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -51,7 +51,7 @@
   run.timed = begun == BEGUN_JUST_NOW || begun == BEGUN_300_MS_AGO;
   run.just = begun == BEGUN_JUST_NOW;
   run.unanswered = begun == BEGUN_UNANSWERED;
-  gp_scheduler_suspects (&site->scheduler, task->executor, runs, 1);
+  gp_scheduler_note_suspects (&site->scheduler, task->executor, runs, 1);
 }
 
 /* Executor ID went down, and another one, NEXT, is on its VM.  Unless its
@@ -80,7 +80,7 @@
   gp_task_name (task, name);
   run.task = name;
   run.run = task->run;
-  gp_scheduler_settled (&site->scheduler, task->executor, runs, 1);
+  gp_scheduler_note_settled (&site->scheduler, task->executor, runs, 1);
 }
 
 static Gp__Jobs__Submission *
@@ -150,7 +150,7 @@
   jobs_site_plan (&site);
   jobs_site_print_job (beside);
   printf ("when what is there has begun\n");
-  site.now += GP_SUSPICION_BEGIN_TIME;
+  site.now += GP_SUSPICION_START_WINDOW;
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   jobs_site_print_job (beside);
@@ -189,11 +189,11 @@
   jobs_site_print_job (job);
   jobs_site_print_job (third);
   printf ("  kept for it: x3 %d, x4 %d\n",
-          gp_suspicion_is_kept_for (gp_book_executor (&site.book, "x3"), job,
-                                    site.now),
-          gp_suspicion_is_kept_for (gp_book_executor (&site.book, "x4"), job,
-                                    site.now));
-  site.now += GP_SUSPICION_BEGIN_TIME;
+          gp_suspicion_is_dedicated_to (gp_book_executor (&site.book, "x3"),
+                                        job, site.now),
+          gp_suspicion_is_dedicated_to (gp_book_executor (&site.book, "x4"),
+                                        job, site.now));
+  site.now += GP_SUSPICION_START_WINDOW;
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   gp_book_executor (&site.book, "x4")->task_count--;
@@ -540,7 +540,7 @@
       third = jobs_site_submit (&site, JOB_C, jobs_site_submission (1, 500));
       job->cancelled = beside->cancelled = true;
       jobs_site_plan (&site);
-      site.now += GP_SUSPICION_BEGIN_TIME;
+      site.now += GP_SUSPICION_START_WINDOW;
       job->cancelled = false;
       jobs_site_plan (&site);
       jobs_site_print_job (job);
@@ -562,7 +562,7 @@
 
   printf ("nothing is assigned for long: patience begins after that\n");
   suspect_three (&site, &job, &beside);
-  site.now += 2 * GP_SUSPICION_PATIENCE;
+  site.now += 2 * GP_SUSPICION_ISOLATION_TIMEOUT;
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   jobs_site_print_job (beside);
@@ -582,7 +582,7 @@
   jobs_site_plan (&site);
   jobs_site_print_job (beside);
   executor = job->tasks[0].executor;
-  site.now += GP_SUSPICION_PATIENCE;
+  site.now += GP_SUSPICION_ISOLATION_TIMEOUT;
   executor->assigned_at = site.now;
   jobs_site_plan (&site);
   jobs_site_print_job (beside);
@@ -618,8 +618,8 @@
       else
         {
           settle (&site, &job->tasks[0]);
-          gp_scheduler_suspects (&site.scheduler, job->tasks[0].executor, NULL,
-                                 0);
+          gp_scheduler_note_suspects (&site.scheduler, job->tasks[0].executor,
+                                      NULL, 0);
         }
       replace (&site, id, next);
       jobs_site_print_job (job);
@@ -662,7 +662,7 @@
   if (suspect)
     tell_suspect (&site, &job->tasks[0], BEGUN_JUST_NOW);
   else
-    gp_scheduler_suspects (&site.scheduler, executor, NULL, 0);
+    gp_scheduler_note_suspects (&site.scheduler, executor, NULL, 0);
   jobs_site_dead (&site, executor, GP_DEATH_REPLACED);
   printf ("  %s: %u\n", what, job->tasks[0].crashes);
   jobs_site_finish (&site);
@@ -705,7 +705,7 @@
       char id[8];
 
       jobs_site_plan (&site);
-      site.now += GP_SUSPICION_PATIENCE + GP_MSEC;
+      site.now += GP_SUSPICION_ISOLATION_TIMEOUT + GP_MSEC;
       jobs_site_plan (&site);
       jobs_site_print_job (job);
       g_snprintf (id, sizeof id, "x%d", i + 3);
@@ -746,7 +746,7 @@
   gp_book_executor (&site.book, "x3")->task_count++;
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  site.now += GP_SUSPICION_BEGIN_TIME;
+  site.now += GP_SUSPICION_START_WINDOW;
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   gp_book_executor (&site.book, "x3")->task_count--;
@@ -840,7 +840,7 @@
         = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
     Gp__Jobs__TaskRun *run;
 
-    if (world->site.now - task->since
+    if (world->site.now - task->ordered_at
         >= gp_suspicion_settle_time (gp_task_step (task)->gang))
       continue;
     run = g_new (Gp__Jobs__TaskRun, 1);
@@ -848,12 +848,13 @@
     run->task = g_malloc (GP_TASK_NAME_SIZE);
     gp_task_name (task, run->task);
     run->run = task->run;
-    run->fresh = world->site.now == task->since;
+    run->fresh = world->site.now == task->ordered_at;
     run->just = run->fresh;
     g_ptr_array_add (suspects, run);
   }
-  gp_scheduler_suspects (&world->site.scheduler, executor,
-                         (Gp__Jobs__TaskRun **)suspects->pdata, suspects->len);
+  gp_scheduler_note_suspects (&world->site.scheduler, executor,
+                              (Gp__Jobs__TaskRun **)suspects->pdata,
+                              suspects->len);
   jobs_site_dead (&world->site, executor, GP_DEATH_REPLACED);
   for (guint i = 0; i < suspects->len; i++)
     gp__jobs__task_run__free_unpacked (g_ptr_array_index (suspects, i), NULL);
@@ -906,7 +907,7 @@
 
           if (task->executor == NULL || is_crasher (task))
             continue;
-          if (world->site.now - task->since
+          if (world->site.now - task->ordered_at
               >= gp_suspicion_settle_time (gp_task_step (task)->gang))
             settle (&world->site, task);
           if ((!gp_task_step (task)->gang || task->settled)
--- a/tests/unit/test_urgency.c
+++ b/tests/unit/test_urgency.c
@@ -157,7 +157,7 @@
     {
       const gp_ranked_job_t *row = &g_array_index (ranked, gp_ranked_job_t, i);
 
-      printf ("  %s %s\n", row->job->id + 14, hopes[row->hope]);
+      printf ("  %s %s\n", row->job->id + 14, hopes[row->deadline_class]);
     }
   g_array_free (ranked, TRUE);
 }
@@ -222,7 +222,7 @@
 /* Jobs that are through by their objectives when those in ROWS up to HOPE
    are done one after the other, each on all cores.  */
 static unsigned
-in_time (const GArray *rows, gp_hope_t hope, gp_time_t now)
+in_time (const GArray *rows, gp_deadline_class_t deadline_class, gp_time_t now)
 {
   double end = (double)now;
   unsigned count = 0;
@@ -231,7 +231,7 @@
     {
       const gp_ranked_job_t *row = &g_array_index (rows, gp_ranked_job_t, i);
 
-      if (row->hope > hope)
+      if (row->deadline_class > deadline_class)
         continue;
       end += work_of (row->job);
       count += end <= (double)row->job->due_at;
@@ -259,11 +259,11 @@
   unsigned plain;
 
   for (guint i = 0; i < ranked->len; i++)
-    called
-        += g_array_index (ranked, gp_ranked_job_t, i).hope == GP_HOPE_IN_TIME;
-  CU_ASSERT_EQUAL (in_time (ranked, GP_HOPE_IN_TIME, site->now), called);
+    called += g_array_index (ranked, gp_ranked_job_t, i).deadline_class
+              == GP_DEADLINE_IN_TIME;
+  CU_ASSERT_EQUAL (in_time (ranked, GP_DEADLINE_IN_TIME, site->now), called);
   g_array_sort (ranked, by_objective);
-  plain = in_time (ranked, GP_HOPE_NONE, site->now);
+  plain = in_time (ranked, GP_DEADLINE_USELESS, site->now);
   CU_ASSERT_TRUE (called >= plain);
   g_array_free (ranked, TRUE);
 }
@@ -323,7 +323,7 @@
   ranked = gp_urgency_rank (&site.book, &site.scheduler.forecast, site.now);
   first = &g_array_index (ranked, gp_ranked_job_t, 0);
   CU_ASSERT_PTR_EQUAL (first->job, lasting);
-  CU_ASSERT_EQUAL (first->hope, GP_HOPE_IN_TIME);
+  CU_ASSERT_EQUAL (first->deadline_class, GP_DEADLINE_IN_TIME);
   g_array_free (ranked, TRUE);
   jobs_site_finish (&site);
 }
--- a/tests/unit/test_waits.c
+++ b/tests/unit/test_waits.c
@@ -66,7 +66,7 @@
 
   row.task = (char *)TASK;
   row.run = 7;
-  gp_scheduler_strays (&site->scheduler, executor, rows, 1);
+  gp_scheduler_note_strays (&site->scheduler, executor, rows, 1);
 }
 
 static void
