--- a/src/jobs/book.c
+++ b/src/jobs/book.c
@@ -330,12 +330,12 @@
 
 gp_job_t *
 gp_book_apply_progress (gp_book_t *book, const char *id,
-                        Gp__Jobs__Progress *progress, gp_book_position_t place,
-                        GError **error)
+                        Gp__Jobs__Progress *progress,
+                        gp_book_position_t position, GError **error)
 {
   gp_job_t *job = get_job (book, id);
 
-  if (!place.loading && place.offset < job->progress_end)
+  if (!position.loading && position.offset < job->progress_end)
     {
       gp__jobs__progress__free_unpacked (progress, NULL);
       return job;
@@ -343,10 +343,10 @@
   if (!is_of_job (job, progress, error))
     {
       gp__jobs__progress__free_unpacked (progress, NULL);
-      gp_book_refuse_progress (book, id, place);
+      gp_book_refuse_progress (book, id, position);
       return NULL;
     }
-  job->progress_end = place.offset + 1;
+  job->progress_end = position.offset + 1;
   job->progress_unknown = false;
   job->newest_unreadable = false;
   if (job->submission == NULL)
@@ -364,11 +364,11 @@
                   size_t size, GError **error)
 {
   Gp__Jobs__Progress *progress = gp_record_progress (bytes, size, error);
-  gp_book_position_t place = { .offset = get_job (book, id)->progress_end };
+  gp_book_position_t position = { .offset = get_job (book, id)->progress_end };
 
   if (progress == NULL)
     return NULL;
-  return gp_book_apply_progress (book, id, progress, place, error);
+  return gp_book_apply_progress (book, id, progress, position, error);
 }
 
 void
@@ -381,11 +381,11 @@
 
 void
 gp_book_refuse_progress (gp_book_t *book, const char *id,
-                         gp_book_position_t place)
+                         gp_book_position_t position)
 {
   gp_job_t *job = get_job (book, id);
 
-  if (place.loading)
+  if (position.loading)
     job->progress_unknown = true;
   job->newest_unreadable = !job->progress_unknown;
   update_live (book, job);
--- a/src/jobs/book.h
+++ b/src/jobs/book.h
@@ -67,14 +67,14 @@
                                     GError **error);
 gp_job_t *gp_book_apply_progress (gp_book_t *book, const char *id,
                                   Gp__Jobs__Progress *progress,
-                                  gp_book_position_t place, GError **error);
+                                  gp_book_position_t position, GError **error);
 
 /* The newest submission or progress of the job ID cannot be read.  What was
    known before remains valid.  If no earlier progress was seen, the job's runs
    are unknown, and it gets no new ones until its progress is known again.  */
 void gp_book_refuse_submission (gp_book_t *book, const char *id);
 void gp_book_refuse_progress (gp_book_t *book, const char *id,
-                              gp_book_position_t place);
+                              gp_book_position_t position);
 
 /* The same from the bytes of a record.  NULL and ERROR for bytes that do not
    decode or break a rule; they are not applied.  */
--- a/src/jobs/placer.c
+++ b/src/jobs/placer.c
@@ -204,7 +204,7 @@
   else if (gp_placer_needs_isolation (pass, task))
     gp_suspicion_dedicate (candidate->executor, task, pass->now);
   gp_suspicion_note_assigned (task, pass->now);
-  if (step->fills && candidate->counted)
+  if (step->fills && candidate->fillings_counted)
     gp_placer_add_filling (pass, candidate, step->image);
   job->idle_since = 0;
   g_ptr_array_add (pass->placed, task);
--- a/src/jobs/placer_private.h
+++ b/src/jobs/placer_private.h
@@ -9,7 +9,7 @@
 typedef struct
 {
   gp_job_executor_t *executor;
-  bool counted;
+  bool fillings_counted;
   gp_pressure_work_t fillings; /* expected busy work of its filling runs */
 } gp_placer_candidate_t;
 
--- a/src/jobs/placer_score.c
+++ b/src/jobs/placer_score.c
@@ -52,9 +52,9 @@
 static void
 count_fillings (const gp_placer_pass_t *pass, gp_placer_candidate_t *candidate)
 {
-  if (candidate->counted)
+  if (candidate->fillings_counted)
     return;
-  candidate->counted = true;
+  candidate->fillings_counted = true;
   GP_LIST_FOREACH (link, &candidate->executor->tasks)
   {
     const gp_job_task_t *task
