--- a/bench/bench_jobs.c
+++ b/bench/bench_jobs.c
@@ -1,5 +1,5 @@
-/* What a turn of the leader costs: placing the waiting tasks of jobs on
-   executors, and packing a job's progress.  */
+/* Measures the cost of a planning round of the leader: placing the waiting
+   tasks of jobs on executors, and packing a job's progress.  */
 
 #include <glib.h>
 #include <stdio.h>
--- a/bench/bench_pressure.c
+++ b/bench/bench_pressure.c
@@ -1,11 +1,12 @@
-/* How fast the weights of interference are learned, and what a measure costs.
+/* Measures how fast the weights of interference are learned, and the cost of a
+   measurement.
 
-   Sites are drawn at random: a job of runs whose load swings between 1.6 and
-   3.8 within 14 s, beside filling runs of nine images, a third of which press
-   by 0.4 to 1.4.  Every run is measured every 300 ms with an error of 8 % at
-   most.  Told: the root mean square of the error of the weights that were
-   seen, and of the load, after 2, 5, 10 and 40 s.  Before anything is learned
-   the error of the weights is that of the prior.  */
+   Sites are random: a job whose headroom oscillates between 1.6 and 3.8 with a
+   period of 14 s, beside filling runs of nine images, a third of which have
+   weights of 0.4 to 1.4.  Every run is measured every 300 ms with an error of
+   at most 8 %.  Prints the root mean square errors of the weights of the
+   images seen, and of the headroom, after 2, 5, 10 and 40 s.  Before anything
+   is learned the error of the weights is that of the prior.  */
 
 #include <glib.h>
 #include <math.h>
@@ -55,7 +56,7 @@
       site->weights[i] = g_rand_double_range (random, 0.4, 1.4);
 }
 
-/* Let filling runs come and go beside run I, three images at most.  */
+/* Lets filling runs come and go beside run I, three images at most.  */
 static void
 change_work (site_t *site, int i, GRand *random)
 {
--- a/tests/unit/jobs_site.c
+++ b/tests/unit/jobs_site.c
@@ -53,7 +53,8 @@
   return jobs_site_executor_in (site, id, cores, "rack-1");
 }
 
-/* Messages are made with malloc, as protobuf-c frees them with free.  */
+/* Messages are allocated with malloc, because protobuf-c frees them with
+   free.  */
 
 void
 jobs_site_add_step (Gp__Jobs__Submission *submission, unsigned count,
--- a/tests/unit/late_world.c
+++ b/tests/unit/late_world.c
@@ -1,4 +1,4 @@
-/* A site in virtual time whose orders are late: guards and executors.  */
+/* The guards and executors of the late world.  */
 
 #include "late_world_impl.h"
 
@@ -14,7 +14,7 @@
 #define GUARD_TIME (500 * GP_MSEC)
 #define GIVE_UP_TIME (300 * GP_MSEC)
 
-/* A call on its way: carried out at DUE, answered unless LOST.  */
+/* A call under way: carried out at DUE, answered unless LOST.  */
 typedef struct
 {
   gp_agent_call_kind_t kind; /* NONE: a list */
@@ -26,7 +26,8 @@
   gp_time_t sent_at;
   gp_time_t due;
   bool lost;
-  gp_time_t gives_up; /* 0: the agent knows */
+  gp_time_t
+      gives_up; /* the agent gets no answer then, 0: it has got its result */
 } flight_t;
 
 bool
@@ -110,7 +111,7 @@
       world->workers[i].late_until = world->site.now + 4 * GP_SEC;
 }
 
-/* A start was carried out that was not before.  */
+/* A start was carried out for the first time.  */
 static void
 note_start (late_world_t *world, late_worker_t *worker, const char *name,
             uint32_t run)
@@ -281,7 +282,7 @@
     flight->due = MIN (flight->due, world->site.now + 50 * GP_MSEC);
 }
 
-/* The guard meets the life that is there.  */
+/* The guard connects to the present incarnation of the executor.  */
 static void
 meet (late_world_t *world, late_worker_t *worker)
 {
@@ -303,7 +304,7 @@
   worker->report_at = world->site.now;
 }
 
-/* Life.  */
+/* Initialization and the main loop.  */
 
 void
 late_world_init (late_world_t *world, guint32 seed, unsigned faults)
--- a/tests/unit/late_world.h
+++ b/tests/unit/late_world.h
@@ -1,7 +1,7 @@
-/* A site in virtual time: a leader whose records are put off, guards that are
-   killed, and executors that carry starts out late; one task takes down every
-   executor that starts it.  The decisions are the product's; what binds them
-   to sockets is played here in short.  */
+/* A site in virtual time: a leader whose records are delayed, guards that are
+   killed, and executors that carry out starts late.  One task crashes every
+   executor that starts it.  The decisions are made by the code under test; the
+   code that connects it to sockets is replaced by a short simulation.  */
 
 #ifndef GP_TESTS_LATE_WORLD_H
 #define GP_TESTS_LATE_WORLD_H
@@ -11,13 +11,13 @@
 
 #define LATE_WORKERS 6
 
-/* What goes wrong.  */
+/* Kinds of faults.  */
 typedef enum
 {
-  LATE_RECORDS = 1, /* the store is away for seconds */
+  LATE_RECORDS = 1, /* the store is unavailable for seconds */
   LATE_STARTS = 2,  /* starts are not answered, and carried out later */
   LATE_GUARDS = 4,  /* guards are killed */
-  LATE_LEADERS = 8  /* another entry leads */
+  LATE_LEADERS = 8  /* another entry becomes leader */
 } late_fault_t;
 
 typedef struct
@@ -27,20 +27,20 @@
   unsigned life;
   char id[16];
   gp_agent_t agent;
-  gp_time_t guard_up_at; /* it is killed until then */
+  gp_time_t guard_up_at; /* the guard is down until then */
   fake_executor_t fake;
   gp_time_t up_at;    /* the executor is down until then */
-  gp_time_t crash_at; /* GP_TIME_NEVER: nothing takes it down */
+  gp_time_t crash_at; /* GP_TIME_NEVER: no crash is due */
   gp_time_t late_until;
-  bool met; /* the guard has met this life */
+  bool met; /* the guard knows this incarnation of the executor */
   bool listing;
-  GArray *flights; /* see late_world.c */
+  GArray *flights; /* calls under way, see late_world.c */
   gp_time_t report_at;
-  gp_time_t crashed_with; /* its guard is killed so long after it */
-  /* The leader's link.  */
-  char place[16];     /* the executor by the leader, "": none ... */
-  char pending[16];   /* ... the same with the append on its way ... */
-  char on_record[16]; /* ... and on the log */
+  gp_time_t crashed_with; /* delay from the crash to the kill of its guard */
+  /* The leader's view of the guard.  */
+  char place[16];   /* the executor that the leader knows here, "": none ... */
+  char pending[16]; /* ... the same in the append that is under way ... */
+  char on_record[16]; /* ... and in the log */
   gp_job_executor_t *executor;
   uint64_t sync;
   gp_time_t synced_at;
@@ -52,19 +52,19 @@
   GRand *random;
   unsigned faults; /* late_fault_t */
   jobs_site_t site;
-  GHashTable *log;          /* job to its newest record, GBytes */
-  GHashTable *submitted;    /* job to its submission, GBytes */
-  GHashTable *pending;      /* the same as LOG of the append on its way */
-  GArray *orders;           /* gp_order_t of that append */
-  bool syncs[LATE_WORKERS]; /* those of that append */
+  GHashTable *log;       /* job to its newest record, GBytes */
+  GHashTable *submitted; /* job to its submission, GBytes */
+  GHashTable *pending; /* job to its record in the append that is under way */
+  GArray *orders;      /* gp_order_t that wait for this append */
+  bool syncs[LATE_WORKERS]; /* syncs that wait for this append */
   gp_time_t decided_at;
-  gp_time_t append_at; /* the append is done then, GP_TIME_NEVER: there is
-                          none */
+  gp_time_t append_at; /* when the append completes, GP_TIME_NEVER: none is
+                          under way */
   uint64_t sync_count;
   late_worker_t workers[LATE_WORKERS];
   unsigned jobs;
-  unsigned starts; /* of the task that takes executors down */
-  unsigned twice;  /* tasks that were at work twice */
+  unsigned starts; /* of the task that crashes executors */
+  unsigned twice;  /* starts of tasks that were already running */
 } late_world_t;
 
 #define LATE_CULPRIT "00000000000000cc"
@@ -72,13 +72,13 @@
 void late_world_init (late_world_t *world, guint32 seed, unsigned faults);
 void late_world_finish (late_world_t *world);
 
-/* Go on for DURATION, with faults or without.  */
+/* Advances the site by DURATION; FAULTY: faults occur.  */
 void late_world_run (late_world_t *world, gp_time_t duration, bool faulty);
 
-/* Is the job of the culprit given up, by what is on record?  */
+/* Returns whether the job of the crashing task has been given up.  */
 bool late_world_gave_up (const late_world_t *world);
 
-/* How many other jobs have failed?  */
+/* Returns the number of other jobs that have failed.  */
 unsigned late_world_failed (const late_world_t *world);
 
 #endif
--- a/tests/unit/late_world_impl.h
+++ b/tests/unit/late_world_impl.h
@@ -1,4 +1,4 @@
-/* What the files of the site whose orders are late share.  */
+/* Functions shared by the source files of the late world.  */
 
 #ifndef GP_TESTS_LATE_WORLD_IMPL_H
 #define GP_TESTS_LATE_WORLD_IMPL_H
@@ -7,21 +7,21 @@
 
 bool late_chance (GRand *random, double share);
 
-/* Is the guard of WORKER not killed?  */
+/* Returns whether the guard of WORKER is up.  */
 bool late_worker_has_guard (const late_world_t *world,
                             const late_worker_t *worker);
 
 /* WORKER's guard reports to the leader.  */
 void late_leader_report (late_world_t *world, late_worker_t *worker);
 
-/* Decide and write it down, unless an append is on its way; its end.  */
+/* Plan and start an append, unless one is under way; complete the append.  */
 void late_leader_turn (late_world_t *world, bool faulty);
 void late_leader_append_done (late_world_t *world);
 
 void late_leader_submit (late_world_t *world, const char *id, unsigned count,
                          bool lasts);
 
-/* Another entry leads, by what is on the log.  */
+/* Another entry becomes leader, with the state in the log.  */
 void late_leader_change (late_world_t *world);
 
 #endif
--- a/tests/unit/late_world_leader.c
+++ b/tests/unit/late_world_leader.c
@@ -1,5 +1,4 @@
-/* A site in virtual time whose orders are late: its leader, the log, and what
-   the guards report.  */
+/* The leader of the late world, the log, and the guards' reports.  */
 
 #include "late_world_impl.h"
 
@@ -159,7 +158,7 @@
   g_array_set_size (world->orders, 0);
 }
 
-/* Decide, and write it down.  */
+/* Plans, and starts an append.  */
 void
 late_leader_turn (late_world_t *world, bool faulty)
 {
@@ -248,7 +247,7 @@
     }
 }
 
-/* The guard reports another executor than the one on record.  */
+/* Handles a report of another executor than the known one.  */
 static void
 replace (late_world_t *world, late_worker_t *worker)
 {
@@ -335,7 +334,7 @@
   jobs_site_submit (&world->site, id, submission);
 }
 
-/* Another entry leads, by what is on the log.  */
+/* Another entry becomes leader, with the state in the log.  */
 void
 late_leader_change (late_world_t *world)
 {
--- a/tests/unit/policy_site.c
+++ b/tests/unit/policy_site.c
@@ -1,4 +1,4 @@
-/* A small site for the tests of placement.  */
+/* A small site for the tests of placement decisions.  */
 
 #include "policy_site.h"
 
--- a/tests/unit/policy_site.h
+++ b/tests/unit/policy_site.h
@@ -15,12 +15,13 @@
   unsigned int n_workers;
 } policy_site_t;
 
-/* N equal workers of CAPACITY, three to a rack, in turn over ZONES zones.  */
+/* Sets up N equal workers of CAPACITY, three to a rack, assigned to ZONES
+   zones in turn.  */
 void policy_site_init (policy_site_t *site, unsigned int n, uint32_t zones,
                        const gp_resources_t *capacity);
 void policy_site_finish (policy_site_t *site);
 
-/* A batch task that may run anywhere.  */
+/* Returns a request to place a batch task that may run anywhere.  */
 gp_placement_ask_t policy_ask (uint64_t task, uint32_t millicores,
                                uint32_t memory_mib);
 
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -1,6 +1,6 @@
-/* Tests of evacuated zones: what records and loads of their topic say, and
-   that no guard starts anything in one later than operators are told, whatever
-   happens to the words of leaders on their way.  */
+/* Tests evacuated zones: the effect of records and of loads of their topic,
+   and that no guard starts anything in an evacuated zone later than operators
+   are promised, whatever happens to the leaders' messages on their way.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -14,7 +14,7 @@
 
 #define TASK "00000000000000aa.0.0.0"
 #define SPAN (4 * GP_SEC)
-/* Within so long an evacuation has to be in force.  */
+/* An evacuation has to be in force within this time.  */
 #define IN_FORCE (5 * GP_SEC)
 
 static void
@@ -102,7 +102,7 @@
   begin_with (agent, false, now);
 }
 
-/* Keep the lease open as a leader does that knows nothing of zones.  */
+/* Keeps the lease valid, as a leader does that knows nothing about zones.  */
 static void
 renew (gp_agent_t *agent, gp_time_t now)
 {
@@ -110,7 +110,7 @@
   gp_agent_acknowledged (agent, now, 0, now);
 }
 
-/* The next call, which gets RESULT.  */
+/* Makes the next call, which gets RESULT, and returns its kind.  */
 static gp_agent_call_kind_t
 call (gp_agent_t *agent, gp_agent_result_t result, gp_time_t now)
 {
@@ -211,9 +211,10 @@
   gp_agent_set_executor (agent, executor, agent->clock_ms + 1, now);
 }
 
-/* What users saw: three leaders were lost one after the other while executors
-   drained, and the fourth one's word brought starts that had never been made,
-   three seconds after the executor had been heard.  */
+/* Guards against starts on an executor that is about to leave.  Three leaders
+   were lost in a row while executors drained, and a message of the fourth one
+   led to starts that had not been made before, three seconds after the
+   executor was last heard from.  */
 static void
 test_leaves (void)
 {
@@ -246,9 +247,9 @@
   gp_agent_finish (&agent);
 }
 
-/* Two leaders whose view of the operators' records is refreshed, or not, at
-   random; acknowledgements that arrive late, out of order or never; a guard
-   whose starts go unanswered, and which starts anew.  */
+/* Two leaders whose view of the operators' records is refreshed at random
+   times; acknowledgements that arrive late, out of order or never; a guard
+   whose starts are not answered, and which restarts.  */
 
 #define WORDS 400
 
@@ -259,21 +260,23 @@
   gp_time_t arrives_at;
 } word_t;
 
-/* Was the zone evacuated at TIME?  By turns, for seconds each.  */
+/* Returns whether the zone was evacuated at TIME; it changes every nine
+   seconds.  */
 static bool
 is_evacuated (gp_time_t time)
 {
   return time / (9 * GP_SEC) % 2 == 1;
 }
 
-/* And all the time from IN_FORCE before it on?  */
+/* Returns whether it was, and had been for IN_FORCE.  */
 static bool
 is_in_force (gp_time_t time)
 {
   return is_evacuated (time) && is_evacuated (time - IN_FORCE);
 }
 
-/* A word of LEADER, whose view was fresh at SEEN, on a report sent at NOW.  */
+/* Returns a message of LEADER, whose view was current at SEEN, in reply to a
+   report sent at NOW.  */
 static word_t
 word_of (GRand *random, gp_time_t seen, gp_time_t now)
 {
@@ -336,8 +339,8 @@
   CU_ASSERT_TRUE (starts > 200 * 100);
 }
 
-/* Where work goes, and what is expected to be in time, is decided without the
-   zone.  */
+/* Placement and the estimate of what can be in time both disregard an
+   evacuated zone.  */
 static void
 test_room (void)
 {
--- a/tests/unit/test_filling_load.c
+++ b/tests/unit/test_filling_load.c
@@ -1,9 +1,9 @@
-/* Plays filling work beside runs that serve, on sites drawn at random, under
-   three policies: full speed, a naive twin that halves all filling work of an
-   executor on which a run is over its target, and what the leader and the
-   guards do (jobs/pressure.h, jobs/pacer.h).  Checks what callers get: the
-   time for which serving runs are over their targets, and the filling work
-   that is done.  */
+/* Simulates filling work beside serving runs on random sites under three
+   policies: full speed, a simple policy that halves all filling work on an
+   executor with a run over its target, and the policy of the leader and the
+   guards (jobs/pressure.h, jobs/pacer.h).  Checks the results for callers: how
+   long serving runs are over their targets, and how much filling work is
+   done.  */
 
 #include <glib.h>
 #include <math.h>
@@ -16,11 +16,11 @@
 #define EXECUTORS 8
 #define SERVING_IMAGES 3
 #define FILLING_IMAGES 6
-#define FILLS 4 /* places for filling runs on an executor */
+#define FILLS 4 /* filling runs per executor */
 #define STEPS 240
 #define STEP (250 * GP_MSEC)
-/* Chances in a step: that a filling run changes its phase, and that it
-   ends and another image comes.  */
+/* Probability per step that a filling run changes its phase, and that it ends
+   and a run of another image takes its place.  */
 #define PHASE_CHANCE 0.04
 #define END_CHANCE 0.1
 
@@ -36,16 +36,16 @@
 {
   unsigned image;
   bool busy;
-  bool seen;   /* it was measured */
+  bool seen;   /* it has been measured */
   double pace; /* 0 to 1 */
 } fill_t;
 
 typedef struct
 {
-  unsigned image; /* of the run that serves here */
+  unsigned image; /* of the serving run here */
   fill_t fills[FILLS];
   double headroom; /* as measured */
-  double over;     /* seconds */
+  double over;     /* seconds over the target */
 } place_t;
 
 typedef struct
@@ -56,13 +56,13 @@
   double phase[SERVING_IMAGES];
   place_t places[EXECUTORS];
   gp_headroom_t loads[SERVING_IMAGES];
-  gp_pacer_t pacer; /* its pressures are the leader's */
+  gp_pacer_t pacer; /* its weights stand for the leader's */
   GRand *random;
 } site_t;
 
 typedef struct
 {
-  double over; /* share of the time of serving runs */
+  double over; /* share of the time of serving runs over target */
   double work; /* share of full speed */
 } outcome_t;
 
@@ -133,7 +133,7 @@
                       + site->phase[image]);
 }
 
-/* The busy work that was done on PLACE.  */
+/* Returns the busy work that was done on PLACE.  */
 static gp_pressure_work_t
 work_done (const place_t *place)
 {
@@ -151,7 +151,7 @@
   return fill->busy || !fill->seen;
 }
 
-/* Let PLACE work on until NOW and measure it.  */
+/* Advances PLACE to NOW and measures it.  */
 static void
 live (site_t *site, place_t *place, gp_time_t now, outcome_t *outcome)
 {
--- a/tests/unit/test_headroom.c
+++ b/tests/unit/test_headroom.c
@@ -1,5 +1,5 @@
-/* Tests of the tracks of headroom: a swing of unknown period is followed and
-   foreseen from noisy measures, better than by its last value.  */
+/* Tests of headroom tracks: an oscillation of unknown period is followed and
+   predicted from noisy measurements, better than by the last value.  */
 
 #include <glib.h>
 #include <math.h>
@@ -13,7 +13,8 @@
 #define STEP (100 * GP_MSEC)
 #define AHEAD (1500 * GP_MSEC)
 
-/* The load at STEP of a swing with PERIOD, in seconds, and PHASE.  */
+/* Returns the headroom at WHEN of an oscillation with PERIOD, in seconds, and
+   PHASE.  */
 static double
 truth (gp_time_t when, double period, double phase)
 {
@@ -22,8 +23,8 @@
   return MEAN + AMPLITUDE * sin (2.0 * G_PI * seconds / period + phase);
 }
 
-/* Root mean squares of what the track and its naive twin, the last measure,
-   miss 1.5 s ahead.  */
+/* Root mean square errors, 1.5 s ahead, of the track and of the last
+   measurement as a prediction.  */
 typedef struct
 {
   double track;
@@ -87,7 +88,7 @@
   CU_ASSERT (fabs (gp_headroom_at (&track, GP_SEC) - 3.5) < 0.05);
 }
 
-/* A track that was not measured for minutes begins to learn at once.  */
+/* A track without measurements for minutes follows the next one at once.  */
 static void
 test_pause (void)
 {
--- a/tests/unit/test_jobs.c
+++ b/tests/unit/test_jobs.c
@@ -1,5 +1,5 @@
-/* Tests of jobs: their life in the scheduler, the fold, and placement
-   against what it must never do.  */
+/* Tests of jobs: the life cycle in the scheduler, the book built from records,
+   and the limits of placement.  */
 
 #include <glib.h>
 #include <math.h>
@@ -14,7 +14,7 @@
 #define JOB_B "00000000000000bb"
 #define JOB_C "00000000000000cc"
 
-/* Print the orders made since the last call.  */
+/* Prints the orders made since the last call.  */
 static void
 print_orders (jobs_site_t *site)
 {
@@ -357,7 +357,7 @@
   gp__jobs__submission__free_unpacked (submission, NULL);
 }
 
-/* What a reader of the log knows equals what the leader knows.  */
+/* The book built from the records equals the leader's book.  */
 static void
 check_refold (const jobs_site_t *site)
 {
@@ -396,7 +396,7 @@
   gp_book_finish (&fresh);
 }
 
-/* The naive twin of the reservations: add up what stands in the book.  */
+/* Compares the reservations with a sum over all tasks in the book.  */
 static void
 check_room (const jobs_site_t *site)
 {
@@ -571,7 +571,7 @@
       gp_scheduler_run_ended (&site.scheduler, executor, &end, site.now, 0));
   CU_ASSERT_EQUAL (site.scheduler.orders->len, before);
 
-  /* A job that has ended awaits nothing.  */
+  /* A job that has ended does not await its submission.  */
   progress.state = GP_JOB_COMPLETED;
   progress.ended_wall_ms = 1;
   size = gp__jobs__progress__pack (&progress, packed);
@@ -579,7 +579,7 @@
       gp_book_progress (&site.book, id, packed, size, NULL));
   CU_ASSERT_FALSE (gp_book_awaits_submission (&site.book, name));
 
-  /* An end of a job that nobody knows is confirmed: it has expired.  */
+  /* An end of an unknown job is confirmed: the job has expired.  */
   name[0] = '1';
   CU_ASSERT_TRUE (
       gp_scheduler_run_ended (&site.scheduler, executor, &end, site.now, 0));
@@ -587,8 +587,8 @@
   jobs_site_finish (&site);
 }
 
-/* An executor of a service that no queue names is known and used for
-   nothing, however much room it has.  */
+/* An executor of a service that no queue names is never used, however much
+   free capacity it has.  */
 static void
 test_foreign_service (void)
 {
--- a/tests/unit/test_late_random.c
+++ b/tests/unit/test_late_random.c
@@ -1,6 +1,6 @@
-/* Random histories of decisions, records, orders and lists over several
-   leaders, in virtual time: a task that takes its executors down among honest
-   ones, while records are put off, starts are carried out late, guards are
+/* Random histories of decisions, records, orders and lists across several
+   leaders, in virtual time.  One task crashes its executors, among others that
+   do not, while records are delayed, starts are carried out late, guards are
    killed and leaders change.  */
 
 #include "late_world.h"
@@ -9,13 +9,14 @@
 #include <stdio.h>
 
 #define SEEDS 60
-/* Three executors go down under it, and two more while that is noticed.  */
+/* The task crashes three executors, and two more starts are allowed until that
+   is noticed.  */
 #define STARTS_MAX 5
 #define FAULTY_TIME (25 * GP_SEC)
-/* It is given up within this of the last fault.  */
+/* It has to be given up within this time after the last fault.  */
 #define GIVEN_UP_TIME (60 * GP_SEC)
 
-/* The seeds that are played; others can be asked for.  */
+/* The range of seeds; the command line can set another one.  */
 static guint32 first_seed = 1;
 static guint32 seed_count = SEEDS;
 
@@ -78,7 +79,7 @@
   play (LATE_LEADERS | LATE_GUARDS | LATE_RECORDS | LATE_STARTS);
 }
 
-/* usage: test_late_random [FIRST SEEDS] */
+/* usage: test_late_random [FIRST SEEDS]  */
 int
 main (int argc, char **argv)
 {
--- a/tests/unit/test_pressure.c
+++ b/tests/unit/test_pressure.c
@@ -1,5 +1,5 @@
-/* Tests of pressures and pacing: weights are found again from noisy
-   measurements, and the pacer slows what presses, not the others.  */
+/* Tests of pressure and pacing: weights are recovered from noisy measurements,
+   and the pacer slows only images that interfere.  */
 
 #include <glib.h>
 #include <math.h>
@@ -13,8 +13,8 @@
 
 static const double truth[] = { 0.9, 0.0, 0.4 };
 
-/* Measure a run at step I beside busy work drawn anew, and learn from it.
-   The load swings between 1.6 and 3.8 within 14 s.  */
+/* Measures a run at step I beside random busy work and learns from it.  The
+   headroom oscillates between 1.6 and 3.8 with a period of 14 s.  */
 static void
 measure (gp_pressure_t *pressure, gp_headroom_t *load, int i, GRand *random)
 {
@@ -64,7 +64,7 @@
   g_rand_free (random);
 }
 
-/* An overloaded run tells only that much was taken.  */
+/* The headroom of an overloaded run only shows that much was taken.  */
 static void
 test_overloaded (void)
 {
@@ -85,10 +85,10 @@
   gp_pressure_finish (&pressure);
 }
 
-/* Regression test: weights that are set again and again, as a guard's are by
-   the leader, go on being learned.  What was known of two images together
-   stayed when one of them was set, so that variances became negative and the
-   weights no numbers, which then counted as none for good.  */
+/* Guards against weights that become NaN when they are set repeatedly, as the
+   leader sets those of a guard, while learning continues.  If the covariances
+   of a weight were kept when it was set, variances became negative and the
+   weights NaN, which then counted as no weight for good.  */
 static void
 test_set_while_learning (void)
 {
@@ -157,9 +157,9 @@
   gp_pacer_finish (&pacer);
 }
 
-/* Regression test: with a weight whose quotient and product do not cancel, an
-   excess shrank to the least number that there is and never went away, so
-   that the pacer did not return.  */
+/* Guards against an endless loop in the pacer: with a weight whose quotient
+   and product do not cancel, an excess shrank to the smallest positive number
+   and never reached zero.  */
 static void
 test_tiny_excess (void)
 {
@@ -179,8 +179,8 @@
   gp_pacer_finish (&pacer);
 }
 
-/* Regression test: an image that is thought to be harmless is halted all the
-   same beside a run that stays over its target.  */
+/* Guards against an image that is considered harmless running on beside a run
+   that stays over its target.  */
 static void
 test_no_weight (void)
 {
--- a/tests/unit/test_progress_compact.c
+++ b/tests/unit/test_progress_compact.c
@@ -1,5 +1,5 @@
-/* Tests of the compact form of progress: what is expanded is what was packed,
-   for random jobs, and what no writer of ours makes is refused.  */
+/* Tests of the compact form of progress: expanding returns what was packed,
+   for random jobs, and records that this product never writes are refused.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -50,7 +50,7 @@
     }
 }
 
-/* A job with COUNT tasks; ALIKE: none is out of the ordinary.  */
+/* Draws a job with COUNT tasks; ALIKE: all of them fit into columns.  */
 static void
 draw (progress_t *progress, GRand *random, uint32_t count, bool alike)
 {
@@ -100,7 +100,7 @@
   return (*first)->index < (*second)->index ? -1 : 1;
 }
 
-/* Is PROGRESS, in the order of its tasks, the same as EXPECTED?  */
+/* Returns whether PROGRESS, in the order of its tasks, equals EXPECTED.  */
 static bool
 is_same (const Gp__Jobs__Progress *expected, Gp__Jobs__Progress *progress)
 {
@@ -155,7 +155,7 @@
   printf ("%d random records are read as they were packed\n", PLAYS);
 }
 
-/* Jobs as on a busy site: 72 tasks, 32 done and 15 at work in the mean.  */
+/* Jobs as on a busy site: 72 tasks, on average 32 done and 15 running.  */
 static void
 test_size (void)
 {
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -1,7 +1,6 @@
-/* Tests of the decoders of records and frames, with what another writer might
-   leave there, and of what an unreadable record takes with it: nothing.
-
-   test_records --corpus DIR writes the cases as inputs of
+/* Tests the decoders of records and frames with what another writer might
+   leave there, and that an unreadable record affects nothing else.
+   test_records --corpus DIR writes the cases as inputs for
    tests/fuzz/fuzz_records.c.  */
 
 #include <CUnit/CUnit.h>
@@ -22,7 +21,7 @@
 static const gp_book_position_t in_order = { .offset = 1 };
 static const gp_book_position_t in_load = { .offset = 1, .loading = true };
 
-/* Decode a frame; the reasons go to REFUSED and ERROR.  */
+/* Decodes a frame; the reasons go to REFUSED and ERROR.  */
 static bool
 parse_frame (const uint8_t *bytes, size_t size, GError **refused,
              GError **error)
@@ -35,7 +34,7 @@
   return true;
 }
 
-/* Decode the first SIZE bytes of a record's value.  */
+/* Decodes the first SIZE bytes of a record's value.  */
 static bool
 parse_record (const record_case_t *one, size_t size, gp_record_t *record,
               GError **error)
@@ -53,7 +52,7 @@
                                    error);
 }
 
-/* Decode the first SIZE bytes of CASE's value.  */
+/* Decodes the first SIZE bytes of the value of ONE.  */
 static bool
 parse (const record_case_t *one, size_t size, GError **refused, GError **error)
 {
@@ -107,8 +106,8 @@
   g_array_unref (cases);
 }
 
-/* Each beginning of a whole record is refused, or is a whole one itself: with
-   fewer rows, or without fields at its end that may be missing.  */
+/* Each prefix of a complete record is refused, or is a complete record itself:
+   with fewer rows, or without optional fields at its end.  */
 static void
 test_cut (void)
 {
@@ -138,7 +137,7 @@
   g_array_unref (cases);
 }
 
-/* A site with the job JOB, of 3 tasks, that is at work on x0.  */
+/* Sets up a site with the job JOB, of 3 tasks, running on x0.  */
 static gp_job_t *
 begin_job (jobs_site_t *site)
 {
@@ -170,8 +169,8 @@
   putchar ('\n');
 }
 
-/* Progress of JOB with one task, at work on EXECUTOR as run 1, or with more of
-   the same.  */
+/* Returns progress of JOB with one task, INDEX, running on EXECUTOR as run
+   1.  */
 static Gp__Jobs__Progress *
 make_progress (const char *executor, uint32_t index)
 {
@@ -196,7 +195,7 @@
   return copy;
 }
 
-/* Fold it; a follower's NOTE on what is wrong.  */
+/* Applies such progress and prints why it is refused.  */
 static void
 take_progress (jobs_site_t *site, const char *executor, uint32_t index,
                bool loading)
@@ -212,8 +211,8 @@
   g_clear_error (&error);
 }
 
-/* In the order of the log what stood before holds; the next leader writes it
-   down again.  */
+/* If a record in the order of the log is unreadable, the earlier one remains
+   valid; the next leader writes it again.  */
 static void
 test_overwritten (void)
 {
@@ -234,7 +233,7 @@
   jobs_site_finish (&site);
 }
 
-/* Where nothing before was seen, the runs are unknown: none is started, until
+/* If no earlier record was seen, the runs are unknown: none is started until
    the progress can be read or the job is cancelled.  */
 static void
 test_unreadable_progress (void)
@@ -261,7 +260,8 @@
   jobs_site_finish (&site);
 }
 
-/* Progress that comes first and is not of this job is the same.  */
+/* Progress that arrives first and does not belong to this job has the same
+   effect.  */
 static void
 test_early_progress (void)
 {
@@ -280,7 +280,7 @@
   jobs_site_finish (&site);
 }
 
-/* Numbers of runs do not go back: a record that forgets a run would have it
+/* Run numbers never go back: a record that omits a run would cause it to be
    started twice.  Records that were read already change nothing.  */
 static void
 test_goes_back (void)
@@ -304,7 +304,7 @@
 }
 
 /* A run on an executor that no guard has reported stays there: nothing proves
-   that it does not run.  */
+   that it is not running.  */
 static void
 test_ghost (void)
 {
@@ -322,8 +322,9 @@
   jobs_site_finish (&site);
 }
 
-/* A submission that cannot be read neither holds up the ends of other jobs
-   nor makes its own unknown; the caller's second one is taken.  */
+/* A submission that cannot be read neither blocks the ends of other jobs nor
+   makes its own job unknown; a second submission by the caller is
+   accepted.  */
 static void
 test_unreadable_submission (void)
 {
@@ -356,7 +357,8 @@
   jobs_site_finish (&site);
 }
 
-/* What this product writes is taken: the progress of a job in each state.  */
+/* What this product writes is accepted: the progress of a job in each
+   state.  */
 static void
 test_own (void)
 {
@@ -378,7 +380,7 @@
   jobs_site_finish (&site);
 }
 
-/* Write each case as an input of the fuzz target: its kind, the size of its
+/* Writes each case as an input for the fuzz target: its kind, the size of its
    key, the key and the value.  */
 static int
 write_corpus (const char *directory)
--- a/tests/unit/test_starved.c
+++ b/tests/unit/test_starved.c
@@ -1,6 +1,6 @@
-/* Plays an overload of filling work: jobs that come and never find enough left
-   over beside a large one still get a run each, and runs that serve keep their
-   room.  */
+/* Simulates an overload of filling work: jobs that never find enough unused
+   processors beside a large one still get one run each, and serving runs keep
+   their capacity.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -12,7 +12,7 @@
 #define STEP (250 * GP_MSEC)
 #define STEPS 40
 
-/* A job of COUNT filling tasks.  */
+/* Submits a job of COUNT filling tasks.  */
 static gp_job_t *
 submit_filling (jobs_site_t *site, unsigned number, unsigned count)
 {
@@ -35,8 +35,9 @@
   return runs;
 }
 
-/* The longest time for which one of JOBS small jobs has no run beside a large
-   one whose tasks last, with SERVING of 8 cores reserved.  */
+/* Returns the longest time for which one of JOBS small jobs has no run beside
+   a large job whose tasks never end, with SERVING_MILLI of 8 cores
+   reserved.  */
 static gp_time_t
 longest_wait (unsigned serving_milli)
 {
@@ -78,7 +79,7 @@
           (int)(longest_wait (2000) / GP_MSEC),
           (int)(longest_wait (6000) / GP_MSEC));
   CU_ASSERT_TRUE (longest_wait (2000) < 3 * GP_SEC);
-  /* What is reserved is not crowded.  */
+  /* Reserved capacity is not used.  */
   CU_ASSERT_TRUE (longest_wait (6000) == STEPS * STEP);
 }
 
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -1,13 +1,11 @@
-/* Tests of which task takes its executors down: scripted, and random sites
-   with a few such tasks among many others.
+/* Tests the detection of tasks that crash their executors: scripted cases, and
+   random sites with a few such tasks among many others.
 
-   What users saw: executors of all VMs went down one after the other, each
-   10 ms after one and the same task had been started there, without end.  The
-   order of events: the task and others start; their executor goes down without
-   a word; its VM has another one 3 s later, and all of them start again, often
-   together.  The cause: only ends that an executor tells were counted.  What
-   proved it: `executor.dead` a millisecond before each start, no `run.ended`
-   of the task, and one leader all the time.  */
+   Guards against a task that is started without end and crashes one executor
+   after the other.  The task and others start, their executor dies without
+   reporting any end, 3 s later another executor is on its VM, and all of them
+   start there again, often together.  If only ends reported by executors were
+   counted, the task would never be given up.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -21,22 +19,23 @@
 #define JOB_B "00000000000000bb"
 #define JOB_C "00000000000000cc"
 #define JOB_D "00000000000000dd"
-/* Starts of a task that takes its executors down, at the most: three executors
-   go down under it, and two starts more are allowed.  */
+/* Maximum number of starts of a task that crashes its executors: it crashes
+   three, and two more starts are allowed.  */
 #define STARTS_MAX 5
 
-/* How a run that may have taken its executor down had begun.  */
+/* How a run that may have crashed its executor had started.  */
 typedef enum
 {
   BEGUN_EARLIER,
-  BEGUN_LATELY, /* by the lists */
+  BEGUN_LATELY, /* according to the executor's lists */
   BEGUN_300_MS_AGO,
   BEGUN_JUST_NOW,
-  BEGUN_UNANSWERED /* its start was held up: at any time */
+  BEGUN_UNANSWERED /* its start was delayed, so it may have started at any time
+                    */
 } begun_t;
 
-/* The guard of TASK's executor tells that its run may have taken that down.
- */
+/* The guard of TASK's executor reports that its run may have crashed the
+   executor.  */
 static void
 tell_suspect (jobs_site_t *site, const gp_job_task_t *task, begun_t begun)
 {
@@ -54,8 +53,8 @@
   gp_scheduler_note_suspects (&site->scheduler, task->executor, runs, 1);
 }
 
-/* Executor ID went down, and another one, NEXT, is on its VM.  Unless its
-   guard has told otherwise, all runs there had only just begun.  */
+/* Executor ID died and another one, NEXT, is on its VM.  Unless its guard has
+   reported suspects, all runs on ID had just started.  */
 static void
 replace (jobs_site_t *site, const char *id, const char *next)
 {
@@ -69,7 +68,7 @@
   jobs_site_executor (site, next, 8)->reported_at = site->now;
 }
 
-/* The guard of TASK's executor tells that its run has settled.  */
+/* The guard of TASK's executor reports that its run has settled.  */
 static void
 settle (jobs_site_t *site, gp_job_task_t *task)
 {
@@ -115,9 +114,9 @@
   jobs_site_finish (&site);
 }
 
-/* A job of one task and one of two, under which one executor has gone down
-   while both had just begun, and another one under the one of one task, which
-   is tried first, as nobody could tell what had begun.  */
+/* Sets up two suspect jobs, JOB with one task and BESIDE with two.  One
+   executor crashed while all tasks had just started, and another one under
+   JOB's task, which is tried first.  */
 static void
 suspect_three (jobs_site_t *site, gp_job_t **job, gp_job_t **beside)
 {
@@ -165,8 +164,8 @@
   jobs_site_finish (&site);
 }
 
-/* An executor on which others have only just begun is kept for a suspect until
-   they have begun for certain.  */
+/* An executor with recent starts of other jobs is dedicated to a suspect until
+   these have certainly started.  */
 static void
 test_made_quiet (void)
 {
@@ -246,8 +245,8 @@
   jobs_site_finish (&site);
 }
 
-/* A job of one task begins just now beside TASK, and takes its executor down.
- */
+/* A job of one task starts beside TASK and immediately crashes their
+   executor.  */
 static void
 submit_beside (jobs_site_t *site, const char *id, const gp_job_task_t *task)
 {
@@ -259,11 +258,9 @@
   other->cancelled = true;
 }
 
-/* What users saw: an honest job that lasts was failed beside work that takes
-   its executors down.  The order of events, in the logs of a site: its run was
-   assigned, and 1.0 to 2.1 s after that its executor went down under another
-   task, four times one after the other.  The cause: four executors gave a task
-   up without any evidence.  */
+/* Guards against failing an innocent long-running job.  Its executor crashed
+   1.0 to 2.1 s after its run was assigned, under another task, four times in a
+   row.  Counting crashes without evidence would give the job up.  */
 static void
 test_bystander (void)
 {
@@ -294,7 +291,7 @@
   jobs_site_finish (&site);
 }
 
-/* An executor that ends 300 ms after a start by itself does so again.  */
+/* An executor dies by itself 300 ms after a start, several times.  */
 static void
 test_a_little_earlier (void)
 {
@@ -319,8 +316,8 @@
   jobs_site_finish (&site);
 }
 
-/* The guard could not tell when the executor ended, only that the run had been
-   listed for less than half a second.  */
+/* The guard could not determine when the executor died, only that the run had
+   been listed for less than half a second.  */
 static void
 test_by_lists (void)
 {
@@ -357,9 +354,9 @@
   jobs_site_finish (&site);
 }
 
-/* What users saw: after all VMs had lost power, work that lasts came back
-   late. The cause: all of it stood under suspicion, and waited for executors
-   of its own.  */
+/* Guards against a slow recovery from a power loss of all VMs: if all
+   long-running work became suspect, it would wait for isolated starts and come
+   back late.  */
 static void
 test_power (void)
 {
@@ -388,9 +385,9 @@
   jobs_site_finish (&site);
 }
 
-/* What users saw: such a task was started six times: guards were killed under
-   its first two starts, as under others of its kind in the same second, and
-   both ends passed for losses of power.  */
+/* Guards against starting a crashing task six times: guards were killed under
+   its first two starts, and under others in the same second, and both crashes
+   were attributed to outages.  */
 static void
 test_power_again (void)
 {
@@ -421,9 +418,9 @@
   jobs_site_finish (&site);
 }
 
-/* What users saw: such a task was started seven times.  Others like it took
-   executors and guards down in the same second, which passed for a loss of
-   power: the ends of its starts, which were alone, did not count.  */
+/* Guards against starting a crashing task seven times: others like it crashed
+   executors and guards in the same second, which looked like an outage, so the
+   crashes under its isolated starts did not count.  */
 static void
 test_several_alone (void)
 {
@@ -458,8 +455,8 @@
   jobs_site_finish (&site);
 }
 
-/* An executor goes down under a start that was alone, and its guard with it,
-   AFTER the order.  */
+/* An executor and its guard disappear under an isolated start, AFTER the
+   order.  */
 static void
 go_with_guard (gp_time_t after)
 {
@@ -479,8 +476,8 @@
   jobs_site_finish (&site);
 }
 
-/* What users saw: such a task was started six times, each time a guard was
-   killed under it, so that nobody told what had begun.  */
+/* Guards against starting a crashing task six times: a guard was killed under
+   each start, so nobody reported what had just started.  */
 static void
 test_with_guard (void)
 {
@@ -490,7 +487,8 @@
   go_with_guard (600 * GP_MSEC);
 }
 
-/* Guard and executor are lost together: nobody can tell what had begun.  */
+/* Guard and executor are lost together: nobody can report what had just
+   started.  */
 static void
 test_no_word (void)
 {
@@ -517,8 +515,8 @@
   jobs_site_finish (&site);
 }
 
-/* A task of which two executors have gone down is on x3, alone, and another
-   job's beside it.  */
+/* A task whose previous two executors crashed runs isolated on x3, with a run
+   of another job beside it.  */
 static void
 test_beside (void)
 {
@@ -718,9 +716,9 @@
   jobs_site_finish (&site);
 }
 
-/* What users saw: a gang with a task that takes its executor down waited for a
-   minute.  The cause: of its members only one was to be started alone; those
-   placed before it made the only executor unquiet each time.  */
+/* Guards against a crashing gang that waits for a minute: if only one of its
+   members needed an isolated start, those placed before it would count as
+   recent starts on the only executor each time.  */
 static void
 test_gang_on_one (void)
 {
@@ -778,8 +776,8 @@
   jobs_site_finish (&next);
 }
 
-/* Random sites.  Task 0 of each fifth job takes its executors down at its
-   start.  */
+/* Random sites.  Task 0 of every fifth job crashes its executors when it
+   starts.  */
 
 #define EXECUTORS 6
 #define EVERY 5
@@ -827,8 +825,8 @@
   jobs_site_submit (&world->site, id, submission);
 }
 
-/* An executor on which a run that takes it down has begun goes down, and its
-   guard tells which runs may have done it.  */
+/* EXECUTOR, on which a crashing run has started, dies, and its guard reports
+   which runs may have crashed it.  */
 static void
 crash (world_t *world, gp_job_executor_t *executor)
 {
@@ -862,7 +860,7 @@
   add_executor (world);
 }
 
-/* The other members of a gang end with one.  */
+/* When one member of a gang ends, the others end as well.  */
 static void
 break_gang (world_t *world, gp_job_t *job)
 {
@@ -871,7 +869,8 @@
       jobs_site_end (&world->site, &job->tasks[i], GP_END_BROKEN);
 }
 
-/* An executor on which a run that takes it down has begun, and the job.  */
+/* Returns an executor on which a crashing run has started, or NULL, and sets
+ *FOUND to its job.  */
 static gp_job_executor_t *
 find_crashed (world_t *world, gp_job_t **found)
 {
@@ -889,7 +888,8 @@
   return NULL;
 }
 
-/* Runs of others that have settled tell so, and some end.  */
+/* Reports the runs of other tasks that have settled, and ends some of
+   them.  */
 static void
 age (world_t *world)
 {
@@ -955,7 +955,8 @@
     }
 }
 
-/* Whatever the order: each such task is given up in time, and no other.  */
+/* Whatever the order of events, each crashing task is given up in time, and no
+   other.  */
 static void
 test_random (void)
 {
--- a/tests/unit/test_urgency.c
+++ b/tests/unit/test_urgency.c
@@ -1,6 +1,6 @@
-/* Tests of forecasts and of the order of jobs: what is learned from noisy
-   durations, and in an overload more jobs in time than by their objectives
-   alone.  */
+/* Tests of forecasts and of the ranking of jobs: what is learned from noisy
+   durations, and that in an overload at least as many jobs are in time as when
+   ordered by their objectives alone.  */
 
 #include <glib.h>
 #include <math.h>
@@ -20,8 +20,8 @@
   g_snprintf (id, GP_JOB_ID_SIZE + 1, "%016x", number);
 }
 
-/* Another process that takes over what FORECAST has learned forecasts JOB as
-   it did; what is no forecast is refused.  */
+/* Another process that takes over FORECAST predicts the same for JOB; an
+   invalid forecast is refused.  */
 static void
 check_handed_on (const gp_forecast_t *forecast, gp_job_t *job, gp_time_t now)
 {
@@ -99,7 +99,7 @@
   gp_forecast_finish (&forecast);
 }
 
-/* An occurrence is as urgent as its own time makes it.  */
+/* The objective of a timed job is that of its next occurrence.  */
 static void
 test_timed (void)
 {
@@ -125,7 +125,7 @@
   gp_forecast_finish (&forecast);
 }
 
-/* Steps without an image are told apart by their queue.  */
+/* Steps without an image are learned by queue.  */
 static void
 test_queues (void)
 {
@@ -162,7 +162,7 @@
   g_array_free (ranked, TRUE);
 }
 
-/* Each job wants all eight cores for a second of its 3.25 s.  */
+/* Each job needs all eight cores for one second of its 3.25 s.  */
 static Gp__Jobs__Submission *
 big_job (void)
 {
@@ -219,8 +219,8 @@
          / (1000.0 * CORES);
 }
 
-/* Jobs that are through by their objectives when those in ROWS up to HOPE
-   are done one after the other, each on all cores.  */
+/* Returns how many jobs finish by their objectives when those in ROWS up to
+   DEADLINE_CLASS are done one after the other, each on all cores.  */
 static unsigned
 in_time (const GArray *rows, gp_deadline_class_t deadline_class, gp_time_t now)
 {
@@ -248,8 +248,8 @@
   return left->job->due_at < right->job->due_at ? -1 : 1;
 }
 
-/* All that are called in time are, and they are no fewer than the plain order
-   by objectives brings through.  */
+/* All jobs ranked as in time are in time, and they are no fewer than with the
+   plain order by objectives.  */
 static void
 check_against_plain (const jobs_site_t *site)
 {
@@ -296,10 +296,11 @@
     }
 }
 
-/* A run that lasts and had to move, long after its job's start, beside more
-   work than there is room for.  By the objective of that start it came last:
-   in two plays of a site with planned faults only it was out of work for 8.4 s
-   and more, with this order for 0.9 s at most (tests/soak-seeds, seed 9).  */
+/* Guards against ranking a long-running job last when its run has to move long
+   after the job's start, while there is more work than capacity.  Ranked by
+   the objective of that start, it was without a run for 8.4 s and more in two
+   runs of a site with planned faults only; with this order for 0.9 s at most
+   (tests/soak-seeds, seed 9).  */
 static void
 test_lasting (void)
 {
--- a/tests/unit/test_waits.c
+++ b/tests/unit/test_waits.c
@@ -1,5 +1,5 @@
-/* Tests of what is told of work that waits: the cause, and the bound on work
-   that could run.  */
+/* Tests the diagnosis of waiting work: the cause, and the limit for work that
+   could run.  */
 
 #include <stdio.h>
 
@@ -83,7 +83,7 @@
     *(int64_t *)data += counter->value;
 }
 
-/* Jobs held back that were counted so far.  */
+/* Returns the number of jobs counted as held back so far.  */
 static int64_t
 counted (void)
 {
@@ -115,8 +115,8 @@
   jobs_site_finish (&site);
 }
 
-/* What users saw: a task that could run did not, for 40 seconds with most of
-   the room free, and nothing said so.  */
+/* Guards against a task that could run but waits without notice: one waited
+   for 40 seconds with most of the capacity free, and nothing reported it.  */
 static void
 test_causes (void)
 {
@@ -131,7 +131,7 @@
   wait_under ("it has room for one of two", 2, too_wide);
 }
 
-/* A job with a run: is its other task said to wait?  */
+/* Checks whether the waiting task of a job with another run is reported.  */
 static void
 wait_beside (const char *what, arrange_t arrange)
 {
@@ -159,8 +159,8 @@
   jobs_site_finish (&site);
 }
 
-/* A task that lasts and could run is told and counted, though its job has
-   another one at work.  */
+/* A long-running task that could run is logged and counted even if its job has
+   another one running.  */
 static void
 test_beside (void)
 {
