--- a/bench/bench_pressure.c
+++ b/bench/bench_pressure.c
@@ -101,7 +101,7 @@
 }
 
 static unsigned
-play (errors_t *errors, GRand *random)
+measure_site (errors_t *errors, GRand *random)
 {
   gp_pressure_t pressure;
   gp_headroom_t load;
@@ -136,7 +136,7 @@
   unsigned measures = 0;
 
   for (int i = 0; i < SITES; i++)
-    measures += play (errors, random);
+    measures += measure_site (errors, random);
   for (size_t i = 0; i < G_N_ELEMENTS (checks); i++)
     printf ("after %2u s: error of weights %.2f (prior %.2f), of the load "
             "%.2f\n",
--- a/tests/unit/jobs_site.c
+++ b/tests/unit/jobs_site.c
@@ -137,14 +137,15 @@
 }
 
 void
-jobs_site_dead (jobs_site_t *site, gp_job_executor_t *executor, gp_death_t why)
+jobs_site_executor_dead (jobs_site_t *site, gp_job_executor_t *executor,
+                         gp_death_t why)
 {
   gp_scheduler_executor_dead (&site->scheduler, executor, why, site->now,
                               site->now / GP_MSEC);
 }
 
 void
-jobs_site_end (jobs_site_t *site, gp_job_task_t *task, gp_end_t how)
+jobs_site_run_ended (jobs_site_t *site, gp_job_task_t *task, gp_end_t how)
 {
   static uint64_t number;
   char name[GP_TASK_NAME_SIZE];
@@ -160,7 +161,7 @@
 }
 
 void
-jobs_site_refold (const jobs_site_t *site, gp_book_t *fresh)
+jobs_site_rebuild_book (const jobs_site_t *site, gp_book_t *fresh)
 {
   GHashTableIter iter;
   gpointer value;
--- a/tests/unit/jobs_site.h
+++ b/tests/unit/jobs_site.h
@@ -37,18 +37,19 @@
 void jobs_site_plan (jobs_site_t *site);
 
 /* The run of TASK ends as HOW.  */
-void jobs_site_end (jobs_site_t *site, gp_job_task_t *task, gp_end_t how);
+void jobs_site_run_ended (jobs_site_t *site, gp_job_task_t *task,
+                          gp_end_t how);
 
 /* Prints JOB's state and for each task its state, run, executor and
    crashes.  */
 void jobs_site_print_job (const gp_job_t *job);
 
 /* EXECUTOR has died for the reason WHY.  */
-void jobs_site_dead (jobs_site_t *site, gp_job_executor_t *executor,
-                     gp_death_t why);
+void jobs_site_executor_dead (jobs_site_t *site, gp_job_executor_t *executor,
+                              gp_death_t why);
 
 /* Packs all jobs of the book and applies the records to FRESH, an empty
    book.  */
-void jobs_site_refold (const jobs_site_t *site, gp_book_t *fresh);
+void jobs_site_rebuild_book (const jobs_site_t *site, gp_book_t *fresh);
 
 #endif
--- a/tests/unit/late_world.c
+++ b/tests/unit/late_world.c
@@ -10,9 +10,9 @@
 
 #define STEP (20 * GP_MSEC)
 #define CRASH_TIME (10 * GP_MSEC)
-#define DARK_TIME GP_SEC
+#define DOWN_TIME GP_SEC
 #define GUARD_TIME (500 * GP_MSEC)
-#define GIVE_UP_TIME (300 * GP_MSEC)
+#define CALL_TIMEOUT (300 * GP_MSEC)
 
 /* A call under way: carried out at DUE, answered unless LOST.  */
 typedef struct
@@ -26,12 +26,12 @@
   gp_time_t sent_at;
   gp_time_t due;
   bool lost;
-  gp_time_t
-      gives_up; /* the agent gets no answer then, 0: it has got its result */
-} flight_t;
+  gp_time_t times_out_at; /* the agent gets no answer then, 0: it has got its
+                             result */
+} call_t;
 
 bool
-late_chance (GRand *random, double share)
+late_random_chance (GRand *random, double share)
 {
   return g_rand_double (random) < share;
 }
@@ -51,11 +51,11 @@
 /* Guards.  */
 
 static void
-begin_guard (late_world_t *world, late_worker_t *worker)
+start_guard (late_world_t *world, late_worker_t *worker)
 {
   gp_agent_init (&worker->agent, 0, world->site.now);
   gp_agent_begin_fence (&worker->agent, world->site.now / GP_MSEC * 1000);
-  worker->met = false;
+  worker->connected = false;
   worker->listing = false;
 }
 
@@ -64,12 +64,12 @@
 {
   gp_agent_finish (&worker->agent);
   worker->guard_up_at = world->site.now + GUARD_TIME;
-  for (guint i = 0; i < worker->flights->len; i++)
+  for (guint i = 0; i < worker->calls->len; i++)
     {
-      flight_t *flight = &g_array_index (worker->flights, flight_t, i);
+      call_t *call = &g_array_index (worker->calls, call_t, i);
 
-      flight->lost = true;
-      flight->gives_up = 0;
+      call->lost = true;
+      call->times_out_at = 0;
     }
   if (worker->executor != NULL)
     {
@@ -77,44 +77,44 @@
       worker->executor->reachable = false;
     }
   worker->wants_sync = true;
-  begin_guard (world, worker);
+  start_guard (world, worker);
 }
 
 /* Executors.  */
 
 static void
-begin_life (late_worker_t *worker)
+start_incarnation (late_worker_t *worker)
 {
-  worker->life++;
+  worker->incarnation++;
   g_snprintf (worker->id, sizeof worker->id, "x%u-%u", worker->number,
-              worker->life);
+              worker->incarnation);
   fake_executor_init (&worker->fake);
   worker->fake.work_time = 300 * GP_MSEC;
   worker->crash_at = GP_TIME_NEVER;
-  worker->met = false;
+  worker->connected = false;
 }
 
 static void
-crash (late_world_t *world, late_worker_t *worker)
+crash_executor (late_world_t *world, late_worker_t *worker)
 {
   fake_executor_finish (&worker->fake);
-  begin_life (worker);
-  worker->up_at = world->site.now + DARK_TIME;
+  start_incarnation (worker);
+  worker->up_at = world->site.now + DOWN_TIME;
   worker->listing = false;
-  g_array_set_size (worker->flights, 0);
+  g_array_set_size (worker->calls, 0);
   if (late_worker_has_guard (world, worker))
     gp_agent_list_refused (&worker->agent, GP_AGENT_CUT, -1, world->site.now);
-  if ((world->faults & LATE_GUARDS) && late_chance (world->random, 0.5))
+  if ((world->faults & LATE_GUARDS) && late_random_chance (world->random, 0.5))
     kill_guard (world, worker);
   if (world->faults & LATE_STARTS)
     for (unsigned i = 0; i < LATE_WORKERS; i++)
-      world->workers[i].late_until = world->site.now + 4 * GP_SEC;
+      world->workers[i].starts_late_until = world->site.now + 4 * GP_SEC;
 }
 
 /* A start was carried out for the first time.  */
 static void
-note_start (late_world_t *world, late_worker_t *worker, const char *name,
-            uint32_t run)
+record_start (late_world_t *world, late_worker_t *worker, const char *name,
+              uint32_t run)
 {
   unsigned at_work = 0;
 
@@ -122,15 +122,15 @@
     for (uint32_t r = 1; r <= run; r++)
       at_work += is_up (world, &world->workers[i])
                  && fake_executor_runs (&world->workers[i].fake, name, r);
-  world->twice += at_work > 1;
-  if (!g_str_has_prefix (name, LATE_CULPRIT ".0.0.0"))
+  world->double_starts += at_work > 1;
+  if (!g_str_has_prefix (name, LATE_CRASHING_JOB ".0.0.0"))
     return;
   world->starts++;
   worker->crash_at = world->site.now + CRASH_TIME;
 }
 
 static void
-let_last (late_worker_t *worker)
+keep_long_running_runs (late_worker_t *worker)
 {
   for (guint i = 0; i < worker->fake.runs->len; i++)
     {
@@ -142,28 +142,28 @@
 }
 
 static gp_agent_result_t
-carry_out (late_world_t *world, late_worker_t *worker, const flight_t *flight)
+carry_out (late_world_t *world, late_worker_t *worker, const call_t *call)
 {
   gp_time_t now = world->site.now;
-  bool there;
+  bool running;
   gp_agent_result_t result;
 
-  switch (flight->kind)
+  switch (call->kind)
     {
     case GP_AGENT_CALL_START:
-      there = fake_executor_runs (&worker->fake, flight->name, flight->run);
-      result = fake_executor_start (&worker->fake, flight->name, flight->run,
-                                    flight->lease_ms, flight->fence, now);
-      let_last (worker);
-      if (result == GP_AGENT_TAKEN && !there)
-        note_start (world, worker, flight->name, flight->run);
+      running = fake_executor_runs (&worker->fake, call->name, call->run);
+      result = fake_executor_start (&worker->fake, call->name, call->run,
+                                    call->lease_ms, call->fence, now);
+      keep_long_running_runs (worker);
+      if (result == GP_AGENT_TAKEN && !running)
+        record_start (world, worker, call->name, call->run);
       return result;
     case GP_AGENT_CALL_STOP:
-      return fake_executor_stop (&worker->fake, flight->name, flight->run,
-                                 flight->fence, now);
+      return fake_executor_stop (&worker->fake, call->name, call->run,
+                                 call->fence, now);
     case GP_AGENT_CALL_NONE:
-      return fake_executor_hold (&worker->fake, flight->confirmed,
-                                 flight->lease_ms, flight->fence, now);
+      return fake_executor_hold (&worker->fake, call->confirmed,
+                                 call->lease_ms, call->fence, now);
     case GP_AGENT_CALL_PACE:
       break;
     }
@@ -172,40 +172,40 @@
 
 /* Calls.  */
 
-static flight_t *
-take_off (late_world_t *world, late_worker_t *worker,
-          gp_agent_call_kind_t kind)
+static call_t *
+send_call (late_world_t *world, late_worker_t *worker,
+           gp_agent_call_kind_t kind)
 {
   GRand *random = world->random;
   gp_time_t now = world->site.now;
-  flight_t flight = { .kind = kind,
-                      .sent_at = now,
-                      .fence = worker->agent.fence,
-                      .due = now + 5 * GP_MSEC,
-                      .gives_up = now + GIVE_UP_TIME };
+  call_t call = { .kind = kind,
+                  .sent_at = now,
+                  .fence = worker->agent.fence,
+                  .due = now + 5 * GP_MSEC,
+                  .times_out_at = now + CALL_TIMEOUT };
 
   if (kind == GP_AGENT_CALL_NONE)
-    flight.due = now + g_rand_int_range (random, 1, 250) * GP_MSEC;
-  if (kind == GP_AGENT_CALL_START && now < worker->late_until
-      && late_chance (random, 0.8))
+    call.due = now + g_rand_int_range (random, 1, 250) * GP_MSEC;
+  if (kind == GP_AGENT_CALL_START && now < worker->starts_late_until
+      && late_random_chance (random, 0.8))
     {
-      flight.lost = true;
-      flight.due = now + g_rand_int_range (random, 100, 4500) * GP_MSEC;
+      call.lost = true;
+      call.due = now + g_rand_int_range (random, 100, 4500) * GP_MSEC;
     }
-  g_array_append_val (worker->flights, flight);
-  return &g_array_index (worker->flights, flight_t, worker->flights->len - 1);
+  g_array_append_val (worker->calls, call);
+  return &g_array_index (worker->calls, call_t, worker->calls->len - 1);
 }
 
 static void
-take_list (late_world_t *world, late_worker_t *worker, gp_time_t sent_at,
-           int64_t fence)
+process_list (late_world_t *world, late_worker_t *worker, gp_time_t sent_at,
+              int64_t fence)
 {
   gp_agent_fence_listed (&worker->agent, fence);
   fake_executor_list (&worker->fake, &worker->agent, sent_at, world->site.now);
 }
 
 static void
-answer (late_world_t *world, late_worker_t *worker, const flight_t *flight,
+answer (late_world_t *world, late_worker_t *worker, const call_t *call,
         gp_agent_result_t result)
 {
   gp_time_t now = world->site.now;
@@ -213,78 +213,76 @@
                       ? -1
                       : fake_executor_clock (&worker->fake, now);
 
-  if (!late_worker_has_guard (world, worker) || !worker->met)
+  if (!late_worker_has_guard (world, worker) || !worker->connected)
     return;
   if (result == GP_AGENT_FENCED)
-    gp_agent_fenced (&worker->agent, flight->fence);
-  if (flight->kind != GP_AGENT_CALL_NONE)
+    gp_agent_fenced (&worker->agent, call->fence);
+  if (call->kind != GP_AGENT_CALL_NONE)
     {
-      gp_agent_answered (&worker->agent, flight->kind, flight->name,
-                         flight->run, 0, result, clock, now);
+      gp_agent_answered (&worker->agent, call->kind, call->name, call->run, 0,
+                         result, clock, now);
       return;
     }
   worker->listing = false;
   if (result == GP_AGENT_TAKEN)
-    take_list (world, worker, flight->sent_at, flight->fence);
+    process_list (world, worker, call->sent_at, call->fence);
   else
     gp_agent_list_refused (&worker->agent, result, clock, now);
 }
 
 static void
-land (late_world_t *world, late_worker_t *worker)
+deliver_calls (late_world_t *world, late_worker_t *worker)
 {
-  for (guint i = worker->flights->len; i-- > 0;)
+  for (guint i = worker->calls->len; i-- > 0;)
     {
-      flight_t flight = g_array_index (worker->flights, flight_t, i);
+      call_t call = g_array_index (worker->calls, call_t, i);
       gp_agent_result_t result;
 
-      if (flight.lost && flight.gives_up != 0
-          && world->site.now >= flight.gives_up)
+      if (call.lost && call.times_out_at != 0
+          && world->site.now >= call.times_out_at)
         {
-          g_array_index (worker->flights, flight_t, i).gives_up = 0;
-          answer (world, worker, &flight, GP_AGENT_UNANSWERED);
+          g_array_index (worker->calls, call_t, i).times_out_at = 0;
+          answer (world, worker, &call, GP_AGENT_UNANSWERED);
         }
-      if (world->site.now < flight.due)
+      if (world->site.now < call.due)
         continue;
-      g_array_remove_index (worker->flights, i);
-      result = carry_out (world, worker, &flight);
-      if (flight.lost && flight.gives_up == 0)
+      g_array_remove_index (worker->calls, i);
+      result = carry_out (world, worker, &call);
+      if (call.lost && call.times_out_at == 0)
         continue;
-      answer (world, worker, &flight,
-              flight.lost ? GP_AGENT_UNANSWERED : result);
+      answer (world, worker, &call, call.lost ? GP_AGENT_UNANSWERED : result);
     }
 }
 
 static void
-fly (late_world_t *world, late_worker_t *worker)
+make_calls (late_world_t *world, late_worker_t *worker)
 {
   gp_time_t again;
   gp_agent_call_t next;
-  flight_t *flight;
+  call_t *call;
 
   while ((next = gp_agent_next_call (&worker->agent, world->site.now, &again))
              .kind
          != GP_AGENT_CALL_NONE)
     {
-      flight = take_off (world, worker, next.kind);
-      g_strlcpy (flight->name, next.run->name, sizeof flight->name);
-      flight->run = next.run->run;
-      flight->lease_ms = next.lease_ms;
+      call = send_call (world, worker, next.kind);
+      g_strlcpy (call->name, next.run->name, sizeof call->name);
+      call->run = next.run->run;
+      call->lease_ms = next.lease_ms;
     }
   if (worker->listing)
     return;
   worker->listing = true;
-  flight = take_off (world, worker, GP_AGENT_CALL_NONE);
-  flight->confirmed
-      = gp_agent_list_confirmed (&worker->agent, world->site.now);
-  flight->lease_ms = gp_agent_list_lease (&worker->agent, world->site.now);
+  call = send_call (world, worker, GP_AGENT_CALL_NONE);
+  call->confirmed = gp_agent_list_confirmed (&worker->agent, world->site.now);
+  call->lease_ms = gp_agent_list_lease (&worker->agent, world->site.now);
   if (gp_agent_keeps_alone (&worker->agent))
-    flight->due = MIN (flight->due, world->site.now + 50 * GP_MSEC);
+    call->due = MIN (call->due, world->site.now + 50 * GP_MSEC);
 }
 
 /* The guard connects to the present incarnation of the executor.  */
 static void
-meet (late_world_t *world, late_worker_t *worker)
+connect_guard (late_world_t *world, late_worker_t *worker)
 {
   int64_t fence = gp_agent_ask_fence (&worker->agent);
 
@@ -299,8 +297,8 @@
   gp_agent_set_executor (&worker->agent, agent_executor_new (worker->id),
                          fake_executor_clock (&worker->fake, world->site.now),
                          world->site.now);
-  take_list (world, worker, world->site.now, fence);
-  worker->met = true;
+  process_list (world, worker, world->site.now, fence);
+  worker->connected = true;
   worker->report_at = world->site.now;
 }
 
@@ -327,12 +325,12 @@
       late_worker_t *worker = &world->workers[i];
 
       worker->number = i + 1;
-      worker->flights = g_array_new (FALSE, FALSE, sizeof (flight_t));
-      begin_life (worker);
-      begin_guard (world, worker);
+      worker->calls = g_array_new (FALSE, FALSE, sizeof (call_t));
+      start_incarnation (worker);
+      start_guard (world, worker);
     }
   late_leader_submit (world, "00000000000000dd", 2, true);
-  late_leader_submit (world, LATE_CULPRIT, 3, false);
+  late_leader_submit (world, LATE_CRASHING_JOB, 3, false);
 }
 
 void
@@ -344,7 +342,7 @@
 
       gp_agent_finish (&worker->agent);
       fake_executor_finish (&worker->fake);
-      g_array_free (worker->flights, TRUE);
+      g_array_free (worker->calls, TRUE);
     }
   jobs_site_finish (&world->site);
   g_hash_table_destroy (world->log);
@@ -360,24 +358,24 @@
   if (is_up (world, worker))
     {
       fake_executor_advance (&worker->fake, world->site.now);
-      land (world, worker);
+      deliver_calls (world, worker);
       if (world->site.now >= worker->crash_at)
-        crash (world, worker);
+        crash_executor (world, worker);
     }
   if (!faulty)
-    worker->late_until = 0;
+    worker->starts_late_until = 0;
   if (!late_worker_has_guard (world, worker))
     return;
   if (faulty && (world->faults & LATE_GUARDS)
-      && late_chance (world->random, 0.001))
+      && late_random_chance (world->random, 0.001))
     {
       kill_guard (world, worker);
       return;
     }
-  if (is_up (world, worker) && !worker->met)
-    meet (world, worker);
+  if (is_up (world, worker) && !worker->connected)
+    connect_guard (world, worker);
   if (is_up (world, worker))
-    fly (world, worker);
+    make_calls (world, worker);
   if (worker->agent.executor != NULL
       && (world->site.now >= worker->report_at || worker->agent.ends->len > 0))
     late_leader_report (world, worker);
@@ -397,21 +395,21 @@
       if (world->site.now >= world->append_at)
         late_leader_append_done (world);
       if (faulty && (world->faults & LATE_LEADERS)
-          && late_chance (world->random, 0.003))
+          && late_random_chance (world->random, 0.003))
         late_leader_change (world);
-      if (late_chance (world->random, 0.06))
+      if (late_random_chance (world->random, 0.06))
         {
           g_snprintf (id, sizeof id, "%016x", 0x1000 + ++world->jobs);
           late_leader_submit (world, id, 3, false);
         }
-      late_leader_turn (world, faulty);
+      late_leader_plan (world, faulty);
     }
 }
 
 bool
 late_world_gave_up (const late_world_t *world)
 {
-  return gp_book_find (&world->site.book, LATE_CULPRIT)->state
+  return gp_book_find (&world->site.book, LATE_CRASHING_JOB)->state
          == GP_JOB_FAILED;
 }
 
@@ -428,7 +426,7 @@
       const gp_job_t *job = value;
 
       failed += job->state == GP_JOB_FAILED
-                && strcmp (job->id, LATE_CULPRIT) != 0;
+                && strcmp (job->id, LATE_CRASHING_JOB) != 0;
     }
   return failed;
 }
--- a/tests/unit/late_world.h
+++ b/tests/unit/late_world.h
@@ -24,23 +24,24 @@
 {
   GRand *random;
   unsigned number;
-  unsigned life;
+  unsigned incarnation;
   char id[16];
   gp_agent_t agent;
   gp_time_t guard_up_at; /* the guard is down until then */
   fake_executor_t fake;
   gp_time_t up_at;    /* the executor is down until then */
   gp_time_t crash_at; /* GP_TIME_NEVER: no crash is due */
-  gp_time_t late_until;
-  bool met; /* the guard knows this incarnation of the executor */
+  gp_time_t starts_late_until;
+  bool connected; /* the guard knows this incarnation of the executor */
   bool listing;
-  GArray *flights; /* calls under way, see late_world.c */
+  GArray *calls; /* calls under way, see late_world.c */
   gp_time_t report_at;
   gp_time_t crashed_with; /* delay from the crash to the kill of its guard */
   /* The leader's view of the guard.  */
-  char place[16];   /* the executor that the leader knows here, "": none ... */
-  char pending[16]; /* ... the same in the append that is under way ... */
-  char on_record[16]; /* ... and in the log */
+  char executor_id[16]; /* the executor that the leader knows here, "": none
+                           ... */
+  char pending_id[16];  /* ... the same in the append that is under way ... */
+  char recorded_id[16]; /* ... and in the log */
   gp_job_executor_t *executor;
   uint64_t sync;
   gp_time_t synced_at;
@@ -63,11 +64,11 @@
   uint64_t sync_count;
   late_worker_t workers[LATE_WORKERS];
   unsigned jobs;
-  unsigned starts; /* of the task that crashes executors */
-  unsigned twice;  /* starts of tasks that were already running */
+  unsigned starts;        /* of the task that crashes executors */
+  unsigned double_starts; /* starts of tasks that were already running */
 } late_world_t;
 
-#define LATE_CULPRIT "00000000000000cc"
+#define LATE_CRASHING_JOB "00000000000000cc"
 
 void late_world_init (late_world_t *world, guint32 seed, unsigned faults);
 void late_world_finish (late_world_t *world);
--- a/tests/unit/late_world_impl.h
+++ b/tests/unit/late_world_impl.h
@@ -5,7 +5,7 @@
 
 #include "late_world.h"
 
-bool late_chance (GRand *random, double share);
+bool late_random_chance (GRand *random, double share);
 
 /* Returns whether the guard of WORKER is up.  */
 bool late_worker_has_guard (const late_world_t *world,
@@ -15,11 +15,11 @@
 void late_leader_report (late_world_t *world, late_worker_t *worker);
 
 /* Plan and start an append, unless one is under way; complete the append.  */
-void late_leader_turn (late_world_t *world, bool faulty);
+void late_leader_plan (late_world_t *world, bool faulty);
 void late_leader_append_done (late_world_t *world);
 
 void late_leader_submit (late_world_t *world, const char *id, unsigned count,
-                         bool lasts);
+                         bool long_running);
 
 /* Another entry becomes leader, with the state in the log.  */
 void late_leader_change (late_world_t *world);
--- a/tests/unit/late_world_leader.c
+++ b/tests/unit/late_world_leader.c
@@ -13,7 +13,7 @@
 #define CORES 8
 
 static Gp__Jobs__Start *
-start_of (const gp_job_task_t *task)
+new_start (const gp_job_task_t *task)
 {
   char name[GP_TASK_NAME_SIZE];
   Gp__Jobs__Start *start;
@@ -37,7 +37,7 @@
         = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
 
     if (gp_scheduler_expects_run (task))
-      g_ptr_array_add (starts, start_of (task));
+      g_ptr_array_add (starts, new_start (task));
   }
   sync.number = worker->sync;
   sync.executor = worker->executor->id;
@@ -58,7 +58,7 @@
 }
 
 static late_worker_t *
-worker_of (late_world_t *world, const gp_job_executor_t *executor)
+find_worker (late_world_t *world, const gp_job_executor_t *executor)
 {
   for (unsigned i = 0; i < LATE_WORKERS; i++)
     if (world->workers[i].executor == executor)
@@ -77,7 +77,7 @@
       || order->task->run != order->run
       || !gp_scheduler_expects_run (order->task))
     return;
-  start = start_of (order->task);
+  start = new_start (order->task);
   agent_hold_spec (&worker->agent, start->task, world->site.now);
   orders.executor = order->executor->id;
   orders.starts = &start;
@@ -88,7 +88,7 @@
 }
 
 static void
-send_run (late_worker_t *worker, const gp_order_t *order)
+send_run_order (late_worker_t *worker, const gp_order_t *order)
 {
   Gp__Jobs__Orders orders = GP__JOBS__ORDERS__INIT;
   Gp__Jobs__TaskRun run = GP__JOBS__TASK_RUN__INIT;
@@ -111,14 +111,15 @@
 static void
 send_order (late_world_t *world, const gp_order_t *order)
 {
-  late_worker_t *worker = worker_of (world, order->executor);
+  late_worker_t *worker = find_worker (world, order->executor);
 
-  if (worker == NULL || !worker->met || !late_worker_has_guard (world, worker))
+  if (worker == NULL || !worker->connected
+      || !late_worker_has_guard (world, worker))
     return;
   if (order->kind == GP_ORDER_START)
     send_start (world, worker, order);
   else
-    send_run (worker, order);
+    send_run_order (worker, order);
 }
 
 static void
@@ -134,8 +135,8 @@
                           g_bytes_ref ((GBytes *)value));
   g_hash_table_remove_all (world->pending);
   for (unsigned i = 0; i < LATE_WORKERS; i++)
-    g_strlcpy (world->workers[i].on_record, world->workers[i].pending,
-               sizeof world->workers[i].on_record);
+    g_strlcpy (world->workers[i].recorded_id, world->workers[i].pending_id,
+               sizeof world->workers[i].recorded_id);
 }
 
 void
@@ -149,7 +150,7 @@
     gp_scheduler_orders_delayed (&world->site.scheduler, world->decided_at,
                                  now);
   for (unsigned i = 0; i < LATE_WORKERS; i++)
-    if (world->syncs[i] && world->workers[i].met
+    if (world->syncs[i] && world->workers[i].connected
         && late_worker_has_guard (world, &world->workers[i])
         && world->workers[i].executor != NULL)
       send_sync (world, &world->workers[i]);
@@ -160,7 +161,7 @@
 
 /* Plans, and starts an append.  */
 void
-late_leader_turn (late_world_t *world, bool faulty)
+late_leader_plan (late_world_t *world, bool faulty)
 {
   gp_scheduler_t *scheduler = &world->site.scheduler;
   gp_list_t *link;
@@ -182,7 +183,8 @@
     {
       late_worker_t *worker = &world->workers[i];
 
-      g_strlcpy (worker->pending, worker->place, sizeof worker->pending);
+      g_strlcpy (worker->pending_id, worker->executor_id,
+                 sizeof worker->pending_id);
       world->syncs[i] = worker->wants_sync && worker->executor != NULL;
       if (!world->syncs[i])
         continue;
@@ -193,14 +195,14 @@
   world->decided_at = world->site.now;
   world->append_at = world->site.now + 5 * GP_MSEC;
   if (faulty && (world->faults & LATE_RECORDS)
-      && late_chance (world->random, 0.005))
+      && late_random_chance (world->random, 0.005))
     world->append_at += g_rand_int_range (world->random, 300, 7000) * GP_MSEC;
 }
 
 /* Reports.  */
 
 static void
-tell_suspects (late_world_t *world, const late_worker_t *worker)
+report_suspects (late_world_t *world, const late_worker_t *worker)
 {
   GHashTableIter iter;
   gpointer value;
@@ -224,7 +226,7 @@
 }
 
 static void
-take_runs (late_world_t *world, const late_worker_t *worker)
+report_runs (late_world_t *world, const late_worker_t *worker)
 {
   gp_scheduler_t *scheduler = &world->site.scheduler;
   GHashTableIter iter;
@@ -249,26 +251,26 @@
 
 /* Handles a report of another executor than the known one.  */
 static void
-replace (late_world_t *world, late_worker_t *worker)
+replace_executor (late_world_t *world, late_worker_t *worker)
 {
   gp_book_t *book = &world->site.book;
   const Gp__Jobs__Predecessor *before = worker->agent.predecessor;
   gp_job_executor_t *executor;
 
-  if (strcmp (worker->place, worker->id) == 0)
+  if (strcmp (worker->executor_id, worker->id) == 0)
     return;
-  if (*worker->place != '\0')
+  if (*worker->executor_id != '\0')
     {
-      executor = gp_book_executor (book, worker->place);
+      executor = gp_book_executor (book, worker->executor_id);
       if (before != NULL && strcmp (before->executor, executor->id) == 0)
         {
           gp_scheduler_clear_suspects (executor);
           gp_scheduler_note_suspects (&world->site.scheduler, executor,
                                       before->suspects, before->n_suspects);
         }
-      jobs_site_dead (&world->site, executor, GP_DEATH_REPLACED);
+      jobs_site_executor_dead (&world->site, executor, GP_DEATH_REPLACED);
     }
-  g_strlcpy (worker->place, worker->id, sizeof worker->place);
+  g_strlcpy (worker->executor_id, worker->id, sizeof worker->executor_id);
   worker->wants_sync = true;
 }
 
@@ -285,7 +287,7 @@
   gp_agent_reported (agent, now);
   gp_agent_acknowledged (agent, now, 0, now);
   if (strcmp (agent->executor->id, worker->id) == 0)
-    replace (world, worker);
+    replace_executor (world, worker);
   executor = gp_book_executor (&world->site.book, agent->executor->id);
   if (worker->executor != executor)
     worker->wants_sync = true;
@@ -295,17 +297,17 @@
     gp_scheduler_run_ended (&world->site.scheduler, executor,
                             g_ptr_array_index (agent->ends, i), now,
                             now / GP_MSEC);
-  take_runs (world, worker);
+  report_runs (world, worker);
   if (gp_agent_keeps_alone (agent))
     gp_suspicion_extend_dedication (executor, now);
   if (executor->suspects_told)
     gp_scheduler_clear_suspects (executor);
   if ((lapsed || down) && !executor->dead)
-    tell_suspects (world, worker);
+    report_suspects (world, worker);
   if (lapsed && !executor->dead)
-    jobs_site_dead (&world->site, executor,
-                    gp_agent_answers (agent, now) ? GP_DEATH_LAPSED
-                                                  : GP_DEATH_UNHEARD);
+    jobs_site_executor_dead (&world->site, executor,
+                             gp_agent_answers (agent, now) ? GP_DEATH_LAPSED
+                                                           : GP_DEATH_UNHEARD);
   if (executor->dead
       || (agent->synced != worker->sync
           && now - worker->synced_at > RESYNC_TIME))
@@ -323,12 +325,12 @@
 
 void
 late_leader_submit (late_world_t *world, const char *id, unsigned count,
-                    bool lasts)
+                    bool long_running)
 {
   Gp__Jobs__Submission *submission = jobs_site_submission (count, 1000);
 
   submission->max_attempts = 100;
-  submission->steps[0]->long_running = lasts;
+  submission->steps[0]->long_running = long_running;
   g_hash_table_replace (world->submitted, g_strdup (id),
                         gp_message_pack (&submission->base));
   jobs_site_submit (&world->site, id, submission);
@@ -344,7 +346,8 @@
   gpointer value;
   gsize size;
 
-  if (world->append_at != GP_TIME_NEVER && late_chance (world->random, 0.5))
+  if (world->append_at != GP_TIME_NEVER
+      && late_random_chance (world->random, 0.5))
     write_log (world);
   g_hash_table_remove_all (world->pending);
   g_array_set_size (world->orders, 0);
@@ -370,7 +373,8 @@
 
       worker->executor = NULL;
       worker->wants_sync = true;
-      g_strlcpy (worker->place, worker->on_record, sizeof worker->place);
+      g_strlcpy (worker->executor_id, worker->recorded_id,
+                 sizeof worker->executor_id);
       gp_agent_unsync (&worker->agent);
       for (gpointer at = g_hash_table_get_values (worker->agent.runs);
            at != NULL; at = g_list_delete_link (at, at))
--- a/tests/unit/policy_site.c
+++ b/tests/unit/policy_site.c
@@ -35,7 +35,7 @@
 }
 
 gp_placement_ask_t
-policy_ask (uint64_t task, uint32_t millicores, uint32_t memory_mib)
+policy_request (uint64_t task, uint32_t millicores, uint32_t memory_mib)
 {
   return (gp_placement_ask_t){ .task = task,
                                .work_class = GP_WORK_BATCH,
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -15,10 +15,10 @@
 #define TASK "00000000000000aa.0.0.0"
 #define SPAN (4 * GP_SEC)
 /* An evacuation has to be in force within this time.  */
-#define IN_FORCE (5 * GP_SEC)
+#define IN_FORCE_TIME (5 * GP_SEC)
 
 static void
-show (const gp_evacuations_t *evacuations, const char *what)
+print_zones (const gp_evacuations_t *evacuations, const char *what)
 {
   printf ("  %s: a %s, b %s\n", what,
           gp_evacuations_has (evacuations, "a") ? "evacuated" : "open",
@@ -43,17 +43,17 @@
 
   printf ("records\n");
   gp_evacuations_init (&evacuations);
-  show (&evacuations, "nothing known");
+  print_zones (&evacuations, "nothing known");
   CU_ASSERT_TRUE (gp_evacuations_put (&evacuations, "a", 3));
   CU_ASSERT_FALSE (gp_evacuations_put (&evacuations, "a", 4));
-  show (&evacuations, "a put");
+  print_zones (&evacuations, "a put");
   CU_ASSERT_TRUE (gp_evacuations_put (&evacuations, "b", 5));
   CU_ASSERT_TRUE (gp_evacuations_revoke (&evacuations, "a", 6));
   CU_ASSERT_FALSE (gp_evacuations_revoke (&evacuations, "a", 6));
-  show (&evacuations, "b put as a is taken back");
+  print_zones (&evacuations, "b put as a is taken back");
   CU_ASSERT_FALSE (gp_evacuations_put (&evacuations, "a", 4));
   CU_ASSERT_FALSE (gp_evacuations_revoke (&evacuations, "b", 4));
-  show (&evacuations, "older records once more");
+  print_zones (&evacuations, "older records once more");
   CU_ASSERT_EQUAL (gp_evacuations_count (&evacuations), 1);
   gp_evacuations_finish (&evacuations);
 }
@@ -68,23 +68,23 @@
   gp_evacuations_begin_load (&evacuations);
   gp_evacuations_put (&evacuations, "a", 3);
   gp_evacuations_put (&evacuations, "b", 4);
-  show (&evacuations, "in the first one");
+  print_zones (&evacuations, "in the first one");
   end_load (&evacuations);
   gp_evacuations_begin_load (&evacuations);
-  show (&evacuations, "in another one, nothing shown yet");
+  print_zones (&evacuations, "in another one, nothing shown yet");
   gp_evacuations_put (&evacuations, "b", 4);
   gp_evacuations_begin_load (&evacuations);
   gp_evacuations_put (&evacuations, "a", 3);
-  show (&evacuations, "which begins anew");
+  print_zones (&evacuations, "which begins anew");
   end_load (&evacuations);
-  show (&evacuations, "and shows only a");
+  print_zones (&evacuations, "and shows only a");
   gp_evacuations_put (&evacuations, "b", 9);
-  show (&evacuations, "b again");
+  print_zones (&evacuations, "b again");
   gp_evacuations_finish (&evacuations);
 }
 
 static void
-begin_with (gp_agent_t *agent, bool draining, gp_time_t now)
+start_agent_with (gp_agent_t *agent, bool draining, gp_time_t now)
 {
   Gp__Jobs__Executor *executor = agent_executor_new ("x1");
 
@@ -97,14 +97,14 @@
 }
 
 static void
-begin (gp_agent_t *agent, gp_time_t now)
+start_agent (gp_agent_t *agent, gp_time_t now)
 {
-  begin_with (agent, false, now);
+  start_agent_with (agent, false, now);
 }
 
 /* Keeps the lease valid, as a leader does that knows nothing about zones.  */
 static void
-renew (gp_agent_t *agent, gp_time_t now)
+renew_lease (gp_agent_t *agent, gp_time_t now)
 {
   gp_agent_take_clock (agent, agent->clock_ms + 1, now);
   gp_agent_acknowledged (agent, now, 0, now);
@@ -112,7 +112,7 @@
 
 /* Makes the next call, which gets RESULT, and returns its kind.  */
 static gp_agent_call_kind_t
-call (gp_agent_t *agent, gp_agent_result_t result, gp_time_t now)
+make_call (gp_agent_t *agent, gp_agent_result_t result, gp_time_t now)
 {
   gp_time_t again;
   gp_agent_call_t next = gp_agent_next_call (agent, now, &again);
@@ -129,7 +129,7 @@
 {
   static const char *const names[] = { "none", "start", "stop", "pace" };
 
-  printf ("  %s: %s\n", when, names[call (agent, result, now)]);
+  printf ("  %s: %s\n", when, names[make_call (agent, result, now)]);
 }
 
 static void
@@ -147,22 +147,22 @@
   gp_time_t now = 10 * GP_SEC;
 
   printf ("a guard starts what its zone is known to be open for\n");
-  begin (&agent, now);
+  start_agent (&agent, now);
   agent_sync_with (&agent, TASK, 1, 0);
   show_call (&agent, "before any word", GP_AGENT_UNANSWERED, now);
   gp_agent_zone_told (&agent, false, now - GP_SEC);
   show_call (&agent, "told that it is open", GP_AGENT_UNANSWERED, now);
   now += SPAN - GP_SEC;
-  renew (&agent, now);
+  renew_lease (&agent, now);
   show_call (&agent, "no newer word for a span", GP_AGENT_UNANSWERED, now);
   now += GP_MSEC * 200;
-  renew (&agent, now);
+  renew_lease (&agent, now);
   show_call (&agent, "for longer", GP_AGENT_UNANSWERED, now);
   gp_agent_zone_told (&agent, false, now);
   show_call (&agent, "a newer word", GP_AGENT_UNANSWERED, now);
   gp_agent_zone_told (&agent, true, now + GP_MSEC);
   now += GP_SEC;
-  renew (&agent, now);
+  renew_lease (&agent, now);
   show_call (&agent, "evacuated", GP_AGENT_UNANSWERED, now);
   gp_agent_zone_told (&agent, false, now - 2 * GP_SEC);
   show_call (&agent, "an older word that it is open", GP_AGENT_UNANSWERED,
@@ -179,7 +179,7 @@
   gp_time_t now = 10 * GP_SEC;
 
   printf ("what has not begun is given back\n");
-  begin (&agent, now);
+  start_agent (&agent, now);
   gp_agent_zone_told (&agent, false, now);
   agent_sync_with (&agent, TASK, 1, 0);
   show_call (&agent, "a start without an answer", GP_AGENT_UNANSWERED, now);
@@ -192,7 +192,7 @@
   gp_agent_finish (&agent);
 
   printf ("what has begun goes on, as a guard that starts anew sees\n");
-  begin (&agent, now);
+  start_agent (&agent, now);
   gp_agent_zone_told (&agent, true, now);
   agent_sync_with (&agent, TASK, 1, 0);
   list (&agent, false, now);
@@ -203,7 +203,7 @@
 }
 
 static void
-beat (gp_agent_t *agent, bool draining, gp_time_t now)
+report_executor (gp_agent_t *agent, bool draining, gp_time_t now)
 {
   Gp__Jobs__Executor *executor = agent_executor_new (agent->executor->id);
 
@@ -222,25 +222,25 @@
   gp_time_t now = 10 * GP_SEC;
 
   printf ("an executor leaves: nothing begins there a second later\n");
-  begin (&agent, now);
+  start_agent (&agent, now);
   gp_agent_zone_told (&agent, false, now);
   agent_sync_with (&agent, TASK, 1, 0);
-  beat (&agent, true, now);
+  report_executor (&agent, true, now);
   show_call (&agent, "an order that was under way", GP_AGENT_UNANSWERED, now);
   now += GP_SEC;
-  renew (&agent, now);
+  renew_lease (&agent, now);
   gp_agent_zone_told (&agent, false, now);
-  beat (&agent, true, now);
+  report_executor (&agent, true, now);
   show_call (&agent, "a second later", GP_AGENT_UNANSWERED, now);
   list (&agent, false, now);
   list (&agent, false, now + 1);
   show_call (&agent, "two lists without it", GP_AGENT_TAKEN, now + 1);
-  beat (&agent, false, now + 2);
+  report_executor (&agent, false, now + 2);
   CU_ASSERT_EQUAL (agent.starts_until, GP_TIME_NEVER);
   gp_agent_finish (&agent);
 
   printf ("nor where it is met while it leaves\n");
-  begin_with (&agent, true, now);
+  start_agent_with (&agent, true, now);
   gp_agent_zone_told (&agent, false, now);
   agent_sync_with (&agent, TASK, 1, 0);
   show_call (&agent, "a start", GP_AGENT_TAKEN, now);
@@ -251,14 +251,14 @@
    times; acknowledgements that arrive late, out of order or never; a guard
    whose starts are not answered, and which restarts.  */
 
-#define WORDS 400
+#define MESSAGES_MAX 400
 
 typedef struct
 {
   bool evacuated;
   gp_time_t known_at;
   gp_time_t arrives_at;
-} word_t;
+} message_t;
 
 /* Returns whether the zone was evacuated at TIME; it changes every nine
    seconds.  */
@@ -268,58 +268,59 @@
   return time / (9 * GP_SEC) % 2 == 1;
 }
 
-/* Returns whether it was, and had been for IN_FORCE.  */
+/* Returns whether it was, and had been for IN_FORCE_TIME.  */
 static bool
 is_in_force (gp_time_t time)
 {
-  return is_evacuated (time) && is_evacuated (time - IN_FORCE);
+  return is_evacuated (time) && is_evacuated (time - IN_FORCE_TIME);
 }
 
 /* Returns a message of LEADER, whose view was current at SEEN, in reply to a
    report sent at NOW.  */
-static word_t
-word_of (GRand *random, gp_time_t seen, gp_time_t now)
+static message_t
+make_message (GRand *random, gp_time_t view_at, gp_time_t now)
 {
-  return (word_t){ .evacuated = is_evacuated (seen),
-                   .known_at = seen - g_rand_int_range (random, 1, 3000),
-                   .arrives_at
-                   = now + g_rand_int_range (random, 0, 8000) * GP_MSEC };
+  return (message_t){ .evacuated = is_evacuated (view_at),
+                      .known_at = view_at - g_rand_int_range (random, 1, 3000),
+                      .arrives_at
+                      = now + g_rand_int_range (random, 0, 8000) * GP_MSEC };
 }
 
 static unsigned
-play (guint32 seed)
+play_random (guint32 seed)
 {
   GRand *random = g_rand_new_with_seed (seed);
-  word_t words[WORDS];
+  message_t messages[MESSAGES_MAX];
   unsigned count = 0;
   unsigned starts = 0;
-  gp_time_t seen[2] = { 0, 0 };
+  gp_time_t view_at[2] = { 0, 0 };
   gp_agent_t agent;
 
-  begin (&agent, GP_SEC);
+  start_agent (&agent, GP_SEC);
   agent_sync_with (&agent, TASK, 1, 0);
   for (gp_time_t now = GP_SEC; now < 120 * GP_SEC; now += 50 * GP_MSEC)
     {
       int leader = g_rand_int_range (random, 0, 2);
 
       if (g_rand_int_range (random, 0, 20) == 0)
-        seen[leader] = now;
-      if (g_rand_int_range (random, 0, 6) == 0 && count < WORDS)
-        words[count++] = word_of (random, seen[leader], now);
+        view_at[leader] = now;
+      if (g_rand_int_range (random, 0, 6) == 0 && count < MESSAGES_MAX)
+        messages[count++] = make_message (random, view_at[leader], now);
       for (unsigned i = 0; i < count; i++)
-        if (words[i].arrives_at <= now)
+        if (messages[i].arrives_at <= now)
           {
-            gp_agent_zone_told (&agent, words[i].evacuated, words[i].known_at);
-            words[i--] = words[--count];
+            gp_agent_zone_told (&agent, messages[i].evacuated,
+                                messages[i].known_at);
+            messages[i--] = messages[--count];
           }
       if (g_rand_int_range (random, 0, 400) == 0)
         {
           gp_agent_finish (&agent);
-          begin (&agent, now);
+          start_agent (&agent, now);
           agent_sync_with (&agent, TASK, 1, 0);
         }
-      renew (&agent, now);
-      if (call (&agent, GP_AGENT_UNANSWERED, now) != GP_AGENT_CALL_START)
+      renew_lease (&agent, now);
+      if (make_call (&agent, GP_AGENT_UNANSWERED, now) != GP_AGENT_CALL_START)
         continue;
       starts++;
       CU_ASSERT_FALSE (is_in_force (now));
@@ -335,7 +336,7 @@
   unsigned starts = 0;
 
   for (guint32 seed = 1; seed <= 200; seed++)
-    starts += play (seed);
+    starts += play_random (seed);
   CU_ASSERT_TRUE (starts > 200 * 100);
 }
 
--- a/tests/unit/test_filling_load.c
+++ b/tests/unit/test_filling_load.c
@@ -16,7 +16,7 @@
 #define EXECUTORS 8
 #define SERVING_IMAGES 3
 #define FILLING_IMAGES 6
-#define FILLS 4 /* filling runs per executor */
+#define FILLINGS_PER_EXECUTOR 4 /* filling runs per executor */
 #define STEPS 240
 #define STEP (250 * GP_MSEC)
 /* Probability per step that a filling run changes its phase, and that it ends
@@ -36,16 +36,16 @@
 {
   unsigned image;
   bool busy;
-  bool seen;   /* it has been measured */
-  double pace; /* 0 to 1 */
-} fill_t;
+  bool measured; /* it has been measured */
+  double pace;   /* 0 to 1 */
+} filling_t;
 
 typedef struct
 {
   unsigned image; /* of the serving run here */
-  fill_t fills[FILLS];
-  double headroom; /* as measured */
-  double over;     /* seconds over the target */
+  filling_t filling[FILLINGS_PER_EXECUTOR];
+  double headroom;    /* as measured */
+  double over_target; /* seconds over the target */
 } place_t;
 
 typedef struct
@@ -62,12 +62,13 @@
 
 typedef struct
 {
-  double over; /* share of the time of serving runs over target */
-  double work; /* share of full speed */
+  double over_target; /* share of the time of serving runs over target */
+  double work;        /* share of full speed */
 } outcome_t;
 
-static const char *const servings[] = { "s0", "s1", "s2" };
-static const char *const fillings[] = { "f0", "f1", "f2", "f3", "f4", "f5" };
+static const char *const serving_images[] = { "s0", "s1", "s2" };
+static const char *const filling_images[]
+    = { "f0", "f1", "f2", "f3", "f4", "f5" };
 
 static double
 draw (site_t *site, double low, double high)
@@ -82,11 +83,11 @@
 }
 
 static void
-renew (site_t *site, fill_t *fill)
+new_filling (site_t *site, filling_t *fill)
 {
   fill->image = (unsigned)g_rand_int_range (site->random, 0, FILLING_IMAGES);
   fill->busy = chance (site, GP_PRESSURE_BUSY_SHARE);
-  fill->seen = false;
+  fill->measured = false;
   fill->pace = 1.0;
 }
 
@@ -106,12 +107,12 @@
       gp_headroom_init (&site->loads[s]);
     }
   for (int f = 0; f < FILLING_IMAGES; f++)
-    gp_pressure_image_index (&site->pacer.pressure, fillings[f]);
+    gp_pressure_image_index (&site->pacer.pressure, filling_images[f]);
   for (int e = 0; e < EXECUTORS; e++)
     {
       site->places[e] = (place_t){ .image = (unsigned)e % SERVING_IMAGES };
-      for (int i = 0; i < FILLS; i++)
-        renew (site, &site->places[e].fills[i]);
+      for (int i = 0; i < FILLINGS_PER_EXECUTOR; i++)
+        new_filling (site, &site->places[e].filling[i]);
     }
 }
 
@@ -139,90 +140,92 @@
 {
   gp_pressure_work_t work = { { 0.0 } };
 
-  for (int i = 0; i < FILLS; i++)
-    if (place->fills[i].busy)
-      work.work[place->fills[i].image] += place->fills[i].pace;
+  for (int i = 0; i < FILLINGS_PER_EXECUTOR; i++)
+    if (place->filling[i].busy)
+      work.work[place->filling[i].image] += place->filling[i].pace;
   return work;
 }
 
 static bool
-may_be_busy (const fill_t *fill)
+may_be_busy (const filling_t *fill)
 {
-  return fill->busy || !fill->seen;
+  return fill->busy || !fill->measured;
 }
 
 /* Advances PLACE to NOW and measures it.  */
 static void
-live (site_t *site, place_t *place, gp_time_t now, outcome_t *outcome)
+advance_place (site_t *site, place_t *place, gp_time_t now, outcome_t *outcome)
 {
   gp_pressure_work_t work;
   double headroom = load_at (site, place->image, now);
 
-  for (int i = 0; i < FILLS; i++)
+  for (int i = 0; i < FILLINGS_PER_EXECUTOR; i++)
     {
       if (chance (site, PHASE_CHANCE))
-        place->fills[i].busy = !place->fills[i].busy;
-      place->fills[i].seen = true;
-      outcome->work += place->fills[i].pace / FILLS / EXECUTORS / STEPS;
+        place->filling[i].busy = !place->filling[i].busy;
+      place->filling[i].measured = true;
+      outcome->work += place->filling[i].pace / FILLINGS_PER_EXECUTOR
+                       / EXECUTORS / STEPS;
     }
   work = work_done (place);
   for (int f = 0; f < FILLING_IMAGES; f++)
     headroom -= site->weights[place->image][f] * work.work[f];
   headroom = fmax (headroom, 0.08);
-  outcome->over += (headroom < 1.0) / (double)EXECUTORS / STEPS;
-  place->over = headroom < 1.0 ? place->over + (double)STEP / GP_SEC : 0.0;
+  outcome->over_target += (headroom < 1.0) / (double)EXECUTORS / STEPS;
+  place->over_target
+      = headroom < 1.0 ? place->over_target + (double)STEP / GP_SEC : 0.0;
   place->headroom = headroom * draw (site, 0.92, 1.08);
 }
 
 static void
 replace_ended (site_t *site, place_t *place)
 {
-  for (int i = 0; i < FILLS; i++)
+  for (int i = 0; i < FILLINGS_PER_EXECUTOR; i++)
     if (chance (site, END_CHANCE))
-      renew (site, &place->fills[i]);
+      new_filling (site, &place->filling[i]);
 }
 
 static void
 pace_naively (site_t *site, place_t *place)
 {
   replace_ended (site, place);
-  for (int i = 0; i < FILLS; i++)
+  for (int i = 0; i < FILLINGS_PER_EXECUTOR; i++)
     if (place->headroom < 1.0)
-      place->fills[i].pace /= 2.0;
+      place->filling[i].pace /= 2.0;
     else
-      place->fills[i].pace = fmin (1.0, place->fills[i].pace + 0.25);
+      place->filling[i].pace = fmin (1.0, place->filling[i].pace + 0.25);
 }
 
 static void
-pace_by_plan (site_t *site, place_t *place, gp_time_t now)
+pace_by_policy (site_t *site, place_t *place, gp_time_t now)
 {
-  const char *image = servings[place->image];
+  const char *image = serving_images[place->image];
   gp_headroom_t *load = &site->loads[place->image];
   gp_pressure_work_t work = work_done (place);
   gp_pressure_work_t busy = { { 0.0 } };
-  gp_pacer_serving_t serving = { .image = image, .over = place->over };
+  gp_pacer_serving_t serving = { .image = image, .over = place->over_target };
 
   gp_pressure_learn (&site->pacer.pressure, image, &work, place->headroom,
                      load, now);
   replace_ended (site, place);
-  for (int i = 0; i < FILLS; i++)
-    busy.work[place->fills[i].image] += may_be_busy (&place->fills[i]);
+  for (int i = 0; i < FILLINGS_PER_EXECUTOR; i++)
+    busy.work[place->filling[i].image] += may_be_busy (&place->filling[i]);
   serving.headroom
       = fmin (gp_headroom_at (load, now), gp_headroom_at (load, now + STEP));
   gp_pacer_update (&site->pacer, &serving, 1, &busy);
-  for (int i = 0; i < FILLS; i++)
+  for (int i = 0; i < FILLINGS_PER_EXECUTOR; i++)
     {
-      const char *filling = fillings[place->fills[i].image];
+      const char *filling = filling_images[place->filling[i].image];
 
-      place->fills[i].pace
-          = place->fills[i].busy
+      place->filling[i].pace
+          = place->filling[i].busy
                 ? gp_pacer_pace (&site->pacer, filling) / (double)GP_PACER_FULL
                 : 1.0;
     }
 }
 
 static outcome_t
-play (guint32 seed, policy_t policy)
+simulate (guint32 seed, policy_t policy)
 {
   site_t site;
   outcome_t outcome = { 0.0, 0.0 };
@@ -234,14 +237,14 @@
         place_t *place = &site.places[e];
         gp_time_t now = step * STEP + e * GP_MSEC;
 
-        live (&site, place, now, &outcome);
+        advance_place (&site, place, now, &outcome);
         switch (policy)
           {
           case POLICY_NAIVE:
             pace_naively (&site, place);
             break;
           case POLICY_PACED:
-            pace_by_plan (&site, place, now);
+            pace_by_policy (&site, place, now);
             break;
           case POLICY_FULL:
             replace_ended (&site, place);
@@ -265,21 +268,23 @@
 
       for (int policy = 0; policy < POLICIES; policy++)
         {
-          outcomes[policy] = play (seed, (policy_t)policy);
-          sums[policy].over += outcomes[policy].over / SITES;
+          outcomes[policy] = simulate (seed, (policy_t)policy);
+          sums[policy].over_target += outcomes[policy].over_target / SITES;
           sums[policy].work += outcomes[policy].work / SITES;
         }
-      CU_ASSERT (outcomes[POLICY_PACED].over
-                 <= outcomes[POLICY_NAIVE].over + 0.03);
+      CU_ASSERT (outcomes[POLICY_PACED].over_target
+                 <= outcomes[POLICY_NAIVE].over_target + 0.03);
     }
   fprintf (stderr,
            "over target, work done: full %.3f %.3f, naive %.3f %.3f, "
            "paced %.3f %.3f\n",
-           sums[POLICY_FULL].over, sums[POLICY_FULL].work,
-           sums[POLICY_NAIVE].over, sums[POLICY_NAIVE].work,
-           sums[POLICY_PACED].over, sums[POLICY_PACED].work);
-  CU_ASSERT (sums[POLICY_PACED].over < sums[POLICY_FULL].over / 4.0);
-  CU_ASSERT (sums[POLICY_PACED].over < sums[POLICY_NAIVE].over / 2.0);
+           sums[POLICY_FULL].over_target, sums[POLICY_FULL].work,
+           sums[POLICY_NAIVE].over_target, sums[POLICY_NAIVE].work,
+           sums[POLICY_PACED].over_target, sums[POLICY_PACED].work);
+  CU_ASSERT (sums[POLICY_PACED].over_target
+             < sums[POLICY_FULL].over_target / 4.0);
+  CU_ASSERT (sums[POLICY_PACED].over_target
+             < sums[POLICY_NAIVE].over_target / 2.0);
   CU_ASSERT (sums[POLICY_PACED].work > sums[POLICY_NAIVE].work);
 }
 
--- a/tests/unit/test_headroom.c
+++ b/tests/unit/test_headroom.c
@@ -11,7 +11,7 @@
 #define MEAN 2.7
 #define AMPLITUDE 1.1
 #define STEP (100 * GP_MSEC)
-#define AHEAD (1500 * GP_MSEC)
+#define PREDICTION_TIME (1500 * GP_MSEC)
 
 /* Returns the headroom at WHEN of an oscillation with PERIOD, in seconds, and
    PHASE.  */
@@ -32,7 +32,7 @@
 } errors_t;
 
 static errors_t
-follow (double period, double phase, GRand *random)
+measure_errors (double period, double phase, GRand *random)
 {
   gp_headroom_t track;
   errors_t sums = { 0.0, 0.0 };
@@ -44,12 +44,13 @@
       gp_time_t now = i * STEP;
       double value = truth (now, period, phase)
                      * (1.0 + g_rand_double_range (random, -0.08, 0.08));
-      double ahead = truth (now + AHEAD, period, phase);
+      double ahead = truth (now + PREDICTION_TIME, period, phase);
 
       gp_headroom_update (&track, value, gp_headroom_noise (value), now);
       if (i <= 150)
         continue;
-      sums.track += pow (gp_headroom_at (&track, now + AHEAD) - ahead, 2.0);
+      sums.track
+          += pow (gp_headroom_at (&track, now + PREDICTION_TIME) - ahead, 2.0);
       sums.last += pow (value - ahead, 2.0);
       count++;
     }
@@ -59,14 +60,14 @@
 static void
 test_foresee (void)
 {
-  static const double swings[] = { 6.0, 8.5, 10.0, 12.0, 14.0, 17.0, 24.0 };
+  static const double periods[] = { 6.0, 8.5, 10.0, 12.0, 14.0, 17.0, 24.0 };
   GRand *random = g_rand_new_with_seed (11);
 
-  for (size_t i = 0; i < G_N_ELEMENTS (swings); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (periods); i++)
     for (int j = 0; j < 4; j++)
       {
-        errors_t errors = follow (
-            swings[i], g_rand_double_range (random, 0.0, 6.28), random);
+        errors_t errors = measure_errors (
+            periods[i], g_rand_double_range (random, 0.0, 6.28), random);
 
         CU_ASSERT (errors.track < 0.3);
         CU_ASSERT (errors.track < errors.last / 2.0);
--- a/tests/unit/test_jobs.c
+++ b/tests/unit/test_jobs.c
@@ -49,13 +49,13 @@
   jobs_site_plan (&site);
   print_orders (&site);
   jobs_site_print_job (job);
-  jobs_site_end (&site, &job->tasks[0], GP_END_DONE);
+  jobs_site_run_ended (&site, &job->tasks[0], GP_END_DONE);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_end (&site, &job->tasks[1], GP_END_DONE);
+  jobs_site_run_ended (&site, &job->tasks[1], GP_END_DONE);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_end (&site, &job->tasks[2], GP_END_DONE);
+  jobs_site_run_ended (&site, &job->tasks[2], GP_END_DONE);
   jobs_site_print_job (job);
   jobs_site_finish (&site);
 }
@@ -73,12 +73,12 @@
   job = jobs_site_submit (&site, JOB_A, jobs_site_submission (2, 1000));
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_end (&site, &job->tasks[0], GP_END_LAPSED);
-  jobs_site_end (&site, &job->tasks[1], GP_END_FAILED);
+  jobs_site_run_ended (&site, &job->tasks[0], GP_END_LAPSED);
+  jobs_site_run_ended (&site, &job->tasks[1], GP_END_FAILED);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   g_array_set_size (site.scheduler.orders, 0);
-  jobs_site_end (&site, &job->tasks[1], GP_END_FAILED);
+  jobs_site_run_ended (&site, &job->tasks[1], GP_END_FAILED);
   jobs_site_print_job (job);
   print_orders (&site);
   jobs_site_finish (&site);
@@ -100,7 +100,7 @@
   gp_scheduler_job_changed (&site.scheduler, job, 5);
   print_orders (&site);
   jobs_site_print_job (job);
-  jobs_site_end (&site, &job->tasks[0], GP_END_STOPPED);
+  jobs_site_run_ended (&site, &job->tasks[0], GP_END_STOPPED);
   jobs_site_plan (&site);
   print_orders (&site);
   jobs_site_print_job (job);
@@ -124,7 +124,7 @@
       site.now += 20 * GP_SEC;
       jobs_site_plan (&site);
       jobs_site_print_job (job);
-      jobs_site_end (&site, &job->tasks[0], (gp_end_t)how);
+      jobs_site_run_ended (&site, &job->tasks[0], (gp_end_t)how);
     }
   jobs_site_print_job (job);
   jobs_site_finish (&site);
@@ -147,14 +147,14 @@
   jobs_site_executor (&site, "x2", 8);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_end (&site, &job->tasks[0], GP_END_FAILED);
+  jobs_site_run_ended (&site, &job->tasks[0], GP_END_FAILED);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_end (&site, &job->tasks[1], GP_END_BROKEN);
-  jobs_site_end (&site, &job->tasks[2], GP_END_BROKEN);
+  jobs_site_run_ended (&site, &job->tasks[1], GP_END_BROKEN);
+  jobs_site_run_ended (&site, &job->tasks[2], GP_END_BROKEN);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_end (&site, &job->tasks[1], GP_END_DONE);
+  jobs_site_run_ended (&site, &job->tasks[1], GP_END_DONE);
   jobs_site_print_job (job);
   jobs_site_finish (&site);
 }
@@ -216,7 +216,7 @@
   job = jobs_site_submit (&site, JOB_A, submission);
   jobs_site_plan (&site);
   for (int i = 0; i < 3; i++)
-    jobs_site_end (&site, &job->tasks[i], GP_END_FAILED);
+    jobs_site_run_ended (&site, &job->tasks[i], GP_END_FAILED);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   site.now += 3 * GP_SEC;
@@ -231,23 +231,23 @@
   jobs_site_t site;
   Gp__Jobs__Submission *submission = jobs_site_submission (1, 1000);
   gp_job_executor_t *executor;
-  gp_job_t *lasting;
+  gp_job_t *long_running;
   gp_job_t *batch;
 
   printf ("an executor that leaves gives up what lasts\n");
   jobs_site_init (&site);
   executor = jobs_site_executor (&site, "x1", 8);
   submission->steps[0]->long_running = true;
-  lasting = jobs_site_submit (&site, JOB_A, submission);
+  long_running = jobs_site_submit (&site, JOB_A, submission);
   batch = jobs_site_submit (&site, JOB_B, jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
   executor->draining = true;
   executor->leaves_at = site.now + 5 * GP_SEC;
   gp_scheduler_drain (&site.scheduler, executor, site.now);
-  jobs_site_print_job (lasting);
+  jobs_site_print_job (long_running);
   jobs_site_print_job (batch);
-  jobs_site_dead (&site, executor, GP_DEATH_SILENT);
-  jobs_site_print_job (lasting);
+  jobs_site_executor_dead (&site, executor, GP_DEATH_SILENT);
+  jobs_site_print_job (long_running);
   jobs_site_print_job (batch);
   jobs_site_finish (&site);
 }
@@ -301,7 +301,7 @@
   jobs_site_executor (&site, "x2", 8);
   gp_scheduler_relocate (&site.scheduler, executor, site.now);
   jobs_site_print_job (job);
-  jobs_site_end (&site, &job->tasks[0], GP_END_STOPPED);
+  jobs_site_run_ended (&site, &job->tasks[0], GP_END_STOPPED);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   jobs_site_finish (&site);
@@ -359,28 +359,28 @@
 
 /* The book built from the records equals the leader's book.  */
 static void
-check_refold (const jobs_site_t *site)
+check_rebuilt_book (const jobs_site_t *site)
 {
   gp_book_t fresh;
   GHashTableIter iter;
   gpointer value;
 
   gp_book_init (&fresh);
-  jobs_site_refold (site, &fresh);
+  jobs_site_rebuild_book (site, &fresh);
   g_hash_table_iter_init (&iter, site->book.jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const gp_job_t *job = value;
-      const gp_job_t *folded = gp_book_find (&fresh, job->id);
+      const gp_job_t *rebuilt = gp_book_find (&fresh, job->id);
 
-      CU_ASSERT (folded != NULL);
-      if (folded == NULL)
+      CU_ASSERT (rebuilt != NULL);
+      if (rebuilt == NULL)
         continue;
-      CU_ASSERT_EQUAL (job->state, folded->state);
+      CU_ASSERT_EQUAL (job->state, rebuilt->state);
       for (uint32_t i = 0; i < job->task_count; i++)
         {
           const gp_job_task_t *task = &job->tasks[i];
-          const gp_job_task_t *other = &folded->tasks[i];
+          const gp_job_task_t *other = &rebuilt->tasks[i];
 
           if (task->executor == NULL)
             CU_ASSERT_PTR_NULL (other->executor);
@@ -398,7 +398,7 @@
 
 /* Compares the reservations with a sum over all tasks in the book.  */
 static void
-check_room (const jobs_site_t *site)
+check_reservations (const jobs_site_t *site)
 {
   GHashTableIter iter;
   gpointer value;
@@ -454,7 +454,7 @@
 }
 
 static void
-end_random (jobs_site_t *site, GRand *random)
+end_some_runs (jobs_site_t *site, GRand *random)
 {
   GHashTableIter iter;
   gpointer value;
@@ -467,9 +467,9 @@
       for (uint32_t i = 0; i < job->task_count; i++)
         if (job->tasks[i].executor != NULL
             && g_rand_int_range (random, 0, 4) == 0)
-          jobs_site_end (site, &job->tasks[i],
-                         (gp_end_t)g_rand_int_range (random, GP_END_DONE,
-                                                     GP_END_ALONE + 1));
+          jobs_site_run_ended (site, &job->tasks[i],
+                               (gp_end_t)g_rand_int_range (random, GP_END_DONE,
+                                                           GP_END_ALONE + 1));
     }
 }
 
@@ -483,8 +483,8 @@
     {
     case 0:
       g_snprintf (id, sizeof id, "x%d", g_rand_int_range (random, 0, 4));
-      jobs_site_dead (site, gp_book_executor (&site->book, id),
-                      GP_DEATH_SILENT);
+      jobs_site_executor_dead (site, gp_book_executor (&site->book, id),
+                               GP_DEATH_SILENT);
       jobs_site_executor (site, id, 8)->dead = false;
       break;
     case 1:
@@ -503,7 +503,7 @@
     default:
       submit_random (site, random, number);
     }
-  end_random (site, random);
+  end_some_runs (site, random);
   jobs_site_plan (site);
 }
 
@@ -526,9 +526,9 @@
       for (unsigned step = 0; step < 120; step++)
         {
           step_random (&site, random, step);
-          check_room (&site);
+          check_reservations (&site);
         }
-      check_refold (&site);
+      check_rebuilt_book (&site);
       jobs_site_finish (&site);
       g_rand_free (random);
     }
--- a/tests/unit/test_late_random.c
+++ b/tests/unit/test_late_random.c
@@ -14,14 +14,14 @@
 #define STARTS_MAX 5
 #define FAULTY_TIME (25 * GP_SEC)
 /* It has to be given up within this time after the last fault.  */
-#define GIVEN_UP_TIME (60 * GP_SEC)
+#define GIVE_UP_LIMIT (60 * GP_SEC)
 
 /* The range of seeds; the command line can set another one.  */
 static guint32 first_seed = 1;
 static guint32 seed_count = SEEDS;
 
 static void
-play (unsigned faults)
+play_seeds (unsigned faults)
 {
   for (guint32 seed = first_seed; seed < first_seed + seed_count; seed++)
     {
@@ -29,7 +29,7 @@
 
       late_world_init (&world, seed, faults);
       late_world_run (&world, FAULTY_TIME, true);
-      for (gp_time_t left = GIVEN_UP_TIME;
+      for (gp_time_t left = GIVE_UP_LIMIT;
            left > 0 && !late_world_gave_up (&world); left -= GP_SEC)
         late_world_run (&world, GP_SEC, false);
       if (world.starts > STARTS_MAX || !late_world_gave_up (&world))
@@ -38,7 +38,7 @@
       CU_ASSERT (late_world_gave_up (&world));
       CU_ASSERT (world.starts <= STARTS_MAX);
       CU_ASSERT (late_world_failed (&world) == 0);
-      CU_ASSERT (world.twice == 0);
+      CU_ASSERT (world.double_starts == 0);
       late_world_finish (&world);
     }
 }
@@ -46,37 +46,37 @@
 static void
 test_none (void)
 {
-  play (0);
+  play_seeds (0);
 }
 
 static void
 test_records (void)
 {
-  play (LATE_RECORDS);
+  play_seeds (LATE_RECORDS);
 }
 
 static void
 test_starts (void)
 {
-  play (LATE_STARTS);
+  play_seeds (LATE_STARTS);
 }
 
 static void
 test_guards (void)
 {
-  play (LATE_GUARDS | LATE_RECORDS);
+  play_seeds (LATE_GUARDS | LATE_RECORDS);
 }
 
 static void
 test_leaders (void)
 {
-  play (LATE_LEADERS | LATE_RECORDS);
+  play_seeds (LATE_LEADERS | LATE_RECORDS);
 }
 
 static void
 test_all (void)
 {
-  play (LATE_LEADERS | LATE_GUARDS | LATE_RECORDS | LATE_STARTS);
+  play_seeds (LATE_LEADERS | LATE_GUARDS | LATE_RECORDS | LATE_STARTS);
 }
 
 /* usage: test_late_random [FIRST SEEDS]  */
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -229,7 +229,7 @@
   CU_ASSERT_PTR_EQUAL (gp_book_executor (&site.book, ID), second);
   gp_scheduler_move_run (&site.scheduler, first, second, TASK, 1);
   gp_scheduler_move_run (&site.scheduler, first, second, TASK, 7);
-  jobs_site_dead (&site, first, GP_DEATH_RESTARTED);
+  jobs_site_executor_dead (&site, first, GP_DEATH_RESTARTED);
   jobs_site_print_job (job);
   CU_ASSERT (
       gp_scheduler_run_ended (&site.scheduler, second, &end, site.now, 1));
@@ -258,7 +258,7 @@
                           jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
   second = next_life (&site, first);
-  jobs_site_dead (&site, first, GP_DEATH_RESTARTED);
+  jobs_site_executor_dead (&site, first, GP_DEATH_RESTARTED);
   gp_scheduler_run_ended (&site.scheduler, second, &end, site.now, 1);
   jobs_site_print_job (job);
   end.how = GP_END_DONE;
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -40,7 +40,7 @@
 test_transcript (void)
 {
   policy_site_t site;
-  gp_placement_ask_t ask = policy_ask (1, 40000, 100000);
+  gp_placement_ask_t ask = policy_request (1, 40000, 100000);
   gp_resources_t headroom = { 1000, 1000, 0 };
   gp_resources_t ended = ask.demand;
   gp_worker_t *worker;
@@ -83,7 +83,7 @@
 test_accelerators_kept (void)
 {
   policy_site_t site;
-  gp_placement_ask_t ask = policy_ask (1, 40000, 1000);
+  gp_placement_ask_t ask = policy_request (1, 40000, 1000);
   gp_worker_t accelerated;
 
   policy_site_init (&site, 1, 1, &site_worker);
@@ -173,8 +173,8 @@
 random_ask (run_t *run, uint64_t task)
 {
   gp_placement_ask_t ask
-      = policy_ask (task, 250U << g_rand_int_range (run->random, 0, 8),
-                    500U << g_rand_int_range (run->random, 0, 9));
+      = policy_request (task, 250U << g_rand_int_range (run->random, 0, 8),
+                        500U << g_rand_int_range (run->random, 0, 9));
 
   ask.group = (uint32_t)g_rand_int_range (run->random, 0, 5);
   ask.kind = (uint16_t)ask.group;
@@ -283,7 +283,7 @@
 test_edge_of_class (void)
 {
   policy_site_t site;
-  gp_placement_ask_t ask = policy_ask (1, 55000, 1000);
+  gp_placement_ask_t ask = policy_request (1, 55000, 1000);
   gp_resources_t headroom = { 50000, 200000, 0 };
 
   policy_site_init (&site, 600, 1, &site_worker);
@@ -307,7 +307,7 @@
 test_hold (void)
 {
   run_t *run = g_new0 (run_t, 1);
-  gp_placement_ask_t large = policy_ask (1, 60000, 1000);
+  gp_placement_ask_t large = policy_request (1, 60000, 1000);
   gp_worker_t *got = NULL;
   uint32_t least = 0;
   unsigned int steps = 0;
--- a/tests/unit/test_pressure.c
+++ b/tests/unit/test_pressure.c
@@ -117,7 +117,7 @@
 }
 
 static void
-show (gp_pacer_t *pacer, double headroom, double missed, double over)
+print_paces (gp_pacer_t *pacer, double headroom, double missed, double over)
 {
   const gp_pacer_serving_t serving = { "s", headroom, missed, over };
   gp_pressure_work_t busy = { { 2.0, 2.0 } };
@@ -142,16 +142,16 @@
   gp_pressure_set (&pacer.pressure, "s",
                    gp_pressure_image_index (&pacer.pressure, "harmless"),
                    0.02);
-  show (&pacer, 3.50, 0.0, 0.0);
-  show (&pacer, 1.90, 0.0, 0.0);
-  show (&pacer, 1.40, 0.0, 0.0);
-  show (&pacer, 0.60, 0.0, 0.0);
-  show (&pacer, 3.50, 1.6, 0.0);
-  show (&pacer, 1.40, 0.7, 0.0);
-  show (&pacer, 1.40, 0.0, 2.0);
-  show (&pacer, 1.40, 0.0, 4.0);
-  show (&pacer, 0.60, 0.0, 2.0);
-  show (&pacer, 3.50, 0.0, 0.0);
+  print_paces (&pacer, 3.50, 0.0, 0.0);
+  print_paces (&pacer, 1.90, 0.0, 0.0);
+  print_paces (&pacer, 1.40, 0.0, 0.0);
+  print_paces (&pacer, 0.60, 0.0, 0.0);
+  print_paces (&pacer, 3.50, 1.6, 0.0);
+  print_paces (&pacer, 1.40, 0.7, 0.0);
+  print_paces (&pacer, 1.40, 0.0, 2.0);
+  print_paces (&pacer, 1.40, 0.0, 4.0);
+  print_paces (&pacer, 0.60, 0.0, 2.0);
+  print_paces (&pacer, 3.50, 0.0, 0.0);
   gp_pacer_update (&pacer, NULL, 0, &none);
   printf ("  nothing serves: %u %%\n", gp_pacer_pace (&pacer, "harmful"));
   gp_pacer_finish (&pacer);
--- a/tests/unit/test_progress_compact.c
+++ b/tests/unit/test_progress_compact.c
@@ -11,7 +11,7 @@
 #include "runner.h"
 
 #define TASKS_MAX 160
-#define PLAYS 3000
+#define ROUNDS 3000
 
 typedef struct
 {
@@ -52,7 +52,7 @@
 
 /* Draws a job with COUNT tasks; ALIKE: all of them fit into columns.  */
 static void
-draw (progress_t *progress, GRand *random, uint32_t count, bool alike)
+draw_progress (progress_t *progress, GRand *random, uint32_t count, bool alike)
 {
   gp__jobs__progress__init (&progress->message);
   progress->message.state = 1;
@@ -126,7 +126,7 @@
   GRand *random = g_rand_new_with_seed (1);
   progress_t *progress = g_new (progress_t, 1);
 
-  for (int i = 0; i < PLAYS; i++)
+  for (int i = 0; i < ROUNDS; i++)
     {
       uint32_t count = (uint32_t)g_rand_int_range (random, 1, TASKS_MAX);
       GBytes *bytes;
@@ -135,7 +135,7 @@
       Gp__Jobs__Progress *read;
       char *prefix;
 
-      draw (progress, random, count, false);
+      draw_progress (progress, random, count, false);
       if (progress->message.n_done + progress->message.n_tasks == 0)
         continue;
       bytes = gp_progress_pack (&progress->message);
@@ -152,7 +152,7 @@
     }
   g_rand_free (random);
   g_free (progress);
-  printf ("%d random records are read as they were packed\n", PLAYS);
+  printf ("%d random records are read as they were packed\n", ROUNDS);
 }
 
 /* Jobs as on a busy site: 72 tasks, on average 32 done and 15 running.  */
@@ -168,7 +168,7 @@
     {
       GBytes *bytes;
 
-      draw (progress, random, 72, true);
+      draw_progress (progress, random, 72, true);
       plain += gp__jobs__progress__get_packed_size (&progress->message);
       bytes = gp_progress_pack (&progress->message);
       compact += g_bytes_get_size (bytes);
@@ -182,7 +182,7 @@
 }
 
 static void
-try (const char *name, Gp__Jobs__Progress *progress)
+print_result (const char *name, Gp__Jobs__Progress *progress)
 {
   GBytes *bytes = gp_message_pack (&progress->base);
   gsize size;
@@ -210,11 +210,11 @@
   progress.state = 1;
   progress.done_ranges = ranges;
   progress.n_done_ranges = 2;
-  try ("a range", &progress);
+  print_result ("a range", &progress);
   progress.n_done_ranges = 1;
-  try ("half a range", &progress);
+  print_result ("half a range", &progress);
   progress.n_done_ranges = 4;
-  try ("a range beyond all tasks", &progress);
+  print_result ("a range beyond all tasks", &progress);
   progress.n_done_ranges = 0;
   progress.run_gaps = gaps;
   progress.runs = runs;
@@ -222,27 +222,27 @@
   progress.executor_prefix = "i-";
   progress.executor_digits = 2;
   progress.n_run_gaps = progress.n_runs = progress.n_run_executors = 1;
-  try ("a run", &progress);
+  print_result ("a run", &progress);
   progress.done = done;
   progress.n_done = 1;
-  try ("a run of a task that is done", &progress);
+  print_result ("a run of a task that is done", &progress);
   progress.n_done = 0;
   progress.executor_digits = 1;
-  try ("a number of too many digits", &progress);
+  print_result ("a number of too many digits", &progress);
   progress.executor_digits = 16;
-  try ("too many digits", &progress);
+  print_result ("too many digits", &progress);
   progress.executor_digits = 0;
-  try ("no digits", &progress);
+  print_result ("no digits", &progress);
   progress.executor_digits = 15;
   progress.n_runs = 2;
-  try ("columns of different lengths", &progress);
+  print_result ("columns of different lengths", &progress);
   progress.n_run_gaps = progress.n_run_executors = 2;
-  try ("a number out of bounds", &progress);
+  print_result ("a number out of bounds", &progress);
   executors[1] = 0;
-  try ("a task beyond all", &progress);
+  print_result ("a task beyond all", &progress);
   gaps[1] = 0;
   runs[1] = 0;
-  try ("a run without a number", &progress);
+  print_result ("a run without a number", &progress);
 }
 
 int
--- a/tests/unit/test_put_off.c
+++ b/tests/unit/test_put_off.c
@@ -71,7 +71,7 @@
   job->tasks[1].alone = held;
   gp_suspicion_extend_dedication (executor, site.now);
   site.now += 2 * GP_SEC;
-  jobs_site_end (&site, &job->tasks[0], GP_END_DONE);
+  jobs_site_run_ended (&site, &job->tasks[0], GP_END_DONE);
   took = job->tasks[0].duration;
   jobs_site_finish (&site);
   return took;
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -256,7 +256,7 @@
   jobs_site_print_job (bad);
   printf ("but by the one that comes after it\n");
   if (fallen != NULL)
-    jobs_site_dead (&site, fallen, GP_DEATH_REPLACED);
+    jobs_site_executor_dead (&site, fallen, GP_DEATH_REPLACED);
   jobs_site_executor (&site, "x9", 8);
   site.now += GP_SEC;
   jobs_site_plan (&site);
@@ -271,7 +271,7 @@
   gp_book_t other;
 
   gp_book_init (&other);
-  jobs_site_refold (site, &other);
+  jobs_site_rebuild_book (site, &other);
   printf ("  pending: %u, at another entry: %u\n",
           gp_book_pending (&site->book, "good"),
           gp_book_pending (&other, "good"));
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -139,7 +139,7 @@
 
 /* Sets up a site with the job JOB, of 3 tasks, running on x0.  */
 static gp_job_t *
-begin_job (jobs_site_t *site)
+start_job (jobs_site_t *site)
 {
   gp_job_t *job;
 
@@ -197,8 +197,8 @@
 
 /* Applies such progress and prints why it is refused.  */
 static void
-take_progress (jobs_site_t *site, const char *executor, uint32_t index,
-               bool loading)
+apply_progress (jobs_site_t *site, const char *executor, uint32_t index,
+                bool loading)
 {
   static uint64_t offset = 100;
   const gp_book_position_t place = { .offset = offset++, .loading = loading };
@@ -217,13 +217,13 @@
 test_overwritten (void)
 {
   jobs_site_t site;
-  gp_job_t *job = begin_job (&site);
+  gp_job_t *job = start_job (&site);
 
   printf ("progress that is overwritten\n");
   print_job ("before", job);
   gp_book_refuse_progress (&site.book, JOB, in_order);
   print_job ("unreadable bytes", job);
-  take_progress (&site, "x1", 3, false);
+  apply_progress (&site, "x1", 3, false);
   print_job ("a task beyond the job", job);
   CU_ASSERT_FALSE (gp_list_empty (&job->link));
   gp_scheduler_reset (&site.scheduler);
@@ -249,7 +249,7 @@
   jobs_site_plan (&site);
   print_job ("planned", job);
   CU_ASSERT_EQUAL (gp_book_pending (&site.book, "queue"), 0);
-  take_progress (&site, "x0", 1, false);
+  apply_progress (&site, "x0", 1, false);
   jobs_site_plan (&site);
   print_job ("readable again", job);
   gp_book_refuse_progress (&site.book, JOB, in_load);
@@ -271,7 +271,7 @@
   jobs_site_init (&site);
   jobs_site_executor (&site, "x0", 8);
   printf ("early progress that is not of this job\n");
-  take_progress (&site, "x0", 3, true);
+  apply_progress (&site, "x0", 3, true);
   job = jobs_site_submit (&site, JOB, jobs_site_submission (3, 1000));
   CU_ASSERT_PTR_NULL (job);
   job = gp_book_find (&site.book, JOB);
@@ -286,11 +286,11 @@
 test_goes_back (void)
 {
   jobs_site_t site;
-  gp_job_t *job = begin_job (&site);
+  gp_job_t *job = start_job (&site);
   Gp__Jobs__Progress *older;
 
   printf ("progress that goes back\n");
-  take_progress (&site, "x1", 0, false);
+  apply_progress (&site, "x1", 0, false);
   print_job ("two runs forgotten", job);
   older = make_progress ("x1", 0);
   job->progress_end = 10;
@@ -298,7 +298,7 @@
       gp_book_apply_progress (&site.book, JOB, older, in_order, NULL), job);
   print_job ("an older record", job);
   gp_book_end (job, GP_JOB_COMPLETED, 1000);
-  take_progress (&site, "x1", 0, false);
+  apply_progress (&site, "x1", 0, false);
   print_job ("after the end", job);
   jobs_site_finish (&site);
 }
@@ -315,7 +315,7 @@
   jobs_site_init (&site);
   jobs_site_executor (&site, "x0", 8);
   job = jobs_site_submit (&site, JOB, jobs_site_submission (3, 1000));
-  take_progress (&site, "ghost", 1, false);
+  apply_progress (&site, "ghost", 1, false);
   jobs_site_plan (&site);
   print_job ("planned", job);
   CU_ASSERT_EQUAL (job->tasks[1].state, GP_TASK_ASSIGNED);
@@ -336,7 +336,7 @@
 
   jobs_site_init (&site);
   executor = jobs_site_executor (&site, "x0", 8);
-  take_progress (&site, "x0", 1, true);
+  apply_progress (&site, "x0", 1, true);
   end.number = 1;
   end.task = task;
   end.run = 1;
@@ -363,14 +363,14 @@
 test_own (void)
 {
   jobs_site_t site;
-  gp_job_t *job = begin_job (&site);
+  gp_job_t *job = start_job (&site);
   gp_book_t fresh;
 
   for (int i = 0; i < 3; i++)
     {
-      jobs_site_end (&site, &job->tasks[i], GP_END_DONE);
+      jobs_site_run_ended (&site, &job->tasks[i], GP_END_DONE);
       gp_book_init (&fresh);
-      jobs_site_refold (&site, &fresh);
+      jobs_site_rebuild_book (&site, &fresh);
       CU_ASSERT_PTR_NOT_NULL_FATAL (gp_book_find (&fresh, JOB));
       CU_ASSERT_EQUAL (gp_book_find (&fresh, JOB)->state, job->state);
       CU_ASSERT_EQUAL (gp_book_find (&fresh, JOB)->done_count,
--- a/tests/unit/test_starved.c
+++ b/tests/unit/test_starved.c
@@ -26,7 +26,7 @@
 }
 
 static unsigned
-runs_of (const gp_job_t *job)
+count_runs (const gp_job_t *job)
 {
   unsigned runs = 0;
 
@@ -60,13 +60,13 @@
       jobs_site_plan (&site);
       for (unsigned i = 0; i < JOBS; i++)
         {
-          waited[i] = runs_of (jobs[i]) == 0 ? waited[i] + STEP : 0;
+          waited[i] = count_runs (jobs[i]) == 0 ? waited[i] + STEP : 0;
           longest = MAX (longest, waited[i]);
         }
       site.now += STEP;
     }
   for (unsigned i = 0; i < JOBS; i++)
-    CU_ASSERT_TRUE (runs_of (jobs[i]) <= 1);
+    CU_ASSERT_TRUE (count_runs (jobs[i]) <= 1);
   jobs_site_finish (&site);
   return longest;
 }
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -26,18 +26,19 @@
 /* How a run that may have crashed its executor had started.  */
 typedef enum
 {
-  BEGUN_EARLIER,
-  BEGUN_LATELY, /* according to the executor's lists */
-  BEGUN_300_MS_AGO,
-  BEGUN_JUST_NOW,
-  BEGUN_UNANSWERED /* its start was delayed, so it may have started at any time
+  STARTED_EARLIER,
+  STARTED_RECENTLY, /* according to the executor's lists */
+  STARTED_300_MS_AGO,
+  STARTED_JUST_NOW,
+  START_UNANSWERED /* its start was delayed, so it may have started at any time
                     */
-} begun_t;
+} start_kind_t;
 
 /* The guard of TASK's executor reports that its run may have crashed the
    executor.  */
 static void
-tell_suspect (jobs_site_t *site, const gp_job_task_t *task, begun_t begun)
+report_suspect (jobs_site_t *site, const gp_job_task_t *task,
+                start_kind_t start_kind)
 {
   Gp__Jobs__TaskRun run = GP__JOBS__TASK_RUN__INIT;
   Gp__Jobs__TaskRun *runs[] = { &run };
@@ -46,31 +47,32 @@
   gp_task_name (task, name);
   run.task = name;
   run.run = task->run;
-  run.fresh = begun != BEGUN_EARLIER && begun != BEGUN_UNANSWERED;
-  run.timed = begun == BEGUN_JUST_NOW || begun == BEGUN_300_MS_AGO;
-  run.just = begun == BEGUN_JUST_NOW;
-  run.unanswered = begun == BEGUN_UNANSWERED;
+  run.fresh = start_kind != STARTED_EARLIER && start_kind != START_UNANSWERED;
+  run.timed
+      = start_kind == STARTED_JUST_NOW || start_kind == STARTED_300_MS_AGO;
+  run.just = start_kind == STARTED_JUST_NOW;
+  run.unanswered = start_kind == START_UNANSWERED;
   gp_scheduler_note_suspects (&site->scheduler, task->executor, runs, 1);
 }
 
 /* Executor ID died and another one, NEXT, is on its VM.  Unless its guard has
    reported suspects, all runs on ID had just started.  */
 static void
-replace (jobs_site_t *site, const char *id, const char *next)
+replace_executor (jobs_site_t *site, const char *id, const char *next)
 {
   gp_job_executor_t *executor = gp_book_executor (&site->book, id);
 
   if (!executor->suspects_told)
     GP_LIST_FOREACH (link, &executor->tasks)
-  tell_suspect (site, GP_CONTAINER_OF (link, gp_job_task_t, on_executor),
-                BEGUN_JUST_NOW);
-  jobs_site_dead (site, executor, GP_DEATH_REPLACED);
+  report_suspect (site, GP_CONTAINER_OF (link, gp_job_task_t, on_executor),
+                  STARTED_JUST_NOW);
+  jobs_site_executor_dead (site, executor, GP_DEATH_REPLACED);
   jobs_site_executor (site, next, 8)->reported_at = site->now;
 }
 
 /* The guard of TASK's executor reports that its run has settled.  */
 static void
-settle (jobs_site_t *site, gp_job_task_t *task)
+report_settled (jobs_site_t *site, gp_job_task_t *task)
 {
   Gp__Jobs__TaskRun run = GP__JOBS__TASK_RUN__INIT;
   Gp__Jobs__TaskRun *runs[] = { &run };
@@ -83,7 +85,7 @@
 }
 
 static Gp__Jobs__Submission *
-lasting (void)
+long_running_job (void)
 {
   Gp__Jobs__Submission *submission = jobs_site_submission (1, 1000);
 
@@ -107,7 +109,7 @@
       jobs_site_plan (&site);
       jobs_site_print_job (job);
       site.now += 3 * GP_SEC;
-      replace (&site, ids[i], ids[i + 1]);
+      replace_executor (&site, ids[i], ids[i + 1]);
     }
   jobs_site_plan (&site);
   jobs_site_print_job (job);
@@ -118,16 +120,16 @@
    executor crashed while all tasks had just started, and another one under
    JOB's task, which is tried first.  */
 static void
-suspect_three (jobs_site_t *site, gp_job_t **job, gp_job_t **beside)
+set_up_suspects (jobs_site_t *site, gp_job_t **job, gp_job_t **neighbour)
 {
   jobs_site_init (site);
   jobs_site_executor (site, "x1", 8);
   *job = jobs_site_submit (site, JOB_A, jobs_site_submission (1, 1000));
-  *beside = jobs_site_submit (site, JOB_B, jobs_site_submission (2, 1000));
+  *neighbour = jobs_site_submit (site, JOB_B, jobs_site_submission (2, 1000));
   jobs_site_plan (site);
-  replace (site, "x1", "x2");
+  replace_executor (site, "x1", "x2");
   jobs_site_plan (site);
-  replace (site, "x2", "x3");
+  replace_executor (site, "x2", "x3");
 }
 
 static void
@@ -135,32 +137,32 @@
 {
   jobs_site_t site;
   gp_job_t *job;
-  gp_job_t *beside;
+  gp_job_t *neighbour;
 
   printf ("after one, suspects of one job have an executor of their own\n");
-  suspect_three (&site, &job, &beside);
+  set_up_suspects (&site, &job, &neighbour);
   jobs_site_print_job (job);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   printf ("that one has settled: another one has its turn\n");
-  settle (&site, &job->tasks[0]);
+  report_settled (&site, &job->tasks[0]);
   jobs_site_plan (&site);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   printf ("when what is there has begun\n");
   site.now += GP_SUSPICION_START_WINDOW;
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   printf ("and its executor goes down\n");
-  replace (&site, "x3", "x4");
+  replace_executor (&site, "x3", "x4");
   jobs_site_print_job (job);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   printf ("and another one\n");
   jobs_site_plan (&site);
-  replace (&site, "x4", "x5");
-  jobs_site_print_job (beside);
+  replace_executor (&site, "x4", "x5");
+  jobs_site_print_job (neighbour);
   jobs_site_finish (&site);
 }
 
@@ -171,14 +173,14 @@
 {
   jobs_site_t site;
   gp_job_t *job;
-  gp_job_t *beside;
+  gp_job_t *neighbour;
   gp_job_t *third;
 
   printf ("where no executor is quiet, the one with the least to lose is kept "
           "for it\n");
-  suspect_three (&site, &job, &beside);
-  beside->cancelled = true;
-  third = jobs_site_submit (&site, JOB_C, lasting ());
+  set_up_suspects (&site, &job, &neighbour);
+  neighbour->cancelled = true;
+  third = jobs_site_submit (&site, JOB_C, long_running_job ());
   job->cancelled = true;
   jobs_site_plan (&site);
   jobs_site_executor (&site, "x4", 8)->assigned_at = site.now;
@@ -204,18 +206,18 @@
 {
   jobs_site_t site;
   gp_job_t *job;
-  gp_job_t *beside;
+  gp_job_t *neighbour;
 
   printf ("a run that never settles keeps its executor for three seconds\n");
-  suspect_three (&site, &job, &beside);
+  set_up_suspects (&site, &job, &neighbour);
   jobs_site_plan (&site);
   site.now += 3 * GP_SEC - GP_MSEC;
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   site.now += GP_MSEC;
   jobs_site_plan (&site);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   jobs_site_finish (&site);
 }
 
@@ -224,23 +226,23 @@
 {
   jobs_site_t site;
   gp_job_t *job;
-  gp_job_t *beside;
+  gp_job_t *neighbour;
 
   printf ("an executor that goes down by itself under a run that was alone\n");
-  suspect_three (&site, &job, &beside);
+  set_up_suspects (&site, &job, &neighbour);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  tell_suspect (&site, &job->tasks[0], BEGUN_EARLIER);
-  replace (&site, "x3", "x4");
+  report_suspect (&site, &job->tasks[0], STARTED_EARLIER);
+  replace_executor (&site, "x3", "x4");
   jobs_site_print_job (job);
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   printf ("and two that it takes down\n");
-  tell_suspect (&site, &job->tasks[0], BEGUN_JUST_NOW);
-  replace (&site, "x4", "x5");
+  report_suspect (&site, &job->tasks[0], STARTED_JUST_NOW);
+  replace_executor (&site, "x4", "x5");
   jobs_site_print_job (job);
   jobs_site_plan (&site);
-  replace (&site, "x5", "x6");
+  replace_executor (&site, "x5", "x6");
   jobs_site_print_job (job);
   jobs_site_finish (&site);
 }
@@ -248,13 +250,13 @@
 /* A job of one task starts beside TASK and immediately crashes their
    executor.  */
 static void
-submit_beside (jobs_site_t *site, const char *id, const gp_job_task_t *task)
+crash_beside (jobs_site_t *site, const char *id, const gp_job_task_t *task)
 {
   gp_job_t *other = jobs_site_submit (site, id, jobs_site_submission (1, 500));
 
   jobs_site_plan (site);
   if (other->tasks[0].executor == task->executor)
-    tell_suspect (site, &other->tasks[0], BEGUN_JUST_NOW);
+    report_suspect (site, &other->tasks[0], STARTED_JUST_NOW);
   other->cancelled = true;
 }
 
@@ -270,7 +272,7 @@
   printf ("executors go down under a run that had begun earlier\n");
   jobs_site_init (&site);
   jobs_site_executor (&site, "x1", 8);
-  job = jobs_site_submit (&site, JOB_A, lasting ());
+  job = jobs_site_submit (&site, JOB_A, long_running_job ());
   for (unsigned k = 1; k <= 8; k++)
     {
       char id[GP_JOB_ID_SIZE + 1];
@@ -282,9 +284,9 @@
       if (job->tasks[0].executor == NULL)
         break;
       site.now += 1036 * GP_MSEC;
-      tell_suspect (&site, &job->tasks[0], BEGUN_EARLIER);
-      submit_beside (&site, id, &job->tasks[0]);
-      replace (&site, job->tasks[0].executor->id, next);
+      report_suspect (&site, &job->tasks[0], STARTED_EARLIER);
+      crash_beside (&site, id, &job->tasks[0]);
+      replace_executor (&site, job->tasks[0].executor->id, next);
     }
   jobs_site_print_job (job);
   CU_ASSERT (job->state == GP_JOB_RUNNING);
@@ -302,15 +304,15 @@
           "alone\n");
   jobs_site_init (&site);
   jobs_site_executor (&site, "x1", 8);
-  job = jobs_site_submit (&site, JOB_A, lasting ());
+  job = jobs_site_submit (&site, JOB_A, long_running_job ());
   for (int i = 1; i <= 3; i++)
     {
       char next[8];
 
       jobs_site_plan (&site);
-      tell_suspect (&site, &job->tasks[0], BEGUN_300_MS_AGO);
+      report_suspect (&site, &job->tasks[0], STARTED_300_MS_AGO);
       g_snprintf (next, sizeof next, "x%d", i + 1);
-      replace (&site, job->tasks[0].executor->id, next);
+      replace_executor (&site, job->tasks[0].executor->id, next);
       jobs_site_print_job (job);
     }
   jobs_site_finish (&site);
@@ -323,31 +325,31 @@
 {
   jobs_site_t site;
   gp_job_t *job;
-  gp_job_t *beside;
+  gp_job_t *neighbour;
 
   printf ("by the lists alone: one end beside others keeps nobody apart\n");
   jobs_site_init (&site);
   jobs_site_executor (&site, "x1", 8);
   job = jobs_site_submit (&site, JOB_A, jobs_site_submission (1, 1000));
-  beside = jobs_site_submit (&site, JOB_B, jobs_site_submission (1, 1000));
+  neighbour = jobs_site_submit (&site, JOB_B, jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
-  tell_suspect (&site, &job->tasks[0], BEGUN_LATELY);
-  tell_suspect (&site, &beside->tasks[0], BEGUN_LATELY);
-  replace (&site, "x1", "x2");
+  report_suspect (&site, &job->tasks[0], STARTED_RECENTLY);
+  report_suspect (&site, &neighbour->tasks[0], STARTED_RECENTLY);
+  replace_executor (&site, "x1", "x2");
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_print_job (beside);
-  beside->cancelled = true;
-  jobs_site_end (&site, &beside->tasks[0], GP_END_DONE);
+  jobs_site_print_job (neighbour);
+  neighbour->cancelled = true;
+  jobs_site_run_ended (&site, &neighbour->tasks[0], GP_END_DONE);
   printf ("and ends of one that began by itself are hints\n");
   for (int i = 2; i <= STARTS_MAX + 1 && !gp_job_ended (job); i++)
     {
       char next[8];
 
       jobs_site_plan (&site);
-      tell_suspect (&site, &job->tasks[0], BEGUN_LATELY);
+      report_suspect (&site, &job->tasks[0], STARTED_RECENTLY);
       g_snprintf (next, sizeof next, "x%d", i + 1);
-      replace (&site, job->tasks[0].executor->id, next);
+      replace_executor (&site, job->tasks[0].executor->id, next);
       jobs_site_print_job (job);
     }
   CU_ASSERT (job->tasks[0].run <= STARTS_MAX);
@@ -375,12 +377,14 @@
   job = jobs_site_submit (&site, JOB_A, jobs_site_submission (6, 1000));
   jobs_site_plan (&site);
   gp_book_executor (&site.book, "x2")->reachable = false;
-  jobs_site_dead (&site, gp_book_executor (&site.book, "x1"), GP_DEATH_SILENT);
+  jobs_site_executor_dead (&site, gp_book_executor (&site.book, "x1"),
+                           GP_DEATH_SILENT);
   jobs_site_print_job (job);
   printf ("two of six are not half\n");
   gp_book_executor (&site.book, "x3")->reachable = false;
   gp_book_executor (&site.book, "x4")->reachable = false;
-  jobs_site_dead (&site, gp_book_executor (&site.book, "x2"), GP_DEATH_SILENT);
+  jobs_site_executor_dead (&site, gp_book_executor (&site.book, "x2"),
+                           GP_DEATH_SILENT);
   jobs_site_print_job (job);
   jobs_site_finish (&site);
 }
@@ -410,7 +414,7 @@
       jobs_site_plan (&site);
       gp_book_executor (&site.book, "x3")->reachable = false;
       gp_book_executor (&site.book, "x4")->reachable = false;
-      jobs_site_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
+      jobs_site_executor_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
       jobs_site_print_job (job);
       gp_book_executor (&site.book, "x3")->reachable = true;
       site.now += GP_SEC * 2;
@@ -448,7 +452,8 @@
     jobs[i]->tasks[0].executor->reachable = false;
   for (guint i = 0; i < G_N_ELEMENTS (ids); i++)
     {
-      jobs_site_dead (&site, jobs[i]->tasks[0].executor, GP_DEATH_SILENT);
+      jobs_site_executor_dead (&site, jobs[i]->tasks[0].executor,
+                               GP_DEATH_SILENT);
       CU_ASSERT (jobs[i]->tasks[0].crashes == 1);
       jobs_site_print_job (jobs[i]);
     }
@@ -458,7 +463,7 @@
 /* An executor and its guard disappear under an isolated start, AFTER the
    order.  */
 static void
-go_with_guard (gp_time_t after)
+lose_with_guard (gp_time_t after)
 {
   jobs_site_t site;
   gp_job_t *job;
@@ -470,7 +475,7 @@
   job->tasks[0].alone = true;
   job->tasks[0].executor->cut_at = site.now + after;
   site.now += 3 * GP_SEC;
-  jobs_site_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
+  jobs_site_executor_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
   printf ("  %ld ms after its order: evidence %u\n", (long)(after / GP_MSEC),
           job->tasks[0].evidence);
   jobs_site_finish (&site);
@@ -483,8 +488,8 @@
 {
   printf ("guard and executor go down together under a start that was "
           "alone\n");
-  go_with_guard (20 * GP_MSEC);
-  go_with_guard (600 * GP_MSEC);
+  lose_with_guard (20 * GP_MSEC);
+  lose_with_guard (600 * GP_MSEC);
 }
 
 /* Guard and executor are lost together: nobody can report what had just
@@ -506,7 +511,7 @@
 
       jobs_site_plan (&site);
       site.now += 3 * GP_SEC;
-      jobs_site_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
+      jobs_site_executor_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
       jobs_site_print_job (job);
       g_snprintf (next, sizeof next, "x%d", i + 1);
       jobs_site_executor (&site, next, 8);
@@ -520,31 +525,31 @@
 static void
 test_beside (void)
 {
-  static const begun_t beside_begun[]
-      = { BEGUN_EARLIER, BEGUN_JUST_NOW, BEGUN_UNANSWERED };
+  static const start_kind_t neighbour_starts[]
+      = { STARTED_EARLIER, STARTED_JUST_NOW, START_UNANSWERED };
   static const char *const names[]
       = { "had begun earlier", "had begun just now as well",
           "was held up and may have begun just now" };
 
-  for (size_t i = 0; i < G_N_ELEMENTS (beside_begun); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (neighbour_starts); i++)
     {
       jobs_site_t site;
       gp_job_t *job;
-      gp_job_t *beside;
+      gp_job_t *neighbour;
       gp_job_t *third;
 
       printf ("beside a run that %s\n", names[i]);
-      suspect_three (&site, &job, &beside);
+      set_up_suspects (&site, &job, &neighbour);
       third = jobs_site_submit (&site, JOB_C, jobs_site_submission (1, 500));
-      job->cancelled = beside->cancelled = true;
+      job->cancelled = neighbour->cancelled = true;
       jobs_site_plan (&site);
       site.now += GP_SUSPICION_START_WINDOW;
       job->cancelled = false;
       jobs_site_plan (&site);
       jobs_site_print_job (job);
-      tell_suspect (&site, &job->tasks[0], BEGUN_JUST_NOW);
-      tell_suspect (&site, &third->tasks[0], beside_begun[i]);
-      replace (&site, "x3", "x4");
+      report_suspect (&site, &job->tasks[0], STARTED_JUST_NOW);
+      report_suspect (&site, &third->tasks[0], neighbour_starts[i]);
+      replace_executor (&site, "x3", "x4");
       jobs_site_print_job (job);
       jobs_site_print_job (third);
       jobs_site_finish (&site);
@@ -556,14 +561,14 @@
 {
   jobs_site_t site;
   gp_job_t *job;
-  gp_job_t *beside;
+  gp_job_t *neighbour;
 
   printf ("nothing is assigned for long: patience begins after that\n");
-  suspect_three (&site, &job, &beside);
+  set_up_suspects (&site, &job, &neighbour);
   site.now += 2 * GP_SUSPICION_ISOLATION_TIMEOUT;
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   jobs_site_finish (&site);
 }
 
@@ -572,24 +577,24 @@
 {
   jobs_site_t site;
   gp_job_t *job;
-  gp_job_t *beside;
+  gp_job_t *neighbour;
   gp_job_executor_t *executor;
 
   printf ("nobody waits for an executor of its own for long\n");
-  suspect_three (&site, &job, &beside);
+  set_up_suspects (&site, &job, &neighbour);
   jobs_site_plan (&site);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   executor = job->tasks[0].executor;
   site.now += GP_SUSPICION_ISOLATION_TIMEOUT;
   executor->assigned_at = site.now;
   jobs_site_plan (&site);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   site.now += GP_MSEC;
   jobs_site_plan (&site);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (neighbour);
   printf ("it is not given up for what it was not alone with\n");
-  replace (&site, "x3", "x4");
-  jobs_site_print_job (beside);
+  replace_executor (&site, "x3", "x4");
+  jobs_site_print_job (neighbour);
   jobs_site_finish (&site);
 }
 
@@ -602,7 +607,7 @@
   printf ("executors go down under a run that has settled\n");
   jobs_site_init (&site);
   jobs_site_executor (&site, "x1", 8);
-  job = jobs_site_submit (&site, JOB_A, lasting ());
+  job = jobs_site_submit (&site, JOB_A, long_running_job ());
   for (int i = 1; i < 6; i++)
     {
       char id[8];
@@ -615,11 +620,11 @@
         printf ("once it had not\n");
       else
         {
-          settle (&site, &job->tasks[0]);
+          report_settled (&site, &job->tasks[0]);
           gp_scheduler_note_suspects (&site.scheduler, job->tasks[0].executor,
                                       NULL, 0);
         }
-      replace (&site, id, next);
+      replace_executor (&site, id, next);
       jobs_site_print_job (job);
     }
   jobs_site_finish (&site);
@@ -636,18 +641,18 @@
   jobs_site_init (&site);
   executor = jobs_site_executor (&site, "x1", 8);
   executor->reported_since = site.now;
-  job = jobs_site_submit (&site, JOB_A, lasting ());
+  job = jobs_site_submit (&site, JOB_A, long_running_job ());
   jobs_site_plan (&site);
   executor->draining = draining;
   executor->reported_at = site.now + reported_after;
   site.now += 10 * GP_SEC;
-  jobs_site_dead (&site, executor, why);
+  jobs_site_executor_dead (&site, executor, why);
   printf ("  %s: %u\n", what, job->tasks[0].crashes);
   jobs_site_finish (&site);
 }
 
 static void
-try_told (const char *what, bool suspect)
+try_report (const char *what, bool suspect)
 {
   jobs_site_t site;
   gp_job_executor_t *executor;
@@ -655,13 +660,13 @@
 
   jobs_site_init (&site);
   executor = jobs_site_executor (&site, "x1", 8);
-  job = jobs_site_submit (&site, JOB_A, lasting ());
+  job = jobs_site_submit (&site, JOB_A, long_running_job ());
   jobs_site_plan (&site);
   if (suspect)
-    tell_suspect (&site, &job->tasks[0], BEGUN_JUST_NOW);
+    report_suspect (&site, &job->tasks[0], STARTED_JUST_NOW);
   else
     gp_scheduler_note_suspects (&site.scheduler, executor, NULL, 0);
-  jobs_site_dead (&site, executor, GP_DEATH_REPLACED);
+  jobs_site_executor_dead (&site, executor, GP_DEATH_REPLACED);
   printf ("  %s: %u\n", what, job->tasks[0].crashes);
   jobs_site_finish (&site);
 }
@@ -681,8 +686,8 @@
   try_death ("reported for 1 s after the start", GP_DEATH_SILENT, false,
              GP_SEC);
   printf ("what the guard tells\n");
-  try_told ("it may have done it", true);
-  try_told ("it can't have", false);
+  try_report ("it may have done it", true);
+  try_report ("it can't have", false);
 }
 
 static void
@@ -707,10 +712,10 @@
       jobs_site_plan (&site);
       jobs_site_print_job (job);
       g_snprintf (id, sizeof id, "x%d", i + 3);
-      replace (&site, job->tasks[0].executor->id, id);
+      replace_executor (&site, job->tasks[0].executor->id, id);
       for (uint32_t k = 0; k < job->task_count; k++)
         if (job->tasks[k].executor != NULL)
-          jobs_site_end (&site, &job->tasks[k], GP_END_BROKEN);
+          jobs_site_run_ended (&site, &job->tasks[k], GP_END_BROKEN);
       jobs_site_print_job (job);
     }
   jobs_site_finish (&site);
@@ -732,14 +737,14 @@
   jobs_site_executor (&site, "x1", 8);
   job = jobs_site_submit (&site, JOB_A, submission);
   jobs_site_plan (&site);
-  tell_suspect (&site, &job->tasks[1], BEGUN_JUST_NOW);
-  replace (&site, "x1", "x2");
+  report_suspect (&site, &job->tasks[1], STARTED_JUST_NOW);
+  replace_executor (&site, "x1", "x2");
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   printf ("and where others have just begun\n");
-  tell_suspect (&site, &job->tasks[1], BEGUN_EARLIER);
-  replace (&site, "x2", "x3");
-  jobs_site_submit (&site, JOB_B, lasting ());
+  report_suspect (&site, &job->tasks[1], STARTED_EARLIER);
+  replace_executor (&site, "x2", "x3");
+  jobs_site_submit (&site, JOB_B, long_running_job ());
   jobs_site_executor (&site, "x3", 8)->assigned_at = site.now;
   gp_book_executor (&site.book, "x3")->task_count++;
   jobs_site_plan (&site);
@@ -763,15 +768,15 @@
   jobs_site_executor (&site, "x1", 8);
   job = jobs_site_submit (&site, JOB_A, jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
-  replace (&site, "x1", "x2");
+  replace_executor (&site, "x1", "x2");
   jobs_site_plan (&site);
   jobs_site_print_job (job);
   jobs_site_init (&next);
-  jobs_site_refold (&site, &next.book);
+  jobs_site_rebuild_book (&site, &next.book);
   jobs_site_finish (&site);
   job = gp_book_find (&next.book, JOB_A);
   jobs_site_print_job (job);
-  replace (&next, "x2", "x3");
+  replace_executor (&next, "x2", "x3");
   jobs_site_print_job (job);
   jobs_site_finish (&next);
 }
@@ -780,7 +785,7 @@
    starts.  */
 
 #define EXECUTORS 6
-#define EVERY 5
+#define CRASHER_INTERVAL 5
 
 typedef struct
 {
@@ -794,7 +799,7 @@
 is_crasher (const gp_job_task_t *task)
 {
   return task->index == 0
-         && g_ascii_strtoull (task->job->id, NULL, 16) % EVERY == 0;
+         && g_ascii_strtoull (task->job->id, NULL, 16) % CRASHER_INTERVAL == 0;
 }
 
 static void
@@ -828,7 +833,7 @@
 /* EXECUTOR, on which a crashing run has started, dies, and its guard reports
    which runs may have crashed it.  */
 static void
-crash (world_t *world, gp_job_executor_t *executor)
+crash_executor (world_t *world, gp_job_executor_t *executor)
 {
   GPtrArray *suspects = g_ptr_array_new ();
 
@@ -853,7 +858,7 @@
   gp_scheduler_note_suspects (&world->site.scheduler, executor,
                               (Gp__Jobs__TaskRun **)suspects->pdata,
                               suspects->len);
-  jobs_site_dead (&world->site, executor, GP_DEATH_REPLACED);
+  jobs_site_executor_dead (&world->site, executor, GP_DEATH_REPLACED);
   for (guint i = 0; i < suspects->len; i++)
     gp__jobs__task_run__free_unpacked (g_ptr_array_index (suspects, i), NULL);
   g_ptr_array_unref (suspects);
@@ -866,13 +871,13 @@
 {
   for (uint32_t i = 0; i < job->task_count; i++)
     if (job->tasks[i].executor != NULL)
-      jobs_site_end (&world->site, &job->tasks[i], GP_END_BROKEN);
+      jobs_site_run_ended (&world->site, &job->tasks[i], GP_END_BROKEN);
 }
 
 /* Returns an executor on which a crashing run has started, or NULL, and sets
  *FOUND to its job.  */
 static gp_job_executor_t *
-find_crashed (world_t *world, gp_job_t **found)
+find_crashing (world_t *world, gp_job_t **found)
 {
   GHashTableIter iter;
   gpointer value;
@@ -891,7 +896,7 @@
 /* Reports the runs of other tasks that have settled, and ends some of
    them.  */
 static void
-age (world_t *world)
+advance_runs (world_t *world)
 {
   GHashTableIter iter;
   gpointer value;
@@ -909,10 +914,10 @@
             continue;
           if (world->site.now - task->ordered_at
               >= gp_suspicion_settle_time (gp_task_step (task)->gang))
-            settle (&world->site, task);
+            report_settled (&world->site, task);
           if ((!gp_task_step (task)->gang || task->settled)
               && g_rand_int_range (world->random, 0, 4) == 0)
-            jobs_site_end (&world->site, task, GP_END_DONE);
+            jobs_site_run_ended (&world->site, task, GP_END_DONE);
         }
     }
 }
@@ -944,12 +949,12 @@
   world->site.now += g_rand_int_range (world->random, 50, 900) * GP_MSEC;
   if (g_rand_int_range (world->random, 0, 3) == 0)
     submit_random (world);
-  age (world);
+  advance_runs (world);
   jobs_site_plan (&world->site);
   check_jobs (world);
-  while ((executor = find_crashed (world, &job)) != NULL)
+  while ((executor = find_crashing (world, &job)) != NULL)
     {
-      crash (world, executor);
+      crash_executor (world, executor);
       if (gp_task_step (&job->tasks[0])->gang)
         break_gang (world, job);
     }
--- a/tests/unit/test_urgency.c
+++ b/tests/unit/test_urgency.c
@@ -15,7 +15,7 @@
 #define CORES 8
 
 static void
-id_of (char id[GP_JOB_ID_SIZE + 1], unsigned number)
+make_id (char id[GP_JOB_ID_SIZE + 1], unsigned number)
 {
   g_snprintf (id, GP_JOB_ID_SIZE + 1, "%016x", number);
 }
@@ -23,7 +23,7 @@
 /* Another process that takes over FORECAST predicts the same for JOB; an
    invalid forecast is refused.  */
 static void
-check_handed_on (const gp_forecast_t *forecast, gp_job_t *job, gp_time_t now)
+check_taken_over (const gp_forecast_t *forecast, gp_job_t *job, gp_time_t now)
 {
   GArray *rows = g_array_new (FALSE, FALSE, sizeof (Gp__Jobs__Forecast));
   Gp__Jobs__Forecast *row;
@@ -74,7 +74,7 @@
   /* One and a half times the longest task, which takes twice the mean.  */
   CU_ASSERT_DOUBLE_EQUAL ((double)(job->due_at - site.now) / GP_SEC, 18.25,
                           1.4);
-  check_handed_on (&forecast, job, site.now);
+  check_taken_over (&forecast, job, site.now);
   jobs_site_finish (&site);
   gp_forecast_finish (&forecast);
   g_rand_free (random);
@@ -149,7 +149,7 @@
 static void
 print_order (const jobs_site_t *site)
 {
-  static const char *const hopes[] = { "in time", "late", "none" };
+  static const char *const names[] = { "in time", "late", "none" };
   GArray *ranked
       = gp_urgency_rank (&site->book, &site->scheduler.forecast, site->now);
 
@@ -157,7 +157,7 @@
     {
       const gp_ranked_job_t *row = &g_array_index (ranked, gp_ranked_job_t, i);
 
-      printf ("  %s %s\n", row->job->id + 14, hopes[row->deadline_class]);
+      printf ("  %s %s\n", row->job->id + 14, names[row->deadline_class]);
     }
   g_array_free (ranked, TRUE);
 }
@@ -183,12 +183,12 @@
   jobs_site_executor (&site, "x1", CORES);
   for (unsigned i = 1; i <= 4; i++)
     {
-      id_of (id, i);
+      make_id (id, i);
       jobs_site_submit (&site, id, big_job ());
     }
   print_order (&site);
   printf ("a fifth finds no room, the one that has begun keeps its own\n");
-  id_of (id, 5);
+  make_id (id, 5);
   jobs_site_submit (&site, id, big_job ());
   jobs_site_plan (&site);
   print_order (&site);
@@ -255,16 +255,17 @@
 {
   GArray *ranked
       = gp_urgency_rank (&site->book, &site->scheduler.forecast, site->now);
-  unsigned called = 0;
+  unsigned ranked_in_time = 0;
   unsigned plain;
 
   for (guint i = 0; i < ranked->len; i++)
-    called += g_array_index (ranked, gp_ranked_job_t, i).deadline_class
-              == GP_DEADLINE_IN_TIME;
-  CU_ASSERT_EQUAL (in_time (ranked, GP_DEADLINE_IN_TIME, site->now), called);
+    ranked_in_time += g_array_index (ranked, gp_ranked_job_t, i).deadline_class
+                      == GP_DEADLINE_IN_TIME;
+  CU_ASSERT_EQUAL (in_time (ranked, GP_DEADLINE_IN_TIME, site->now),
+                   ranked_in_time);
   g_array_sort (ranked, by_objective);
   plain = in_time (ranked, GP_DEADLINE_USELESS, site->now);
-  CU_ASSERT_TRUE (called >= plain);
+  CU_ASSERT_TRUE (ranked_in_time >= plain);
   g_array_free (ranked, TRUE);
 }
 
@@ -287,7 +288,7 @@
 
           submission->stretch_percent
               = (uint32_t)g_rand_int_range (random, 120, 1500);
-          id_of (id, i);
+          make_id (id, i);
           jobs_site_submit (&site, id, submission);
         }
       check_against_plain (&site);
@@ -308,22 +309,22 @@
   char id[GP_JOB_ID_SIZE + 1];
   const gp_ranked_job_t *first;
   jobs_site_t site;
-  gp_job_t *lasting;
+  gp_job_t *long_running;
   GArray *ranked;
 
   jobs_site_init (&site);
   jobs_site_executor (&site, "x1", CORES);
   submission->steps[0]->long_running = true;
-  lasting = jobs_site_submit (&site, "00000000000000aa", submission);
+  long_running = jobs_site_submit (&site, "00000000000000aa", submission);
   site.now += 60 * GP_SEC;
   for (unsigned i = 0; i < JOBS_MAX; i++)
     {
-      id_of (id, i);
+      make_id (id, i);
       jobs_site_submit (&site, id, jobs_site_submission (CORES, 1000));
     }
   ranked = gp_urgency_rank (&site.book, &site.scheduler.forecast, site.now);
   first = &g_array_index (ranked, gp_ranked_job_t, 0);
-  CU_ASSERT_PTR_EQUAL (first->job, lasting);
+  CU_ASSERT_PTR_EQUAL (first->job, long_running);
   CU_ASSERT_EQUAL (first->deadline_class, GP_DEADLINE_IN_TIME);
   g_array_free (ranked, TRUE);
   jobs_site_finish (&site);
--- a/tests/unit/test_waits.c
+++ b/tests/unit/test_waits.c
@@ -15,43 +15,43 @@
                            gp_job_t *job);
 
 static void
-no_more (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
+set_dead (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
 {
   executor->dead = true;
 }
 
 static void
-full (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
+set_full (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
 {
   executor->used = executor->capacity;
 }
 
 static void
-evacuated (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
+set_evacuated (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
 {
   executor->evacuated = true;
 }
 
 static void
-silent (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
+set_unreachable (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
 {
   executor->reachable = false;
 }
 
 static void
-draining (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
+set_draining (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
 {
   executor->draining = true;
 }
 
 static void
-failing (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
+set_failing (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
 {
   executor->trusted_again = GP_TIME_NEVER;
 }
 
 static void
-kept (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
+set_dedicated (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
 {
   g_strlcpy (executor->kept_for, "00000000000000bb",
              sizeof executor->kept_for);
@@ -59,7 +59,7 @@
 }
 
 static void
-stray (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
+add_stray (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
 {
   Gp__Jobs__TaskRun row = GP__JOBS__TASK_RUN__INIT;
   Gp__Jobs__TaskRun *rows[] = { &row };
@@ -70,7 +70,8 @@
 }
 
 static void
-too_wide (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
+make_gang_too_large (jobs_site_t *site, gp_job_executor_t *executor,
+                     gp_job_t *job)
 {
   job->submission->steps[0]->gang = true;
   executor->used.cpu_milli = executor->capacity.cpu_milli - 1500;
@@ -94,7 +95,7 @@
 }
 
 static void
-wait_under (const char *what, unsigned tasks, arrange_t arrange)
+wait_with (const char *what, unsigned tasks, arrange_t arrange)
 {
   jobs_site_t site;
   gp_job_executor_t *executor;
@@ -120,15 +121,15 @@
 static void
 test_causes (void)
 {
-  wait_under ("no executor is left", 1, no_more);
-  wait_under ("it is full", 1, full);
-  wait_under ("its zone is evacuated", 1, evacuated);
-  wait_under ("it is silent", 1, silent);
-  wait_under ("it drains", 1, draining);
-  wait_under ("it fails what it is given", 1, failing);
-  wait_under ("it is kept for others", 1, kept);
-  wait_under ("a run that nobody wants is there", 1, stray);
-  wait_under ("it has room for one of two", 2, too_wide);
+  wait_with ("no executor is left", 1, set_dead);
+  wait_with ("it is full", 1, set_full);
+  wait_with ("its zone is evacuated", 1, set_evacuated);
+  wait_with ("it is silent", 1, set_unreachable);
+  wait_with ("it drains", 1, set_draining);
+  wait_with ("it fails what it is given", 1, set_failing);
+  wait_with ("it is kept for others", 1, set_dedicated);
+  wait_with ("a run that nobody wants is there", 1, add_stray);
+  wait_with ("it has room for one of two", 2, make_gang_too_large);
 }
 
 /* Checks whether the waiting task of a job with another run is reported.  */
@@ -164,9 +165,9 @@
 static void
 test_beside (void)
 {
-  wait_beside ("the other executor is full", full);
-  wait_beside ("it fails what it is given", failing);
-  wait_beside ("it is kept for others", kept);
+  wait_beside ("the other executor is full", set_full);
+  wait_beside ("it fails what it is given", set_failing);
+  wait_beside ("it is kept for others", set_dedicated);
 }
 
 static void
