--- a/bench/bench_pressure.c
+++ b/bench/bench_pressure.c
@@ -20,12 +20,12 @@
 #define STEP (300 * GP_MSEC)
 #define CHANGE_CHANCE 0.15
 
-static const unsigned checks[] = { 2, 5, 10, 40 }; /* seconds */
+static const unsigned check_times_s[] = { 2, 5, 10, 40 };
 
 typedef struct
 {
   double weights[IMAGES];
-  gp_pressure_work_t beside[RUNS];
+  gp_pressure_work_t filling_work[RUNS];
   bool seen[IMAGES];
   double phase;
 } site_t;
@@ -62,14 +62,14 @@
 {
   if (g_rand_double (random) >= CHANGE_CHANCE)
     return;
-  site->beside[i] = (gp_pressure_work_t){ { 0.0 } };
+  site->filling_work[i] = (gp_pressure_work_t){ { 0.0 } };
   for (int k = 0; k < 3; k++)
     {
       int image = g_rand_int_range (random, 0, IMAGES);
 
       if (g_rand_double (random) >= GP_PRESSURE_BUSY_SHARE)
         continue;
-      site->beside[i].work[image] = 1.0;
+      site->filling_work[i].work[image] = 1.0;
       site->seen[image] = true;
     }
 }
@@ -80,7 +80,7 @@
   double headroom = load_at (site, now);
 
   for (int image = 0; image < IMAGES; image++)
-    headroom -= site->weights[image] * site->beside[i].work[image];
+    headroom -= site->weights[image] * site->filling_work[i].work[image];
   return fmax (headroom, 0.08) * g_rand_double_range (random, 0.92, 1.08);
 }
 
@@ -112,15 +112,15 @@
   gp_pressure_init (&pressure);
   gp_headroom_init (&load);
   draw_site (&site, random);
-  for (gp_time_t now = STEP; next < G_N_ELEMENTS (checks); now += STEP)
+  for (gp_time_t now = STEP; next < G_N_ELEMENTS (check_times_s); now += STEP)
     {
       for (int i = 0; i < RUNS; i++, measures++)
         {
           change_work (&site, i, random);
-          gp_pressure_learn (&pressure, "s", &site.beside[i],
+          gp_pressure_learn (&pressure, "s", &site.filling_work[i],
                              measured (&site, i, now, random), &load, now);
         }
-      if (now >= checks[next] * GP_SEC)
+      if (now >= check_times_s[next] * GP_SEC)
         add_errors (&errors[next++], &pressure, &site, &load, now);
     }
   gp_pressure_finish (&pressure);
@@ -130,17 +130,17 @@
 int
 main (void)
 {
-  errors_t errors[G_N_ELEMENTS (checks)] = { { .seen = 0 } };
+  errors_t errors[G_N_ELEMENTS (check_times_s)] = { { .seen = 0 } };
   GRand *random = g_rand_new_with_seed (5);
   gp_time_t begin = gp_time_now ();
   unsigned measures = 0;
 
   for (int i = 0; i < SITES; i++)
     measures += measure_site (errors, random);
-  for (size_t i = 0; i < G_N_ELEMENTS (checks); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (check_times_s); i++)
     printf ("after %2u s: error of weights %.2f (prior %.2f), of the load "
             "%.2f\n",
-            checks[i], sqrt (errors[i].weights / errors[i].seen),
+            check_times_s[i], sqrt (errors[i].weights / errors[i].seen),
             sqrt (errors[i].prior / errors[i].seen),
             sqrt (errors[i].load / SITES));
   printf ("%.2f us a measure\n", (double)(gp_time_now () - begin) / measures);
--- a/src/jobs/scheduler_losses.c
+++ b/src/jobs/scheduler_losses.c
@@ -378,9 +378,9 @@
   bool crash = may_be_crash (executor, why);
   bool in_outage = crash && !executor->suspects_told
                    && lost_with_others (scheduler->book, executor, now);
-  bool proved = crash && crashing_job (executor) != NULL;
+  bool crasher_known = crash && crashing_job (executor) != NULL;
 
-  if (proved)
+  if (crasher_known)
     gp_scheduler_executor_down (scheduler, executor, now);
   gp_log (GP_LOG_INFO, "executor.dead", GP_LOG_S ("executor", executor->id),
           GP_LOG_I ("runs", executor->task_count),
@@ -398,7 +398,8 @@
       suspicion = in_outage ? gp_suspicion_crashed_in_outage (task, sole_job)
                             : gp_suspicion_crashed (task, sole_job);
 
-    gp_counter_add (&bystander_runs_count, proved && task->job != sole_job);
+    gp_counter_add (&bystander_runs_count,
+                    crasher_known && task->job != sole_job);
     lose_run (scheduler, task, suspicion, suspects, now, wall_ms);
   }
   executor->suspects_told = false;
--- a/src/jobs/suspicion.c
+++ b/src/jobs/suspicion.c
@@ -271,10 +271,10 @@
 }
 
 void
-gp_suspicion_restore (gp_job_task_t *task, bool alone)
+gp_suspicion_restore (gp_job_task_t *task, bool isolated)
 {
-  task->alone = alone;
-  if (alone)
+  task->alone = isolated;
+  if (isolated)
     set_dedication (task->executor, task->job, 0);
 }
 
--- a/src/jobs/suspicion.h
+++ b/src/jobs/suspicion.h
@@ -65,8 +65,8 @@
    times what a crashing task takes, as a VM may be busy, and little else
    starts in that time.  */
 #define GP_SUSPICION_JUST_TIME (100 * GP_MSEC)
-/* Added for gangs: members are listed while they wait for each other, up to 3
-   s.  */
+/* Added for gangs, whose members are listed while they wait for each other for
+   up to 3 s.  */
 #define GP_SUSPICION_GANG_SETTLE_TIME (3 * GP_SEC)
 
 /* A run that was assigned longer ago than this is not a recent start: its
@@ -98,7 +98,7 @@
   GP_SUSPICION_GIVE_UP /* the task is to be given up */
 } gp_suspicion_t;
 
-/* Returns how long a run has to be at work to have settled.  GANG: the task is
+/* Returns how long a run has to run to have settled.  GANG: the task is
    a member of a gang.  */
 gp_time_t gp_suspicion_settle_time (bool gang);
 
@@ -161,9 +161,9 @@
 bool gp_suspicion_has_no_recent_starts (const gp_job_executor_t *executor,
                                         gp_time_t now);
 
-/* Restores from a record that TASK is on its executor; ALONE: it was started
-   in isolation.  */
-void gp_suspicion_restore (gp_job_task_t *task, bool alone);
+/* Restores from a record that TASK is on its executor; ISOLATED: it was
+   started in isolation.  */
+void gp_suspicion_restore (gp_job_task_t *task, bool isolated);
 
 /* Dedicates EXECUTOR to TASK, which is to be started there once all other runs
    there have certainly started.  */
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -116,7 +116,7 @@
   jobs_site_finish (&site);
 }
 
-/* Sets up two suspect jobs, JOB with one task and BESIDE with two.  One
+/* Sets up two suspect jobs, JOB with one task and NEIGHBOUR with two.  One
    executor crashed while all tasks had just started, and another one under
    JOB's task, which is tried first.  */
 static void
