--- a/src/jobs/book.c
+++ b/src/jobs/book.c
@@ -1,4 +1,4 @@
-/* Fold of submissions, cancellations and progress.  */
+/* Applies submissions, cancellations and progress to the book.  */
 
 #include "jobs/book.h"
 
@@ -10,7 +10,7 @@
 #include "jobs/records.h"
 #include "jobs/suspicion.h"
 
-/* More than any job is kept; an older time is a clock that is wrong.  */
+/* Longer than any job is kept; an older time comes from a wrong clock.  */
 #define AGE_MAX_MS ((int64_t)3600 * 1000)
 
 static void
@@ -82,8 +82,8 @@
 }
 
 gp_job_executor_t *
-gp_book_next_life (gp_book_t *book, gp_job_executor_t *executor,
-                   int64_t born_ms)
+gp_book_next_incarnation (gp_book_t *book, gp_job_executor_t *executor,
+                          int64_t born_ms)
 {
   gp_job_executor_t *next = gp_job_executor_new (executor->id);
 
@@ -121,21 +121,21 @@
 }
 
 bool
-gp_book_awaits (const gp_book_t *book, const char *name)
+gp_book_awaits_submission (const gp_book_t *book, const char *name)
 {
   char id[GP_JOB_ID_SIZE + 1];
   const gp_job_t *job;
 
   g_strlcpy (id, name, sizeof id);
   job = gp_book_find (book, id);
-  /* A submission that cannot be read never comes: waiting for it would hold
-     up all later ends of the executor.  */
-  return job != NULL && job->submission == NULL && !job->lacks_submission
+  /* A submission that cannot be read never arrives: waiting for it would block
+     all later ends of the executor.  */
+  return job != NULL && job->submission == NULL && !job->submission_unreadable
          && job->early_progress != NULL
          && job->early_progress->state < GP_JOB_COMPLETED;
 }
 
-/* Set a task back to its beginning before a record is applied.  */
+/* Resets a task to its initial state before a record is applied.  */
 static void
 reset_task (gp_job_task_t *task)
 {
@@ -146,7 +146,7 @@
   task->failures = 0;
   task->crashes = 0;
   task->evidence = 0;
-  gp_suspicion_forget_run (task);
+  gp_suspicion_reset_run (task);
   g_clear_pointer (&task->checkpoint, g_free);
 }
 
@@ -164,17 +164,17 @@
   if (*progress->executor == '\0')
     return;
   gp_job_executor_add (gp_book_executor (book, progress->executor), task);
-  gp_suspicion_folded (task, progress->alone);
+  gp_suspicion_restore (task, progress->alone);
   gp_task_set_state (task,
                      progress->stopping ? GP_TASK_STOPPING : GP_TASK_ASSIGNED);
 }
 
-/* Bring the list of live jobs up to date with JOB.  */
+/* Adds JOB to the list of live jobs or removes it.  */
 static void
 update_live (gp_book_t *book, gp_job_t *job)
 {
-  bool live
-      = job->submission != NULL && !gp_job_ended (job) && !job->lacks_progress;
+  bool live = job->submission != NULL && !gp_job_ended (job)
+              && !job->progress_unknown;
 
   if (!live)
     gp_list_remove (&job->link);
@@ -192,7 +192,8 @@
   for (size_t i = 0; i < progress->n_tasks; i++)
     apply_task (book, &job->tasks[progress->tasks[i]->index],
                 progress->tasks[i]);
-  /* It waits as long as its runs are on executors that are down.  */
+  /* A job remains queued as long as its runs are on executors that are
+     down.  */
   job->started = progress->n_done > 0 || progress->state > GP_JOB_QUEUED;
   job->ended_wall_ms = progress->ended_wall_ms;
   job->state = (gp_job_state_t)progress->state;
@@ -200,7 +201,7 @@
   update_live (book, job);
 }
 
-/* Apply what came before the submission.  */
+/* Applies the progress received before the submission.  */
 static bool
 apply_early (gp_book_t *book, gp_job_t *job, GError **error)
 {
@@ -210,13 +211,14 @@
   if (early == NULL)
     return true;
   fits = gp_record_progress_fits (early, job->task_count, error);
-  if (fits && !job->lacks_progress)
+  if (fits && !job->progress_unknown)
     apply (book, job, early);
   gp__jobs__progress__free_unpacked (early, NULL);
   return fits;
 }
 
-/* How long ago SUBMISSION was accepted; clocks may differ a little.  */
+/* Returns how long ago SUBMISSION was accepted; clocks may differ a
+   little.  */
 static gp_time_t
 age_of (const Gp__Jobs__Submission *submission, int64_t wall_ms)
 {
@@ -226,9 +228,9 @@
 }
 
 gp_job_t *
-gp_book_take_submission (gp_book_t *book, const char *id,
-                         Gp__Jobs__Submission *submission, gp_time_t now,
-                         int64_t wall_ms, GError **error)
+gp_book_apply_submission (gp_book_t *book, const char *id,
+                          Gp__Jobs__Submission *submission, gp_time_t now,
+                          int64_t wall_ms, GError **error)
 {
   gp_job_t *job = get_job (book, id);
 
@@ -237,10 +239,10 @@
       gp__jobs__submission__free_unpacked (submission, NULL);
       return job;
     }
-  job->lacks_submission = false;
+  job->submission_unreadable = false;
   if (!apply_early (book, job, error))
     {
-      job->lacks_progress = true;
+      job->progress_unknown = true;
       return NULL;
     }
   update_live (book, job);
@@ -255,7 +257,7 @@
 
   if (submission == NULL)
     return NULL;
-  return gp_book_take_submission (book, id, submission, now, wall_ms, error);
+  return gp_book_apply_submission (book, id, submission, now, wall_ms, error);
 }
 
 gp_job_t *
@@ -268,19 +270,19 @@
 }
 
 static void
-keep_early (gp_job_t *job, Gp__Jobs__Progress *progress)
+store_early (gp_job_t *job, Gp__Jobs__Progress *progress)
 {
   if (job->early_progress != NULL)
     gp__jobs__progress__free_unpacked (job->early_progress, NULL);
   job->early_progress = progress;
 }
 
-/* The number that stands in a record for the run of a task that is done.  */
+/* Stands for the run number of a task that is done.  */
 #define RUN_DONE UINT64_MAX
 
-/* The runs that PROGRESS tells, by task; owned by the caller.  */
+/* Returns the run numbers in PROGRESS, by task; owned by the caller.  */
 static uint64_t *
-told_runs (const gp_job_t *job, const Gp__Jobs__Progress *progress)
+recorded_runs (const gp_job_t *job, const Gp__Jobs__Progress *progress)
 {
   uint64_t *runs = g_new0 (uint64_t, job->task_count);
 
@@ -291,12 +293,13 @@
   return runs;
 }
 
-/* Can PROGRESS come after what is known of JOB?  Numbers of runs only grow,
-   and what is done stays so; a record that says otherwise would have a run
-   started twice.  A job that has ended tells no more of its tasks.  */
+/* Returns whether PROGRESS can follow the known state of JOB.  Run numbers
+   only grow, and a done task stays done; a record that says otherwise would
+   cause a run to be started twice.  The record of a job that has ended does
+   not list all its tasks.  */
 static bool
-follows (const gp_job_t *job, const Gp__Jobs__Progress *progress,
-         GError **error)
+can_follow (const gp_job_t *job, const Gp__Jobs__Progress *progress,
+            GError **error)
 {
   uint64_t *runs;
   bool grows = true;
@@ -305,7 +308,7 @@
     return true;
   if (gp_job_ended (job))
     return gp_field_fail (error, "state", "the job has ended");
-  runs = told_runs (job, progress);
+  runs = recorded_runs (job, progress);
   for (uint32_t i = 0; i < job->task_count; i++)
     if (runs[i]
         < (job->tasks[i].state == GP_TASK_DONE ? RUN_DONE : job->tasks[i].run))
@@ -314,24 +317,25 @@
   return grows || gp_field_fail (error, "run", "goes back");
 }
 
-/* Is PROGRESS one of JOB, whose submission may still have to come?  */
+/* Returns whether PROGRESS can belong to JOB, whose submission may not have
+   arrived yet.  */
 static bool
 is_of_job (const gp_job_t *job, const Gp__Jobs__Progress *progress,
            GError **error)
 {
   return job->submission == NULL
          || (gp_record_progress_fits (progress, job->task_count, error)
-             && follows (job, progress, error));
+             && can_follow (job, progress, error));
 }
 
 gp_job_t *
-gp_book_take_progress (gp_book_t *book, const char *id,
-                       Gp__Jobs__Progress *progress, gp_book_place_t place,
-                       GError **error)
+gp_book_apply_progress (gp_book_t *book, const char *id,
+                        Gp__Jobs__Progress *progress,
+                        gp_book_position_t position, GError **error)
 {
   gp_job_t *job = get_job (book, id);
 
-  if (!place.loading && place.offset < job->progress_end)
+  if (!position.loading && position.offset < job->progress_end)
     {
       gp__jobs__progress__free_unpacked (progress, NULL);
       return job;
@@ -339,14 +343,14 @@
   if (!is_of_job (job, progress, error))
     {
       gp__jobs__progress__free_unpacked (progress, NULL);
-      gp_book_refuse_progress (book, id, place);
+      gp_book_refuse_progress (book, id, position);
       return NULL;
     }
-  job->progress_end = place.offset + 1;
-  job->lacks_progress = false;
-  job->overwritten = false;
+  job->progress_end = position.offset + 1;
+  job->progress_unknown = false;
+  job->newest_unreadable = false;
   if (job->submission == NULL)
-    keep_early (job, progress);
+    store_early (job, progress);
   else
     {
       apply (book, job, progress);
@@ -360,11 +364,11 @@
                   size_t size, GError **error)
 {
   Gp__Jobs__Progress *progress = gp_record_progress (bytes, size, error);
-  gp_book_place_t place = { .offset = get_job (book, id)->progress_end };
+  gp_book_position_t position = { .offset = get_job (book, id)->progress_end };
 
   if (progress == NULL)
     return NULL;
-  return gp_book_take_progress (book, id, progress, place, error);
+  return gp_book_apply_progress (book, id, progress, position, error);
 }
 
 void
@@ -372,23 +376,23 @@
 {
   gp_job_t *job = get_job (book, id);
 
-  job->lacks_submission = job->submission == NULL;
+  job->submission_unreadable = job->submission == NULL;
 }
 
 void
 gp_book_refuse_progress (gp_book_t *book, const char *id,
-                         gp_book_place_t place)
+                         gp_book_position_t position)
 {
   gp_job_t *job = get_job (book, id);
 
-  if (place.loading)
-    job->lacks_progress = true;
-  job->overwritten = !job->lacks_progress;
+  if (position.loading)
+    job->progress_unknown = true;
+  job->newest_unreadable = !job->progress_unknown;
   update_live (book, job);
 }
 
-/* Does a record of the job need TASK?  When the job has ended, only what may
-   still be at work.  */
+/* Returns whether TASK has to be in its job's record.  If the job has ended,
+   only tasks that may still be running are.  */
 static bool
 is_packed (const gp_job_task_t *task, bool ended)
 {
@@ -450,7 +454,7 @@
 {
   job->state = state;
   job->ended_wall_ms = wall_ms;
-  job->lacks_progress = false;
+  job->progress_unknown = false;
   gp_list_remove (&job->link);
 }
 
@@ -470,7 +474,6 @@
   return pending;
 }
 
-/* Has JOB ended, so long ago that nothing of it is at work?  */
 bool
 gp_book_expired (const gp_job_t *job, int64_t wall_ms)
 {
--- a/src/jobs/headroom.c
+++ b/src/jobs/headroom.c
@@ -1,30 +1,31 @@
-/* The headroom of runs that serve, tracked over time.  */
+/* Tracks the headroom of serving runs over time.  */
 
 #include "jobs/headroom.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Deviation of a measurement: a share of it, and what rounding to whole
-   milliseconds and the time between measure and report add.  */
+/* Standard deviation of a measurement: a share of it, plus what rounding to
+   whole milliseconds and the delay between measurement and report add.  */
 #define NOISE_SHARE 0.05
-#define NOISE_LEAST 0.05
-/* Deviations of mean, displacement and speed before they are known.  */
+#define NOISE_MIN 0.05
+/* Prior standard deviations of mean, displacement and speed.  */
 #define MEAN_DEVIATION 0.4
 #define DISPLACEMENT_DEVIATION 0.9
 #define SPEED_DEVIATION 0.5
-/* What the variances of mean and speed gain in a second, for a swing that is
-   not quite regular and a period between two of those below.  */
+/* Increase of the variances of mean and speed per second, to allow for
+   oscillations that are not quite regular and for periods between two of those
+   below.  */
 #define MEAN_DRIFT 0.0005
 #define SPEED_DRIFT 0.01
-/* Share of the likelihood that is kept from measure to measure: of some ten
-   seconds of a job with six runs.  */
-#define LIKELIHOOD_KEPT 0.99
-/* A surprise counts at most so many deviations.  */
+/* Decay of the likelihood per measurement: a memory of about ten seconds for a
+   job with six runs.  */
+#define LIKELIHOOD_DECAY 0.99
+/* Prediction errors are clipped at this many standard deviations.  */
 #define CLIP_DEVIATIONS 3.0
 
-/* Seconds, a factor of 1.2 apart: a swing between two of these is followed by
-   the nearer one.  */
+/* Seconds, spaced by a factor of 1.2: a period between two of these is
+   followed by the nearer one.  */
 static const double periods[GP_HEADROOM_PERIODS]
     = { 5.8, 7.0, 8.4, 10.0, 12.0, 14.0, 17.0, 22.0 };
 
@@ -46,7 +47,7 @@
 double
 gp_headroom_noise (double headroom)
 {
-  double deviation = NOISE_LEAST + NOISE_SHARE * headroom;
+  double deviation = NOISE_MIN + NOISE_SHARE * headroom;
 
   return deviation * deviation;
 }
@@ -64,7 +65,7 @@
 }
 
 static void
-begin (gp_headroom_t *track, gp_time_t now)
+start_track (gp_headroom_t *track, gp_time_t now)
 {
   track->at = now;
   for (unsigned int i = 0; i < GP_HEADROOM_PERIODS; i++)
@@ -72,7 +73,7 @@
       gp_headroom_filter_t *filter = &track->filters[i];
 
       memset (filter, 0, sizeof *filter);
-      filter->state[MEAN] = GP_HEADROOM_UNKNOWN;
+      filter->state[MEAN] = GP_HEADROOM_PRIOR;
       filter->covariance[MEAN][MEAN] = MEAN_DEVIATION * MEAN_DEVIATION;
       filter->covariance[DISPLACEMENT][DISPLACEMENT]
           = DISPLACEMENT_DEVIATION * DISPLACEMENT_DEVIATION;
@@ -80,7 +81,8 @@
     }
 }
 
-/* The matrix that moves the states on by SECONDS in a swing of PERIOD.  */
+/* Fills the matrix that advances the state by SECONDS in an oscillation of
+   PERIOD.  */
 static void
 make_transition (matrix_t transition, double period, double seconds)
 {
@@ -96,7 +98,7 @@
   transition[SPEED][SPEED] = c;
 }
 
-/* RESULT = A B, or A B' where TRANSPOSED.  */
+/* RESULT = A B, or A B' if TRANSPOSED.  */
 static void
 multiply (matrix_t result, matrix_t a, matrix_t b, bool transposed)
 {
@@ -109,9 +111,9 @@
       }
 }
 
-/* Move the state of FILTER on by TRANSITION, not its covariance.  */
+/* Advances the state of FILTER by TRANSITION, but not its covariance.  */
 static void
-move_state (gp_headroom_filter_t *filter, matrix_t transition)
+advance_state (gp_headroom_filter_t *filter, matrix_t transition)
 {
   double state[GP_HEADROOM_STATES];
 
@@ -124,7 +126,7 @@
   memcpy (filter->state, state, sizeof state);
 }
 
-/* Move FILTER on by SECONDS in a swing of PERIOD.  */
+/* Advances FILTER by SECONDS in an oscillation of PERIOD.  */
 static void
 predict (gp_headroom_filter_t *filter, double period, double seconds)
 {
@@ -136,7 +138,7 @@
   multiply (filter->covariance, half, transition, true);
   filter->covariance[MEAN][MEAN] += MEAN_DRIFT * seconds;
   filter->covariance[SPEED][SPEED] += SPEED_DRIFT * seconds;
-  move_state (filter, transition);
+  advance_state (filter, transition);
 }
 
 static double
@@ -159,17 +161,18 @@
   return (double)(when - track->at) / GP_SEC;
 }
 
-/* The best filter of TRACK with its state moved on to WHEN.  Placement asks
-   for it for each serving run and place, so that the covariance is left.  */
+/* Returns the best filter of TRACK with its state advanced to WHEN.  Placement
+   needs this for each serving run and place, so the covariance is not
+   advanced.  */
 static gp_headroom_filter_t
-foresee (const gp_headroom_t *track, gp_time_t when)
+predict_best (const gp_headroom_t *track, gp_time_t when)
 {
   gp_headroom_filter_t filter = track->filters[track->best];
   matrix_t transition;
 
   make_transition (transition, periods[track->best],
                    seconds_until (track, when));
-  move_state (&filter, transition);
+  advance_state (&filter, transition);
   return filter;
 }
 
@@ -179,8 +182,8 @@
   gp_headroom_filter_t filter;
 
   if (!gp_headroom_is_known (track))
-    return GP_HEADROOM_UNKNOWN;
-  filter = foresee (track, when);
+    return GP_HEADROOM_PRIOR;
+  filter = predict_best (track, when);
   return level_of (&filter);
 }
 
@@ -191,7 +194,7 @@
 
   if (!gp_headroom_is_known (track))
     return 0.0;
-  filter = foresee (track, when);
+  filter = predict_best (track, when);
   return filter.state[SPEED];
 }
 
@@ -211,8 +214,8 @@
 correct (gp_headroom_filter_t *filter, double value, double variance)
 {
   double total = variance_of (filter) + variance;
-  double most = CLIP_DEVIATIONS * sqrt (total);
-  double surprise = fmax (-most, fmin (most, value - level_of (filter)));
+  double limit = CLIP_DEVIATIONS * sqrt (total);
+  double innovation = fmax (-limit, fmin (limit, value - level_of (filter)));
   double gain[GP_HEADROOM_STATES];
 
   for (int i = 0; i < GP_HEADROOM_STATES; i++)
@@ -221,12 +224,12 @@
           / total;
   for (int i = 0; i < GP_HEADROOM_STATES; i++)
     {
-      filter->state[i] += gain[i] * surprise;
+      filter->state[i] += gain[i] * innovation;
       for (int j = 0; j < GP_HEADROOM_STATES; j++)
         filter->covariance[i][j] -= gain[i] * gain[j] * total;
     }
-  filter->likelihood = LIKELIHOOD_KEPT * filter->likelihood
-                       - (log (total) + surprise * surprise / total) / 2.0;
+  filter->likelihood = LIKELIHOOD_DECAY * filter->likelihood
+                       - (log (total) + innovation * innovation / total) / 2.0;
 }
 
 void
@@ -236,7 +239,7 @@
   double seconds;
 
   if (!gp_headroom_is_known (track))
-    begin (track, now);
+    start_track (track, now);
   seconds = seconds_until (track, now);
   track->at = now;
   for (unsigned int i = 0; i < GP_HEADROOM_PERIODS; i++)
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -1,4 +1,4 @@
-/* A job of steps and its tasks.  */
+/* A job, its steps and its tasks.  */
 
 #include "jobs/job.h"
 
@@ -101,8 +101,8 @@
   return false;
 }
 
-/* Times are added and multiplied later on: they stay far from where that
-   overflows.  */
+/* Limits times so that later additions and multiplications cannot
+   overflow.  */
 static bool
 check_times (const Gp__Jobs__Submission *submission, GError **error)
 {
@@ -194,11 +194,11 @@
 bool
 gp_job_is_readable (const gp_job_t *job)
 {
-  return !job->lacks_submission && !job->lacks_progress;
+  return !job->submission_unreadable && !job->progress_unknown;
 }
 
 bool
-gp_job_begin (gp_job_t *job)
+gp_job_mark_started (gp_job_t *job)
 {
   bool waited = job->state == GP_JOB_QUEUED;
 
--- a/src/jobs/placer.c
+++ b/src/jobs/placer.c
@@ -9,25 +9,27 @@
 #include "jobs/urgency.h"
 
 /* Share of an executor's processors, in thousandths, that only jobs of the
-   first priority may take: quick work then finds room without preemption.  */
+   first priority may take, so that short work is placed without
+   preemption.  */
 #define RESERVED_PERMILLE 60
-/* A filling task is placed where at least this share, in thousandths, of
-   what it asks for is left over; with less it waits for a better place.  */
+/* A filling task is placed where at least this share, in thousandths, of the
+   processors that it asks for is unused; with less it waits for a better
+   place.  */
 #define FILL_PERMILLE 700
-/* The longest time without a look at what waits: the phases in which a place
-   is harmless last some seconds.  */
-#define LOOK_AGAIN_TIME (20 * GP_MSEC)
-
-/* A place with no more harm than this is worth a move of a run that is held
-   back where it is.  */
-#define HARM_BETTER 0.05
-/* A job that has had no run for so long takes a place with less left over as
-   well, on an executor of which less than half is reserved: filling work asks
-   for no room there, only its speed suffers, and an accepted job is not to
-   stand still while most of the room is free.  */
+/* Longest interval between placement passes: the phases in which a place is
+   free of interference last some seconds.  */
+#define PASS_INTERVAL (20 * GP_MSEC)
+
+/* A place with no more interference than this is worth moving a throttled run
+   to.  */
+#define RELOCATE_MAX_INTERFERENCE 0.05
+/* A job that has had no run for this long also takes a place with less unused
+   processor time, on an executor of which less than half is reserved.  Filling
+   work reserves no processors, so only its speed suffers, and an accepted job
+   must not be stuck while most of the capacity is free.  */
 #define STARVED_TIME (2 * GP_SEC)
 
-/* May EXECUTOR get new work, but for its zone?  */
+/* Returns whether EXECUTOR may get new work, apart from its zone.  */
 static bool
 is_usable (const gp_job_executor_t *executor, gp_time_t now)
 {
@@ -36,7 +38,7 @@
 }
 
 static bool
-takes_work (const gp_job_executor_t *executor, gp_time_t now)
+accepts_work (const gp_job_executor_t *executor, gp_time_t now)
 {
   return !executor->evacuated && is_usable (executor, now);
 }
@@ -51,7 +53,7 @@
 
   g_hash_table_iter_init (&iter, book->executors);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (takes_work (value, now))
+    if (accepts_work (value, now))
       {
         gp_placer_candidate_t candidate = { .executor = value };
 
@@ -60,9 +62,9 @@
   return candidates;
 }
 
-/* Number of tasks of TASK's step and occurrence on EXECUTOR.  */
+/* Returns the number of tasks of TASK's step and occurrence on EXECUTOR.  */
 static uint32_t
-siblings_on (const gp_job_executor_t *executor, const gp_job_task_t *task)
+count_siblings (const gp_job_executor_t *executor, const gp_job_task_t *task)
 {
   uint32_t step = gp_task_step_number (task);
   uint32_t occurrence = gp_task_occurrence (task);
@@ -81,17 +83,18 @@
 }
 
 bool
-gp_placer_has_waited (const gp_job_t *job, gp_time_t time, gp_time_t now)
+gp_placer_has_idled (const gp_job_t *job, gp_time_t time, gp_time_t now)
 {
   return job->idle_since != 0 && now - job->idle_since > time;
 }
 
-/* May the filling TASK have less than its share on EXECUTOR?  */
+/* Returns whether the filling TASK may get less than its share on
+   EXECUTOR.  */
 static bool
-may_crowd (const gp_job_executor_t *executor, const gp_job_task_t *task,
-           gp_time_t now)
+may_overcommit (const gp_job_executor_t *executor, const gp_job_task_t *task,
+                gp_time_t now)
 {
-  return gp_placer_has_waited (task->job, STARVED_TIME, now)
+  return gp_placer_has_idled (task->job, STARVED_TIME, now)
          && executor->used.cpu_milli * 2 < executor->capacity.cpu_milli;
 }
 
@@ -104,7 +107,7 @@
   if (step->fills)
     return gp_job_executor_left_over (executor)
                >= (int64_t)step->cpu_milli * FILL_PERMILLE / 1000
-           || may_crowd (executor, task, now);
+           || may_overcommit (executor, task, now);
   if (task->job->submission->priority == 0)
     reserved = 0;
   return executor->used.cpu_milli + step->cpu_milli + reserved
@@ -112,8 +115,8 @@
 }
 
 bool
-gp_placer_serves (const gp_job_executor_t *executor, const gp_job_task_t *task,
-                  const Gp__Jobs__Step *step)
+gp_placer_matches (const gp_job_executor_t *executor,
+                   const gp_job_task_t *task, const Gp__Jobs__Step *step)
 {
   return g_strcmp0 (executor->service, task->job->submission->service) == 0
          && (*step->required_label == '\0'
@@ -121,9 +124,9 @@
 }
 
 bool
-gp_placer_has_room (const gp_job_executor_t *executor,
-                    const gp_job_task_t *task, const Gp__Jobs__Step *step,
-                    gp_time_t now)
+gp_placer_has_capacity (const gp_job_executor_t *executor,
+                        const gp_job_task_t *task, const Gp__Jobs__Step *step,
+                        gp_time_t now)
 {
   const gp_room_t *capacity = &executor->capacity;
   const gp_room_t *used = &executor->used;
@@ -134,21 +137,22 @@
 }
 
 bool
-gp_placer_is_apart (const gp_job_executor_t *executor,
-                    const gp_job_task_t *task, const Gp__Jobs__Step *step)
+gp_placer_within_spread_limit (const gp_job_executor_t *executor,
+                               const gp_job_task_t *task,
+                               const Gp__Jobs__Step *step)
 {
   return step->max_per_executor == 0
-         || siblings_on (executor, task) < step->max_per_executor;
+         || count_siblings (executor, task) < step->max_per_executor;
 }
 
 bool
 gp_placer_fits (const gp_job_executor_t *executor, const gp_job_task_t *task,
                 const Gp__Jobs__Step *step, gp_time_t now)
 {
-  return gp_placer_serves (executor, task, step)
-         && gp_placer_has_room (executor, task, step, now)
-         && gp_suspicion_admits (executor, task, now)
-         && gp_placer_is_apart (executor, task, step);
+  return gp_placer_matches (executor, task, step)
+         && gp_placer_has_capacity (executor, task, step, now)
+         && gp_suspicion_allows (executor, task, now)
+         && gp_placer_within_spread_limit (executor, task, step);
 }
 
 static gp_placer_candidate_t *
@@ -158,11 +162,11 @@
   gp_placer_candidate_t *best = NULL;
   int64_t best_score = INT64_MIN;
 
-  gp_suspicion_waits (task, pass->now);
-  if (gp_placer_wants_quarantine (pass, task))
+  gp_suspicion_begin_wait (task, pass->now);
+  if (gp_placer_needs_quarantine (pass, task))
     return gp_placer_choose_quarantined (pass, task);
-  if (gp_placer_wants_alone (pass, task))
-    return gp_placer_choose_alone (pass, task);
+  if (gp_placer_needs_isolation (pass, task))
+    return gp_placer_choose_isolated (pass, task);
   for (guint i = 0; i < pass->candidates->len; i++)
     {
       gp_placer_candidate_t *candidate
@@ -190,23 +194,24 @@
   gp_job_t *job = task->job;
 
   task->run = run;
-  task->since = pass->now;
-  task->slow_since = 0;
+  task->ordered_at = pass->now;
+  task->throttled_since = 0;
   gp_task_set_state (task, GP_TASK_ASSIGNED);
   gp_job_executor_add (candidate->executor, task);
-  if (gp_placer_wants_quarantine (pass, task))
-    gp_suspicion_keep_for (candidate->executor, job,
-                           pass->now + GP_QUARANTINE_KEEP_TIME);
-  else if (gp_placer_wants_alone (pass, task))
-    gp_suspicion_keep (candidate->executor, task, pass->now);
-  gp_suspicion_assigned (task, pass->now);
-  if (step->fills && candidate->counted)
+  if (gp_placer_needs_quarantine (pass, task))
+    gp_suspicion_dedicate_until (candidate->executor, job,
+                                 pass->now + GP_QUARANTINE_KEEP_TIME);
+  else if (gp_placer_needs_isolation (pass, task))
+    gp_suspicion_dedicate (candidate->executor, task, pass->now);
+  gp_suspicion_note_assigned (task, pass->now);
+  if (step->fills && candidate->fillings_counted)
     gp_placer_add_filling (pass, candidate, step->image);
   job->idle_since = 0;
   g_ptr_array_add (pass->placed, task);
 }
 
-/* Would TASK be placed if no availability zone were evacuated?  */
+/* Returns whether TASK would be placed if no availability zone were
+   evacuated.  */
 static bool
 waits_for_zone (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
@@ -225,7 +230,7 @@
   return false;
 }
 
-/* TASK found no place: does its job have any run?  */
+/* TASK found no place: records whether its job is left without any run.  */
 static void
 note_idle (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
@@ -239,8 +244,9 @@
             GP_LOG_S ("why", "zone evacuated"));
 }
 
-/* Assign the waiting tasks of a step one by one, up to one that finds no
-   place: those after it are like it, unless it is to be kept apart.  */
+/* Assigns the waiting tasks of a step one by one until one finds no place.
+   The later tasks need the same, so they are skipped.  A task that needs an
+   isolated start or waits for a stray run to end does not stop the others.  */
 static void
 assign_each (gp_placer_pass_t *pass, gp_job_task_t *first, uint32_t count)
 {
@@ -252,13 +258,14 @@
         continue;
       if (gp_job_executor_has_stray (&first[i]))
         {
-          gp_placer_found_none (pass, &first[i]);
+          gp_placer_note_unplaced (pass, &first[i]);
           continue;
         }
       candidate = choose (pass, &first[i]);
       if (candidate == NULL)
-        gp_placer_found_none (pass, &first[i]);
-      if (candidate == NULL && gp_suspicion_wants_alone (&first[i], pass->now))
+        gp_placer_note_unplaced (pass, &first[i]);
+      if (candidate == NULL
+          && gp_suspicion_needs_isolation (&first[i], pass->now))
         continue;
       if (candidate == NULL)
         {
@@ -266,11 +273,12 @@
           return;
         }
       assign (pass, &first[i], candidate, first[i].run + 1);
-      gp_placer_found_place (&first[i]);
+      gp_placer_clear_wait (&first[i]);
     }
 }
 
-/* TASK does not start after all; what is kept for it stays so.  */
+/* Cancels the assignment of TASK; an executor that was dedicated to it remains
+   so.  */
 static void
 withdraw_one (const gp_placer_pass_t *pass, gp_job_task_t *task)
 {
@@ -278,8 +286,8 @@
 
   gp_job_executor_remove (executor, task);
   gp_task_set_state (task, GP_TASK_WAITING);
-  if (gp_placer_wants_alone (pass, task))
-    gp_suspicion_keep (executor, task, pass->now);
+  if (gp_placer_needs_isolation (pass, task))
+    gp_suspicion_dedicate (executor, task, pass->now);
 }
 
 static void
@@ -294,7 +302,8 @@
     }
 }
 
-/* All members go on from the same point: any member's is good for all.  */
+/* All members resume from the same point: the checkpoint of any member is
+   valid for all.  */
 static void
 share_checkpoint (gp_job_task_t *first, uint32_t count)
 {
@@ -310,7 +319,7 @@
       }
 }
 
-/* Assign all members of a gang under one run number, or none.  */
+/* Assigns all members of a gang under one run number, or none.  */
 static void
 assign_gang (gp_placer_pass_t *pass, gp_job_task_t *first, uint32_t count)
 {
@@ -327,7 +336,7 @@
       waiting = waiting && first[i].state == GP_TASK_WAITING;
       if (gp_job_executor_has_stray (&first[i]))
         held = &first[i];
-      gp_suspicion_waits (&first[i], pass->now);
+      gp_suspicion_begin_wait (&first[i], pass->now);
     }
   if (waiting)
     share_checkpoint (first, count);
@@ -342,9 +351,9 @@
   if (placed < count)
     withdraw (pass, first, placed, runs);
   if (waiting && placed < count)
-    gp_placer_found_none (pass, held != NULL ? held : &first[placed]);
+    gp_placer_note_unplaced (pass, held != NULL ? held : &first[placed]);
   if (waiting && placed == count)
-    gp_placer_found_place (first);
+    gp_placer_clear_wait (first);
   g_free (runs);
 }
 
@@ -373,23 +382,23 @@
         assign_step (pass, job, k, s);
 }
 
-/* The jobs of what was placed have begun; a gang that was withdrawn has not,
-   nor has what waits for an executor that is down.  */
+/* Marks the jobs of the placed tasks as started.  Excluded are gangs that were
+   withdrawn and tasks on executors that are down.  */
 static void
-note_begun (const GPtrArray *placed)
+mark_jobs_started (const GPtrArray *placed)
 {
   for (guint i = 0; i < placed->len; i++)
     {
       const gp_job_task_t *task = g_ptr_array_index (placed, i);
 
       if (!task->executor->down)
-        gp_job_begin (task->job);
+        gp_job_mark_started (task->job);
     }
 }
 
 bool
-gp_placer_has_better (gp_book_t *book, gp_pressure_t *pressure,
-                      const gp_job_task_t *task, gp_time_t now)
+gp_placer_has_better_place (gp_book_t *book, gp_pressure_t *pressure,
+                            const gp_job_task_t *task, gp_time_t now)
 {
   const Gp__Jobs__Step *step = gp_task_step (task);
   gp_placer_pass_t pass = { .book = book, .pressure = pressure, .now = now };
@@ -403,7 +412,8 @@
 
       found = candidate->executor != task->executor
               && gp_placer_fits (candidate->executor, task, step, now)
-              && gp_placer_harm (&pass, candidate, step->image) <= HARM_BETTER;
+              && gp_placer_interference (&pass, candidate, step->image)
+                     <= RELOCATE_MAX_INTERFERENCE;
     }
   g_array_free (pass.candidates, TRUE);
   return found;
@@ -424,7 +434,7 @@
   gp_quarantine_choose (quarantine, book, now);
   pass.candidates = find_candidates (book, now);
   if (pass.candidates->len == 0)
-    gp_placer_look_at_all (&pass, wall_ms);
+    gp_placer_note_all_unplaced (&pass, wall_ms);
   else
     {
       jobs = gp_urgency_rank (book, forecast, now);
@@ -433,7 +443,7 @@
                     wall_ms);
       g_array_free (jobs, TRUE);
     }
-  note_begun (placed);
+  mark_jobs_started (placed);
   g_array_free (pass.candidates, TRUE);
-  return now + LOOK_AGAIN_TIME;
+  return now + PASS_INTERVAL;
 }
--- a/src/jobs/pressure.c
+++ b/src/jobs/pressure.c
@@ -1,4 +1,4 @@
-/* How much filling runs slow down the runs that serve beside them.  */
+/* Learns how much filling runs slow down the serving runs beside them.  */
 
 #include "jobs/pressure.h"
 
@@ -6,18 +6,17 @@
 
 #include "coordination/regression.h"
 
-/* Variance of a weight before it is known: a third of them lie around 0.9,
-   the others at zero.  */
+/* Prior variance of a weight: a third of them lie around 0.9, the others at
+   zero.  */
 #define WEIGHT_VARIANCE 0.2
-/* The same of a weight that another has learned.  */
+/* Variance of a weight learned by another process.  */
 #define LEARNED_VARIANCE 0.02
-/* Variance of a surprise in units of what was expected of it, to begin
-   with.  */
-#define SURPRISE_VARIANCE 1.0
-/* Deviation of what was taken of a headroom, as a share of it: filling runs
-   come, go and change their phase within the time of a measure.  */
+/* Initial variance of the normalised prediction error.  */
+#define ERROR_VARIANCE 1.0
+/* Standard deviation of the headroom taken by filling runs, as a share of it:
+   filling runs come, go and change phase during a measurement.  */
 #define TAKEN_NOISE 0.3
-/* Less busy work than this, of a run at full speed, presses nothing.  */
+/* Busy work below this, in runs at full speed, is ignored.  */
 #define WORK_MIN 0.02
 
 typedef struct
@@ -30,7 +29,7 @@
 void
 gp_pressure_init (gp_pressure_t *pressure)
 {
-  pressure->places
+  pressure->image_indices
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   pressure->models
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -39,23 +38,24 @@
 void
 gp_pressure_finish (gp_pressure_t *pressure)
 {
-  g_hash_table_destroy (pressure->places);
+  g_hash_table_destroy (pressure->image_indices);
   g_hash_table_destroy (pressure->models);
 }
 
 unsigned int
-gp_pressure_place (gp_pressure_t *pressure, const char *image)
+gp_pressure_image_index (gp_pressure_t *pressure, const char *image)
 {
-  guint place
-      = GPOINTER_TO_UINT (g_hash_table_lookup (pressure->places, image));
+  guint index = GPOINTER_TO_UINT (
+      g_hash_table_lookup (pressure->image_indices, image));
 
-  if (place == 0)
+  if (index == 0)
     {
-      place = g_hash_table_size (pressure->places) % GP_PRESSURE_IMAGES + 1;
-      g_hash_table_insert (pressure->places, g_strdup (image),
-                           GUINT_TO_POINTER (place));
+      index = g_hash_table_size (pressure->image_indices) % GP_PRESSURE_IMAGES
+              + 1;
+      g_hash_table_insert (pressure->image_indices, g_strdup (image),
+                           GUINT_TO_POINTER (index));
     }
-  return place - 1;
+  return index - 1;
 }
 
 static model_t *
@@ -69,12 +69,12 @@
       model->covariance[i * GP_PRESSURE_IMAGES + i] = WEIGHT_VARIANCE;
     }
   gp_regression_init (&model->regression, GP_PRESSURE_IMAGES, model->weights,
-                      model->covariance, SURPRISE_VARIANCE);
+                      model->covariance, ERROR_VARIANCE);
   return model;
 }
 
 static model_t *
-need_model (gp_pressure_t *pressure, const char *serving)
+get_model (gp_pressure_t *pressure, const char *serving)
 {
   model_t *model = g_hash_table_lookup (pressure->models, serving);
 
@@ -88,32 +88,33 @@
 
 double
 gp_pressure_weight (const gp_pressure_t *pressure, const char *serving,
-                    unsigned int place)
+                    unsigned int index)
 {
   const model_t *model = g_hash_table_lookup (pressure->models, serving);
 
-  return model != NULL ? model->weights[place] : GP_PRESSURE_PRIOR;
+  return model != NULL ? model->weights[index] : GP_PRESSURE_PRIOR;
 }
 
 void
 gp_pressure_set (gp_pressure_t *pressure, const char *serving,
-                 unsigned int place, double weight)
+                 unsigned int index, double weight)
 {
-  model_t *model = need_model (pressure, serving);
-  size_t row = (size_t)place * GP_PRESSURE_IMAGES;
+  model_t *model = get_model (pressure, serving);
+  size_t row = (size_t)index * GP_PRESSURE_IMAGES;
 
-  model->weights[place] = weight;
-  /* What was known of it together with others goes, too: a variance that is
-     smaller than its covariances is none.  */
+  model->weights[index] = weight;
+  /* Clears the covariances as well: a variance that is too small for its
+     covariances is invalid.  */
   for (size_t i = 0; i < GP_PRESSURE_IMAGES; i++)
     {
       model->covariance[row + i] = 0.0;
-      model->covariance[i * GP_PRESSURE_IMAGES + place] = 0.0;
+      model->covariance[i * GP_PRESSURE_IMAGES + index] = 0.0;
     }
-  model->covariance[row + place] = LEARNED_VARIANCE;
+  model->covariance[row + index] = LEARNED_VARIANCE;
 }
 
-/* The sum of weight times WORK by MODEL, NULL: nothing was learned.  */
+/* Returns the sum of weight times WORK according to MODEL; NULL: nothing was
+   learned.  */
 static double
 sum_by (const model_t *model, const gp_pressure_work_t *work)
 {
@@ -132,7 +133,7 @@
   return sum_by (g_hash_table_lookup (pressure->models, serving), work);
 }
 
-/* Neighbours do not speed a run up: what says so is noise.  */
+/* Neighbours do not speed a run up; a negative weight is noise.  */
 static void
 clamp_weights (model_t *model)
 {
@@ -140,7 +141,7 @@
     model->weights[i] = fmax (model->weights[i], 0.0);
 }
 
-/* The regression's input for WORK, in units of DEVIATION.  */
+/* Returns the regression's input for WORK, in units of DEVIATION.  */
 static gp_regression_input_t
 input_of (const gp_pressure_work_t *work, double deviation)
 {
@@ -152,7 +153,8 @@
   return input;
 }
 
-/* Learn that WORK took LOST of the headroom of a run, known with VARIANCE.  */
+/* Learns that WORK took LOST, known with VARIANCE, of the headroom of a
+   run.  */
 static void
 learn_lost (model_t *model, const gp_pressure_work_t *work, double lost,
             double variance)
@@ -171,16 +173,17 @@
                    const gp_pressure_work_t *work, double headroom,
                    gp_headroom_t *load, gp_time_t now)
 {
-  model_t *model = need_model (pressure, serving);
-  double least = fmax (headroom, GP_HEADROOM_LEAST);
+  model_t *model = get_model (pressure, serving);
+  double least = fmax (headroom, GP_HEADROOM_MIN);
   double expected = gp_headroom_at (load, now);
   double taken = sum_by (model, work);
   double noise = gp_headroom_noise (headroom)
                  + TAKEN_NOISE * taken * TAKEN_NOISE * taken;
   gp_regression_input_t input = input_of (work, 1.0);
-  bool overloaded = headroom < GP_HEADROOM_LEAST;
+  bool overloaded = headroom < GP_HEADROOM_MIN;
 
-  /* An overloaded run tells only that as much was taken at least.  */
+  /* The headroom of an overloaded run is only an upper bound: the filling work
+     took at least this much.  */
   if (gp_headroom_is_known (load) && (!overloaded || expected - taken > least))
     learn_lost (model, work, expected - least,
                 noise + gp_headroom_variance (load, now));
--- a/src/jobs/urgency.c
+++ b/src/jobs/urgency.c
@@ -1,4 +1,4 @@
-/* In which order jobs get room.  */
+/* Ranks jobs by urgency.  */
 
 #include "jobs/urgency.h"
 
@@ -6,10 +6,11 @@
 
 #include "jobs/executor.h"
 
-/* Share of a task that is at work that counts as done.  */
-#define AT_WORK_DONE 0.5
+/* Share of a running task that counts as done.  */
+#define RUNNING_PROGRESS 0.5
 
-/* Kinds of room on an executor: filling tasks live on what others leave.  */
+/* Kinds of capacity on an executor: filling tasks use what the reservations of
+   the others leave unused.  */
 typedef enum
 {
   KIND_RESERVED,
@@ -17,20 +18,21 @@
   KINDS
 } kind_t;
 
-/* The executors of a service: their room, in thousandths of a core, and the
-   work that admitted jobs want of it, in these times a duration.  */
+/* The executors of a service: their capacity, in thousandths of a core, and
+   the work that admitted jobs require of it, in thousandths of a core times a
+   duration.  */
 typedef struct
 {
   const char *name;
-  double room[KINDS];
+  double capacity[KINDS];
   double work[KINDS];
 } service_t;
 
 typedef struct
 {
-  gp_ranked_job_t ranked; /* first: the list of both is sorted by it */
-  service_t *service;     /* NULL: it has no executor */
-  double work[KINDS];     /* what the job still wants */
+  gp_ranked_job_t ranked; /* first member: the array is sorted by it */
+  service_t *service;     /* NULL: the service has no executor */
+  double work[KINDS];     /* remaining work of the job */
 } rated_job_t;
 
 static service_t *
@@ -47,7 +49,7 @@
 }
 
 static GArray *
-count_room (const gp_book_t *book)
+sum_capacity (const gp_book_t *book)
 {
   GArray *services = g_array_new (FALSE, FALSE, sizeof (service_t));
   GHashTableIter iter;
@@ -66,17 +68,17 @@
       if (find_service (services, executor->service) == NULL)
         g_array_append_val (services, added);
       service = find_service (services, executor->service);
-      service->room[KIND_RESERVED]
+      service->capacity[KIND_RESERVED]
           += (double)(executor->capacity.cpu_milli - executor->lasting);
-      service->room[KIND_FILLING]
+      service->capacity[KIND_FILLING]
           += (double)(executor->filling
                       + MAX (gp_job_executor_left_over (executor), 0));
     }
   return services;
 }
 
-/* Count what the job wants by now and how far it has got; occurrences whose
-   time has not come want nothing.  */
+/* Computes the job's remaining work and its progress; occurrences that are not
+   due yet require nothing.  */
 static void
 count_work (rated_job_t *rated_job, gp_time_t now)
 {
@@ -88,8 +90,8 @@
       {
         const Gp__Jobs__Step *step = job->submission->steps[s];
         const gp_step_tally_t *tally = &gp_job_tallies (job, k)[s];
-        uint32_t at_work = step->count - tally->done - tally->waiting;
-        double tasks = tally->waiting + at_work * (1.0 - AT_WORK_DONE);
+        uint32_t running = step->count - tally->done - tally->waiting;
+        double tasks = tally->waiting + running * (1.0 - RUNNING_PROGRESS);
 
         left += tasks;
         if (!step->long_running && gp_job_occurrence_at (job, k) <= now)
@@ -99,12 +101,13 @@
   rated_job->ranked.progress = 1.0 - left / job->task_count;
 }
 
-/* Has JOB runs that last?  It earns as long as they are at work, so that its
-   time is never past.  Ranked by the objective of its first start it would
-   come behind all others of its priority from a few seconds on, and runs that
-   have to move would wait for as long as there is more work than room.  */
+/* Returns whether JOB has long-running runs.  Such a job is useful for as long
+   as they run, so it never becomes useless.  Ranked by the objective of its
+   first start it would come after all others of its priority from a few
+   seconds on, and runs that have to move would wait for as long as there is
+   more work than capacity.  */
 static bool
-lasts (const gp_job_t *job)
+is_long_running (const gp_job_t *job)
 {
   for (size_t s = 0; s < job->submission->n_steps; s++)
     if (job->submission->steps[s]->long_running)
@@ -112,20 +115,22 @@
   return false;
 }
 
-/* What is expected of JOB by itself.  */
+/* Assesses JOB on its own, without regard to the others.  */
 static rated_job_t
 assess (const GArray *services, gp_job_t *job, gp_time_t now)
 {
   gp_time_t remaining = gp_forecast_remaining (job);
   rated_job_t rated_job
-      = { .ranked = { .job = job, .hope = GP_HOPE_NONE, .rank = job->due_at },
+      = { .ranked = { .job = job,
+                      .deadline_class = GP_DEADLINE_USELESS,
+                      .rank = job->due_at },
           .service = find_service (services, job->submission->service) };
 
-  if (now + remaining <= job->due_at || lasts (job))
-    rated_job.ranked.hope = GP_HOPE_IN_TIME;
+  if (now + remaining <= job->due_at || is_long_running (job))
+    rated_job.ranked.deadline_class = GP_DEADLINE_IN_TIME;
   else if (now + remaining <= job->useless_at)
     {
-      rated_job.ranked.hope = GP_HOPE_LATE;
+      rated_job.ranked.deadline_class = GP_DEADLINE_LATE;
       rated_job.ranked.rank = remaining;
     }
   count_work (&rated_job, now);
@@ -142,8 +147,8 @@
 
   if (left_priority != right_priority)
     return left_priority < right_priority ? -1 : 1;
-  if (left->hope != right->hope)
-    return left->hope < right->hope ? -1 : 1;
+  if (left->deadline_class != right->deadline_class)
+    return left->deadline_class < right->deadline_class ? -1 : 1;
   if (left->rank != right->rank)
     return left->rank < right->rank ? -1 : 1;
   return strcmp (left->job->id, right->job->id);
@@ -156,7 +161,8 @@
     rated_job->service->work[kind] += sign * rated_job->work[kind];
 }
 
-/* Will work of the job not be through by its objective?  */
+/* Returns whether some work of the job will not be finished by its
+   objective.  */
 static bool
 is_overbooked (const rated_job_t *rated_job, gp_time_t now)
 {
@@ -165,23 +171,23 @@
 
   for (int kind = 0; kind < KINDS; kind++)
     if (rated_job->work[kind] > 0.0
-        && service->work[kind] > service->room[kind] * time)
+        && service->work[kind] > service->capacity[kind] * time)
       return true;
   return false;
 }
 
 static bool
-wants_work (const rated_job_t *rated_job)
+has_work_left (const rated_job_t *rated_job)
 {
   return rated_job->work[KIND_RESERVED] > 0.0
          || rated_job->work[KIND_FILLING] > 0.0;
 }
 
-/* The job to put behind so that the one at LAST may be in time: of those up
-   to it with its service and priority, in time, the one that has got least
-   far; the later of two.  */
+/* Returns the job to demote so that the one at LAST may be in time: of the
+   jobs up to it with the same service and priority that are in time, the one
+   with the least progress; of two, the later one.  */
 static rated_job_t *
-least_far (GArray *rated, guint last)
+least_progressed (GArray *rated, guint last)
 {
   rated_job_t *least = &g_array_index (rated, rated_job_t, last);
   uint32_t priority = least->ranked.job->submission->priority;
@@ -193,8 +199,9 @@
 
       if (other->ranked.job->submission->priority != priority)
         break;
-      if (other->service == service && other->ranked.hope == GP_HOPE_IN_TIME
-          && wants_work (other)
+      if (other->service == service
+          && other->ranked.deadline_class == GP_DEADLINE_IN_TIME
+          && has_work_left (other)
           && other->ranked.progress < least->ranked.progress)
         least = other;
     }
@@ -208,18 +215,18 @@
     {
       rated_job_t *rated_job = &g_array_index (rated, rated_job_t, i);
 
-      if (rated_job->ranked.hope != GP_HOPE_IN_TIME
+      if (rated_job->ranked.deadline_class != GP_DEADLINE_IN_TIME
           || rated_job->service == NULL)
         continue;
       add_work (rated_job, 1.0);
-      while (rated_job->ranked.hope == GP_HOPE_IN_TIME
+      while (rated_job->ranked.deadline_class == GP_DEADLINE_IN_TIME
              && is_overbooked (rated_job, now))
         {
-          rated_job_t *behind = least_far (rated, i);
+          rated_job_t *demoted = least_progressed (rated, i);
 
-          add_work (behind, -1.0);
-          behind->ranked.hope = GP_HOPE_LATE;
-          behind->ranked.rank = gp_forecast_remaining (behind->ranked.job);
+          add_work (demoted, -1.0);
+          demoted->ranked.deadline_class = GP_DEADLINE_LATE;
+          demoted->ranked.rank = gp_forecast_remaining (demoted->ranked.job);
         }
     }
 }
@@ -239,7 +246,7 @@
                  gp_time_t now)
 {
   GArray *rated = g_array_new (FALSE, FALSE, sizeof (rated_job_t));
-  GArray *services = count_room (book);
+  GArray *services = sum_capacity (book);
   GArray *ranked;
 
   GP_LIST_FOREACH (link, &book->live)
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -105,9 +105,9 @@
     {
       gp_job_t *job = value;
 
-      if (job->overwritten && job->submission != NULL)
+      if (job->newest_unreadable && job->submission != NULL)
         gp_scheduler_rewrite (&leader->scheduler, job);
-      gp_scheduler_job (&leader->scheduler, job, gp_time_wall_ms ());
+      gp_scheduler_job_changed (&leader->scheduler, job, gp_time_wall_ms ());
     }
 }
 
@@ -266,15 +266,15 @@
 /* Apply a decoded record; returns false and sets ERROR if it does not fit the
    current state.  */
 static bool
-apply_record (gp_leader_t *leader, gp_record_t *record, gp_book_place_t place,
-              GError **error)
+apply_record (gp_leader_t *leader, gp_record_t *record,
+              gp_book_position_t place, GError **error)
 {
   switch (record->kind)
     {
     case GP_RECORD_PROGRESS:
-      return gp_book_take_progress (leader->book, record->subject,
-                                    g_steal_pointer (&record->u.progress),
-                                    place, error)
+      return gp_book_apply_progress (leader->book, record->subject,
+                                     g_steal_pointer (&record->u.progress),
+                                     place, error)
              != NULL;
     case GP_RECORD_PLACE:
       return on_place (leader, record->subject, record->u.place, error);
@@ -298,7 +298,7 @@
 /* Handle an unreadable record according to its key.  */
 static void
 refuse_record (gp_leader_t *leader, const gp_record_t *record,
-               gp_book_place_t place)
+               gp_book_position_t place)
 {
   if (record->kind == GP_RECORD_PROGRESS)
     gp_book_refuse_progress (leader->book, record->subject, place);
@@ -310,7 +310,7 @@
 gp_leader_apply_record (gp_leader_t *leader,
                         const gp_platform_store_record_t *record, bool loading)
 {
-  const gp_book_place_t place
+  const gp_book_position_t place
       = { .offset = record->offset, .loading = loading };
   gp_record_t decoded;
   GError *error = NULL;
@@ -338,7 +338,7 @@
 {
   if (leader->role != GP_LEADER_LEADING)
     return;
-  gp_scheduler_job (&leader->scheduler, job, gp_time_wall_ms ());
+  gp_scheduler_job_changed (&leader->scheduler, job, gp_time_wall_ms ());
   gp_leader_schedule_round (leader);
 }
 
--- a/tests/unit/jobs_site.c
+++ b/tests/unit/jobs_site.c
@@ -53,7 +53,8 @@
   return jobs_site_executor_in (site, id, cores, "rack-1");
 }
 
-/* Messages are made with malloc, as protobuf-c frees them with free.  */
+/* Messages are allocated with malloc, because protobuf-c frees them with
+   free.  */
 
 void
 jobs_site_add_step (Gp__Jobs__Submission *submission, unsigned count,
@@ -136,14 +137,15 @@
 }
 
 void
-jobs_site_dead (jobs_site_t *site, gp_job_executor_t *executor, gp_death_t why)
+jobs_site_executor_dead (jobs_site_t *site, gp_job_executor_t *executor,
+                         gp_death_t why)
 {
-  gp_scheduler_dead (&site->scheduler, executor, why, site->now,
-                     site->now / GP_MSEC);
+  gp_scheduler_executor_dead (&site->scheduler, executor, why, site->now,
+                              site->now / GP_MSEC);
 }
 
 void
-jobs_site_end (jobs_site_t *site, gp_job_task_t *task, gp_end_t how)
+jobs_site_run_ended (jobs_site_t *site, gp_job_task_t *task, gp_end_t how)
 {
   static uint64_t number;
   char name[GP_TASK_NAME_SIZE];
@@ -154,12 +156,12 @@
   end.task = name;
   end.run = task->run;
   end.how = how;
-  gp_scheduler_end (&site->scheduler, task->executor, &end, site->now,
-                    site->now / GP_MSEC);
+  gp_scheduler_run_ended (&site->scheduler, task->executor, &end, site->now,
+                          site->now / GP_MSEC);
 }
 
 void
-jobs_site_refold (const jobs_site_t *site, gp_book_t *fresh)
+jobs_site_rebuild_book (const jobs_site_t *site, gp_book_t *fresh)
 {
   GHashTableIter iter;
   gpointer value;
--- a/tests/unit/test_headroom.c
+++ b/tests/unit/test_headroom.c
@@ -1,5 +1,5 @@
-/* Tests of the tracks of headroom: a swing of unknown period is followed and
-   foreseen from noisy measures, better than by its last value.  */
+/* Tests of headroom tracks: an oscillation of unknown period is followed and
+   predicted from noisy measurements, better than by the last value.  */
 
 #include <glib.h>
 #include <math.h>
@@ -11,9 +11,10 @@
 #define MEAN 2.7
 #define AMPLITUDE 1.1
 #define STEP (100 * GP_MSEC)
-#define AHEAD (1500 * GP_MSEC)
+#define PREDICTION_TIME (1500 * GP_MSEC)
 
-/* The load at STEP of a swing with PERIOD, in seconds, and PHASE.  */
+/* Returns the headroom at WHEN of an oscillation with PERIOD, in seconds, and
+   PHASE.  */
 static double
 truth (gp_time_t when, double period, double phase)
 {
@@ -22,8 +23,8 @@
   return MEAN + AMPLITUDE * sin (2.0 * G_PI * seconds / period + phase);
 }
 
-/* Root mean squares of what the track and its naive twin, the last measure,
-   miss 1.5 s ahead.  */
+/* Root mean square errors, 1.5 s ahead, of the track and of the last
+   measurement as a prediction.  */
 typedef struct
 {
   double track;
@@ -31,7 +32,7 @@
 } errors_t;
 
 static errors_t
-follow (double period, double phase, GRand *random)
+measure_errors (double period, double phase, GRand *random)
 {
   gp_headroom_t track;
   errors_t sums = { 0.0, 0.0 };
@@ -43,12 +44,13 @@
       gp_time_t now = i * STEP;
       double value = truth (now, period, phase)
                      * (1.0 + g_rand_double_range (random, -0.08, 0.08));
-      double ahead = truth (now + AHEAD, period, phase);
+      double ahead = truth (now + PREDICTION_TIME, period, phase);
 
       gp_headroom_update (&track, value, gp_headroom_noise (value), now);
       if (i <= 150)
         continue;
-      sums.track += pow (gp_headroom_at (&track, now + AHEAD) - ahead, 2.0);
+      sums.track
+          += pow (gp_headroom_at (&track, now + PREDICTION_TIME) - ahead, 2.0);
       sums.last += pow (value - ahead, 2.0);
       count++;
     }
@@ -58,14 +60,14 @@
 static void
 test_foresee (void)
 {
-  static const double swings[] = { 6.0, 8.5, 10.0, 12.0, 14.0, 17.0, 24.0 };
+  static const double periods[] = { 6.0, 8.5, 10.0, 12.0, 14.0, 17.0, 24.0 };
   GRand *random = g_rand_new_with_seed (11);
 
-  for (size_t i = 0; i < G_N_ELEMENTS (swings); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (periods); i++)
     for (int j = 0; j < 4; j++)
       {
-        errors_t errors = follow (
-            swings[i], g_rand_double_range (random, 0.0, 6.28), random);
+        errors_t errors = measure_errors (
+            periods[i], g_rand_double_range (random, 0.0, 6.28), random);
 
         CU_ASSERT (errors.track < 0.3);
         CU_ASSERT (errors.track < errors.last / 2.0);
@@ -80,14 +82,14 @@
 
   gp_headroom_init (&track);
   CU_ASSERT_FALSE (gp_headroom_is_known (&track));
-  CU_ASSERT_EQUAL (gp_headroom_at (&track, GP_SEC), GP_HEADROOM_UNKNOWN);
+  CU_ASSERT_EQUAL (gp_headroom_at (&track, GP_SEC), GP_HEADROOM_PRIOR);
   CU_ASSERT_EQUAL (gp_headroom_slope_at (&track, GP_SEC), 0.0);
   gp_headroom_update (&track, 3.5, 0.01, GP_SEC);
   CU_ASSERT (gp_headroom_is_known (&track));
   CU_ASSERT (fabs (gp_headroom_at (&track, GP_SEC) - 3.5) < 0.05);
 }
 
-/* A track that was not measured for minutes begins to learn at once.  */
+/* A track without measurements for minutes follows the next one at once.  */
 static void
 test_pause (void)
 {
--- a/tests/unit/test_pressure.c
+++ b/tests/unit/test_pressure.c
@@ -1,5 +1,5 @@
-/* Tests of pressures and pacing: weights are found again from noisy
-   measurements, and the pacer slows what presses, not the others.  */
+/* Tests of pressure and pacing: weights are recovered from noisy measurements,
+   and the pacer slows only images that interfere.  */
 
 #include <glib.h>
 #include <math.h>
@@ -13,8 +13,8 @@
 
 static const double truth[] = { 0.9, 0.0, 0.4 };
 
-/* Measure a run at step I beside busy work drawn anew, and learn from it.
-   The load swings between 1.6 and 3.8 within 14 s.  */
+/* Measures a run at step I beside random busy work and learns from it.  The
+   headroom oscillates between 1.6 and 3.8 with a period of 14 s.  */
 static void
 measure (gp_pressure_t *pressure, gp_headroom_t *load, int i, GRand *random)
 {
@@ -52,9 +52,9 @@
 
   gp_pressure_init (&pressure);
   gp_headroom_init (&load);
-  gp_pressure_place (&pressure, "a");
-  gp_pressure_place (&pressure, "b");
-  gp_pressure_place (&pressure, "c");
+  gp_pressure_image_index (&pressure, "a");
+  gp_pressure_image_index (&pressure, "b");
+  gp_pressure_image_index (&pressure, "c");
   for (int i = 0; i < 600; i++)
     measure (&pressure, &load, i, random);
   CU_ASSERT (worst_error (&pressure) < 0.12);
@@ -64,7 +64,7 @@
   g_rand_free (random);
 }
 
-/* An overloaded run tells only that much was taken.  */
+/* The headroom of an overloaded run only shows that much was taken.  */
 static void
 test_overloaded (void)
 {
@@ -75,7 +75,7 @@
 
   gp_pressure_init (&pressure);
   gp_headroom_init (&load);
-  gp_pressure_place (&pressure, "a");
+  gp_pressure_image_index (&pressure, "a");
   for (int i = 1; i <= 20; i++)
     gp_pressure_learn (&pressure, "s", &none, 2.0, &load, i * STEP);
   for (int i = 21; i <= 30; i++)
@@ -85,10 +85,10 @@
   gp_pressure_finish (&pressure);
 }
 
-/* Regression test: weights that are set again and again, as a guard's are by
-   the leader, go on being learned.  What was known of two images together
-   stayed when one of them was set, so that variances became negative and the
-   weights no numbers, which then counted as none for good.  */
+/* Guards against weights that become NaN when they are set repeatedly, as the
+   leader sets those of a guard, while learning continues.  If the covariances
+   of a weight were kept when it was set, variances became negative and the
+   weights NaN, which then counted as no weight for good.  */
 static void
 test_set_while_learning (void)
 {
@@ -99,8 +99,8 @@
 
   gp_pressure_init (&pressure);
   gp_headroom_init (&load);
-  gp_pressure_place (&pressure, "a");
-  gp_pressure_place (&pressure, "b");
+  gp_pressure_image_index (&pressure, "a");
+  gp_pressure_image_index (&pressure, "b");
   for (int i = 1; i <= 40; i++)
     gp_pressure_learn (&pressure, "s", &none, 2.0, &load, i * STEP);
   for (int i = 41; i <= 200; i++)
@@ -117,7 +117,7 @@
 }
 
 static void
-show (gp_pacer_t *pacer, double headroom, double missed, double over)
+print_paces (gp_pacer_t *pacer, double headroom, double missed, double over)
 {
   const gp_pacer_serving_t serving = { "s", headroom, missed, over };
   gp_pressure_work_t busy = { { 2.0, 2.0 } };
@@ -138,27 +138,28 @@
   printf ("the image that presses is slowed down\n");
   gp_pacer_init (&pacer);
   gp_pressure_set (&pacer.pressure, "s",
-                   gp_pressure_place (&pacer.pressure, "harmful"), 0.6);
+                   gp_pressure_image_index (&pacer.pressure, "harmful"), 0.6);
   gp_pressure_set (&pacer.pressure, "s",
-                   gp_pressure_place (&pacer.pressure, "harmless"), 0.02);
-  show (&pacer, 3.50, 0.0, 0.0);
-  show (&pacer, 1.90, 0.0, 0.0);
-  show (&pacer, 1.40, 0.0, 0.0);
-  show (&pacer, 0.60, 0.0, 0.0);
-  show (&pacer, 3.50, 1.6, 0.0);
-  show (&pacer, 1.40, 0.7, 0.0);
-  show (&pacer, 1.40, 0.0, 2.0);
-  show (&pacer, 1.40, 0.0, 4.0);
-  show (&pacer, 0.60, 0.0, 2.0);
-  show (&pacer, 3.50, 0.0, 0.0);
+                   gp_pressure_image_index (&pacer.pressure, "harmless"),
+                   0.02);
+  print_paces (&pacer, 3.50, 0.0, 0.0);
+  print_paces (&pacer, 1.90, 0.0, 0.0);
+  print_paces (&pacer, 1.40, 0.0, 0.0);
+  print_paces (&pacer, 0.60, 0.0, 0.0);
+  print_paces (&pacer, 3.50, 1.6, 0.0);
+  print_paces (&pacer, 1.40, 0.7, 0.0);
+  print_paces (&pacer, 1.40, 0.0, 2.0);
+  print_paces (&pacer, 1.40, 0.0, 4.0);
+  print_paces (&pacer, 0.60, 0.0, 2.0);
+  print_paces (&pacer, 3.50, 0.0, 0.0);
   gp_pacer_update (&pacer, NULL, 0, &none);
   printf ("  nothing serves: %u %%\n", gp_pacer_pace (&pacer, "harmful"));
   gp_pacer_finish (&pacer);
 }
 
-/* Regression test: with a weight whose quotient and product do not cancel, an
-   excess shrank to the least number that there is and never went away, so
-   that the pacer did not return.  */
+/* Guards against an endless loop in the pacer: with a weight whose quotient
+   and product do not cancel, an excess shrank to the smallest positive number
+   and never reached zero.  */
 static void
 test_tiny_excess (void)
 {
@@ -168,7 +169,7 @@
 
   gp_pacer_init (&pacer);
   gp_pressure_set (&pacer.pressure, "s",
-                   gp_pressure_place (&pacer.pressure, "f"), 2.101);
+                   gp_pressure_image_index (&pacer.pressure, "f"), 2.101);
   for (int i = 0; i < 20000; i++)
     {
       serving.headroom = 3.0 + i * 1e-5 + i * 1e-13;
@@ -178,8 +179,8 @@
   gp_pacer_finish (&pacer);
 }
 
-/* Regression test: an image that is thought to be harmless is halted all the
-   same beside a run that stays over its target.  */
+/* Guards against an image that is considered harmless running on beside a run
+   that stays over its target.  */
 static void
 test_no_weight (void)
 {
@@ -189,7 +190,7 @@
 
   gp_pacer_init (&pacer);
   gp_pressure_set (&pacer.pressure, "s",
-                   gp_pressure_place (&pacer.pressure, "f"), 0.0);
+                   gp_pressure_image_index (&pacer.pressure, "f"), 0.0);
   gp_pacer_update (&pacer, &serving, 1, &busy);
   CU_ASSERT_EQUAL (gp_pacer_pace (&pacer, "f"), GP_PACER_FULL);
   serving.over = 2.0;
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -170,8 +170,8 @@
       jobs[i]->tasks[0].just = just;
     }
   gp_quarantine_note (&site.scheduler.quarantine, &site.book, "bad", site.now);
-  gp_scheduler_down (&site.scheduler, executor, site.now);
-  gp_scheduler_down (&site.scheduler, executor, site.now);
+  gp_scheduler_executor_down (&site.scheduler, executor, site.now);
+  gp_scheduler_executor_down (&site.scheduler, executor, site.now);
   show (&site, what);
   jobs_site_finish (&site);
 }
@@ -256,7 +256,7 @@
   jobs_site_print_job (bad);
   printf ("but by the one that comes after it\n");
   if (fallen != NULL)
-    jobs_site_dead (&site, fallen, GP_DEATH_REPLACED);
+    jobs_site_executor_dead (&site, fallen, GP_DEATH_REPLACED);
   jobs_site_executor (&site, "x9", 8);
   site.now += GP_SEC;
   jobs_site_plan (&site);
@@ -271,7 +271,7 @@
   gp_book_t other;
 
   gp_book_init (&other);
-  jobs_site_refold (site, &other);
+  jobs_site_rebuild_book (site, &other);
   printf ("  pending: %u, at another entry: %u\n",
           gp_book_pending (&site->book, "good"),
           gp_book_pending (&other, "good"));
@@ -299,7 +299,7 @@
   jobs_site_print_job (job);
   print_pending (&site);
   printf ("until that answers\n");
-  gp_scheduler_up (&site.scheduler, executor);
+  gp_scheduler_executor_up (&site.scheduler, executor);
   jobs_site_print_job (job);
   print_pending (&site);
   jobs_site_finish (&site);
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -1,7 +1,6 @@
-/* Tests of the decoders of records and frames, with what another writer might
-   leave there, and of what an unreadable record takes with it: nothing.
-
-   test_records --corpus DIR writes the cases as inputs of
+/* Tests the decoders of records and frames with what another writer might
+   leave there, and that an unreadable record affects nothing else.
+   test_records --corpus DIR writes the cases as inputs for
    tests/fuzz/fuzz_records.c.  */
 
 #include <CUnit/CUnit.h>
@@ -19,10 +18,10 @@
 #define JOB RECORD_CASES_JOB
 #define NOW GP_SEC
 
-static const gp_book_place_t in_order = { .offset = 1 };
-static const gp_book_place_t in_load = { .offset = 1, .loading = true };
+static const gp_book_position_t in_order = { .offset = 1 };
+static const gp_book_position_t in_load = { .offset = 1, .loading = true };
 
-/* Decode a frame; the reasons go to REFUSED and ERROR.  */
+/* Decodes a frame; the reasons go to REFUSED and ERROR.  */
 static bool
 parse_frame (const uint8_t *bytes, size_t size, GError **refused,
              GError **error)
@@ -35,7 +34,7 @@
   return true;
 }
 
-/* Decode the first SIZE bytes of a record's value.  */
+/* Decodes the first SIZE bytes of a record's value.  */
 static bool
 parse_record (const record_case_t *one, size_t size, gp_record_t *record,
               GError **error)
@@ -53,7 +52,7 @@
                                    error);
 }
 
-/* Decode the first SIZE bytes of CASE's value.  */
+/* Decodes the first SIZE bytes of the value of ONE.  */
 static bool
 parse (const record_case_t *one, size_t size, GError **refused, GError **error)
 {
@@ -107,8 +106,8 @@
   g_array_unref (cases);
 }
 
-/* Each beginning of a whole record is refused, or is a whole one itself: with
-   fewer rows, or without fields at its end that may be missing.  */
+/* Each prefix of a complete record is refused, or is a complete record itself:
+   with fewer rows, or without optional fields at its end.  */
 static void
 test_cut (void)
 {
@@ -138,9 +137,9 @@
   g_array_unref (cases);
 }
 
-/* A site with the job JOB, of 3 tasks, that is at work on x0.  */
+/* Sets up a site with the job JOB, of 3 tasks, running on x0.  */
 static gp_job_t *
-begin_job (jobs_site_t *site)
+start_job (jobs_site_t *site)
 {
   gp_job_t *job;
 
@@ -162,7 +161,7 @@
     }
   printf ("  %s: %s%s%s,", when, gp_job_state_name (job->state),
           gp_job_is_readable (job) ? "" : ", unreadable",
-          job->overwritten ? ", overwritten" : "");
+          job->newest_unreadable ? ", overwritten" : "");
   for (uint32_t i = 0; i < job->task_count; i++)
     printf (" %s/%u",
             job->tasks[i].executor ? job->tasks[i].executor->id : "-",
@@ -170,8 +169,8 @@
   putchar ('\n');
 }
 
-/* Progress of JOB with one task, at work on EXECUTOR as run 1, or with more of
-   the same.  */
+/* Returns progress of JOB with one task, INDEX, running on EXECUTOR as run
+   1.  */
 static Gp__Jobs__Progress *
 make_progress (const char *executor, uint32_t index)
 {
@@ -196,35 +195,35 @@
   return copy;
 }
 
-/* Fold it; a follower's NOTE on what is wrong.  */
+/* Applies such progress and prints why it is refused.  */
 static void
-take_progress (jobs_site_t *site, const char *executor, uint32_t index,
-               bool loading)
+apply_progress (jobs_site_t *site, const char *executor, uint32_t index,
+                bool loading)
 {
   static uint64_t offset = 100;
-  const gp_book_place_t place = { .offset = offset++, .loading = loading };
+  const gp_book_position_t place = { .offset = offset++, .loading = loading };
   GError *error = NULL;
 
-  if (gp_book_take_progress (&site->book, JOB, make_progress (executor, index),
-                             place, &error)
+  if (gp_book_apply_progress (&site->book, JOB,
+                              make_progress (executor, index), place, &error)
       == NULL)
     printf ("  refused: %s\n", error->message);
   g_clear_error (&error);
 }
 
-/* In the order of the log what stood before holds; the next leader writes it
-   down again.  */
+/* If a record in the order of the log is unreadable, the earlier one remains
+   valid; the next leader writes it again.  */
 static void
 test_overwritten (void)
 {
   jobs_site_t site;
-  gp_job_t *job = begin_job (&site);
+  gp_job_t *job = start_job (&site);
 
   printf ("progress that is overwritten\n");
   print_job ("before", job);
   gp_book_refuse_progress (&site.book, JOB, in_order);
   print_job ("unreadable bytes", job);
-  take_progress (&site, "x1", 3, false);
+  apply_progress (&site, "x1", 3, false);
   print_job ("a task beyond the job", job);
   CU_ASSERT_FALSE (gp_list_empty (&job->link));
   gp_scheduler_reset (&site.scheduler);
@@ -234,7 +233,7 @@
   jobs_site_finish (&site);
 }
 
-/* Where nothing before was seen, the runs are unknown: none is started, until
+/* If no earlier record was seen, the runs are unknown: none is started until
    the progress can be read or the job is cancelled.  */
 static void
 test_unreadable_progress (void)
@@ -250,18 +249,19 @@
   jobs_site_plan (&site);
   print_job ("planned", job);
   CU_ASSERT_EQUAL (gp_book_pending (&site.book, "queue"), 0);
-  take_progress (&site, "x0", 1, false);
+  apply_progress (&site, "x0", 1, false);
   jobs_site_plan (&site);
   print_job ("readable again", job);
   gp_book_refuse_progress (&site.book, JOB, in_load);
   print_job ("unreadable in a new load", job);
   job->cancelled = true;
-  gp_scheduler_job (&site.scheduler, job, 1000);
+  gp_scheduler_job_changed (&site.scheduler, job, 1000);
   print_job ("cancelled", job);
   jobs_site_finish (&site);
 }
 
-/* Progress that comes first and is not of this job is the same.  */
+/* Progress that arrives first and does not belong to this job has the same
+   effect.  */
 static void
 test_early_progress (void)
 {
@@ -271,7 +271,7 @@
   jobs_site_init (&site);
   jobs_site_executor (&site, "x0", 8);
   printf ("early progress that is not of this job\n");
-  take_progress (&site, "x0", 3, true);
+  apply_progress (&site, "x0", 3, true);
   job = jobs_site_submit (&site, JOB, jobs_site_submission (3, 1000));
   CU_ASSERT_PTR_NULL (job);
   job = gp_book_find (&site.book, JOB);
@@ -280,31 +280,31 @@
   jobs_site_finish (&site);
 }
 
-/* Numbers of runs do not go back: a record that forgets a run would have it
+/* Run numbers never go back: a record that omits a run would cause it to be
    started twice.  Records that were read already change nothing.  */
 static void
 test_goes_back (void)
 {
   jobs_site_t site;
-  gp_job_t *job = begin_job (&site);
+  gp_job_t *job = start_job (&site);
   Gp__Jobs__Progress *older;
 
   printf ("progress that goes back\n");
-  take_progress (&site, "x1", 0, false);
+  apply_progress (&site, "x1", 0, false);
   print_job ("two runs forgotten", job);
   older = make_progress ("x1", 0);
   job->progress_end = 10;
   CU_ASSERT_PTR_EQUAL (
-      gp_book_take_progress (&site.book, JOB, older, in_order, NULL), job);
+      gp_book_apply_progress (&site.book, JOB, older, in_order, NULL), job);
   print_job ("an older record", job);
   gp_book_end (job, GP_JOB_COMPLETED, 1000);
-  take_progress (&site, "x1", 0, false);
+  apply_progress (&site, "x1", 0, false);
   print_job ("after the end", job);
   jobs_site_finish (&site);
 }
 
 /* A run on an executor that no guard has reported stays there: nothing proves
-   that it does not run.  */
+   that it is not running.  */
 static void
 test_ghost (void)
 {
@@ -315,15 +315,16 @@
   jobs_site_init (&site);
   jobs_site_executor (&site, "x0", 8);
   job = jobs_site_submit (&site, JOB, jobs_site_submission (3, 1000));
-  take_progress (&site, "ghost", 1, false);
+  apply_progress (&site, "ghost", 1, false);
   jobs_site_plan (&site);
   print_job ("planned", job);
   CU_ASSERT_EQUAL (job->tasks[1].state, GP_TASK_ASSIGNED);
   jobs_site_finish (&site);
 }
 
-/* A submission that cannot be read neither holds up the ends of other jobs
-   nor makes its own unknown; the caller's second one is taken.  */
+/* A submission that cannot be read neither blocks the ends of other jobs nor
+   makes its own job unknown; a second submission by the caller is
+   accepted.  */
 static void
 test_unreadable_submission (void)
 {
@@ -335,15 +336,15 @@
 
   jobs_site_init (&site);
   executor = jobs_site_executor (&site, "x0", 8);
-  take_progress (&site, "x0", 1, true);
+  apply_progress (&site, "x0", 1, true);
   end.number = 1;
   end.task = task;
   end.run = 1;
   CU_ASSERT_FALSE (
-      gp_scheduler_end (&site.scheduler, executor, &end, site.now, 0));
+      gp_scheduler_run_ended (&site.scheduler, executor, &end, site.now, 0));
   gp_book_refuse_submission (&site.book, JOB);
   CU_ASSERT_TRUE (
-      gp_scheduler_end (&site.scheduler, executor, &end, site.now, 0));
+      gp_scheduler_run_ended (&site.scheduler, executor, &end, site.now, 0));
   job = gp_book_find (&site.book, JOB);
   CU_ASSERT_PTR_NOT_NULL_FATAL (job);
   printf ("a submission that cannot be read\n");
@@ -356,19 +357,20 @@
   jobs_site_finish (&site);
 }
 
-/* What this product writes is taken: the progress of a job in each state.  */
+/* What this product writes is accepted: the progress of a job in each
+   state.  */
 static void
 test_own (void)
 {
   jobs_site_t site;
-  gp_job_t *job = begin_job (&site);
+  gp_job_t *job = start_job (&site);
   gp_book_t fresh;
 
   for (int i = 0; i < 3; i++)
     {
-      jobs_site_end (&site, &job->tasks[i], GP_END_DONE);
+      jobs_site_run_ended (&site, &job->tasks[i], GP_END_DONE);
       gp_book_init (&fresh);
-      jobs_site_refold (&site, &fresh);
+      jobs_site_rebuild_book (&site, &fresh);
       CU_ASSERT_PTR_NOT_NULL_FATAL (gp_book_find (&fresh, JOB));
       CU_ASSERT_EQUAL (gp_book_find (&fresh, JOB)->state, job->state);
       CU_ASSERT_EQUAL (gp_book_find (&fresh, JOB)->done_count,
@@ -378,7 +380,7 @@
   jobs_site_finish (&site);
 }
 
-/* Write each case as an input of the fuzz target: its kind, the size of its
+/* Writes each case as an input for the fuzz target: its kind, the size of its
    key, the key and the value.  */
 static int
 write_corpus (const char *directory)
--- a/tests/unit/test_strays.c
+++ b/tests/unit/test_strays.c
@@ -21,7 +21,7 @@
 
   row.task = (char *)TASK;
   row.run = run;
-  gp_scheduler_strays (&site->scheduler, executor, rows, run != 0);
+  gp_scheduler_note_strays (&site->scheduler, executor, rows, run != 0);
 }
 
 static void
@@ -94,7 +94,7 @@
   report (&site, first, 3);
   first->reachable = false;
   plan (&site, job, "silent");
-  jobs_site_dead (&site, first, GP_DEATH_SILENT);
+  jobs_site_executor_dead (&site, first, GP_DEATH_SILENT);
   plan (&site, job, "dead");
   jobs_site_finish (&site);
 }
--- a/tests/unit/test_urgency.c
+++ b/tests/unit/test_urgency.c
@@ -1,6 +1,6 @@
-/* Tests of forecasts and of the order of jobs: what is learned from noisy
-   durations, and in an overload more jobs in time than by their objectives
-   alone.  */
+/* Tests of forecasts and of the ranking of jobs: what is learned from noisy
+   durations, and that in an overload at least as many jobs are in time as when
+   ordered by their objectives alone.  */
 
 #include <glib.h>
 #include <math.h>
@@ -15,15 +15,15 @@
 #define CORES 8
 
 static void
-id_of (char id[GP_JOB_ID_SIZE + 1], unsigned number)
+make_id (char id[GP_JOB_ID_SIZE + 1], unsigned number)
 {
   g_snprintf (id, GP_JOB_ID_SIZE + 1, "%016x", number);
 }
 
-/* Another process that takes over what FORECAST has learned forecasts JOB as
-   it did; what is no forecast is refused.  */
+/* Another process that takes over FORECAST predicts the same for JOB; an
+   invalid forecast is refused.  */
 static void
-check_handed_on (const gp_forecast_t *forecast, gp_job_t *job, gp_time_t now)
+check_taken_over (const gp_forecast_t *forecast, gp_job_t *job, gp_time_t now)
 {
   GArray *rows = g_array_new (FALSE, FALSE, sizeof (Gp__Jobs__Forecast));
   Gp__Jobs__Forecast *row;
@@ -74,7 +74,7 @@
   /* One and a half times the longest task, which takes twice the mean.  */
   CU_ASSERT_DOUBLE_EQUAL ((double)(job->due_at - site.now) / GP_SEC, 18.25,
                           1.4);
-  check_handed_on (&forecast, job, site.now);
+  check_taken_over (&forecast, job, site.now);
   jobs_site_finish (&site);
   gp_forecast_finish (&forecast);
   g_rand_free (random);
@@ -99,7 +99,7 @@
   gp_forecast_finish (&forecast);
 }
 
-/* An occurrence is as urgent as its own time makes it.  */
+/* The objective of a timed job is that of its next occurrence.  */
 static void
 test_timed (void)
 {
@@ -125,7 +125,7 @@
   gp_forecast_finish (&forecast);
 }
 
-/* Steps without an image are told apart by their queue.  */
+/* Steps without an image are learned by queue.  */
 static void
 test_queues (void)
 {
@@ -149,7 +149,7 @@
 static void
 print_order (const jobs_site_t *site)
 {
-  static const char *const hopes[] = { "in time", "late", "none" };
+  static const char *const names[] = { "in time", "late", "none" };
   GArray *ranked
       = gp_urgency_rank (&site->book, &site->scheduler.forecast, site->now);
 
@@ -157,12 +157,12 @@
     {
       const gp_ranked_job_t *row = &g_array_index (ranked, gp_ranked_job_t, i);
 
-      printf ("  %s %s\n", row->job->id + 14, hopes[row->hope]);
+      printf ("  %s %s\n", row->job->id + 14, names[row->deadline_class]);
     }
   g_array_free (ranked, TRUE);
 }
 
-/* Each job wants all eight cores for a second of its 3.25 s.  */
+/* Each job needs all eight cores for one second of its 3.25 s.  */
 static Gp__Jobs__Submission *
 big_job (void)
 {
@@ -183,12 +183,12 @@
   jobs_site_executor (&site, "x1", CORES);
   for (unsigned i = 1; i <= 4; i++)
     {
-      id_of (id, i);
+      make_id (id, i);
       jobs_site_submit (&site, id, big_job ());
     }
   print_order (&site);
   printf ("a fifth finds no room, the one that has begun keeps its own\n");
-  id_of (id, 5);
+  make_id (id, 5);
   jobs_site_submit (&site, id, big_job ());
   jobs_site_plan (&site);
   print_order (&site);
@@ -219,10 +219,10 @@
          / (1000.0 * CORES);
 }
 
-/* Jobs that are through by their objectives when those in ROWS up to HOPE
-   are done one after the other, each on all cores.  */
+/* Returns how many jobs finish by their objectives when those in ROWS up to
+   DEADLINE_CLASS are done one after the other, each on all cores.  */
 static unsigned
-in_time (const GArray *rows, gp_hope_t hope, gp_time_t now)
+in_time (const GArray *rows, gp_deadline_class_t deadline_class, gp_time_t now)
 {
   double end = (double)now;
   unsigned count = 0;
@@ -231,7 +231,7 @@
     {
       const gp_ranked_job_t *row = &g_array_index (rows, gp_ranked_job_t, i);
 
-      if (row->hope > hope)
+      if (row->deadline_class > deadline_class)
         continue;
       end += work_of (row->job);
       count += end <= (double)row->job->due_at;
@@ -248,23 +248,24 @@
   return left->job->due_at < right->job->due_at ? -1 : 1;
 }
 
-/* All that are called in time are, and they are no fewer than the plain order
-   by objectives brings through.  */
+/* All jobs ranked as in time are in time, and they are no fewer than with the
+   plain order by objectives.  */
 static void
 check_against_plain (const jobs_site_t *site)
 {
   GArray *ranked
       = gp_urgency_rank (&site->book, &site->scheduler.forecast, site->now);
-  unsigned called = 0;
+  unsigned ranked_in_time = 0;
   unsigned plain;
 
   for (guint i = 0; i < ranked->len; i++)
-    called
-        += g_array_index (ranked, gp_ranked_job_t, i).hope == GP_HOPE_IN_TIME;
-  CU_ASSERT_EQUAL (in_time (ranked, GP_HOPE_IN_TIME, site->now), called);
+    ranked_in_time += g_array_index (ranked, gp_ranked_job_t, i).deadline_class
+                      == GP_DEADLINE_IN_TIME;
+  CU_ASSERT_EQUAL (in_time (ranked, GP_DEADLINE_IN_TIME, site->now),
+                   ranked_in_time);
   g_array_sort (ranked, by_objective);
-  plain = in_time (ranked, GP_HOPE_NONE, site->now);
-  CU_ASSERT_TRUE (called >= plain);
+  plain = in_time (ranked, GP_DEADLINE_USELESS, site->now);
+  CU_ASSERT_TRUE (ranked_in_time >= plain);
   g_array_free (ranked, TRUE);
 }
 
@@ -287,7 +288,7 @@
 
           submission->stretch_percent
               = (uint32_t)g_rand_int_range (random, 120, 1500);
-          id_of (id, i);
+          make_id (id, i);
           jobs_site_submit (&site, id, submission);
         }
       check_against_plain (&site);
@@ -296,10 +297,11 @@
     }
 }
 
-/* A run that lasts and had to move, long after its job's start, beside more
-   work than there is room for.  By the objective of that start it came last:
-   in two plays of a site with planned faults only it was out of work for 8.4 s
-   and more, with this order for 0.9 s at most (tests/soak-seeds, seed 9).  */
+/* Guards against ranking a long-running job last when its run has to move long
+   after the job's start, while there is more work than capacity.  Ranked by
+   the objective of that start, it was without a run for 8.4 s and more in two
+   runs of a site with planned faults only; with this order for 0.9 s at most
+   (tests/soak-seeds, seed 9).  */
 static void
 test_lasting (void)
 {
@@ -307,23 +309,23 @@
   char id[GP_JOB_ID_SIZE + 1];
   const gp_ranked_job_t *first;
   jobs_site_t site;
-  gp_job_t *lasting;
+  gp_job_t *long_running;
   GArray *ranked;
 
   jobs_site_init (&site);
   jobs_site_executor (&site, "x1", CORES);
   submission->steps[0]->long_running = true;
-  lasting = jobs_site_submit (&site, "00000000000000aa", submission);
+  long_running = jobs_site_submit (&site, "00000000000000aa", submission);
   site.now += 60 * GP_SEC;
   for (unsigned i = 0; i < JOBS_MAX; i++)
     {
-      id_of (id, i);
+      make_id (id, i);
       jobs_site_submit (&site, id, jobs_site_submission (CORES, 1000));
     }
   ranked = gp_urgency_rank (&site.book, &site.scheduler.forecast, site.now);
   first = &g_array_index (ranked, gp_ranked_job_t, 0);
-  CU_ASSERT_PTR_EQUAL (first->job, lasting);
-  CU_ASSERT_EQUAL (first->hope, GP_HOPE_IN_TIME);
+  CU_ASSERT_PTR_EQUAL (first->job, long_running);
+  CU_ASSERT_EQUAL (first->deadline_class, GP_DEADLINE_IN_TIME);
   g_array_free (ranked, TRUE);
   jobs_site_finish (&site);
 }
