--- a/src/coordination/admission.c
+++ b/src/coordination/admission.c
@@ -1,38 +1,43 @@
-/* Admission of requests to one upstream.
-
-   Rules.  A request may start when a slot and a connection are free and its
-   team and kind run fewer than their limits.  Of those that may:
-
-   1. Batch that is out of laxity goes first while batch holds fewer than
-      BATCH_SHARE slots, by earliest URGENT_AT.  Batch is out of laxity when
-      the first URGENT_AT has come, or when all queued batch, drained at the
-      pace of the share, would take past the last URGENT_AT.  URGENT_AT is the
-      deadline less four times the high estimate of the kind.
-   2. Latency-critical requests are next, by the earliest point at which
-      their latency target is due (DUE, or the deadline if that is earlier or
-      there is no target).
-   3. Other batch is last, by earliest URGENT_AT, and only while batch holds
-      fewer than SLOTS - CRITICAL_RESERVE slots.  The reserve lapses when no
-      latency-critical request has come for RESERVE_DURATION.
-
-   So a latency-critical request is passed over by batch only through rule 1,
-   in at most BATCH_SHARE slots; and batch that is out of laxity is passed
-   over by latency-critical requests only when batch has its share.
-
-   Refusal.  A request that cannot start at once is refused if its predicted
-   end is past its deadline (for batch with a margin), and a latency-critical
-   one also if its predicted wait is more than MAX_CRITICAL_WAIT or a third of
-   its time: so the queue is bounded in time, and the bound follows the
-   measured service times.  A quarter of the queue's places is kept from batch;
-   when all are taken, a latency-critical request displaces the batch with the
-   most slack.  At its
-   turn a request that is hopeless (NOW plus the mean of its kind is past its
-   deadline) is refused if another of its class waits behind it; the last one
-   is tried, so that an estimate which is far too high is corrected by
-   measurement.  At its deadline a request is refused wherever it waits.
-
-   Each public call first does what is due, so that afterwards nothing that
-   may start is waiting.  */
+/* Admission control for requests to one upstream.
+
+   Scheduling.  A request may start when a slot and a connection are free
+   and its team and kind are below their limits on running requests.  Among
+   the requests that may start:
+
+   1. Batch that is out of laxity is first, by earliest URGENT_AT, while
+      batch holds fewer than BATCH_SHARE slots.  Batch is out of laxity
+      when the earliest URGENT_AT has passed, or when draining all queued
+      batch with BATCH_SHARE slots would extend past the latest URGENT_AT.
+      URGENT_AT is the deadline minus four times the high service time
+      estimate of the kind.
+   2. Latency-critical requests are second, ordered by the time at which
+      their latency target is due (DUE, or the deadline if that is earlier
+      or there is no target).
+   3. Other batch is last, by earliest URGENT_AT, and only while batch
+      holds fewer than SLOTS - CRITICAL_RESERVE slots.  The reserve is not
+      in effect when no latency-critical request has arrived for
+      RESERVE_DURATION.
+
+   Batch can therefore overtake a latency-critical request only by rule 1,
+   in at most BATCH_SHARE slots; and latency-critical requests can overtake
+   batch that is out of laxity only when batch already holds its share.
+
+   Refusal.  A request that cannot start at once is refused if its
+   predicted completion is after its deadline (for batch, with a margin).
+   A latency-critical request is also refused if its predicted wait exceeds
+   MAX_CRITICAL_WAIT or a third of the time to its deadline.  The queue is
+   thereby bounded in time, and the bound follows the measured service
+   times.  A quarter of the queue's capacity is not available to batch;
+   when the queue is full, a latency-critical request displaces the batch
+   request with the most slack.  When a request is selected to start but
+   cannot meet its deadline (NOW plus the mean service time of its kind is
+   past the deadline), it is refused if another request of its class is
+   queued; the last one is started, so that an estimate that is far too
+   high is corrected by measurement.  A queued request is always refused
+   when its deadline passes.
+
+   Each public call first does the work that is due, so that on return no
+   request that may start is still queued.  */
 
 #include "coordination/admission.h"
 
@@ -40,19 +45,20 @@
 
 enum
 {
-  /* Urgent when the rest of the time is this many high estimates.  */
+  /* A request becomes urgent this many high estimates before its deadline.  */
   URGENT_ESTIMATES = 4,
-  /* Time after a predicted wait that a request needs to be accepted, in high
-     estimates.  */
+  /* Time that must remain after the predicted wait for a request to be
+     accepted, in high estimates.  */
   CRITICAL_ESTIMATES = 1,
   BATCH_ESTIMATES = 2,
-  /* A latency-critical request waits at most this part of its time.  */
+  /* A latency-critical request may wait for at most 1/WAIT_FRACTION of the
+     time to its deadline.  */
   WAIT_FRACTION = 3,
-  /* One place of so many in the queue is kept from batch.  */
+  /* Batch may not use one of every CRITICAL_PLACES places in the queue.  */
   CRITICAL_PLACES = 4
 };
 
-/* Bounds of the hint when to retry.  */
+/* Bounds of the retry hint.  */
 #define RETRY_MIN (20 * GP_MSEC)
 #define RETRY_MAX (5 * GP_SEC)
 
@@ -77,7 +83,8 @@
              || admission->open_connections < options->connections);
 }
 
-/* Slots that batch may hold when nothing latency-critical waits.  */
+/* The number of slots that batch may hold when no latency-critical request
+   is queued.  */
 static uint32_t
 batch_limit (const gp_admission_t *admission, gp_time_t now)
 {
@@ -100,7 +107,8 @@
 
 /* Estimates.  */
 
-/* Slots that drain the queue of WORK_CLASS; at least one.  */
+/* The number of slots assumed to serve the queue of WORK_CLASS; at least
+   one.  */
 static uint32_t
 drain_slots (const gp_admission_t *admission, gp_admission_class_t work_class)
 {
@@ -115,8 +123,8 @@
   return MAX (slots, 1);
 }
 
-/* Duration until a request of WORK_CLASS that joins the queue and takes
-   MEAN would get a slot, at the present drain rate.  */
+/* The predicted time until a request of WORK_CLASS with mean service time
+   MEAN, if queued now, would get a slot at the present drain rate.  */
 static gp_time_t
 predicted_wait (const gp_admission_t *admission,
                 gp_admission_class_t work_class, gp_time_t mean)
@@ -139,8 +147,8 @@
          <= request->deadline;
 }
 
-/* Whether the predicted wait of a latency-critical request is within its
-   bound; that of batch has none but the deadline.  */
+/* Returns true if the predicted wait of a latency-critical request is
+   within its bound.  Batch has no bound other than its deadline.  */
 static bool
 wait_bounded (const gp_admission_t *admission,
               const gp_admission_request_t *request, gp_time_t now)
@@ -168,11 +176,11 @@
                                    request->kind->service_time.mean);
 
   if (admission->leaving)
-    return now; /* elsewhere, at once */
+    return now; /* retry at once, at another guard */
   return now + CLAMP (wait, RETRY_MIN, RETRY_MAX);
 }
 
-/* Steps of a request.  */
+/* State transitions of a request.  */
 
 static void
 refuse (gp_admission_t *admission, gp_admission_request_t *request,
@@ -221,8 +229,9 @@
 
 /* Dispatch.  */
 
-/* Whether FIRST, the first batch, or the batch with most slack after all the
-   other batch and at the pace of the share, would start too late.  */
+/* Returns true if FIRST, the first batch request, is urgent, or if the
+   batch request with the most slack would start too late after all other
+   queued batch served with BATCH_SHARE slots.  */
 static bool
 out_of_laxity (const gp_admission_t *admission,
                const gp_admission_request_t *first, gp_time_t now)
@@ -235,7 +244,8 @@
   return first->urgent_at <= now || last->urgent_at <= now + backlog;
 }
 
-/* The request whose turn it is by the rules, or NULL.  A slot is free.  */
+/* The request to start next by the scheduling rules, or NULL.  A slot is
+   free.  */
 static gp_admission_request_t *
 choose (gp_admission_t *admission, gp_time_t now)
 {
@@ -299,9 +309,9 @@
 
 /* Submission.  */
 
-/* The length of the queue at which a request of WORK_CLASS finds it full:
-   some places are kept from batch, so that latency-critical requests seldom
-   displace batch that has been accepted.  */
+/* The queue length at which the queue is full for WORK_CLASS.  It is lower
+   for batch, so that latency-critical requests rarely displace batch that
+   has been accepted.  */
 static uint32_t
 queue_limit (const gp_admission_t *admission, gp_admission_class_t work_class)
 {
@@ -310,8 +320,9 @@
   return work_class == CRITICAL ? limit : limit - limit / CRITICAL_PLACES;
 }
 
-/* The queued request that makes place for ARRIVAL, or NULL: one that is
-   hopeless, else for a latency-critical one the batch with most slack.  */
+/* The queued request to refuse in favour of ARRIVAL, or NULL: one that
+   cannot meet its deadline; otherwise, if ARRIVAL is latency-critical, the
+   batch request with the most slack.  */
 static gp_admission_request_t *
 find_victim (const gp_admission_t *admission,
              const gp_admission_request_t *arrival, gp_time_t now)
@@ -468,7 +479,7 @@
   gp_service_time_init (&kind->service_time, declared);
 }
 
-/* Take OPTIONS over, with shares that fit into the slots.  */
+/* Copies OPTIONS, limiting the shares to the number of slots.  */
 static void
 set_options (gp_admission_t *admission, const gp_admission_options_t *options)
 {
--- a/src/coordination/capacity.c
+++ b/src/coordination/capacity.c
@@ -1,16 +1,18 @@
-/* What is reserved on one worker.
-
-   Invariants.  RESERVE and a raise keep the sum of all reservations and the
-   services' within TOTAL.  A task counts until its release, also while it is
-   stopping.  The sum is computed anew at each decision, so that it cannot
-   drift from the tasks.
-
-   Hysteresis.  A measurement whose span began before the last change of
-   its task is ignored, as it does not show the effect.  A throttled task is
-   evicted after EVICT_SAMPLES measurements in a row over its reservation.  A
-   throttle is lifted as soon as there is room for what the task wanted, or
-   else after CALM_SAMPLES in a row within 7/8 of the reservation; this number
-   doubles each time, so that a task which swings is throttled ever longer.  */
+/* Resource reservations on one worker.
+
+   Invariants.  gp_capacity_reserve and raised reservations keep the sum of
+   all reservations, including that of the services, within TOTAL.  A task
+   is counted until its release, also while it is stopping.  The sum is
+   recomputed at each decision, so it cannot diverge from the tasks.
+
+   Hysteresis.  A measurement whose interval began before the last change
+   to its task is ignored, as it does not show the effect of the change.  A
+   throttled task is evicted after EVICT_SAMPLES consecutive measurements
+   above its reservation.  A throttle is lifted as soon as there is room
+   for the usage the task had when it was throttled, or after CALM_SAMPLES
+   consecutive measurements within 7/8 of the reservation.  That number
+   doubles each time, so that a task with alternating usage is throttled
+   for longer and longer.  */
 
 #include "coordination/capacity.h"
 
@@ -21,7 +23,7 @@
   EVICT_SAMPLES = 3,
   CALM_SAMPLES = 4,
   CALM_SAMPLES_MAX = 64,
-  MARGIN_DIVISOR = 8 /* room beyond the observed use: 1/8 of it */
+  MARGIN_DIVISOR = 8 /* headroom above the observed usage: 1/8 of it */
 };
 
 static const gp_resources_t nothing;
@@ -34,8 +36,8 @@
 
 /* Sums.  */
 
-/* Reservations of the services and the tasks, those that are STOPPING too if
-   asked.  */
+/* The sum of the reservations of the services and the tasks; includes
+   tasks that are stopping if WITH_STOPPING.  */
 static gp_resources_t
 committed (const gp_capacity_t *capacity, bool with_stopping)
 {
@@ -59,7 +61,8 @@
   return left;
 }
 
-/* Whether the sum would be within TOTAL if TASK had RESERVED.  */
+/* Returns true if the sum would be within TOTAL with TASK's reservation
+   changed to RESERVED.  */
 static bool
 fits_with (const gp_capacity_t *capacity, const gp_capacity_task_t *task,
            const gp_resources_t *reserved)
@@ -107,7 +110,8 @@
   act (capacity, task, &action);
 }
 
-/* Let TASK use RESERVED, which fits.  With LIFT its throttle ends.  */
+/* Sets the reservation of TASK to RESERVED, which fits.  With LIFT its
+   throttle ends.  */
 static void
 grant (gp_capacity_t *capacity, gp_capacity_task_t *task,
        const gp_resources_t *reserved, bool lift, gp_time_t now)
@@ -124,7 +128,7 @@
   act (capacity, task, &action);
 }
 
-/* Over the reservation.  */
+/* Usage above the reservation.  */
 
 static uint32_t
 with_margin (uint32_t observed, uint32_t reserved)
@@ -134,8 +138,9 @@
   return observed > reserved ? wanted : reserved;
 }
 
-/* The reservation that covers the observed use of TASK with a margin, where
-   it is over; an accelerator is whole.  */
+/* The reservation that covers the observed usage of TASK, with a margin
+   for the components that exceed it.  Accelerators are indivisible and get
+   no margin.  */
 static gp_resources_t
 wanted_of (const gp_capacity_task_t *task)
 {
@@ -158,8 +163,9 @@
                            = MAX (a->accelerators, b->accelerators) };
 }
 
-/* A throttled task uses less than it wants, so its throttle is lifted only
-   for what it wanted before; what it uses now may still be covered.  */
+/* A throttled task uses less than it would otherwise, so its throttle is
+   lifted only for its earlier, unthrottled usage; its present usage may
+   still be covered without lifting the throttle.  */
 static void
 handle_over (gp_capacity_t *capacity, gp_capacity_task_t *task, gp_time_t now)
 {
@@ -180,7 +186,7 @@
     evict (capacity, task, GP_CAPACITY_OVER_RESERVATION);
 }
 
-/* Within the reservation.  */
+/* Usage within the reservation.  */
 
 static bool
 calm (const gp_capacity_task_t *task)
@@ -223,9 +229,9 @@
     handle_over (capacity, task, now);
 }
 
-/* Changes of the whole.  */
+/* Changes to the capacity.  */
 
-/* Give room that has become free to throttled tasks, the oldest first.  */
+/* Lifts the throttles for which there is now room, oldest task first.  */
 static void
 serve_throttled (gp_capacity_t *capacity, gp_time_t now)
 {
@@ -239,8 +245,8 @@
   }
 }
 
-/* The task to evict in a shortage: the lowest cost, of equals the youngest;
-   NULL when all are stopping.  */
+/* The task to evict in a shortage: the one with the lowest eviction cost,
+   and of several the youngest; NULL when all are stopping.  */
 static gp_capacity_task_t *
 cheapest (const gp_capacity_t *capacity)
 {
--- a/src/coordination/capacity.h
+++ b/src/coordination/capacity.h
@@ -1,19 +1,21 @@
-/* What is reserved on one worker: the guard's decision.
+/* Resource reservations on one worker, as the guard makes them.
 
    The guard reserves processors, memory and accelerators for a task before
    it asks the runtime to start it, and releases them only when the runtime
-   has confirmed that the task is gone.  The worker's services have a
-   reservation of their own.  The sum is never raised above what the worker
-   has; it can be found above it only when a restarted guard adopts tasks
-   that already run, or when the worker or its services change, and then
-   tasks are evicted.
+   has confirmed that the task has ended.  The worker's services have a
+   reservation of their own.  No decision of this module raises the sum of
+   the reservations above the worker's capacity.  The sum can exceed it
+   only when a restarted guard adopts tasks that are already running, or
+   when the capacity of the worker or the reservation of its services
+   changes; tasks are then evicted.
 
-   Declared sizes are often wrong.  A task whose observed use exceeds its
-   reservation gets more if there is room; else it is throttled, and when
-   that does not help, evicted.
+   Declared sizes are often wrong.  If the observed usage of a task exceeds
+   its reservation, the reservation is raised if there is room; otherwise
+   the task is throttled, and if that does not help, evicted.
 
-   The module does no I/O and reads no clock.  Tasks are memory of the
-   caller.  Calls are linear in the tasks of the worker, some tens.  */
+   The module does no I/O and reads no clock.  Tasks are allocated by the
+   caller.  Calls are linear in the number of tasks on the worker, some
+   tens.  */
 
 #ifndef GP_COORDINATION_CAPACITY_H
 #define GP_COORDINATION_CAPACITY_H
@@ -28,16 +30,16 @@
 typedef enum
 {
   GP_CAPACITY_NONE,
-  GP_CAPACITY_RAISE,      /* the reservation has grown */
-  GP_CAPACITY_THROTTLE,   /* ask the runtime to */
-  GP_CAPACITY_UNTHROTTLE, /* ask the runtime to */
-  GP_CAPACITY_EVICT       /* ask the runtime to checkpoint and stop */
+  GP_CAPACITY_RAISE,      /* the reservation was raised */
+  GP_CAPACITY_THROTTLE,   /* ask the runtime to do so */
+  GP_CAPACITY_UNTHROTTLE, /* ask the runtime to do so */
+  GP_CAPACITY_EVICT       /* ask the runtime to checkpoint and stop the task */
 } gp_capacity_action_kind_t;
 
 typedef enum
 {
-  GP_CAPACITY_OVER_RESERVATION, /* it uses more than there is room for */
-  GP_CAPACITY_SHORTAGE          /* the worker has become too small */
+  GP_CAPACITY_OVER_RESERVATION, /* uses more than can be reserved for it */
+  GP_CAPACITY_SHORTAGE /* the reservations exceed the worker's capacity */
 } gp_capacity_evict_reason_t;
 
 typedef struct
@@ -47,7 +49,7 @@
   uint64_t epoch;
   union
   {
-    gp_resources_t raise; /* RAISE, UNTHROTTLE: the reservation now */
+    gp_resources_t raise; /* RAISE, UNTHROTTLE: the new reservation */
     gp_capacity_evict_reason_t evict;
   } u;
 } gp_capacity_action_t;
@@ -56,31 +58,32 @@
 {
   GP_CAPACITY_RESERVED,
   GP_CAPACITY_NO_ROOM,
-  GP_CAPACITY_PRESENT /* the task is here, under this or another epoch */
+  GP_CAPACITY_PRESENT /* the task is already present, under this or another
+                         epoch */
 } gp_capacity_verdict_t;
 
 typedef struct
 {
-  /* Set by the caller before it is reserved or adopted.  */
+  /* Set by the caller before gp_capacity_reserve or gp_capacity_adopt.  */
   uint64_t id;
   uint64_t epoch;
-  uint32_t eviction_cost;  /* the lowest is evicted first */
-  gp_resources_t reserved; /* at first what it is expected to need */
+  uint32_t eviction_cost;  /* tasks with the lowest cost are evicted first */
+  gp_resources_t reserved; /* initially the expected need */
 
-  /* To be read by the caller.  */
+  /* Read-only for the caller.  */
   gp_resources_t observed;
   bool throttled;
-  bool stopping; /* on its way out, still reserved */
+  bool stopping; /* asked to stop; still reserved */
 
   /* Private.  */
   gp_list_t link;
-  gp_list_t pending;           /* in the capacity's ACTIONS */
-  gp_capacity_action_t action; /* the one that is pending */
-  gp_resources_t wanted;       /* while throttled */
-  gp_time_t changed_at;        /* older measurements don't count */
-  uint32_t samples_over;       /* in a row */
-  uint32_t samples_under;      /* in a row */
-  uint32_t calm_samples;       /* in a row that lift a throttle */
+  gp_list_t pending;           /* in the ACTIONS list of the capacity */
+  gp_capacity_action_t action; /* the pending action */
+  gp_resources_t wanted;  /* usage to cover before the throttle is lifted */
+  gp_time_t changed_at;   /* measurements from before this are ignored */
+  uint32_t samples_over;  /* consecutive */
+  uint32_t samples_under; /* consecutive */
+  uint32_t calm_samples;  /* consecutive samples needed to lift the throttle */
 } gp_capacity_task_t;
 
 typedef struct
@@ -94,47 +97,51 @@
 void gp_capacity_init (gp_capacity_t *capacity, const gp_resources_t *total,
                        const gp_resources_t *service);
 
-/* What could be reserved now.  */
+/* Returns the unreserved resources.  */
 gp_resources_t gp_capacity_headroom (const gp_capacity_t *capacity);
 
-/* Reserve for TASK or refuse.  HEADROOM, unless NULL, is set to what is left
-   after the decision, for the answer to the entry.  */
+/* Reserves resources for TASK or refuses.  HEADROOM, unless NULL, is set
+   to the unreserved resources after the decision, for the reply to the
+   entry.  */
 gp_capacity_verdict_t gp_capacity_reserve (gp_capacity_t *capacity,
                                            gp_capacity_task_t *task,
                                            gp_time_t now,
                                            gp_resources_t *headroom);
 
-/* Take over TASK, which runs already: it counts whether there is room or
-   not.  Returns RESERVED or PRESENT.  */
+/* Adds TASK, which is already running, whether there is room or not.
+   Returns RESERVED or PRESENT.  */
 gp_capacity_verdict_t gp_capacity_adopt (gp_capacity_t *capacity,
                                          gp_capacity_task_t *task,
                                          gp_time_t now);
 
-/* The runtime has confirmed the end of (ID, EPOCH).  Returns the task, which
-   is the caller's again, or NULL if there is none under this epoch.  */
+/* Releases the reservation of (ID, EPOCH) after the runtime has confirmed
+   its end.  Returns the task, which the caller owns again, or NULL if
+   there is none with this epoch.  */
 gp_capacity_task_t *gp_capacity_release (gp_capacity_t *capacity, uint64_t id,
                                          uint64_t epoch, gp_time_t now);
 
-/* TASK has been asked to stop by another than this module: it stays reserved
-   until its release and causes no more actions.  */
+/* Records that TASK has been asked to stop for a reason outside this
+   module.  It stays reserved until its release and causes no further
+   actions.  */
 void gp_capacity_set_stopping (gp_capacity_task_t *task);
 
-/* The task here with this id, or NULL.  */
+/* Returns the task with this id, or NULL.  */
 gp_capacity_task_t *gp_capacity_find (const gp_capacity_t *capacity,
                                       uint64_t id);
 
-/* (ID, EPOCH) used OBSERVED in a span of measurement that began at
-   SPAN_START; a stale epoch is ignored.  */
+/* Records that (ID, EPOCH) used OBSERVED in a measurement interval that
+   began at SPAN_START.  Measurements of another epoch are ignored.  */
 void gp_capacity_observe (gp_capacity_t *capacity, uint64_t id, uint64_t epoch,
                           const gp_resources_t *observed, gp_time_t span_start,
                           gp_time_t now);
 
-/* The worker or its services have changed.  */
+/* Sets the capacity of the worker and the reservation of its services.  */
 void gp_capacity_resize (gp_capacity_t *capacity, const gp_resources_t *total,
                          const gp_resources_t *service, gp_time_t now);
 
-/* Take the oldest action into ACTION; false: no more.  A task has one action
-   pending at most, the latest, and none after EVICT.  */
+/* Stores the oldest pending action in ACTION; returns false if there is
+   none.  A task has at most one pending action, the latest, and none after
+   EVICT.  */
 bool gp_capacity_next_action (gp_capacity_t *capacity,
                               gp_capacity_action_t *action);
 
--- a/src/coordination/epoch_table.c
+++ b/src/coordination/epoch_table.c
@@ -2,8 +2,8 @@
 
 typedef struct
 {
-  uint64_t task;    /* the key */
-  uint64_t running; /* the epoch that runs here, or 0 */
+  uint64_t task;    /* hash key */
+  uint64_t running; /* the running epoch, or 0 */
   uint64_t ended;   /* the highest epoch that ended or was refused, or 0 */
 } entry_t;
 
--- a/src/coordination/estimate.c
+++ b/src/coordination/estimate.c
@@ -1,7 +1,8 @@
 /* Logarithmic histograms with halving.
 
-   The class of a value is its octave and the two bits below the leading one,
-   so it needs no floating point and is the same everywhere.  */
+   The bucket of a value is determined by its octave and the two bits below
+   the leading one.  This needs no floating point, so the result is the
+   same on every platform.  */
 
 #include "coordination/estimate.h"
 
@@ -11,8 +12,8 @@
 enum
 {
   CLASSES_PER_OCTAVE = 4,
-  TOTAL_MAX = 4096,  /* then all counts are halved */
-  RAISE_DIVISOR = 10 /* a tenth more than was seen */
+  TOTAL_MAX = 4096,  /* when reached, all counts are halved */
+  RAISE_DIVISOR = 10 /* a raise adds a tenth of the observed usage */
 };
 
 static unsigned int
@@ -30,7 +31,7 @@
   return MIN (class, GP_ESTIMATE_CLASSES - 1);
 }
 
-/* The greatest value of CLASS.  */
+/* The largest value in bucket CLASS.  */
 static uint64_t
 upper_edge (unsigned int class)
 {
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -1,8 +1,8 @@
 /* Workers indexed by headroom.
 
-   Invariants: a worker is linked in the bucket of its free resources if and
-   only if it is serving and not held; a bit of a mask is set if and only if
-   the bucket is not empty.  */
+   Invariants: a worker is linked in the bucket of its free resources if
+   and only if it is serving and not held; a bit in a mask is set if and
+   only if the bucket is not empty.  */
 
 #include "coordination/fleet.h"
 
@@ -10,15 +10,16 @@
 
 enum
 {
-  CLASSES = 32,            /* of free processors and of free memory */
-  SMALLEST_OCTAVE = 6,     /* below 64 units everything is one class */
-  VISITS_PER_CANDIDATE = 8 /* before a search leaves a zone */
+  CLASSES = 32,        /* size classes of free processors and of free memory */
+  SMALLEST_OCTAVE = 6, /* amounts below 64 share one class */
+  VISITS_PER_CANDIDATE = 8 /* limit on workers visited in a zone */
 };
 
 struct gp_fleet_cell
 {
-  uint32_t rows;             /* processor classes that are not empty */
-  uint32_t columns[CLASSES]; /* memory classes, by processor class */
+  uint32_t rows;             /* bit mask of non-empty processor classes */
+  uint32_t columns[CLASSES]; /* bit masks of non-empty memory classes, by
+                                processor class */
   gp_list_t buckets[CLASSES * CLASSES];
 };
 
@@ -126,7 +127,7 @@
   cell->rows |= 1U << row;
 }
 
-/* Compute the free resources of WORKER anew and move it to its bucket.  */
+/* Recomputes the free resources of WORKER and moves it to its bucket.  */
 static void
 refresh (gp_fleet_t *fleet, gp_worker_t *worker)
 {
@@ -377,14 +378,14 @@
   return false;
 }
 
-/* One search: what is wanted and what was found.  */
+/* Parameters and results of one search.  */
 typedef struct
 {
   const gp_resources_t *demand;
   gp_worker_t **out;
   unsigned int found;
-  unsigned int wanted; /* stop at this number */
-  unsigned int visits; /* left */
+  unsigned int wanted; /* stop when this many were found */
+  unsigned int visits; /* remaining */
 } search_t;
 
 static bool
@@ -402,8 +403,8 @@
   return false;
 }
 
-/* Take the workers of BUCKET that fit, and turn the ring so that the next
-   search begins behind those seen now.  */
+/* Adds the workers of BUCKET that fit, then rotates the list so that the
+   next search begins after the last one visited.  */
 static void
 search_bucket (search_t *search, gp_list_t *bucket)
 {
@@ -426,8 +427,8 @@
     }
 }
 
-/* Search the buckets of CELL that can hold the demand, from tight to roomy
-   or the other way round.  */
+/* Searches the buckets of CELL that can fit the demand, in ascending order
+   of free resources, or in descending order if ROOMY.  */
 static void
 search_cell (search_t *search, gp_fleet_cell_t *cell, bool roomy)
 {
@@ -453,9 +454,9 @@
     }
 }
 
-/* Search the cells of one sort in all ZONES.  Each zone gives an equal part
-   of MAX, half of it from the roomy end; with BOUNDED the workers looked at
-   are bounded as well.  */
+/* Searches the cells of all ZONES with or without accelerators.  Each zone
+   provides an equal part of MAX, half of it from the workers with the most
+   room.  With BOUNDED the number of workers visited is limited as well.  */
 static void
 search_zones (gp_fleet_t *fleet, search_t *search, uint64_t zones,
               bool accelerated, unsigned int max, bool bounded)
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet.h
@@ -1,20 +1,23 @@
-/* The workers as one entry sees them, indexed by headroom.
+/* The workers as seen by one entry, indexed by headroom.
 
-   An entry's view is optimistic: a worker's free resources are what its guard
-   reported last, less what this entry has reserved there and the guard has
-   not confirmed.  The guard decides; its refusal carries the true headroom
-   and refreshes the view.  A report that crosses a confirmation on its way
-   makes the view too low or too high until the next one, never the guard's.
+   An entry's view is optimistic: the free resources of a worker are those
+   that its guard last reported, minus those that this entry has reserved
+   there and the guard has not yet confirmed.  The guard makes the final
+   decision; a refusal carries the actual headroom and updates the view.
+   If a report and a confirmation cross on the way, the view is too low or
+   too high until the next report; the guard's own accounting is not
+   affected.
 
    Each zone has two cells, one for workers with accelerators and one for
-   those without.  A cell is a grid of buckets by class of free processors
-   and of free memory, two classes an octave, with bit masks of the buckets
-   that are not empty.  A search visits only buckets that can hold the
-   demand, so its cost follows the candidates asked for and not the workers.
-   Moving a worker between buckets is constant time.
+   those without.  A cell is a grid of buckets by size class of free
+   processors and of free memory, two classes per octave, with bit masks of
+   the non-empty buckets.  A search visits only buckets that can contain a
+   fitting worker, so its cost depends on the number of candidates
+   requested, not on the number of workers.  Moving a worker between
+   buckets takes constant time.
 
-   Workers are memory of the caller; the fleet only links them.  Zones, racks,
-   services and kinds are small integers interned by the caller.  */
+   Workers are allocated by the caller; the fleet only links them.  Zones,
+   racks, services and kinds are small integers assigned by the caller.  */
 
 #ifndef GP_COORDINATION_FLEET_H
 #define GP_COORDINATION_FLEET_H
@@ -34,12 +37,12 @@
 typedef enum
 {
   GP_WORKER_SERVING,
-  GP_WORKER_SUSPECTED, /* runs what it has, gets nothing new */
+  GP_WORKER_SUSPECTED, /* keeps its tasks, gets no new ones */
   GP_WORKER_LEAVING,
   GP_WORKER_LOST
 } gp_worker_state_t;
 
-/* How many tasks of a kind are on a worker.  */
+/* The number of tasks of one kind on a worker.  */
 typedef struct
 {
   uint16_t kind;
@@ -48,19 +51,19 @@
 
 typedef struct
 {
-  gp_list_t link; /* in its bucket; empty when it gets no new work */
+  gp_list_t link; /* in its bucket; empty if it takes no new work */
   uint32_t index; /* set by gp_fleet_add */
   uint32_t rack;
   uint16_t zone;
   uint16_t region;
-  uint16_t service;       /* that runs beside the tasks, or none */
-  uint16_t load_permille; /* of that service's slots in use */
+  uint16_t service;       /* the service on this worker, or GP_SERVICE_NONE */
+  uint16_t load_permille; /* slots of the service in use */
   gp_worker_state_t state;
   gp_resources_t capacity;
-  gp_resources_t reported;    /* free, as the guard said last */
-  gp_resources_t unconfirmed; /* reserved here, not yet confirmed */
-  gp_resources_t free;        /* reported less unconfirmed */
-  uint64_t held_for;          /* task for which it is emptied, 0: none */
+  gp_resources_t reported;    /* free resources in the guard's last report */
+  gp_resources_t unconfirmed; /* reserved by this entry, not yet confirmed */
+  gp_resources_t free;        /* reported minus unconfirmed */
+  uint64_t held_for;          /* task for which the worker is held, or 0 */
   gp_time_t held_until;
   gp_resident_t *residents;
   uint16_t n_residents;
@@ -69,7 +72,7 @@
 
 typedef struct gp_fleet_cell gp_fleet_cell_t;
 
-/* A capacity and how many workers of a zone have it.  */
+/* A distinct capacity and the number of workers in a zone that have it.  */
 typedef struct
 {
   gp_resources_t capacity;
@@ -79,80 +82,85 @@
 
 typedef struct
 {
-  GPtrArray *workers;     /* gp_worker_t by index, NULL when removed */
+  GPtrArray *workers;     /* gp_worker_t by index; NULL if removed */
   GArray *vacant;         /* indices of removed workers */
-  gp_fleet_cell_t *cells; /* two for each zone */
+  gp_fleet_cell_t *cells; /* two per zone */
   uint32_t n_zones;
-  GArray *shapes;  /* gp_fleet_shape_t */
-  uint32_t holds;  /* workers kept for one task */
-  uint64_t growth; /* changes whenever some headroom may have grown */
+  GArray *shapes; /* gp_fleet_shape_t */
+  uint32_t holds; /* number of held workers */
+  uint64_t
+      growth; /* incremented when the headroom of a worker may have grown */
 } gp_fleet_t;
 
 void gp_fleet_init (gp_fleet_t *fleet, uint32_t n_zones);
 void gp_fleet_finish (gp_fleet_t *fleet);
 
-/* Prepare WORKER as serving and empty; the caller sets its places, service
-   and capacity before gp_fleet_add.  */
+/* Initializes WORKER as serving and empty.  The caller sets its location,
+   service and capacity before gp_fleet_add.  */
 void gp_worker_init (gp_worker_t *worker);
 void gp_worker_finish (gp_worker_t *worker);
 
-/* Add WORKER, wholly free; its index is that of a removed worker or new.
-   The worker must stay valid until it is removed.  */
+/* Adds WORKER with all its capacity free.  Its index is new or that of a
+   removed worker.  The worker must stay valid until it is removed.  */
 void gp_fleet_add (gp_fleet_t *fleet, gp_worker_t *worker);
 void gp_fleet_remove (gp_fleet_t *fleet, gp_worker_t *worker);
 void gp_fleet_set_state (gp_fleet_t *fleet, gp_worker_t *worker,
                          gp_worker_state_t state);
 
-/* The worker with INDEX, or NULL.  */
+/* Returns the worker with INDEX, or NULL.  */
 gp_worker_t *gp_fleet_worker (const gp_fleet_t *fleet, uint32_t index);
 
-/* Take note of the free resources that the guard reports.  */
+/* Records the free resources reported by the guard.  */
 void gp_fleet_report (gp_fleet_t *fleet, gp_worker_t *worker,
                       const gp_resources_t *headroom);
 
-/* Reserve DEMAND on WORKER for a task of KIND until the guard confirms or
+/* Reserves DEMAND on WORKER for a task of KIND until the guard confirms or
    refuses it.  */
 void gp_fleet_reserve (gp_fleet_t *fleet, gp_worker_t *worker, uint16_t kind,
                        const gp_resources_t *demand);
-/* The guard runs the task: the reservation becomes part of the report.  */
+/* The guard has started the task: the reservation becomes part of the
+   reported usage.  */
 void gp_fleet_confirm (gp_fleet_t *fleet, gp_worker_t *worker,
                        const gp_resources_t *demand);
-/* The guard refused and told its HEADROOM; or the grant was voided, and
-   HEADROOM is the worker's last report.  */
+/* Removes a reservation.  Either the guard refused and reported its
+   HEADROOM, or the grant was voided and HEADROOM is the worker's last
+   report.  */
 void gp_fleet_refuse (gp_fleet_t *fleet, gp_worker_t *worker, uint16_t kind,
                       const gp_resources_t *demand,
                       const gp_resources_t *headroom);
-/* A confirmed task of KIND is known to be gone.  */
+/* Releases the resources of a confirmed task of KIND that has ended.  */
 void gp_fleet_release (gp_fleet_t *fleet, gp_worker_t *worker, uint16_t kind,
                        const gp_resources_t *demand);
 
-/* Keep WORKER, which is not held, for TASK until UNTIL: others get nothing
-   there, so that its headroom grows as tasks end.  TASK 0 lets it go.  */
+/* Holds WORKER, which is not held, for TASK until UNTIL: no other task is
+   placed there, so that its headroom grows as tasks end.  TASK 0 ends the
+   hold.  */
 void gp_fleet_hold (gp_fleet_t *fleet, gp_worker_t *worker, uint64_t task,
                     gp_time_t until);
-/* Let go of WORKER when it is held for no longer than NOW.  */
+/* Ends the hold on WORKER if it has expired at NOW.  */
 void gp_fleet_expire_hold (gp_fleet_t *fleet, gp_worker_t *worker,
                            gp_time_t now);
 
-/* Whether a task of DEMAND fits some worker of ZONES (a bit each) when that
-   is empty, whatever the worker's state.  */
+/* Returns true if DEMAND fits the total capacity of some worker in ZONES
+   (a bit mask), whatever the worker's state.  */
 bool gp_fleet_can_ever_fit (const gp_fleet_t *fleet,
                             const gp_resources_t *demand, uint64_t zones);
 
-/* Count a task of KIND on WORKER, or no longer, that this entry did not
-   reserve: the guard's reports hold its resources already.  */
+/* Adds or removes a task of KIND that this entry did not reserve to the
+   counts of WORKER.  Its resources are already part of the guard's
+   reports.  */
 void gp_worker_add_resident (gp_worker_t *worker, uint16_t kind);
 void gp_worker_remove_resident (gp_worker_t *worker, uint16_t kind);
 
-/* How many tasks of KIND are on WORKER.  */
+/* Returns the number of tasks of KIND on WORKER.  */
 uint32_t gp_worker_count (const gp_worker_t *worker, uint16_t kind);
 
-/* Store up to MAX workers into OUT that can take DEMAND now, from the zones
-   whose bit is set in ZONES, both tight and roomy ones; return their number,
-   which is zero only when there is none.  MAX is at least two for each zone
-   of the fleet.  Workers with accelerators are
-   offered to a demand without them only when no other fits.  Repeated
-   searches rotate through workers of one class.  */
+/* Stores in OUT up to MAX workers that can take DEMAND now, from the zones
+   whose bit is set in ZONES, both nearly full and mostly empty ones.
+   Returns their number, which is zero only if there are none.  MAX must be
+   at least two per zone of the fleet.  Workers with accelerators are
+   returned for a demand without accelerators only if no others fit.
+   Repeated searches rotate through the workers of a bucket.  */
 unsigned int gp_fleet_search (gp_fleet_t *fleet, const gp_resources_t *demand,
                               uint64_t zones, gp_worker_t **out,
                               unsigned int max);
--- a/src/coordination/homes.c
+++ b/src/coordination/homes.c
@@ -8,8 +8,8 @@
 
 #define NONE SIZE_MAX
 
-/* The highest ranked entry of REGION whose zone is (or is not) ZONE,
-   besides EXCEPT.  */
+/* The highest ranked entry of REGION, other than EXCEPT, that is in ZONE
+   if SAME_ZONE is set and in another zone if not.  */
 static size_t
 best_entry (const char *guard, const char *region, const char *zone,
             bool same_zone, const gp_home_t *entries, size_t n_entries,
@@ -44,8 +44,8 @@
   bool same_zone = true;
   size_t except = NONE;
 
-  /* Own zone, then another; then the same again for a region whose entries
-     are all in one zone, or all in others.  */
+  /* The guard's own zone, then another one.  Repeating both covers a
+     region whose entries are all in one zone or all in other zones.  */
   for (int turn = 0; turn < 2 * GP_HOMES_MAX && n < GP_HOMES_MAX; turn++)
     {
       size_t best = best_entry (guard, region, zone, same_zone, entries,
--- a/src/coordination/interference.c
+++ b/src/coordination/interference.c
@@ -1,9 +1,10 @@
 /* Recursive least squares of a service's tail latency on its neighbours.
 
-   A model has two features of the service, a constant and its load, and one
-   for each place of a kind.  P is the covariance of the coefficients,
-   symmetric, stored whole.  An update costs the square of the features (66);
-   a prediction costs the square of the kinds that are present.  */
+   A model has two features of the service, a constant and its load, and
+   one feature per kind slot.  P is the covariance of the coefficients,
+   symmetric and stored in full.  An update costs the square of the number
+   of features (66); a prediction costs the square of the number of kinds
+   present.  */
 
 #include "coordination/interference.h"
 
@@ -15,18 +16,18 @@
 {
   FEATURE_BASE = 0,
   FEATURE_LOAD = 1,
-  FEATURE_KINDS = 2, /* the first kind's */
+  FEATURE_KINDS = 2, /* index of the first kind */
   FEATURES = FEATURE_KINDS + GP_RESIDENCY_KINDS
 };
 
-#define RATIO_MAX 5.0 /* more says nothing more */
+#define RATIO_MAX 5.0 /* larger ratios are clipped */
 #define USEC_PER_HOUR (3600.0 * GP_SEC)
 
 struct gp_interference_model
 {
   double coefficients[FEATURES];
   double covariance[FEATURES][FEATURES];
-  gp_regression_t regression; /* on the two above */
+  gp_regression_t regression; /* uses the two arrays above */
   gp_time_t updated;
 };
 
@@ -111,7 +112,8 @@
   gp_regression_push (features, FEATURE_LOAD, load);
 }
 
-/* Let the coefficients become less certain with time, up to the prior.  */
+/* Increases the variance of the coefficients with time, up to that of the
+   prior.  */
 static void
 forget (gp_interference_model_t *model,
         const gp_interference_settings_t *settings, gp_time_t now)
@@ -208,8 +210,8 @@
     }
 }
 
-/* Mean and variance of the ratio under FEATURES, and the covariance of it
-   with coefficient FEATURE.  */
+/* Mean and variance of the ratio for given features, and its covariance
+   with one coefficient.  */
 typedef struct
 {
   double mean;
@@ -217,7 +219,7 @@
   double covariance;
 } gp_interference_moments_t;
 
-/* As moments_of, for a service without a model: independent priors.  */
+/* Same as moments_of, for a service without a model: independent priors.  */
 static gp_interference_moments_t
 prior_moments (const gp_interference_settings_t *settings,
                const gp_regression_input_t *features, unsigned int feature)
@@ -278,7 +280,7 @@
                                        = sqrt (fmax (0.0, moments.variance)) };
 }
 
-/* The mean of max (0, X) for a normal X.  */
+/* Returns the mean of max (0, X) for a normally distributed X.  */
 static double
 expected_excess (double mean, double variance)
 {
--- a/src/coordination/interference.h
+++ b/src/coordination/interference.h
@@ -1,17 +1,19 @@
-/* How much tasks slow down the services beside them, learned online.
-
-   For each service the tail latency, as a ratio to its target, is a linear
-   function of the service's load and of the number of tasks of each kind
-   that were on the worker, each weighed by one plus the load, since a busy
-   service suffers more from the same neighbour.  The slopes are estimated by
-   recursive least squares in Kalman form: the prior regularises, a random
-   walk forgets, no slope becomes less certain than the prior, and outliers
-   are clipped.
-
-   The harm of a placement is the rise of the expected excess of the ratio
-   over a knee below the target, under a normal distribution with the
-   estimate's mean and variance.  So both a high mean and an unknown slope
-   count, and neither counts where there is room.  */
+/* Online estimate of how much tasks slow down the services on the same
+   worker.
+
+   For each service, the ratio of tail latency to target is modelled as a
+   linear function of the service's load and of the number of tasks of each
+   kind on the worker.  The task counts are weighted by one plus the load,
+   because a busy service suffers more from the same neighbour.  The
+   coefficients are estimated by recursive least squares in Kalman form:
+   the prior regularises the estimate, a random walk lets old data decay,
+   no slope becomes less certain than its prior, and outliers are clipped.
+
+   The harm of a placement is the increase of the expected excess of the
+   ratio over a knee below the target, for a normal distribution with the
+   mean and variance of the estimate.  A high mean and an unknown slope
+   therefore both count, and neither counts where the ratio is far below
+   the knee.  */
 
 #ifndef GP_COORDINATION_INTERFERENCE_H
 #define GP_COORDINATION_INTERFERENCE_H
@@ -26,13 +28,13 @@
 
 typedef struct
 {
-  double slope_mean; /* of one task on the ratio, before it is known */
+  double slope_mean; /* prior effect of one task on the ratio */
   double slope_deviation;
-  double base_mean; /* ratio of a service alone */
+  double base_mean; /* prior ratio of a service without tasks beside it */
   double base_deviation;
-  double noise_deviation; /* of one measurement, to begin with */
-  double drift;           /* part of the prior variance regained an hour */
-  double knee;            /* ratio from which latency counts as harm */
+  double noise_deviation; /* initial value, for one measurement */
+  double drift;           /* fraction of the prior variance added per hour */
+  double knee;            /* ratio above which latency counts as harm */
 } gp_interference_settings_t;
 
 #define GP_INTERFERENCE_DEFAULTS                                              \
@@ -49,42 +51,44 @@
 typedef struct
 {
   gp_interference_settings_t settings;
-  GPtrArray *models;     /* by service, NULL before its first measurement */
-  uint64_t measurements; /* taken in */
-  uint64_t too_old;      /* dropped: the residency does not reach back */
+  GPtrArray *models;     /* by service; NULL before its first measurement */
+  uint64_t measurements; /* used to update a model */
+  uint64_t too_old; /* dropped because the residency does not reach back far
+                       enough */
 } gp_interference_t;
 
 void gp_interference_init (gp_interference_t *interference,
                            const gp_interference_settings_t *settings);
 void gp_interference_finish (gp_interference_t *interference);
 
-/* Learn from a measurement of SERVICE, RATIO = p99 / target at LOAD (0 to 1),
-   over the time FROM to TO on the worker of RESIDENCY; false when that does
-   not reach back to FROM.  */
+/* Updates the model of SERVICE with a measurement of RATIO = p99 / target
+   at LOAD (0 to 1), taken from FROM to TO on the worker of RESIDENCY.
+   Returns false if RESIDENCY does not reach back to FROM.  */
 bool gp_interference_measure (gp_interference_t *interference,
                               uint16_t service, double load,
                               const gp_residency_t *residency, gp_time_t from,
                               gp_time_t to, double ratio);
 
-/* A slope or ratio with its standard deviation.  */
+/* Estimate of a slope or ratio, with its standard deviation.  */
 typedef struct
 {
   double mean;
   double deviation;
 } gp_interference_estimate_t;
 
-/* What one task of KIND adds to the ratio of SERVICE when it is idle.  */
+/* Returns the estimated increase of the ratio of SERVICE, when it is idle,
+   caused by one task of KIND.  */
 gp_interference_estimate_t
 gp_interference_slope (const gp_interference_t *interference, uint16_t service,
                        uint16_t kind);
 
-/* The ratio to be expected on WORKER as it is.  */
+/* Returns the expected ratio on WORKER with its present tasks and load.  */
 gp_interference_estimate_t
 gp_interference_predict (const gp_interference_t *interference,
                          const gp_worker_t *worker);
 
-/* The expected harm of one more task of KIND on WORKER; 0 on a worker
-   without a service.  */
+/* Returns the expected harm of adding a task of KIND to WORKER; 0 for a
+   worker without a service.  */
 double gp_interference_harm (const gp_interference_t *interference,
                              const gp_worker_t *worker, uint16_t kind);
 
--- a/src/coordination/lease_grantor.c
+++ b/src/coordination/lease_grantor.c
@@ -1,27 +1,29 @@
 #include "coordination/lease_grantor.h"
 
-/* A read older than length / LATE_PART makes the entry ask for vouches.  */
+/* Vouches are requested when the last log read is older than length /
+   LATE_PART.  */
 #define LATE_PART 4
-/* Vouches are asked for this many times in a promise.  */
+/* Vouches are requested this many times within the duration of a promise.  */
 #define ASKS_PER_PROMISE 5
-/* A guard that wants vouches says so in every heartbeat.  */
+/* A guard that needs vouches says so in every heartbeat; the request is
+   considered current for this many heartbeat periods.  */
 #define WANTED_HEARTBEATS 2
-/* A tick that comes later than silence / PAUSE_PART means that the process
-   was paused and may have missed heartbeats.  */
+/* A delay of more than silence / PAUSE_PART between ticks means that the
+   process was paused and may have missed heartbeats.  */
 #define PAUSE_PART 4
 
 typedef struct
 {
   gp_list_t link; /* in by_heard or fenced, or empty */
   char *name;
-  uint64_t current;     /* the incarnation on the log, or 0 */
-  uint64_t asked;       /* the last incarnation asked to be registered */
-  uint64_t fence_asked; /* the last incarnation asked to be fenced */
+  uint64_t current;     /* the registered incarnation, or 0 */
+  uint64_t asked;       /* the last incarnation proposed for registration */
+  uint64_t fence_asked; /* the last incarnation proposed for fencing */
   gp_time_t fence_asked_at;
-  bool fenced;      /* current is fenced on the log */
+  bool fenced;      /* the current incarnation is fenced */
   bool done_asked;  /* FENCE_DONE has been proposed */
-  gp_time_t heard;  /* by any entry, or -1 */
-  gp_time_t act_at; /* of a fence */
+  gp_time_t heard;  /* when any entry last received a heartbeat, or -1 */
+  gp_time_t act_at; /* when the fence may be acted on */
 } gp_lease_guard_t;
 
 static void
@@ -50,7 +52,8 @@
                                    .ask_at = now,
                                    .wanted = -1,
                                    .next_ask = incarnation };
-  /* Those of the predecessor; its last vouch came before this start.  */
+  /* The predecessor's promises; its last vouch was given before this
+     start.  */
   grantor->promised = now + gp_lease_timing_wait (timing, timing->promise);
   grantor->guards
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, guard_free);
@@ -87,8 +90,8 @@
   return guard;
 }
 
-/* Put GUARD into by_heard, which is sorted; news are recent, so the walk from
-   the end is short.  */
+/* Inserts GUARD in by_heard, which is sorted by the time last heard.  That
+   time is usually recent, so searching from the end is fast.  */
 static void
 guard_sort (gp_lease_grantor_t *grantor, gp_lease_guard_t *guard)
 {
@@ -140,7 +143,8 @@
   lapsed
       = now + gp_lease_timing_wait (&grantor->timing, grantor->timing.length);
   guard->fenced = true;
-  /* Vouches given from now on list this fence, so they do not delay it.  */
+  /* Vouches given from now on list this fence, so they do not delay acting
+     on it.  */
   guard->act_at = MAX (lapsed, grantor->promised);
   gp_list_remove (&guard->link);
   gp_list_push_back (&grantor->fenced, &guard->link);
@@ -186,7 +190,8 @@
 gp_time_t
 gp_lease_grantor_vouched_until (const gp_lease_grantor_t *grantor)
 {
-  /* The own promise, made with the last asks, counts like the others'.  */
+  /* This entry's own promise, made with its last requests, counts like
+     those of the others.  */
   gp_time_t until
       = grantor->promised
         - gp_lease_timing_wait (&grantor->timing, grantor->timing.promise)
@@ -203,7 +208,8 @@
   return until;
 }
 
-/* Whether a vouch lists a fence on an incarnation up to INCARNATION.  */
+/* Returns true if some vouch lists a fence for NAME on an incarnation up
+   to INCARNATION.  */
 static bool
 fence_listed (const gp_lease_grantor_t *grantor, const char *name,
               uint64_t incarnation)
@@ -370,7 +376,8 @@
         g_memdup2 (&fences[i].incarnation, sizeof fences[i].incarnation));
 }
 
-/* After a pause the silence of the guards means nothing.  */
+/* After a pause of this process, missing heartbeats do not indicate that a
+   guard is down.  */
 static void
 check_pause (gp_lease_grantor_t *grantor, gp_time_t now)
 {
@@ -410,7 +417,8 @@
     }
 }
 
-/* The log's tail is known well enough to judge a guard.  */
+/* Returns true if the last read of the log tail is recent enough to judge
+   whether a guard is silent.  */
 static bool
 log_current (const gp_lease_grantor_t *grantor, gp_time_t now)
 {
--- a/src/coordination/lease_holder.c
+++ b/src/coordination/lease_holder.c
@@ -1,13 +1,16 @@
 #include "coordination/lease_holder.h"
 
-/* A lease with less than length / EXPIRING_PART left is overdue.  */
+/* A renewal is overdue when less than length / EXPIRING_PART of the lease
+   is left.  */
 #define EXPIRING_PART 2
-/* A log-fresh renewal for less than length * (1 - 1 / FRESH_PART), or none for
-   length / FRESH_PART, means that the log is in trouble.  */
+/* If log-fresh renewals are for less than length * (1 - 1 / FRESH_PART),
+   or none has arrived for length / FRESH_PART, entries have trouble
+   reading the log.  */
 #define FRESH_PART 4
-/* Heartbeats come this much faster while there is no sound lease.  */
+/* Heartbeats are sent this many times as often while the lease is not held
+   or is expiring.  */
 #define URGENT_FACTOR 4
-/* Half the width of the jitter, as a part of the period.  */
+/* Maximum deviation of the heartbeat period, as a fraction of it.  */
 #define JITTER 0.25
 
 static gp_lease_holder_action_t *
@@ -58,7 +61,7 @@
       = holder->next_incarnation;
 }
 
-/* The lease itself, before anything else.  */
+/* Lets the lease lapse or expire; called before anything else.  */
 static void
 check_lease (gp_lease_holder_t *holder, gp_time_t now,
              gp_lease_holder_actions_t *actions)
@@ -113,7 +116,8 @@
     renew (holder, now, actions);
 }
 
-/* When the heartbeat SEQUENCE was sent, or -1 if that is forgotten.  */
+/* Returns when the heartbeat SEQUENCE was sent, or -1 if that is no longer
+   known.  */
 static gp_time_t
 sent_time (const gp_lease_holder_t *holder, uint64_t sequence)
 {
--- a/src/coordination/lease_holder.h
+++ b/src/coordination/lease_holder.h
@@ -1,25 +1,28 @@
 /* The guard's side of the lease protocol.
 
-   One lease covers every task of a worker.  Invariants:
-
-   - The deadline counts from the time the guard SENT the heartbeat, so that
-     delays of messages and pauses of the entry only shorten it.
-   - Every entry point checks the lease before it looks at its input: after a
-     pause nothing is done under a lease that has lapsed.
-   - A lease is one unbroken stretch of time for an incarnation.  Once it has
-     lapsed or was fenced the guard stops every task, waits for the runtime to
-     confirm, and goes on as a new incarnation; a late renewal or Start for
-     the old one finds nobody.  Entries rely on this: a fence whose wait is
-     over can never meet a renewed lease.
-   - A vouched renewal only extends a lease that is held; the first lease of
-     an incarnation comes from an entry that read the log.
-   - The runtime takes calls of the greatest incarnation that claimed it only.
-     A stop claims it for the next incarnation, so that a Start of this one
-     that is still under way to the runtime cannot land after the stop.
-   - A guard process that starts beside a runtime which still runs tasks
+   One lease covers all tasks of a worker.  Invariants:
+
+   - The deadline is counted from the time at which the guard SENT the
+     heartbeat, so that message delays and pauses of the entry only shorten
+     the lease.
+   - Every function first checks the lease, then its input: after a pause
+     nothing is done under a lease that has lapsed.
+   - A lease is one contiguous period for an incarnation.  Once it has
+     lapsed or was fenced, the guard stops all tasks, waits for the runtime
+     to confirm, and continues as a new incarnation; a late renewal or
+     Start for the old one is ignored.  Entries rely on this: when the wait
+     of a fence is over, the fenced lease can no longer be renewed.
+   - A vouched renewal only extends a lease that is held; the first lease
+     of an incarnation must come from an entry that has read the log.
+   - The runtime accepts calls only from the highest incarnation that
+     claimed it.  STOP_ALL claims it for the next incarnation, so that a
+     Start of the present one that has not yet reached the runtime cannot
+     take effect after the stop.
+   - A guard process that starts while the runtime still runs tasks
      inherits the runtime's deadline from its predecessor.
 
-   The module decides only.  The caller carries out the actions, in order.  */
+   The module only makes decisions.  The caller carries out the actions, in
+   order.  */
 
 #ifndef GP_COORDINATION_LEASE_HOLDER_H
 #define GP_COORDINATION_LEASE_HOLDER_H
@@ -34,19 +37,20 @@
 
 typedef enum
 {
-  GP_LEASE_NONE,     /* new incarnation, no lease yet */
-  GP_LEASE_HELD,     /* tasks may run and start */
-  GP_LEASE_EXPIRING, /* held, renewals are overdue */
-  GP_LEASE_LAPSED,   /* stopping every task, then a new incarnation */
-  GP_LEASE_FENCED    /* as lapsed, by an entry's word */
+  GP_LEASE_NONE,     /* new incarnation without a lease yet */
+  GP_LEASE_HELD,     /* tasks may start and run */
+  GP_LEASE_EXPIRING, /* held, but renewals are overdue */
+  GP_LEASE_LAPSED,   /* stopping all tasks, then a new incarnation */
+  GP_LEASE_FENCED    /* same as lapsed, on notice from an entry */
 } gp_lease_state_t;
 
 typedef enum
 {
-  GP_LEASE_HOLDER_RENEW,        /* send heartbeats with this sequence */
-  GP_LEASE_HOLDER_SET_DEADLINE, /* tell the runtime */
-  GP_LEASE_HOLDER_STOP_ALL,     /* claim, kill, then call .._stopped */
-  GP_LEASE_HOLDER_ANNOUNCE      /* announce, with the inventory */
+  GP_LEASE_HOLDER_RENEW,        /* send heartbeats with this sequence number */
+  GP_LEASE_HOLDER_SET_DEADLINE, /* pass the deadline to the runtime */
+  GP_LEASE_HOLDER_STOP_ALL,     /* claim the runtime, kill all tasks, then call
+                                   gp_lease_holder_stopped */
+  GP_LEASE_HOLDER_ANNOUNCE /* announce the incarnation, with the inventory */
 } gp_lease_holder_action_kind_t;
 
 typedef struct
@@ -57,80 +61,82 @@
     struct
     {
       uint64_t sequence;
-      bool held;        /* a vouched renewal is of use */
-      bool wants_vouch; /* and needed: the log-fresh ones stay out */
+      bool held;        /* a vouched renewal would be accepted */
+      bool wants_vouch; /* and needed: log-fresh renewals are missing */
     } renew;
     gp_time_t deadline;
     uint64_t claim; /* STOP_ALL: the next incarnation */
     struct
     {
       uint64_t incarnation;
-      uint64_t inherits; /* whose lease goes on, or 0 */
+      uint64_t inherits; /* incarnation whose lease is continued, or 0 */
     } announce;
   } u;
 } gp_lease_holder_action_t;
 
 #define GP_LEASE_HOLDER_MAX_ACTIONS 4
 
-/* Actions of one call; the caller passes it with count 0.  */
+/* Actions produced by one call; the caller sets count to 0 before.  */
 typedef struct
 {
   unsigned count;
   gp_lease_holder_action_t items[GP_LEASE_HOLDER_MAX_ACTIONS];
 } gp_lease_holder_actions_t;
 
-/* What an entry answered to a heartbeat.  */
+/* An entry's reply to a heartbeat.  */
 typedef struct
 {
-  uint64_t incarnation;   /* to which the heartbeat belonged */
-  uint64_t sequence;      /* of the heartbeat */
-  gp_time_t remaining;    /* 0: not renewed */
-  bool vouched;           /* renewed without the log */
+  uint64_t incarnation;   /* incarnation that sent the heartbeat */
+  uint64_t sequence;      /* sequence number of the heartbeat */
+  gp_time_t remaining;    /* 0 if not renewed */
+  bool vouched;           /* renewed by vouches, without the log */
   bool fenced;            /* this incarnation is fenced */
-  uint64_t superseded_by; /* a later incarnation on the log, or 0 */
+  uint64_t superseded_by; /* a later incarnation in the log, or 0 */
 } gp_lease_reply_t;
 
 typedef enum
 {
   GP_START_ACCEPTED,  /* start it now */
-  GP_START_DUPLICATE, /* it runs already: acknowledge again */
-  GP_START_REFUSED,   /* it did not run and never will under this epoch */
-  GP_START_STALE /* meant for another incarnation; the log tells its end */
+  GP_START_DUPLICATE, /* already running; acknowledge again */
+  GP_START_REFUSED,   /* did not run and never will with this epoch */
+  GP_START_STALE      /* for another incarnation; the log tells how it ended */
 } gp_start_verdict_t;
 
-/* Heartbeats whose send time is remembered.  */
+/* Number of heartbeats whose send time is kept.  */
 #define GP_LEASE_HOLDER_SENT 64
 
 typedef struct
 {
   gp_lease_timing_t timing;
-  GRand *random; /* of the caller */
+  GRand *random; /* owned by the caller */
   gp_epoch_table_t *epochs;
   gp_lease_state_t state;
   uint64_t incarnation;
   uint64_t inherits;
-  uint64_t next_incarnation; /* the least number not known to be used */
-  gp_time_t deadline;        /* of the lease while it is held */
-  gp_time_t fresh_at;        /* when a sound log-fresh renewal last came */
+  uint64_t next_incarnation; /* lowest number not known to be used */
+  gp_time_t deadline;        /* end of the lease while it is held */
+  gp_time_t fresh_at; /* when a sufficient log-fresh renewal last arrived */
   gp_time_t renew_at;
-  uint64_t sequence; /* of the last heartbeat */
+  uint64_t sequence; /* sequence number of the last heartbeat */
   gp_time_t sent_at[GP_LEASE_HOLDER_SENT];
 } gp_lease_holder_t;
 
-/* Begin as INCARNATION, which must be greater than that of any earlier start
-   on this VM.  The runtime must have been claimed for it before.  EPOCHS and
-   RANDOM stay the caller's.  */
+/* Starts as INCARNATION, which must be greater than that of any earlier
+   start on this VM.  The runtime must already be claimed for it.  EPOCHS
+   and RANDOM remain owned by the caller.  */
 void gp_lease_holder_init (gp_lease_holder_t *holder,
                            const gp_lease_timing_t *timing,
                            gp_epoch_table_t *epochs, GRand *random,
                            uint64_t incarnation, gp_time_t now);
 
-/* Right after init: the runtime, on the same boot, still runs tasks of
-   PREDECESSOR under its deadline DEADLINE.  Ignored when that has passed.  */
+/* Called right after init if the runtime, in the same boot, still runs
+   tasks of PREDECESSOR under the deadline DEADLINE.  Ignored if that has
+   passed.  */
 void gp_lease_holder_inherit (gp_lease_holder_t *holder, uint64_t predecessor,
                               gp_time_t deadline, gp_time_t now);
 
-/* Check the lease and do what is due; to be called first on any wake-up.  */
+/* Checks the lease and sends due heartbeats; must be called first on any
+   wake-up.  */
 void gp_lease_holder_check (gp_lease_holder_t *holder, gp_time_t now,
                             gp_lease_holder_actions_t *actions);
 
@@ -138,37 +144,37 @@
                             const gp_lease_reply_t *reply, gp_time_t now,
                             gp_lease_holder_actions_t *actions);
 
-/* The runtime was started anew: nothing runs, and what was granted to this
-   incarnation has ended.  Goes on as after a lapse.  */
+/* The runtime was restarted: no task is running, and everything granted to
+   this incarnation has ended.  Continues as after a lapse.  */
 void gp_lease_holder_give_up (gp_lease_holder_t *holder,
                               gp_lease_holder_actions_t *actions);
 
-/* The runtime confirmed, after STOP_ALL, that no task is left.  */
+/* The runtime has confirmed, after STOP_ALL, that no task is left.  */
 void gp_lease_holder_stopped (gp_lease_holder_t *holder, gp_time_t now,
                               gp_lease_holder_actions_t *actions);
 
-/* Take a new incarnation that adopts the running tasks and the lease, since
-   the epoch table is full.  Does nothing unless the lease is held.  */
+/* Takes a new incarnation that adopts the running tasks and the lease,
+   because the epoch table is full.  Does nothing unless the lease is held.  */
 void gp_lease_holder_recycle (gp_lease_holder_t *holder, gp_time_t now,
                               gp_lease_holder_actions_t *actions);
 
-/* Decide on a Start of (TASK, EPOCH) addressed to INCARNATION.  A refusal is
-   final and remembered.  A stale Start has no answer of its own: whether an
-   earlier incarnation ran it is said by the record that registers this
-   one.  */
+/* Decides on a Start of (TASK, EPOCH) addressed to INCARNATION.  A refusal
+   is final and recorded in the epoch table.  A stale Start gets no reply:
+   the record that registers this incarnation tells whether an earlier one
+   ran the task.  */
 gp_start_verdict_t gp_lease_holder_start (gp_lease_holder_t *holder,
                                           uint64_t task, uint64_t epoch,
                                           uint64_t incarnation, gp_time_t now,
                                           gp_lease_holder_actions_t *actions);
 
-/* Whether tasks may run.  */
+/* Returns true if tasks may run.  */
 static inline bool
 gp_lease_holder_held (const gp_lease_holder_t *holder)
 {
   return holder->state == GP_LEASE_HELD || holder->state == GP_LEASE_EXPIRING;
 }
 
-/* When gp_lease_holder_check has something to do again.  */
+/* Returns the time at which gp_lease_holder_check must next be called.  */
 gp_time_t gp_lease_holder_due (const gp_lease_holder_t *holder);
 
 const char *gp_lease_state_name (gp_lease_state_t state);
--- a/src/coordination/lease_timing.c
+++ b/src/coordination/lease_timing.c
@@ -1,8 +1,8 @@
-/* Times of the lease protocol from the settings.  */
+/* Timing parameters of the lease protocol, from the settings.  */
 
 #include "coordination/lease_timing.h"
 
-/* A task starts only with this part of a lease left: 2 s of 15 s.  */
+/* Minimum remaining lease for a task to start: 2 s of 15 s.  */
 #define START_MIN(length) ((length)*2 / 15)
 
 gp_lease_timing_t
--- a/src/coordination/lease_timing.h
+++ b/src/coordination/lease_timing.h
@@ -1,8 +1,10 @@
-/* Times of the lease protocol, the same at every process of a site.
+/* Timing parameters of the lease protocol, identical in all processes of a
+   site.
 
-   A lease is measured by its holder, an entry that waits for its end measures
-   on another clock.  The one that waits pays for the difference: it waits the
-   stretched length plus the margin.  See docs/design/leases.md.  */
+   A lease is measured by the clock of its holder, while an entry that
+   waits for its end measures with another clock.  The waiting side allows
+   for the difference: it waits for the length increased by the maximum
+   clock drift, plus the margin.  See docs/design/leases.md.  */
 
 #ifndef GP_COORDINATION_LEASE_TIMING_H
 #define GP_COORDINATION_LEASE_TIMING_H
@@ -14,13 +16,13 @@
 
 typedef struct
 {
-  gp_time_t length;    /* L: a renewal lasts this long from the log read */
-  gp_time_t promise;   /* P: a vouch lasts this long from its ask */
-  gp_time_t margin;    /* the runtime has killed by deadline + margin */
+  gp_time_t length;  /* L: duration of a renewal, from the log read */
+  gp_time_t promise; /* P: duration of a vouch, from its request */
+  gp_time_t margin; /* the runtime has killed all tasks by deadline + margin */
   gp_time_t heartbeat; /* mean time between a guard's heartbeats */
-  gp_time_t silence;   /* a guard unheard for this long is fenced */
-  gp_time_t start_min; /* a task starts only with this much lease left */
-  int64_t drift_ppm;   /* no clock is faster or slower than this */
+  gp_time_t silence; /* a guard is fenced after this long without heartbeats */
+  gp_time_t start_min; /* minimum remaining lease for a task to start */
+  int64_t drift_ppm;   /* maximum clock drift, in parts per million */
 } gp_lease_timing_t;
 
 /* Defaults: L = P = 15 s, margin 500 ms, heartbeat 2 s, silence 6 s.  */
@@ -36,9 +38,9 @@
                               .drift_ppm = 1000 };
 }
 
-/* How long this process waits so that DURATION, measured by the slowest
-   clock, has passed and the runtime has killed: DURATION (1 + d) / (1 - d)
-   rounded up, plus the margin.  */
+/* Returns how long to wait on this process's clock until DURATION has
+   passed on the slowest clock and the runtime has killed all tasks:
+   DURATION (1 + d) / (1 - d) rounded up, plus the margin.  */
 static inline gp_time_t
 gp_lease_timing_wait (const gp_lease_timing_t *timing, gp_time_t duration)
 {
@@ -48,8 +50,8 @@
   return duration * fast / slow + 1 + timing->margin;
 }
 
-/* The timing that SETTINGS give: the guard's and the entries' sides of the
-   protocol are safe only with the same.  */
+/* Returns the timing for SETTINGS.  The protocol is safe only if guards
+   and entries use the same timing.  */
 gp_lease_timing_t
 gp_lease_timing_of_settings (const gp_settings_timings_t *settings);
 
--- a/src/coordination/limiter.c
+++ b/src/coordination/limiter.c
@@ -1,8 +1,8 @@
-/* Token bucket kept as a point in time.
+/* Token bucket represented by a point in time.
 
-   The bucket holds (NOW + BURST - FULL_AT) / TOKEN tokens, all in ns, and is
-   full from FULL_AT on.  Taking a token moves FULL_AT by TOKEN; that is
-   allowed while FULL_AT stays within NOW + BURST.  */
+   The bucket holds (NOW + BURST - FULL_AT) / TOKEN tokens, all in ns, and
+   is full from FULL_AT on.  Taking a token advances FULL_AT by TOKEN,
+   which is allowed while FULL_AT stays within NOW + BURST.  */
 
 #include "coordination/limiter.h"
 
@@ -10,7 +10,8 @@
 
 #define NS_PER_USEC 1000
 #define NS_PER_SEC 1e9
-/* A token takes at most a year to come back, so that no sum overflows.  */
+/* Limits the time to add a token to one year, so that sums do not
+   overflow.  */
 #define TOKEN_NS_MAX (366 * 86400 * NS_PER_SEC)
 #define BURST_NS_MAX (INT64_MAX / 4)
 
@@ -40,7 +41,7 @@
       = MIN (limiter->full_at_ns, now * NS_PER_USEC + limiter->burst_ns);
 }
 
-/* FULL_AT after COUNT tokens are taken at NOW_NS.  */
+/* Returns FULL_AT after taking COUNT tokens at NOW_NS.  */
 static int64_t
 full_after (const gp_limiter_t *limiter, uint32_t count, int64_t now_ns)
 {
--- a/src/coordination/load.h
+++ b/src/coordination/load.h
@@ -10,9 +10,9 @@
 typedef struct
 {
   uint32_t running;    /* slots in use */
-  uint32_t queued;     /* requests that wait for a slot */
-  uint32_t latency_us; /* moving average of the time in a slot */
-  gp_time_t at;        /* when it was true */
+  uint32_t queued;     /* requests waiting for a slot */
+  uint32_t latency_us; /* moving average of the service time */
+  gp_time_t at;        /* when it was measured */
 } gp_load_t;
 
 #endif
--- a/src/coordination/members.c
+++ b/src/coordination/members.c
@@ -3,7 +3,7 @@
 /* Older than any report.  */
 static const gp_load_t no_load = { .at = INT64_MIN };
 
-/* Memory of members.  */
+/* Allocation.  */
 
 static void
 member_free (gpointer data)
@@ -80,7 +80,7 @@
   return g_hash_table_size (members->by_name);
 }
 
-/* Evidence and state.  */
+/* State of a member.  */
 
 static gp_member_state_t
 state_of (const gp_member_t *member)
@@ -202,7 +202,7 @@
          && g_strcmp0 (a->service, b->service) == 0;
 }
 
-/* Copy FROM over the announcement of MEMBER, except its name.  */
+/* Replaces the announcement of MEMBER by FROM, except for its name.  */
 static void
 announcement_copy (gp_members_t *members, gp_member_t *member,
                    const gp_announcement_t *from)
@@ -219,7 +219,7 @@
   g_free (old_address);
 }
 
-/* Forget what was known of an older incarnation.  */
+/* Clears what was known of an older incarnation.  */
 static void
 member_reset (gp_member_t *member)
 {
@@ -249,7 +249,7 @@
   if (announcement->incarnation > member->announcement.incarnation)
     member_reset (member);
   else if (member->announcement.leaving)
-    next.leaving = true; /* an incarnation that leaves does not return */
+    next.leaving = true; /* an incarnation never returns from leaving */
   if (announcement_equal (&next, &member->announcement))
     return member;
   announcement_copy (members, member, &next);
@@ -362,7 +362,7 @@
   return GP_MEMBERS_ACCEPTED;
 }
 
-/* Time.  */
+/* Timeouts.  */
 
 static gp_time_t
 expire_direct (gp_members_t *members, gp_time_t now)
@@ -424,7 +424,7 @@
   return MIN (MIN (reporters, direct), MIN (suspects, tombstones));
 }
 
-/* Changes for the owner and news for other entries.  */
+/* Changes for the owner.  */
 
 gp_member_t *
 gp_members_next_change (gp_members_t *members)
--- a/src/coordination/members.h
+++ b/src/coordination/members.h
@@ -1,32 +1,33 @@
-/* Membership: the guards and upstreams that one entry knows.
+/* Membership: the guards and upstreams known to one entry.
 
-   An entry hears some guards itself (it is one of their homes, see
+   An entry hears some guards directly (it is one of their homes, see
    coordination/homes.h) and learns of the others from the entries that do.
-   A member has evidence of life while
+   A member is known to be alive while
 
-     - this entry hears it: a heartbeat within suspect_after on a connection
-       that is open, or
-     - a reporter, another entry that hears it, says so and is itself heard.
+   - this entry hears it: a heartbeat arrived within suspect_after on an
+     open connection; or
+   - a reporter, that is another entry that hears it, reports it and is
+     itself heard.
 
-   From that follows its state:
+   This determines the member's state:
 
-     joining  announced here, no heartbeat yet
-     serving  there is evidence
-     suspect  there is none; gone after gone_after
-     leaving  it said so; holds for the rest of its incarnation
-     gone     kept as a tombstone until forget_after has passed
+   joining  announced here, no heartbeat yet
+   serving  known to be alive
+   suspect  not known to be alive; gone after gone_after
+   leaving  announced its departure; final for its incarnation
+   gone     kept as a tombstone until forget_after has passed
 
-   All delays of one kind are equal, so a list in order of arrival is in
-   order of deadline: every event costs constant time, whatever the number
-   of members, and gp_members_tick looks at expired members only.
+   All timeouts of one kind are equal, so a list in order of arrival is
+   also in order of deadline.  Every event takes constant time, whatever
+   the number of members, and gp_members_tick visits expired members only.
 
-   A newer incarnation replaces a member, an older one is refused.  Work may
-   be sent to a member that gp_member_routable accepts: it serves, and the
-   connection of this entry to it is up.
+   A newer incarnation replaces a member, an older one is rejected.  Work
+   may be sent to a member if gp_member_routable returns true: it is
+   serving, and this entry's connection to it is up.
 
-   Entries tell each other changes only, over connections that keep order
-   and lose nothing; each tells just what it hears itself, so news does not
-   travel in circles.  */
+   Entries send each other only changes, over ordered and reliable
+   connections.  Each sends only what it hears directly, so updates do not
+   circulate.  */
 
 #ifndef GP_COORDINATION_MEMBERS_H
 #define GP_COORDINATION_MEMBERS_H
@@ -56,42 +57,41 @@
 /* The connection between this entry and a member.  */
 typedef enum
 {
-  GP_REACH_NONE, /* there was none yet */
+  GP_REACH_NONE, /* no connection so far */
   GP_REACH_UP,
   GP_REACH_DOWN
 } gp_reach_t;
 
-/* The homes of a guard, and one more while they change.  */
+/* One report per home of a guard, and one more while the homes change.  */
 #define GP_MEMBER_REPORTS (GP_HOMES_MAX + 1)
 
-/* What a guard says of itself.  Strings are copied by the table.  */
+/* A guard's description of itself.  The table copies the strings.  */
 typedef struct
 {
   const char *name;
   const char *address; /* "IP:port" where it accepts entries */
   const char *region;
   const char *zone;
-  const char *service; /* of its upstream, NULL without one */
+  const char *service; /* service of its upstream, or NULL */
   uint64_t incarnation;
   uint32_t slots;
   uint32_t connections;
-  uint32_t millicores; /* capacity of its worker, 0 without one */
+  uint32_t millicores; /* capacity of its worker; 0 without one */
   uint32_t memory_mib;
   uint32_t accelerators;
   bool leaving;
 } gp_announcement_t;
 
-/* One change, from or to another entry.  When gone is set, the sender does
-   not hear this incarnation any more and only name and incarnation are
-   valid.  */
+/* One change sent by or to another entry.  If gone is set, the sender no
+   longer hears this incarnation, and only name and incarnation are valid.  */
 typedef struct
 {
   gp_announcement_t announcement;
-  gp_load_t load; /* load.at: on the clock of the receiver of this struct */
+  gp_load_t load; /* load.at is on the clock of the receiving process */
   bool gone;
 } gp_member_news_t;
 
-/* The standing word of a reporter on a member.  */
+/* A reporter's current report on a member.  */
 typedef struct
 {
   gp_list_t link; /* in the reporter's reports */
@@ -102,19 +102,19 @@
 
 struct gp_member
 {
-  gp_announcement_t announcement; /* strings belong to the table */
-  gp_load_t load; /* load.at is INT64_MIN while none is known */
+  gp_announcement_t announcement; /* strings are owned by the table */
+  gp_load_t load; /* load.at is INT64_MIN if no load is known */
   gp_member_state_t state;
   gp_reach_t reach;
-  void *data; /* of the owner of the table */
+  void *data; /* for the owner of the table */
 
-  /* The rest belongs to the table.  */
+  /* Private.  */
   bool direct; /* heard by this entry */
-  bool beaten; /* a heartbeat of this incarnation was seen */
-  bool told;   /* it was once direct, so others were told of it */
+  bool beaten; /* a heartbeat of this incarnation was received */
+  bool told;   /* it was direct at some time, so others were sent updates */
   gp_time_t direct_deadline;
-  gp_time_t state_deadline; /* of suspect, leaving and gone */
-  uint64_t sequence;        /* of its last news */
+  gp_time_t state_deadline; /* end of the state, for suspect and gone */
+  uint64_t sequence;        /* sequence number of its last update */
   gp_list_t direct_link;
   gp_list_t state_link;
   gp_list_t news_link;
@@ -124,9 +124,10 @@
 
 typedef struct
 {
-  gp_time_t suspect_after; /* silence of a guard or of a reporter */
-  gp_time_t gone_after;    /* in the state suspect */
-  gp_time_t forget_after;  /* in the state gone */
+  gp_time_t suspect_after; /* timeout for heartbeats of a guard or messages of
+                              a reporter */
+  gp_time_t gone_after;    /* time in the state suspect */
+  gp_time_t forget_after;  /* time in the state gone */
 } gp_members_settings_t;
 
 /* Three missed heartbeats of 2 s.  */
@@ -140,51 +141,52 @@
   gp_members_settings_t settings;
   GHashTable *by_name;   /* name -> gp_member_t */
   GHashTable *reporters; /* name -> gp_reporter_t */
-  GStringChunk *strings; /* regions, zones, services */
-  gp_list_t direct;      /* by direct_deadline */
-  gp_list_t suspects;    /* by state_deadline, as the next */
+  GStringChunk *strings; /* interned regions, zones and services */
+  gp_list_t direct;      /* ordered by direct_deadline */
+  gp_list_t suspects;    /* ordered by state_deadline, as is the next */
   gp_list_t tombstones;
-  gp_list_t news;    /* by sequence */
-  gp_list_t changes; /* members the owner has not seen since a change */
+  gp_list_t news;    /* ordered by sequence */
+  gp_list_t changes; /* members with a change not yet taken by the owner */
   uint64_t sequence;
-  uint64_t forgotten; /* highest sequence of a member that was freed */
+  uint64_t forgotten; /* highest sequence number of a freed member */
 } gp_members_t;
 
 typedef enum
 {
   GP_MEMBERS_ACCEPTED,
-  GP_MEMBERS_STALE,  /* of an older incarnation */
-  GP_MEMBERS_UNKNOWN /* no such member; the guard must announce itself */
+  GP_MEMBERS_STALE,  /* older than the known incarnation */
+  GP_MEMBERS_UNKNOWN /* unknown member; the guard must announce itself */
 } gp_members_result_t;
 
 void gp_members_init (gp_members_t *members,
                       const gp_members_settings_t *settings);
 void gp_members_finish (gp_members_t *members);
 
-/* The member of that name, also if it is gone, or NULL.  */
+/* Returns the member with that name, even if it is gone, or NULL.  */
 gp_member_t *gp_members_find (gp_members_t *members, const char *name);
 size_t gp_members_count (const gp_members_t *members);
 
-/* A guard announced itself on a connection to this entry, which is up.  */
+/* A guard announced itself on a connection to this entry, which is thereby
+   up.  */
 gp_members_result_t gp_members_announce (gp_members_t *members,
                                          const gp_announcement_t *announcement,
                                          gp_time_t now);
 
-/* A heartbeat; LOAD may be NULL when it is unchanged.  UNKNOWN also when no
-   connection to the guard is open here.  */
+/* A heartbeat arrived; LOAD is NULL if it is unchanged.  Also returns
+   UNKNOWN if no connection to the guard is open here.  */
 gp_members_result_t gp_members_heartbeat (gp_members_t *members,
                                           const char *name,
                                           uint64_t incarnation,
                                           const gp_load_t *load,
                                           gp_time_t now);
 
-/* The guard leaves: it gets no new work from now on.  */
+/* The guard is leaving and gets no new work from now on.  */
 gp_members_result_t gp_members_leaving (gp_members_t *members,
                                         const char *name, uint64_t incarnation,
                                         gp_time_t now);
 
-/* This entry's connection to a guard opened or was lost.  Loss ends the
-   evidence of this entry at once; the reports of others then keep the
+/* This entry's connection to a guard opened or was lost.  After a loss
+   this entry no longer hears the guard; reports of others then keep the
    member serving, but not routable here.  */
 gp_members_result_t gp_members_connection_open (gp_members_t *members,
                                                 const char *name,
@@ -194,49 +196,51 @@
                                                 uint64_t incarnation,
                                                 gp_time_t now);
 
-/* A connection to another entry opened; it will tell all it hears.  What it
-   said on earlier connections and does not repeat within suspect_after is
-   dropped.  */
+/* A connection to another entry opened, and that entry will send its full
+   state.  Reports from its earlier connections that are not repeated
+   within suspect_after are dropped.  */
 void gp_members_reporter_open (gp_members_t *members, const char *name,
                                gp_time_t now);
 
-/* Any message came from another entry.  False when it must be reopened to
-   tell all again.  */
+/* A message of any kind arrived from another entry.  Returns false if the
+   connection must be reopened to get its full state.  */
 bool gp_members_reporter_heard (gp_members_t *members, const char *name,
                                 gp_time_t now);
 
-/* One piece of news came from another entry.  */
+/* An update arrived from another entry.  */
 gp_members_result_t gp_members_learn (gp_members_t *members,
                                       const char *reporter,
                                       const gp_member_news_t *news,
                                       gp_time_t now);
 
-/* Let time pass.  Returns the next deadline; calling earlier is harmless,
-   later only delays.  */
+/* Processes expired deadlines and returns the next deadline.  Calling it
+   early is harmless; calling it late only delays state changes.  */
 gp_time_t gp_members_tick (gp_members_t *members, gp_time_t now);
 
-/* Take one member whose state, reach or announcement changed since it was
-   last taken, or NULL.  A member that is taken as gone may be freed by the
-   next event.  */
+/* Returns one member whose state, reach or announcement changed since it
+   was last returned, or NULL.  A member that is returned as gone may be
+   freed by the next event.  */
 gp_member_t *gp_members_next_change (gp_members_t *members);
 
-/* An entry that is heard and says that it hears MEMBER, or NULL.  */
+/* Returns the name of an entry that is heard and reports MEMBER, or NULL.  */
 const char *gp_member_reporter (const gp_member_t *member);
 
-/* May this entry send it work?  */
+/* Returns true if this entry may send work to MEMBER.  */
 bool gp_member_routable (const gp_member_t *member);
 
-/* Give VISIT the changes after CURSOR, oldest first, until it has used
-   BUDGET bytes, and return the cursor for the next call.  VISIT returns the
-   bytes it used, 0 to stop before this piece of news.  A cursor starts at
-   0, at which members that are not heard here any more are left out.  */
+/* Calls VISIT for the updates after CURSOR, oldest first, until they have
+   used BUDGET bytes, and returns the cursor for the next call.  VISIT
+   returns the number of bytes used, or 0 to stop before this update.  The
+   initial cursor is 0; a call with it skips members that are no longer
+   heard here.  */
 uint64_t
 gp_members_tell (gp_members_t *members, uint64_t cursor, size_t budget,
                  size_t (*visit) (const gp_member_news_t *news, void *data),
                  void *data);
 
-/* Has what CURSOR should have read been freed?  The peer must be reopened
-   and told all, from 0.  */
+/* Returns true if updates after CURSOR may have been freed.  The
+   connection to the peer must then be reopened and its full state sent,
+   from cursor 0.  */
 bool gp_members_cursor_lost (const gp_members_t *members, uint64_t cursor);
 
 #endif
--- a/src/coordination/outlier.c
+++ b/src/coordination/outlier.c
@@ -10,8 +10,8 @@
   gp_list_init (&outlier->probed);
 }
 
-/* Windows.  At the end of each, counts are halved: a slow service is judged
-   on more than one window, and old results fade.  */
+/* Windows.  At the end of each, counts are halved, so that slow services
+   are judged over more than one window and old results lose weight.  */
 
 static void
 count_halve (gp_health_count_t *count, uint32_t times)
@@ -75,7 +75,7 @@
   outlier->n_members--;
 }
 
-/* Judgement.  */
+/* Ejection criteria.  */
 
 static uint64_t
 requests_of (const gp_health_t *health)
@@ -83,7 +83,7 @@
   return health->successes.n + health->failures.n;
 }
 
-/* Does it fail at least PCT of its requests?  */
+/* Returns true if at least PCT percent of its requests failed.  */
 static bool
 fails_often (const gp_health_t *health, uint64_t pct)
 {
@@ -109,7 +109,8 @@
          > outlier->n_members * outlier->settings.shared_pct;
 }
 
-/* May one more be ejected?  One of two may, a single one may not.  */
+/* Returns true if one more executor may be ejected.  One of two may; a
+   single one may not.  */
 static bool
 may_eject (const gp_outlier_t *outlier)
 {
@@ -121,7 +122,7 @@
   return outlier->n_out < allowed;
 }
 
-/* Ejection and return.  */
+/* Ejection and readmission.  */
 
 static void
 insert_by_until (gp_list_t *head, gp_health_t *health)
@@ -180,7 +181,7 @@
   uint64_t failure_pct = outlier->settings.failure_pct;
 
   if (health->state != GP_HEALTH_HEALTHY)
-    return GP_OUTLIER_NONE; /* the end of a request from before */
+    return GP_OUTLIER_NONE; /* the request was sent before the ejection */
   window_advance (outlier, health, now);
   count_add (success ? &health->successes : &health->failures, duration);
   if (success)
--- a/src/coordination/pending.c
+++ b/src/coordination/pending.c
@@ -1,8 +1,9 @@
-/* The queue of pending tasks.
+/* Queue of pending tasks.
 
-   Invariants: a ready task is in the heap of its team and class, a deferred
-   one in the heap of the deferred; ready[] counts the ready ones.  A team
-   saves for at most one task, which is in the queue.  */
+   Invariants: a ready task is in the heap of its team and class, a
+   deferred one in the heap of deferred tasks; ready[] counts the ready
+   tasks.  A team reserves quota for at most one task, which is in the
+   queue.  */
 
 #include "coordination/pending.h"
 
@@ -13,10 +14,10 @@
 typedef struct
 {
   gp_task_heap_t ready[GP_PENDING_CLASSES];
-  gp_pending_task_t *saving; /* task for which quota is left */
+  gp_pending_task_t *saving; /* task for which quota is reserved, or NULL */
 } gp_pending_team_t;
 
-/* The rank of a class, 0 first.  */
+/* Returns the priority rank of a class; 0 is the highest.  */
 static unsigned int
 rank_of (gp_work_class_t work_class)
 {
@@ -116,7 +117,7 @@
   make_ready (pending, task);
 }
 
-/* Take TASK out of its heap.  */
+/* Removes TASK from its heap.  */
 static void
 take (gp_pending_t *pending, gp_pending_task_t *task)
 {
@@ -138,7 +139,7 @@
   task->state = GP_PENDING_OUT;
 }
 
-/* End the saving of TASK's team if it was for TASK.  */
+/* Ends the quota reservation for TASK, if its team has one.  */
 static void
 end_saving (gp_pending_t *pending, const gp_pending_task_t *task)
 {
@@ -198,8 +199,8 @@
   return task->no_capacity >= settings->hold_after;
 }
 
-/* Whether the quota has room for TASK, and also for the task for which its
-   team saves, unless TASK goes before that.  */
+/* Returns true if the quota has room for TASK and, unless TASK is of a
+   higher class, also for the task for which its team reserves quota.  */
 static bool
 has_room (gp_pending_t *pending, const gp_quota_t *quota,
           const gp_pending_task_t *task)
@@ -214,8 +215,8 @@
   return gp_quota_has_room (quota, task->charge.team, &need);
 }
 
-/* Let the team of TASK save for it when it waited for quota often enough and
-   can ever have it.  */
+/* Reserves quota for TASK if it was deferred for lack of quota often
+   enough and its demand fits the whole quota of its team.  */
 static void
 begin_saving (gp_pending_t *pending, const gp_quota_t *quota,
               gp_pending_task_t *task)
@@ -229,8 +230,8 @@
     team->saving = task;
 }
 
-/* The first task of TEAM at RANK that its quota has room for; heads without
-   room are deferred.  */
+/* Returns the first task of TEAM at RANK for which its quota has room;
+   tasks before it are deferred.  */
 static gp_pending_task_t *
 head_of (gp_pending_t *pending, gp_quota_t *quota, gp_pending_team_t *team,
          unsigned int rank, gp_time_t now)
@@ -248,7 +249,8 @@
   return NULL;
 }
 
-/* The head at RANK of the team with the least share, or NULL.  */
+/* Returns the first task at RANK of the team with the smallest quota
+   share, or NULL.  */
 static gp_pending_task_t *
 fairest (gp_pending_t *pending, gp_quota_t *quota, unsigned int rank,
          gp_time_t now)
@@ -275,8 +277,8 @@
   return best;
 }
 
-/* The watcher or batch task with the nearest latest start, if that is at
-   risk.  */
+/* Returns the watcher or batch task with the earliest latest start if that
+   is at risk, or NULL.  */
 static gp_pending_task_t *
 most_at_risk (gp_pending_t *pending, gp_quota_t *quota, gp_time_t now)
 {
@@ -332,7 +334,7 @@
   pending->refilled = now;
 }
 
-/* Whether the pace allows a start at RANK.  */
+/* Returns true if the rate limit allows a start at RANK.  */
 static bool
 in_pace (const gp_pending_t *pending, unsigned int rank)
 {
@@ -381,7 +383,7 @@
   return task;
 }
 
-/* When the pace allows a start at RANK.  */
+/* Returns the time at which the rate limit allows a start at RANK.  */
 static gp_time_t
 pace_point (const gp_pending_t *pending, unsigned int rank, gp_time_t now)
 {
--- a/src/coordination/pending.h
+++ b/src/coordination/pending.h
@@ -1,26 +1,29 @@
-/* The tasks that wait for a worker, and which of them is next.
+/* Queue of the tasks that wait for a worker.
 
-   Order: latency-critical, then watchers, then batch.  Within a class the
-   team that uses the least part of its quota is served first, and within a
-   team the task with the earliest latest start (deadline less learned run
-   time).  A task without a deadline gets one by the patience of its class,
-   so that nothing waits for ever.
+   Order: latency-critical tasks, then watchers, then batch.  Within a
+   class the team that uses the smallest share of its quota is served
+   first, and within a team the task with the earliest latest start
+   (deadline minus learned run time).  A task without a deadline gets one
+   from the patience setting of its class, so that it cannot wait forever.
 
-   One pick in GP_PENDING_TURN goes to the watcher or batch task whose latest
-   start is nearest, if that is closer than the risk ahead: a flood of
-   latency-critical tasks slows the others and never stops them.
+   One in GP_PENDING_TURN picks goes to the watcher or batch task with the
+   earliest latest start, if that is no further away than RISK_AHEAD.  Many
+   latency-critical tasks can therefore slow the other classes but not
+   starve them.
 
-   A task that finds no room is deferred with back-off, and those behind it
-   go on.  Smaller tasks must not starve it: after some deferrals for lack of
-   capacity gp_pending_defer tells the caller to keep a worker for it, and
-   after as many for lack of quota its team saves: others of its class and
-   lower get only what leaves room for it.
+   A task that cannot be placed is deferred with backoff, and the tasks
+   behind it are tried.  To keep smaller tasks from starving it,
+   gp_pending_defer tells the caller to hold a worker for it after a number
+   of deferrals for lack of capacity.  After the same number of deferrals
+   for lack of quota, its team reserves quota for it: other tasks of the
+   team in the same or a lower class are started only if enough quota
+   remains for it.
 
-   A demand above the whole quota of its team, or above every worker, would
-   be tried for ever; the caller parks it.
+   A demand above the whole quota of its team, or above the capacity of
+   every worker, can never be met; the caller parks the task.
 
-   Every operation is logarithmic in the tasks; gp_pending_next also looks at
-   each team once.  Tasks are memory of the caller.  */
+   Every operation is logarithmic in the number of tasks; gp_pending_next
+   also visits each team once.  Tasks are allocated by the caller.  */
 
 #ifndef GP_COORDINATION_PENDING_H
 #define GP_COORDINATION_PENDING_H
@@ -39,39 +42,41 @@
 
 typedef enum
 {
-  GP_PENDING_OUT,     /* not in the queue, or taken from it */
-  GP_PENDING_READY,   /* in its team's heap */
-  GP_PENDING_DEFERRED /* until a point in time */
+  GP_PENDING_OUT,     /* not in the queue */
+  GP_PENDING_READY,   /* in the heap of its team and class */
+  GP_PENDING_DEFERRED /* backing off */
 } gp_pending_state_t;
 
-/* Why a task is deferred.  */
+/* Why a task was deferred.  */
 typedef enum
 {
   GP_PENDING_NO_CAPACITY,
   GP_PENDING_NO_QUOTA,
-  GP_PENDING_OTHER /* a refusal, harm, a suspected worker */
+  GP_PENDING_OTHER /* refused, harmful, or the worker was suspected */
 } gp_pending_cause_t;
 
 typedef struct
 {
   gp_task_heap_node_t node;
-  gp_quota_charge_t charge; /* team and demand */
+  gp_quota_charge_t charge; /* its team and demand */
   gp_work_class_t work_class;
   gp_pending_state_t state;
-  gp_time_t latest_start; /* by which it should run */
-  uint16_t deferrals;     /* since it was added */
-  uint16_t no_capacity;   /* of them for lack of capacity */
-  uint16_t no_quota;      /* of them for lack of quota */
+  gp_time_t latest_start; /* time by which it should start */
+  uint16_t deferrals;     /* number since it was added */
+  uint16_t no_capacity;   /* of these, for lack of capacity */
+  uint16_t no_quota;      /* of these, for lack of quota */
 } gp_pending_task_t;
 
 typedef struct
 {
   gp_time_t backoff_first;
   gp_time_t backoff_most;
-  gp_time_t backoff_urgent; /* at most, for latency-critical tasks */
-  uint16_t hold_after;      /* deferrals before room is kept for a task */
-  gp_time_t risk_ahead;     /* of a latest start */
-  gp_time_t patience[GP_PENDING_CLASSES]; /* urgent, watcher, batch */
+  gp_time_t backoff_urgent; /* maximum for latency-critical tasks */
+  uint16_t hold_after;  /* deferrals before capacity or quota is reserved for a
+                           task */
+  gp_time_t risk_ahead; /* a latest start closer than this is at risk */
+  gp_time_t
+      patience[GP_PENDING_CLASSES]; /* latency-critical, watcher, batch */
 } gp_pending_settings_t;
 
 #define GP_PENDING_DEFAULTS                                                   \
@@ -86,11 +91,11 @@
 typedef struct
 {
   gp_pending_settings_t settings;
-  GArray *teams;           /* of gp_pending_team_t */
-  gp_task_heap_t deferred; /* by the end of the back-off */
+  GArray *teams;           /* gp_pending_team_t by team */
+  gp_task_heap_t deferred; /* ordered by the end of the backoff */
   uint32_t ready[GP_PENDING_CLASSES];
-  uint32_t picks; /* since the last turn of the others */
-  double rate;    /* starts a second while paced, 0: unbounded */
+  uint32_t picks; /* picks since the last one for a task at risk */
+  double rate;    /* maximum starts per second; 0 if unlimited */
   double burst;
   double tokens;
   gp_time_t refilled;
@@ -100,47 +105,49 @@
                       const gp_pending_settings_t *settings);
 void gp_pending_finish (gp_pending_t *pending);
 
-/* Prepare TASK of TEAM; LATEST_START may be GP_TIME_NEVER.  */
+/* Initializes TASK of TEAM; LATEST_START may be GP_TIME_NEVER.  */
 void gp_pending_task_init (gp_pending_task_t *task, uint64_t id, uint32_t team,
                            gp_work_class_t work_class,
                            const gp_resources_t *demand,
                            gp_time_t latest_start);
 
-/* Queue TASK, which is out.  */
+/* Adds TASK, which is not in the queue.  */
 void gp_pending_add (gp_pending_t *pending, gp_pending_task_t *task,
                      gp_time_t now);
 
-/* Take out TASK wherever it is (cancelled or parked) and release what it had
-   proposed; harmless for a task that is out.  */
+/* Removes TASK (cancelled or parked) if it is in the queue, and releases
+   its proposed charge, if any.  */
 void gp_pending_remove (gp_pending_t *pending, gp_quota_t *quota,
                         gp_pending_task_t *task);
 
-/* Take the next task that may start at NOW and propose its demand to QUOTA;
-   NULL when there is none.  */
+/* Removes and returns the next task that may start at NOW and proposes its
+   demand to QUOTA; returns NULL if there is none.  */
 gp_pending_task_t *gp_pending_next (gp_pending_t *pending, gp_quota_t *quota,
                                     gp_time_t now);
 
-/* TASK, taken, could not start: queue it again after a back-off and release
-   what it had proposed.  Return true when room should now be kept for it.  */
+/* Puts TASK, which was returned by gp_pending_next and could not start,
+   back into the queue with a backoff, and releases its proposed charge.
+   Returns true if a worker should now be held for it.  */
 bool gp_pending_defer (gp_pending_t *pending, gp_quota_t *quota,
                        gp_pending_task_t *task, gp_pending_cause_t cause,
                        gp_time_t now);
 
-/* Room has come free: end the back-off of the MOST tasks that would try again
-   first.  */
+/* Capacity was freed: ends the backoff of up to MOST tasks, those whose
+   backoff would end first.  */
 void gp_pending_hurry (gp_pending_t *pending, unsigned int most);
 
-/* When gp_pending_next may have something again: NOW when a task is ready
-   and not paced, GP_TIME_NEVER when nothing waits.  */
+/* Returns when gp_pending_next may next return a task: NOW if a task is
+   ready and the rate limit allows its start, GP_TIME_NEVER if the queue is
+   empty.  */
 gp_time_t gp_pending_wake (const gp_pending_t *pending, gp_time_t now);
 
-/* Allow RATE starts a second with a burst of BURST from NOW on, after the
-   loss of many workers; BURST is at least 1, and latency-critical tasks may
-   borrow another.  RATE 0 ends the pacing.  */
+/* Limits starts to RATE per second with a burst of BURST from NOW on,
+   after the loss of many workers.  BURST is at least 1; latency-critical
+   tasks may use a further BURST in advance.  RATE 0 removes the limit.  */
 void gp_pending_pace (gp_pending_t *pending, double rate, double burst,
                       gp_time_t now);
 
-/* The tasks that wait, ready and deferred.  */
+/* Returns the number of tasks in the queue, ready and deferred.  */
 uint32_t gp_pending_length (const gp_pending_t *pending);
 
 #endif
--- a/src/coordination/placement.c
+++ b/src/coordination/placement.c
@@ -5,7 +5,7 @@
 #include <math.h>
 #include <string.h>
 
-#define IDLE_ACCELERATOR_COST 1000.0 /* above all other terms together */
+#define IDLE_ACCELERATOR_COST 1000.0 /* more than all other terms together */
 
 const char *
 gp_placement_outcome_name (gp_placement_outcome_t outcome)
@@ -44,7 +44,7 @@
   placement->interference = interference;
 }
 
-/* The part of CAPACITY that is left of FREE after NEED.  */
+/* Returns the fraction of CAPACITY that remains of FREE after NEED.  */
 static double
 part_left (uint32_t free, uint32_t need, uint32_t capacity)
 {
@@ -80,8 +80,8 @@
                                     worker->zone);
 }
 
-/* Steps from the zone of the checkpoint: none, another zone, another
-   region.  */
+/* Distance from the checkpoint: 0 in its zone, 1 in another zone, 2 in
+   another region.  */
 static double
 locality_cost (const gp_placement_t *placement, const gp_placement_ask_t *ask,
                const gp_worker_t *worker)
@@ -106,7 +106,8 @@
          * gp_interference_harm (placement->interference, worker, ask->kind);
 }
 
-/* All terms but harm, which costs most to compute and is never negative.  */
+/* All terms except harm, which is the most expensive to compute and never
+   negative.  */
 static gp_placement_cost_t
 cost_without_harm (const gp_placement_t *placement,
                    const gp_placement_ask_t *ask, const gp_worker_t *worker)
@@ -158,12 +159,12 @@
          && gp_resources_fit (&ask->demand, &worker->free);
 }
 
-/* A candidate and its cost without harm.  */
+/* A candidate and its cost, at first without harm.  */
 typedef struct
 {
   gp_worker_t *worker;
   gp_placement_cost_t cost;
-  double least; /* its total cost is not below this */
+  double least; /* lower bound of its total cost */
 } candidate_t;
 
 typedef struct
@@ -186,7 +187,7 @@
   candidates->n++;
 }
 
-/* Take CANDIDATE into CHOICE when it costs less.  */
+/* Makes CANDIDATE the CHOICE if its cost is lower.  */
 static void
 consider (const gp_placement_t *placement, const gp_placement_ask_t *ask,
           candidate_t *candidate, gp_placement_choice_t *choice)
@@ -208,8 +209,8 @@
   choice->total = total;
 }
 
-/* Take the candidates from the least cost without harm on, and stop when the
-   rest can't cost less than what was found.  */
+/* Considers the candidates in order of cost without harm, and stops when
+   the remaining ones cannot cost less than the best one found.  */
 static void
 choose_among (const gp_placement_t *placement, const gp_placement_ask_t *ask,
               candidates_t *candidates, gp_placement_choice_t *choice)
@@ -229,7 +230,8 @@
     }
 }
 
-/* Consider every worker; for a task that avoids all that the index offers.  */
+/* Considers every worker.  Used if all workers that the index returned are
+   to be avoided.  */
 static void
 choose_among_all (const gp_placement_t *placement,
                   const gp_placement_ask_t *ask, gp_placement_choice_t *choice)
@@ -264,7 +266,7 @@
   placement->miss.demand = ask->demand;
 }
 
-/* The reason why nothing was chosen; SEEN workers had room.  */
+/* Returns the reason why no worker was chosen; SEEN workers had room.  */
 static gp_placement_outcome_t
 reason_of (const gp_placement_t *placement, const gp_placement_ask_t *ask,
            unsigned int seen, unsigned int candidates)
@@ -281,8 +283,8 @@
   return GP_PLACEMENT_NEVER_FITS;
 }
 
-/* Add what the index offers to CANDIDATES; return how many workers had room,
-   those to be avoided among them.  */
+/* Adds the workers found by the index to CANDIDATES; returns how many
+   workers had room, including those to be avoided.  */
 static unsigned int
 search (gp_placement_t *placement, const gp_placement_ask_t *ask,
         candidates_t *candidates)
@@ -355,7 +357,8 @@
                  -1);
 }
 
-/* The least part of DEMAND that FREE covers.  */
+/* Returns the smallest fraction of any component of DEMAND that FREE
+   covers.  */
 static double
 part_covered (const gp_resources_t *free, const gp_resources_t *demand)
 {
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -1,8 +1,9 @@
-/* The choice of a worker for one task.
+/* Placement: the choice of a worker for one task.
 
-   A bounded number of candidates from the fleet's index are scored, the least
-   cost wins, and the answer is a worker with the terms of its cost or a typed
-   reason.  The choice itself changes nothing; gp_placement_reserve does.  */
+   A bounded number of candidates from the fleet's index are scored and the
+   one with the lowest cost is chosen.  The result is a worker with the
+   terms of its cost, or the reason why there is none.  Choosing changes no
+   state; gp_placement_reserve does.  */
 
 #ifndef GP_COORDINATION_PLACEMENT_H
 #define GP_COORDINATION_PLACEMENT_H
@@ -14,41 +15,41 @@
 #include "coordination/interference.h"
 #include "coordination/spread.h"
 
-#define GP_PLACEMENT_CANDIDATES 32 /* scored in one decision */
+#define GP_PLACEMENT_CANDIDATES 32 /* maximum number scored per decision */
 #define GP_PLACEMENT_AVOIDED_MAX 8
 #define GP_PLACEMENT_ALL_ZONES UINT64_MAX
 
 typedef enum
 {
   GP_PLACEMENT_CHOSEN,
-  GP_PLACEMENT_NO_CAPACITY_NOW, /* some worker could, none has room */
-  GP_PLACEMENT_NEVER_FITS,      /* larger than every worker */
-  GP_PLACEMENT_ZONE_CLOSED,     /* than all but those of zones that are not
-                                   allowed */
-  GP_PLACEMENT_AVOIDED,         /* only workers to be avoided have room */
-  GP_PLACEMENT_HARMFUL,         /* every candidate would breach a target */
-  GP_PLACEMENT_QUOTA,           /* the team's quota is used up */
-  GP_PLACEMENT_PARKED           /* it failed on too many workers */
+  GP_PLACEMENT_NO_CAPACITY_NOW, /* fits some worker, but none has room now */
+  GP_PLACEMENT_NEVER_FITS,      /* larger than the capacity of every worker */
+  GP_PLACEMENT_ZONE_CLOSED, /* fits only workers in zones that are not allowed
+                             */
+  GP_PLACEMENT_AVOIDED,     /* only workers on which it failed have room */
+  GP_PLACEMENT_HARMFUL,     /* every candidate exceeds the harm limit */
+  GP_PLACEMENT_QUOTA,       /* the team's quota is used up */
+  GP_PLACEMENT_PARKED       /* the task failed on too many workers */
 } gp_placement_outcome_t;
 
-/* The name of OUTCOME for people, in lower case with dashes.  */
+/* Returns a readable name of OUTCOME, in lower case with dashes.  */
 const char *gp_placement_outcome_name (gp_placement_outcome_t outcome);
 
-/* What a task asks for.  */
+/* A task's placement request.  */
 typedef struct
 {
   uint64_t task;
   uint16_t kind;
   gp_work_class_t work_class;
-  uint32_t group; /* that is to be spread */
+  uint32_t group; /* spread over racks and zones */
   gp_resources_t demand;
-  uint64_t zones;      /* allowed, a bit each */
-  uint32_t previous;   /* worker it ran on last, or none */
-  uint32_t held;       /* worker kept for it, or none */
-  bool has_checkpoint; /* made on the previous worker's zone */
-  uint32_t avoided[GP_PLACEMENT_AVOIDED_MAX]; /* workers it failed on */
+  uint64_t zones;      /* bit mask of allowed zones */
+  uint32_t previous;   /* worker it last ran on, or GP_WORKER_NONE */
+  uint32_t held;       /* worker held for it, or GP_WORKER_NONE */
+  bool has_checkpoint; /* stored in the zone of the previous worker */
+  uint32_t avoided[GP_PLACEMENT_AVOIDED_MAX]; /* workers on which it failed */
   unsigned int n_avoided;
-  double harm_limit; /* refuse more expected harm; INFINITY: take any */
+  double harm_limit; /* maximum expected harm; INFINITY for no limit */
 } gp_placement_ask_t;
 
 /* The terms of a worker's cost.  */
@@ -59,7 +60,7 @@
   double spread;
   double stickiness;
   double locality;
-  double accelerators; /* an accelerator would idle */
+  double accelerators; /* the task would leave accelerators unused */
 } gp_placement_cost_t;
 
 typedef struct
@@ -68,18 +69,20 @@
   gp_worker_t *worker; /* NULL unless chosen */
   gp_placement_cost_t cost;
   double total;
-  unsigned int candidates; /* scored */
+  unsigned int candidates; /* number scored */
 } gp_placement_choice_t;
 
 typedef struct
 {
-  double tightness; /* batch packs, other classes keep room */
-  double balance;   /* processors and memory left in proportion */
+  double tightness; /* batch prefers full workers, other classes empty ones */
+  double balance;   /* penalty for unequal fractions of free processors and
+                       memory */
   double harm;
-  double rack; /* part of the group in the same rack */
+  double rack; /* per fraction of the group in the same rack */
   double zone;
-  double stickiness; /* of watchers to the worker they ran on */
-  double locality;   /* of a checkpoint, for each step zone, region */
+  double stickiness; /* bonus of watchers for the worker they last ran on */
+  double locality;   /* penalty for another zone than the checkpoint's, doubled
+                        for another region */
 } gp_placement_weights_t;
 
 #define GP_PLACEMENT_WEIGHTS_DEFAULT                                          \
@@ -91,8 +94,9 @@
                              .stickiness = 2.0,                               \
                              .locality = 0.5 })
 
-/* A demand for which a whole search found nothing at a growth of the fleet;
-   a demand no smaller need not be searched before the fleet grows.  */
+/* A demand for which a complete search found no worker, and the fleet's
+   growth counter at that time.  A demand that is at least as large need
+   not be searched for until the counter changes.  */
 typedef struct
 {
   uint64_t growth;
@@ -105,49 +109,52 @@
   gp_placement_weights_t weights;
   gp_fleet_t *fleet;
   gp_spread_t *spread;
-  const gp_interference_t *interference; /* NULL: no term */
+  const gp_interference_t *interference; /* NULL: harm is not considered */
   gp_placement_miss_t miss;
 } gp_placement_t;
 
-/* All parts stay the caller's and must outlive the placement.  */
+/* The parts remain owned by the caller and must outlive the placement.  */
 void gp_placement_init (gp_placement_t *placement,
                         const gp_placement_weights_t *weights,
                         gp_fleet_t *fleet, gp_spread_t *spread,
                         const gp_interference_t *interference);
 
-/* The cost of ASK on WORKER, which must fit.  */
+/* Returns the cost of placing ASK on WORKER, on which it must fit.  */
 gp_placement_cost_t gp_placement_cost (const gp_placement_t *placement,
                                        const gp_placement_ask_t *ask,
                                        const gp_worker_t *worker);
 double gp_placement_cost_total (const gp_placement_cost_t *cost);
 
-/* Whether ASK may run on WORKER now, by room, zone, state and holds.  */
+/* Returns true if ASK may be placed on WORKER now, considering free
+   resources, zone, state and holds.  */
 bool gp_placement_allows (const gp_placement_ask_t *ask,
                           const gp_worker_t *worker);
 
 gp_placement_choice_t gp_placement_choose (gp_placement_t *placement,
                                            const gp_placement_ask_t *ask);
 
-/* Reserve the chosen WORKER for ASK and let go of the worker held for it.  */
+/* Reserves resources for ASK on the chosen WORKER and ends the hold for
+   it.  */
 void gp_placement_reserve (gp_placement_t *placement,
                            const gp_placement_ask_t *ask, gp_worker_t *worker);
-/* The task of ASK is gone from WORKER, which it did run on.  */
+/* The task of ASK, which did run on WORKER, has ended there.  */
 void gp_placement_release (gp_placement_t *placement,
                            const gp_placement_ask_t *ask, gp_worker_t *worker);
-/* The guard of WORKER refused the task of ASK and told its HEADROOM.  */
+/* The guard of WORKER refused the task of ASK and reported its HEADROOM.  */
 void gp_placement_refuse (gp_placement_t *placement,
                           const gp_placement_ask_t *ask, gp_worker_t *worker,
                           const gp_resources_t *headroom);
 
-/* Keep the worker for ASK that will soonest have room, so that smaller tasks
-   don't starve it: of those that could ever hold it the one with the greatest
-   part of the demand free.  Return its index, or GP_WORKER_NONE when none can
-   or one in GP_PLACEMENT_WORKERS_PER_HOLD is held already.  Looks at every
-   worker; meant for the few tasks that were deferred often.  */
+/* Holds the worker for ASK that is expected to have room soonest, so that
+   smaller tasks do not starve it: the worker with the greatest fraction of
+   the demand free, among those whose capacity fits.  Returns its index, or
+   GP_WORKER_NONE if no worker fits or one in GP_PLACEMENT_WORKERS_PER_HOLD
+   workers is already held.  Visits every worker; intended for the few
+   tasks that were deferred often.  */
 #define GP_PLACEMENT_WORKERS_PER_HOLD 16
 uint32_t gp_placement_hold (gp_placement_t *placement,
                             const gp_placement_ask_t *ask, gp_time_t until);
-/* Let go of the worker held for ASK, if it still is.  */
+/* Ends the hold for ASK, if it is still in effect.  */
 void gp_placement_drop_hold (gp_placement_t *placement,
                              const gp_placement_ask_t *ask);
 
--- a/src/coordination/quota.h
+++ b/src/coordination/quota.h
@@ -1,19 +1,21 @@
-/* The teams' quotas as vectors of resources.
+/* Team quotas as resource vectors.
 
-   A team's use is folded from the log: every entry applies the same grants
-   and ends in the same order, so all agree which grant went over a quota.
-   gp_quota_grant answers that for a grant in log order; a grant that is over
-   is not charged, and the entry that proposed it ends it as refused instead
-   of starting it.  So a quota is never exceeded by tasks that run, however
-   many entries propose for the team at once.
+   The usage of a team is folded from the log: every entry applies the same
+   grants and ends in the same order, so all entries agree on which grant
+   exceeded a quota.  gp_quota_grant decides this for a grant in log order.
+   A grant that exceeds the quota is not charged, and the entry that
+   proposed it ends it as refused instead of starting it.  Running tasks
+   therefore never exceed a quota, however many entries propose grants for
+   the team concurrently.
 
-   An entry also counts what it has proposed and not read back, so that it
-   does not propose in vain.  To keep entries from racing, one entry at a time
-   should decide for a team (rendezvous hashing of the team over the entries
-   alive); that is only a saving, the fold is the arbiter.
+   An entry also counts its proposals that are not yet read back, to avoid
+   proposals that would be refused.  To avoid races between entries, one
+   entry at a time should decide for a team (rendezvous hashing of the team
+   over the live entries).  That is only an optimization; the log order is
+   authoritative.
 
-   When a quota is lowered below the use nothing is stopped; the team gets
-   nothing new until its use has fallen.  */
+   If a quota is lowered below the usage, nothing is stopped; the team gets
+   nothing new until its usage has fallen.  */
 
 #ifndef GP_COORDINATION_QUOTA_H
 #define GP_COORDINATION_QUOTA_H
@@ -24,12 +26,12 @@
 
 #include "coordination/resources.h"
 
-/* The state of one task with its team's quota; memory of the caller, zeroed
-   to begin with.  */
+/* The charge of one task to the quota of its team.  Allocated by the
+   caller and initially zeroed.  */
 typedef enum
 {
   GP_QUOTA_NONE,
-  GP_QUOTA_PROPOSED, /* by this entry, not read back */
+  GP_QUOTA_PROPOSED, /* proposed by this entry, not yet read back */
   GP_QUOTA_CHARGED   /* granted in log order */
 } gp_quota_state_t;
 
@@ -55,34 +57,37 @@
 void gp_quota_init (gp_quota_t *quota);
 void gp_quota_finish (gp_quota_t *quota);
 
-/* Set the quota of TEAM; one that was never set is zero.  */
+/* Sets the quota of TEAM.  A quota that was never set is zero.  */
 void gp_quota_set_limit (gp_quota_t *quota, uint32_t team,
                          const gp_resources_t *limit);
 
-/* The state of TEAM; zeroes for one that was never named.  */
+/* Returns the state of TEAM; all zero if it is unknown.  */
 gp_quota_team_t gp_quota_team (const gp_quota_t *quota, uint32_t team);
 
-/* The greatest part of its quota that TEAM uses, proposals included.  */
+/* Returns the largest fraction of any component of its quota that TEAM
+   uses, including proposals.  */
 double gp_quota_share (const gp_quota_t *quota, uint32_t team);
 
-/* Whether TEAM may use NEED more, after all that is charged and proposed.  */
+/* Returns true if TEAM's quota has room for NEED beyond what is charged
+   and proposed.  */
 bool gp_quota_has_room (const gp_quota_t *quota, uint32_t team,
                         const gp_resources_t *need);
 
-/* Whether TEAM could ever use NEED.  */
+/* Returns true if NEED is within the whole quota of TEAM.  */
 bool gp_quota_can_ever_fit (const gp_quota_t *quota, uint32_t team,
                             const gp_resources_t *need);
 
-/* This entry proposes the task of CHARGE, whose team and resources are set;
-   false, and nothing changes, without room.  */
+/* Records that this entry proposes a grant for CHARGE, whose team and
+   resources are set.  Returns false, without any change, if there is no
+   room.  */
 bool gp_quota_propose (gp_quota_t *quota, gp_quota_charge_t *charge);
 
-/* A grant for the task of CHARGE, by any entry, in log order; false when it
-   is over the quota, and then nothing is charged.  */
+/* Applies a grant for CHARGE, by any entry, in log order.  Returns false
+   if it exceeds the quota; nothing is charged then.  */
 bool gp_quota_grant (gp_quota_t *quota, gp_quota_charge_t *charge);
 
-/* The task has ended, or its proposal was voided.  A second call does
-   nothing.  */
+/* Releases CHARGE after the task has ended or its proposal was voided.  A
+   second call does nothing.  */
 void gp_quota_release (gp_quota_t *quota, gp_quota_charge_t *charge);
 
 #endif
--- a/src/coordination/regression.c
+++ b/src/coordination/regression.c
@@ -1,12 +1,13 @@
-/* Recursive least squares in Kalman form, on sparse features.  */
+/* Recursive least squares in Kalman form, with sparse features.  */
 
 #include "coordination/regression.h"
 
 #include <math.h>
 #include <stddef.h>
 
-#define CLIP_DEVIATIONS 3. /* an innovation counts at most so much */
-#define NOISE_GAIN 0.02    /* of the moving mean of squared innovations */
+#define CLIP_DEVIATIONS                                                       \
+  3.                    /* innovations are clipped to this many deviations */
+#define NOISE_GAIN 0.02 /* weight of a sample in the noise estimate */
 #define NOISE_LEAST 0.02
 
 void
@@ -39,7 +40,7 @@
   return mean;
 }
 
-/* Element I of P x.  */
+/* Returns element I of P x.  */
 static double
 gain_of (const gp_regression_t *regression, const gp_regression_input_t *input,
          unsigned int i)
--- a/src/coordination/regression.h
+++ b/src/coordination/regression.h
@@ -1,8 +1,8 @@
-/* Recursive least squares in Kalman form, on sparse features.
+/* Recursive least squares in Kalman form, with sparse features.
 
-   The prior regularises; outliers are clipped; the noise of the
-   measurements is estimated on the way.  An update costs the square of the
-   number of features.  */
+   The prior regularises the estimate, outliers are clipped, and the
+   measurement noise is estimated along the way.  An update costs the
+   square of the number of features.  */
 
 #ifndef GP_COORDINATION_REGRESSION_H
 #define GP_COORDINATION_REGRESSION_H
@@ -12,12 +12,12 @@
 typedef struct
 {
   unsigned int features;
-  double *coefficients; /* one a feature */
-  double *covariance;   /* square, row after row, symmetric */
-  double noise;         /* variance of a measurement */
+  double *coefficients; /* one per feature */
+  double *covariance;   /* symmetric matrix in row-major order */
+  double noise;         /* estimated variance of a measurement */
 } gp_regression_t;
 
-/* The features of a measurement that are not zero.  */
+/* The non-zero features of a measurement.  */
 typedef struct
 {
   unsigned int n;
@@ -25,7 +25,8 @@
   double value[GP_REGRESSION_MAX];
 } gp_regression_input_t;
 
-/* COEFFICIENTS and COVARIANCE are the caller's and hold the prior.  */
+/* COEFFICIENTS and COVARIANCE are owned by the caller and initially hold
+   the prior.  */
 void gp_regression_init (gp_regression_t *regression, unsigned int features,
                          double *coefficients, double *covariance,
                          double noise);
@@ -33,15 +34,15 @@
 void gp_regression_push (gp_regression_input_t *input, unsigned int index,
                          double value);
 
-/* The expected value of a measurement with INPUT.  */
+/* Returns the expected value of a measurement with INPUT.  */
 double gp_regression_mean (const gp_regression_t *regression,
                            const gp_regression_input_t *input);
 
-/* The variance of that expectation, without the noise.  */
+/* Returns the variance of that expectation, without the measurement noise.  */
 double gp_regression_variance (const gp_regression_t *regression,
                                const gp_regression_input_t *input);
 
-/* Learn that a measurement with INPUT gave VALUE.  */
+/* Updates the coefficients with a measurement of VALUE for INPUT.  */
 void gp_regression_update (gp_regression_t *regression,
                            const gp_regression_input_t *input, double value);
 
--- a/src/coordination/remedy.c
+++ b/src/coordination/remedy.c
@@ -1,12 +1,12 @@
-/* The ladder of remedies for one worker.  */
+/* Escalating remedies for one worker.  */
 
 #include "coordination/remedy.h"
 
 #include <math.h>
 #include <string.h>
 
-#define LATE_FACTOR 10.0  /* cost of making a task miss its deadline */
-#define THROTTLE_COST 1.0 /* seconds, before the deadline counts */
+#define LATE_FACTOR 10.0  /* multiplier if the task would miss its deadline */
+#define THROTTLE_COST 1.0 /* in seconds, without LATE_FACTOR */
 #define RELAPSES_MAX 6
 
 void
@@ -67,9 +67,9 @@
   return resident->relief / cost;
 }
 
-/* How good ACTION on RESIDENT is: relief for its cost, or for an
-   unthrottling the least harm.  A watcher's is below that of any batch
-   task.  */
+/* Returns the merit of ACTION on RESIDENT: the relief per cost, or for
+   unthrottling the negated harm.  The merit of evicting a watcher is below
+   that of any batch task.  */
 static double
 merit_of (const gp_remedy_settings_t *settings,
           const gp_remedy_resident_t *resident, gp_remedy_action_t action)
@@ -97,7 +97,8 @@
   return false;
 }
 
-/* The best resident for ACTION that is not yet in DECISION, or NULL.  */
+/* Returns the resident with the highest merit for ACTION that is not yet
+   in DECISION, or NULL.  */
 static const gp_remedy_resident_t *
 best_for (const gp_remedy_settings_t *settings,
           const gp_remedy_resident_t *residents, unsigned int n,
@@ -119,8 +120,8 @@
   return best;
 }
 
-/* Choose residents for ACTION until their relief covers EXCESS, MOST at the
-   most.  */
+/* Chooses residents for ACTION until their relief covers EXCESS, at most
+   MOST of them.  */
 static gp_remedy_decision_t
 choose (const gp_remedy_settings_t *settings,
         const gp_remedy_resident_t *residents, unsigned int n,
@@ -153,8 +154,8 @@
   return decision;
 }
 
-/* Unthrottle the task that slows the service least, if the ratio is expected
-   to stay below the aim.  */
+/* Unthrottles the task that slows the service least, if the ratio is
+   expected to stay below the aim.  */
 static gp_remedy_decision_t
 let_go (const gp_remedy_settings_t *settings, double ratio,
         const gp_remedy_resident_t *residents, unsigned int n)
@@ -171,7 +172,8 @@
   return decision;
 }
 
-/* Count breaches and calm; a relapse counts once for each unthrottling.  */
+/* Updates the counts of breaches, calm and relapses; there is at most one
+   relapse per unthrottling.  */
 static void
 take_in (gp_remedy_t *remedy, const gp_remedy_settings_t *settings,
          const gp_remedy_measurement_t *measurement)
--- a/src/coordination/remedy.h
+++ b/src/coordination/remedy.h
@@ -1,14 +1,15 @@
-/* What to do on a worker whose service breaches its latency target.
+/* Remedies on a worker whose service breaches its latency target.
 
-   The ladder is: throttle the batch tasks that give the most relief for
-   their cost; when none is left to throttle, checkpoint and evict the
-   cheapest; when it has been calm for long, let throttled tasks go again, one
-   at a time and only if the prediction stays below the target.
+   The remedies escalate: first, throttle the batch tasks that give the
+   most relief for their cost; if none is left to throttle, checkpoint and
+   evict the cheapest task; after a long calm period, unthrottle tasks one
+   at a time, and only if the predicted latency stays below the target.
 
-   It does not oscillate: between the aim and a breach lies a dead band; only
-   measurements that began after the last action took effect count; each
-   worker has a cool-down between actions; and every breach that follows soon
-   on an unthrottling doubles the calm that the next one needs.  */
+   Oscillation is prevented as follows: there is a dead band between the
+   aim and a breach; only measurements that began after the last action
+   took effect are used; each worker has a cool-down period between
+   actions; and each breach soon after an unthrottling doubles the calm
+   period required before the next one.  */
 
 #ifndef GP_COORDINATION_REMEDY_H
 #define GP_COORDINATION_REMEDY_H
@@ -19,7 +20,8 @@
 #include "base/time.h"
 #include "coordination/resources.h"
 
-#define GP_REMEDY_TASKS_MAX 4 /* throttled at once */
+#define GP_REMEDY_TASKS_MAX                                                   \
+  4 /* maximum number of tasks throttled in one decision */
 
 typedef enum
 {
@@ -31,16 +33,17 @@
 
 typedef struct
 {
-  double breach;          /* p99 / target above which it is one */
-  double aim;             /* remedies go no further; below it is calm */
-  unsigned int breaches;  /* in a row, before an action */
-  gp_time_t calm_time;    /* before a task is unthrottled */
-  gp_time_t cool_down;    /* between two actions on a worker */
-  gp_time_t settle;       /* until an action shows */
-  gp_time_t relapse;      /* a breach so soon after an unthrottling */
-  gp_time_t restart_cost; /* work lost by any eviction */
-  double throttled_part;  /* of the relief that throttling gives */
-  double least_relief;    /* of the ratio; less is not worth an action */
+  double breach;         /* p99 / target above which there is a breach */
+  double aim;            /* target of remedies; a lower ratio is calm */
+  unsigned int breaches; /* consecutive breaches before an action */
+  gp_time_t calm_time;   /* calm period before a task is unthrottled */
+  gp_time_t cool_down;   /* minimum time between two actions on a worker */
+  gp_time_t settle;      /* time until the effect of an action is measurable */
+  gp_time_t
+      relapse; /* a breach within this time of an unthrottling is a relapse */
+  gp_time_t restart_cost; /* time lost by any eviction */
+  double throttled_part;  /* fraction of the relief that throttling gives */
+  double least_relief;    /* minimum relief of the ratio for an action */
 } gp_remedy_settings_t;
 
 #define GP_REMEDY_DEFAULTS                                                    \
@@ -55,28 +58,28 @@
                            .throttled_part = 0.75,                            \
                            .least_relief = 0.01 })
 
-/* A task on the worker, as the caller knows it.  */
+/* A task on the worker.  */
 typedef struct
 {
   uint64_t task;
   gp_work_class_t work_class;
   bool throttled;
-  gp_time_t since_checkpoint; /* run time that an eviction loses */
-  gp_time_t laxity;           /* time to spare before its deadline */
-  double relief;              /* of the ratio, when it is evicted */
+  gp_time_t since_checkpoint; /* run time lost by an eviction */
+  gp_time_t laxity;           /* spare time before its deadline */
+  double relief;              /* reduction of the ratio if it is evicted */
 } gp_remedy_resident_t;
 
-/* One worker.  */
+/* State of one worker.  */
 typedef struct
 {
-  gp_time_t acted;       /* last action, 0: none */
-  gp_time_t unthrottled; /* last unthrottling, 0: none */
-  gp_time_t calm_since;  /* 0: not calm */
-  unsigned int breaches; /* in a row */
-  unsigned int relapses; /* double the calm time */
+  gp_time_t acted;       /* time of the last action, or 0 */
+  gp_time_t unthrottled; /* time of the last unthrottling, or 0 */
+  gp_time_t calm_since;  /* start of the calm period; 0 if not calm */
+  unsigned int breaches; /* consecutive breaches */
+  unsigned int relapses; /* each doubles the required calm period */
 } gp_remedy_t;
 
-/* A measurement of the service over the time FROM to TO.  */
+/* A measurement of the service from FROM to TO.  */
 typedef struct
 {
   double ratio; /* p99 / target */
@@ -87,22 +90,22 @@
 typedef struct
 {
   gp_remedy_action_t action;
-  unsigned int n; /* tasks it is for */
+  unsigned int n; /* number of tasks affected */
   uint64_t tasks[GP_REMEDY_TASKS_MAX];
 } gp_remedy_decision_t;
 
 void gp_remedy_init (gp_remedy_t *remedy);
 
-/* Take in MEASUREMENT at NOW and decide on the N RESIDENTS.  Tasks that are
-   latency-critical are never touched, watchers never throttled and evicted
-   only after batch.  */
+/* Updates the state with MEASUREMENT at NOW and decides on the N
+   RESIDENTS.  Latency-critical tasks are never affected; watchers are
+   never throttled, and evicted only if no batch task can be.  */
 gp_remedy_decision_t
 gp_remedy_decide (gp_remedy_t *remedy, const gp_remedy_settings_t *settings,
                   const gp_remedy_measurement_t *measurement,
                   const gp_remedy_resident_t *residents, unsigned int n,
                   gp_time_t now);
 
-/* What evicting RESIDENT costs, in seconds of work.  */
+/* Returns the cost of evicting RESIDENT, in seconds of work.  */
 double gp_remedy_eviction_cost (const gp_remedy_settings_t *settings,
                                 const gp_remedy_resident_t *resident);
 
--- a/src/coordination/rendezvous.h
+++ b/src/coordination/rendezvous.h
@@ -1,6 +1,6 @@
-/* Rendezvous hashing: every process that knows the same entries ranks them
-   alike for a name, and an entry that comes or goes moves only the names
-   that rank it first.  */
+/* Rendezvous hashing.  Every process that knows the same entries ranks
+   them identically for a name, and adding or removing an entry moves only
+   the names for which it ranks first.  */
 
 #ifndef GP_COORDINATION_RENDEZVOUS_H
 #define GP_COORDINATION_RENDEZVOUS_H
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The rank of ENTRY for NAME; the highest is the first.  */
+/* Returns the rank of ENTRY for NAME; the highest is first.  */
 static inline uint64_t
 gp_rendezvous_rank (const char *name, const char *entry)
 {
--- a/src/coordination/reporters.c
+++ b/src/coordination/reporters.c
@@ -1,5 +1,5 @@
-/* The part of membership that deals with other entries: what they report,
-   and what they are told.  */
+/* Membership: reports received from other entries and updates sent to
+   them.  */
 
 #include "coordination/members_private.h"
 
@@ -100,8 +100,9 @@
   return true;
 }
 
-/* The report of REPORTER on MEMBER; without one, an unused one or that of a
-   silent reporter, else that of the reporter heard longest ago.  */
+/* Returns the slot for a report of REPORTER on MEMBER: its present report
+   if there is one; otherwise an unused slot, or that of the reporter heard
+   longest ago.  */
 static gp_report_t *
 report_slot (gp_member_t *member, const gp_reporter_t *reporter)
 {
@@ -166,7 +167,8 @@
   if (member != NULL && member->direct
       && member->announcement.incarnation == announcement.incarnation)
     {
-      /* What the guard itself said here is newer, but for the end.  */
+      /* The guard's own announcement to this entry is newer, except that
+         its departure may have been reported first.  */
       announcement = member->announcement;
       announcement.leaving |= news->announcement.leaving;
     }
@@ -180,7 +182,7 @@
   return GP_MEMBERS_ACCEPTED;
 }
 
-/* Drop the reports of earlier connections that were not repeated.  */
+/* Drops the reports of earlier connections that were not repeated.  */
 static void
 reporter_sweep (gp_members_t *members, gp_reporter_t *reporter, gp_time_t now)
 {
@@ -227,7 +229,7 @@
   return next;
 }
 
-/* News for other entries.  */
+/* Updates for other entries.  */
 
 static gp_member_news_t
 news_of (const gp_member_t *member)
--- a/src/coordination/request_queue.c
+++ b/src/coordination/request_queue.c
@@ -1,4 +1,4 @@
-/* The requests that wait at a guard, by the order of their turns.  */
+/* Queue of the requests waiting at a guard, in scheduling order.  */
 
 #include "coordination/request_queue.h"
 
@@ -31,9 +31,10 @@
   return a->sequence < b->sequence;
 }
 
-/* The point by which REQUEST is ordered in its class.  The latency target
-   tells which wait hurts most; the deadline is often far behind it, and a
-   caller that waits longer must not be served later for it.  */
+/* Returns the sort key of REQUEST within its class.  Latency-critical
+   requests are ordered by their latency target; their deadline is often
+   far later, and a caller that is willing to wait longer must not be
+   served later for that reason.  */
 static gp_time_t
 turn (const gp_admission_request_t *request)
 {
@@ -44,7 +45,7 @@
   return request->due;
 }
 
-/* The most slack first; of equals the latest arrival.  */
+/* Orders by descending slack, then latest arrival first.  */
 static bool
 slack_before (const gp_heap_node_t *na, const gp_heap_node_t *nb)
 {
@@ -112,7 +113,7 @@
   gp_heap_insert (&queue->ready[request->work_class], &request->order);
 }
 
-/* Move the first blocked request of QUOTA and WORK_CLASS to READY if the
+/* Moves the first blocked request of QUOTA and WORK_CLASS to READY if the
    quota has room.  */
 static void
 wake (gp_request_queue_t *queue, gp_request_quota_t *quota,
@@ -146,7 +147,7 @@
     wake (queue, quota, BATCH);
 }
 
-/* Take REQUEST out of READY or BLOCKED.  */
+/* Removes REQUEST from READY or BLOCKED.  */
 static void
 leave_order (gp_request_queue_t *queue, gp_admission_request_t *request)
 {
--- a/src/coordination/residency.c
+++ b/src/coordination/residency.c
@@ -1,4 +1,4 @@
-/* The ring of changes of one worker's residents.  */
+/* Ring buffer of the changes to one worker's residents.  */
 
 #include "coordination/residency.h"
 
--- a/src/coordination/resources.h
+++ b/src/coordination/resources.h
@@ -1,8 +1,8 @@
-/* Vectors of what a worker has and a task needs.
+/* Resource vectors: the capacity of a worker or the needs of a task.
 
    The three components are processors in thousandths of a core, memory in
-   MiB and whole accelerators.  Additions saturate and subtractions stop at
-   zero, so that late reports can't wrap a headroom around.  */
+   MiB, and whole accelerators.  Additions saturate and subtractions stop
+   at zero, so that late reports cannot make a headroom wrap around.  */
 
 #ifndef GP_COORDINATION_RESOURCES_H
 #define GP_COORDINATION_RESOURCES_H
@@ -17,7 +17,7 @@
   uint32_t accelerators;
 } gp_resources_t;
 
-/* The class of a piece of work, as on the wire.  */
+/* Work class, with the values used on the wire.  */
 typedef enum
 {
   GP_WORK_LATENCY_CRITICAL = 1,
@@ -25,7 +25,7 @@
   GP_WORK_WATCHER = 3
 } gp_work_class_t;
 
-/* Whether every component of NEED is within HAVE.  */
+/* Returns true if every component of NEED is within HAVE.  */
 static inline bool
 gp_resources_fit (const gp_resources_t *need, const gp_resources_t *have)
 {
@@ -72,8 +72,8 @@
       = gp_resources_difference (from->accelerators, amount->accelerators);
 }
 
-/* The greatest of USED / LIMIT over the components; a component with a limit
-   of zero counts only when it is used, and then as infinite.  */
+/* Returns the maximum of USED / LIMIT over the components.  A component
+   with a limit of zero counts only if it is used, and then as infinite.  */
 double gp_resources_share (const gp_resources_t *used,
                            const gp_resources_t *limit);
 
--- a/src/coordination/retry.c
+++ b/src/coordination/retry.c
@@ -4,12 +4,12 @@
 
 #define TOKEN 1000
 
-/* What may become of a request that failed for some reason.  */
+/* Where or when a request that failed for a given reason may succeed.  */
 typedef enum
 {
-  SCOPE_ELSEWHERE, /* another executor may do it */
-  SCOPE_LATER,     /* none can now */
-  SCOPE_NEVER      /* it would fail again */
+  SCOPE_ELSEWHERE, /* at another executor */
+  SCOPE_LATER,     /* at no executor now */
+  SCOPE_NEVER      /* never */
 } scope_t;
 
 static uint64_t
@@ -28,7 +28,7 @@
                          .booked_until = now };
 }
 
-/* The budget.  */
+/* Retry budget.  */
 
 static void
 pay_in (gp_retry_t *retry, uint64_t millitokens)
@@ -66,9 +66,9 @@
   return true;
 }
 
-/* The hint.  */
+/* Retry hint.  */
 
-/* A part of SPAN that is fixed for ID.  */
+/* Returns a fraction of SPAN that is fixed for ID.  */
 static gp_time_t
 jitter (uint64_t id, gp_time_t span)
 {
@@ -127,7 +127,7 @@
   return SCOPE_NEVER;
 }
 
-/* May it be run again, as far as its effects go?  */
+/* Returns true if running the request again cannot repeat its effects.  */
 static bool
 is_safe (const gp_retry_input_t *input)
 {
@@ -164,7 +164,7 @@
     decision.u.refuse.verdict = GP__WIRE__VERDICT__VERDICT_UNKNOWN;
   decision.u.refuse.reason = input->reason;
   decision.u.refuse.return_at = GP_TIME_NEVER;
-  /* A hint invites a second run, so it is given only where that is safe.  */
+  /* A hint invites another run, so it is given only if that is safe.  */
   if (is_safe (input) && scope_of (input->reason) != SCOPE_NEVER)
     decision.u.refuse.return_at = return_point (retry, input, now);
   return decision;
--- a/src/coordination/router.c
+++ b/src/coordination/router.c
@@ -1,20 +1,20 @@
 #include "coordination/router.h"
 
-/* Loads are in thousandths of a request, so that a faded load of less than
-   one still counts.  */
+/* Loads are in thousandths of a request, so that a decayed load of less
+   than one still counts.  */
 #define MILLI 1000
 
 /* Power of two choices.  */
 #define N_CHOICES 2
 
-/* The time in a slot that is assumed before any is known.  */
+/* Service time assumed until one is known.  */
 #define LATENCY_UNKNOWN_US 10000
 
-/* The cost of one candidate for the request at hand.  */
+/* A sampled candidate and its cost.  */
 typedef struct
 {
   gp_candidate_t *candidate;
-  gp_time_t wait; /* with the zone's cost */
+  gp_time_t wait; /* including the zone cost */
   uint64_t milli_load;
 } choice_t;
 
@@ -34,7 +34,7 @@
   g_ptr_array_free (router->far, TRUE);
 }
 
-/* The sets that are sampled.  */
+/* Sampled sets.  */
 
 static GPtrArray *
 set_of (const gp_router_t *router, const gp_candidate_t *candidate)
@@ -67,7 +67,7 @@
     ((gp_candidate_t *)g_ptr_array_index (set, index))->index = index;
 }
 
-/* Put CANDIDATE into its set or apart, as it takes requests or not.  */
+/* Adds CANDIDATE to its set if it takes requests, otherwise removes it.  */
 static void
 place (gp_router_t *router, gp_candidate_t *candidate)
 {
@@ -221,9 +221,9 @@
                    (uint64_t)gp_router_latency (router));
 }
 
-/* Sampling without what was tried.  */
+/* Sampling that excludes tried candidates.  */
 
-/* Insert INDEX into the ascending EXCLUDED, unless it is there.  */
+/* Inserts INDEX into EXCLUDED, in ascending order, unless it is present.  */
 static void
 exclude_index (guint *excluded, guint *n, guint index)
 {
@@ -239,8 +239,8 @@
   (*n)++;
 }
 
-/* Write to EXCLUDED the indexes in SET of what ROUTE has tried, ascending,
-   and return their number.  */
+/* Stores in EXCLUDED the indexes in SET of the candidates that ROUTE has
+   tried, in ascending order, and returns their number.  */
 static guint
 excluded_indexes (const gp_router_t *router, const GPtrArray *set,
                   const gp_route_t *route, guint *excluded)
@@ -257,7 +257,7 @@
   return n;
 }
 
-/* A uniform member of SET that is not excluded, or NULL.  */
+/* Returns a uniformly random member of SET that is not excluded, or NULL.  */
 static gp_candidate_t *
 sample (const GPtrArray *set, const guint *excluded, guint n_excluded,
         GRand *rand)
@@ -298,7 +298,7 @@
          < b->milli_load * a->candidate->slots;
 }
 
-/* Sample SET and replace BEST by what is better.  */
+/* Samples SET and replaces BEST by a better candidate, if found.  */
 static void
 choose_from (const gp_router_t *router, const GPtrArray *set,
              const gp_route_t *route, GRand *rand, gp_time_t now,
@@ -330,7 +330,8 @@
   return false;
 }
 
-/* The candidate that has waited longest for a probe.  */
+/* Returns the candidate that has waited longest for a probe, or NULL if
+   there is none or ROUTE has tried it.  */
 static gp_candidate_t *
 probe_for (const gp_router_t *router, const gp_route_t *route)
 {
--- a/src/coordination/service_time.c
+++ b/src/coordination/service_time.c
@@ -1,11 +1,11 @@
-/* Running estimate of how long work of one kind takes.  */
+/* Running estimate of the duration of one kind of work.  */
 
 #include "coordination/service_time.h"
 
 enum
 {
   MEAN_WEIGHT = 16,     /* one sample moves the mean by 1/16 of the error */
-  DEVIATION_WEIGHT = 4, /* and the deviation by 1/4 */
+  DEVIATION_WEIGHT = 4, /* and the deviation by 1/4 of its error */
   HIGH_DEVIATIONS = 2   /* gp_service_time_high, in deviations */
 };
 
--- a/src/coordination/suspects.c
+++ b/src/coordination/suspects.c
@@ -1,4 +1,4 @@
-/* Blame for failures between tasks and workers.  */
+/* Attribution of failures to tasks or workers.  */
 
 #include "coordination/suspects.h"
 
@@ -18,7 +18,7 @@
     memset (workers, 0, n_workers * sizeof *workers);
 }
 
-/* Whether the failure at INDEX of TASK still counts: its worker was not
+/* Returns true if the failure at INDEX of TASK counts: its worker was not
    suspected since.  */
 static bool
 counts (const gp_suspects_t *suspects, const gp_suspects_task_t *task,
@@ -29,9 +29,8 @@
   return suspects->workers[worker].suspicions == task->suspicions[index];
 }
 
-/* On how many workers TASK failed, EXCEPT and those that were suspected
-   since not
-   counted.  */
+/* Returns on how many workers TASK failed, not counting EXCEPT and workers
+   that were suspected since.  */
 static unsigned int
 trusted_failures (const gp_suspects_t *suspects,
                   const gp_suspects_task_t *task, uint32_t except)
@@ -52,7 +51,7 @@
          >= suspects->settings.park_after;
 }
 
-/* Strike the failure at INDEX off TASK.  */
+/* Removes the failure at INDEX of TASK.  */
 static void
 strike (gp_suspects_task_t *task, unsigned int index)
 {
@@ -65,8 +64,8 @@
   task->n--;
 }
 
-/* Remember that TASK failed on WORKER; the oldest of too many is
-   forgotten.  */
+/* Records that TASK failed on WORKER, dropping the oldest failure if there
+   are too many.  */
 static void
 add_worker (gp_suspects_task_t *task, uint32_t worker, uint32_t suspicions)
 {
@@ -108,7 +107,7 @@
   worker->n_outcomes = 0;
 }
 
-/* The outcomes of WORKER that are remembered.  */
+/* Returns the number of recorded outcomes of WORKER.  */
 static unsigned int
 remembered (const gp_suspects_worker_t *worker)
 {
--- a/src/coordination/task_heap.c
+++ b/src/coordination/task_heap.c
@@ -1,4 +1,4 @@
-/* Binary heap with positions.  */
+/* Binary heap whose nodes store their positions.  */
 
 #include "coordination/task_heap.h"
 
--- a/src/coordination/task_heap.h
+++ b/src/coordination/task_heap.h
@@ -1,7 +1,7 @@
-/* Binary heap of pending tasks, least key first, that can remove any task.
+/* Binary heap of pending tasks, least key first, with removal of any task.
 
-   Tasks know their position, so that removal is logarithmic.  Equal keys are
-   ordered by task, so that the order is the same everywhere.  */
+   Tasks store their position, so removal is logarithmic.  Equal keys are
+   ordered by task id, so that the order is deterministic.  */
 
 #ifndef GP_COORDINATION_TASK_HEAP_H
 #define GP_COORDINATION_TASK_HEAP_H
@@ -12,7 +12,7 @@
 
 #include "base/time.h"
 
-/* Embedded in what is queued.  */
+/* Embedded in the queued object.  */
 typedef struct
 {
   gp_time_t key;
@@ -29,10 +29,10 @@
 void gp_task_heap_finish (gp_task_heap_t *heap);
 
 void gp_task_heap_push (gp_task_heap_t *heap, gp_task_heap_node_t *node);
-/* Remove NODE, which is in HEAP.  */
+/* Removes NODE, which is in HEAP.  */
 void gp_task_heap_remove (gp_task_heap_t *heap, gp_task_heap_node_t *node);
 
-/* The node with the least key, or NULL.  */
+/* Returns the node with the least key, or NULL.  */
 static inline gp_task_heap_node_t *
 gp_task_heap_first (const gp_task_heap_t *heap)
 {
