--- a/bench/bench_interference.c
+++ b/bench/bench_interference.c
@@ -63,7 +63,7 @@
 typedef struct
 {
   gp_pending_task_t pending;
-  gp_placement_ask_t ask;
+  gp_placement_request_t ask;
   int arrival;
   double run, deadline, progress, checkpoint;
   unsigned int worker;
@@ -138,14 +138,15 @@
         job->run = site->run_seconds * exp (0.6 * normal (random));
         job->deadline = site->night_seconds > 0 ? site->night_seconds
                                                 : t + 300 + 3 * job->run;
-        job->ask = (gp_placement_ask_t){ .task = ++sim->n_jobs,
-                                         .work_class = GP_WORK_BATCH,
-                                         .kind = (uint16_t)g_rand_int_range (
-                                             random, 0, KINDS),
-                                         .demand = demand,
-                                         .zones = GP_PLACEMENT_ALL_ZONES,
-                                         .previous = GP_WORKER_NONE,
-                                         .held = GP_WORKER_NONE };
+        job->ask = (gp_placement_request_t){
+          .task = ++sim->n_jobs,
+          .work_class = GP_WORK_BATCH,
+          .kind = (uint16_t)g_rand_int_range (random, 0, KINDS),
+          .demand = demand,
+          .zones = GP_PLACEMENT_ALL_ZONES,
+          .previous = GP_WORKER_NONE,
+          .held = GP_WORKER_NONE
+        };
         gp_pending_task_init (
             &job->pending, job->ask.task, 0, GP_WORK_BATCH, &demand,
             (gp_time_t)((job->deadline - job->run) * GP_SEC));
@@ -186,7 +187,7 @@
       gp_placement_reserve (&sim->placement, &job->ask, worker);
       gp_fleet_confirm (&sim->fleet, worker, &job->ask.demand);
       gp_residency_change (&sim->residency[worker->index], job->ask.kind,
-                           GP_RESIDENCY_WHOLE, t * GP_SEC);
+                           GP_RESIDENCY_UNTHROTTLED, t * GP_SEC);
       job->worker = worker->index;
       sim->running[sim->n_running++] = job;
     }
@@ -201,7 +202,7 @@
                         &sim->workers[job->worker]);
   gp_residency_change (&sim->residency[job->worker], job->ask.kind,
                        job->throttled ? -GP_RESIDENCY_THROTTLED
-                                      : -GP_RESIDENCY_WHOLE,
+                                      : -GP_RESIDENCY_UNTHROTTLED,
                        t * GP_SEC);
   gp_quota_release (&sim->quota, &job->pending.charge);
   job->throttled = false;
--- a/bench/bench_lease.c
+++ b/bench/bench_lease.c
@@ -102,7 +102,7 @@
       gp_lease_reply_t reply
           = { .incarnation = 1, .remaining = timing->length };
 
-      now = gp_lease_holder_due (&holder);
+      now = gp_lease_holder_next_deadline (&holder);
       gp_lease_holder_check (&holder, now, &actions);
       reply.sequence = holder.sequence;
       gp_lease_holder_reply (&holder, &reply, now, &actions);
--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -24,7 +24,7 @@
 
 typedef struct
 {
-  gp_placement_ask_t ask;
+  gp_placement_request_t ask;
   gp_worker_t *worker;
 } placed_t;
 
@@ -57,11 +57,11 @@
   gp_fleet_add (&site->fleet, worker);
 }
 
-static gp_placement_ask_t
+static gp_placement_request_t
 random_ask (site_t *site)
 {
   GRand *random = site->random;
-  gp_placement_ask_t ask = { .task = g_rand_int (random) };
+  gp_placement_request_t ask = { .task = g_rand_int (random) };
 
   ask.kind = (uint16_t)g_rand_int_range (random, 0, KINDS);
   ask.group = (uint32_t)g_rand_int_range (random, 0, GROUPS);
@@ -85,7 +85,8 @@
 
   gp_residency_init (&residency, 0);
   for (int kind = 0; kind < KINDS; kind++)
-    gp_residency_change (&residency, (uint16_t)kind, GP_RESIDENCY_WHOLE, kind);
+    gp_residency_change (&residency, (uint16_t)kind, GP_RESIDENCY_UNTHROTTLED,
+                         kind);
   for (uint16_t service = 0; service < 20; service++)
     for (int i = 1; i < 50; i++)
       gp_interference_measure (&site->interference, service, 0.5, &residency,
@@ -95,7 +96,7 @@
 static void
 place_one (site_t *site)
 {
-  gp_placement_ask_t ask = random_ask (site);
+  gp_placement_request_t ask = random_ask (site);
   gp_placement_choice_t choice = gp_placement_choose (&site->placement, &ask);
 
   if (choice.worker == NULL)
@@ -241,6 +242,6 @@
           "pending task %zu, ask %zu\n",
           sizeof (gp_worker_t), sizeof (gp_residency_t), 8 * 66 * 67,
           2 * 1024 * 16, sizeof (gp_pending_task_t),
-          sizeof (gp_placement_ask_t));
+          sizeof (gp_placement_request_t));
   return 0;
 }
--- a/bench/bench_router.c
+++ b/bench/bench_router.c
@@ -142,7 +142,7 @@
   char names[MAX_ENTRIES][16];
   char name[16];
   gp_home_t entries[MAX_ENTRIES];
-  size_t share = gp_subset_share (c->n_entries / 3, c->n / 3);
+  size_t share = gp_subset_size (c->n_entries / 3, c->n / 3);
 
   for (guint e = 0; e < c->n_entries; e++)
     {
@@ -229,7 +229,7 @@
   model->failed += !success;
   if (!model->c->eject)
     return;
-  if (health->state == GP_HEALTH_PROBED)
+  if (health->state == GP_HEALTH_PROBING)
     action = gp_outlier_probe_done (&entry->outlier, health, success, now);
   else
     action
--- a/src/coordination/admission.c
+++ b/src/coordination/admission.c
@@ -392,7 +392,7 @@
   else if (request->deadline <= now)
     refuse (admission, request, GP_ADMISSION_DEADLINE, now);
   else if (class_may_start (admission, work_class, now)
-           && gp_request_queue_blocker (request) == NULL)
+           && gp_request_queue_blocking_quota (request) == NULL)
     start (admission, request, now);
   else
     submit_to_queue (admission, request, now);
--- a/src/coordination/estimate.c
+++ b/src/coordination/estimate.c
@@ -28,7 +28,7 @@
   octave = 63U - (unsigned int)__builtin_clzll (value);
   quarter = (unsigned int)((value << 2 >> octave) & 3U);
   class = CLASSES_PER_OCTAVE * octave + quarter;
-  return MIN (class, GP_ESTIMATE_CLASSES - 1);
+  return MIN (class, GP_ESTIMATE_BUCKETS - 1);
 }
 
 /* The largest value in bucket CLASS.  */
@@ -47,7 +47,7 @@
 halve (gp_estimate_histogram_t *histogram)
 {
   histogram->total = 0;
-  for (unsigned int i = 0; i < GP_ESTIMATE_CLASSES; i++)
+  for (unsigned int i = 0; i < GP_ESTIMATE_BUCKETS; i++)
     {
       histogram->counts[i] /= 2;
       histogram->total += histogram->counts[i];
@@ -72,13 +72,13 @@
 
   if (histogram->total == 0)
     return 0;
-  for (unsigned int i = 0; i < GP_ESTIMATE_CLASSES; i++)
+  for (unsigned int i = 0; i < GP_ESTIMATE_BUCKETS; i++)
     {
       below += histogram->counts[i];
       if (below > 0 && below >= wanted)
         return upper_edge (i);
     }
-  return upper_edge (GP_ESTIMATE_CLASSES - 1);
+  return upper_edge (GP_ESTIMATE_BUCKETS - 1);
 }
 
 void
@@ -107,9 +107,10 @@
 {
   uint64_t learned;
 
-  if (histogram->total < GP_ESTIMATE_ENOUGH)
+  if (histogram->total < GP_ESTIMATE_MIN_SAMPLES)
     return declared;
-  learned = gp_estimate_histogram_quantile (histogram, GP_ESTIMATE_RESERVED);
+  learned = gp_estimate_histogram_quantile (histogram,
+                                            GP_ESTIMATE_RESERVED_QUANTILE);
   return MAX (declared, (uint32_t)MIN (learned, most));
 }
 
@@ -146,7 +147,7 @@
 gp_estimate_run_time (const gp_estimate_t *estimate, double q,
                       gp_time_t declared)
 {
-  if (estimate->run_time_ms.total < GP_ESTIMATE_ENOUGH)
+  if (estimate->run_time_ms.total < GP_ESTIMATE_MIN_SAMPLES)
     return declared;
   return (gp_time_t)gp_estimate_histogram_quantile (&estimate->run_time_ms, q)
          * GP_MSEC;
@@ -159,5 +160,6 @@
   if (deadline == GP_TIME_NEVER)
     return GP_TIME_NEVER;
   return deadline
-         - gp_estimate_run_time (estimate, GP_ESTIMATE_CAUTIOUS, declared);
+         - gp_estimate_run_time (estimate, GP_ESTIMATE_LATEST_START_QUANTILE,
+                                 declared);
 }
--- a/src/coordination/estimate.h
+++ b/src/coordination/estimate.h
@@ -15,16 +15,18 @@
 #include "base/time.h"
 #include "coordination/resources.h"
 
-#define GP_ESTIMATE_CLASSES 128
-#define GP_ESTIMATE_ENOUGH 8 /* observations needed before they are used */
-#define GP_ESTIMATE_RESERVED 0.95
-#define GP_ESTIMATE_EXPECTED 0.5
-#define GP_ESTIMATE_CAUTIOUS 0.9 /* for the latest start before a deadline */
+#define GP_ESTIMATE_BUCKETS 128
+#define GP_ESTIMATE_MIN_SAMPLES                                               \
+  8 /* observations needed before they are used */
+#define GP_ESTIMATE_RESERVED_QUANTILE 0.95
+#define GP_ESTIMATE_EXPECTED_QUANTILE 0.5
+#define GP_ESTIMATE_LATEST_START_QUANTILE                                     \
+  0.9 /* for the latest start before a deadline */
 
 /* Histogram with a logarithmic scale for values from 1 to 2^32.  */
 typedef struct
 {
-  uint16_t counts[GP_ESTIMATE_CLASSES];
+  uint16_t counts[GP_ESTIMATE_BUCKETS];
   uint32_t total;
 } gp_estimate_histogram_t;
 
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -292,7 +292,7 @@
 }
 
 uint32_t
-gp_worker_count (const gp_worker_t *worker, uint16_t kind)
+gp_worker_count_residents (const gp_worker_t *worker, uint16_t kind)
 {
   const gp_resident_t *resident = find_resident (worker, kind);
 
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet.h
@@ -153,7 +153,7 @@
 void gp_worker_remove_resident (gp_worker_t *worker, uint16_t kind);
 
 /* Returns the number of tasks of KIND on WORKER.  */
-uint32_t gp_worker_count (const gp_worker_t *worker, uint16_t kind);
+uint32_t gp_worker_count_residents (const gp_worker_t *worker, uint16_t kind);
 
 /* Stores in OUT up to MAX workers that can take DEMAND now, from the zones
    whose bit is set in ZONES, both nearly full and mostly empty ones.
--- a/src/coordination/interference.c
+++ b/src/coordination/interference.c
@@ -184,7 +184,7 @@
                        uint16_t kind)
 {
   const gp_interference_model_t *model = find_model (interference, service);
-  unsigned int feature = FEATURE_KINDS + gp_residency_place (kind);
+  unsigned int feature = FEATURE_KINDS + gp_residency_slot (kind);
 
   return (gp_interference_estimate_t){
     .mean = coefficient (interference, model, feature),
@@ -205,7 +205,7 @@
       if (features->n == FEATURES)
         break;
       gp_regression_push (features,
-                          FEATURE_KINDS + gp_residency_place (resident->kind),
+                          FEATURE_KINDS + gp_residency_slot (resident->kind),
                           resident->count * (1.0 + load));
     }
 }
@@ -297,7 +297,7 @@
 {
   const gp_interference_model_t *model
       = find_model (interference, worker->service);
-  unsigned int feature = FEATURE_KINDS + gp_residency_place (kind);
+  unsigned int feature = FEATURE_KINDS + gp_residency_slot (kind);
   double weight = 1.0 + worker->load_permille / 1000.0;
   double knee = interference->settings.knee;
   gp_regression_input_t features;
--- a/src/coordination/lease_grantor.c
+++ b/src/coordination/lease_grantor.c
@@ -174,7 +174,7 @@
 }
 
 void
-gp_lease_grantor_gap (gp_lease_grantor_t *grantor, gp_time_t now)
+gp_lease_grantor_log_gap (gp_lease_grantor_t *grantor, gp_time_t now)
 {
   grantor->fresh = -1;
   grantor->valid_from = now;
--- a/src/coordination/lease_grantor.h
+++ b/src/coordination/lease_grantor.h
@@ -163,7 +163,7 @@
 void gp_lease_grantor_read_done (gp_lease_grantor_t *grantor, gp_time_t sent);
 
 /* Records were lost to retention; a snapshot and the tail follow.  */
-void gp_lease_grantor_gap (gp_lease_grantor_t *grantor, gp_time_t now);
+void gp_lease_grantor_log_gap (gp_lease_grantor_t *grantor, gp_time_t now);
 
 /* Handles a heartbeat of the guard NAME; GRANT receives the reply.  */
 void gp_lease_grantor_heartbeat (gp_lease_grantor_t *grantor, const char *name,
--- a/src/coordination/lease_holder.c
+++ b/src/coordination/lease_holder.c
@@ -90,7 +90,7 @@
   double jitter = g_rand_double_range (holder->random, -JITTER, JITTER);
 
   holder->sequence++;
-  holder->sent_at[holder->sequence % GP_LEASE_HOLDER_SENT] = now;
+  holder->sent_at[holder->sequence % GP_LEASE_HOLDER_SENT_TIMES] = now;
   holder->renew_at
       = now + (gp_time_t)(renewal_period (holder) * (1.0 + jitter));
   action = action_add (actions, GP_LEASE_HOLDER_RENEW);
@@ -123,9 +123,9 @@
 {
   if (sequence == 0 || sequence > holder->sequence)
     return -1;
-  if (holder->sequence - sequence >= GP_LEASE_HOLDER_SENT)
+  if (holder->sequence - sequence >= GP_LEASE_HOLDER_SENT_TIMES)
     return -1;
-  return holder->sent_at[sequence % GP_LEASE_HOLDER_SENT];
+  return holder->sent_at[sequence % GP_LEASE_HOLDER_SENT_TIMES];
 }
 
 static bool
@@ -174,8 +174,8 @@
 }
 
 void
-gp_lease_holder_give_up (gp_lease_holder_t *holder,
-                         gp_lease_holder_actions_t *actions)
+gp_lease_holder_runtime_restarted (gp_lease_holder_t *holder,
+                                   gp_lease_holder_actions_t *actions)
 {
   if (!stopping (holder))
     lose (holder, GP_LEASE_LAPSED, actions);
@@ -208,8 +208,8 @@
 }
 
 void
-gp_lease_holder_recycle (gp_lease_holder_t *holder, gp_time_t now,
-                         gp_lease_holder_actions_t *actions)
+gp_lease_holder_new_incarnation (gp_lease_holder_t *holder, gp_time_t now,
+                                 gp_lease_holder_actions_t *actions)
 {
   check_lease (holder, now, actions);
   if (gp_lease_holder_held (holder))
@@ -249,7 +249,7 @@
 }
 
 gp_time_t
-gp_lease_holder_due (const gp_lease_holder_t *holder)
+gp_lease_holder_next_deadline (const gp_lease_holder_t *holder)
 {
   if (stopping (holder))
     return GP_TIME_NEVER;
--- a/src/coordination/lease_holder.h
+++ b/src/coordination/lease_holder.h
@@ -103,7 +103,7 @@
 } gp_start_verdict_t;
 
 /* Number of heartbeats whose send time is kept.  */
-#define GP_LEASE_HOLDER_SENT 64
+#define GP_LEASE_HOLDER_SENT_TIMES 64
 
 typedef struct
 {
@@ -118,7 +118,7 @@
   gp_time_t fresh_at; /* when a sufficient log-fresh renewal last arrived */
   gp_time_t renew_at;
   uint64_t sequence; /* sequence number of the last heartbeat */
-  gp_time_t sent_at[GP_LEASE_HOLDER_SENT];
+  gp_time_t sent_at[GP_LEASE_HOLDER_SENT_TIMES];
 } gp_lease_holder_t;
 
 /* Starts as INCARNATION, which must be greater than that of any earlier
@@ -146,8 +146,8 @@
 
 /* The runtime was restarted: no task is running, and everything granted to
    this incarnation has ended.  Continues as after a lapse.  */
-void gp_lease_holder_give_up (gp_lease_holder_t *holder,
-                              gp_lease_holder_actions_t *actions);
+void gp_lease_holder_runtime_restarted (gp_lease_holder_t *holder,
+                                        gp_lease_holder_actions_t *actions);
 
 /* The runtime has confirmed, after STOP_ALL, that no task is left.  */
 void gp_lease_holder_stopped (gp_lease_holder_t *holder, gp_time_t now,
@@ -155,8 +155,8 @@
 
 /* Takes a new incarnation that adopts the running tasks and the lease,
    because the epoch table is full.  Does nothing unless the lease is held.  */
-void gp_lease_holder_recycle (gp_lease_holder_t *holder, gp_time_t now,
-                              gp_lease_holder_actions_t *actions);
+void gp_lease_holder_new_incarnation (gp_lease_holder_t *holder, gp_time_t now,
+                                      gp_lease_holder_actions_t *actions);
 
 /* Decides on a Start of (TASK, EPOCH) addressed to INCARNATION.  A refusal
    is final and recorded in the epoch table.  A stale Start gets no reply:
@@ -175,7 +175,7 @@
 }
 
 /* Returns the time at which gp_lease_holder_check must next be called.  */
-gp_time_t gp_lease_holder_due (const gp_lease_holder_t *holder);
+gp_time_t gp_lease_holder_next_deadline (const gp_lease_holder_t *holder);
 
 const char *gp_lease_state_name (gp_lease_state_t state);
 
--- a/src/coordination/members.c
+++ b/src/coordination/members.c
@@ -85,7 +85,7 @@
 static gp_member_state_t
 state_of (const gp_member_t *member)
 {
-  bool others = gp_member_reported (member);
+  bool others = gp_member_is_reported (member);
   bool evidence = member->direct || others;
 
   if (member->announcement.leaving)
@@ -141,7 +141,8 @@
 }
 
 void
-gp_members_settle (gp_members_t *members, gp_member_t *member, gp_time_t now)
+gp_members_refresh_state (gp_members_t *members, gp_member_t *member,
+                          gp_time_t now)
 {
   gp_member_state_t state = state_of (member);
 
@@ -168,7 +169,7 @@
   member->direct = false;
   gp_list_remove (&member->direct_link);
   mark_news (members, member);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
 }
 
 static void
@@ -232,8 +233,8 @@
 }
 
 gp_member_t *
-gp_members_update (gp_members_t *members,
-                   const gp_announcement_t *announcement)
+gp_members_apply_announcement (gp_members_t *members,
+                               const gp_announcement_t *announcement)
 {
   gp_member_t *member = gp_members_find (members, announcement->name);
   gp_announcement_t next = *announcement;
@@ -259,8 +260,8 @@
 }
 
 gp_member_t *
-gp_members_current (gp_members_t *members, const char *name,
-                    uint64_t incarnation, gp_members_result_t *result)
+gp_members_find_incarnation (gp_members_t *members, const char *name,
+                             uint64_t incarnation, gp_members_result_t *result)
 {
   gp_member_t *member = gp_members_find (members, name);
 
@@ -278,7 +279,7 @@
 gp_members_announce (gp_members_t *members,
                      const gp_announcement_t *announcement, gp_time_t now)
 {
-  gp_member_t *member = gp_members_update (members, announcement);
+  gp_member_t *member = gp_members_apply_announcement (members, announcement);
 
   if (member == NULL)
     return GP_MEMBERS_STALE;
@@ -289,7 +290,7 @@
       mark_changed (members, member);
     }
   direct_extend (members, member, now);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
@@ -300,7 +301,7 @@
 {
   gp_members_result_t result;
   gp_member_t *member
-      = gp_members_current (members, name, incarnation, &result);
+      = gp_members_find_incarnation (members, name, incarnation, &result);
 
   if (member == NULL)
     return result;
@@ -311,7 +312,7 @@
   direct_begin (members, member);
   member->beaten = true;
   direct_extend (members, member, now);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
@@ -321,13 +322,13 @@
 {
   gp_members_result_t result;
   gp_member_t *member
-      = gp_members_current (members, name, incarnation, &result);
+      = gp_members_find_incarnation (members, name, incarnation, &result);
 
   if (member == NULL || member->announcement.leaving)
     return result;
   member->announcement.leaving = true;
   mark_news (members, member);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
@@ -337,7 +338,7 @@
 {
   gp_members_result_t result;
   gp_member_t *member
-      = gp_members_current (members, name, incarnation, &result);
+      = gp_members_find_incarnation (members, name, incarnation, &result);
 
   if (member == NULL || member->reach == GP_REACH_UP)
     return result;
@@ -352,7 +353,7 @@
 {
   gp_members_result_t result;
   gp_member_t *member
-      = gp_members_current (members, name, incarnation, &result);
+      = gp_members_find_incarnation (members, name, incarnation, &result);
 
   if (member == NULL)
     return result;
--- a/src/coordination/members.h
+++ b/src/coordination/members.h
@@ -208,10 +208,10 @@
                                 gp_time_t now);
 
 /* An update arrived from another entry.  */
-gp_members_result_t gp_members_learn (gp_members_t *members,
-                                      const char *reporter,
-                                      const gp_member_news_t *news,
-                                      gp_time_t now);
+gp_members_result_t gp_members_apply_news (gp_members_t *members,
+                                           const char *reporter,
+                                           const gp_member_news_t *news,
+                                           gp_time_t now);
 
 /* Processes expired deadlines and returns the next deadline.  Calling it
    early is harmless; calling it late only delays state changes.  */
@@ -233,10 +233,9 @@
    returns the number of bytes used, or 0 to stop before this update.  The
    initial cursor is 0; a call with it skips members that are no longer
    heard here.  */
-uint64_t
-gp_members_tell (gp_members_t *members, uint64_t cursor, size_t budget,
-                 size_t (*visit) (const gp_member_news_t *news, void *data),
-                 void *data);
+uint64_t gp_members_visit_news (
+    gp_members_t *members, uint64_t cursor, size_t budget,
+    size_t (*visit) (const gp_member_news_t *news, void *data), void *data);
 
 /* Returns true if updates after CURSOR may have been freed.  The
    connection to the peer must then be reopened and its full state sent,
--- a/src/coordination/members_private.h
+++ b/src/coordination/members_private.h
@@ -22,7 +22,7 @@
 void gp_report_drop (gp_report_t *report);
 
 /* Returns true if a reporter that is heard reports MEMBER.  */
-bool gp_member_reported (const gp_member_t *member);
+bool gp_member_is_reported (const gp_member_t *member);
 
 /* Frees a reporter and its reports.  */
 void gp_reporter_free (gpointer data);
@@ -31,18 +31,20 @@
 gp_time_t gp_members_expire_reporters (gp_members_t *members, gp_time_t now);
 
 /* Recomputes the state of MEMBER.  */
-void gp_members_settle (gp_members_t *members, gp_member_t *member,
-                        gp_time_t now);
+void gp_members_refresh_state (gp_members_t *members, gp_member_t *member,
+                               gp_time_t now);
 
 /* Returns the member described by ANNOUNCEMENT, created or updated as
    needed, or NULL if the announcement is of an older incarnation.  */
-gp_member_t *gp_members_update (gp_members_t *members,
-                                const gp_announcement_t *announcement);
+gp_member_t *
+gp_members_apply_announcement (gp_members_t *members,
+                               const gp_announcement_t *announcement);
 
 /* Returns the member with that name and incarnation, or NULL and the
    reason in RESULT.  */
-gp_member_t *gp_members_current (gp_members_t *members, const char *name,
-                                 uint64_t incarnation,
-                                 gp_members_result_t *result);
+gp_member_t *gp_members_find_incarnation (gp_members_t *members,
+                                          const char *name,
+                                          uint64_t incarnation,
+                                          gp_members_result_t *result);
 
 #endif
--- a/src/coordination/outlier.c
+++ b/src/coordination/outlier.c
@@ -203,7 +203,7 @@
 {
   if (health->state != GP_HEALTH_WAITING)
     return;
-  health->state = GP_HEALTH_PROBED;
+  health->state = GP_HEALTH_PROBING;
   health->until = now + outlier->settings.probe_timeout;
   insert_by_until (&outlier->probed, health);
 }
@@ -212,7 +212,7 @@
 gp_outlier_probe_done (gp_outlier_t *outlier, gp_health_t *health,
                        bool success, gp_time_t now)
 {
-  if (health->state != GP_HEALTH_PROBED)
+  if (health->state != GP_HEALTH_PROBING)
     return GP_OUTLIER_NONE;
   if (success)
     {
--- a/src/coordination/outlier.h
+++ b/src/coordination/outlier.h
@@ -32,7 +32,7 @@
   GP_HEALTH_HEALTHY,
   GP_HEALTH_EJECTED,
   GP_HEALTH_WAITING, /* ejection has ended, no probe sent yet */
-  GP_HEALTH_PROBED   /* a probe is in progress */
+  GP_HEALTH_PROBING  /* a probe is in progress */
 } gp_health_state_t;
 
 /* Number of results and the sum of their durations, for the current window
--- a/src/coordination/pending.c
+++ b/src/coordination/pending.c
@@ -313,7 +313,7 @@
 }
 
 void
-gp_pending_hurry (gp_pending_t *pending, unsigned int most)
+gp_pending_end_backoffs (gp_pending_t *pending, unsigned int most)
 {
   gp_task_heap_node_t *node;
 
@@ -348,7 +348,8 @@
 {
   gp_pending_task_t *task = NULL;
 
-  if (pending->picks + 1 >= GP_PENDING_TURN && in_pace (pending, 1))
+  if (pending->picks + 1 >= GP_PENDING_AT_RISK_INTERVAL
+      && in_pace (pending, 1))
     task = most_at_risk (pending, quota, now);
   if (task != NULL)
     {
@@ -359,7 +360,7 @@
        rank++)
     if (in_pace (pending, rank))
       task = fairest (pending, quota, rank, now);
-  if (task != NULL && pending->picks + 1 < GP_PENDING_TURN)
+  if (task != NULL && pending->picks + 1 < GP_PENDING_AT_RISK_INTERVAL)
     pending->picks++;
   return task;
 }
@@ -397,7 +398,7 @@
 }
 
 gp_time_t
-gp_pending_wake (const gp_pending_t *pending, gp_time_t now)
+gp_pending_next_wake (const gp_pending_t *pending, gp_time_t now)
 {
   const gp_task_heap_node_t *node = gp_task_heap_first (&pending->deferred);
   gp_time_t wake = node == NULL ? GP_TIME_NEVER : MAX (now, node->key);
@@ -409,8 +410,8 @@
 }
 
 void
-gp_pending_pace (gp_pending_t *pending, double rate, double burst,
-                 gp_time_t now)
+gp_pending_set_rate (gp_pending_t *pending, double rate, double burst,
+                     gp_time_t now)
 {
   pending->rate = rate;
   pending->burst = burst;
--- a/src/coordination/pending.h
+++ b/src/coordination/pending.h
@@ -6,9 +6,9 @@
    (deadline minus learned run time).  A task without a deadline gets one
    from the patience setting of its class, so that it cannot wait forever.
 
-   One in GP_PENDING_TURN picks goes to the watcher or batch task with the
-   earliest latest start, if that is no further away than RISK_AHEAD.  Many
-   latency-critical tasks can therefore slow the other classes but not
+   One in GP_PENDING_AT_RISK_INTERVAL picks goes to the watcher or batch task
+   with the earliest latest start, if that is no further away than RISK_AHEAD.
+   Many latency-critical tasks can therefore slow the other classes but not
    starve them.
 
    A task that cannot be placed is deferred with backoff, and the tasks
@@ -37,7 +37,7 @@
 #include "coordination/resources.h"
 #include "coordination/task_heap.h"
 
-#define GP_PENDING_TURN 4
+#define GP_PENDING_AT_RISK_INTERVAL 4
 #define GP_PENDING_CLASSES 3
 
 typedef enum
@@ -134,18 +134,18 @@
 
 /* Capacity was freed: ends the backoff of up to MOST tasks, those whose
    backoff would end first.  */
-void gp_pending_hurry (gp_pending_t *pending, unsigned int most);
+void gp_pending_end_backoffs (gp_pending_t *pending, unsigned int most);
 
 /* Returns when gp_pending_next may next return a task: NOW if a task is
    ready and the rate limit allows its start, GP_TIME_NEVER if the queue is
    empty.  */
-gp_time_t gp_pending_wake (const gp_pending_t *pending, gp_time_t now);
+gp_time_t gp_pending_next_wake (const gp_pending_t *pending, gp_time_t now);
 
 /* Limits starts to RATE per second with a burst of BURST from NOW on,
    after the loss of many workers.  BURST is at least 1; latency-critical
    tasks may use a further BURST in advance.  RATE 0 removes the limit.  */
-void gp_pending_pace (gp_pending_t *pending, double rate, double burst,
-                      gp_time_t now);
+void gp_pending_set_rate (gp_pending_t *pending, double rate, double burst,
+                          gp_time_t now);
 
 /* Returns the number of tasks in the queue, ready and deferred.  */
 uint32_t gp_pending_length (const gp_pending_t *pending);
--- a/src/coordination/placement.c
+++ b/src/coordination/placement.c
@@ -18,7 +18,7 @@
       return "no-capacity-now";
     case GP_PLACEMENT_NEVER_FITS:
       return "never-fits";
-    case GP_PLACEMENT_ZONE_CLOSED:
+    case GP_PLACEMENT_ZONE_EVACUATED:
       return "zone-evacuated";
     case GP_PLACEMENT_AVOIDED:
       return "avoided";
@@ -52,8 +52,8 @@
 }
 
 static double
-fit_cost (const gp_placement_weights_t *weights, const gp_placement_ask_t *ask,
-          const gp_worker_t *worker)
+fit_cost (const gp_placement_weights_t *weights,
+          const gp_placement_request_t *ask, const gp_worker_t *worker)
 {
   double processors
       = part_left (worker->free.millicores, ask->demand.millicores,
@@ -68,23 +68,24 @@
 }
 
 static double
-spread_cost (const gp_placement_t *placement, const gp_placement_ask_t *ask,
-             const gp_worker_t *worker)
+spread_cost (const gp_placement_t *placement,
+             const gp_placement_request_t *ask, const gp_worker_t *worker)
 {
   const gp_placement_weights_t *weights = &placement->weights;
 
   return weights->rack
-             * gp_spread_in_rack (placement->spread, ask->group, worker->rack)
+             * gp_spread_rack_fraction (placement->spread, ask->group,
+                                        worker->rack)
          + weights->zone
-               * gp_spread_in_zone (placement->spread, ask->group,
-                                    worker->zone);
+               * gp_spread_zone_fraction (placement->spread, ask->group,
+                                          worker->zone);
 }
 
 /* Distance from the checkpoint: 0 in its zone, 1 in another zone, 2 in
    another region.  */
 static double
-locality_cost (const gp_placement_t *placement, const gp_placement_ask_t *ask,
-               const gp_worker_t *worker)
+locality_cost (const gp_placement_t *placement,
+               const gp_placement_request_t *ask, const gp_worker_t *worker)
 {
   const gp_worker_t *previous
       = gp_fleet_worker (placement->fleet, ask->previous);
@@ -97,7 +98,7 @@
 }
 
 static double
-harm_cost (const gp_placement_t *placement, const gp_placement_ask_t *ask,
+harm_cost (const gp_placement_t *placement, const gp_placement_request_t *ask,
            const gp_worker_t *worker)
 {
   if (placement->interference == NULL)
@@ -110,7 +111,8 @@
    negative.  */
 static gp_placement_cost_t
 cost_without_harm (const gp_placement_t *placement,
-                   const gp_placement_ask_t *ask, const gp_worker_t *worker)
+                   const gp_placement_request_t *ask,
+                   const gp_worker_t *worker)
 {
   gp_placement_cost_t cost = { 0 };
 
@@ -126,7 +128,8 @@
 
 gp_placement_cost_t
 gp_placement_cost (const gp_placement_t *placement,
-                   const gp_placement_ask_t *ask, const gp_worker_t *worker)
+                   const gp_placement_request_t *ask,
+                   const gp_worker_t *worker)
 {
   gp_placement_cost_t cost = cost_without_harm (placement, ask, worker);
 
@@ -142,7 +145,7 @@
 }
 
 static bool
-avoids (const gp_placement_ask_t *ask, const gp_worker_t *worker)
+avoids (const gp_placement_request_t *ask, const gp_worker_t *worker)
 {
   for (unsigned int i = 0; i < ask->n_avoided; i++)
     if (ask->avoided[i] == worker->index)
@@ -151,7 +154,8 @@
 }
 
 bool
-gp_placement_allows (const gp_placement_ask_t *ask, const gp_worker_t *worker)
+gp_placement_allows (const gp_placement_request_t *ask,
+                     const gp_worker_t *worker)
 {
   return worker->state == GP_WORKER_SERVING
          && (ask->zones & (UINT64_C (1) << worker->zone)) != 0
@@ -174,8 +178,9 @@
 } candidates_t;
 
 static void
-add_candidate (const gp_placement_t *placement, const gp_placement_ask_t *ask,
-               gp_worker_t *worker, candidates_t *candidates)
+add_candidate (const gp_placement_t *placement,
+               const gp_placement_request_t *ask, gp_worker_t *worker,
+               candidates_t *candidates)
 {
   candidate_t *candidate = &candidates->items[candidates->n];
 
@@ -189,7 +194,7 @@
 
 /* Makes CANDIDATE the CHOICE if its cost is lower.  */
 static void
-consider (const gp_placement_t *placement, const gp_placement_ask_t *ask,
+consider (const gp_placement_t *placement, const gp_placement_request_t *ask,
           candidate_t *candidate, gp_placement_choice_t *choice)
 {
   gp_worker_t *worker = candidate->worker;
@@ -212,8 +217,9 @@
 /* Considers the candidates in order of cost without harm, and stops when
    the remaining ones cannot cost less than the best one found.  */
 static void
-choose_among (const gp_placement_t *placement, const gp_placement_ask_t *ask,
-              candidates_t *candidates, gp_placement_choice_t *choice)
+choose_among (const gp_placement_t *placement,
+              const gp_placement_request_t *ask, candidates_t *candidates,
+              gp_placement_choice_t *choice)
 {
   choice->candidates = candidates->n;
   while (candidates->n > 0)
@@ -234,7 +240,8 @@
    to be avoided.  */
 static void
 choose_among_all (const gp_placement_t *placement,
-                  const gp_placement_ask_t *ask, gp_placement_choice_t *choice)
+                  const gp_placement_request_t *ask,
+                  gp_placement_choice_t *choice)
 {
   for (guint i = 0; i < placement->fleet->workers->len; i++)
     {
@@ -250,7 +257,7 @@
 }
 
 static bool
-known_miss (const gp_placement_t *placement, const gp_placement_ask_t *ask)
+known_miss (const gp_placement_t *placement, const gp_placement_request_t *ask)
 {
   const gp_placement_miss_t *miss = &placement->miss;
 
@@ -259,7 +266,7 @@
 }
 
 static void
-note_miss (gp_placement_t *placement, const gp_placement_ask_t *ask)
+note_miss (gp_placement_t *placement, const gp_placement_request_t *ask)
 {
   placement->miss.growth = placement->fleet->growth;
   placement->miss.zones = ask->zones;
@@ -268,7 +275,7 @@
 
 /* Returns the reason why no worker was chosen; SEEN workers had room.  */
 static gp_placement_outcome_t
-reason_of (const gp_placement_t *placement, const gp_placement_ask_t *ask,
+reason_of (const gp_placement_t *placement, const gp_placement_request_t *ask,
            unsigned int seen, unsigned int candidates)
 {
   if (candidates > 0)
@@ -279,14 +286,14 @@
     return GP_PLACEMENT_NO_CAPACITY_NOW;
   if (gp_fleet_can_ever_fit (placement->fleet, &ask->demand,
                              GP_PLACEMENT_ALL_ZONES))
-    return GP_PLACEMENT_ZONE_CLOSED;
+    return GP_PLACEMENT_ZONE_EVACUATED;
   return GP_PLACEMENT_NEVER_FITS;
 }
 
 /* Adds the workers found by the index to CANDIDATES; returns how many
    workers had room, including those to be avoided.  */
 static unsigned int
-search (gp_placement_t *placement, const gp_placement_ask_t *ask,
+search (gp_placement_t *placement, const gp_placement_request_t *ask,
         candidates_t *candidates)
 {
   gp_worker_t *found[2 * GP_FLEET_ZONES_MAX];
@@ -306,7 +313,8 @@
 }
 
 gp_placement_choice_t
-gp_placement_choose (gp_placement_t *placement, const gp_placement_ask_t *ask)
+gp_placement_choose (gp_placement_t *placement,
+                     const gp_placement_request_t *ask)
 {
   gp_placement_choice_t choice = { .outcome = GP_PLACEMENT_CHOSEN };
   gp_worker_t *previous = gp_fleet_worker (placement->fleet, ask->previous);
@@ -330,8 +338,8 @@
 }
 
 void
-gp_placement_reserve (gp_placement_t *placement, const gp_placement_ask_t *ask,
-                      gp_worker_t *worker)
+gp_placement_reserve (gp_placement_t *placement,
+                      const gp_placement_request_t *ask, gp_worker_t *worker)
 {
   gp_placement_drop_hold (placement, ask);
   gp_fleet_reserve (placement->fleet, worker, ask->kind, &ask->demand);
@@ -339,8 +347,8 @@
 }
 
 void
-gp_placement_release (gp_placement_t *placement, const gp_placement_ask_t *ask,
-                      gp_worker_t *worker)
+gp_placement_release (gp_placement_t *placement,
+                      const gp_placement_request_t *ask, gp_worker_t *worker)
 {
   gp_fleet_release (placement->fleet, worker, ask->kind, &ask->demand);
   gp_spread_add (placement->spread, ask->group, worker->rack, worker->zone,
@@ -348,8 +356,9 @@
 }
 
 void
-gp_placement_refuse (gp_placement_t *placement, const gp_placement_ask_t *ask,
-                     gp_worker_t *worker, const gp_resources_t *headroom)
+gp_placement_refuse (gp_placement_t *placement,
+                     const gp_placement_request_t *ask, gp_worker_t *worker,
+                     const gp_resources_t *headroom)
 {
   gp_fleet_refuse (placement->fleet, worker, ask->kind, &ask->demand,
                    headroom);
@@ -368,7 +377,7 @@
 }
 
 static bool
-may_hold (const gp_placement_ask_t *ask, const gp_worker_t *worker)
+may_hold (const gp_placement_request_t *ask, const gp_worker_t *worker)
 {
   return worker->state == GP_WORKER_SERVING && worker->held_for == 0
          && (ask->zones & (UINT64_C (1) << worker->zone)) != 0
@@ -377,8 +386,8 @@
 }
 
 uint32_t
-gp_placement_hold (gp_placement_t *placement, const gp_placement_ask_t *ask,
-                   gp_time_t until)
+gp_placement_hold (gp_placement_t *placement,
+                   const gp_placement_request_t *ask, gp_time_t until)
 {
   gp_fleet_t *fleet = placement->fleet;
   gp_worker_t *best = NULL;
@@ -408,7 +417,7 @@
 
 void
 gp_placement_drop_hold (gp_placement_t *placement,
-                        const gp_placement_ask_t *ask)
+                        const gp_placement_request_t *ask)
 {
   gp_worker_t *worker = gp_fleet_worker (placement->fleet, ask->held);
 
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -24,12 +24,13 @@
   GP_PLACEMENT_CHOSEN,
   GP_PLACEMENT_NO_CAPACITY_NOW, /* fits some worker, but none has room now */
   GP_PLACEMENT_NEVER_FITS,      /* larger than the capacity of every worker */
-  GP_PLACEMENT_ZONE_CLOSED, /* fits only workers in zones that are not allowed
-                             */
-  GP_PLACEMENT_AVOIDED,     /* only workers on which it failed have room */
-  GP_PLACEMENT_HARMFUL,     /* every candidate exceeds the harm limit */
-  GP_PLACEMENT_QUOTA,       /* the team's quota is used up */
-  GP_PLACEMENT_PARKED       /* the task failed on too many workers */
+  GP_PLACEMENT_ZONE_EVACUATED,  /* fits only workers in zones that are not
+                                 * allowed
+                                 */
+  GP_PLACEMENT_AVOIDED,         /* only workers on which it failed have room */
+  GP_PLACEMENT_HARMFUL,         /* every candidate exceeds the harm limit */
+  GP_PLACEMENT_QUOTA,           /* the team's quota is used up */
+  GP_PLACEMENT_PARKED           /* the task failed on too many workers */
 } gp_placement_outcome_t;
 
 /* Returns a readable name of OUTCOME, in lower case with dashes.  */
@@ -50,7 +51,7 @@
   uint32_t avoided[GP_PLACEMENT_AVOIDED_MAX]; /* workers on which it failed */
   unsigned int n_avoided;
   double harm_limit; /* maximum expected harm; INFINITY for no limit */
-} gp_placement_ask_t;
+} gp_placement_request_t;
 
 /* The terms of a worker's cost.  */
 typedef struct
@@ -121,29 +122,31 @@
 
 /* Returns the cost of placing ASK on WORKER, on which it must fit.  */
 gp_placement_cost_t gp_placement_cost (const gp_placement_t *placement,
-                                       const gp_placement_ask_t *ask,
+                                       const gp_placement_request_t *ask,
                                        const gp_worker_t *worker);
 double gp_placement_cost_total (const gp_placement_cost_t *cost);
 
 /* Returns true if ASK may be placed on WORKER now, considering free
    resources, zone, state and holds.  */
-bool gp_placement_allows (const gp_placement_ask_t *ask,
+bool gp_placement_allows (const gp_placement_request_t *ask,
                           const gp_worker_t *worker);
 
 gp_placement_choice_t gp_placement_choose (gp_placement_t *placement,
-                                           const gp_placement_ask_t *ask);
+                                           const gp_placement_request_t *ask);
 
 /* Reserves resources for ASK on the chosen WORKER and ends the hold for
    it.  */
 void gp_placement_reserve (gp_placement_t *placement,
-                           const gp_placement_ask_t *ask, gp_worker_t *worker);
+                           const gp_placement_request_t *ask,
+                           gp_worker_t *worker);
 /* The task of ASK, which did run on WORKER, has ended there.  */
 void gp_placement_release (gp_placement_t *placement,
-                           const gp_placement_ask_t *ask, gp_worker_t *worker);
+                           const gp_placement_request_t *ask,
+                           gp_worker_t *worker);
 /* The guard of WORKER refused the task of ASK and reported its HEADROOM.  */
 void gp_placement_refuse (gp_placement_t *placement,
-                          const gp_placement_ask_t *ask, gp_worker_t *worker,
-                          const gp_resources_t *headroom);
+                          const gp_placement_request_t *ask,
+                          gp_worker_t *worker, const gp_resources_t *headroom);
 
 /* Holds the worker for ASK that is expected to have room soonest, so that
    smaller tasks do not starve it: the worker with the greatest fraction of
@@ -153,9 +156,10 @@
    tasks that were deferred often.  */
 #define GP_PLACEMENT_WORKERS_PER_HOLD 16
 uint32_t gp_placement_hold (gp_placement_t *placement,
-                            const gp_placement_ask_t *ask, gp_time_t until);
+                            const gp_placement_request_t *ask,
+                            gp_time_t until);
 /* Ends the hold for ASK, if it is still in effect.  */
 void gp_placement_drop_hold (gp_placement_t *placement,
-                             const gp_placement_ask_t *ask);
+                             const gp_placement_request_t *ask);
 
 #endif
--- a/src/coordination/reporters.c
+++ b/src/coordination/reporters.c
@@ -35,7 +35,7 @@
 }
 
 bool
-gp_member_reported (const gp_member_t *member)
+gp_member_is_reported (const gp_member_t *member)
 {
   return gp_member_reporter (member) != NULL;
 }
@@ -62,8 +62,8 @@
                      gp_time_t now)
 {
   GP_LIST_FOREACH (pos, &reporter->reports)
-  gp_members_settle (members, GP_CONTAINER_OF (pos, gp_report_t, link)->member,
-                     now);
+  gp_members_refresh_state (
+      members, GP_CONTAINER_OF (pos, gp_report_t, link)->member, now);
 }
 
 void
@@ -139,7 +139,7 @@
             const gp_announcement_t *announcement, gp_time_t now)
 {
   gp_members_result_t result;
-  gp_member_t *member = gp_members_current (
+  gp_member_t *member = gp_members_find_incarnation (
       members, announcement->name, announcement->incarnation, &result);
 
   if (member == NULL)
@@ -147,13 +147,13 @@
   for (size_t i = 0; i < GP_MEMBER_REPORTS; i++)
     if (member->reports[i].reporter == reporter)
       gp_report_drop (&member->reports[i]);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
 gp_members_result_t
-gp_members_learn (gp_members_t *members, const char *reporter,
-                  const gp_member_news_t *news, gp_time_t now)
+gp_members_apply_news (gp_members_t *members, const char *reporter,
+                       const gp_member_news_t *news, gp_time_t now)
 {
   gp_reporter_t *from = reporter_find (members, reporter);
   gp_announcement_t announcement = news->announcement;
@@ -172,13 +172,13 @@
       announcement = member->announcement;
       announcement.leaving |= news->announcement.leaving;
     }
-  member = gp_members_update (members, &announcement);
+  member = gp_members_apply_announcement (members, &announcement);
   if (member == NULL)
     return GP_MEMBERS_STALE;
   if (news->load.at > member->load.at)
     member->load = news->load;
   report_take (member, from);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
@@ -194,7 +194,7 @@
     if (report->generation == reporter->generation)
       continue;
     gp_report_drop (report);
-    gp_members_settle (members, report->member, now);
+    gp_members_refresh_state (members, report->member, now);
   }
 }
 
@@ -240,9 +240,10 @@
 }
 
 uint64_t
-gp_members_tell (gp_members_t *members, uint64_t cursor, size_t budget,
-                 size_t (*visit) (const gp_member_news_t *news, void *data),
-                 void *data)
+gp_members_visit_news (gp_members_t *members, uint64_t cursor, size_t budget,
+                       size_t (*visit) (const gp_member_news_t *news,
+                                        void *data),
+                       void *data)
 {
   gp_list_t *head = &members->news;
   gp_list_t *pos = head;
--- a/src/coordination/request_queue.c
+++ b/src/coordination/request_queue.c
@@ -97,7 +97,7 @@
 }
 
 gp_request_quota_t *
-gp_request_queue_blocker (const gp_admission_request_t *request)
+gp_request_queue_blocking_quota (const gp_admission_request_t *request)
 {
   if (gp_request_quota_full (request->team))
     return request->team;
@@ -180,7 +180,7 @@
 
   while ((request = first_in_order (&queue->ready[work_class])) != NULL)
     {
-      gp_request_quota_t *blocker = gp_request_queue_blocker (request);
+      gp_request_quota_t *blocker = gp_request_queue_blocking_quota (request);
 
       if (blocker == NULL)
         return request;
--- a/src/coordination/request_queue.h
+++ b/src/coordination/request_queue.h
@@ -162,6 +162,6 @@
 
 /* Returns the quota that prevents REQUEST from running now, or NULL.  */
 gp_request_quota_t *
-gp_request_queue_blocker (const gp_admission_request_t *request);
+gp_request_queue_blocking_quota (const gp_admission_request_t *request);
 
 #endif
--- a/src/coordination/residency.c
+++ b/src/coordination/residency.c
@@ -21,7 +21,7 @@
   if (residency->n_changes >= GP_RESIDENCY_CHANGES)
     residency->since = change->time;
   change->time = now;
-  change->kind = gp_residency_place (kind);
+  change->kind = gp_residency_slot (kind);
   change->quarters = (int16_t)quarters;
   residency->quarters[change->kind] += quarters;
   residency->n_changes++;
@@ -44,7 +44,7 @@
   if (from < residency->since || from >= to)
     return false;
   for (unsigned int i = 0; i < GP_RESIDENCY_KINDS; i++)
-    mean[i] = (double)residency->quarters[i] / GP_RESIDENCY_WHOLE;
+    mean[i] = (double)residency->quarters[i] / GP_RESIDENCY_UNTHROTTLED;
   for (uint32_t i = 1; i <= remembered (residency); i++)
     {
       const gp_residency_change_t *change
@@ -53,7 +53,7 @@
 
       if (change->time <= from)
         break;
-      mean[change->kind] -= (double)change->quarters / GP_RESIDENCY_WHOLE
+      mean[change->kind] -= (double)change->quarters / GP_RESIDENCY_UNTHROTTLED
                             * (double)(until - from) / span;
     }
   return true;
--- a/src/coordination/residency.h
+++ b/src/coordination/residency.h
@@ -14,7 +14,8 @@
 #include "base/time.h"
 
 #define GP_RESIDENCY_KINDS 64 /* further kinds share the last slot */
-#define GP_RESIDENCY_WHOLE 4  /* quarters of a task that is not throttled */
+#define GP_RESIDENCY_UNTHROTTLED                                              \
+  4 /* quarters of a task that is not throttled */
 #define GP_RESIDENCY_THROTTLED 1
 #define GP_RESIDENCY_CHANGES 64 /* capacity of the ring buffer */
 
@@ -35,7 +36,7 @@
 
 /* Returns the slot of KIND.  */
 static inline uint16_t
-gp_residency_place (uint16_t kind)
+gp_residency_slot (uint16_t kind)
 {
   return kind < GP_RESIDENCY_KINDS - 1 ? kind : GP_RESIDENCY_KINDS - 1;
 }
--- a/src/coordination/router.c
+++ b/src/coordination/router.c
@@ -62,7 +62,7 @@
   guint index = candidate->index;
 
   g_ptr_array_remove_index_fast (set, index);
-  candidate->index = GP_CANDIDATE_APART;
+  candidate->index = GP_CANDIDATE_NOT_IN_SET;
   if (index < set->len)
     ((gp_candidate_t *)g_ptr_array_index (set, index))->index = index;
 }
@@ -71,7 +71,7 @@
 static void
 place (gp_router_t *router, gp_candidate_t *candidate)
 {
-  bool inside = candidate->index != GP_CANDIDATE_APART;
+  bool inside = candidate->index != GP_CANDIDATE_NOT_IN_SET;
 
   if (takes_requests (candidate) == inside)
     return;
@@ -97,7 +97,7 @@
   *candidate = (gp_candidate_t){ .data = data,
                                  .near = near,
                                  .mode = GP_CANDIDATE_OPEN,
-                                 .index = GP_CANDIDATE_APART,
+                                 .index = GP_CANDIDATE_NOT_IN_SET,
                                  .slots = slots,
                                  .connections = connections,
                                  .reported_at = INT64_MIN };
@@ -251,7 +251,8 @@
     {
       const gp_candidate_t *tried = route->tried[i];
 
-      if (tried->index != GP_CANDIDATE_APART && set_of (router, tried) == set)
+      if (tried->index != GP_CANDIDATE_NOT_IN_SET
+          && set_of (router, tried) == set)
         exclude_index (excluded, &n, tried->index);
     }
   return n;
--- a/src/coordination/router.h
+++ b/src/coordination/router.h
@@ -49,7 +49,7 @@
   /* Private.  */
   bool near; /* in the entry's own zone */
   gp_candidate_mode_t mode;
-  guint index; /* index in its set, or GP_CANDIDATE_APART */
+  guint index; /* index in its set, or GP_CANDIDATE_NOT_IN_SET */
   uint32_t slots;
   uint32_t connections;
   uint32_t in_flight;  /* requests from this entry */
@@ -59,7 +59,7 @@
   gp_list_t probe_link;
 } gp_candidate_t;
 
-#define GP_CANDIDATE_APART G_MAXUINT
+#define GP_CANDIDATE_NOT_IN_SET G_MAXUINT
 
 typedef struct
 {
--- a/src/coordination/spread.c
+++ b/src/coordination/spread.c
@@ -81,7 +81,8 @@
 }
 
 double
-gp_spread_in_rack (const gp_spread_t *spread, uint32_t group, uint32_t rack)
+gp_spread_rack_fraction (const gp_spread_t *spread, uint32_t group,
+                         uint32_t rack)
 {
   const gp_spread_group_t *found = find_group (spread, group);
 
@@ -89,7 +90,8 @@
 }
 
 double
-gp_spread_in_zone (const gp_spread_t *spread, uint32_t group, uint32_t zone)
+gp_spread_zone_fraction (const gp_spread_t *spread, uint32_t group,
+                         uint32_t zone)
 {
   const gp_spread_group_t *found = find_group (spread, group);
 
--- a/src/coordination/spread.h
+++ b/src/coordination/spread.h
@@ -24,9 +24,9 @@
 
 /* Return the fraction of the tasks of GROUP in RACK or in ZONE; zero for a
    group without tasks.  */
-double gp_spread_in_rack (const gp_spread_t *spread, uint32_t group,
-                          uint32_t rack);
-double gp_spread_in_zone (const gp_spread_t *spread, uint32_t group,
-                          uint32_t zone);
+double gp_spread_rack_fraction (const gp_spread_t *spread, uint32_t group,
+                                uint32_t rack);
+double gp_spread_zone_fraction (const gp_spread_t *spread, uint32_t group,
+                                uint32_t zone);
 
 #endif
--- a/src/coordination/subset.c
+++ b/src/coordination/subset.c
@@ -6,7 +6,7 @@
 #include "coordination/rendezvous.h"
 
 size_t
-gp_subset_share (size_t n_entries, size_t n_executors)
+gp_subset_size (size_t n_entries, size_t n_executors)
 {
   size_t share = n_entries;
 
--- a/src/coordination/subset.h
+++ b/src/coordination/subset.h
@@ -21,7 +21,7 @@
 
 /* Returns how many of the N_ENTRIES entries of a zone route to an
    executor, if the service has N_EXECUTORS in the executor's zone.  */
-size_t gp_subset_share (size_t n_entries, size_t n_executors);
+size_t gp_subset_size (size_t n_entries, size_t n_executors);
 
 /* Returns true if ENTRIES[SELF] is among the SHARE entries of its zone
    that rank highest for EXECUTOR.  */
--- a/src/coordination/suspects.c
+++ b/src/coordination/suspects.c
@@ -44,8 +44,8 @@
 }
 
 bool
-gp_suspects_parks (const gp_suspects_t *suspects,
-                   const gp_suspects_task_t *task)
+gp_suspects_should_park (const gp_suspects_t *suspects,
+                         const gp_suspects_task_t *task)
 {
   return trusted_failures (suspects, task, UINT32_MAX)
          >= suspects->settings.park_after;
--- a/src/coordination/suspects.h
+++ b/src/coordination/suspects.h
@@ -98,8 +98,8 @@
 
 /* Returns true if the task must be parked: it failed on enough workers,
    not counting those suspected since.  */
-bool gp_suspects_parks (const gp_suspects_t *suspects,
-                        const gp_suspects_task_t *task);
+bool gp_suspects_should_park (const gp_suspects_t *suspects,
+                              const gp_suspects_task_t *task);
 
 /* Ends the backoff or times out the probe of WORKER if due.  Returns true
    if its state changed.  */
--- a/src/daemon/downlinks.c
+++ b/src/daemon/downlinks.c
@@ -71,7 +71,7 @@
   if (downlinks->zone_count <= GP_SUBSET_MIN_ENTRIES)
     return true;
   share
-      = gp_subset_share (downlinks->zone_count, executors_like (downlinks, a));
+      = gp_subset_size (downlinks->zone_count, executors_like (downlinks, a));
   return gp_subset_contains (a->name, downlinks->entries,
                              downlinks->entry_count, downlinks->self, share);
 }
--- a/src/daemon/news.c
+++ b/src/daemon/news.c
@@ -141,8 +141,8 @@
   do
     {
       message->count = 0;
-      reader->cursor = gp_members_tell (news->members, reader->cursor,
-                                        MESSAGE_BUDGET, add_news, message);
+      reader->cursor = gp_members_visit_news (
+          news->members, reader->cursor, MESSAGE_BUDGET, add_news, message);
       if (message->count > 0
           || message->now - reader->told_at >= news->interval)
         send_message (reader, message);
@@ -234,7 +234,7 @@
     {
       gp_member_news_t piece = read_news (members->news[i], now);
 
-      if (gp_members_learn (news->members, session->process, &piece, now)
+      if (gp_members_apply_news (news->members, session->process, &piece, now)
           == GP_MEMBERS_STALE)
         gp_counter_add (&news_stale, 1);
     }
--- a/src/daemon/routes.c
+++ b/src/daemon/routes.c
@@ -415,7 +415,7 @@
 
   if (!target->routed)
     return;
-  if (target->health.state == GP_HEALTH_PROBED)
+  if (target->health.state == GP_HEALTH_PROBING)
     apply (routes, target,
            gp_outlier_probe_done (outlier, &target->health, success, now));
   else
--- a/src/daemon/runner.c
+++ b/src/daemon/runner.c
@@ -175,7 +175,7 @@
 static void
 arm_lease (gp_runner_t *runner)
 {
-  gp_time_t due = gp_lease_holder_due (&runner->holder);
+  gp_time_t due = gp_lease_holder_next_deadline (&runner->holder);
 
   if (due == GP_TIME_NEVER || runner->phase == GP_RUNNER_SUPERSEDED)
     gp_timer_disarm (&runner->lease_timer);
--- a/src/daemon/runner_runtime.c
+++ b/src/daemon/runner_runtime.c
@@ -305,7 +305,7 @@
       return;
     }
   gp_log (GP_LOG_WARNING, "runtime.restarted");
-  gp_lease_holder_give_up (&runner->holder, &actions);
+  gp_lease_holder_runtime_restarted (&runner->holder, &actions);
   gp_runner_act (runner, &actions);
 }
 
--- a/src/daemon/runner_tasks.c
+++ b/src/daemon/runner_tasks.c
@@ -286,7 +286,8 @@
     gp_runner_refuse (runner, add_started (runner, start),
                       GP__WIRE__REASON__REASON_FENCED);
   if (gp_epoch_table_full (&runner->epochs))
-    gp_lease_holder_recycle (&runner->holder, gp_time_now (), &actions);
+    gp_lease_holder_new_incarnation (&runner->holder, gp_time_now (),
+                                     &actions);
   gp_runner_act (runner, &actions);
 }
 
--- a/src/daemon/tasks.c
+++ b/src/daemon/tasks.c
@@ -240,7 +240,7 @@
 {
   gp_tasks_t *tasks = data;
 
-  gp_lease_grantor_gap (&tasks->grantor, gp_tasks_now (tasks));
+  gp_lease_grantor_log_gap (&tasks->grantor, gp_tasks_now (tasks));
 }
 
 /* Time.  */
--- a/src/daemon/tasks_interfere.c
+++ b/src/daemon/tasks_interfere.c
@@ -92,7 +92,7 @@
 static void
 set_throttled (gp_tasks_t *tasks, gp_tasks_task_t *task, bool throttled)
 {
-  int change = GP_RESIDENCY_WHOLE - GP_RESIDENCY_THROTTLED;
+  int change = GP_RESIDENCY_UNTHROTTLED - GP_RESIDENCY_THROTTLED;
 
   if (task->throttled == throttled)
     return;
--- a/src/daemon/tasks_mirror.c
+++ b/src/daemon/tasks_mirror.c
@@ -41,14 +41,14 @@
   gp_pending_task_init (&task->pending, state->id, task->team->index,
                         (gp_work_class_t)state->work_class, &declared,
                         latest_start (tasks, task, state));
-  task->ask
-      = (gp_placement_ask_t){ .task = state->id,
-                              .kind = task->kind->index,
-                              .work_class = (gp_work_class_t)state->work_class,
-                              .group = task->kind->index,
-                              .demand = declared,
-                              .previous = GP_WORKER_NONE,
-                              .held = GP_WORKER_NONE };
+  task->ask = (gp_placement_request_t){ .task = state->id,
+                                        .kind = task->kind->index,
+                                        .work_class
+                                        = (gp_work_class_t)state->work_class,
+                                        .group = task->kind->index,
+                                        .demand = declared,
+                                        .previous = GP_WORKER_NONE,
+                                        .held = GP_WORKER_NONE };
   gp_list_init (&task->placed_link);
   gp_list_init (&task->due_link);
   g_hash_table_add (tasks->tasks, task);
--- a/src/daemon/tasks_place.c
+++ b/src/daemon/tasks_place.c
@@ -133,7 +133,7 @@
   if (guard->added)
     gp_placement_reserve (&tasks->placement, &task->ask, &guard->worker);
   task->ask.held = GP_WORKER_NONE;
-  gp_tasks_weigh (tasks, guard, task, GP_RESIDENCY_WHOLE);
+  gp_tasks_weigh (tasks, guard, task, GP_RESIDENCY_UNTHROTTLED);
 }
 
 void
@@ -150,7 +150,7 @@
     gp_placement_release (&tasks->placement, &task->ask, &guard->worker);
   gp_tasks_weigh (tasks, guard, task,
                   task->throttled ? -GP_RESIDENCY_THROTTLED
-                                  : -GP_RESIDENCY_WHOLE);
+                                  : -GP_RESIDENCY_UNTHROTTLED);
   task->guard = NULL;
 }
 
@@ -261,7 +261,7 @@
 static void
 fill_ask (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
-  gp_placement_ask_t *ask = &task->ask;
+  gp_placement_request_t *ask = &task->ask;
   gp_resources_t most = largest (tasks);
   gp_time_t laxity = task->pending.latest_start - gp_tasks_now (tasks);
 
@@ -323,7 +323,7 @@
       task->outcome = GP_PLACEMENT_QUOTA;
       return true;
     }
-  if (gp_suspects_parks (&tasks->suspects, &task->failures)
+  if (gp_suspects_should_park (&tasks->suspects, &task->failures)
       || gp_fold_takes_runtimes_down (state))
     {
       gp_tasks_park (tasks, task, GP__RECORD__PARK_REASON__PARK_REASON_FAILS);
@@ -344,7 +344,7 @@
         gp_tasks_park (tasks, task,
                        GP__RECORD__PARK_REASON__PARK_REASON_TOO_LARGE);
       return true;
-    case GP_PLACEMENT_ZONE_CLOSED:
+    case GP_PLACEMENT_ZONE_EVACUATED:
     case GP_PLACEMENT_NO_CAPACITY_NOW:
       defer (tasks, task, GP_PENDING_NO_CAPACITY);
       return true;
@@ -364,12 +364,12 @@
 {
   if (!tasks->paced && tasks->lost >= LOST_TO_PACE)
     {
-      gp_pending_pace (&tasks->pending, PACE_RATE, PACE_BURST, now);
+      gp_pending_set_rate (&tasks->pending, PACE_RATE, PACE_BURST, now);
       tasks->paced = true;
     }
   if (tasks->paced && gp_pending_length (&tasks->pending) == 0)
     {
-      gp_pending_pace (&tasks->pending, 0, 0, now);
+      gp_pending_set_rate (&tasks->pending, 0, 0, now);
       tasks->paced = false;
     }
   if (now - tasks->lost_since < GP_SEC)
@@ -398,7 +398,7 @@
 
   if (is_roomier (tasks) && now >= tasks->room_at)
     {
-      gp_pending_hurry (&tasks->pending, MISSES_PER_TURN);
+      gp_pending_end_backoffs (&tasks->pending, MISSES_PER_TURN);
       tasks->full_growth = tasks->fleet.growth + tasks->released;
       tasks->room_at = now + ROOM_PERIOD;
     }
@@ -428,7 +428,7 @@
   set_pace (tasks, now);
   if (gp_store_ready (tasks->store) && !is_full (tasks, now))
     place_some (tasks, now);
-  wake = MAX (gp_pending_wake (&tasks->pending, now), now + GP_MSEC);
+  wake = MAX (gp_pending_next_wake (&tasks->pending, now), now + GP_MSEC);
   if (is_full (tasks, now))
     wake = MAX (wake, tasks->full_until);
   if (is_roomier (tasks))
--- a/src/daemon/tasks_private.h
+++ b/src/daemon/tasks_private.h
@@ -112,7 +112,7 @@
   uint64_t id; /* first: key of the table */
   gp_tasks_stage_t stage;
   gp_pending_task_t pending;
-  gp_placement_ask_t ask;
+  gp_placement_request_t ask;
   gp_suspects_task_t failures;
   gp_tasks_kind_t *kind;
   gp_tasks_team_t *team;
--- a/src/daemon/tasks_view.c
+++ b/src/daemon/tasks_view.c
@@ -187,7 +187,7 @@
     case GP_PLACEMENT_NEVER_FITS:
       g_string_append (text, "no worker that is there is large enough");
       break;
-    case GP_PLACEMENT_ZONE_CLOSED:
+    case GP_PLACEMENT_ZONE_EVACUATED:
       g_string_append (text, "the workers that are large enough are in an "
                              "evacuated zone");
       break;
--- a/tests/unit/lease_world_entry.c
+++ b/tests/unit/lease_world_entry.c
@@ -126,7 +126,7 @@
   e->offset = w->first;
   if (w->options->mutation == LW_GAP_IGNORED && e->fold.guards[0].current != 0)
     return;
-  gp_lease_grantor_gap (&e->grantor, now);
+  gp_lease_grantor_log_gap (&e->grantor, now);
   e->fold = w->snapshot;
   /* The fate of what it proposed is not known; it decides anew.  */
   e->num_outstanding = 0;
--- a/tests/unit/lease_world_worker.c
+++ b/tests/unit/lease_world_worker.c
@@ -222,7 +222,7 @@
 guard_wake_later (world_t *w, unsigned guard)
 {
   unsigned node = lw_guard_node (guard);
-  gp_time_t due = gp_lease_holder_due (&w->guards[guard].holder);
+  gp_time_t due = gp_lease_holder_next_deadline (&w->guards[guard].holder);
   event_t wake = { .kind = EV_WAKE, .node = node, .pid = w->pid[node] };
 
   if (due == GP_TIME_NEVER || due == w->guards[guard].wake_at)
@@ -266,7 +266,7 @@
 
   if (w->options->mutation == LW_HOLDER_RECEIVE && reply.remaining > 0)
     reply.remaining
-        += now - holder->sent_at[reply.sequence % GP_LEASE_HOLDER_SENT];
+        += now - holder->sent_at[reply.sequence % GP_LEASE_HOLDER_SENT_TIMES];
   if (w->options->mutation == LW_VOUCH_REVIVES)
     reply.vouched = false;
   gp_lease_holder_reply (holder, &reply, now, actions);
@@ -290,7 +290,7 @@
     gp_lease_holder_stopped (&g->holder, now, &actions);
   else if (e->kind == EV_WAKE && w->options->rough
            && g_rand_int_range (w->rng, 0, 32) == 0)
-    gp_lease_holder_recycle (&g->holder, now, &actions);
+    gp_lease_holder_new_incarnation (&g->holder, now, &actions);
   else if (e->kind == EV_TASK_ENDED && e->id != NO_EPOCH)
     {
       gp_epoch_table_set_ended (&g->epochs, e->task, e->id);
--- a/tests/unit/policy_site.c
+++ b/tests/unit/policy_site.c
@@ -34,14 +34,14 @@
   gp_fleet_finish (&site->fleet);
 }
 
-gp_placement_ask_t
+gp_placement_request_t
 policy_ask (uint64_t task, uint32_t millicores, uint32_t memory_mib)
 {
-  return (gp_placement_ask_t){ .task = task,
-                               .work_class = GP_WORK_BATCH,
-                               .demand = { millicores, memory_mib, 0 },
-                               .zones = GP_PLACEMENT_ALL_ZONES,
-                               .previous = GP_WORKER_NONE,
-                               .held = GP_WORKER_NONE,
-                               .harm_limit = INFINITY };
+  return (gp_placement_request_t){ .task = task,
+                                   .work_class = GP_WORK_BATCH,
+                                   .demand = { millicores, memory_mib, 0 },
+                                   .zones = GP_PLACEMENT_ALL_ZONES,
+                                   .previous = GP_WORKER_NONE,
+                                   .held = GP_WORKER_NONE,
+                                   .harm_limit = INFINITY };
 }
--- a/tests/unit/policy_site.h
+++ b/tests/unit/policy_site.h
@@ -21,7 +21,7 @@
 void policy_site_finish (policy_site_t *site);
 
 /* A batch task that may run anywhere.  */
-gp_placement_ask_t policy_ask (uint64_t task, uint32_t millicores,
-                               uint32_t memory_mib);
+gp_placement_request_t policy_ask (uint64_t task, uint32_t millicores,
+                                   uint32_t memory_mib);
 
 #endif
--- a/tests/unit/test_estimate.c
+++ b/tests/unit/test_estimate.c
@@ -21,11 +21,11 @@
 {
   gp_resources_t r = gp_estimate_reservation (estimate, &declared, &largest);
 
-  printf (
-      "%s: %u millicores %u MiB %u accelerators, run time %ld ms\n", what,
-      r.millicores, r.memory_mib, r.accelerators,
-      (long)(gp_estimate_run_time (estimate, GP_ESTIMATE_EXPECTED, 60 * GP_SEC)
-             / GP_MSEC));
+  printf ("%s: %u millicores %u MiB %u accelerators, run time %ld ms\n", what,
+          r.millicores, r.memory_mib, r.accelerators,
+          (long)(gp_estimate_run_time (estimate, GP_ESTIMATE_EXPECTED_QUANTILE,
+                                       60 * GP_SEC)
+                 / GP_MSEC));
 }
 
 static void
@@ -49,7 +49,7 @@
   gp_resources_t raised = gp_estimate_raise (&declared, &use);
 
   gp_estimate_init (&estimate);
-  observe (&estimate, GP_ESTIMATE_ENOUGH - 1, 3000, 1500, 5 * GP_SEC);
+  observe (&estimate, GP_ESTIMATE_MIN_SAMPLES - 1, 3000, 1500, 5 * GP_SEC);
   print_reservation ("too few", &estimate);
   observe (&estimate, 1, 3000, 1500, 5 * GP_SEC);
   print_reservation ("enough", &estimate);
--- a/tests/unit/test_interference.c
+++ b/tests/unit/test_interference.c
@@ -23,11 +23,11 @@
   double mean[GP_RESIDENCY_KINDS];
 
   gp_residency_init (&residency, 0);
-  gp_residency_change (&residency, 1, GP_RESIDENCY_WHOLE, 10);
-  gp_residency_change (&residency, 1, GP_RESIDENCY_WHOLE, 20);
+  gp_residency_change (&residency, 1, GP_RESIDENCY_UNTHROTTLED, 10);
+  gp_residency_change (&residency, 1, GP_RESIDENCY_UNTHROTTLED, 20);
   gp_residency_change (&residency, 1,
-                       GP_RESIDENCY_THROTTLED - GP_RESIDENCY_WHOLE, 30);
-  gp_residency_change (&residency, 500, GP_RESIDENCY_WHOLE, 40);
+                       GP_RESIDENCY_THROTTLED - GP_RESIDENCY_UNTHROTTLED, 30);
+  gp_residency_change (&residency, 500, GP_RESIDENCY_UNTHROTTLED, 40);
   for (gp_time_t from = 0; from <= 40; from += 10)
     {
       CU_ASSERT_TRUE (gp_residency_mean (&residency, from, from + 20, mean));
@@ -48,7 +48,7 @@
     for (unsigned int i = 0; i < n && changes[i].time <= t; i++)
       if (changes[i].kind == kind)
         sum += changes[i].quarters;
-  return sum / (double)(to - from) / GP_RESIDENCY_WHOLE;
+  return sum / (double)(to - from) / GP_RESIDENCY_UNTHROTTLED;
 }
 
 static void
@@ -120,7 +120,7 @@
       int count = g_rand_int_range (random, 0, 4);
 
       ratio += truth[k + 2] * count * (1.0 + load);
-      counts[k] = count * GP_RESIDENCY_WHOLE;
+      counts[k] = count * GP_RESIDENCY_UNTHROTTLED;
       gp_residency_change (&residency, (uint16_t)k, counts[k], 0);
     }
   for (unsigned int k = 0; k < KINDS; k++)
--- a/tests/unit/test_lease_rules.c
+++ b/tests/unit/test_lease_rules.c
@@ -127,7 +127,7 @@
     gp_epoch_table_set_ended (&f.epochs, task, 1);
   CU_ASSERT_TRUE (gp_epoch_table_full (&f.epochs));
   f.actions.count = 0;
-  gp_lease_holder_recycle (&f.holder, 3 * GP_SEC, &f.actions);
+  gp_lease_holder_new_incarnation (&f.holder, 3 * GP_SEC, &f.actions);
   CU_ASSERT_EQUAL (f.holder.incarnation, 11);
   CU_ASSERT_EQUAL (f.actions.items[0].u.announce.inherits, 10);
   CU_ASSERT_EQUAL (start (&f, 1, 10, 3 * GP_SEC), GP_START_DUPLICATE);
@@ -165,7 +165,7 @@
 
   grantor_init (&grantor, 15 * GP_SEC);
   CU_ASSERT_EQUAL (beat (&grantor, 4 * GP_SEC).remaining, 11 * GP_SEC);
-  gp_lease_grantor_gap (&grantor, 5 * GP_SEC);
+  gp_lease_grantor_log_gap (&grantor, 5 * GP_SEC);
   gp_lease_grantor_read_done (&grantor, 4 * GP_SEC);
   CU_ASSERT_EQUAL (beat (&grantor, 5 * GP_SEC).remaining, 0);
   gp_lease_grantor_registered (&grantor, GUARD, 11, 6 * GP_SEC);
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -68,7 +68,7 @@
                             .load.at = now,
                             .gone = gone };
 
-  gp_members_learn (members, reporter, &news, now);
+  gp_members_apply_news (members, reporter, &news, now);
   show (members, gone ? "news: gone" : "news: heard", now);
 }
 
@@ -316,7 +316,7 @@
   naive_settle (naive, twins->now); /* the table saw two events */
   if (kind > 4)
     return;
-  gp_members_learn (&twins->members, entry_names[e], &news, twins->now);
+  gp_members_apply_news (&twins->members, entry_names[e], &news, twins->now);
   if (naive_admit (guard, incarnation, !news.gone))
     {
       guard->said[e] = news.gone ? 0 : naive->generation[e];
@@ -420,7 +420,7 @@
 static size_t
 carry (const gp_member_news_t *news, void *data)
 {
-  gp_members_learn (data, "entry-0", news, 0);
+  gp_members_apply_news (data, "entry-0", news, 0);
   return 1;
 }
 
@@ -441,10 +441,12 @@
       size_t budget = (size_t)g_rand_int_range (home.rand, 0, 3);
 
       guard_event (&home, g, home.naive.guards[g].incarnation + (i % 50 == 0));
-      cursor = gp_members_tell (&home.members, cursor, budget, carry, &away);
+      cursor = gp_members_visit_news (&home.members, cursor, budget, carry,
+                                      &away);
       if (i % 10 != 0)
         continue;
-      cursor = gp_members_tell (&home.members, cursor, N_GUARDS, carry, &away);
+      cursor = gp_members_visit_news (&home.members, cursor, N_GUARDS, carry,
+                                      &away);
       for (g = 0; g < N_GUARDS; g++)
         {
           const gp_member_t *a
@@ -478,9 +480,9 @@
   gp_members_init (&members, &settings);
   gp_members_reporter_open (&members, "entry-0", 0);
   news.load = (gp_load_t){ .running = 5, .at = 10 };
-  gp_members_learn (&members, "entry-0", &news, 10);
+  gp_members_apply_news (&members, "entry-0", &news, 10);
   news.load = (gp_load_t){ .running = 3, .at = 9 };
-  gp_members_learn (&members, "entry-0", &news, 10);
+  gp_members_apply_news (&members, "entry-0", &news, 10);
   CU_ASSERT_EQUAL (gp_members_find (&members, "guard-0")->load.running, 5);
   gp_members_finish (&members);
 
--- a/tests/unit/test_outlier.c
+++ b/tests/unit/test_outlier.c
@@ -247,7 +247,7 @@
 {
   naive_health_t *health = &naive->health[i];
 
-  if (health->state != GP_HEALTH_PROBED)
+  if (health->state != GP_HEALTH_PROBING)
     return GP_OUTLIER_NONE;
   if (!success)
     {
@@ -272,7 +272,7 @@
       naive_health_t *health = &naive->health[GPOINTER_TO_INT (due->data)];
 
       CU_ASSERT_FATAL (health->until <= now);
-      CU_ASSERT_EQUAL_FATAL (health->state == GP_HEALTH_PROBED,
+      CU_ASSERT_EQUAL_FATAL (health->state == GP_HEALTH_PROBING,
                              action == GP_OUTLIER_EJECT);
       if (action == GP_OUTLIER_EJECT)
         naive_eject (naive, health, now);
@@ -281,7 +281,7 @@
     }
   for (int i = 0; i < N_EXECUTORS; i++)
     if (naive->health[i].state == GP_HEALTH_EJECTED
-        || naive->health[i].state == GP_HEALTH_PROBED)
+        || naive->health[i].state == GP_HEALTH_PROBING)
       {
         CU_ASSERT (naive->health[i].until > now);
         CU_ASSERT (gp_outlier_deadline (outlier) <= naive->health[i].until);
@@ -308,7 +308,7 @@
   check_due (naive, outlier, now);
   if (naive->health[i].state == GP_HEALTH_WAITING)
     {
-      naive->health[i].state = GP_HEALTH_PROBED;
+      naive->health[i].state = GP_HEALTH_PROBING;
       naive->health[i].until = now + naive->settings.probe_timeout;
       gp_outlier_probe_sent (outlier, &health[i], now);
     }
--- a/tests/unit/test_pending.c
+++ b/tests/unit/test_pending.c
@@ -63,7 +63,7 @@
 
   if (task == NULL)
     printf ("%s: none, again at %ld ms\n", what,
-            (long)(gp_pending_wake (&site->pending, now) / GP_MSEC));
+            (long)(gp_pending_next_wake (&site->pending, now) / GP_MSEC));
   else
     printf ("%s: task %u of team %u\n", what, (unsigned int)task->node.task,
             task->charge.team);
@@ -171,7 +171,7 @@
         print_next (&site, "goes on", 0);
     }
   gp_pending_remove (&site.pending, &site.quota, large);
-  CU_ASSERT_EQUAL (gp_pending_wake (&site.pending, now), GP_TIME_NEVER);
+  CU_ASSERT_EQUAL (gp_pending_next_wake (&site.pending, now), GP_TIME_NEVER);
   CU_ASSERT_EQUAL (gp_pending_length (&site.pending), 0);
   site_finish (&site);
 }
@@ -186,13 +186,13 @@
     add (&site, 0, GP_WORK_WATCHER, 10, GP_TIME_NEVER, 0);
   for (int i = 0; i < 3; i++)
     add (&site, 0, GP_WORK_LATENCY_CRITICAL, 10, GP_TIME_NEVER, 0);
-  gp_pending_pace (&site.pending, 10.0, 2.0, 0);
+  gp_pending_set_rate (&site.pending, 10.0, 2.0, 0);
   for (int i = 0; i < 5; i++)
     print_next (&site, "at 0 ms", 0);
   print_next (&site, "at 199 ms", 199 * GP_MSEC);
   print_next (&site, "at 250 ms", 250 * GP_MSEC);
   print_next (&site, "at 350 ms", 350 * GP_MSEC);
-  gp_pending_pace (&site.pending, 0.0, 0.0, 350 * GP_MSEC);
+  gp_pending_set_rate (&site.pending, 0.0, 0.0, 350 * GP_MSEC);
   print_next (&site, "unbounded", 350 * GP_MSEC);
   site_finish (&site);
 }
@@ -263,12 +263,12 @@
 {
   unsigned int found = TASKS;
 
-  if (twin->picks == GP_PENDING_TURN - 1)
+  if (twin->picks == GP_PENDING_AT_RISK_INTERVAL - 1)
     found = twin_find (twin, now, true);
   if (found < TASKS)
     twin->picks = 0;
   else if ((found = twin_find (twin, now, false)) < TASKS)
-    twin->picks += twin->picks < GP_PENDING_TURN - 1;
+    twin->picks += twin->picks < GP_PENDING_AT_RISK_INTERVAL - 1;
   return found;
 }
 
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -26,7 +26,8 @@
 }
 
 static gp_worker_t *
-place (policy_site_t *site, const char *what, const gp_placement_ask_t *ask)
+place (policy_site_t *site, const char *what,
+       const gp_placement_request_t *ask)
 {
   gp_placement_choice_t choice = gp_placement_choose (&site->placement, ask);
 
@@ -40,7 +41,7 @@
 test_transcript (void)
 {
   policy_site_t site;
-  gp_placement_ask_t ask = policy_ask (1, 40000, 100000);
+  gp_placement_request_t ask = policy_ask (1, 40000, 100000);
   gp_resources_t headroom = { 1000, 1000, 0 };
   gp_resources_t ended = ask.demand;
   gp_worker_t *worker;
@@ -83,7 +84,7 @@
 test_accelerators_kept (void)
 {
   policy_site_t site;
-  gp_placement_ask_t ask = policy_ask (1, 40000, 1000);
+  gp_placement_request_t ask = policy_ask (1, 40000, 1000);
   gp_worker_t accelerated;
 
   policy_site_init (&site, 1, 1, &site_worker);
@@ -102,7 +103,8 @@
 
 /* What the naive twin finds: the least cost over all workers.  */
 static gp_worker_t *
-scan_all (policy_site_t *site, const gp_placement_ask_t *ask, double *least)
+scan_all (policy_site_t *site, const gp_placement_request_t *ask,
+          double *least)
 {
   gp_worker_t *best = NULL;
 
@@ -129,7 +131,7 @@
 /* A task that was placed.  */
 typedef struct
 {
-  gp_placement_ask_t ask;
+  gp_placement_request_t ask;
   gp_worker_t *worker;
 } placed_t;
 
@@ -156,8 +158,8 @@
   gp_residency_init (&residency, 0);
   for (int i = 1; i < 40; i++)
     {
-      gp_residency_change (&residency, (uint16_t)(i % 5), GP_RESIDENCY_WHOLE,
-                           i * GP_SEC);
+      gp_residency_change (&residency, (uint16_t)(i % 5),
+                           GP_RESIDENCY_UNTHROTTLED, i * GP_SEC);
       gp_interference_measure (&run->interference, 0, 0.5, &residency,
                                i * GP_SEC, (i + 1) * GP_SEC, 0.03 * i);
     }
@@ -169,10 +171,10 @@
     }
 }
 
-static gp_placement_ask_t
+static gp_placement_request_t
 random_ask (run_t *run, uint64_t task)
 {
-  gp_placement_ask_t ask
+  gp_placement_request_t ask
       = policy_ask (task, 250U << g_rand_int_range (run->random, 0, 8),
                     500U << g_rand_int_range (run->random, 0, 9));
 
@@ -188,7 +190,7 @@
 static void
 step_place (run_t *run, uint64_t task, bool exact)
 {
-  gp_placement_ask_t ask = random_ask (run, task);
+  gp_placement_request_t ask = random_ask (run, task);
   double least;
   gp_worker_t *naive = scan_all (&run->site, &ask, &least);
   gp_placement_choice_t choice
@@ -283,7 +285,7 @@
 test_edge_of_class (void)
 {
   policy_site_t site;
-  gp_placement_ask_t ask = policy_ask (1, 55000, 1000);
+  gp_placement_request_t ask = policy_ask (1, 55000, 1000);
   gp_resources_t headroom = { 50000, 200000, 0 };
 
   policy_site_init (&site, 600, 1, &site_worker);
@@ -307,7 +309,7 @@
 test_hold (void)
 {
   run_t *run = g_new0 (run_t, 1);
-  gp_placement_ask_t large = policy_ask (1, 60000, 1000);
+  gp_placement_request_t large = policy_ask (1, 60000, 1000);
   gp_worker_t *got = NULL;
   uint32_t least = 0;
   unsigned int steps = 0;
--- a/tests/unit/test_router.c
+++ b/tests/unit/test_router.c
@@ -154,7 +154,7 @@
       const gp_candidate_t *c = &twins->candidates[i];
 
       eligible += naive_eligible (twins, i, &any_route) ? 1 : 0;
-      apart += c->index == GP_CANDIDATE_APART;
+      apart += c->index == GP_CANDIDATE_NOT_IN_SET;
       if (!twins->present[i])
         continue;
       in_flight += c->in_flight;
@@ -340,11 +340,11 @@
   static const char *const zones[] = { "z0", "z1", "z2" };
   size_t counts[ENTRIES] = { 0 };
 
-  CU_ASSERT_EQUAL (gp_subset_share (6, 400), 2);
-  CU_ASSERT_EQUAL (gp_subset_share (6, 50), 4);
-  CU_ASSERT_EQUAL (gp_subset_share (6, 4), 6);
-  CU_ASSERT_EQUAL (gp_subset_share (1, 4000), 1);
-  CU_ASSERT_EQUAL (gp_subset_share (3, 0), 3);
+  CU_ASSERT_EQUAL (gp_subset_size (6, 400), 2);
+  CU_ASSERT_EQUAL (gp_subset_size (6, 50), 4);
+  CU_ASSERT_EQUAL (gp_subset_size (6, 4), 6);
+  CU_ASSERT_EQUAL (gp_subset_size (1, 4000), 1);
+  CU_ASSERT_EQUAL (gp_subset_size (3, 0), 3);
   for (size_t i = 0; i < ENTRIES; i++)
     {
       g_snprintf (names[i], sizeof names[i], "entry-%zu", i);
--- a/tests/unit/test_suspects.c
+++ b/tests/unit/test_suspects.c
@@ -43,7 +43,7 @@
   printf ("%3ld s: task %u %s on worker %u: %s%s\n", (long)(now / GP_SEC),
           task, failed ? "failed" : "succeeded", worker,
           state_names[site->workers[worker].state],
-          gp_suspects_parks (&site->suspects, &site->tasks[task])
+          gp_suspects_should_park (&site->suspects, &site->tasks[task])
               ? ", task parked"
               : "");
 }
@@ -122,7 +122,7 @@
       bool failed = worker == BAD_WORKER || task < BAD_TASKS;
 
       (void)gp_suspects_tick (&site.suspects, worker, now);
-      if (gp_suspects_parks (&site.suspects, &site.tasks[task])
+      if (gp_suspects_should_park (&site.suspects, &site.tasks[task])
           || !gp_suspects_allows (&site.suspects, worker))
         continue;
       on_bad += worker == BAD_WORKER;
@@ -135,7 +135,7 @@
   for (uint32_t i = 0; i < WORKERS; i++)
     CU_ASSERT_EQUAL (site.workers[i].suspicions > 0, i == BAD_WORKER);
   for (unsigned int i = 0; i < TASKS; i++)
-    CU_ASSERT_EQUAL (gp_suspects_parks (&site.suspects, &site.tasks[i]),
+    CU_ASSERT_EQUAL (gp_suspects_should_park (&site.suspects, &site.tasks[i]),
                      i < BAD_TASKS);
   g_rand_free (random);
 }
