--- a/bench/bench_interference.c
+++ b/bench/bench_interference.c
@@ -341,7 +341,7 @@
   gp_interference_init (&sim->interference, &GP_INTERFERENCE_DEFAULTS);
   gp_placement_init (&sim->placement, &weights, &sim->fleet, &sim->spread,
                      policy >= NO_WAIT ? &sim->interference : NULL);
-  settings.backoff_most = 10 * GP_SEC;
+  settings.backoff_max = 10 * GP_SEC;
   gp_pending_init (&sim->pending, &settings);
   gp_quota_init (&sim->quota);
   gp_quota_set_limit (&sim->quota, 0, &limit);
--- a/src/coordination/admission.c
+++ b/src/coordination/admission.c
@@ -54,8 +54,9 @@
   /* A latency-critical request may wait for at most 1/WAIT_FRACTION of the
      time to its deadline.  */
   WAIT_FRACTION = 3,
-  /* Batch may not use one of every CRITICAL_PLACES places in the queue.  */
-  CRITICAL_PLACES = 4
+  /* Batch may not use one of every CRITICAL_PLACES_DIVISOR places in the
+     queue.  */
+  CRITICAL_PLACES_DIVISOR = 4
 };
 
 /* Bounds of the retry hint.  */
@@ -68,7 +69,7 @@
 /* Limits.  */
 
 static uint32_t
-all_running (const gp_admission_t *admission)
+running_total (const gp_admission_t *admission)
 {
   return admission->running[CRITICAL] + admission->running[BATCH];
 }
@@ -78,7 +79,7 @@
 {
   const gp_admission_options_t *options = &admission->options;
 
-  return all_running (admission) < options->slots
+  return running_total (admission) < options->slots
          && (admission->idle_connections > 0
              || admission->open_connections < options->connections);
 }
@@ -110,7 +111,8 @@
 /* The number of slots assumed to serve the queue of WORK_CLASS; at least
    one.  */
 static uint32_t
-drain_slots (const gp_admission_t *admission, gp_admission_class_t work_class)
+serving_slots (const gp_admission_t *admission,
+               gp_admission_class_t work_class)
 {
   const gp_admission_options_t *options = &admission->options;
   uint32_t batch = admission->running[BATCH] + admission->queue.count[BATCH];
@@ -131,7 +133,7 @@
 {
   gp_time_t work = admission->queue.work[work_class] + mean;
 
-  return work / drain_slots (admission, work_class);
+  return work / serving_slots (admission, work_class);
 }
 
 static bool
@@ -150,8 +152,8 @@
 /* Returns true if the predicted wait of a latency-critical request is
    within its bound.  Batch has no bound other than its deadline.  */
 static bool
-wait_bounded (const gp_admission_t *admission,
-              const gp_admission_request_t *request, gp_time_t now)
+wait_within_bound (const gp_admission_t *admission,
+                   const gp_admission_request_t *request, gp_time_t now)
 {
   gp_time_t bound = (request->deadline - now) / WAIT_FRACTION;
   gp_time_t wait = predicted_wait (admission, request->work_class,
@@ -163,7 +165,7 @@
 }
 
 static bool
-hopeless (const gp_admission_request_t *request, gp_time_t now)
+will_miss_deadline (const gp_admission_request_t *request, gp_time_t now)
 {
   return now + request->kind->service_time.mean > request->deadline;
 }
@@ -247,7 +249,7 @@
 /* The request to start next by the scheduling rules, or NULL.  A slot is
    free.  */
 static gp_admission_request_t *
-choose (gp_admission_t *admission, gp_time_t now)
+choose_next (gp_admission_t *admission, gp_time_t now)
 {
   gp_admission_request_t *critical
       = gp_request_queue_first (&admission->queue, CRITICAL);
@@ -263,7 +265,7 @@
 }
 
 static void
-expire (gp_admission_t *admission, gp_time_t now)
+refuse_expired (gp_admission_t *admission, gp_time_t now)
 {
   gp_admission_request_t *request;
 
@@ -276,14 +278,14 @@
 void
 gp_admission_advance (gp_admission_t *admission, gp_time_t now)
 {
-  expire (admission, now);
+  refuse_expired (admission, now);
   while (slot_free (admission))
     {
-      gp_admission_request_t *request = choose (admission, now);
+      gp_admission_request_t *request = choose_next (admission, now);
 
       if (request == NULL)
         return;
-      if (hopeless (request, now)
+      if (will_miss_deadline (request, now)
           && admission->queue.count[request->work_class] > 1)
         {
           refuse_queued (admission, request, GP_ADMISSION_DEADLINE, now);
@@ -317,7 +319,8 @@
 {
   uint32_t limit = admission->options.max_queued;
 
-  return work_class == CRITICAL ? limit : limit - limit / CRITICAL_PLACES;
+  return work_class == CRITICAL ? limit
+                                : limit - limit / CRITICAL_PLACES_DIVISOR;
 }
 
 /* The queued request to refuse in favour of ARRIVAL, or NULL: one that
@@ -330,7 +333,7 @@
   gp_admission_request_t *oldest
       = gp_request_queue_first_to_expire (&admission->queue);
 
-  if (oldest != NULL && hopeless (oldest, now))
+  if (oldest != NULL && will_miss_deadline (oldest, now))
     return oldest;
   if (arrival->work_class != CRITICAL)
     return NULL;
@@ -352,7 +355,7 @@
       refuse (admission, request, GP_ADMISSION_DEADLINE, now);
       return;
     }
-  if (!wait_bounded (admission, request, now))
+  if (!wait_within_bound (admission, request, now))
     {
       refuse (admission, request, GP_ADMISSION_QUEUE_FULL, now);
       return;
@@ -368,8 +371,9 @@
           return;
         }
       refuse_queued (admission, victim,
-                     hopeless (victim, now) ? GP_ADMISSION_DEADLINE
-                                            : GP_ADMISSION_QUEUE_FULL,
+                     will_miss_deadline (victim, now)
+                         ? GP_ADMISSION_DEADLINE
+                         : GP_ADMISSION_QUEUE_FULL,
                      now);
     }
   enqueue (admission, request);
@@ -455,7 +459,7 @@
 bool
 gp_admission_drained (const gp_admission_t *admission)
 {
-  return all_running (admission) == 0
+  return running_total (admission) == 0
          && gp_request_queue_length (&admission->queue) == 0;
 }
 
--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -26,8 +26,8 @@
 /* How a started request ended.  */
 typedef enum
 {
-  GP_ADMISSION_ANSWERED, /* its duration is a service time sample */
-  GP_ADMISSION_FAILED    /* its duration is not a service time sample */
+  GP_ADMISSION_ANSWERED, /* its duration is measured */
+  GP_ADMISSION_FAILED    /* its duration is ignored */
 } gp_admission_end_t;
 
 typedef struct
--- a/src/coordination/capacity.c
+++ b/src/coordination/capacity.c
@@ -39,7 +39,7 @@
 /* The sum of the reservations of the services and the tasks; includes
    tasks that are stopping if WITH_STOPPING.  */
 static gp_resources_t
-committed (const gp_capacity_t *capacity, bool with_stopping)
+reserved_sum (const gp_capacity_t *capacity, bool with_stopping)
 {
   gp_resources_t sum = capacity->service;
 
@@ -54,7 +54,7 @@
 gp_resources_t
 gp_capacity_headroom (const gp_capacity_t *capacity)
 {
-  gp_resources_t sum = committed (capacity, true);
+  gp_resources_t sum = reserved_sum (capacity, true);
   gp_resources_t left = capacity->total;
 
   gp_resources_subtract (&left, &sum);
@@ -67,7 +67,7 @@
 fits_with (const gp_capacity_t *capacity, const gp_capacity_task_t *task,
            const gp_resources_t *reserved)
 {
-  gp_resources_t sum = committed (capacity, true);
+  gp_resources_t sum = reserved_sum (capacity, true);
 
   gp_resources_subtract (&sum, &task->reserved);
   gp_resources_add (&sum, reserved);
@@ -77,8 +77,8 @@
 /* Actions.  */
 
 static void
-act (gp_capacity_t *capacity, gp_capacity_task_t *task,
-     const gp_capacity_action_t *action)
+queue_action (gp_capacity_t *capacity, gp_capacity_task_t *task,
+              const gp_capacity_action_t *action)
 {
   gp_list_remove (&task->pending);
   gp_list_push_back (&capacity->actions, &task->pending);
@@ -95,7 +95,7 @@
       = { .kind = GP_CAPACITY_EVICT, .u.evict = reason };
 
   task->stopping = true;
-  act (capacity, task, &action);
+  queue_action (capacity, task, &action);
 }
 
 static void
@@ -107,14 +107,14 @@
   task->samples_over = 0;
   task->samples_under = 0;
   task->changed_at = now;
-  act (capacity, task, &action);
+  queue_action (capacity, task, &action);
 }
 
 /* Sets the reservation of TASK to RESERVED, which fits.  With LIFT its
    throttle ends.  */
 static void
-grant (gp_capacity_t *capacity, gp_capacity_task_t *task,
-       const gp_resources_t *reserved, bool lift, gp_time_t now)
+set_reservation (gp_capacity_t *capacity, gp_capacity_task_t *task,
+                 const gp_resources_t *reserved, bool lift, gp_time_t now)
 {
   const gp_capacity_action_t action
       = { .kind = lift ? GP_CAPACITY_UNTHROTTLE : GP_CAPACITY_RAISE,
@@ -125,7 +125,7 @@
   task->samples_over = 0;
   task->samples_under = 0;
   task->changed_at = now;
-  act (capacity, task, &action);
+  queue_action (capacity, task, &action);
 }
 
 /* Usage above the reservation.  */
@@ -142,7 +142,7 @@
    for the components that exceed it.  Accelerators are indivisible and get
    no margin.  */
 static gp_resources_t
-wanted_of (const gp_capacity_task_t *task)
+covering_reservation (const gp_capacity_task_t *task)
 {
   const gp_resources_t *observed = &task->observed;
   const gp_resources_t *reserved = &task->reserved;
@@ -155,7 +155,7 @@
 }
 
 static gp_resources_t
-greatest (const gp_resources_t *a, const gp_resources_t *b)
+component_max (const gp_resources_t *a, const gp_resources_t *b)
 {
   return (gp_resources_t){ .millicores = MAX (a->millicores, b->millicores),
                            .memory_mib = MAX (a->memory_mib, b->memory_mib),
@@ -169,16 +169,16 @@
 static void
 handle_over (gp_capacity_t *capacity, gp_capacity_task_t *task, gp_time_t now)
 {
-  gp_resources_t covering = wanted_of (task);
+  gp_resources_t covering = covering_reservation (task);
 
   task->samples_under = 0;
   task->samples_over++;
   task->wanted
-      = task->throttled ? greatest (&task->wanted, &covering) : covering;
+      = task->throttled ? component_max (&task->wanted, &covering) : covering;
   if (fits_with (capacity, task, &task->wanted))
-    grant (capacity, task, &task->wanted, task->throttled, now);
+    set_reservation (capacity, task, &task->wanted, task->throttled, now);
   else if (fits_with (capacity, task, &covering))
-    grant (capacity, task, &covering, false, now);
+    set_reservation (capacity, task, &covering, false, now);
   else if (!task->throttled
            && task->observed.millicores > task->reserved.millicores)
     throttle (capacity, task, now);
@@ -189,7 +189,7 @@
 /* Usage within the reservation.  */
 
 static bool
-calm (const gp_capacity_task_t *task)
+is_calm (const gp_capacity_task_t *task)
 {
   uint32_t limit = task->reserved.millicores;
 
@@ -204,11 +204,11 @@
   task->samples_over = 0;
   if (!task->throttled)
     return;
-  task->samples_under = calm (task) ? task->samples_under + 1 : 0;
+  task->samples_under = is_calm (task) ? task->samples_under + 1 : 0;
   if (task->samples_under < task->calm_samples)
     return;
   task->calm_samples = MIN (2 * task->calm_samples, CALM_SAMPLES_MAX);
-  grant (capacity, task, &reserved, true, now);
+  set_reservation (capacity, task, &reserved, true, now);
 }
 
 void
@@ -233,7 +233,7 @@
 
 /* Lifts the throttles for which there is now room, oldest task first.  */
 static void
-serve_throttled (gp_capacity_t *capacity, gp_time_t now)
+lift_throttles (gp_capacity_t *capacity, gp_time_t now)
 {
   GP_LIST_FOREACH (link, &capacity->tasks)
   {
@@ -241,14 +241,14 @@
 
     if (task->throttled && !task->stopping
         && fits_with (capacity, task, &task->wanted))
-      grant (capacity, task, &task->wanted, true, now);
+      set_reservation (capacity, task, &task->wanted, true, now);
   }
 }
 
 /* The task to evict in a shortage: the one with the lowest eviction cost,
    and of several the youngest; NULL when all are stopping.  */
 static gp_capacity_task_t *
-cheapest (const gp_capacity_t *capacity)
+cheapest_to_evict (const gp_capacity_t *capacity)
 {
   gp_capacity_task_t *best = NULL;
 
@@ -264,16 +264,16 @@
 }
 
 static void
-end_shortage (gp_capacity_t *capacity)
+evict_until_fits (gp_capacity_t *capacity)
 {
-  gp_resources_t sum = committed (capacity, false);
+  gp_resources_t sum = reserved_sum (capacity, false);
   gp_capacity_task_t *task;
 
   while (!gp_resources_fit (&sum, &capacity->total)
-         && (task = cheapest (capacity)) != NULL)
+         && (task = cheapest_to_evict (capacity)) != NULL)
     {
       evict (capacity, task, GP_CAPACITY_SHORTAGE);
-      sum = committed (capacity, false);
+      sum = reserved_sum (capacity, false);
     }
 }
 
@@ -283,8 +283,8 @@
 {
   capacity->total = *total;
   capacity->service = *service;
-  end_shortage (capacity);
-  serve_throttled (capacity, now);
+  evict_until_fits (capacity);
+  lift_throttles (capacity, now);
 }
 
 /* Tasks.  */
@@ -301,7 +301,7 @@
 }
 
 static void
-insert (gp_capacity_t *capacity, gp_capacity_task_t *task, gp_time_t now)
+insert_task (gp_capacity_t *capacity, gp_capacity_task_t *task, gp_time_t now)
 {
   task->observed = nothing;
   task->throttled = false;
@@ -327,7 +327,7 @@
     verdict = GP_CAPACITY_PRESENT;
   else if (gp_resources_fit (&task->reserved, &left))
     {
-      insert (capacity, task, now);
+      insert_task (capacity, task, now);
       gp_resources_subtract (&left, &task->reserved);
       verdict = GP_CAPACITY_RESERVED;
     }
@@ -342,8 +342,8 @@
 {
   if (gp_capacity_find (capacity, task->id) != NULL)
     return GP_CAPACITY_PRESENT;
-  insert (capacity, task, now);
-  end_shortage (capacity);
+  insert_task (capacity, task, now);
+  evict_until_fits (capacity);
   return GP_CAPACITY_RESERVED;
 }
 
@@ -364,7 +364,7 @@
     return NULL;
   gp_list_remove (&task->link);
   gp_list_remove (&task->pending);
-  serve_throttled (capacity, now);
+  lift_throttles (capacity, now);
   return task;
 }
 
--- a/src/coordination/epoch_table.c
+++ b/src/coordination/epoch_table.c
@@ -38,7 +38,7 @@
 }
 
 static entry_t *
-entry_obtain (gp_epoch_table_t *table, uint64_t task)
+find_or_add_entry (gp_epoch_table_t *table, uint64_t task)
 {
   entry_t *entry = g_hash_table_lookup (table->tasks, &task);
 
@@ -54,7 +54,7 @@
 gp_epoch_table_set_running (gp_epoch_table_t *table, uint64_t task,
                             uint64_t epoch)
 {
-  entry_t *entry = entry_obtain (table, task);
+  entry_t *entry = find_or_add_entry (table, task);
 
   if (entry->running == 0)
     table->running++;
@@ -65,7 +65,7 @@
 gp_epoch_table_set_ended (gp_epoch_table_t *table, uint64_t task,
                           uint64_t epoch)
 {
-  entry_t *entry = entry_obtain (table, task);
+  entry_t *entry = find_or_add_entry (table, task);
 
   entry->ended = MAX (entry->ended, epoch);
   if (entry->running != epoch)
--- a/src/coordination/estimate.c
+++ b/src/coordination/estimate.c
@@ -17,7 +17,7 @@
 };
 
 static unsigned int
-class_of (uint64_t value)
+bucket_of (uint64_t value)
 {
   unsigned int octave;
   unsigned int quarter;
@@ -33,7 +33,7 @@
 
 /* The largest value in bucket CLASS.  */
 static uint64_t
-upper_edge (unsigned int class)
+bucket_upper_bound (unsigned int class)
 {
   unsigned int octave = class / CLASSES_PER_OCTAVE;
   uint64_t quarter = class % CLASSES_PER_OCTAVE;
@@ -44,7 +44,7 @@
 }
 
 static void
-halve (gp_estimate_histogram_t *histogram)
+halve_counts (gp_estimate_histogram_t *histogram)
 {
   histogram->total = 0;
   for (unsigned int i = 0; i < GP_ESTIMATE_BUCKETS; i++)
@@ -57,10 +57,10 @@
 void
 gp_estimate_histogram_add (gp_estimate_histogram_t *histogram, uint64_t value)
 {
-  histogram->counts[class_of (value)]++;
+  histogram->counts[bucket_of (value)]++;
   histogram->total++;
   if (histogram->total >= TOTAL_MAX)
-    halve (histogram);
+    halve_counts (histogram);
 }
 
 uint64_t
@@ -76,9 +76,9 @@
     {
       below += histogram->counts[i];
       if (below > 0 && below >= wanted)
-        return upper_edge (i);
+        return bucket_upper_bound (i);
     }
-  return upper_edge (GP_ESTIMATE_BUCKETS - 1);
+  return bucket_upper_bound (GP_ESTIMATE_BUCKETS - 1);
 }
 
 void
--- a/src/coordination/estimate.h
+++ b/src/coordination/estimate.h
@@ -16,12 +16,10 @@
 #include "coordination/resources.h"
 
 #define GP_ESTIMATE_BUCKETS 128
-#define GP_ESTIMATE_MIN_SAMPLES                                               \
-  8 /* observations needed before they are used */
+#define GP_ESTIMATE_MIN_SAMPLES 8 /* with fewer, declared values are used */
 #define GP_ESTIMATE_RESERVED_QUANTILE 0.95
 #define GP_ESTIMATE_EXPECTED_QUANTILE 0.5
-#define GP_ESTIMATE_LATEST_START_QUANTILE                                     \
-  0.9 /* for the latest start before a deadline */
+#define GP_ESTIMATE_LATEST_START_QUANTILE 0.9
 
 /* Histogram with a logarithmic scale for values from 1 to 2^32.  */
 typedef struct
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -24,7 +24,7 @@
 };
 
 static unsigned int
-class_of (uint32_t amount)
+size_class (uint32_t amount)
 {
   unsigned int octave;
   unsigned int half;
@@ -62,8 +62,8 @@
   fleet->cells = g_new (gp_fleet_cell_t, 2 * (gsize)n_zones);
   fleet->n_zones = n_zones;
   fleet->shapes = g_array_new (FALSE, FALSE, sizeof (gp_fleet_shape_t));
-  fleet->holds = 0;
-  fleet->growth = 1;
+  fleet->n_held = 0;
+  fleet->growth_count = 1;
   for (uint32_t i = 0; i < 2 * n_zones; i++)
     cell_init (&fleet->cells[i]);
 }
@@ -99,8 +99,8 @@
 {
   gp_fleet_cell_t *cell
       = cell_of (fleet, worker->zone, worker->capacity.accelerators > 0);
-  unsigned int row = class_of (worker->free.millicores);
-  unsigned int column = class_of (worker->free.memory_mib);
+  unsigned int row = size_class (worker->free.millicores);
+  unsigned int column = size_class (worker->free.memory_mib);
 
   if (gp_list_empty (&worker->link))
     return;
@@ -117,8 +117,8 @@
 {
   gp_fleet_cell_t *cell
       = cell_of (fleet, worker->zone, worker->capacity.accelerators > 0);
-  unsigned int row = class_of (worker->free.millicores);
-  unsigned int column = class_of (worker->free.memory_mib);
+  unsigned int row = size_class (worker->free.millicores);
+  unsigned int column = size_class (worker->free.memory_mib);
 
   if (worker->state != GP_WORKER_SERVING || worker->held_for != 0)
     return;
@@ -129,7 +129,7 @@
 
 /* Recomputes the free resources of WORKER and moves it to its bucket.  */
 static void
-refresh (gp_fleet_t *fleet, gp_worker_t *worker)
+update_free (gp_fleet_t *fleet, gp_worker_t *worker)
 {
   gp_resources_t before = worker->free;
   gp_resources_t after = worker->reported;
@@ -141,7 +141,7 @@
   worker->free = after;
   link_worker (fleet, worker);
   if (!gp_resources_fit (&after, &before))
-    fleet->growth++;
+    fleet->growth_count++;
 }
 
 static gp_fleet_shape_t *
@@ -204,7 +204,7 @@
   worker->free = worker->capacity;
   add_shape (fleet, worker);
   link_worker (fleet, worker);
-  fleet->growth++;
+  fleet->growth_count++;
 }
 
 void
@@ -228,7 +228,7 @@
   unlink_worker (fleet, worker);
   worker->state = state;
   link_worker (fleet, worker);
-  fleet->growth++;
+  fleet->growth_count++;
 }
 
 gp_worker_t *
@@ -244,7 +244,7 @@
                  const gp_resources_t *headroom)
 {
   worker->reported = *headroom;
-  refresh (fleet, worker);
+  update_free (fleet, worker);
 }
 
 static gp_resident_t *
@@ -305,7 +305,7 @@
 {
   gp_resources_add (&worker->unconfirmed, demand);
   gp_worker_add_resident (worker, kind);
-  refresh (fleet, worker);
+  update_free (fleet, worker);
 }
 
 void
@@ -314,7 +314,7 @@
 {
   gp_resources_subtract (&worker->unconfirmed, demand);
   gp_resources_subtract (&worker->reported, demand);
-  refresh (fleet, worker);
+  update_free (fleet, worker);
 }
 
 void
@@ -324,7 +324,7 @@
   gp_resources_subtract (&worker->unconfirmed, demand);
   worker->reported = *headroom;
   gp_worker_remove_resident (worker, kind);
-  refresh (fleet, worker);
+  update_free (fleet, worker);
 }
 
 void
@@ -339,7 +339,7 @@
   reported->memory_mib = MIN (reported->memory_mib, most->memory_mib);
   reported->accelerators = MIN (reported->accelerators, most->accelerators);
   gp_worker_remove_resident (worker, kind);
-  refresh (fleet, worker);
+  update_free (fleet, worker);
 }
 
 void
@@ -347,12 +347,12 @@
                gp_time_t until)
 {
   unlink_worker (fleet, worker);
-  fleet->holds += (task != 0) - (worker->held_for != 0);
+  fleet->n_held += (task != 0) - (worker->held_for != 0);
   worker->held_for = task;
   worker->held_until = until;
   link_worker (fleet, worker);
   if (task == 0)
-    fleet->growth++;
+    fleet->growth_count++;
 }
 
 void
@@ -432,8 +432,9 @@
 static void
 search_cell (search_t *search, gp_fleet_cell_t *cell, bool roomy)
 {
-  uint32_t rows = cell->rows & (~0U << class_of (search->demand->millicores));
-  uint32_t least = ~0U << class_of (search->demand->memory_mib);
+  uint32_t rows
+      = cell->rows & (~0U << size_class (search->demand->millicores));
+  uint32_t least = ~0U << size_class (search->demand->memory_mib);
 
   while (rows != 0 && !search_done (search))
     {
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet.h
@@ -86,10 +86,10 @@
   GArray *vacant;         /* indices of removed workers */
   gp_fleet_cell_t *cells; /* two per zone */
   uint32_t n_zones;
-  GArray *shapes; /* gp_fleet_shape_t */
-  uint32_t holds; /* number of held workers */
-  uint64_t
-      growth; /* incremented when the headroom of a worker may have grown */
+  GArray *shapes;        /* gp_fleet_shape_t */
+  uint32_t n_held;       /* number of held workers */
+  uint64_t growth_count; /* incremented when the headroom of a worker may have
+                            grown */
 } gp_fleet_t;
 
 void gp_fleet_init (gp_fleet_t *fleet, uint32_t n_zones);
--- a/src/coordination/interference.c
+++ b/src/coordination/interference.c
@@ -93,7 +93,8 @@
 }
 
 static gp_interference_model_t *
-need_model (gp_interference_t *interference, uint16_t service, gp_time_t now)
+find_or_add_model (gp_interference_t *interference, uint16_t service,
+                   gp_time_t now)
 {
   GPtrArray *models = interference->models;
 
@@ -115,8 +116,9 @@
 /* Increases the variance of the coefficients with time, up to that of the
    prior.  */
 static void
-forget (gp_interference_model_t *model,
-        const gp_interference_settings_t *settings, gp_time_t now)
+increase_uncertainty (gp_interference_model_t *model,
+                      const gp_interference_settings_t *settings,
+                      gp_time_t now)
 {
   double hours = (double)(now - model->updated) / USEC_PER_HOUR;
 
@@ -152,8 +154,8 @@
     if (counts[i] > 0.0)
       gp_regression_push (&features, FEATURE_KINDS + i,
                           counts[i] * (1.0 + load));
-  model = need_model (interference, service, to);
-  forget (model, &interference->settings, to);
+  model = find_or_add_model (interference, service, to);
+  increase_uncertainty (model, &interference->settings, to);
   gp_regression_update (&model->regression, &features,
                         fmin (ratio, RATIO_MAX));
   interference->measurements++;
--- a/src/coordination/lease_grantor.c
+++ b/src/coordination/lease_grantor.c
@@ -1,29 +1,29 @@
 #include "coordination/lease_grantor.h"
 
 /* Vouches are requested when the last log read is older than length /
-   LATE_PART.  */
-#define LATE_PART 4
+   STALE_READ_DIVISOR.  */
+#define STALE_READ_DIVISOR 4
 /* Vouches are requested this many times within the duration of a promise.  */
 #define ASKS_PER_PROMISE 5
 /* A guard that needs vouches says so in every heartbeat; the request is
    considered current for this many heartbeat periods.  */
-#define WANTED_HEARTBEATS 2
-/* A delay of more than silence / PAUSE_PART between ticks means that the
+#define VOUCH_WANTED_HEARTBEATS 2
+/* A delay of more than silence / PAUSE_DIVISOR between ticks means that the
    process was paused and may have missed heartbeats.  */
-#define PAUSE_PART 4
+#define PAUSE_DIVISOR 4
 
 typedef struct
 {
   gp_list_t link; /* in by_heard or fenced, or empty */
   char *name;
-  uint64_t current;     /* the registered incarnation, or 0 */
-  uint64_t asked;       /* the last incarnation proposed for registration */
-  uint64_t fence_asked; /* the last incarnation proposed for fencing */
-  gp_time_t fence_asked_at;
-  bool fenced;      /* the current incarnation is fenced */
-  bool done_asked;  /* FENCE_DONE has been proposed */
-  gp_time_t heard;  /* when any entry last received a heartbeat, or -1 */
-  gp_time_t act_at; /* when the fence may be acted on */
+  uint64_t current;           /* the registered incarnation, or 0 */
+  uint64_t register_proposed; /* last incarnation proposed to register */
+  uint64_t fence_proposed;    /* last incarnation proposed to fence */
+  gp_time_t fence_proposed_at;
+  bool fenced;           /* the current incarnation is fenced */
+  bool done_proposed;    /* FENCE_DONE was proposed */
+  gp_time_t heard_at;    /* when any entry last received a heartbeat, or -1 */
+  gp_time_t done_due_at; /* when the fence may be acted on */
 } gp_lease_guard_t;
 
 static void
@@ -45,16 +45,17 @@
   *grantor = (gp_lease_grantor_t){ .timing = *timing,
                                    .entry_set = entry_set,
                                    .num_others = num_others,
-                                   .fresh = -1,
+                                   .fresh_at = -1,
                                    .valid_from = now,
-                                   .ticked = now,
-                                   .listening = now,
-                                   .ask_at = now,
-                                   .wanted = -1,
-                                   .next_ask = incarnation };
+                                   .last_tick = now,
+                                   .listening_since = now,
+                                   .next_ask_at = now,
+                                   .vouch_wanted_at = -1,
+                                   .next_ask_id = incarnation };
   /* The predecessor's promises; its last vouch was given before this
      start.  */
-  grantor->promised = now + gp_lease_timing_wait (timing, timing->promise);
+  grantor->promised_until
+      = now + gp_lease_timing_wait (timing, timing->promise);
   grantor->guards
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, guard_free);
   gp_list_init (&grantor->by_heard);
@@ -76,7 +77,7 @@
 }
 
 static gp_lease_guard_t *
-guard_obtain (gp_lease_grantor_t *grantor, const char *name)
+find_or_add_guard (gp_lease_grantor_t *grantor, const char *name)
 {
   gp_lease_guard_t *guard = g_hash_table_lookup (grantor->guards, name);
 
@@ -84,7 +85,7 @@
     return guard;
   guard = g_new0 (gp_lease_guard_t, 1);
   guard->name = g_strdup (name);
-  guard->heard = -1;
+  guard->heard_at = -1;
   gp_list_init (&guard->link);
   g_hash_table_insert (grantor->guards, guard->name, guard);
   return guard;
@@ -93,42 +94,42 @@
 /* Inserts GUARD in by_heard, which is sorted by the time last heard.  That
    time is usually recent, so searching from the end is fast.  */
 static void
-guard_sort (gp_lease_grantor_t *grantor, gp_lease_guard_t *guard)
+guard_insert_sorted (gp_lease_grantor_t *grantor, gp_lease_guard_t *guard)
 {
   gp_list_t *pos = &grantor->by_heard;
 
   gp_list_remove (&guard->link);
   while (pos->prev != &grantor->by_heard
-         && GP_CONTAINER_OF (pos->prev, gp_lease_guard_t, link)->heard
-                > guard->heard)
+         && GP_CONTAINER_OF (pos->prev, gp_lease_guard_t, link)->heard_at
+                > guard->heard_at)
     pos = pos->prev;
   gp_list_insert_before (pos, &guard->link);
 }
 
 static void
-guard_hear (gp_lease_grantor_t *grantor, gp_lease_guard_t *guard,
-            gp_time_t heard)
+guard_set_heard (gp_lease_grantor_t *grantor, gp_lease_guard_t *guard,
+                 gp_time_t heard)
 {
-  if (heard <= guard->heard)
+  if (heard <= guard->heard_at)
     return;
-  guard->heard = heard;
+  guard->heard_at = heard;
   if (guard->current != 0 && !guard->fenced)
-    guard_sort (grantor, guard);
+    guard_insert_sorted (grantor, guard);
 }
 
 void
 gp_lease_grantor_registered (gp_lease_grantor_t *grantor, const char *name,
                              uint64_t incarnation, gp_time_t now)
 {
-  gp_lease_guard_t *guard = guard_obtain (grantor, name);
+  gp_lease_guard_t *guard = find_or_add_guard (grantor, name);
 
   if (incarnation <= guard->current)
     return;
   guard->current = incarnation;
   guard->fenced = false;
-  guard->done_asked = false;
-  guard->heard = MAX (guard->heard, now);
-  guard_sort (grantor, guard);
+  guard->done_proposed = false;
+  guard->heard_at = MAX (guard->heard_at, now);
+  guard_insert_sorted (grantor, guard);
 }
 
 void
@@ -145,7 +146,7 @@
   guard->fenced = true;
   /* Vouches given from now on list this fence, so they do not delay acting
      on it.  */
-  guard->act_at = MAX (lapsed, grantor->promised);
+  guard->done_due_at = MAX (lapsed, grantor->promised_until);
   gp_list_remove (&guard->link);
   gp_list_push_back (&grantor->fenced, &guard->link);
 }
@@ -170,13 +171,13 @@
 gp_lease_grantor_read_done (gp_lease_grantor_t *grantor, gp_time_t sent)
 {
   if (sent >= grantor->valid_from)
-    grantor->fresh = MAX (grantor->fresh, sent);
+    grantor->fresh_at = MAX (grantor->fresh_at, sent);
 }
 
 void
 gp_lease_grantor_log_gap (gp_lease_grantor_t *grantor, gp_time_t now)
 {
-  grantor->fresh = -1;
+  grantor->fresh_at = -1;
   grantor->valid_from = now;
   g_hash_table_remove_all (grantor->guards);
 }
@@ -184,7 +185,8 @@
 gp_time_t
 gp_lease_grantor_fresh_until (const gp_lease_grantor_t *grantor)
 {
-  return grantor->fresh < 0 ? -1 : grantor->fresh + grantor->timing.length;
+  return grantor->fresh_at < 0 ? -1
+                               : grantor->fresh_at + grantor->timing.length;
 }
 
 gp_time_t
@@ -193,7 +195,7 @@
   /* This entry's own promise, made with its last requests, counts like
      those of the others.  */
   gp_time_t until
-      = grantor->promised
+      = grantor->promised_until
         - gp_lease_timing_wait (&grantor->timing, grantor->timing.promise)
         + grantor->timing.promise;
 
@@ -233,7 +235,7 @@
   bool inherited = request->held && request->inherits != 0
                    && request->inherits == guard->current;
 
-  if (grantor->fresh < 0 || guard->current == 0 || guard->fenced)
+  if (grantor->fresh_at < 0 || guard->current == 0 || guard->fenced)
     return 0;
   if (request->incarnation != guard->current && !inherited)
     return 0;
@@ -283,11 +285,11 @@
 register_if_new (const gp_lease_grantor_t *grantor, gp_lease_guard_t *guard,
                  uint64_t incarnation, gp_lease_grantor_actions_t *actions)
 {
-  if (grantor->fresh < 0 || incarnation <= guard->current
-      || incarnation <= guard->asked)
+  if (grantor->fresh_at < 0 || incarnation <= guard->current
+      || incarnation <= guard->register_proposed)
     return;
   if (propose (actions, GP_LEASE_GRANTOR_REGISTER, guard, incarnation))
-    guard->asked = incarnation;
+    guard->register_proposed = incarnation;
 }
 
 void
@@ -296,7 +298,7 @@
                             gp_lease_grant_t *grant,
                             gp_lease_grantor_actions_t *actions)
 {
-  gp_lease_guard_t *guard = guard_obtain (grantor, name);
+  gp_lease_guard_t *guard = find_or_add_guard (grantor, name);
   gp_time_t vouched;
 
   *grant = (gp_lease_grant_t){ 0 };
@@ -305,9 +307,9 @@
       grant->superseded_by = guard->current;
       return;
     }
-  guard_hear (grantor, guard, now);
+  guard_set_heard (grantor, guard, now);
   if (request->wants_vouch)
-    grantor->wanted = now;
+    grantor->vouch_wanted_at = now;
   register_if_new (grantor, guard, request->incarnation, actions);
   if (guard->fenced && request->incarnation == guard->current)
     {
@@ -329,16 +331,16 @@
   gp_lease_guard_t *guard = g_hash_table_lookup (grantor->guards, name);
 
   if (guard != NULL)
-    guard_hear (grantor, guard, heard);
+    guard_set_heard (grantor, guard, heard);
 }
 
 static void
-promise (gp_lease_grantor_t *grantor, gp_time_t now)
+extend_promise (gp_lease_grantor_t *grantor, gp_time_t now)
 {
   gp_time_t until
       = now + gp_lease_timing_wait (&grantor->timing, grantor->timing.promise);
 
-  grantor->promised = MAX (grantor->promised, until);
+  grantor->promised_until = MAX (grantor->promised_until, until);
 }
 
 bool
@@ -347,7 +349,7 @@
 {
   if (entry_set != grantor->entry_set)
     return false;
-  promise (grantor, now);
+  extend_promise (grantor, now);
   GP_LIST_FOREACH (pos, &grantor->fenced)
   {
     gp_lease_guard_t *guard = GP_CONTAINER_OF (pos, gp_lease_guard_t, link);
@@ -368,7 +370,7 @@
   if (id == 0 || other->ask_id != id)
     return;
   other->ask_id = 0;
-  other->vouched_since = other->ask_sent;
+  other->vouched_since = other->ask_sent_at;
   g_hash_table_remove_all (other->fences);
   for (unsigned i = 0; i < num_fences; i++)
     g_hash_table_insert (
@@ -381,27 +383,28 @@
 static void
 check_pause (gp_lease_grantor_t *grantor, gp_time_t now)
 {
-  gp_time_t late = grantor->timing.silence / PAUSE_PART;
+  gp_time_t late = grantor->timing.silence / PAUSE_DIVISOR;
 
-  if (now - grantor->ticked > late)
-    grantor->listening = now;
-  grantor->ticked = now;
+  if (now - grantor->last_tick > late)
+    grantor->listening_since = now;
+  grantor->last_tick = now;
 }
 
 static void
-ask_vouches (gp_lease_grantor_t *grantor, gp_time_t now,
-             gp_lease_grantor_actions_t *actions)
+request_vouches (gp_lease_grantor_t *grantor, gp_time_t now,
+                 gp_lease_grantor_actions_t *actions)
 {
-  gp_time_t late = grantor->timing.length / LATE_PART;
+  gp_time_t late = grantor->timing.length / STALE_READ_DIVISOR;
 
-  if (now < grantor->ask_at || grantor->wanted < 0)
+  if (now < grantor->next_ask_at || grantor->vouch_wanted_at < 0)
     return;
-  if (now - grantor->wanted > WANTED_HEARTBEATS * grantor->timing.heartbeat)
+  if (now - grantor->vouch_wanted_at
+      > VOUCH_WANTED_HEARTBEATS * grantor->timing.heartbeat)
     return;
-  if (grantor->fresh >= 0 && now - grantor->fresh < late)
+  if (grantor->fresh_at >= 0 && now - grantor->fresh_at < late)
     return;
-  grantor->ask_at = now + grantor->timing.promise / ASKS_PER_PROMISE;
-  promise (grantor, now);
+  grantor->next_ask_at = now + grantor->timing.promise / ASKS_PER_PROMISE;
+  extend_promise (grantor, now);
   for (unsigned i = 0; i < grantor->num_others; i++)
     {
       gp_lease_voucher_t *other = &grantor->others[i];
@@ -410,8 +413,8 @@
 
       if (action == NULL)
         return;
-      other->ask_id = grantor->next_ask++;
-      other->ask_sent = now;
+      other->ask_id = grantor->next_ask_id++;
+      other->ask_sent_at = now;
       action->u.ask.entry = i;
       action->u.ask.id = other->ask_id;
     }
@@ -420,10 +423,11 @@
 /* Returns true if the last read of the log tail is recent enough to judge
    whether a guard is silent.  */
 static bool
-log_current (const gp_lease_grantor_t *grantor, gp_time_t now)
+log_is_current (const gp_lease_grantor_t *grantor, gp_time_t now)
 {
-  return grantor->fresh >= 0
-         && now - grantor->fresh < grantor->timing.length / LATE_PART;
+  return grantor->fresh_at >= 0
+         && now - grantor->fresh_at
+                < grantor->timing.length / STALE_READ_DIVISOR;
 }
 
 static void
@@ -432,37 +436,38 @@
 {
   gp_time_t silence = grantor->timing.silence;
 
-  if (!log_current (grantor, now) || now - grantor->listening < silence)
+  if (!log_is_current (grantor, now)
+      || now - grantor->listening_since < silence)
     return;
   GP_LIST_FOREACH (pos, &grantor->by_heard)
   {
     gp_lease_guard_t *guard = GP_CONTAINER_OF (pos, gp_lease_guard_t, link);
 
-    if (now - guard->heard < silence)
+    if (now - guard->heard_at < silence)
       return;
-    if (guard->fence_asked == guard->current
-        && guard->heard <= guard->fence_asked_at)
+    if (guard->fence_proposed == guard->current
+        && guard->heard_at <= guard->fence_proposed_at)
       continue;
     if (!propose (actions, GP_LEASE_GRANTOR_FENCE, guard, guard->current))
       return;
-    guard->fence_asked = guard->current;
-    guard->fence_asked_at = now;
+    guard->fence_proposed = guard->current;
+    guard->fence_proposed_at = now;
   }
 }
 
 static void
-act_on_fences (gp_lease_grantor_t *grantor, gp_time_t now,
-               gp_lease_grantor_actions_t *actions)
+propose_fences_done (gp_lease_grantor_t *grantor, gp_time_t now,
+                     gp_lease_grantor_actions_t *actions)
 {
   GP_LIST_FOREACH (pos, &grantor->fenced)
   {
     gp_lease_guard_t *guard = GP_CONTAINER_OF (pos, gp_lease_guard_t, link);
 
-    if (guard->done_asked || now < guard->act_at)
+    if (guard->done_proposed || now < guard->done_due_at)
       continue;
     if (!propose (actions, GP_LEASE_GRANTOR_FENCE_DONE, guard, guard->current))
       return;
-    guard->done_asked = true;
+    guard->done_proposed = true;
   }
 }
 
@@ -471,7 +476,7 @@
                        gp_lease_grantor_actions_t *actions)
 {
   check_pause (grantor, now);
-  ask_vouches (grantor, now, actions);
+  request_vouches (grantor, now, actions);
   fence_silent (grantor, now, actions);
-  act_on_fences (grantor, now, actions);
+  propose_fences_done (grantor, now, actions);
 }
--- a/src/coordination/lease_grantor.h
+++ b/src/coordination/lease_grantor.h
@@ -107,10 +107,9 @@
 /* State of the vouches of one other entry.  */
 typedef struct
 {
-  uint64_t ask_id;    /* id of the pending request, or 0 */
-  gp_time_t ask_sent; /* send time of the pending request */
-  gp_time_t
-      vouched_since; /* send time of the request of the current vouch, or -1 */
+  uint64_t ask_id;         /* id of the pending request, or 0 */
+  gp_time_t ask_sent_at;   /* send time of the pending request */
+  gp_time_t vouched_since; /* when the vouch was requested, or -1 */
   GHashTable
       *fences; /* fences listed in the current vouch: guard -> incarnation */
 } gp_lease_voucher_t;
@@ -124,15 +123,16 @@
   gp_list_t by_heard;   /* registered and not fenced guards, by the time they
                            were last heard */
   gp_list_t fenced;     /* guards fenced in the log, FENCE_DONE not read */
-  gp_time_t fresh;      /* s above, or -1 */
+  gp_time_t fresh_at;   /* s above, or -1 */
   gp_time_t valid_from; /* reads sent before this are ignored */
-  gp_time_t ticked;     /* time of the last tick */
-  gp_time_t
-      listening; /* since when heartbeats have been received without a pause */
-  gp_time_t promised; /* end of the promise not to act on unlisted fences */
-  gp_time_t ask_at;   /* when vouches may next be requested */
-  gp_time_t wanted; /* when a guard last asked for a vouched renewal, or -1 */
-  uint64_t next_ask;
+  gp_time_t last_tick;  /* time of the last tick */
+  gp_time_t listening_since; /* since when heartbeats have been received
+                                without a pause */
+  gp_time_t promised_until;  /* until then acts on listed fences only */
+  gp_time_t next_ask_at;     /* when vouches may next be requested */
+  gp_time_t vouch_wanted_at; /* when a guard last asked for a vouched renewal,
+                                or -1 */
+  uint64_t next_ask_id;
   gp_lease_voucher_t others[GP_LEASE_GRANTOR_MAX_ENTRIES];
 } gp_lease_grantor_t;
 
--- a/src/coordination/lease_holder.c
+++ b/src/coordination/lease_holder.c
@@ -1,12 +1,12 @@
 #include "coordination/lease_holder.h"
 
-/* A renewal is overdue when less than length / EXPIRING_PART of the lease
+/* A renewal is overdue when less than length / EXPIRING_DIVISOR of the lease
    is left.  */
-#define EXPIRING_PART 2
-/* If log-fresh renewals are for less than length * (1 - 1 / FRESH_PART),
-   or none has arrived for length / FRESH_PART, entries have trouble
+#define EXPIRING_DIVISOR 2
+/* If log-fresh renewals are for less than length * (1 - 1 / FRESH_DIVISOR),
+   or none has arrived for length / FRESH_DIVISOR, entries have trouble
    reading the log.  */
-#define FRESH_PART 4
+#define FRESH_DIVISOR 4
 /* Heartbeats are sent this many times as often while the lease is not held
    or is expiring.  */
 #define URGENT_FACTOR 4
@@ -52,8 +52,8 @@
 }
 
 static void
-lose (gp_lease_holder_t *holder, gp_lease_state_t state,
-      gp_lease_holder_actions_t *actions)
+lose_lease (gp_lease_holder_t *holder, gp_lease_state_t state,
+            gp_lease_holder_actions_t *actions)
 {
   holder->state = state;
   gp_epoch_table_end_all (holder->epochs);
@@ -69,8 +69,8 @@
   if (!gp_lease_holder_held (holder))
     return;
   if (now >= holder->deadline)
-    lose (holder, GP_LEASE_LAPSED, actions);
-  else if (holder->deadline - now < holder->timing.length / EXPIRING_PART)
+    lose_lease (holder, GP_LEASE_LAPSED, actions);
+  else if (holder->deadline - now < holder->timing.length / EXPIRING_DIVISOR)
     holder->state = GP_LEASE_EXPIRING;
 }
 
@@ -83,8 +83,8 @@
 }
 
 static void
-renew (gp_lease_holder_t *holder, gp_time_t now,
-       gp_lease_holder_actions_t *actions)
+send_heartbeat (gp_lease_holder_t *holder, gp_time_t now,
+                gp_lease_holder_actions_t *actions)
 {
   gp_lease_holder_action_t *action;
   double jitter = g_rand_double_range (holder->random, -JITTER, JITTER);
@@ -98,11 +98,11 @@
   action->u.renew.held = gp_lease_holder_held (holder);
   action->u.renew.wants_vouch
       = action->u.renew.held
-        && now - holder->fresh_at > holder->timing.length / FRESH_PART;
+        && now - holder->fresh_at > holder->timing.length / FRESH_DIVISOR;
 }
 
 static bool
-stopping (const gp_lease_holder_t *holder)
+is_stopping (const gp_lease_holder_t *holder)
 {
   return holder->state == GP_LEASE_LAPSED || holder->state == GP_LEASE_FENCED;
 }
@@ -112,8 +112,8 @@
                        gp_lease_holder_actions_t *actions)
 {
   check_lease (holder, now, actions);
-  if (!stopping (holder) && now >= holder->renew_at)
-    renew (holder, now, actions);
+  if (!is_stopping (holder) && now >= holder->renew_at)
+    send_heartbeat (holder, now, actions);
 }
 
 /* Returns when the heartbeat SEQUENCE was sent, or -1 if that is no longer
@@ -133,12 +133,13 @@
 {
   gp_time_t length = holder->timing.length;
 
-  return !reply->vouched && reply->remaining >= length - length / FRESH_PART;
+  return !reply->vouched
+         && reply->remaining >= length - length / FRESH_DIVISOR;
 }
 
 static void
-extend (gp_lease_holder_t *holder, const gp_lease_reply_t *reply,
-        gp_time_t now, gp_lease_holder_actions_t *actions)
+extend_lease (gp_lease_holder_t *holder, const gp_lease_reply_t *reply,
+              gp_time_t now, gp_lease_holder_actions_t *actions)
 {
   gp_time_t sent = sent_time (holder, reply->sequence);
   gp_time_t deadline = sent + reply->remaining;
@@ -163,22 +164,22 @@
                        gp_lease_holder_actions_t *actions)
 {
   check_lease (holder, now, actions);
-  if (stopping (holder) || reply->incarnation != holder->incarnation)
+  if (is_stopping (holder) || reply->incarnation != holder->incarnation)
     return;
   if (reply->superseded_by >= holder->next_incarnation)
     holder->next_incarnation = reply->superseded_by + 1;
   if (reply->fenced || reply->superseded_by > holder->incarnation)
-    lose (holder, GP_LEASE_FENCED, actions);
+    lose_lease (holder, GP_LEASE_FENCED, actions);
   else
-    extend (holder, reply, now, actions);
+    extend_lease (holder, reply, now, actions);
 }
 
 void
 gp_lease_holder_runtime_restarted (gp_lease_holder_t *holder,
                                    gp_lease_holder_actions_t *actions)
 {
-  if (!stopping (holder))
-    lose (holder, GP_LEASE_LAPSED, actions);
+  if (!is_stopping (holder))
+    lose_lease (holder, GP_LEASE_LAPSED, actions);
 }
 
 static void
@@ -200,7 +201,7 @@
 gp_lease_holder_stopped (gp_lease_holder_t *holder, gp_time_t now,
                          gp_lease_holder_actions_t *actions)
 {
-  if (!stopping (holder))
+  if (!is_stopping (holder))
     return;
   holder->state = GP_LEASE_NONE;
   holder->deadline = 0;
@@ -251,7 +252,7 @@
 gp_time_t
 gp_lease_holder_next_deadline (const gp_lease_holder_t *holder)
 {
-  if (stopping (holder))
+  if (is_stopping (holder))
     return GP_TIME_NEVER;
   if (gp_lease_holder_held (holder))
     return MIN (holder->renew_at, holder->deadline);
--- a/src/coordination/members.c
+++ b/src/coordination/members.c
@@ -83,7 +83,7 @@
 /* State of a member.  */
 
 static gp_member_state_t
-state_of (const gp_member_t *member)
+derive_state (const gp_member_t *member)
 {
   bool others = gp_member_is_reported (member);
   bool evidence = member->direct || others;
@@ -93,7 +93,7 @@
   if (!evidence)
     return member->state == GP_MEMBER_GONE ? GP_MEMBER_GONE
                                            : GP_MEMBER_SUSPECT;
-  if (others || member->beaten)
+  if (others || member->heartbeat_received)
     return GP_MEMBER_SERVING;
   return GP_MEMBER_JOINING;
 }
@@ -108,7 +108,7 @@
 static void
 mark_news (gp_members_t *members, gp_member_t *member)
 {
-  if (!member->told)
+  if (!member->advertised)
     return;
   member->sequence = ++members->sequence;
   gp_list_remove (&member->news_link);
@@ -144,7 +144,7 @@
 gp_members_refresh_state (gp_members_t *members, gp_member_t *member,
                           gp_time_t now)
 {
-  gp_member_state_t state = state_of (member);
+  gp_member_state_t state = derive_state (member);
 
   if (state != member->state)
     enter_state (members, member, state, now);
@@ -156,8 +156,8 @@
   if (member->direct)
     return;
   member->direct = true;
-  member->beaten = false;
-  member->told = true;
+  member->heartbeat_received = false;
+  member->advertised = true;
   mark_news (members, member);
 }
 
@@ -310,7 +310,7 @@
   if (load != NULL)
     member->load = *load;
   direct_begin (members, member);
-  member->beaten = true;
+  member->heartbeat_received = true;
   direct_extend (members, member, now);
   gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
--- a/src/coordination/members.h
+++ b/src/coordination/members.h
@@ -109,9 +109,9 @@
   void *data; /* for the owner of the table */
 
   /* Private.  */
-  bool direct; /* heard by this entry */
-  bool beaten; /* a heartbeat of this incarnation was received */
-  bool told;   /* it was direct at some time, so others were sent updates */
+  bool direct;             /* heard by this entry */
+  bool heartbeat_received; /* a heartbeat of this incarnation was received */
+  bool advertised;         /* was direct, so others got updates */
   gp_time_t direct_deadline;
   gp_time_t state_deadline; /* end of the state, for suspect and gone */
   uint64_t sequence;        /* sequence number of its last update */
--- a/src/coordination/outlier.c
+++ b/src/coordination/outlier.c
@@ -71,14 +71,14 @@
   gp_list_remove (&health->link);
   set_failing (outlier, health, false);
   if (health->state != GP_HEALTH_HEALTHY)
-    outlier->n_out--;
+    outlier->n_not_healthy--;
   outlier->n_members--;
 }
 
 /* Ejection criteria.  */
 
 static uint64_t
-requests_of (const gp_health_t *health)
+request_count (const gp_health_t *health)
 {
   return health->successes.n + health->failures.n;
 }
@@ -87,7 +87,7 @@
 static bool
 fails_often (const gp_health_t *health, uint64_t pct)
 {
-  return health->failures.n * 100 >= requests_of (health) * pct;
+  return health->failures.n * 100 >= request_count (health) * pct;
 }
 
 static bool
@@ -119,7 +119,7 @@
 
   if (allowed == 0 && outlier->n_members > 1)
     allowed = 1;
-  return outlier->n_out < allowed;
+  return outlier->n_not_healthy < allowed;
 }
 
 /* Ejection and readmission.  */
@@ -153,7 +153,7 @@
 static void
 eject (gp_outlier_t *outlier, gp_health_t *health, gp_time_t now)
 {
-  if (health->state == GP_HEALTH_HEALTHY && now >= health->clean_at)
+  if (health->state == GP_HEALTH_HEALTHY && now >= health->reset_at)
     health->ejections = 0;
   health->ejections++;
   health->state = GP_HEALTH_EJECTED;
@@ -168,10 +168,10 @@
   health->state = GP_HEALTH_HEALTHY;
   health->successes = (gp_health_count_t){ .n = 0 };
   health->failures = (gp_health_count_t){ .n = 0 };
-  health->clean_at = now + ejection_time (outlier, health->ejections);
+  health->reset_at = now + ejection_time (outlier, health->ejections);
   set_failing (outlier, health, false);
   gp_list_remove (&health->link);
-  outlier->n_out--;
+  outlier->n_not_healthy--;
 }
 
 gp_outlier_action_t
@@ -188,11 +188,11 @@
     count_add (&outlier->successes, duration);
   set_failing (outlier, health, fails_often (health, failure_pct / 2));
   if (success || !fails_often (health, failure_pct)
-      || requests_of (health) < outlier->settings.min_requests
+      || request_count (health) < outlier->settings.min_requests
       || !fails_fast (outlier, health) || fault_is_shared (outlier)
       || !may_eject (outlier))
     return GP_OUTLIER_NONE;
-  outlier->n_out++;
+  outlier->n_not_healthy++;
   eject (outlier, health, now);
   return GP_OUTLIER_EJECT;
 }
@@ -224,7 +224,7 @@
 }
 
 static gp_health_t *
-first_of (const gp_list_t *head)
+first_in_list (const gp_list_t *head)
 {
   if (gp_list_empty (head))
     return NULL;
@@ -235,7 +235,7 @@
 gp_outlier_next_due (gp_outlier_t *outlier, gp_time_t now,
                      gp_outlier_action_t *action)
 {
-  gp_health_t *health = first_of (&outlier->ejected);
+  gp_health_t *health = first_in_list (&outlier->ejected);
 
   if (health != NULL && health->until <= now)
     {
@@ -244,7 +244,7 @@
       *action = GP_OUTLIER_OFFER_PROBE;
       return health;
     }
-  health = first_of (&outlier->probed);
+  health = first_in_list (&outlier->probed);
   if (health != NULL && health->until <= now)
     {
       eject (outlier, health, now);
@@ -258,8 +258,8 @@
 gp_time_t
 gp_outlier_deadline (const gp_outlier_t *outlier)
 {
-  const gp_health_t *ejected = first_of (&outlier->ejected);
-  const gp_health_t *probed = first_of (&outlier->probed);
+  const gp_health_t *ejected = first_in_list (&outlier->ejected);
+  const gp_health_t *probed = first_in_list (&outlier->probed);
   gp_time_t next = GP_TIME_NEVER;
 
   if (ejected != NULL)
--- a/src/coordination/outlier.h
+++ b/src/coordination/outlier.h
@@ -56,7 +56,7 @@
   uint32_t window; /* window to which the counts belong */
   uint32_t ejections;
   gp_time_t until; /* end of the ejection or of the probe */
-  gp_time_t clean_at;
+  gp_time_t reset_at;
   gp_list_t link; /* in ejected or probed, ordered by until */
 } gp_health_t;
 
@@ -89,7 +89,7 @@
 {
   gp_outlier_settings_t settings;
   uint32_t n_members;
-  uint32_t n_out; /* members that are not healthy */
+  uint32_t n_not_healthy; /* members that are not healthy */
   uint32_t n_failing;
   gp_health_count_t successes; /* successes of all members */
   uint32_t window;
--- a/src/coordination/pending.c
+++ b/src/coordination/pending.c
@@ -14,7 +14,7 @@
 typedef struct
 {
   gp_task_heap_t ready[GP_PENDING_CLASSES];
-  gp_pending_task_t *saving; /* task for which quota is reserved, or NULL */
+  gp_pending_task_t *quota_reserved_for; /* or NULL */
 } gp_pending_team_t;
 
 /* Returns the priority rank of a class; 0 is the highest.  */
@@ -66,9 +66,9 @@
 }
 
 static gp_pending_team_t *
-need_team (gp_pending_t *pending, uint32_t team)
+find_or_add_team (gp_pending_t *pending, uint32_t team)
 {
-  gp_pending_team_t added = { .saving = NULL };
+  gp_pending_team_t added = { .quota_reserved_for = NULL };
 
   while (team >= pending->teams->len)
     {
@@ -98,8 +98,9 @@
 
   task->state = GP_PENDING_READY;
   task->node.key = task->latest_start;
-  gp_task_heap_push (&need_team (pending, task->charge.team)->ready[rank],
-                     &task->node);
+  gp_task_heap_push (
+      &find_or_add_team (pending, task->charge.team)->ready[rank],
+      &task->node);
   pending->ready[rank]++;
 }
 
@@ -110,7 +111,7 @@
 
   g_assert (task->state == GP_PENDING_OUT);
   if (task->latest_start == GP_TIME_NEVER)
-    task->latest_start = now + pending->settings.patience[rank];
+    task->latest_start = now + pending->settings.default_wait[rank];
   task->deferrals = 0;
   task->no_capacity = 0;
   task->no_quota = 0;
@@ -119,7 +120,7 @@
 
 /* Removes TASK from its heap.  */
 static void
-take (gp_pending_t *pending, gp_pending_task_t *task)
+remove_from_heap (gp_pending_t *pending, gp_pending_task_t *task)
 {
   unsigned int rank = rank_of (task->work_class);
 
@@ -141,20 +142,20 @@
 
 /* Ends the quota reservation for TASK, if its team has one.  */
 static void
-end_saving (gp_pending_t *pending, const gp_pending_task_t *task)
+end_quota_reservation (gp_pending_t *pending, const gp_pending_task_t *task)
 {
-  gp_pending_team_t *team = need_team (pending, task->charge.team);
+  gp_pending_team_t *team = find_or_add_team (pending, task->charge.team);
 
-  if (team->saving == task)
-    team->saving = NULL;
+  if (team->quota_reserved_for == task)
+    team->quota_reserved_for = NULL;
 }
 
 void
 gp_pending_remove (gp_pending_t *pending, gp_quota_t *quota,
                    gp_pending_task_t *task)
 {
-  take (pending, task);
-  end_saving (pending, task);
+  remove_from_heap (pending, task);
+  end_quota_reservation (pending, task);
   gp_quota_release (quota, &task->charge);
 }
 
@@ -164,7 +165,7 @@
 {
   gp_time_t most = task->work_class == GP_WORK_LATENCY_CRITICAL
                        ? settings->backoff_urgent
-                       : settings->backoff_most;
+                       : settings->backoff_max;
   gp_time_t backoff = settings->backoff_first;
 
   for (unsigned int i = 1; i < task->deferrals && backoff < most; i++)
@@ -173,7 +174,7 @@
 }
 
 static void
-count_one (uint16_t *count)
+increment_saturating (uint16_t *count)
 {
   if (*count < UINT16_MAX)
     (*count)++;
@@ -188,11 +189,11 @@
 
   g_assert (task->state == GP_PENDING_OUT);
   gp_quota_release (quota, &task->charge);
-  count_one (&task->deferrals);
+  increment_saturating (&task->deferrals);
   if (cause == GP_PENDING_NO_CAPACITY)
-    count_one (&task->no_capacity);
+    increment_saturating (&task->no_capacity);
   if (cause == GP_PENDING_NO_QUOTA)
-    count_one (&task->no_quota);
+    increment_saturating (&task->no_quota);
   task->state = GP_PENDING_DEFERRED;
   task->node.key = now + backoff_of (settings, task);
   gp_task_heap_push (&pending->deferred, &task->node);
@@ -206,7 +207,7 @@
           const gp_pending_task_t *task)
 {
   const gp_pending_task_t *saving
-      = team_at (pending, task->charge.team)->saving;
+      = team_at (pending, task->charge.team)->quota_reserved_for;
   gp_resources_t need = task->charge.resources;
 
   if (saving != NULL && saving != task
@@ -218,23 +219,24 @@
 /* Reserves quota for TASK if it was deferred for lack of quota often
    enough and its demand fits the whole quota of its team.  */
 static void
-begin_saving (gp_pending_t *pending, const gp_quota_t *quota,
-              gp_pending_task_t *task)
+begin_quota_reservation (gp_pending_t *pending, const gp_quota_t *quota,
+                         gp_pending_task_t *task)
 {
   gp_pending_team_t *team = team_at (pending, task->charge.team);
 
-  if (team->saving != NULL || task->no_quota < pending->settings.hold_after)
+  if (team->quota_reserved_for != NULL
+      || task->no_quota < pending->settings.hold_after)
     return;
   if (gp_quota_can_ever_fit (quota, task->charge.team,
                              &task->charge.resources))
-    team->saving = task;
+    team->quota_reserved_for = task;
 }
 
 /* Returns the first task of TEAM at RANK for which its quota has room;
    tasks before it are deferred.  */
 static gp_pending_task_t *
-head_of (gp_pending_t *pending, gp_quota_t *quota, gp_pending_team_t *team,
-         unsigned int rank, gp_time_t now)
+first_within_quota (gp_pending_t *pending, gp_quota_t *quota,
+                    gp_pending_team_t *team, unsigned int rank, gp_time_t now)
 {
   gp_pending_task_t *task;
 
@@ -242,9 +244,9 @@
     {
       if (has_room (pending, quota, task))
         return task;
-      take (pending, task);
+      remove_from_heap (pending, task);
       (void)gp_pending_defer (pending, quota, task, GP_PENDING_NO_QUOTA, now);
-      begin_saving (pending, quota, task);
+      begin_quota_reservation (pending, quota, task);
     }
   return NULL;
 }
@@ -252,8 +254,8 @@
 /* Returns the first task at RANK of the team with the smallest quota
    share, or NULL.  */
 static gp_pending_task_t *
-fairest (gp_pending_t *pending, gp_quota_t *quota, unsigned int rank,
-         gp_time_t now)
+first_of_least_served_team (gp_pending_t *pending, gp_quota_t *quota,
+                            unsigned int rank, gp_time_t now)
 {
   gp_pending_task_t *best = NULL;
   double best_share = INFINITY;
@@ -262,8 +264,8 @@
     return NULL;
   for (guint i = 0; i < pending->teams->len; i++)
     {
-      gp_pending_task_t *task
-          = head_of (pending, quota, team_at (pending, i), rank, now);
+      gp_pending_task_t *task = first_within_quota (
+          pending, quota, team_at (pending, i), rank, now);
       double share;
 
       if (task == NULL)
@@ -280,34 +282,35 @@
 /* Returns the watcher or batch task with the earliest latest start if that
    is at risk, or NULL.  */
 static gp_pending_task_t *
-most_at_risk (gp_pending_t *pending, gp_quota_t *quota, gp_time_t now)
+earliest_at_risk (gp_pending_t *pending, gp_quota_t *quota, gp_time_t now)
 {
   gp_pending_task_t *best = NULL;
 
   for (guint i = 0; i < pending->teams->len; i++)
     for (unsigned int rank = 1; rank < GP_PENDING_CLASSES; rank++)
       {
-        gp_pending_task_t *task
-            = head_of (pending, quota, team_at (pending, i), rank, now);
+        gp_pending_task_t *task = first_within_quota (
+            pending, quota, team_at (pending, i), rank, now);
 
         if (task != NULL
             && (best == NULL || task->latest_start < best->latest_start))
           best = task;
       }
-  if (best != NULL && best->latest_start > now + pending->settings.risk_ahead)
+  if (best != NULL
+      && best->latest_start > now + pending->settings.risk_horizon)
     return NULL;
   return best;
 }
 
 static void
-wake_deferred (gp_pending_t *pending, gp_time_t now)
+requeue_due (gp_pending_t *pending, gp_time_t now)
 {
   gp_task_heap_node_t *node;
 
   while ((node = gp_task_heap_first (&pending->deferred)) != NULL
          && node->key <= now)
     {
-      take (pending, task_of (node));
+      remove_from_heap (pending, task_of (node));
       make_ready (pending, task_of (node));
     }
 }
@@ -320,7 +323,7 @@
   while (most-- > 0
          && (node = gp_task_heap_first (&pending->deferred)) != NULL)
     {
-      take (pending, task_of (node));
+      remove_from_heap (pending, task_of (node));
       make_ready (pending, task_of (node));
     }
 }
@@ -336,7 +339,7 @@
 
 /* Returns true if the rate limit allows a start at RANK.  */
 static bool
-in_pace (const gp_pending_t *pending, unsigned int rank)
+rate_allows (const gp_pending_t *pending, unsigned int rank)
 {
   double least = rank == 0 ? 1.0 - pending->burst : 1.0;
 
@@ -349,8 +352,8 @@
   gp_pending_task_t *task = NULL;
 
   if (pending->picks + 1 >= GP_PENDING_AT_RISK_INTERVAL
-      && in_pace (pending, 1))
-    task = most_at_risk (pending, quota, now);
+      && rate_allows (pending, 1))
+    task = earliest_at_risk (pending, quota, now);
   if (task != NULL)
     {
       pending->picks = 0;
@@ -358,8 +361,8 @@
     }
   for (unsigned int rank = 0; rank < GP_PENDING_CLASSES && task == NULL;
        rank++)
-    if (in_pace (pending, rank))
-      task = fairest (pending, quota, rank, now);
+    if (rate_allows (pending, rank))
+      task = first_of_least_served_team (pending, quota, rank, now);
   if (task != NULL && pending->picks + 1 < GP_PENDING_AT_RISK_INTERVAL)
     pending->picks++;
   return task;
@@ -370,14 +373,14 @@
 {
   gp_pending_task_t *task;
 
-  wake_deferred (pending, now);
+  requeue_due (pending, now);
   if (pending->rate > 0.0)
     refill (pending, now);
   task = pick (pending, quota, now);
   if (task == NULL)
     return NULL;
-  take (pending, task);
-  end_saving (pending, task);
+  remove_from_heap (pending, task);
+  end_quota_reservation (pending, task);
   if (pending->rate > 0.0)
     pending->tokens -= 1.0;
   (void)gp_quota_propose (quota, &task->charge);
@@ -386,7 +389,7 @@
 
 /* Returns the time at which the rate limit allows a start at RANK.  */
 static gp_time_t
-pace_point (const gp_pending_t *pending, unsigned int rank, gp_time_t now)
+rate_allows_at (const gp_pending_t *pending, unsigned int rank, gp_time_t now)
 {
   double least = rank == 0 ? 1.0 - pending->burst : 1.0;
   double missing = least - pending->tokens;
@@ -405,7 +408,7 @@
 
   for (unsigned int rank = 0; rank < GP_PENDING_CLASSES; rank++)
     if (pending->ready[rank] > 0)
-      wake = MIN (wake, pace_point (pending, rank, now));
+      wake = MIN (wake, rate_allows_at (pending, rank, now));
   return wake;
 }
 
--- a/src/coordination/pending.h
+++ b/src/coordination/pending.h
@@ -4,12 +4,12 @@
    class the team that uses the smallest share of its quota is served
    first, and within a team the task with the earliest latest start
    (deadline minus learned run time).  A task without a deadline gets one
-   from the patience setting of its class, so that it cannot wait forever.
+   from the DEFAULT_WAIT of its class, so that it cannot wait forever.
 
    One in GP_PENDING_AT_RISK_INTERVAL picks goes to the watcher or batch task
-   with the earliest latest start, if that is no further away than RISK_AHEAD.
-   Many latency-critical tasks can therefore slow the other classes but not
-   starve them.
+   with the earliest latest start, if that is no further away than
+   RISK_HORIZON. Many latency-critical tasks can therefore slow the other
+   classes but not starve them.
 
    A task that cannot be placed is deferred with backoff, and the tasks
    behind it are tried.  To keep smaller tasks from starving it,
@@ -70,22 +70,23 @@
 typedef struct
 {
   gp_time_t backoff_first;
-  gp_time_t backoff_most;
+  gp_time_t backoff_max;
   gp_time_t backoff_urgent; /* maximum for latency-critical tasks */
-  uint16_t hold_after;  /* deferrals before capacity or quota is reserved for a
-                           task */
-  gp_time_t risk_ahead; /* a latest start closer than this is at risk */
-  gp_time_t
-      patience[GP_PENDING_CLASSES]; /* latency-critical, watcher, batch */
+  uint16_t hold_after; /* deferrals before capacity or quota is reserved for a
+                          task */
+  gp_time_t risk_horizon; /* a latest start closer than this is at risk */
+  gp_time_t default_wait[GP_PENDING_CLASSES]; /* until the latest start of a
+                                                 task without a deadline, by
+                                                 rank of its class */
 } gp_pending_settings_t;
 
 #define GP_PENDING_DEFAULTS                                                   \
   ((gp_pending_settings_t){ .backoff_first = 50 * GP_MSEC,                    \
-                            .backoff_most = 2 * GP_SEC,                       \
+                            .backoff_max = 2 * GP_SEC,                        \
                             .backoff_urgent = 200 * GP_MSEC,                  \
                             .hold_after = 6,                                  \
-                            .risk_ahead = 60 * GP_SEC,                        \
-                            .patience                                         \
+                            .risk_horizon = 60 * GP_SEC,                      \
+                            .default_wait                                     \
                             = { GP_SEC, 10 * GP_SEC, GP_SEC * 24 * 3600 } })
 
 typedef struct
--- a/src/coordination/placement.c
+++ b/src/coordination/placement.c
@@ -46,22 +46,23 @@
 
 /* Returns the fraction of CAPACITY that remains of FREE after NEED.  */
 static double
-part_left (uint32_t free, uint32_t need, uint32_t capacity)
+fraction_left (uint32_t free, uint32_t need, uint32_t capacity)
 {
   return capacity == 0 ? 0.0 : (double)(free - need) / capacity;
 }
 
 static double
 fit_cost (const gp_placement_weights_t *weights,
-          const gp_placement_request_t *ask, const gp_worker_t *worker)
+          const gp_placement_request_t *request, const gp_worker_t *worker)
 {
   double processors
-      = part_left (worker->free.millicores, ask->demand.millicores,
-                   worker->capacity.millicores);
-  double memory = part_left (worker->free.memory_mib, ask->demand.memory_mib,
-                             worker->capacity.memory_mib);
+      = fraction_left (worker->free.millicores, request->demand.millicores,
+                       worker->capacity.millicores);
+  double memory
+      = fraction_left (worker->free.memory_mib, request->demand.memory_mib,
+                       worker->capacity.memory_mib);
   double room = 0.5 * (processors + memory);
-  double tightness = ask->work_class == GP_WORK_BATCH ? room : 1.0 - room;
+  double tightness = request->work_class == GP_WORK_BATCH ? room : 1.0 - room;
 
   return weights->tightness * tightness
          + weights->balance * fabs (processors - memory);
@@ -69,15 +70,15 @@
 
 static double
 spread_cost (const gp_placement_t *placement,
-             const gp_placement_request_t *ask, const gp_worker_t *worker)
+             const gp_placement_request_t *request, const gp_worker_t *worker)
 {
   const gp_placement_weights_t *weights = &placement->weights;
 
   return weights->rack
-             * gp_spread_rack_fraction (placement->spread, ask->group,
+             * gp_spread_rack_fraction (placement->spread, request->group,
                                         worker->rack)
          + weights->zone
-               * gp_spread_zone_fraction (placement->spread, ask->group,
+               * gp_spread_zone_fraction (placement->spread, request->group,
                                           worker->zone);
 }
 
@@ -85,12 +86,13 @@
    another region.  */
 static double
 locality_cost (const gp_placement_t *placement,
-               const gp_placement_request_t *ask, const gp_worker_t *worker)
+               const gp_placement_request_t *request,
+               const gp_worker_t *worker)
 {
   const gp_worker_t *previous
-      = gp_fleet_worker (placement->fleet, ask->previous);
+      = gp_fleet_worker (placement->fleet, request->previous);
 
-  if (!ask->has_checkpoint || previous == NULL
+  if (!request->has_checkpoint || previous == NULL
       || previous->zone == worker->zone)
     return 0.0;
   return placement->weights.locality
@@ -98,42 +100,44 @@
 }
 
 static double
-harm_cost (const gp_placement_t *placement, const gp_placement_request_t *ask,
-           const gp_worker_t *worker)
+harm_cost (const gp_placement_t *placement,
+           const gp_placement_request_t *request, const gp_worker_t *worker)
 {
   if (placement->interference == NULL)
     return 0.0;
   return placement->weights.harm
-         * gp_interference_harm (placement->interference, worker, ask->kind);
+         * gp_interference_harm (placement->interference, worker,
+                                 request->kind);
 }
 
 /* All terms except harm, which is the most expensive to compute and never
    negative.  */
 static gp_placement_cost_t
 cost_without_harm (const gp_placement_t *placement,
-                   const gp_placement_request_t *ask,
+                   const gp_placement_request_t *request,
                    const gp_worker_t *worker)
 {
   gp_placement_cost_t cost = { 0 };
 
-  cost.fit = fit_cost (&placement->weights, ask, worker);
-  cost.spread = spread_cost (placement, ask, worker);
-  cost.locality = locality_cost (placement, ask, worker);
-  if (ask->work_class == GP_WORK_WATCHER && ask->previous == worker->index)
+  cost.fit = fit_cost (&placement->weights, request, worker);
+  cost.spread = spread_cost (placement, request, worker);
+  cost.locality = locality_cost (placement, request, worker);
+  if (request->work_class == GP_WORK_WATCHER
+      && request->previous == worker->index)
     cost.stickiness = -placement->weights.stickiness;
-  if (worker->capacity.accelerators > 0 && ask->demand.accelerators == 0)
+  if (worker->capacity.accelerators > 0 && request->demand.accelerators == 0)
     cost.accelerators = IDLE_ACCELERATOR_COST;
   return cost;
 }
 
 gp_placement_cost_t
 gp_placement_cost (const gp_placement_t *placement,
-                   const gp_placement_request_t *ask,
+                   const gp_placement_request_t *request,
                    const gp_worker_t *worker)
 {
-  gp_placement_cost_t cost = cost_without_harm (placement, ask, worker);
+  gp_placement_cost_t cost = cost_without_harm (placement, request, worker);
 
-  cost.harm = harm_cost (placement, ask, worker);
+  cost.harm = harm_cost (placement, request, worker);
   return cost;
 }
 
@@ -145,22 +149,22 @@
 }
 
 static bool
-avoids (const gp_placement_request_t *ask, const gp_worker_t *worker)
+is_avoided (const gp_placement_request_t *request, const gp_worker_t *worker)
 {
-  for (unsigned int i = 0; i < ask->n_avoided; i++)
-    if (ask->avoided[i] == worker->index)
+  for (unsigned int i = 0; i < request->n_avoided; i++)
+    if (request->avoided[i] == worker->index)
       return true;
   return false;
 }
 
 bool
-gp_placement_allows (const gp_placement_request_t *ask,
+gp_placement_allows (const gp_placement_request_t *request,
                      const gp_worker_t *worker)
 {
   return worker->state == GP_WORKER_SERVING
-         && (ask->zones & (UINT64_C (1) << worker->zone)) != 0
-         && (worker->held_for == 0 || worker->held_for == ask->task)
-         && gp_resources_fit (&ask->demand, &worker->free);
+         && (request->zones & (UINT64_C (1) << worker->zone)) != 0
+         && (worker->held_for == 0 || worker->held_for == request->task)
+         && gp_resources_fit (&request->demand, &worker->free);
 }
 
 /* A candidate and its cost, at first without harm.  */
@@ -179,30 +183,31 @@
 
 static void
 add_candidate (const gp_placement_t *placement,
-               const gp_placement_request_t *ask, gp_worker_t *worker,
+               const gp_placement_request_t *request, gp_worker_t *worker,
                candidates_t *candidates)
 {
   candidate_t *candidate = &candidates->items[candidates->n];
 
-  if (avoids (ask, worker) || !gp_placement_allows (ask, worker))
+  if (is_avoided (request, worker) || !gp_placement_allows (request, worker))
     return;
   candidate->worker = worker;
-  candidate->cost = cost_without_harm (placement, ask, worker);
+  candidate->cost = cost_without_harm (placement, request, worker);
   candidate->least = gp_placement_cost_total (&candidate->cost);
   candidates->n++;
 }
 
 /* Makes CANDIDATE the CHOICE if its cost is lower.  */
 static void
-consider (const gp_placement_t *placement, const gp_placement_request_t *ask,
-          candidate_t *candidate, gp_placement_choice_t *choice)
+consider (const gp_placement_t *placement,
+          const gp_placement_request_t *request, candidate_t *candidate,
+          gp_placement_choice_t *choice)
 {
   gp_worker_t *worker = candidate->worker;
   double total;
 
-  candidate->cost.harm = harm_cost (placement, ask, worker);
+  candidate->cost.harm = harm_cost (placement, request, worker);
   total = gp_placement_cost_total (&candidate->cost);
-  if (candidate->cost.harm > placement->weights.harm * ask->harm_limit)
+  if (candidate->cost.harm > placement->weights.harm * request->harm_limit)
     return;
   if (choice->worker != NULL
       && (total > choice->total
@@ -218,7 +223,7 @@
    the remaining ones cannot cost less than the best one found.  */
 static void
 choose_among (const gp_placement_t *placement,
-              const gp_placement_request_t *ask, candidates_t *candidates,
+              const gp_placement_request_t *request, candidates_t *candidates,
               gp_placement_choice_t *choice)
 {
   choice->candidates = candidates->n;
@@ -231,7 +236,7 @@
           least = &candidates->items[i];
       if (choice->worker != NULL && least->least > choice->total)
         break;
-      consider (placement, ask, least, choice);
+      consider (placement, request, least, choice);
       *least = candidates->items[--candidates->n];
     }
 }
@@ -240,7 +245,7 @@
    to be avoided.  */
 static void
 choose_among_all (const gp_placement_t *placement,
-                  const gp_placement_request_t *ask,
+                  const gp_placement_request_t *request,
                   gp_placement_choice_t *choice)
 {
   for (guint i = 0; i < placement->fleet->workers->len; i++)
@@ -249,42 +254,46 @@
       candidates_t one = { .n = 0 };
 
       if (worker != NULL)
-        add_candidate (placement, ask, worker, &one);
+        add_candidate (placement, request, worker, &one);
       choice->candidates += one.n;
       if (one.n > 0)
-        consider (placement, ask, &one.items[0], choice);
+        consider (placement, request, &one.items[0], choice);
     }
 }
 
 static bool
-known_miss (const gp_placement_t *placement, const gp_placement_request_t *ask)
+is_known_miss (const gp_placement_t *placement,
+               const gp_placement_request_t *request)
 {
   const gp_placement_miss_t *miss = &placement->miss;
 
-  return miss->growth == placement->fleet->growth && miss->zones == ask->zones
-         && gp_resources_fit (&miss->demand, &ask->demand);
+  return miss->growth_count == placement->fleet->growth_count
+         && miss->zones == request->zones
+         && gp_resources_fit (&miss->demand, &request->demand);
 }
 
 static void
-note_miss (gp_placement_t *placement, const gp_placement_request_t *ask)
+record_miss (gp_placement_t *placement, const gp_placement_request_t *request)
 {
-  placement->miss.growth = placement->fleet->growth;
-  placement->miss.zones = ask->zones;
-  placement->miss.demand = ask->demand;
+  placement->miss.growth_count = placement->fleet->growth_count;
+  placement->miss.zones = request->zones;
+  placement->miss.demand = request->demand;
 }
 
 /* Returns the reason why no worker was chosen; SEEN workers had room.  */
 static gp_placement_outcome_t
-reason_of (const gp_placement_t *placement, const gp_placement_request_t *ask,
-           unsigned int seen, unsigned int candidates)
+failure_reason (const gp_placement_t *placement,
+                const gp_placement_request_t *request, unsigned int seen,
+                unsigned int candidates)
 {
   if (candidates > 0)
     return GP_PLACEMENT_HARMFUL;
   if (seen > 0)
     return GP_PLACEMENT_AVOIDED;
-  if (gp_fleet_can_ever_fit (placement->fleet, &ask->demand, ask->zones))
+  if (gp_fleet_can_ever_fit (placement->fleet, &request->demand,
+                             request->zones))
     return GP_PLACEMENT_NO_CAPACITY_NOW;
-  if (gp_fleet_can_ever_fit (placement->fleet, &ask->demand,
+  if (gp_fleet_can_ever_fit (placement->fleet, &request->demand,
                              GP_PLACEMENT_ALL_ZONES))
     return GP_PLACEMENT_ZONE_EVACUATED;
   return GP_PLACEMENT_NEVER_FITS;
@@ -293,83 +302,88 @@
 /* Adds the workers found by the index to CANDIDATES; returns how many
    workers had room, including those to be avoided.  */
 static unsigned int
-search (gp_placement_t *placement, const gp_placement_request_t *ask,
+search (gp_placement_t *placement, const gp_placement_request_t *request,
         candidates_t *candidates)
 {
   gp_worker_t *found[2 * GP_FLEET_ZONES_MAX];
   unsigned int n;
 
-  if (known_miss (placement, ask))
+  if (is_known_miss (placement, request))
     return 0;
   n = gp_fleet_search (
-      placement->fleet, &ask->demand, ask->zones, found,
+      placement->fleet, &request->demand, request->zones, found,
       MAX (GP_PLACEMENT_CANDIDATES, 2 * placement->fleet->n_zones));
   if (n == 0)
-    note_miss (placement, ask);
+    record_miss (placement, request);
   for (unsigned int i = 0; i < n; i++)
-    if (found[i]->index != ask->previous)
-      add_candidate (placement, ask, found[i], candidates);
+    if (found[i]->index != request->previous)
+      add_candidate (placement, request, found[i], candidates);
   return n;
 }
 
 gp_placement_choice_t
 gp_placement_choose (gp_placement_t *placement,
-                     const gp_placement_request_t *ask)
+                     const gp_placement_request_t *request)
 {
   gp_placement_choice_t choice = { .outcome = GP_PLACEMENT_CHOSEN };
-  gp_worker_t *previous = gp_fleet_worker (placement->fleet, ask->previous);
-  gp_worker_t *held = gp_fleet_worker (placement->fleet, ask->held);
+  gp_worker_t *previous
+      = gp_fleet_worker (placement->fleet, request->previous);
+  gp_worker_t *held = gp_fleet_worker (placement->fleet, request->held);
   candidates_t candidates;
   unsigned int seen;
 
   candidates.n = 0;
   if (held != NULL)
-    add_candidate (placement, ask, held, &candidates);
+    add_candidate (placement, request, held, &candidates);
   if (previous != NULL && previous != held)
-    add_candidate (placement, ask, previous, &candidates);
-  seen = search (placement, ask, &candidates);
+    add_candidate (placement, request, previous, &candidates);
+  seen = search (placement, request, &candidates);
   if (seen > 0 && candidates.n == 0)
-    choose_among_all (placement, ask, &choice);
+    choose_among_all (placement, request, &choice);
   else
-    choose_among (placement, ask, &candidates, &choice);
+    choose_among (placement, request, &candidates, &choice);
   if (choice.worker == NULL)
-    choice.outcome = reason_of (placement, ask, seen, choice.candidates);
+    choice.outcome
+        = failure_reason (placement, request, seen, choice.candidates);
   return choice;
 }
 
 void
 gp_placement_reserve (gp_placement_t *placement,
-                      const gp_placement_request_t *ask, gp_worker_t *worker)
+                      const gp_placement_request_t *request,
+                      gp_worker_t *worker)
 {
-  gp_placement_drop_hold (placement, ask);
-  gp_fleet_reserve (placement->fleet, worker, ask->kind, &ask->demand);
-  gp_spread_add (placement->spread, ask->group, worker->rack, worker->zone, 1);
+  gp_placement_drop_hold (placement, request);
+  gp_fleet_reserve (placement->fleet, worker, request->kind, &request->demand);
+  gp_spread_add (placement->spread, request->group, worker->rack, worker->zone,
+                 1);
 }
 
 void
 gp_placement_release (gp_placement_t *placement,
-                      const gp_placement_request_t *ask, gp_worker_t *worker)
+                      const gp_placement_request_t *request,
+                      gp_worker_t *worker)
 {
-  gp_fleet_release (placement->fleet, worker, ask->kind, &ask->demand);
-  gp_spread_add (placement->spread, ask->group, worker->rack, worker->zone,
+  gp_fleet_release (placement->fleet, worker, request->kind, &request->demand);
+  gp_spread_add (placement->spread, request->group, worker->rack, worker->zone,
                  -1);
 }
 
 void
 gp_placement_refuse (gp_placement_t *placement,
-                     const gp_placement_request_t *ask, gp_worker_t *worker,
-                     const gp_resources_t *headroom)
+                     const gp_placement_request_t *request,
+                     gp_worker_t *worker, const gp_resources_t *headroom)
 {
-  gp_fleet_refuse (placement->fleet, worker, ask->kind, &ask->demand,
+  gp_fleet_refuse (placement->fleet, worker, request->kind, &request->demand,
                    headroom);
-  gp_spread_add (placement->spread, ask->group, worker->rack, worker->zone,
+  gp_spread_add (placement->spread, request->group, worker->rack, worker->zone,
                  -1);
 }
 
 /* Returns the smallest fraction of any component of DEMAND that FREE
    covers.  */
 static double
-part_covered (const gp_resources_t *free, const gp_resources_t *demand)
+fraction_covered (const gp_resources_t *free, const gp_resources_t *demand)
 {
   double share = gp_resources_share (demand, free);
 
@@ -377,32 +391,32 @@
 }
 
 static bool
-may_hold (const gp_placement_request_t *ask, const gp_worker_t *worker)
+may_hold (const gp_placement_request_t *request, const gp_worker_t *worker)
 {
   return worker->state == GP_WORKER_SERVING && worker->held_for == 0
-         && (ask->zones & (UINT64_C (1) << worker->zone)) != 0
-         && !avoids (ask, worker)
-         && gp_resources_fit (&ask->demand, &worker->capacity);
+         && (request->zones & (UINT64_C (1) << worker->zone)) != 0
+         && !is_avoided (request, worker)
+         && gp_resources_fit (&request->demand, &worker->capacity);
 }
 
 uint32_t
 gp_placement_hold (gp_placement_t *placement,
-                   const gp_placement_request_t *ask, gp_time_t until)
+                   const gp_placement_request_t *request, gp_time_t until)
 {
   gp_fleet_t *fleet = placement->fleet;
   gp_worker_t *best = NULL;
   double best_part = -1.0;
 
-  if (fleet->holds > fleet->workers->len / GP_PLACEMENT_WORKERS_PER_HOLD)
+  if (fleet->n_held > fleet->workers->len / GP_PLACEMENT_WORKERS_PER_HOLD)
     return GP_WORKER_NONE;
   for (guint i = 0; i < fleet->workers->len; i++)
     {
       gp_worker_t *worker = gp_fleet_worker (fleet, i);
       double part;
 
-      if (worker == NULL || !may_hold (ask, worker))
+      if (worker == NULL || !may_hold (request, worker))
         continue;
-      part = part_covered (&worker->free, &ask->demand);
+      part = fraction_covered (&worker->free, &request->demand);
       if (part > best_part)
         {
           best = worker;
@@ -411,16 +425,16 @@
     }
   if (best == NULL)
     return GP_WORKER_NONE;
-  gp_fleet_hold (fleet, best, ask->task, until);
+  gp_fleet_hold (fleet, best, request->task, until);
   return best->index;
 }
 
 void
 gp_placement_drop_hold (gp_placement_t *placement,
-                        const gp_placement_request_t *ask)
+                        const gp_placement_request_t *request)
 {
-  gp_worker_t *worker = gp_fleet_worker (placement->fleet, ask->held);
+  gp_worker_t *worker = gp_fleet_worker (placement->fleet, request->held);
 
-  if (worker != NULL && worker->held_for == ask->task)
+  if (worker != NULL && worker->held_for == request->task)
     gp_fleet_hold (placement->fleet, worker, 0, 0);
 }
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -24,9 +24,7 @@
   GP_PLACEMENT_CHOSEN,
   GP_PLACEMENT_NO_CAPACITY_NOW, /* fits some worker, but none has room now */
   GP_PLACEMENT_NEVER_FITS,      /* larger than the capacity of every worker */
-  GP_PLACEMENT_ZONE_EVACUATED,  /* fits only workers in zones that are not
-                                 * allowed
-                                 */
+  GP_PLACEMENT_ZONE_EVACUATED,  /* fits only in zones not allowed */
   GP_PLACEMENT_AVOIDED,         /* only workers on which it failed have room */
   GP_PLACEMENT_HARMFUL,         /* every candidate exceeds the harm limit */
   GP_PLACEMENT_QUOTA,           /* the team's quota is used up */
@@ -100,7 +98,7 @@
    not be searched for until the counter changes.  */
 typedef struct
 {
-  uint64_t growth;
+  uint64_t growth_count;
   uint64_t zones;
   gp_resources_t demand;
 } gp_placement_miss_t;
@@ -120,35 +118,36 @@
                         gp_fleet_t *fleet, gp_spread_t *spread,
                         const gp_interference_t *interference);
 
-/* Returns the cost of placing ASK on WORKER, on which it must fit.  */
+/* Returns the cost of placing REQUEST on WORKER, on which it must fit.  */
 gp_placement_cost_t gp_placement_cost (const gp_placement_t *placement,
-                                       const gp_placement_request_t *ask,
+                                       const gp_placement_request_t *request,
                                        const gp_worker_t *worker);
 double gp_placement_cost_total (const gp_placement_cost_t *cost);
 
-/* Returns true if ASK may be placed on WORKER now, considering free
+/* Returns true if REQUEST may be placed on WORKER now, considering free
    resources, zone, state and holds.  */
-bool gp_placement_allows (const gp_placement_request_t *ask,
+bool gp_placement_allows (const gp_placement_request_t *request,
                           const gp_worker_t *worker);
 
-gp_placement_choice_t gp_placement_choose (gp_placement_t *placement,
-                                           const gp_placement_request_t *ask);
+gp_placement_choice_t
+gp_placement_choose (gp_placement_t *placement,
+                     const gp_placement_request_t *request);
 
-/* Reserves resources for ASK on the chosen WORKER and ends the hold for
+/* Reserves resources for REQUEST on the chosen WORKER and ends the hold for
    it.  */
 void gp_placement_reserve (gp_placement_t *placement,
-                           const gp_placement_request_t *ask,
+                           const gp_placement_request_t *request,
                            gp_worker_t *worker);
-/* The task of ASK, which did run on WORKER, has ended there.  */
+/* The task of REQUEST, which did run on WORKER, has ended there.  */
 void gp_placement_release (gp_placement_t *placement,
-                           const gp_placement_request_t *ask,
+                           const gp_placement_request_t *request,
                            gp_worker_t *worker);
-/* The guard of WORKER refused the task of ASK and reported its HEADROOM.  */
+/* The guard of WORKER refused REQUEST's task and reported its HEADROOM.  */
 void gp_placement_refuse (gp_placement_t *placement,
-                          const gp_placement_request_t *ask,
+                          const gp_placement_request_t *request,
                           gp_worker_t *worker, const gp_resources_t *headroom);
 
-/* Holds the worker for ASK that is expected to have room soonest, so that
+/* Holds the worker for REQUEST that is expected to have room soonest, so that
    smaller tasks do not starve it: the worker with the greatest fraction of
    the demand free, among those whose capacity fits.  Returns its index, or
    GP_WORKER_NONE if no worker fits or one in GP_PLACEMENT_WORKERS_PER_HOLD
@@ -156,10 +155,10 @@
    tasks that were deferred often.  */
 #define GP_PLACEMENT_WORKERS_PER_HOLD 16
 uint32_t gp_placement_hold (gp_placement_t *placement,
-                            const gp_placement_request_t *ask,
+                            const gp_placement_request_t *request,
                             gp_time_t until);
-/* Ends the hold for ASK, if it is still in effect.  */
+/* Ends the hold for REQUEST, if it is still in effect.  */
 void gp_placement_drop_hold (gp_placement_t *placement,
-                             const gp_placement_request_t *ask);
+                             const gp_placement_request_t *request);
 
 #endif
--- a/src/coordination/quota.c
+++ b/src/coordination/quota.c
@@ -15,7 +15,7 @@
 }
 
 static gp_quota_team_t *
-need_team (gp_quota_t *quota, uint32_t team)
+find_or_add_team (gp_quota_t *quota, uint32_t team)
 {
   if (team >= quota->teams->len)
     g_array_set_size (quota->teams, team + 1);
@@ -34,7 +34,7 @@
 gp_quota_set_limit (gp_quota_t *quota, uint32_t team,
                     const gp_resources_t *limit)
 {
-  need_team (quota, team)->limit = *limit;
+  find_or_add_team (quota, team)->limit = *limit;
 }
 
 double
@@ -72,7 +72,7 @@
   g_assert (charge->state == GP_QUOTA_NONE);
   if (!gp_quota_has_room (quota, charge->team, &charge->resources))
     return false;
-  gp_resources_add (&need_team (quota, charge->team)->proposed,
+  gp_resources_add (&find_or_add_team (quota, charge->team)->proposed,
                     &charge->resources);
   charge->state = GP_QUOTA_PROPOSED;
   return true;
@@ -81,7 +81,7 @@
 void
 gp_quota_release (gp_quota_t *quota, gp_quota_charge_t *charge)
 {
-  gp_quota_team_t *team = need_team (quota, charge->team);
+  gp_quota_team_t *team = find_or_add_team (quota, charge->team);
 
   switch (charge->state)
     {
@@ -100,7 +100,7 @@
 bool
 gp_quota_grant (gp_quota_t *quota, gp_quota_charge_t *charge)
 {
-  gp_quota_team_t *team = need_team (quota, charge->team);
+  gp_quota_team_t *team = find_or_add_team (quota, charge->team);
   gp_resources_t after = team->charged;
 
   g_assert (charge->state != GP_QUOTA_CHARGED);
--- a/src/coordination/regression.c
+++ b/src/coordination/regression.c
@@ -5,10 +5,9 @@
 #include <math.h>
 #include <stddef.h>
 
-#define CLIP_DEVIATIONS                                                       \
-  3.                    /* innovations are clipped to this many deviations */
-#define NOISE_GAIN 0.02 /* weight of a sample in the noise estimate */
-#define NOISE_LEAST 0.02
+#define CLIP_DEVIATIONS 3. /* bound of an innovation */
+#define NOISE_GAIN 0.02    /* weight of a sample in the noise estimate */
+#define NOISE_MIN 0.02
 
 void
 gp_regression_init (gp_regression_t *regression, unsigned int features,
@@ -77,8 +76,7 @@
   double excess;
 
   innovation = fmax (-most, fmin (most, innovation));
-  excess
-      = fmax (NOISE_LEAST * NOISE_LEAST, innovation * innovation - variance);
+  excess = fmax (NOISE_MIN * NOISE_MIN, innovation * innovation - variance);
   regression->noise += NOISE_GAIN * (excess - regression->noise);
   for (unsigned int i = 0; i < regression->features; i++)
     gain[i] = gain_of (regression, input, i);
--- a/src/coordination/remedy.c
+++ b/src/coordination/remedy.c
@@ -142,8 +142,8 @@
 }
 
 static gp_remedy_decision_t
-relieve (const gp_remedy_settings_t *settings, double ratio,
-         const gp_remedy_resident_t *residents, unsigned int n)
+choose_relief (const gp_remedy_settings_t *settings, double ratio,
+               const gp_remedy_resident_t *residents, unsigned int n)
 {
   double excess = ratio - settings->aim;
   gp_remedy_decision_t decision = choose (
@@ -157,8 +157,8 @@
 /* Unthrottles the task that slows the service least, if the ratio is
    expected to stay below the aim.  */
 static gp_remedy_decision_t
-let_go (const gp_remedy_settings_t *settings, double ratio,
-        const gp_remedy_resident_t *residents, unsigned int n)
+choose_unthrottle (const gp_remedy_settings_t *settings, double ratio,
+                   const gp_remedy_resident_t *residents, unsigned int n)
 {
   gp_remedy_decision_t decision = { .action = GP_REMEDY_NONE };
   const gp_remedy_resident_t *best
@@ -175,8 +175,8 @@
 /* Updates the counts of breaches, calm and relapses; there is at most one
    relapse per unthrottling.  */
 static void
-take_in (gp_remedy_t *remedy, const gp_remedy_settings_t *settings,
-         const gp_remedy_measurement_t *measurement)
+update_history (gp_remedy_t *remedy, const gp_remedy_settings_t *settings,
+                const gp_remedy_measurement_t *measurement)
 {
   bool breach = measurement->ratio > settings->breach;
   bool calm = measurement->ratio < settings->aim;
@@ -186,16 +186,16 @@
     remedy->calm_since = 0;
   else if (remedy->calm_since == 0)
     remedy->calm_since = measurement->from;
-  if (remedy->unthrottled == 0)
+  if (remedy->unthrottled_at == 0)
     return;
-  if (measurement->to > remedy->unthrottled + settings->relapse)
+  if (measurement->to > remedy->unthrottled_at + settings->relapse)
     {
-      remedy->unthrottled = 0;
+      remedy->unthrottled_at = 0;
       remedy->relapses -= remedy->relapses > 0;
     }
   else if (remedy->breaches >= settings->breaches)
     {
-      remedy->unthrottled = 0;
+      remedy->unthrottled_at = 0;
       remedy->relapses += remedy->relapses < RELAPSES_MAX;
     }
 }
@@ -216,22 +216,22 @@
 {
   gp_remedy_decision_t decision = { .action = GP_REMEDY_NONE };
 
-  if (remedy->acted != 0
-      && measurement->from < remedy->acted + settings->settle)
+  if (remedy->acted_at != 0
+      && measurement->from < remedy->acted_at + settings->settle)
     return decision;
-  take_in (remedy, settings, measurement);
-  if (remedy->acted != 0 && now < remedy->acted + settings->cool_down)
+  update_history (remedy, settings, measurement);
+  if (remedy->acted_at != 0 && now < remedy->acted_at + settings->cool_down)
     return decision;
   if (remedy->breaches >= settings->breaches)
-    decision = relieve (settings, measurement->ratio, residents, n);
+    decision = choose_relief (settings, measurement->ratio, residents, n);
   else if (calm_enough (remedy, settings, measurement->to))
-    decision = let_go (settings, measurement->ratio, residents, n);
+    decision = choose_unthrottle (settings, measurement->ratio, residents, n);
   if (decision.action == GP_REMEDY_NONE)
     return decision;
-  remedy->acted = now;
+  remedy->acted_at = now;
   remedy->breaches = 0;
   remedy->calm_since = 0;
   if (decision.action == GP_REMEDY_UNTHROTTLE)
-    remedy->unthrottled = now;
+    remedy->unthrottled_at = now;
   return decision;
 }
--- a/src/coordination/remedy.h
+++ b/src/coordination/remedy.h
@@ -20,8 +20,7 @@
 #include "base/time.h"
 #include "coordination/resources.h"
 
-#define GP_REMEDY_TASKS_MAX                                                   \
-  4 /* maximum number of tasks throttled in one decision */
+#define GP_REMEDY_TASKS_MAX 4 /* throttled in one decision */
 
 typedef enum
 {
@@ -39,8 +38,7 @@
   gp_time_t calm_time;   /* calm period before a task is unthrottled */
   gp_time_t cool_down;   /* minimum time between two actions on a worker */
   gp_time_t settle;      /* time until the effect of an action is measurable */
-  gp_time_t
-      relapse; /* a breach within this time of an unthrottling is a relapse */
+  gp_time_t relapse;     /* breaches this soon after an unthrottling */
   gp_time_t restart_cost; /* time lost by any eviction */
   double throttled_part;  /* fraction of the relief that throttling gives */
   double least_relief;    /* minimum relief of the ratio for an action */
@@ -72,11 +70,11 @@
 /* State of one worker.  */
 typedef struct
 {
-  gp_time_t acted;       /* time of the last action, or 0 */
-  gp_time_t unthrottled; /* time of the last unthrottling, or 0 */
-  gp_time_t calm_since;  /* start of the calm period; 0 if not calm */
-  unsigned int breaches; /* consecutive breaches */
-  unsigned int relapses; /* each doubles the required calm period */
+  gp_time_t acted_at;       /* time of the last action, or 0 */
+  gp_time_t unthrottled_at; /* time of the last unthrottling, or 0 */
+  gp_time_t calm_since;     /* start of the calm period; 0 if not calm */
+  unsigned int breaches;    /* consecutive breaches */
+  unsigned int relapses;    /* each doubles the required calm period */
 } gp_remedy_t;
 
 /* A measurement of the service from FROM to TO.  */
--- a/src/coordination/reporters.c
+++ b/src/coordination/reporters.c
@@ -124,7 +124,7 @@
 }
 
 static void
-report_take (gp_member_t *member, gp_reporter_t *reporter)
+report_set (gp_member_t *member, gp_reporter_t *reporter)
 {
   gp_report_t *report = report_slot (member, reporter);
 
@@ -135,7 +135,7 @@
 }
 
 static gp_members_result_t
-learn_gone (gp_members_t *members, const gp_reporter_t *reporter,
+apply_gone (gp_members_t *members, const gp_reporter_t *reporter,
             const gp_announcement_t *announcement, gp_time_t now)
 {
   gp_members_result_t result;
@@ -162,7 +162,7 @@
   if (from == NULL)
     return GP_MEMBERS_UNKNOWN;
   if (news->gone)
-    return learn_gone (members, from, &news->announcement, now);
+    return apply_gone (members, from, &news->announcement, now);
   member = gp_members_find (members, announcement.name);
   if (member != NULL && member->direct
       && member->announcement.incarnation == announcement.incarnation)
@@ -177,14 +177,15 @@
     return GP_MEMBERS_STALE;
   if (news->load.at > member->load.at)
     member->load = news->load;
-  report_take (member, from);
+  report_set (member, from);
   gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
 /* Drops the reports of earlier connections that were not repeated.  */
 static void
-reporter_sweep (gp_members_t *members, gp_reporter_t *reporter, gp_time_t now)
+reporter_drop_unrepeated (gp_members_t *members, gp_reporter_t *reporter,
+                          gp_time_t now)
 {
   reporter->sweep_at = GP_TIME_NEVER;
   GP_LIST_FOREACH_SAFE (pos, &reporter->reports)
@@ -222,7 +223,7 @@
           continue;
         }
       if (reporter->sweep_at <= now)
-        reporter_sweep (members, reporter, now);
+        reporter_drop_unrepeated (members, reporter, now);
       due = reporter->silent ? reporter->forget_at : reporter->silent_at;
       next = MIN (next, MIN (due, reporter->sweep_at));
     }
--- a/src/coordination/request_queue.c
+++ b/src/coordination/request_queue.c
@@ -6,15 +6,15 @@
 #define BATCH GP_ADMISSION_BATCH
 
 static bool
-turn_before (const gp_heap_node_t *na, const gp_heap_node_t *nb)
+sort_key_before (const gp_heap_node_t *na, const gp_heap_node_t *nb)
 {
   const gp_admission_request_t *a
       = GP_CONTAINER_OF (na, gp_admission_request_t, order);
   const gp_admission_request_t *b
       = GP_CONTAINER_OF (nb, gp_admission_request_t, order);
 
-  if (a->turn != b->turn)
-    return a->turn < b->turn;
+  if (a->sort_key != b->sort_key)
+    return a->sort_key < b->sort_key;
   return a->sequence < b->sequence;
 }
 
@@ -36,7 +36,7 @@
    far later, and a caller that is willing to wait longer must not be
    served later for that reason.  */
 static gp_time_t
-turn (const gp_admission_request_t *request)
+sort_key (const gp_admission_request_t *request)
 {
   if (request->work_class == BATCH)
     return request->urgent_at;
@@ -47,7 +47,7 @@
 
 /* Orders by descending slack, then latest arrival first.  */
 static bool
-slack_before (const gp_heap_node_t *na, const gp_heap_node_t *nb)
+more_slack_before (const gp_heap_node_t *na, const gp_heap_node_t *nb)
 {
   const gp_admission_request_t *a
       = GP_CONTAINER_OF (na, gp_admission_request_t, slack);
@@ -62,8 +62,8 @@
 static void
 init_order (gp_heap_t heaps[GP_ADMISSION_CLASSES])
 {
-  gp_heap_init (&heaps[CRITICAL], turn_before);
-  gp_heap_init (&heaps[BATCH], turn_before);
+  gp_heap_init (&heaps[CRITICAL], sort_key_before);
+  gp_heap_init (&heaps[BATCH], sort_key_before);
 }
 
 static gp_admission_request_t *
@@ -149,7 +149,7 @@
 
 /* Removes REQUEST from READY or BLOCKED.  */
 static void
-leave_order (gp_request_queue_t *queue, gp_admission_request_t *request)
+remove_from_order (gp_request_queue_t *queue, gp_admission_request_t *request)
 {
   gp_admission_class_t work_class = request->work_class;
 
@@ -167,7 +167,7 @@
 block (gp_request_queue_t *queue, gp_admission_request_t *request,
        gp_request_quota_t *blocker)
 {
-  leave_order (queue, request);
+  remove_from_order (queue, request);
   request->blocker = blocker;
   gp_heap_insert (&blocker->blocked[request->work_class], &request->order);
 }
@@ -197,7 +197,7 @@
 
   request->state = GP_ADMISSION_QUEUED;
   request->sequence = queue->next_sequence++;
-  request->turn = turn (request);
+  request->sort_key = sort_key (request);
   queue->count[work_class]++;
   queue->work[work_class] += request->work;
   request->team->queued++;
@@ -221,7 +221,7 @@
   gp_heap_remove (&queue->expiry, &request->expiry);
   if (work_class == BATCH)
     gp_heap_remove (&queue->slack, &request->slack);
-  leave_order (queue, request);
+  remove_from_order (queue, request);
 }
 
 void
@@ -239,5 +239,5 @@
   *queue = (gp_request_queue_t){ 0 };
   init_order (queue->ready);
   gp_heap_init (&queue->expiry, expiry_before);
-  gp_heap_init (&queue->slack, slack_before);
+  gp_heap_init (&queue->slack, more_slack_before);
 }
--- a/src/coordination/request_queue.h
+++ b/src/coordination/request_queue.h
@@ -83,16 +83,15 @@
   gp_time_t retry_at;           /* when REFUSED: earliest useful retry */
 
   /* Private.  */
-  gp_list_t action;      /* in the actions of gp_admission_t */
-  gp_heap_node_t order;  /* in READY or a quota's BLOCKED */
-  gp_heap_node_t expiry; /* in EXPIRY */
-  gp_heap_node_t slack;  /* in SLACK, batch only */
-  gp_request_quota_t
-      *blocker;        /* quota whose BLOCKED it is in; NULL if in READY */
-  gp_time_t urgent_at; /* when batch becomes urgent */
-  gp_time_t turn;      /* sort key in READY or BLOCKED */
-  gp_time_t work;      /* estimated duration, part of the sum WORK */
-  uint64_t sequence;   /* arrival order, to break ties */
+  gp_list_t action;            /* in the actions of gp_admission_t */
+  gp_heap_node_t order;        /* in READY or a quota's BLOCKED */
+  gp_heap_node_t expiry;       /* in EXPIRY */
+  gp_heap_node_t slack;        /* in SLACK, batch only */
+  gp_request_quota_t *blocker; /* NULL if in READY */
+  gp_time_t urgent_at;         /* when batch becomes urgent */
+  gp_time_t sort_key;          /* sort key in READY or BLOCKED */
+  gp_time_t work;              /* estimated duration, part of the sum WORK */
+  uint64_t sequence;           /* arrival order, to break ties */
 } gp_admission_request_t;
 
 typedef struct
@@ -130,7 +129,7 @@
 }
 
 /* Adds REQUEST, whose work and urgent_at are set, and makes it QUEUED.
-   Its turn is derived from its fields.  */
+   Its sort key is derived from its fields.  */
 void gp_request_queue_insert (gp_request_queue_t *queue,
                               gp_admission_request_t *request);
 
--- a/src/coordination/residency.c
+++ b/src/coordination/residency.c
@@ -28,7 +28,7 @@
 }
 
 static uint32_t
-remembered (const gp_residency_t *residency)
+recorded_changes (const gp_residency_t *residency)
 {
   return residency->n_changes < GP_RESIDENCY_CHANGES ? residency->n_changes
                                                      : GP_RESIDENCY_CHANGES;
@@ -45,7 +45,7 @@
     return false;
   for (unsigned int i = 0; i < GP_RESIDENCY_KINDS; i++)
     mean[i] = (double)residency->quarters[i] / GP_RESIDENCY_UNTHROTTLED;
-  for (uint32_t i = 1; i <= remembered (residency); i++)
+  for (uint32_t i = 1; i <= recorded_changes (residency); i++)
     {
       const gp_residency_change_t *change
           = &residency->changes[(last - i) % GP_RESIDENCY_CHANGES];
--- a/src/coordination/residency.h
+++ b/src/coordination/residency.h
@@ -14,9 +14,11 @@
 #include "base/time.h"
 
 #define GP_RESIDENCY_KINDS 64 /* further kinds share the last slot */
-#define GP_RESIDENCY_UNTHROTTLED                                              \
-  4 /* quarters of a task that is not throttled */
+
+/* Weights of a task, in quarters of an unthrottled task.  */
+#define GP_RESIDENCY_UNTHROTTLED 4
 #define GP_RESIDENCY_THROTTLED 1
+
 #define GP_RESIDENCY_CHANGES 64 /* capacity of the ring buffer */
 
 typedef struct
--- a/src/coordination/retry.c
+++ b/src/coordination/retry.c
@@ -31,7 +31,7 @@
 /* Retry budget.  */
 
 static void
-pay_in (gp_retry_t *retry, uint64_t millitokens)
+add_tokens (gp_retry_t *retry, uint64_t millitokens)
 {
   retry->millitokens = min_u64 (retry->millitokens + millitokens,
                                 retry->settings.burst_millitokens);
@@ -40,7 +40,7 @@
 void
 gp_retry_request (gp_retry_t *retry)
 {
-  pay_in (retry, retry->settings.request_millitokens);
+  add_tokens (retry, retry->settings.request_millitokens);
 }
 
 static void
@@ -52,7 +52,7 @@
 
   if (due <= 0)
     return;
-  pay_in (retry, (uint64_t)due);
+  add_tokens (retry, (uint64_t)due);
   retry->refilled_at += due * GP_SEC / rate;
 }
 
@@ -78,7 +78,7 @@
 }
 
 static gp_time_t
-return_point (gp_retry_t *retry, const gp_retry_input_t *input, gp_time_t now)
+retry_time (gp_retry_t *retry, const gp_retry_input_t *input, gp_time_t now)
 {
   gp_time_t latest = now + retry->settings.max_hint;
   gp_time_t base;
@@ -166,7 +166,7 @@
   decision.u.refuse.return_at = GP_TIME_NEVER;
   /* A hint invites another run, so it is given only if that is safe.  */
   if (is_safe (input) && scope_of (input->reason) != SCOPE_NEVER)
-    decision.u.refuse.return_at = return_point (retry, input, now);
+    decision.u.refuse.return_at = retry_time (retry, input, now);
   return decision;
 }
 
--- a/src/coordination/router.c
+++ b/src/coordination/router.c
@@ -69,7 +69,7 @@
 
 /* Adds CANDIDATE to its set if it takes requests, otherwise removes it.  */
 static void
-place (gp_router_t *router, gp_candidate_t *candidate)
+update_set (gp_router_t *router, gp_candidate_t *candidate)
 {
   bool inside = candidate->index != GP_CANDIDATE_NOT_IN_SET;
 
@@ -87,7 +87,7 @@
 {
   candidate->mode = mode;
   gp_list_remove (&candidate->probe_link);
-  place (router, candidate);
+  update_set (router, candidate);
 }
 
 void
@@ -104,7 +104,7 @@
   gp_list_init (&candidate->probe_link);
   router->n_candidates++;
   router->total_slots += slots;
-  place (router, candidate);
+  update_set (router, candidate);
 }
 
 static void
@@ -279,7 +279,7 @@
 /* Choosing.  */
 
 static choice_t
-weigh (const gp_router_t *router, gp_candidate_t *candidate, gp_time_t now)
+evaluate (const gp_router_t *router, gp_candidate_t *candidate, gp_time_t now)
 {
   uint64_t load = gp_router_load (router, candidate, now);
   choice_t choice = { .candidate = candidate, .milli_load = load };
@@ -291,7 +291,7 @@
 }
 
 static bool
-better (const choice_t *a, const choice_t *b)
+is_better (const choice_t *a, const choice_t *b)
 {
   if (a->wait != b->wait)
     return a->wait < b->wait;
@@ -316,8 +316,8 @@
       if (candidate == NULL)
         return;
       exclude_index (excluded, &n_excluded, candidate->index);
-      choice = weigh (router, candidate, now);
-      if (best->candidate == NULL || better (&choice, best))
+      choice = evaluate (router, candidate, now);
+      if (best->candidate == NULL || is_better (&choice, best))
         *best = choice;
     }
 }
@@ -334,7 +334,7 @@
 /* Returns the candidate that has waited longest for a probe, or NULL if
    there is none or ROUTE has tried it.  */
 static gp_candidate_t *
-probe_for (const gp_router_t *router, const gp_route_t *route)
+waiting_probe (const gp_router_t *router, const gp_route_t *route)
 {
   const gp_list_t *first = router->probes.next;
   gp_candidate_t *candidate;
@@ -352,7 +352,7 @@
   choice_t best = { .candidate = NULL };
 
   if (route->may_probe)
-    best.candidate = probe_for (router, route);
+    best.candidate = waiting_probe (router, route);
   if (best.candidate != NULL)
     return best.candidate;
   choose_from (router, router->near, route, rand, now, &best);
@@ -385,7 +385,7 @@
   candidate->in_flight++;
   router->total_in_flight++;
   gp_list_remove (&candidate->probe_link);
-  place (router, candidate);
+  update_set (router, candidate);
 }
 
 void
@@ -396,7 +396,7 @@
   if (candidate->mode == GP_CANDIDATE_REMOVED)
     return;
   router->total_in_flight--;
-  place (router, candidate);
+  update_set (router, candidate);
 }
 
 void
--- a/src/coordination/spread.c
+++ b/src/coordination/spread.c
@@ -73,7 +73,7 @@
 }
 
 static double
-part_at (const GArray *counts, uint32_t index, uint32_t total)
+fraction_at (const GArray *counts, uint32_t index, uint32_t total)
 {
   if (index >= counts->len || total == 0)
     return 0.0;
@@ -86,7 +86,7 @@
 {
   const gp_spread_group_t *found = find_group (spread, group);
 
-  return found == NULL ? 0.0 : part_at (found->racks, rack, found->total);
+  return found == NULL ? 0.0 : fraction_at (found->racks, rack, found->total);
 }
 
 double
@@ -95,5 +95,5 @@
 {
   const gp_spread_group_t *found = find_group (spread, group);
 
-  return found == NULL ? 0.0 : part_at (found->zones, zone, found->total);
+  return found == NULL ? 0.0 : fraction_at (found->zones, zone, found->total);
 }
--- a/src/coordination/suspects.c
+++ b/src/coordination/suspects.c
@@ -21,8 +21,8 @@
 /* Returns true if the failure at INDEX of TASK counts: its worker was not
    suspected since.  */
 static bool
-counts (const gp_suspects_t *suspects, const gp_suspects_task_t *task,
-        unsigned int index)
+failure_counts (const gp_suspects_t *suspects, const gp_suspects_task_t *task,
+                unsigned int index)
 {
   uint32_t worker = task->workers[index];
 
@@ -38,7 +38,7 @@
   unsigned int n = 0;
 
   for (unsigned int i = 0; i < task->n; i++)
-    if (task->workers[i] != except && counts (suspects, task, i))
+    if (task->workers[i] != except && failure_counts (suspects, task, i))
       n++;
   return n;
 }
@@ -53,7 +53,7 @@
 
 /* Removes the failure at INDEX of TASK.  */
 static void
-strike (gp_suspects_task_t *task, unsigned int index)
+remove_failure (gp_suspects_task_t *task, unsigned int index)
 {
   size_t after = task->n - index - 1;
 
@@ -72,34 +72,34 @@
   for (unsigned int i = 0; i < task->n; i++)
     if (task->workers[i] == worker)
       {
-        strike (task, i);
+        remove_failure (task, i);
         break;
       }
   if (task->n == GP_SUSPECTS_WORKERS_MAX)
-    strike (task, 0);
+    remove_failure (task, 0);
   task->workers[task->n] = worker;
   task->suspicions[task->n] = suspicions;
   task->n++;
 }
 
 static void
-suspect (gp_suspects_worker_t *worker, const gp_suspects_settings_t *settings,
-         gp_time_t now)
+set_suspected (gp_suspects_worker_t *worker,
+               const gp_suspects_settings_t *settings, gp_time_t now)
 {
   gp_time_t backoff = settings->backoff_first;
 
   for (unsigned int i = 0;
-       i < worker->failures && backoff < settings->backoff_most; i++)
+       i < worker->failures && backoff < settings->backoff_max; i++)
     backoff *= 2;
   worker->state = GP_SUSPECTS_SUSPECTED;
   worker->suspicions++;
-  worker->until = now + MIN (backoff, settings->backoff_most);
+  worker->until = now + MIN (backoff, settings->backoff_max);
   worker->probe = 0;
   worker->n_outcomes = 0;
 }
 
 static void
-trust (gp_suspects_worker_t *worker)
+set_trusted (gp_suspects_worker_t *worker)
 {
   worker->state = GP_SUSPECTS_TRUSTED;
   worker->probe = 0;
@@ -109,7 +109,7 @@
 
 /* Returns the number of recorded outcomes of WORKER.  */
 static unsigned int
-remembered (const gp_suspects_worker_t *worker)
+recorded_outcomes (const gp_suspects_worker_t *worker)
 {
   return MIN (worker->n_outcomes, GP_SUSPECTS_OUTCOMES_MAX);
 }
@@ -117,7 +117,7 @@
 static bool
 failed_later (const gp_suspects_worker_t *worker, unsigned int index)
 {
-  for (unsigned int i = index + 1; i < remembered (worker); i++)
+  for (unsigned int i = index + 1; i < recorded_outcomes (worker); i++)
     if (worker->outcomes[i].failed
         && worker->outcomes[i].task == worker->outcomes[index].task)
       return true;
@@ -131,7 +131,7 @@
   unsigned int failed = 0;
   unsigned int succeeded = 0;
 
-  for (unsigned int i = 0; i < remembered (worker); i++)
+  for (unsigned int i = 0; i < recorded_outcomes (worker); i++)
     {
       const gp_suspects_outcome_t *outcome = &worker->outcomes[i];
 
@@ -146,8 +146,8 @@
 }
 
 static void
-note_outcome (gp_suspects_worker_t *worker, uint64_t task, bool failed,
-              gp_time_t now)
+record_outcome (gp_suspects_worker_t *worker, uint64_t task, bool failed,
+                gp_time_t now)
 {
   unsigned int index = worker->n_outcomes % GP_SUSPECTS_OUTCOMES_MAX;
 
@@ -161,11 +161,11 @@
 {
   if (!failed)
     {
-      trust (worker);
+      set_trusted (worker);
       return true;
     }
   worker->failures++;
-  suspect (worker, &suspects->settings, now);
+  set_suspected (worker, &suspects->settings, now);
   return true;
 }
 
@@ -185,10 +185,10 @@
     return probe_outcome (suspects, state, failed, now);
   if (state->state != GP_SUSPECTS_TRUSTED || (failed && task_to_blame))
     return false;
-  note_outcome (state, task_id, failed, now);
+  record_outcome (state, task_id, failed, now);
   if (!is_bad (state, &suspects->settings, now))
     return false;
-  suspect (state, &suspects->settings, now);
+  set_suspected (state, &suspects->settings, now);
   return true;
 }
 
@@ -209,7 +209,7 @@
       return true;
     case GP_SUSPECTS_PROBING:
       state->failures++;
-      suspect (state, &suspects->settings, now);
+      set_suspected (state, &suspects->settings, now);
       return true;
     }
   return false;
--- a/src/coordination/suspects.h
+++ b/src/coordination/suspects.h
@@ -29,7 +29,7 @@
   unsigned int suspect_after; /* failures of this many distinct tasks */
   gp_time_t window;
   gp_time_t backoff_first;
-  gp_time_t backoff_most;
+  gp_time_t backoff_max;
   gp_time_t probe_time; /* a probe without an outcome fails after this */
 } gp_suspects_settings_t;
 
@@ -38,7 +38,7 @@
                              .suspect_after = 4,                              \
                              .window = 300 * GP_SEC,                          \
                              .backoff_first = 30 * GP_SEC,                    \
-                             .backoff_most = 3600 * GP_SEC,                   \
+                             .backoff_max = 3600 * GP_SEC,                    \
                              .probe_time = 600 * GP_SEC })
 
 /* The workers on which one task failed.  Allocated by the caller and
--- a/src/coordination/task_heap.c
+++ b/src/coordination/task_heap.c
@@ -27,7 +27,7 @@
 }
 
 static void
-put (gp_task_heap_t *heap, uint32_t position, gp_task_heap_node_t *node)
+set_node (gp_task_heap_t *heap, uint32_t position, gp_task_heap_node_t *node)
 {
   heap->nodes->pdata[position] = node;
   node->position = position;
@@ -40,10 +40,10 @@
 
   while (position > 0 && before (node, node_at (heap, (position - 1) / 2)))
     {
-      put (heap, position, node_at (heap, (position - 1) / 2));
+      set_node (heap, position, node_at (heap, (position - 1) / 2));
       position = (position - 1) / 2;
     }
-  put (heap, position, node);
+  set_node (heap, position, node);
 }
 
 static void
@@ -59,10 +59,10 @@
         child++;
       if (!before (node_at (heap, child), node))
         break;
-      put (heap, position, node_at (heap, child));
+      set_node (heap, position, node_at (heap, child));
       position = child;
     }
-  put (heap, position, node);
+  set_node (heap, position, node);
 }
 
 void
@@ -83,7 +83,7 @@
   g_ptr_array_set_size (heap->nodes, (gint)heap->nodes->len - 1);
   if (last == node)
     return;
-  put (heap, position, last);
+  set_node (heap, position, last);
   sift_up (heap, last);
   sift_down (heap, last);
 }
--- a/src/daemon/tasks_mirror.c
+++ b/src/daemon/tasks_mirror.c
@@ -18,9 +18,9 @@
   gp_time_t deadline;
 
   if (state->work_class == GP__WIRE__WORK_CLASS__WORK_CLASS_WATCHER)
-    return now + tasks->pending.settings.patience[1];
+    return now + tasks->pending.settings.default_wait[1];
   if (state->deadline_us == 0)
-    return now + tasks->pending.settings.patience[2];
+    return now + tasks->pending.settings.default_wait[2];
   if (tasks->document != NULL)
     job = gp_document_find_batch_job (tasks->document, state->kind);
   deadline = now + (state->deadline_us - gp_time_wall ());
--- a/src/daemon/tasks_place.c
+++ b/src/daemon/tasks_place.c
@@ -381,7 +381,7 @@
 static bool
 is_roomier (const gp_tasks_t *tasks)
 {
-  return tasks->full_growth != tasks->fleet.growth + tasks->released;
+  return tasks->full_growth != tasks->fleet.growth_count + tasks->released;
 }
 
 static bool
@@ -399,7 +399,7 @@
   if (is_roomier (tasks) && now >= tasks->room_at)
     {
       gp_pending_end_backoffs (&tasks->pending, MISSES_PER_TURN);
-      tasks->full_growth = tasks->fleet.growth + tasks->released;
+      tasks->full_growth = tasks->fleet.growth_count + tasks->released;
       tasks->room_at = now + ROOM_PERIOD;
     }
   for (int i = 0; i < PLACED_PER_TURN && misses < MISSES_PER_TURN; i++)
--- a/tests/unit/lease_world_entry.c
+++ b/tests/unit/lease_world_entry.c
@@ -287,7 +287,7 @@
   entry_t *e = &w->entries[entry];
   gp_time_t now = lw_local_time (w, entry);
 
-  if (e->grantor.fresh < 0 || now - e->grantor.fresh > 3 * GP_SEC)
+  if (e->grantor.fresh_at < 0 || now - e->grantor.fresh_at > 3 * GP_SEC)
     return;
   for (unsigned t = 0; t < LW_TASKS; t++)
     {
@@ -346,7 +346,7 @@
     request.held = true;
   gp_lease_grantor_heartbeat (&e->grantor, lw_guard_names[g], &request, now,
                               &grant, &actions);
-  if (w->options->mutation == LW_EARLY_RENEWAL && e->grantor.fresh >= 0
+  if (w->options->mutation == LW_EARLY_RENEWAL && e->grantor.fresh_at >= 0
       && request.incarnation > e->fold.guards[g].current)
     grant.remaining
         = MAX (gp_lease_grantor_fresh_until (&e->grantor) - now, 0);
@@ -380,12 +380,12 @@
   entry_t *e = &w->entries[event->node];
   GArray *fences = g_array_new (FALSE, FALSE, sizeof (gp_lease_fence_t));
   event_t vouch = { .kind = EV_VOUCH, .id = event->id };
-  gp_time_t promised = e->grantor.promised;
+  gp_time_t promised = e->grantor.promised_until;
 
   gp_lease_grantor_vouch (&e->grantor, ENTRY_SET,
                           lw_local_time (w, event->node), fences);
   if (w->options->mutation == LW_NO_PROMISE)
-    e->grantor.promised = promised;
+    e->grantor.promised_until = promised;
   for (guint i = 0; i < fences->len; i++)
     {
       gp_lease_fence_t *f = &g_array_index (fences, gp_lease_fence_t, i);
@@ -454,8 +454,9 @@
                          lw_local_time (w, entry));
   if (w->options->mutation == LW_NO_RESTART_HOLD && w->pid[entry] > 1)
     {
-      e->grantor.promised = 0;
-      e->grantor.ask_at += w->options->timing.promise; /* promises as well */
+      e->grantor.promised_until = 0;
+      e->grantor.next_ask_at
+          += w->options->timing.promise; /* promises as well */
     }
   lw_trace (w, "e%u: entry starts", entry + 1);
   lw_push (w, w->now, &tick);
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -132,7 +132,7 @@
   bool known;
   bool leaving;
   bool direct;
-  bool beaten;
+  bool heartbeat_received;
   gp_reach_t reach;
   uint64_t incarnation;
   gp_time_t heard_at;
@@ -182,7 +182,8 @@
     {
       if (guard->leaving)
         return GP_MEMBER_LEAVING;
-      return others || guard->beaten ? GP_MEMBER_SERVING : GP_MEMBER_JOINING;
+      return others || guard->heartbeat_received ? GP_MEMBER_SERVING
+                                                 : GP_MEMBER_JOINING;
     }
   if (guard->leaving || guard->state == GP_MEMBER_GONE)
     return GP_MEMBER_GONE;
@@ -254,7 +255,9 @@
       gp_members_announce (&twins->members, &a, twins->now);
       if (counts)
         guard->reach = GP_REACH_UP;
-      guard->beaten = counts ? guard->beaten && guard->direct : guard->beaten;
+      guard->heartbeat_received
+          = counts ? guard->heartbeat_received && guard->direct
+                   : guard->heartbeat_received;
     }
   else if (kind == 1)
     {
@@ -278,7 +281,7 @@
       gp_members_heartbeat (&twins->members, name, incarnation, NULL,
                             twins->now);
       counts = counts && (guard->direct || guard->reach == GP_REACH_UP);
-      guard->beaten = guard->beaten || counts;
+      guard->heartbeat_received = guard->heartbeat_received || counts;
     }
   if (counts && (kind == 0 || kind > 3))
     {
--- a/tests/unit/test_outlier.c
+++ b/tests/unit/test_outlier.c
@@ -73,7 +73,7 @@
   for (int i = 0; i < N_EXECUTORS; i++)
     gp_outlier_remove (&outlier, &health[i]);
   CU_ASSERT_EQUAL (outlier.n_members, 0);
-  CU_ASSERT_EQUAL (outlier.n_out, 0);
+  CU_ASSERT_EQUAL (outlier.n_not_healthy, 0);
   CU_ASSERT_EQUAL (outlier.n_failing, 0);
   CU_ASSERT_EQUAL (gp_outlier_deadline (&outlier), GP_TIME_NEVER);
 }
@@ -136,7 +136,7 @@
 {
   gp_health_state_t state;
   gp_time_t until;
-  gp_time_t clean_at;
+  gp_time_t reset_at;
   guint ejections;
   guint first_result; /* of those that count */
 } naive_health_t;
@@ -201,14 +201,14 @@
 {
   gp_time_t length = naive->settings.ejection;
 
-  if (health->state == GP_HEALTH_HEALTHY && now >= health->clean_at)
+  if (health->state == GP_HEALTH_HEALTHY && now >= health->reset_at)
     health->ejections = 0;
   for (guint i = 0; i < health->ejections; i++)
     length = MIN (length * 2, naive->settings.max_ejection);
   health->ejections++;
   health->state = GP_HEALTH_EJECTED;
   health->until = now + length;
-  health->clean_at = length; /* a length until it is readmitted */
+  health->reset_at = length; /* a length until it is readmitted */
 }
 
 static gp_outlier_action_t
@@ -255,7 +255,7 @@
       return GP_OUTLIER_EJECT;
     }
   health->state = GP_HEALTH_HEALTHY;
-  health->clean_at += now;
+  health->reset_at += now;
   health->first_result = naive->results->len;
   return GP_OUTLIER_READMIT;
 }
--- a/tests/unit/test_pending.c
+++ b/tests/unit/test_pending.c
@@ -249,7 +249,7 @@
       if (turn
           && (twin_rank (task) == 0
               || task->latest_start
-                     > now + twin->site.pending.settings.risk_ahead))
+                     > now + twin->site.pending.settings.risk_horizon))
         continue;
       if (best == TASKS
           || twin_before (twin, task, &twin->site.tasks[best], turn))
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -333,7 +333,7 @@
     }
   CU_ASSERT_PTR_EQUAL (got, &run->site.workers[large.held]);
   gp_placement_reserve (&run->site.placement, &large, got);
-  CU_ASSERT_EQUAL (run->site.fleet.holds, 0);
+  CU_ASSERT_EQUAL (run->site.fleet.n_held, 0);
   CU_ASSERT_EQUAL (got->held_for, 0);
   gp_interference_finish (&run->interference);
   policy_site_finish (&run->site);
