--- a/tests/unit/admission_twin.c
+++ b/tests/unit/admission_twin.c
@@ -1,11 +1,12 @@
-/* Admission by plain scans.  */
+/* Reference implementation of admission, by linear scans.  */
 
 #include "admission_twin.h"
 
 #define CRITICAL GP_ADMISSION_LATENCY_CRITICAL
 #define BATCH GP_ADMISSION_BATCH
 
-/* Requests in STATE of WORK_CLASS (or -1) and of GROUP (or NULL).  */
+/* Returns the number of requests in STATE of WORK_CLASS (any if -1) and
+   GROUP (any if NULL).  */
 static uint32_t
 count (const admission_twin_t *twin, gp_admission_state_t state,
        int work_class, const gp_request_quota_t *group)
@@ -100,7 +101,7 @@
   g_ptr_array_add (twin->actions, r);
 }
 
-/* The key by which requests of a class take their turns.  */
+/* Returns the sort key of R within its class.  */
 static gp_time_t
 turn (const gp_admission_request_t *r)
 {
@@ -125,7 +126,7 @@
   return best;
 }
 
-/* Whether BATCH, the first of its class, goes before latency-critical
+/* Returns true if BATCH, the first of its class, precedes latency-critical
    requests.  */
 static bool
 takes_share (const admission_twin_t *twin, const gp_admission_request_t *batch,
@@ -140,8 +141,8 @@
   return batch->urgent_at <= now || most_slack (twin)->urgent_at <= end;
 }
 
-/* Count a start that breaks what admission promises.  R is still queued, or
-   is new and nothing that may start is queued.  */
+/* Counts the violations of the scheduling rules by starting R.  R is still
+   queued; or it is new, and no request that may start is queued.  */
 static void
 check_start (admission_twin_t *twin, const gp_admission_request_t *r,
              gp_time_t now)
@@ -155,9 +156,9 @@
         continue;
       if (r->work_class == o->work_class)
         twin->breaches += turn (o) < turn (r);
-      else if (r->work_class == BATCH) /* latency-critical behind batch */
+      else if (r->work_class == BATCH) /* batch overtakes latency-critical */
         twin->breaches += !takes_share (twin, r, now);
-      else /* batch that is out of laxity behind others */
+      else /* another request overtakes batch that is out of laxity */
         twin->breaches += takes_share (twin, o, now);
     }
 }
@@ -175,8 +176,7 @@
   g_ptr_array_add (twin->actions, r);
 }
 
-/* The queued request of WORK_CLASS with the earliest turn of those that may
-   start, or NULL.  */
+/* Returns the first queued request of WORK_CLASS that may start, or NULL.  */
 static gp_admission_request_t *
 first (const admission_twin_t *twin, gp_admission_class_t work_class,
        gp_time_t now)
@@ -235,7 +235,8 @@
     }
 }
 
-/* Why R cannot join the queue, or -1; makes place for it if need be.  */
+/* Returns the reason why R cannot be queued, or -1.  May refuse another
+   request to make room.  */
 static int
 queue_refusal (admission_twin_t *twin, gp_admission_request_t *r,
                gp_time_t now)
--- a/tests/unit/admission_twin.h
+++ b/tests/unit/admission_twin.h
@@ -1,6 +1,6 @@
-/* Admission by plain scans over all requests: the naive twin of
-   coordination/admission.c, for differential runs.  It works on requests of
-   its own, whose private fields it uses as it likes.  */
+/* Reference implementation of coordination/admission.c for differential
+   tests, by linear scans over all requests.  It has its own copies of the
+   requests and uses their private fields freely.  */
 
 #ifndef GP_TESTS_ADMISSION_TWIN_H
 #define GP_TESTS_ADMISSION_TWIN_H
@@ -17,9 +17,9 @@
   uint32_t idle;
   gp_time_t reserve_until;
   uint64_t sequence;
-  GPtrArray *requests; /* all that were submitted */
-  GPtrArray *actions;  /* those that started or were refused, in order */
-  int breaches;        /* of the invariants, see check_start */
+  GPtrArray *requests; /* all submitted requests */
+  GPtrArray *actions;  /* requests that started or were refused, in order */
+  int breaches;        /* violated invariants, see check_start */
 } admission_twin_t;
 
 void admission_twin_init (admission_twin_t *twin,
--- a/tests/unit/lease_fold.c
+++ b/tests/unit/lease_fold.c
@@ -29,7 +29,8 @@
   return true;
 }
 
-/* End the grants of the guard, except those that the record says run.  */
+/* Ends the grants of the guard, except those that the record lists as
+   running.  */
 static void
 end_grants (lease_fold_t *fold, const lease_record_t *r)
 {
--- a/tests/unit/lease_fold.h
+++ b/tests/unit/lease_fold.h
@@ -1,4 +1,4 @@
-/* A log and its fold, as small as the lease world needs.  */
+/* Minimal log records and their fold for the lease simulation.  */
 
 #ifndef LEASE_FOLD_H
 #define LEASE_FOLD_H
@@ -20,18 +20,18 @@
 typedef struct
 {
   lease_record_kind_t kind;
-  unsigned id; /* a retry has the id of the first try */
+  unsigned id; /* a retry has the same id */
   unsigned task, guard;
   uint64_t epoch, incarnation;
-  uint64_t running[LW_TASKS]; /* ADOPT: epochs that run */
+  uint64_t running[LW_TASKS]; /* ADOPT: running epochs */
 } lease_record_t;
 
 typedef struct
 {
   struct
   {
-    uint64_t epoch; /* the last granted */
-    bool granted;   /* and not ended */
+    uint64_t epoch; /* last granted epoch */
+    bool granted;   /* granted and not ended */
     unsigned guard;
     uint64_t incarnation;
   } tasks[LW_TASKS];
@@ -42,10 +42,10 @@
   } guards[LW_GUARDS];
 } lease_fold_t;
 
-/* Apply RECORD; returns whether it was accepted.  */
+/* Applies RECORD; returns true if it was accepted.  */
 bool lease_fold_apply (lease_fold_t *fold, const lease_record_t *record);
 
-/* Whether EPOCH of TASK has ended.  */
+/* Returns true if EPOCH of TASK has ended.  */
 bool lease_fold_ended (const lease_fold_t *fold, unsigned task,
                        uint64_t epoch);
 
--- a/tests/unit/lease_world.c
+++ b/tests/unit/lease_world.c
@@ -1,4 +1,4 @@
-/* Processes, faults and the main loop of the lease world.  */
+/* Lease simulation: processes, faults and the main loop.  */
 
 #include "lease_world_impl.h"
 
@@ -28,7 +28,7 @@
     gp_epoch_table_finish (&w->guards[node - LW_ENTRIES].epochs);
 }
 
-/* The tasks of a suspended VM do not run.  */
+/* Suspends a VM; its tasks do not run.  */
 static void
 vm_suspend (world_t *w, unsigned guard)
 {
@@ -37,7 +37,7 @@
       w->idle_since[t] = w->now;
 }
 
-/* The runtime checks its deadline before a task gets on.  */
+/* Resumes a VM; its runtime checks the deadline before any task continues.  */
 static void
 vm_resume (world_t *w, unsigned guard)
 {
@@ -47,7 +47,8 @@
       lw_end_idle (w, t);
 }
 
-/* Whether E is for a process, or of a VM, that is no more.  */
+/* Returns true if the process to which E is addressed, or the VM from
+   which it was sent, no longer exists.  */
 static bool
 is_late (const world_t *w, const event_t *e)
 {
@@ -123,7 +124,7 @@
             f->a + 1, f->b + 1);
 }
 
-/* Faults that begin or end between BEFORE and now.  */
+/* Applies the faults that begin or end between BEFORE and now.  */
 static void
 note_faults (world_t *w, gp_time_t before)
 {
--- a/tests/unit/lease_world_entry.c
+++ b/tests/unit/lease_world_entry.c
@@ -1,4 +1,4 @@
-/* Entries of the lease world and the log that they share.  */
+/* Lease simulation: entries and the log that they share.  */
 
 #include "lease_world_impl.h"
 
@@ -44,7 +44,8 @@
   entry_propose (w, entry, record);
 }
 
-/* The node of the entry at INDEX of the others of ENTRY.  */
+/* Returns the node of the entry that has INDEX among the entries other
+   than ENTRY.  */
 static unsigned
 other_entry (unsigned entry, unsigned index)
 {
@@ -99,7 +100,7 @@
       e->outstanding[i--] = e->outstanding[--e->num_outstanding];
   if (!lease_fold_apply (&e->fold, r))
     {
-      /* If it was its own, it may propose anew.  */
+      /* If this entry proposed it, it may propose again.  */
       if (r->kind == LEASE_RECORD_GRANT)
         e->granting[r->task] = NO_EPOCH;
       return;
@@ -128,7 +129,8 @@
     return;
   gp_lease_grantor_log_gap (&e->grantor, now);
   e->fold = w->snapshot;
-  /* The fate of what it proposed is not known; it decides anew.  */
+  /* It is not known whether its proposals were accepted, so it decides
+     again.  */
   e->num_outstanding = 0;
   memset (e->granting, 0, sizeof e->granting);
   memset (e->ending, 0, sizeof e->ending);
@@ -456,7 +458,7 @@
     {
       e->grantor.promised_until = 0;
       e->grantor.next_ask_at
-          += w->options->timing.promise; /* promises as well */
+          += w->options->timing.promise; /* delays its own promises too */
     }
   lw_trace (w, "e%u: entry starts", entry + 1);
   lw_push (w, w->now, &tick);
--- a/tests/unit/lease_world_impl.h
+++ b/tests/unit/lease_world_impl.h
@@ -1,6 +1,9 @@
-/* Nodes are numbered: entries first, then the worker VMs.  Each has a clock of
-   its own rate; events are ordered by true time.  A process that was killed
-   or paused misses or defers its events; what it sent stays under way.  */
+/* Internal interface of the lease simulation.
+
+   Nodes are numbered: entries first, then the worker VMs.  Each node has a
+   clock with its own rate; events are ordered by true time.  A killed
+   process misses its events and a paused one defers them; messages that it
+   has sent are still delivered.  */
 
 #ifndef LEASE_WORLD_IMPL_H
 #define LEASE_WORLD_IMPL_H
@@ -28,8 +31,8 @@
   EV_BOOT,
   EV_VM_RESUMES,
   EV_TICK,       /* entry */
-  EV_READ,       /* of the entry arrives at the log */
-  EV_READ_DONE,  /* answer arrives at the entry */
+  EV_READ,       /* the entry's read arrives at the log */
+  EV_READ_DONE,  /* the answer arrives at the entry */
   EV_APPEND,     /* arrives at the log */
   EV_HEARTBEAT,  /* arrives at the entry */
   EV_REPLY,      /* arrives at the guard */
@@ -38,13 +41,13 @@
   EV_VOUCH,      /* arrives at the entry */
   EV_NEWS,       /* arrives at the entry */
   EV_WAKE,       /* guard */
-  EV_TASK_ENDED, /* runtime tells the guard */
-  EV_STOPPED,    /* runtime tells the guard */
+  EV_TASK_ENDED, /* runtime notifies the guard */
+  EV_STOPPED,    /* runtime notifies the guard */
   EV_RT_START,   /* arrives at the runtime */
   EV_RT_LEASE,
   EV_RT_STOP,
-  EV_RT_CHECK, /* its deadline */
-  EV_RT_DEAD   /* a task is gone */
+  EV_RT_CHECK, /* the runtime checks its deadline */
+  EV_RT_DEAD   /* a task has ended */
 } event_kind_t;
 
 typedef struct
@@ -52,15 +55,15 @@
   gp_time_t time;
   uint64_t order;
   event_kind_t kind;
-  unsigned node; /* where it happens */
-  unsigned pid;  /* only for this process of the node; 0: any */
+  unsigned node; /* node that handles the event */
+  unsigned pid;  /* process that handles it; 0 for any */
   unsigned from;
-  gp_time_t sent;       /* by the sender's clock */
+  gp_time_t sent;       /* on the sender's clock */
   uint64_t incarnation; /* of the guard */
-  uint64_t id;          /* sequence, ask or epoch */
+  uint64_t id;          /* sequence number, vouch request or epoch */
   unsigned task;
   unsigned offset, next; /* of a read */
-  gp_time_t deadline;    /* by the VM's clock */
+  gp_time_t deadline;    /* on the VM's clock */
   gp_lease_request_t request;
   gp_lease_reply_t reply;
   uint64_t running[LW_TASKS];
@@ -75,12 +78,12 @@
   gp_lease_grantor_t grantor;
   lease_fold_t fold;
   unsigned offset;
-  gp_time_t heard[LW_GUARDS]; /* own hearing */
+  gp_time_t heard[LW_GUARDS]; /* when its last heartbeat arrived here */
   bool held[LW_GUARDS];
   uint64_t running[LW_GUARDS][LW_TASKS];
   gp_time_t started[LW_TASKS]; /* when a Start was last sent */
-  uint64_t starting[LW_TASKS]; /* for this epoch */
-  uint64_t granting[LW_TASKS]; /* the epoch proposed */
+  uint64_t starting[LW_TASKS]; /* epoch of that Start */
+  uint64_t granting[LW_TASKS]; /* proposed epoch */
   uint64_t ending[LW_TASKS];
   gp_time_t read_at;
   lease_record_t outstanding[MAX_OUTSTANDING];
@@ -91,13 +94,13 @@
 {
   gp_lease_holder_t holder;
   gp_epoch_table_t epochs;
-  uint64_t ended[LW_TASKS]; /* reported until it is on the log */
+  uint64_t ended[LW_TASKS]; /* reported until the end is in the log */
   gp_time_t wake_at;
 } guard_t;
 
 typedef struct
 {
-  uint64_t holder; /* the incarnation that claimed it */
+  uint64_t holder; /* incarnation that claimed it */
   gp_time_t deadline;
   uint64_t running[LW_TASKS];
   bool dying[LW_TASKS];
@@ -117,17 +120,18 @@
   int64_t drift[NODES];
   bool alive[NODES];
   unsigned pid[NODES];
-  unsigned boots[LW_GUARDS]; /* of the VM; no local call outlives it */
+  unsigned boots[LW_GUARDS]; /* number of boots of the VM, which end all local
+                                calls */
   uint64_t incarnation[NODES];
   entry_t entries[LW_ENTRIES];
   guard_t guards[LW_GUARDS];
   runtime_t runtimes[LW_GUARDS];
   lease_record_t log[MAX_RECORDS];
-  bool repeated[MAX_RECORDS]; /* the record at this offset is a retry's */
+  bool repeated[MAX_RECORDS]; /* the record at this offset is a retry */
   bool seen[MAX_RECORDS];     /* by record id */
   unsigned tail, first, next_id;
-  lease_fold_t fold;     /* of the whole log */
-  lease_fold_t snapshot; /* of the log before FIRST */
+  lease_fold_t fold;     /* fold of the whole log */
+  lease_fold_t snapshot; /* fold of the log before FIRST */
   gp_time_t idle_since[LW_TASKS];
   lease_world_result_t result;
 } world_t;
--- a/tests/unit/lease_world_net.c
+++ b/tests/unit/lease_world_net.c
@@ -1,4 +1,4 @@
-/* Clocks, faults, the event queue, messages and checks of the lease world.  */
+/* Lease simulation: clocks, faults, event queue, messages and checks.  */
 
 #include "lease_world_impl.h"
 
@@ -22,7 +22,7 @@
   return local * GP_PPM / (GP_PPM + w->drift[node]) + 1;
 }
 
-/* The fault of KIND on (A, B) in force now, or NULL.  */
+/* Returns the fault of KIND on (A, B) that is in effect now, or NULL.  */
 const lease_world_fault_t *
 lw_fault_on (const world_t *w, lease_world_fault_kind_t kind, unsigned a,
              unsigned b)
@@ -58,7 +58,8 @@
          || lw_fault_on (w, LW_CUT_ALL, high - LW_ENTRIES, 0) != NULL;
 }
 
-/* When the pause of the process or VM that handles KIND at NODE ends, or 0. */
+/* Returns when the pause of the process or VM that handles KIND at NODE
+   ends, or 0.  */
 gp_time_t
 lw_paused_until (const world_t *w, event_kind_t kind, unsigned node)
 {
@@ -77,7 +78,7 @@
   return f != NULL ? f->end : 0;
 }
 
-/* The queue, a binary heap.  */
+/* Event queue, a binary heap.  */
 
 static bool
 earlier (const event_t *a, const event_t *b)
@@ -158,7 +159,7 @@
   return g_rand_int_range (w->rng, 1, 20000) * GP_MSEC;
 }
 
-/* Send EVENT from node FROM to node TO, unless the link is cut.  */
+/* Sends EVENT from node FROM to node TO, unless the link is cut.  */
 void
 lw_send_message (world_t *w, unsigned from, unsigned to, event_t *event)
 {
@@ -168,7 +169,7 @@
     lw_push (w, w->now + lw_delay (w), event);
 }
 
-/* A call of the guard on the runtime of its VM, or an answer.  */
+/* Sends a call of the guard to the runtime of its VM, or the reply.  */
 void
 lw_send_local (world_t *w, unsigned guard, event_t *event)
 {
--- a/tests/unit/lease_world_worker.c
+++ b/tests/unit/lease_world_worker.c
@@ -1,4 +1,4 @@
-/* Worker VMs of the lease world: runtime and guard.  */
+/* Lease simulation: worker VMs with their runtime and guard.  */
 
 #include "lease_world_impl.h"
 
@@ -33,8 +33,8 @@
   lw_send_local (w, guard, &event);
 }
 
-/* Kill every task; with rough edges that takes up to most of the margin,
-   but right after a suspension it comes before anything else.  */
+/* Kills every task.  In noisy runs that takes up to 90% of the margin,
+   except right after a suspension, when it happens before anything else.  */
 static void
 kill_all (world_t *w, unsigned guard)
 {
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -1,5 +1,5 @@
-/* Tests of admission: a scripted transcript and differential runs against
-   the naive twin.  */
+/* Tests of admission: scripted transcripts, and random runs compared with
+   a reference implementation.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -11,7 +11,7 @@
 static const char *const reason_names[]
     = { "queue full", "deadline", "leaving", "cancelled", "limit" };
 
-/* Scripted transcript.  */
+/* Scripted transcripts.  */
 
 enum
 {
@@ -21,8 +21,9 @@
 typedef struct
 {
   gp_admission_t admission;
-  gp_request_quota_t wide;   /* team without limits */
-  gp_request_quota_t narrow; /* team that runs one and queues one */
+  gp_request_quota_t wide; /* team without limits */
+  gp_request_quota_t
+      narrow; /* team limited to one running and one queued request */
   gp_admission_kind_t kind;
   gp_admission_request_t requests[SCRIPT_REQUESTS];
 } script_t;
@@ -47,8 +48,8 @@
     printf ("  next at %d\n", (int)(next / GP_MSEC));
 }
 
-/* Run one line: TIME VERB [NUMBER [CLASS TEAM DEADLINE [DUE]]], times in
-   ms.  */
+/* Runs one line: TIME VERB [NUMBER [CLASS TEAM DEADLINE [DUE]]], with
+   times in ms.  */
 static void
 run_line (script_t *script, const char *line)
 {
@@ -224,7 +225,7 @@
   run_script ("cancel, connections, leave", endings);
 }
 
-/* Differential runs.  */
+/* Comparison with the reference implementation.  */
 
 enum
 {
@@ -239,7 +240,8 @@
   gp_time_t now;
   gp_admission_t admission;
   admission_twin_t twin;
-  gp_request_quota_t teams[2][GROUPS]; /* of the module, of the twin */
+  gp_request_quota_t
+      teams[2][GROUPS]; /* of the module and of the reference implementation */
   gp_admission_kind_t kinds[2][GROUPS];
   gp_admission_request_t requests[2][REQUESTS];
   int submitted;
@@ -373,7 +375,7 @@
   admission_twin_advance (&pair->twin, pair->now);
 }
 
-/* Compare the actions since the last call and check the hard limits.  */
+/* Compares the actions since the last call and checks the hard limits.  */
 static void
 pair_compare (pair_t *pair)
 {
@@ -404,7 +406,8 @@
                 > options->max_queued;
 }
 
-/* The first started request from NUMBER on, in a ring; else NUMBER.  */
+/* Returns the number of the first started request from NUMBER on, wrapping
+   around, or NUMBER if there is none.  */
 static int
 started_from (const pair_t *pair, int number)
 {
@@ -447,7 +450,8 @@
   pair_compare (pair);
 }
 
-/* Nothing may happen before the point that next_deadline names.  */
+/* Checks that nothing happens before the time returned by
+   gp_admission_next_deadline.  */
 static void
 pair_check_next_deadline (pair_t *pair)
 {
--- a/tests/unit/test_capacity.c
+++ b/tests/unit/test_capacity.c
@@ -1,5 +1,5 @@
-/* Tests of a worker's reservations: a scripted transcript and random runs
-   that check the invariants by plain sums.  */
+/* Tests of a worker's reservations: scripted transcripts, and random runs
+   that check the invariants by recomputing the sums.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -15,7 +15,7 @@
           r->accelerators);
 }
 
-/* Scripted transcript.  */
+/* Scripted transcripts.  */
 
 enum
 {
@@ -55,9 +55,10 @@
   printf ("\n");
 }
 
-/* One line: TIME VERB TASK EPOCH MILLICORES MEMORY ACCELERATORS.  The cost
-   of evicting a task is its number; "total" and "service" take the last three
-   only; "observe" takes a measurement of the same time.  */
+/* Runs one line: TIME VERB TASK EPOCH MILLICORES MEMORY ACCELERATORS.  The
+   eviction cost of a task is its number.  "total" and "service" use only
+   the last three; "observe" reports a measurement whose interval begins
+   now, "late" one that began 10 s ago.  */
 static void
 run_line (gp_capacity_t *capacity, gp_capacity_task_t *tasks, const char *line)
 {
@@ -182,10 +183,10 @@
   gp_capacity_t capacity;
   gp_capacity_task_t tasks[TASKS];
   bool present[TASKS];
-  bool throttled[TASKS]; /* as told by the actions */
+  bool throttled[TASKS]; /* according to the actions */
   bool evicted[TASKS];
-  gp_time_t changed[TASKS]; /* when the last action came */
-  int over[TASKS];          /* fresh measurements over it, in a row */
+  gp_time_t changed[TASKS]; /* time of the last action */
+  int over[TASKS]; /* consecutive valid measurements above the reservation */
   gp_time_t now;
   int wrong;
 } run_t;
@@ -199,7 +200,8 @@
                            = g_rand_int_range (random, 0, 8) == 0 };
 }
 
-/* What is left of the worker, by plain sums; negative when over.  */
+/* Computes the unreserved resources of the worker by summing up; negative
+   if too much is reserved.  */
 static void
 sum_left (const run_t *run, int64_t left[3])
 {
--- a/tests/unit/test_estimate.c
+++ b/tests/unit/test_estimate.c
@@ -1,4 +1,5 @@
-/* Learned sizes against the exact quantiles of the same values.  */
+/* Tests of the estimates: learned sizes, and quantiles compared with the
+   exact quantiles of the same values.  */
 
 #include "runner.h"
 
--- a/tests/unit/test_interference.c
+++ b/tests/unit/test_interference.c
@@ -1,5 +1,6 @@
-/* Residency against a plain sum, and slowdowns against the truth that the
-   measurements were made from.  */
+/* Tests of residency, compared with a direct summation, and of
+   interference estimates, compared with the coefficients from which the
+   measurements were generated.  */
 
 #include "runner.h"
 
@@ -37,7 +38,8 @@
   CU_ASSERT_FALSE (gp_residency_mean (&residency, -1, 20, mean));
 }
 
-/* The mean of KIND from FROM to TO, one microsecond after the other.  */
+/* Returns the mean of KIND from FROM to TO by summing over every
+   microsecond.  */
 static double
 naive_mean (const gp_residency_change_t *changes, unsigned int n,
             uint16_t kind, gp_time_t from, gp_time_t to)
@@ -84,7 +86,7 @@
   g_rand_free (random);
 }
 
-/* A worker whose residents are known, measured with noise.  */
+/* A worker with known residents, measured with noise.  */
 typedef struct
 {
   gp_interference_t interference;
@@ -104,7 +106,8 @@
   lab->worker.residents = lab->residents;
 }
 
-/* Measure once with random residents that changed since.  */
+/* Adds one measurement with random residents, all of which left after the
+   measured interval.  */
 static void
 lab_measure (lab_t *lab, GRand *random)
 {
@@ -164,8 +167,8 @@
   g_rand_free (random);
 }
 
-/* Harm grows with the slope and with what is there, and is nothing where
-   there is room.  */
+/* Harm increases with the slope and with the present ratio, and is nearly
+   zero where the ratio is low.  */
 static void
 test_harm (void)
 {
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -1,7 +1,7 @@
 /* Scripted runs of the lease protocol, one for each row of the table in
    docs/design/leases.md.  The transcript is compared with
-   test_lease.expected; times are virtual, and the longest time without a
-   running task is the row's recovery time.  */
+   test_lease.expected.  Times are virtual; the longest time without a
+   running task is the recovery time of the row.  */
 
 #include "lease_world.h"
 #include "runner.h"
@@ -14,11 +14,11 @@
 typedef struct
 {
   const char *title;
-  lease_world_fault_t faults[MAX_FAULTS]; /* times in seconds */
-  gp_time_t length, promise;              /* in seconds; 0: default */
+  lease_world_fault_t faults[MAX_FAULTS]; /* in seconds */
+  gp_time_t length, promise;              /* in seconds; 0 for the default */
 } row_t;
 
-/* Both tasks run on w1 when the faults begin.  */
+/* Both tasks are running on w1 when the faults begin.  */
 static const row_t rows[] = {
   { .title = "log down for all, 60 s",
     .faults = { { LW_LOG_DOWN, 0, 0, 20, 80 } } },
--- a/tests/unit/test_lease_explore.c
+++ b/tests/unit/test_lease_explore.c
@@ -1,8 +1,9 @@
 /* Explores interleavings of the lease protocol: every pair of faults on a
-   grid of times, then random scripts of up to six faults.  The same walk must
-   find a violation when a rule of the protocol is left out.
+   grid of times, then random scripts of up to six faults.  Mutation tests
+   check that scripts of this kind find a violation when a rule of the
+   protocol is left out.
 
-   GP_LEASE_SOAK=N runs N times as many random scripts.  */
+   GP_LEASE_SOAK=N multiplies the number of random scripts by N.  */
 
 #include <stdlib.h>
 
@@ -12,8 +13,9 @@
 #define MAX_FAULTS 6
 #define RANDOM_SCRIPTS 3000
 #define MUTANT_SCRIPTS 5000
-/* After the last fault: silence, wait of the fence, hold after a restart, and
-   messages under way for up to 20 s.  */
+/* Time allowed after the last fault for the silence timeout, the wait of
+   the fence, the hold after a restart, and messages delayed for up to 20
+   s.  */
 #define SETTLE (80 * GP_SEC)
 
 typedef struct
@@ -32,7 +34,8 @@
                                   .tick = 500 * GP_MSEC };
 }
 
-/* Whether A and B of a fault of KIND are entries, guards or unused.  */
+/* Chooses the targets A and B of fault F, which depending on its kind are
+   entries, guards or unused.  */
 static void
 choose_targets (GRand *rng, lease_world_fault_t *f)
 {
@@ -117,7 +120,7 @@
             (double)s->faults[i].end / GP_SEC);
 }
 
-/* Run the script; report and count what fails.  */
+/* Runs the script; prints it and returns 1 if it fails.  */
 static unsigned
 script_check (const script_t *s)
 {
@@ -138,7 +141,8 @@
   return text != NULL ? (unsigned)atoi (text) : 1;
 }
 
-/* Run the pair FIRST and SECOND with the second fault later or shorter.  */
+/* Runs the pair FIRST and SECOND with several start times and lengths of
+   the second fault.  */
 static unsigned
 pair_check (script_t *s, lease_world_fault_t first, lease_world_fault_t second)
 {
@@ -164,7 +168,8 @@
   return failures;
 }
 
-/* How many targets a fault of KIND has among two entries and two guards.  */
+/* Returns the number of targets of a fault of KIND among two entries and
+   two guards.  */
 static unsigned
 num_targets (lease_world_fault_kind_t kind)
 {
@@ -212,8 +217,9 @@
   CU_ASSERT_EQUAL (failures, 0);
 }
 
-/* A situation in which a rule matters, on one entry and one guard.  Times are
-   in milliseconds; up to SPREAD is added to each.  */
+/* A scenario in which a rule of the protocol matters, with one entry and
+   one guard as targets.  Times are in milliseconds; a random time up to
+   SPREAD is added to each.  */
 typedef struct
 {
   lease_world_fault_kind_t kind;
@@ -224,10 +230,10 @@
 typedef struct
 {
   lease_world_mutation_t mutation;
-  gint32 promise; /* s */
+  gint32 promise; /* in seconds */
   gint32 tick;
   gint32 spread;
-  focus_fault_t faults[MAX_FAULTS]; /* up to one of length 0 */
+  focus_fault_t faults[MAX_FAULTS]; /* terminated by one of length 0 */
 } focus_t;
 
 static const focus_t focuses[] = {
@@ -325,7 +331,7 @@
       { LW_FENCE, 11000, 1 } } },
 };
 
-/* Aim F at the entry and the guard of the script.  */
+/* Sets the targets of F to the entry and the guard of the script.  */
 static void
 aim (lease_world_fault_t *f, unsigned entry, unsigned guard)
 {
@@ -396,8 +402,8 @@
   g_rand_free (rng);
 }
 
-/* The number of the first script of FOCUS that ends in a violation, with
-   MUTATION, or MUTANT_SCRIPTS.  */
+/* Returns the number of the first script of SCENARIO that ends in a
+   violation with MUTATION, or NUM_SCRIPTS.  */
 static unsigned
 first_finding (const focus_t *focus, lease_world_mutation_t mutation,
                unsigned num_scripts)
@@ -429,7 +435,7 @@
               found);
       fflush (stdout);
       CU_ASSERT_TRUE (found < MUTANT_SCRIPTS);
-      /* The same scripts find nothing in the sound protocol.  */
+      /* The same scripts find no violation in the unmodified protocol.  */
       CU_ASSERT_EQUAL (first_finding (focus, LW_SOUND, found + 1), found + 1);
     }
 }
--- a/tests/unit/test_lease_rules.c
+++ b/tests/unit/test_lease_rules.c
@@ -1,4 +1,5 @@
-/* Single rules of the epoch table, the lease holder and the grantor.  */
+/* Tests of individual rules of the epoch table, the lease holder and the
+   grantor.  */
 
 #include "coordination/lease_grantor.h"
 #include "coordination/lease_holder.h"
@@ -10,7 +11,7 @@
 static gp_lease_timing_t timing;
 static GRand *rng;
 
-/* A holder of incarnation 10 at time 0, with its table.  */
+/* A holder of incarnation 10 at time 0, with its epoch table.  */
 typedef struct
 {
   gp_epoch_table_t epochs;
@@ -48,7 +49,8 @@
                                 &f->actions);
 }
 
-/* An epoch refused while an older one ran stays refused after that ends.  */
+/* An epoch refused while an older one is running stays refused after the
+   older one ends.  */
 static void
 test_refused_while_busy (void)
 {
@@ -87,11 +89,11 @@
 
   fixture_init (&f);
   give (&f, 10 * GP_SEC, false, 1 * GP_SEC);
-  /* The first thing that it sees after the pause is a Start.  */
+  /* The first event after the pause is a Start.  */
   CU_ASSERT_EQUAL (start (&f, 1, 10, 11 * GP_SEC), GP_START_REFUSED);
   CU_ASSERT_EQUAL (f.holder.state, GP_LEASE_LAPSED);
   CU_ASSERT_EQUAL (f.actions.items[0].kind, GP_LEASE_HOLDER_STOP_ALL);
-  /* A renewal that was on its way comes too late.  */
+  /* A renewal sent before the pause arrives too late.  */
   give (&f, 60 * GP_SEC, false, 12 * GP_SEC);
   CU_ASSERT_EQUAL (f.holder.state, GP_LEASE_LAPSED);
   f.actions.count = 0;
@@ -135,7 +137,7 @@
   gp_epoch_table_finish (&f.epochs);
 }
 
-/* The remaining lease of a guard of incarnation 10.  */
+/* Sends a heartbeat of incarnation 10 and returns the grant.  */
 static gp_lease_grant_t
 beat (gp_lease_grantor_t *grantor, gp_time_t now)
 {
@@ -201,8 +203,8 @@
   gp_lease_grantor_finish (&grantor);
 }
 
-/* When the grantor acts on a fence read at 1 s, after a vouch given then or,
-   with LISTED, just after.  */
+/* Returns the time in ms at which the grantor acts on a fence read at 1 s,
+   if it gives a vouch at VOUCH_AT.  A vouch after 1 s lists the fence.  */
 static gp_time_t
 act_time (gp_time_t promise, gp_time_t vouch_at)
 {
@@ -238,10 +240,10 @@
 {
   /* 1 s + 15 s (1 + d)/(1 - d) + 0.5 s.  */
   CU_ASSERT_EQUAL (act_time (15 * GP_SEC, 1 * GP_SEC), 16540);
-  /* The predecessor's promise and an own one outlast that.  */
+  /* The promises of the predecessor and of this process last longer.  */
   CU_ASSERT_EQUAL (act_time (30 * GP_SEC, 0), 30570);
   CU_ASSERT_EQUAL (act_time (30 * GP_SEC, 1 * GP_SEC), 31570);
-  /* A vouch that lists the fence does not put it off.  */
+  /* A vouch that lists the fence does not delay it.  */
   CU_ASSERT_EQUAL (act_time (30 * GP_SEC, 2 * GP_SEC), 30570);
 }
 
