--- a/tests/unit/admission_twin.c
+++ b/tests/unit/admission_twin.c
@@ -84,7 +84,7 @@
 }
 
 static bool
-hopeless (const gp_admission_request_t *r, gp_time_t now)
+will_miss_deadline (const gp_admission_request_t *r, gp_time_t now)
 {
   return now + r->kind->service_time.mean > r->deadline;
 }
@@ -103,7 +103,7 @@
 
 /* Returns the sort key of R within its class.  */
 static gp_time_t
-turn (const gp_admission_request_t *r)
+sort_key (const gp_admission_request_t *r)
 {
   if (r->work_class == BATCH)
     return r->urgent_at;
@@ -155,7 +155,7 @@
           || !may_start (twin, o, now))
         continue;
       if (r->work_class == o->work_class)
-        twin->breaches += turn (o) < turn (r);
+        twin->breaches += sort_key (o) < sort_key (r);
       else if (r->work_class == BATCH) /* batch overtakes latency-critical */
         twin->breaches += !takes_share (twin, r, now);
       else /* another request overtakes batch that is out of laxity */
@@ -189,7 +189,7 @@
 
       if (r->state == GP_ADMISSION_QUEUED && r->work_class == work_class
           && may_start (twin, r, now)
-          && (best == NULL || turn (r) < turn (best)))
+          && (best == NULL || sort_key (r) < sort_key (best)))
         best = r;
     }
   return best;
@@ -227,7 +227,7 @@
         r = batch;
       if (r == NULL)
         return;
-      if (hopeless (r, now)
+      if (will_miss_deadline (r, now)
           && count (twin, GP_ADMISSION_QUEUED, r->work_class, NULL) > 1)
         refuse (twin, r, GP_ADMISSION_DEADLINE, now);
       else
@@ -262,13 +262,13 @@
     limit -= limit / 4;
   if (count (twin, GP_ADMISSION_QUEUED, -1, NULL) < limit)
     return -1;
-  if (victim == NULL || !hopeless (victim, now))
+  if (victim == NULL || !will_miss_deadline (victim, now))
     victim = r->work_class == CRITICAL ? most_slack (twin) : NULL;
   if (victim == NULL)
     return GP_ADMISSION_QUEUE_FULL;
   refuse (twin, victim,
-          hopeless (victim, now) ? GP_ADMISSION_DEADLINE
-                                 : GP_ADMISSION_QUEUE_FULL,
+          will_miss_deadline (victim, now) ? GP_ADMISSION_DEADLINE
+                                           : GP_ADMISSION_QUEUE_FULL,
           now);
   return -1;
 }
--- a/tests/unit/lease_world.c
+++ b/tests/unit/lease_world.c
@@ -33,7 +33,8 @@
 vm_suspend (world_t *w, unsigned guard)
 {
   for (unsigned t = 0; t < LW_TASKS; t++)
-    if (w->runtimes[guard].running[t] != NO_EPOCH && lw_places (w, t) == 0)
+    if (w->runtimes[guard].running[t] != NO_EPOCH
+        && lw_count_running (w, t) == 0)
       w->idle_since[t] = w->now;
 }
 
@@ -43,7 +44,8 @@
 {
   lw_runtime_check (w, guard);
   for (unsigned t = 0; t < LW_TASKS; t++)
-    if (w->runtimes[guard].running[t] != NO_EPOCH && lw_places (w, t) == 1)
+    if (w->runtimes[guard].running[t] != NO_EPOCH
+        && lw_count_running (w, t) == 1)
       lw_end_idle (w, t);
 }
 
@@ -82,7 +84,7 @@
     {
       kill_process (w, e->node);
       if (e->id == LW_KILL_VM)
-        lw_vm_die (w, e->node - LW_ENTRIES);
+        lw_vm_kill (w, e->node - LW_ENTRIES);
     }
   else if (is_late (w, e))
     return;
@@ -126,7 +128,7 @@
 
 /* Applies the faults that begin or end between BEFORE and now.  */
 static void
-note_faults (world_t *w, gp_time_t before)
+apply_faults (world_t *w, gp_time_t before)
 {
   for (unsigned i = 0; i < w->num_faults; i++)
     {
@@ -158,7 +160,7 @@
   w->queue = g_array_new (FALSE, FALSE, sizeof (event_t));
   w->rng = g_rand_new_with_seed (w->options->seed);
   for (unsigned i = 0; i < NODES; i++)
-    w->drift[i] = w->options->rough
+    w->drift[i] = w->options->noisy
                       ? g_rand_int_range (w->rng, -1, 2)
                             * (gint32)w->options->timing.drift_ppm
                       : 0;
@@ -176,7 +178,7 @@
   w->now = w->end;
   for (unsigned t = 0; t < LW_TASKS; t++)
     {
-      w->result.running[t] = lw_places (w, t) == 1;
+      w->result.running[t] = lw_count_running (w, t) == 1;
       if (!w->result.running[t])
         lw_end_idle (w, t);
     }
@@ -207,7 +209,7 @@
       if (event.time > end)
         break;
       w->now = event.time;
-      note_faults (w, before);
+      apply_faults (w, before);
       handle (w, &event);
     }
   world_finish (w);
--- a/tests/unit/lease_world.h
+++ b/tests/unit/lease_world.h
@@ -23,7 +23,7 @@
    exploration detects it.  */
 typedef enum
 {
-  LW_SOUND,
+  LW_NO_MUTATION,
   LW_NO_MARGIN, /* waits allow neither for drift nor for the kill latency */
   LW_HOLDER_RECEIVE,  /* the holder counts from the arrival of the reply */
   LW_READ_RECEIVE,    /* s is the time of the answer to the read */
@@ -77,8 +77,8 @@
   unsigned num_entries;
   gp_time_t tick; /* period of an entry's decisions, half that of reads */
   uint32_t seed;  /* for delays, drifts and choices */
-  bool rough;     /* drifting clocks, kill latency, occasional long delays */
-  gp_time_t rough_until; /* no long delays after this */
+  bool noisy;     /* drifting clocks, kill latency, occasional long delays */
+  gp_time_t noisy_until; /* no long delays after this */
   FILE *trace;           /* events as text, or NULL */
   gp_time_t trace_from;  /* start of the trace */
 } lease_world_options_t;
--- a/tests/unit/lease_world_entry.c
+++ b/tests/unit/lease_world_entry.c
@@ -248,7 +248,7 @@
     {
       unsigned g = (first + i) % LW_GUARDS;
 
-      if ((!e->held[g] && !w->options->rough) || now - e->heard[g] > 4 * GP_SEC
+      if ((!e->held[g] && !w->options->noisy) || now - e->heard[g] > 4 * GP_SEC
           || e->fold.guards[g].current == 0 || e->fold.guards[g].fenced)
         continue;
       record.guard = g;
--- a/tests/unit/lease_world_impl.h
+++ b/tests/unit/lease_world_impl.h
@@ -154,7 +154,7 @@
 gp_time_t lw_delay (world_t *w);
 void lw_send_message (world_t *w, unsigned from, unsigned to, event_t *event);
 void lw_send_local (world_t *w, unsigned guard, event_t *event);
-unsigned lw_places (const world_t *w, unsigned task);
+unsigned lw_count_running (const world_t *w, unsigned task);
 void lw_check_world (world_t *w);
 void lw_end_idle (world_t *w, unsigned task);
 void lw_runtime_check (world_t *w, unsigned guard);
@@ -162,7 +162,7 @@
 void lw_guard_event (world_t *w, unsigned guard, const event_t *e);
 uint64_t lw_next_incarnation (world_t *w, unsigned node);
 void lw_guard_boot (world_t *w, unsigned guard);
-void lw_vm_die (world_t *w, unsigned guard);
+void lw_vm_kill (world_t *w, unsigned guard);
 void lw_entry_propose_for (world_t *w, unsigned entry,
                            lease_record_kind_t kind, unsigned guard,
                            uint64_t incarnation, const uint64_t *running);
--- a/tests/unit/lease_world_net.c
+++ b/tests/unit/lease_world_net.c
@@ -153,7 +153,7 @@
 {
   gp_time_t usual = g_rand_int_range (w->rng, 1, 10) * GP_MSEC;
 
-  if (!w->options->rough || w->now >= w->options->rough_until
+  if (!w->options->noisy || w->now >= w->options->noisy_until
       || g_rand_int_range (w->rng, 0, 64) != 0)
     return usual;
   return g_rand_int_range (w->rng, 1, 20000) * GP_MSEC;
@@ -181,7 +181,7 @@
 /* Checks.  */
 
 static void
-violate (world_t *w, const char *what)
+record_violation (world_t *w, const char *what)
 {
   if (w->result.violation != NULL)
     return;
@@ -191,7 +191,7 @@
 }
 
 unsigned
-lw_places (const world_t *w, unsigned task)
+lw_count_running (const world_t *w, unsigned task)
 {
   unsigned count = 0;
 
@@ -207,13 +207,13 @@
 {
   for (unsigned t = 0; t < LW_TASKS; t++)
     {
-      if (lw_places (w, t) > 1)
-        violate (w, "a task runs in two places");
+      if (lw_count_running (w, t) > 1)
+        record_violation (w, "a task runs in two places");
       for (unsigned g = 0; g < LW_GUARDS; g++)
         if (w->runtimes[g].running[t] != NO_EPOCH
             && lw_fault_on (w, LW_PAUSE_VM, g, 0) == NULL
             && lease_fold_ended (&w->fold, t, w->runtimes[g].running[t]))
-          violate (w, "an ended epoch runs");
+          record_violation (w, "an ended epoch runs");
     }
 }
 
--- a/tests/unit/lease_world_worker.c
+++ b/tests/unit/lease_world_worker.c
@@ -13,7 +13,7 @@
             task + 1, rt->running[task]);
   rt->running[task] = NO_EPOCH;
   rt->dying[task] = false;
-  if (lw_places (w, task) == 0)
+  if (lw_count_running (w, task) == 0)
     w->idle_since[task] = w->now;
   lw_send_local (w, guard, &event);
 }
@@ -40,7 +40,7 @@
 {
   runtime_t *rt = &w->runtimes[guard];
   gp_time_t margin = 500 * GP_MSEC;
-  bool slow = w->options->rough;
+  bool slow = w->options->noisy;
 
   for (unsigned i = 0; i < w->num_faults; i++)
     if (w->faults[i].kind == LW_PAUSE_VM && w->faults[i].a == guard
@@ -114,7 +114,7 @@
   runtime_lease (w, guard, e->deadline);
   lw_trace (w, "%s: task %u epoch %" PRIu64 " runs", lw_guard_names[guard],
             e->task + 1, e->id);
-  if (lw_places (w, e->task) == 0)
+  if (lw_count_running (w, e->task) == 0)
     lw_end_idle (w, e->task);
   rt->running[e->task] = e->id;
   w->result.starts++;
@@ -288,7 +288,7 @@
     guard_start (w, guard, e, &actions);
   else if (e->kind == EV_STOPPED)
     gp_lease_holder_stopped (&g->holder, now, &actions);
-  else if (e->kind == EV_WAKE && w->options->rough
+  else if (e->kind == EV_WAKE && w->options->noisy
            && g_rand_int_range (w->rng, 0, 32) == 0)
     gp_lease_holder_new_incarnation (&g->holder, now, &actions);
   else if (e->kind == EV_TASK_ENDED && e->id != NO_EPOCH)
@@ -336,7 +336,7 @@
 }
 
 void
-lw_vm_die (world_t *w, unsigned guard)
+lw_vm_kill (world_t *w, unsigned guard)
 {
   runtime_t *rt = &w->runtimes[guard];
 
@@ -346,7 +346,7 @@
         lw_trace (w, "%s: task %u epoch %" PRIu64 " dies with the VM",
                   lw_guard_names[guard], t + 1, rt->running[t]);
         rt->running[t] = NO_EPOCH;
-        if (lw_places (w, t) == 0)
+        if (lw_count_running (w, t) == 0)
           w->idle_since[t] = w->now;
       }
   *rt = (runtime_t){ 0 };
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -386,10 +386,10 @@
     {
       int number = (int)(a - pair->requests[0]);
       const gp_admission_request_t *b = &pair->requests[1][number];
-      guint turn = pair->actions++;
+      guint index = pair->actions++;
 
-      if (turn >= pair->twin.actions->len
-          || pair->twin.actions->pdata[turn] != b || a->state != b->state
+      if (index >= pair->twin.actions->len
+          || pair->twin.actions->pdata[index] != b || a->state != b->state
           || a->started_at != b->started_at || a->reason != b->reason
           || a->retry_at != b->retry_at)
         pair->mismatches++;
--- a/tests/unit/test_interference.c
+++ b/tests/unit/test_interference.c
@@ -92,24 +92,24 @@
   gp_interference_t interference;
   gp_worker_t worker;
   gp_resident_t residents[KINDS];
-} lab_t;
+} fixture_t;
 
 static const double truth[KINDS + 2]
     = { 0.4, 0.2, 0.0, 0.01, 0.03, 0.06, 0.1, 0.2 };
 
 static void
-lab_init (lab_t *lab)
+fixture_init (fixture_t *f)
 {
-  gp_interference_init (&lab->interference, &GP_INTERFERENCE_DEFAULTS);
-  gp_worker_init (&lab->worker);
-  lab->worker.service = 0;
-  lab->worker.residents = lab->residents;
+  gp_interference_init (&f->interference, &GP_INTERFERENCE_DEFAULTS);
+  gp_worker_init (&f->worker);
+  f->worker.service = 0;
+  f->worker.residents = f->residents;
 }
 
 /* Adds one measurement with random residents, all of which left after the
    measured interval.  */
 static void
-lab_measure (lab_t *lab, GRand *random)
+fixture_measure (fixture_t *f, GRand *random)
 {
   gp_residency_t residency;
   double load = g_rand_double (random);
@@ -129,31 +129,31 @@
   for (unsigned int k = 0; k < KINDS; k++)
     gp_residency_change (&residency, (uint16_t)k, -counts[k], 10 * GP_SEC);
   CU_ASSERT_TRUE (gp_interference_measure (
-      &lab->interference, 0, load, &residency, GP_SEC, 2 * GP_SEC, ratio));
+      &f->interference, 0, load, &residency, GP_SEC, 2 * GP_SEC, ratio));
 }
 
 static void
-lab_finish (lab_t *lab)
+fixture_finish (fixture_t *f)
 {
-  gp_interference_finish (&lab->interference);
-  g_free (lab);
+  gp_interference_finish (&f->interference);
+  g_free (f);
 }
 
 static void
 test_learning (void)
 {
-  lab_t *lab = g_new0 (lab_t, 1);
+  fixture_t *f = g_new0 (fixture_t, 1);
   GRand *random = g_rand_new_with_seed (5);
   gp_interference_estimate_t before;
 
-  lab_init (lab);
-  before = gp_interference_slope (&lab->interference, 0, 3);
+  fixture_init (f);
+  before = gp_interference_slope (&f->interference, 0, 3);
   for (unsigned int i = 0; i < MEASUREMENTS; i++)
-    lab_measure (lab, random);
+    fixture_measure (f, random);
   for (unsigned int k = 0; k < KINDS; k++)
     {
       gp_interference_estimate_t slope
-          = gp_interference_slope (&lab->interference, 0, (uint16_t)k);
+          = gp_interference_slope (&f->interference, 0, (uint16_t)k);
 
       printf ("kind %u: slope %.2f, truth %.2f\n", k, slope.mean,
               truth[k + 2]);
@@ -161,9 +161,9 @@
       CU_ASSERT_TRUE (slope.deviation < before.deviation / 4.0);
     }
   CU_ASSERT_EQUAL (
-      gp_interference_slope (&lab->interference, 0, KINDS).deviation,
+      gp_interference_slope (&f->interference, 0, KINDS).deviation,
       before.deviation);
-  lab_finish (lab);
+  fixture_finish (f);
   g_rand_free (random);
 }
 
@@ -172,30 +172,30 @@
 static void
 test_harm (void)
 {
-  lab_t *lab = g_new0 (lab_t, 1);
+  fixture_t *f = g_new0 (fixture_t, 1);
   GRand *random = g_rand_new_with_seed (6);
 
-  lab_init (lab);
+  fixture_init (f);
   printf ("no model: %.4f\n",
-          gp_interference_harm (&lab->interference, &lab->worker, 0));
+          gp_interference_harm (&f->interference, &f->worker, 0));
   for (unsigned int i = 0; i < MEASUREMENTS; i++)
-    lab_measure (lab, random);
+    fixture_measure (f, random);
   for (uint16_t count = 0; count < 4; count++)
     {
-      lab->residents[0] = (gp_resident_t){ 5, count };
-      lab->worker.n_residents = count > 0;
+      f->residents[0] = (gp_resident_t){ 5, count };
+      f->worker.n_residents = count > 0;
       printf ("%u of kind 5: ratio %.2f, harm of one more of kind", count,
-              gp_interference_predict (&lab->interference, &lab->worker).mean);
+              gp_interference_predict (&f->interference, &f->worker).mean);
       for (unsigned int kind = 0; kind < KINDS; kind++)
-        printf (" %.2f", gp_interference_harm (&lab->interference,
-                                               &lab->worker, (uint16_t)kind));
+        printf (" %.2f", gp_interference_harm (&f->interference, &f->worker,
+                                               (uint16_t)kind));
       printf (", unknown %.2f\n",
-              gp_interference_harm (&lab->interference, &lab->worker, 40));
+              gp_interference_harm (&f->interference, &f->worker, 40));
     }
-  lab->worker.service = GP_SERVICE_NONE;
-  CU_ASSERT_EQUAL (gp_interference_harm (&lab->interference, &lab->worker, 5),
+  f->worker.service = GP_SERVICE_NONE;
+  CU_ASSERT_EQUAL (gp_interference_harm (&f->interference, &f->worker, 5),
                    0.0);
-  lab_finish (lab);
+  fixture_finish (f);
   g_rand_free (random);
 }
 
--- a/tests/unit/test_lease_explore.c
+++ b/tests/unit/test_lease_explore.c
@@ -90,7 +90,7 @@
 
   s->num_faults = g_rand_int_range (rng, 1, MAX_FAULTS + 1);
   s->end = 0;
-  s->options.rough = g_rand_boolean (rng);
+  s->options.noisy = g_rand_boolean (rng);
   s->options.seed = seed;
   for (unsigned i = 0; i < s->num_faults; i++)
     {
@@ -102,7 +102,7 @@
       f->end = f->at + choose_length (rng);
       s->end = MAX (s->end, f->end);
     }
-  s->options.rough_until = s->end;
+  s->options.noisy_until = s->end;
   s->end += SETTLE;
   g_rand_free (rng);
 }
@@ -160,8 +160,8 @@
       {
         s->faults[1].at = starts[i] * GP_SEC;
         s->faults[1].end = s->faults[1].at + lengths[j] * GP_SEC;
-        s->options.rough_until = MAX (first.end, s->faults[1].end);
-        s->end = s->options.rough_until + SETTLE;
+        s->options.noisy_until = MAX (first.end, s->faults[1].end);
+        s->end = s->options.noisy_until + SETTLE;
         s->options.seed++;
         failures += script_check (s);
       }
@@ -185,7 +185,7 @@
   unsigned failures = 0;
 
   s.options.num_entries = 2;
-  s.options.rough = true;
+  s.options.noisy = true;
   for (unsigned first = 0; first < LW_FAULT_KINDS; first++)
     for (unsigned second = 0; second < LW_FAULT_KINDS; second++)
       for (unsigned target = 0; target < num_targets (second); target++)
@@ -225,7 +225,7 @@
   lease_world_fault_kind_t kind;
   gint32 at;
   gint32 length;
-} focus_fault_t;
+} scenario_fault_t;
 
 typedef struct
 {
@@ -233,10 +233,10 @@
   gint32 promise; /* in seconds */
   gint32 tick;
   gint32 spread;
-  focus_fault_t faults[MAX_FAULTS]; /* terminated by one of length 0 */
-} focus_t;
+  scenario_fault_t faults[MAX_FAULTS]; /* terminated by one of length 0 */
+} scenario_t;
 
-static const focus_t focuses[] = {
+static const scenario_t scenarios[] = {
   { LW_NO_MARGIN,
     15,
     50,
@@ -333,7 +333,7 @@
 
 /* Sets the targets of F to the entry and the guard of the script.  */
 static void
-aim (lease_world_fault_t *f, unsigned entry, unsigned guard)
+set_targets (lease_world_fault_t *f, unsigned entry, unsigned guard)
 {
   unsigned other = 1 - entry;
 
@@ -372,41 +372,41 @@
 }
 
 static void
-script_focus (script_t *s, const focus_t *focus, uint32_t seed)
+script_from_scenario (script_t *s, const scenario_t *scenario, uint32_t seed)
 {
   GRand *rng = g_rand_new_with_seed (seed);
   unsigned entry = g_rand_int_range (rng, 0, 2);
   unsigned guard = g_rand_int_range (rng, 0, LW_GUARDS);
 
   s->options.seed = seed;
-  s->options.rough = true;
+  s->options.noisy = true;
   s->options.num_entries = 2;
-  s->options.timing.promise = focus->promise * GP_SEC;
-  s->options.tick = focus->tick * GP_MSEC;
+  s->options.timing.promise = scenario->promise * GP_SEC;
+  s->options.tick = scenario->tick * GP_MSEC;
   s->end = 0;
-  for (unsigned i = 0; i < MAX_FAULTS && focus->faults[i].length > 0; i++)
+  for (unsigned i = 0; i < MAX_FAULTS && scenario->faults[i].length > 0; i++)
     {
       lease_world_fault_t *f = &s->faults[i];
-      gint32 later = g_rand_int_range (rng, 0, focus->spread);
-      gint32 longer = g_rand_int_range (rng, 0, focus->spread);
+      gint32 later = g_rand_int_range (rng, 0, scenario->spread);
+      gint32 longer = g_rand_int_range (rng, 0, scenario->spread);
 
       s->num_faults = i + 1;
-      f->kind = focus->faults[i].kind;
-      aim (f, entry, guard);
-      f->at = (focus->faults[i].at + later) * GP_MSEC;
-      f->end = f->at + (focus->faults[i].length + longer) * GP_MSEC;
+      f->kind = scenario->faults[i].kind;
+      set_targets (f, entry, guard);
+      f->at = (scenario->faults[i].at + later) * GP_MSEC;
+      f->end = f->at + (scenario->faults[i].length + longer) * GP_MSEC;
       s->end = MAX (s->end, f->end);
     }
   s->end += 5 * GP_SEC;
-  s->options.rough_until = s->end;
+  s->options.noisy_until = s->end;
   g_rand_free (rng);
 }
 
 /* Returns the number of the first script of SCENARIO that ends in a
    violation with MUTATION, or NUM_SCRIPTS.  */
 static unsigned
-first_finding (const focus_t *focus, lease_world_mutation_t mutation,
-               unsigned num_scripts)
+first_violation (const scenario_t *scenario, lease_world_mutation_t mutation,
+                 unsigned num_scripts)
 {
   script_t s = { .options = options_default () };
 
@@ -415,7 +415,7 @@
     {
       lease_world_result_t r;
 
-      script_focus (&s, focus, seed);
+      script_from_scenario (&s, scenario, seed);
       r = lease_world_run (&s.options, s.faults, s.num_faults, s.end);
       if (r.violation != NULL)
         return seed;
@@ -426,17 +426,19 @@
 static void
 test_mutations (void)
 {
-  for (unsigned i = 0; i < G_N_ELEMENTS (focuses); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (scenarios); i++)
     {
-      const focus_t *focus = &focuses[i];
-      unsigned found = first_finding (focus, focus->mutation, MUTANT_SCRIPTS);
+      const scenario_t *scenario = &scenarios[i];
+      unsigned found
+          = first_violation (scenario, scenario->mutation, MUTANT_SCRIPTS);
 
-      printf ("  %s: script %u\n", lease_world_mutation_name (focus->mutation),
-              found);
+      printf ("  %s: script %u\n",
+              lease_world_mutation_name (scenario->mutation), found);
       fflush (stdout);
       CU_ASSERT_TRUE (found < MUTANT_SCRIPTS);
       /* The same scripts find no violation in the unmodified protocol.  */
-      CU_ASSERT_EQUAL (first_finding (focus, LW_SOUND, found + 1), found + 1);
+      CU_ASSERT_EQUAL (first_violation (scenario, LW_NO_MUTATION, found + 1),
+                       found + 1);
     }
 }
 
--- a/tests/unit/test_lease_rules.c
+++ b/tests/unit/test_lease_rules.c
@@ -30,7 +30,7 @@
 }
 
 static void
-give (fixture_t *f, gp_time_t remaining, bool vouched, gp_time_t now)
+deliver_reply (fixture_t *f, gp_time_t remaining, bool vouched, gp_time_t now)
 {
   gp_lease_reply_t reply = { .incarnation = f->holder.incarnation,
                              .sequence = f->holder.sequence,
@@ -75,7 +75,7 @@
   fixture_t f;
 
   fixture_init (&f);
-  give (&f, 10 * GP_SEC, false, 3 * GP_SEC);
+  deliver_reply (&f, 10 * GP_SEC, false, 3 * GP_SEC);
   CU_ASSERT_EQUAL (f.holder.deadline, 10 * GP_SEC);
   CU_ASSERT_EQUAL (start (&f, 1, 10, 4 * GP_SEC), GP_START_ACCEPTED);
   CU_ASSERT_EQUAL (start (&f, 1, 10, 4 * GP_SEC), GP_START_DUPLICATE);
@@ -88,13 +88,13 @@
   fixture_t f;
 
   fixture_init (&f);
-  give (&f, 10 * GP_SEC, false, 1 * GP_SEC);
+  deliver_reply (&f, 10 * GP_SEC, false, 1 * GP_SEC);
   /* The first event after the pause is a Start.  */
   CU_ASSERT_EQUAL (start (&f, 1, 10, 11 * GP_SEC), GP_START_REFUSED);
   CU_ASSERT_EQUAL (f.holder.state, GP_LEASE_LAPSED);
   CU_ASSERT_EQUAL (f.actions.items[0].kind, GP_LEASE_HOLDER_STOP_ALL);
   /* A renewal sent before the pause arrives too late.  */
-  give (&f, 60 * GP_SEC, false, 12 * GP_SEC);
+  deliver_reply (&f, 60 * GP_SEC, false, 12 * GP_SEC);
   CU_ASSERT_EQUAL (f.holder.state, GP_LEASE_LAPSED);
   f.actions.count = 0;
   gp_lease_holder_stopped (&f.holder, 13 * GP_SEC, &f.actions);
@@ -109,10 +109,10 @@
   fixture_t f;
 
   fixture_init (&f);
-  give (&f, 10 * GP_SEC, true, 1 * GP_SEC);
+  deliver_reply (&f, 10 * GP_SEC, true, 1 * GP_SEC);
   CU_ASSERT_EQUAL (f.holder.state, GP_LEASE_NONE);
-  give (&f, 10 * GP_SEC, false, 1 * GP_SEC);
-  give (&f, 12 * GP_SEC, true, 2 * GP_SEC);
+  deliver_reply (&f, 10 * GP_SEC, false, 1 * GP_SEC);
+  deliver_reply (&f, 12 * GP_SEC, true, 2 * GP_SEC);
   CU_ASSERT_EQUAL (f.holder.deadline, 12 * GP_SEC);
   gp_epoch_table_finish (&f.epochs);
 }
@@ -123,7 +123,7 @@
   fixture_t f;
 
   fixture_init (&f);
-  give (&f, 10 * GP_SEC, false, 1 * GP_SEC);
+  deliver_reply (&f, 10 * GP_SEC, false, 1 * GP_SEC);
   CU_ASSERT_EQUAL (start (&f, 1, 10, 2 * GP_SEC), GP_START_ACCEPTED);
   for (uint64_t task = 2; task < 5; task++)
     gp_epoch_table_set_ended (&f.epochs, task, 1);
@@ -139,7 +139,7 @@
 
 /* Sends a heartbeat of incarnation 10 and returns the grant.  */
 static gp_lease_grant_t
-beat (gp_lease_grantor_t *grantor, gp_time_t now)
+send_heartbeat (gp_lease_grantor_t *grantor, gp_time_t now)
 {
   gp_lease_request_t request
       = { .incarnation = 10, .held = true, .wants_vouch = true };
@@ -166,13 +166,14 @@
   gp_lease_grantor_t grantor;
 
   grantor_init (&grantor, 15 * GP_SEC);
-  CU_ASSERT_EQUAL (beat (&grantor, 4 * GP_SEC).remaining, 11 * GP_SEC);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, 4 * GP_SEC).remaining,
+                   11 * GP_SEC);
   gp_lease_grantor_log_gap (&grantor, 5 * GP_SEC);
   gp_lease_grantor_read_done (&grantor, 4 * GP_SEC);
-  CU_ASSERT_EQUAL (beat (&grantor, 5 * GP_SEC).remaining, 0);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, 5 * GP_SEC).remaining, 0);
   gp_lease_grantor_registered (&grantor, GUARD, 11, 6 * GP_SEC);
   gp_lease_grantor_read_done (&grantor, 6 * GP_SEC);
-  CU_ASSERT_EQUAL (beat (&grantor, 6 * GP_SEC).superseded_by, 11);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, 6 * GP_SEC).superseded_by, 11);
   gp_lease_grantor_finish (&grantor);
 }
 
@@ -187,19 +188,19 @@
   grantor_init (&grantor, 15 * GP_SEC);
   gp_lease_grantor_tick (&grantor, now, &actions);
   CU_ASSERT_EQUAL (actions.count, 0);
-  beat (&grantor, now);
+  send_heartbeat (&grantor, now);
   gp_lease_grantor_tick (&grantor, now, &actions);
   CU_ASSERT_EQUAL (actions.count, 2);
   gp_lease_grantor_vouched (&grantor, 0, actions.items[0].u.ask.id, NULL, 0);
-  CU_ASSERT_FALSE (beat (&grantor, now).vouched);
+  CU_ASSERT_FALSE (send_heartbeat (&grantor, now).vouched);
   gp_lease_grantor_vouched (&grantor, 1, actions.items[1].u.ask.id, NULL, 0);
-  CU_ASSERT_EQUAL (beat (&grantor, now).remaining, 15 * GP_SEC);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, now).remaining, 15 * GP_SEC);
   actions.count = 0;
   now += 5 * GP_SEC;
-  CU_ASSERT_EQUAL (beat (&grantor, now).remaining, 10 * GP_SEC);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, now).remaining, 10 * GP_SEC);
   gp_lease_grantor_tick (&grantor, now, &actions);
   gp_lease_grantor_vouched (&grantor, 1, actions.items[1].u.ask.id, &fence, 1);
-  CU_ASSERT_EQUAL (beat (&grantor, now).remaining, 0);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, now).remaining, 0);
   gp_lease_grantor_finish (&grantor);
 }
 
