--- a/bench/bench_admission.c
+++ b/bench/bench_admission.c
@@ -1,5 +1,5 @@
-/* Cost of admission by queue length, and goodput under overload against a
-   first-in-first-out queue, in virtual time.  */
+/* Cost of admission by queue length, and goodput under overload compared
+   with a first-in-first-out queue, in virtual time.  */
 
 #include <glib.h>
 #include <math.h>
@@ -20,7 +20,7 @@
 typedef struct
 {
   gp_admission_request_t request;
-  gp_heap_node_t event; /* its end */
+  gp_heap_node_t event; /* end of the request */
   gp_time_t arrived_at;
   gp_time_t ends_at;
   gp_time_t duration;
@@ -29,8 +29,8 @@
 typedef struct
 {
   double mean;        /* us */
-  double interval;    /* us between arrivals at load 1 */
-  gp_time_t deadline; /* duration after arrival */
+  double interval;    /* mean time between arrivals at load 1, in us */
+  gp_time_t deadline; /* relative to the arrival */
 } workload_t;
 
 /* 60 % of the work is latency-critical, 40 % batch.  */
@@ -41,18 +41,19 @@
 typedef struct
 {
   bool fifo;
-  const double *load; /* of each class */
+  const double *load; /* by class */
   GRand *random;
   gp_admission_t admission;
   gp_request_quota_t team;
   gp_admission_kind_t kinds[GP_ADMISSION_CLASSES];
-  GQueue queue; /* fifo */
-  int running;  /* fifo */
+  GQueue queue; /* used if fifo is set */
+  int running;  /* used if fifo is set */
   gp_heap_t ends;
   gp_time_t next_arrival[GP_ADMISSION_CLASSES];
   int good[GP_ADMISSION_CLASSES];
-  int broken[GP_ADMISSION_CLASSES]; /* queued, yet refused or too late */
-  GArray *latencies;                /* of latency-critical answers */
+  int broken[GP_ADMISSION_CLASSES]; /* refused after queueing, or finished too
+                                       late */
+  GArray *latencies;                /* of answered latency-critical requests */
 } run_t;
 
 static bool
@@ -217,11 +218,11 @@
   report (run);
   g_rand_free (run->random);
   g_queue_clear_full (&run->queue, g_free);
-  g_free (run); /* what still runs is left to the end of the program */
+  g_free (run); /* running requests are not freed */
 }
 
-/* Nanoseconds for one request to join a queue of LENGTH, and in turn to
-   start and to finish.  */
+/* Measures the time in nanoseconds for one request to join a queue of
+   LENGTH, start and finish.  */
 static void
 run_cost (int length)
 {
--- a/bench/bench_guard.c
+++ b/bench/bench_guard.c
@@ -1,4 +1,5 @@
-/* Cost of the guard's small decisions: capacity, rate limit, time line.  */
+/* Cost of the guard's decisions on capacity and rate limits, and of its
+   timeline.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -19,7 +20,7 @@
   printf ("%-40s %5.0f ns\n", what, (gp_time_now () - begun) * 1e3 / ROUNDS);
 }
 
-/* Replace tasks round robin on a worker that holds COUNT of them.  */
+/* Replaces tasks in turn on a worker with COUNT tasks.  */
 static void
 run_capacity (int count)
 {
--- a/bench/bench_interference.c
+++ b/bench/bench_interference.c
@@ -1,11 +1,12 @@
-/* Policies compared on one recorded load in virtual time.
+/* Compares placement policies on one recorded load in virtual time.
 
-   Eleven workers each run an executor of a service and tasks beside it.  The
-   hidden truth is a slowdown by kind that multiplies the service's latency,
-   which is not the form that the learner assumes; it sees only the p99 of
-   windows of 10 s, 20 s late and with 15% noise.  A task checkpoints every
-   120 s.  All policies share the queue, the learner and the remedies unless
-   said otherwise; they differ in the choice of the worker.  */
+   Eleven workers each run an executor of a service and tasks beside it.
+   The true slowdown depends on the kinds of tasks and multiplies the
+   service's latency, which differs from the form assumed by the model.
+   The model sees only the p99 of 10 s windows, 20 s late and with 15%
+   noise.  A task checkpoints every 120 s.  All policies share the queue,
+   the model and the remedies unless stated otherwise; they differ in the
+   choice of the worker.  */
 
 #include <math.h>
 #include <stdio.h>
@@ -42,22 +43,24 @@
     = { "first-fit, no remedies", "first-fit", "ours, no interference term",
         "ours, never waits", "ours" };
 
-/* A user's site: workers, the batch work and when it must be done.  */
+/* A user's site: its workers, and the batch work with its deadlines.  */
 typedef struct
 {
   const char *name;
-  gp_resources_t capacity; /* for tasks, what the executor needs aside */
-  double cores;            /* of a mean task */
+  gp_resources_t
+      capacity; /* capacity for tasks, without that used by the executor */
+  double cores; /* mean size of a task */
   double run_seconds;
-  double per_second; /* arrivals */
-  int night_seconds; /* one deadline for all, 0: by each run time */
+  double per_second; /* arrival rate */
+  int night_seconds; /* common deadline; 0 if it depends on the run time */
 } site_t;
 
 static const site_t sites[]
     = { { "Parabrisas Claros", { 52000, 200000, 0 }, 3.0, 400.0, 0.33, 0 },
         { "Obermaier", { 12000, 48000, 0 }, 0.8, 240.0, 0.5, SECONDS } };
 
-/* Slowdown of the service by one task of each kind, at its mean size.  */
+/* Slowdown of the service caused by one task of each kind, at its mean
+   size.  */
 static const double truth[KINDS] = { 0.0, 0.005, 0.01, 0.03, 0.07, 0.15 };
 
 typedef struct
@@ -79,7 +82,7 @@
 {
   const site_t *site;
   policy_t policy;
-  double intensity; /* of the arrivals */
+  double intensity; /* factor on the arrival rate */
   GRand *random;
   gp_fleet_t fleet;
   gp_spread_t spread;
@@ -108,7 +111,8 @@
   return sum - 6.0;
 }
 
-/* Load of the executor: a slow wave, and a surge for five minutes in 40.  */
+/* Load of the executor: a slow wave, and a surge of five minutes every 40
+   minutes.  */
 static double
 load_at (unsigned int worker, int t)
 {
@@ -251,7 +255,7 @@
   gp_pending_add (&sim->pending, &job->pending, t * GP_SEC);
 }
 
-/* A measurement of worker W that ended LAG ago arrives.  */
+/* Processes a measurement of worker W that ended LAG ago.  */
 static void
 measured (sim_t *sim, unsigned int w, double load, double ratio, int t)
 {
@@ -313,7 +317,7 @@
   sim->workers[w].load_permille = (uint16_t)(1000 * load);
   if (t % WINDOW != WINDOW - 1)
     return;
-  /* The oldest slot is what arrives now; this window takes its place.  */
+  /* The measurement in the oldest slot arrives now.  */
   if (t > LAG + WINDOW)
     measured (sim, w, sim->load[w][(slot + 1) % 3],
               sim->sent[w][(slot + 1) % 3], t + 1);
@@ -420,7 +424,7 @@
   g_free (sim);
 }
 
-/* All policies on the load that SEED and INTENSITY give.  */
+/* Runs all policies on the load given by SEED and INTENSITY.  */
 static void
 compare_policies (const site_t *site, double intensity, uint32_t seed)
 {
--- a/bench/bench_lease.c
+++ b/bench/bench_lease.c
@@ -1,5 +1,5 @@
-/* Cost of the lease protocol at 3,600 guards: time of a renewal at the entry
-   and at the guard, of a tick, of a vouch, and memory per guard.  */
+/* Cost of the lease protocol with 3,600 guards: time of a renewal at the
+   entry and at the guard, of a tick and of a vouch; memory per guard.  */
 
 #include <malloc.h>
 #include <stdio.h>
--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -1,5 +1,5 @@
-/* Cost of membership: time of a heartbeat, memory of a member, bytes of
-   heartbeats and news.  */
+/* Cost of membership: time of a heartbeat, memory per member, and bytes of
+   heartbeats and membership updates.  */
 
 #include <malloc.h>
 
@@ -65,7 +65,7 @@
   gp_members_finish (&members);
 }
 
-/* Bytes, from the packed sizes of the messages.  */
+/* Bytes sent, computed from the packed sizes of the messages.  */
 
 static size_t
 frame_size (const Gp__Wire__Envelope *envelope)
@@ -111,7 +111,8 @@
   return frame_size (&envelope);
 }
 
-/* One frame with one piece of news, or none: the sign of life.  */
+/* Returns the size of a frame with one membership update, or without any,
+   which is a keep-alive.  */
 static size_t
 news_size (bool any, bool gone)
 {
@@ -151,16 +152,16 @@
   return frame_size (&envelope);
 }
 
-#define TCP_IP_TLS_BYTES (40 + 22) /* one segment with one record */
-#define BUDGET 10000               /* bytes a second for heartbeats */
+#define TCP_IP_TLS_BYTES (40 + 22) /* one TCP segment with one TLS record */
+#define BUDGET 10000               /* bytes per second for heartbeats */
 
-/* VMs that fail or are replaced on an ordinary day at 3,600; each is told
-   twice (gone, announced) by two homes.  */
+/* VMs that fail or are replaced on an ordinary day with 3,600 of them.
+   Each causes two updates (gone, announced) from each of two homes.  */
 #define CHANGES_A_DAY 316
 #define TELLINGS 4
 
-/* Entries exchange signs of life every two seconds, and news, with those of
-   their own region, and count what they send and receive.  */
+/* Entries exchange keep-alives every two seconds, and updates, with the
+   other entries of their region; bytes sent and received are counted.  */
 static void
 print_bytes (size_t guards, size_t entries, size_t regions, size_t overhead)
 {
--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -1,7 +1,7 @@
-/* Decisions a second and bytes of the placement, by size of the fleet.
+/* Placement decisions per second and memory use, by size of the fleet.
 
-   Each fleet is filled with tasks up to its share of 95,000 on 3,600 workers,
-   then tasks are placed and others released in turn.  */
+   Each fleet is filled with the task density of 95,000 tasks on 3,600
+   workers; then tasks are placed and released in turn.  */
 
 #include <math.h>
 #include <stdio.h>
@@ -77,7 +77,8 @@
   return ask;
 }
 
-/* Train a model for each service, so that none is predicted by its prior.  */
+/* Trains a model for each service, so that no prediction uses only the
+   prior.  */
 static void
 train (site_t *site)
 {
@@ -179,7 +180,7 @@
   site_finish (&site);
 }
 
-/* Take tasks from a queue of many and defer them again.  */
+/* Takes tasks from a long queue and defers them again.  */
 static void
 run_pending (void)
 {
--- a/bench/bench_router.c
+++ b/bench/bench_router.c
@@ -1,5 +1,5 @@
-/* Cost of routing: time of a pick; and how evenly the router spreads
-   requests, in a queue model of virtual time.  */
+/* Cost of routing: time of a pick, and how evenly requests are
+   distributed, in a queueing model in virtual time.  */
 
 #include <math.h>
 
@@ -50,9 +50,9 @@
   g_free (candidates);
 }
 
-/* The queue model: entries route to executors of eight slots with FIFO
-   queues; an answer brings the executor's load.  Zones are dealt out in
-   turn, to executors and entries.  */
+/* Queueing model: entries route to executors with eight slots and FIFO
+   queues; an answer carries the executor's load.  Executors and entries
+   are assigned to the zones in turn.  */
 
 #define MAX_ENTRIES 18
 #define SERVICE_US 10000.0
@@ -74,11 +74,11 @@
   guint n;
   guint n_entries;
   double utilization;
-  bool skew;       /* all requests come to the entries of one zone */
-  bool one_zone;   /* the router takes all zones for one */
-  bool black_hole; /* executor 0 fails all */
+  bool skew;       /* all requests arrive at the entries of one zone */
+  bool one_zone;   /* the router treats all zones as one */
+  bool black_hole; /* executor 0 fails every request */
   bool eject;
-  bool all; /* entries route to all executors, not to a subset */
+  bool all; /* entries route to all executors instead of a subset */
   gp_router_settings_t settings;
 } case_t;
 
@@ -134,7 +134,7 @@
          - (*(const gp_time_t *)a < *(const gp_time_t *)b);
 }
 
-/* Does the entry route to executor I?  */
+/* Returns true if the entry routes to executor I.  */
 static bool
 in_subset (const case_t *c, guint entry, guint i)
 {
@@ -273,7 +273,7 @@
     }
 }
 
-/* Serve a request from NOW on and return how long it waits for a slot.  */
+/* Serves a request that arrives at NOW and returns its wait for a slot.  */
 static gp_time_t
 model_serve (model_t *model, guint entry, guint e, gp_time_t now)
 {
--- a/tests/unit/test_limiter.c
+++ b/tests/unit/test_limiter.c
@@ -1,4 +1,4 @@
-/* Tests of the token bucket against one that counts tokens.  */
+/* Tests of the token bucket, compared with one that counts tokens.  */
 
 #include <glib.h>
 
@@ -11,7 +11,8 @@
   STEPS = 5000
 };
 
-/* The naive twin: tokens in millionths, filled up at each look.  */
+/* Reference implementation: counts millionths of tokens and refills on
+   each call.  */
 typedef struct
 {
   int64_t rate;
@@ -35,7 +36,7 @@
 static void
 test_differential (void)
 {
-  /* Rates that divide a second into whole nanoseconds.  */
+  /* Rates for which a token takes a whole number of nanoseconds.  */
   static const int64_t rates[] = { 1, 5, 40, 1000, 12500 };
 
   for (guint32 seed = 1; seed <= SEEDS; seed++)
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -1,5 +1,6 @@
-/* Tests of membership: a scripted run printed as a transcript, a naive twin
-   on random scripts, and news handed from one table to another.  */
+/* Tests of membership: a scripted run printed as a transcript, random runs
+   compared with a reference implementation, and updates passed from one
+   table to another.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -125,7 +126,8 @@
   gp_members_finish (&members);
 }
 
-/* The naive twin keeps what happened and judges it by scanning.  */
+/* Reference implementation, which records the events and derives the state
+   by scanning them.  */
 
 typedef struct
 {
@@ -136,7 +138,8 @@
   gp_reach_t reach;
   uint64_t incarnation;
   gp_time_t heard_at;
-  uint64_t said[N_ENTRIES]; /* generation in which it was reported, or 0 */
+  uint64_t said[N_ENTRIES]; /* connection generation of the reporter's last
+                               report, or 0 */
   gp_member_state_t state;
   gp_time_t state_since;
 } naive_guard_t;
@@ -144,12 +147,12 @@
 typedef struct
 {
   naive_guard_t guards[N_GUARDS];
-  uint64_t generation[N_ENTRIES]; /* 0: never open */
+  uint64_t generation[N_ENTRIES]; /* 0 if never open */
   gp_time_t opened_at[N_ENTRIES];
   gp_time_t heard_at[N_ENTRIES];
 } naive_t;
 
-/* Forget what has run out, as time passes.  */
+/* Drops what has expired at NOW.  */
 static void
 naive_expire (naive_t *naive, gp_time_t now)
 {
@@ -214,7 +217,8 @@
     }
 }
 
-/* Does an event of INCARNATION count?  A newer announcement resets.  */
+/* Returns true if an event of INCARNATION is accepted.  An announcement of
+   a newer incarnation resets the guard.  */
 static bool
 naive_admit (naive_guard_t *guard, uint64_t incarnation, bool announces)
 {
@@ -235,7 +239,7 @@
 {
   gp_members_t members;
   naive_t naive;
-  gp_member_t seen[N_GUARDS]; /* copies, as of their last change */
+  gp_member_t seen[N_GUARDS]; /* copies as of the last change taken */
   GRand *rand;
   gp_time_t now;
 } twins_t;
@@ -316,7 +320,7 @@
   if (!known)
     return;
   naive->heard_at[e] = twins->now;
-  naive_settle (naive, twins->now); /* the table saw two events */
+  naive_settle (naive, twins->now); /* for the table these are two events */
   if (kind > 4)
     return;
   gp_members_apply_news (&twins->members, entry_names[e], &news, twins->now);
@@ -333,7 +337,7 @@
   return member->announcement.name[strlen ("guard-")] - '0';
 }
 
-/* Take the changes; what is not among them must not have changed.  */
+/* Takes the changes and checks that members not among them are unchanged.  */
 static void
 check_changes (twins_t *twins)
 {
@@ -418,7 +422,7 @@
     }
 }
 
-/* What one table tells, in pieces, makes another agree with it.  */
+/* Updates sent in pieces bring another table to the same state.  */
 
 static size_t
 carry (const gp_member_news_t *news, void *data)
@@ -469,8 +473,8 @@
   g_rand_free (home.rand);
 }
 
-/* Load is taken if it is newer, and a reader that missed the end of a member
-   is told so.  */
+/* Only a newer load is accepted, and a reader that missed the removal of a
+   member is told that its cursor is lost.  */
 static void
 test_news_edges (void)
 {
@@ -505,7 +509,8 @@
   gp_members_finish (&members);
 }
 
-/* Homes: one in the zone and one outside, and few move.  */
+/* Home entries: one is in the guard's zone and one outside, and removing
+   entries moves only the guards that had them as homes.  */
 
 #define N_HOMES 18
 
--- a/tests/unit/test_outlier.c
+++ b/tests/unit/test_outlier.c
@@ -1,5 +1,6 @@
-/* Tests of outlier detection: a scripted run printed as a transcript, and a
-   naive twin that keeps every result and reads them all each time.  */
+/* Tests of outlier detection: a scripted run printed as a transcript, and
+   random runs compared with a reference implementation that keeps all
+   results and scans them each time.  */
 
 #include <stdio.h>
 
@@ -21,7 +22,8 @@
             GPOINTER_TO_INT (health->data), action_names[action]);
 }
 
-/* Executors 0 and 1 fail all, 2 fails slowly, the others serve.  */
+/* Executors 0 and 1 fail every request fast, 2 fails slowly, the others
+   succeed.  */
 static void
 traffic (gp_outlier_t *outlier, gp_health_t *health, gp_time_t now)
 {
@@ -59,7 +61,7 @@
           if (action != GP_OUTLIER_OFFER_PROBE)
             continue;
           gp_outlier_probe_sent (&outlier, due, now);
-          if (i == 1) /* its probes get no result for a while */
+          if (i == 1) /* its probes get no result during the first 20 s */
             show (now, due,
                   now < 20 * GP_SEC
                       ? GP_OUTLIER_NONE
@@ -78,7 +80,7 @@
   CU_ASSERT_EQUAL (gp_outlier_deadline (&outlier), GP_TIME_NEVER);
 }
 
-/* A fault of all ejects none.  */
+/* If all executors fail, none is ejected.  */
 static void
 test_shared (void)
 {
@@ -98,7 +100,8 @@
                        GP_OUTLIER_NONE);
 }
 
-/* Of three that fail alone only two are ejected.  */
+/* Of three failing executors only two are ejected, because of
+   max_ejected_pct.  */
 static void
 test_cap (void)
 {
@@ -114,7 +117,8 @@
     for (int i = 0; i < N_EXECUTORS; i++)
       ejected += gp_outlier_record (&outlier, &health[i], i > 2, 20000, 0)
                  == GP_OUTLIER_EJECT;
-  CU_ASSERT_EQUAL (ejected, 0); /* they take as long as successes */
+  CU_ASSERT_EQUAL (ejected,
+                   0); /* failures as slow as successes cause no ejection */
   for (int n = 0; n < 100; n++)
     for (int i = 0; i < 3; i++)
       ejected += gp_outlier_record (&outlier, &health[i], false, 100, 0)
@@ -122,7 +126,7 @@
   CU_ASSERT_EQUAL (ejected, 2);
 }
 
-/* The naive twin.  */
+/* Reference implementation.  */
 
 typedef struct
 {
@@ -138,7 +142,7 @@
   gp_time_t until;
   gp_time_t reset_at;
   guint ejections;
-  guint first_result; /* of those that count */
+  guint first_result; /* first result since the last readmission */
 } naive_health_t;
 
 typedef struct
@@ -148,8 +152,8 @@
   naive_health_t health[N_EXECUTORS];
 } naive_t;
 
-/* The count of results of EXECUTOR, or of all when it is negative, halved at
-   each end of a window up to NOW.  */
+/* Returns the count of results of EXECUTOR, or of all executors if it is
+   negative, halved at the end of each window up to NOW.  */
 static gp_health_count_t
 naive_count (const naive_t *naive, int executor, bool success, gp_time_t now)
 {
@@ -177,7 +181,8 @@
   return count;
 }
 
-/* Does it fail at half the rate of an ejection?  As of its last result.  */
+/* Returns true if the executor failed at half the ejection rate or more,
+   as of its last result.  */
 static bool
 naive_failing (const naive_t *naive, int executor)
 {
@@ -208,7 +213,7 @@
   health->ejections++;
   health->state = GP_HEALTH_EJECTED;
   health->until = now + length;
-  health->reset_at = length; /* a length until it is readmitted */
+  health->reset_at = length; /* a duration until readmission, then a time */
 }
 
 static gp_outlier_action_t
@@ -260,7 +265,7 @@
   return GP_OUTLIER_READMIT;
 }
 
-/* What is due at NOW, in any order.  */
+/* Compares the deadlines that have expired at NOW, in any order.  */
 static void
 check_due (naive_t *naive, gp_outlier_t *outlier, gp_time_t now)
 {
@@ -293,7 +298,8 @@
            GRand *rand, gp_time_t now)
 {
   int i = g_rand_int_range (rand, 0, N_EXECUTORS);
-  /* Executors turn bad and good again, some together.  */
+  /* Executors alternate between failing and healthy, some of them
+     together.  */
   bool bad = (now / (20 * GP_SEC) + i) % 3 == 0 || now / (70 * GP_SEC) == 3;
   bool success = g_rand_int_range (rand, 0, 10) < (bad ? 2 : 9);
   result_t result = { .executor = i,
@@ -360,7 +366,7 @@
       g_array_free (naive.results, TRUE);
       g_rand_free (rand);
     }
-  CU_ASSERT (ejected > N_SEEDS); /* the scripts do reach it */
+  CU_ASSERT (ejected > N_SEEDS); /* the runs do cause ejections */
 }
 
 int
--- a/tests/unit/test_pending.c
+++ b/tests/unit/test_pending.c
@@ -1,4 +1,6 @@
-/* The pending queue against a plain list that is searched whole.  */
+/* Tests of the pending queue: transcripts, random runs compared with a
+   reference implementation that searches a list of all tasks, and
+   starvation under tight quotas.  */
 
 #include "runner.h"
 
@@ -41,7 +43,7 @@
   gp_pending_finish (&site->pending);
 }
 
-/* Add a task; its identity is its place, from 1.  */
+/* Adds a task; its id is its index plus 1.  */
 static gp_pending_task_t *
 add (site_t *site, uint32_t team, gp_work_class_t work_class,
      uint32_t millicores, gp_time_t latest_start, gp_time_t now)
@@ -70,7 +72,8 @@
   return task;
 }
 
-/* Whatever is removed from a heap, the rest comes out in order.  */
+/* After arbitrary removals from a heap, the remaining nodes come out in
+   order.  */
 static void
 test_heap (void)
 {
@@ -120,8 +123,9 @@
   site_finish (&site);
 }
 
-/* A head without room defers alone, is kept room for, and is not starved by
-   smaller tasks of its team.  */
+/* A task for which the quota has no room is deferred without blocking
+   those behind it, gets quota reserved, and is not starved by smaller
+   tasks of its team.  */
 static void
 test_quota_head (void)
 {
@@ -197,12 +201,12 @@
   site_finish (&site);
 }
 
-/* The twin searches all tasks.  It is told nothing but the rules: quotas are
-   ample in its runs, so that only order, back-off and turns decide.  */
+/* Reference implementation, which searches all tasks.  Its runs have ample
+   quotas, so that only order, backoff and at-risk picks matter.  */
 typedef struct
 {
   site_t site;
-  gp_time_t retry_at[TASKS]; /* GP_TIME_NEVER: not queued */
+  gp_time_t retry_at[TASKS]; /* GP_TIME_NEVER if not queued */
   unsigned int picks;
 } twin_t;
 
@@ -216,7 +220,8 @@
   return ranks[task->work_class];
 }
 
-/* Whether task A goes before B in its turn, or among all.  */
+/* Returns true if task A precedes B: by latest start only if AT_RISK is
+   set, otherwise by class and team first.  */
 static bool
 twin_before (const twin_t *twin, const gp_pending_task_t *a,
              const gp_pending_task_t *b, bool turn)
@@ -278,7 +283,7 @@
   static const gp_work_class_t classes[]
       = { GP_WORK_LATENCY_CRITICAL, GP_WORK_WATCHER, GP_WORK_BATCH };
   gp_work_class_t work_class = classes[g_rand_int_range (random, 0, 3)];
-  /* One latest start for each task, so that no tie decides.  */
+  /* Each task has a distinct latest start, so that there are no ties.  */
   gp_time_t latest_start
       = now + g_rand_int_range (random, 0, 200) * GP_SEC + twin->site.n_tasks;
 
@@ -347,9 +352,9 @@
     twin_run (seed);
 }
 
-/* Random demands on tight quotas, each task running for a while: no quota is
-   exceeded, every task gets its turn, and the large ones, which never fit
-   beside another, wait no longer than half as long again as the mean.  */
+/* Random demands with tight quotas, each task running for some time.  No
+   quota is exceeded and every task is started.  Large tasks, which never
+   fit beside another one, wait at most 1.5 times as long as the mean.  */
 static void
 starvation_run (uint32_t seed)
 {
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -1,4 +1,5 @@
-/* Placement against a scan of the whole fleet with the same scoring.  */
+/* Tests of placement: transcripts, and random runs compared with a scan of
+   the whole fleet with the same cost function.  */
 
 #include "policy_site.h"
 #include "runner.h"
@@ -101,7 +102,8 @@
   policy_site_finish (&site);
 }
 
-/* What the naive twin finds: the least cost over all workers.  */
+/* Reference implementation: returns the worker with the lowest cost by
+   scanning all of them.  */
 static gp_worker_t *
 scan_all (policy_site_t *site, const gp_placement_request_t *ask,
           double *least)
@@ -128,7 +130,7 @@
   return best;
 }
 
-/* A task that was placed.  */
+/* A placed task.  */
 typedef struct
 {
   gp_placement_request_t ask;
@@ -147,7 +149,8 @@
   unsigned int misses;
 } run_t;
 
-/* Give the workers a service whose model has seen some measurements.  */
+/* Gives the workers a service whose model has been updated with some
+   measurements.  */
 static void
 begin_interference (run_t *run)
 {
@@ -224,7 +227,8 @@
   run->tasks[i] = run->tasks[--run->n_tasks];
 }
 
-/* What is placed on each worker equals what is missing there.  */
+/* Checks that the demands of the tasks placed on each worker plus its free
+   resources equal its capacity.  */
 static void
 check_headroom (const run_t *run)
 {
@@ -279,8 +283,9 @@
   random_run (300, 5, false);
 }
 
-/* One worker has room and very many of its class just don't: it is found, and
-   a miss is known until some headroom grows.  */
+/* One worker has room and hundreds of the same size class narrowly lack
+   it: it is found, and a miss is remembered until the headroom of some
+   worker grows.  */
 static void
 test_edge_of_class (void)
 {
@@ -303,8 +308,9 @@
   policy_site_finish (&site);
 }
 
-/* Small tasks come and go on a full site; a task that needs a whole worker
-   gets one by a hold, on which nothing else is placed meanwhile.  */
+/* Small tasks are placed and released on a full site.  A task that needs a
+   whole worker gets one by a hold, during which nothing else is placed
+   there.  */
 static void
 test_hold (void)
 {
--- a/tests/unit/test_quota.c
+++ b/tests/unit/test_quota.c
@@ -1,4 +1,5 @@
-/* Quotas of teams, by script and by random races of several entries.  */
+/* Tests of team quotas: a scripted transcript, and random races between
+   several entries.  */
 
 #include "runner.h"
 
@@ -48,14 +49,15 @@
   gp_quota_finish (&quota);
 }
 
-/* Some entries read one log at their own pace and propose by their own view;
-   what they agree on never exceeds the quota.  */
+/* Several entries read the same log at different speeds and make proposals
+   according to their own view; the charges that they agree on never exceed
+   the quota.  */
 typedef struct
 {
   gp_quota_t quota;
   gp_quota_charge_t charges[TASKS];
   bool granted[TASKS];
-  unsigned int read; /* records of the log */
+  unsigned int read; /* number of log records read */
 } reader_t;
 
 typedef struct
--- a/tests/unit/test_remedy.c
+++ b/tests/unit/test_remedy.c
@@ -1,4 +1,5 @@
-/* Remedies by script, and that they come to rest on random sites.  */
+/* Tests of remedies: scripted transcripts, and random sites on which the
+   actions must cease.  */
 
 #include "runner.h"
 
@@ -10,7 +11,7 @@
 enum
 {
   RESIDENTS = 6,
-  STEPS = 4000 /* of five seconds */
+  STEPS = 4000 /* five seconds each */
 };
 
 #define STEP (5 * GP_SEC)
@@ -60,7 +61,8 @@
     }
 }
 
-/* Measure RATIO over the five seconds before NOW and do what is decided.  */
+/* Passes a measurement of RATIO over the five seconds before NOW and
+   carries out the decision.  */
 static gp_remedy_decision_t
 step (site_t *site, double ratio, gp_time_t now)
 {
@@ -73,7 +75,7 @@
   return decision;
 }
 
-/* The site's ratio with some load and noise.  */
+/* Returns the ratio of the site with base ratio BASE and some noise.  */
 static double
 ratio_of (const site_t *site, double base, GRand *random)
 {
@@ -99,7 +101,8 @@
   printf ("\n");
 }
 
-/* A breach that nothing cures goes down the ladder.  */
+/* For a persistent breach, all remedies are applied in order of
+   escalation.  */
 static void
 test_ladder (void)
 {
@@ -116,7 +119,8 @@
   CU_ASSERT_EQUAL (site.n, 2);
 }
 
-/* A breach, calm, and a relapse after which it waits longer.  */
+/* A breach, a calm period, and a relapse after which the required calm
+   period is longer.  */
 static void
 test_relapse (void)
 {
@@ -147,8 +151,9 @@
   printf (" late %.0f\n", gp_remedy_eviction_cost (&GP_REMEDY_DEFAULTS, &a));
 }
 
-/* Under a steady load a worker comes to rest: its actions grow no faster than
-   the logarithm of the time allows, and never follow within the cool-down.  */
+/* Under a steady load the actions on a worker cease: there are few in
+   total, fewer in the second half, and never two within the cool-down
+   period.  */
 static void
 come_to_rest (uint32_t seed)
 {
--- a/tests/unit/test_retry.c
+++ b/tests/unit/test_retry.c
@@ -1,5 +1,5 @@
-/* Tests of retries: the whole table of decisions as a transcript, the bound
-   of the budget on random scripts, and the spread of hints.  */
+/* Tests of retries: the complete decision table as a transcript, the
+   budget limit in random runs, and the distribution of hints.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -48,7 +48,8 @@
                                                       : "refuse+hint";
 }
 
-/* Every verdict and reason: idempotent, not idempotent, nobody left.  */
+/* Prints the decision for every verdict and reason: idempotent, not
+   idempotent, no candidate left.  */
 static void
 test_table (void)
 {
@@ -71,7 +72,7 @@
       }
 }
 
-/* What forbids a retry that is otherwise allowed.  */
+/* Conditions that prevent a retry that is otherwise allowed.  */
 static void
 test_feasible (void)
 {
@@ -92,8 +93,8 @@
   CU_ASSERT_STRING_EQUAL (decide_text (&input), "refuse+hint");
 }
 
-/* Retries never exceed what was paid in, and none is refused while a naive
-   count, in real numbers, holds a token.  */
+/* Retries never exceed the budget, and none is refused while a reference
+   count in floating point has a token.  */
 static void
 test_budget (void)
 {
@@ -126,7 +127,7 @@
             }
           input.deadline = now + GP_SEC;
           again = gp_retry_decide (&retry, &input, now).kind == GP_RETRY_AGAIN;
-          /* The table keeps whole thousandths.  */
+          /* The module counts whole thousandths.  */
           CU_ASSERT_FATAL (again ? tokens > 0.998 : tokens < 1.002);
           tokens -= again ? 1 : 0;
         }
@@ -134,7 +135,7 @@
     }
 }
 
-/* The hint of the first request that is refused.  */
+/* Returns the hint for the first refused request.  */
 static gp_time_t
 first_hint (uint64_t id, gp_time_t wait_us)
 {
@@ -150,8 +151,9 @@
   return gp_retry_decide (&retry, &input, 0).u.refuse.return_at;
 }
 
-/* Refused callers come back no faster than they can be served, the same
-   request gets the same jitter, and the answer does not wait.  */
+/* Refused callers are told to return no faster than they can be served,
+   the same request gets the same jitter, and the hint is never earlier
+   than the expected wait.  */
 static void
 test_hint (void)
 {
@@ -181,7 +183,7 @@
       returning[decision.u.refuse.return_at / GP_SEC]++;
       first = id == 0 ? decision.u.refuse.return_at : first;
     }
-  /* 1,000 can be served in a second.  */
+  /* 1,000 requests can be served per second.  */
   for (int s = 0; s < SECONDS; s++)
     CU_ASSERT (returning[s] <= 1000);
   CU_ASSERT_EQUAL (first_hint (0, 0), first);
--- a/tests/unit/test_router.c
+++ b/tests/unit/test_router.c
@@ -1,5 +1,6 @@
-/* Tests of routing: naive twins on random scripts (the choice among few, the
-   sums, what may be picked at all), uniform sampling, zone preference.  */
+/* Tests of routing: random runs compared with a reference implementation
+   (the choice among few candidates, the sums, the eligible candidates),
+   uniform sampling, zone preference, probes and subsets.  */
 
 #include "coordination/router.h"
 #include "coordination/subset.h"
@@ -9,8 +10,8 @@
 #define N_STEPS 20000
 #define N_SEEDS 10
 
-/* Loads are rounded to thousandths, twice: 2/1000 of 30 ms over two slots,
-   and the mean latency to microseconds.  */
+/* Tolerances.  Loads are rounded to thousandths twice, which is 2/1000 of
+   30 ms over two slots, and the mean latency to microseconds.  */
 #define ROUNDING_US 40
 #define ROUNDING_LOAD 0.002
 
@@ -54,7 +55,7 @@
   g_rand_free (twins->rand);
 }
 
-/* The naive twin reads every candidate.  */
+/* Reference implementation, which scans all candidates.  */
 
 static gboolean
 naive_eligible (const twins_t *twins, guint i, const gp_route_t *route)
@@ -118,9 +119,9 @@
   return c->near ? wait : wait + (double)twins->router.settings.zone_cost;
 }
 
-/* With two candidates a zone every one is sampled, so the pick must be the
-   best of all, up to rounding; among those without a wait, the one with the
-   fewest requests.  */
+/* With two candidates per zone every one is sampled, so the pick must be
+   the best of all up to rounding; among those without a wait, the one with
+   the lowest load.  */
 static void
 check_best (const twins_t *twins, const gp_route_t *route,
             const gp_candidate_t *picked)
@@ -247,8 +248,7 @@
       }
 }
 
-/* Of equal candidates each is picked equally often, also when some were
-   tried.  */
+/* Equal candidates are picked equally often, also if some were tried.  */
 static void
 test_uniform (void)
 {
@@ -276,7 +276,8 @@
   twins_finish (&twins);
 }
 
-/* A request leaves the zone when the wait there is longer than the way.  */
+/* A request leaves the zone if the wait there exceeds the cost of reaching
+   another zone.  */
 static void
 test_zone (void)
 {
@@ -285,7 +286,8 @@
 
   twins_init (&twins, 2, 1);
   gp_router_report (&twins.router, &twins.candidates[0], &load);
-  /* One slot of two must come free: 2 ms against 3 ms.  */
+  /* One of two slots must become free: 2 ms, compared with 3 ms to the
+     other zone.  */
   CU_ASSERT_EQUAL (gp_router_wait_at (&twins.router, &twins.candidates[0], 0),
                    2000);
   CU_ASSERT_PTR_EQUAL (
@@ -299,7 +301,7 @@
   twins_finish (&twins);
 }
 
-/* A probe goes to one request that can be run again.  */
+/* A probe is given to one request that can be retried.  */
 static void
 test_probe (void)
 {
@@ -325,8 +327,8 @@
   twins_finish (&twins);
 }
 
-/* In each zone exactly as many entries as wanted route to an executor, and
-   evenly; the loss of an entry moves its own executors only.  */
+/* In each zone exactly the given number of entries route to an executor,
+   evenly distributed; removing an entry moves only its own executors.  */
 static void
 test_subset (void)
 {
--- a/tests/unit/test_suspects.c
+++ b/tests/unit/test_suspects.c
@@ -1,4 +1,5 @@
-/* Blame between tasks and workers, by script and over random outcomes.  */
+/* Tests of the attribution of failures to tasks or workers: a scripted
+   transcript, and random outcomes.  */
 
 #include "runner.h"
 
@@ -86,8 +87,8 @@
   end_task (&site, 10, 6, true, 821 * GP_SEC);
 }
 
-/* Tasks that failed elsewhere before don't make a worker suspected, however
-   many there are; their parking is enough.  */
+/* Tasks that failed elsewhere before do not make a worker suspected,
+   however many there are; parking them is enough.  */
 static void
 test_bad_tasks (void)
 {
@@ -104,8 +105,8 @@
   CU_ASSERT_TRUE (gp_suspects_allows (&site.suspects, 15));
 }
 
-/* One worker fails everything and some tasks fail everywhere: exactly these
-   are found.  */
+/* One worker fails every task and some tasks fail everywhere: exactly
+   these are identified.  */
 static void
 random_outcomes (uint32_t seed)
 {
