--- a/bench/bench_interference.c
+++ b/bench/bench_interference.c
@@ -66,7 +66,7 @@
 typedef struct
 {
   gp_pending_task_t pending;
-  gp_placement_request_t ask;
+  gp_placement_request_t request;
   int arrival;
   double run, deadline, progress, checkpoint;
   unsigned int worker;
@@ -142,7 +142,7 @@
         job->run = site->run_seconds * exp (0.6 * normal (random));
         job->deadline = site->night_seconds > 0 ? site->night_seconds
                                                 : t + 300 + 3 * job->run;
-        job->ask = (gp_placement_request_t){
+        job->request = (gp_placement_request_t){
           .task = ++sim->n_jobs,
           .work_class = GP_WORK_BATCH,
           .kind = (uint16_t)g_rand_int_range (random, 0, KINDS),
@@ -152,7 +152,7 @@
           .held = GP_WORKER_NONE
         };
         gp_pending_task_init (
-            &job->pending, job->ask.task, 0, GP_WORK_BATCH, &demand,
+            &job->pending, job->request.task, 0, GP_WORK_BATCH, &demand,
             (gp_time_t)((job->deadline - job->run) * GP_SEC));
       }
   g_rand_free (random);
@@ -163,11 +163,11 @@
 {
   bool at_risk = job->deadline - t < 2 * (job->run - job->checkpoint) + 60;
 
-  job->ask.harm_limit = sim->policy == OURS && !at_risk ? 0.02 : INFINITY;
+  job->request.harm_limit = sim->policy == OURS && !at_risk ? 0.02 : INFINITY;
   if (sim->policy >= NO_TERM)
-    return gp_placement_choose (&sim->placement, &job->ask).worker;
+    return gp_placement_choose (&sim->placement, &job->request).worker;
   for (unsigned int i = 0; i < WORKERS; i++)
-    if (gp_placement_allows (&job->ask, &sim->workers[i]))
+    if (gp_placement_allows (&job->request, &sim->workers[i]))
       return &sim->workers[i];
   return NULL;
 }
@@ -188,9 +188,9 @@
                             GP_PENDING_NO_CAPACITY, t * GP_SEC);
           continue;
         }
-      gp_placement_reserve (&sim->placement, &job->ask, worker);
-      gp_fleet_confirm (&sim->fleet, worker, &job->ask.demand);
-      gp_residency_change (&sim->residency[worker->index], job->ask.kind,
+      gp_placement_reserve (&sim->placement, &job->request, worker);
+      gp_fleet_confirm (&sim->fleet, worker, &job->request.demand);
+      gp_residency_change (&sim->residency[worker->index], job->request.kind,
                            GP_RESIDENCY_UNTHROTTLED, t * GP_SEC);
       job->worker = worker->index;
       sim->running[sim->n_running++] = job;
@@ -202,9 +202,9 @@
 {
   job_t *job = sim->running[i];
 
-  gp_placement_release (&sim->placement, &job->ask,
+  gp_placement_release (&sim->placement, &job->request,
                         &sim->workers[job->worker]);
-  gp_residency_change (&sim->residency[job->worker], job->ask.kind,
+  gp_residency_change (&sim->residency[job->worker], job->request.kind,
                        job->throttled ? -GP_RESIDENCY_THROTTLED
                                       : -GP_RESIDENCY_UNTHROTTLED,
                        t * GP_SEC);
@@ -226,7 +226,7 @@
       if (job->progress < job->run)
         continue;
       job->done = true;
-      sim->result.done += job->run * job->ask.demand.millicores / 3.6e6;
+      sim->result.done += job->run * job->request.demand.millicores / 3.6e6;
       sim->result.late += t > job->deadline;
       leave (sim, i, t);
     }
@@ -243,13 +243,13 @@
     {
       sim->result.throttles += throttle;
       job->throttled = throttle;
-      gp_residency_change (&sim->residency[job->worker], job->ask.kind,
+      gp_residency_change (&sim->residency[job->worker], job->request.kind,
                            throttle ? -3 : 3, t * GP_SEC);
       return;
     }
   sim->result.evictions++;
   sim->result.lost += (job->progress - job->checkpoint)
-                      * job->ask.demand.millicores / 3.6e6;
+                      * job->request.demand.millicores / 3.6e6;
   job->progress = job->checkpoint;
   leave (sim, i, t);
   gp_pending_add (&sim->pending, &job->pending, t * GP_SEC);
@@ -273,7 +273,7 @@
         job_t *job = sim->running[i];
 
         residents[n++] = (gp_remedy_resident_t){
-          .task = job->ask.task,
+          .task = job->request.task,
           .work_class = GP_WORK_BATCH,
           .throttled = job->throttled,
           .since_checkpoint
@@ -282,7 +282,8 @@
                                 * GP_SEC),
           .relief
           = (1.0 + load)
-            * gp_interference_slope (&sim->interference, 0, job->ask.kind).mean
+            * gp_interference_slope (&sim->interference, 0, job->request.kind)
+                  .mean
         };
       }
   if (sim->policy == FIRST_FIT_PLAIN)
@@ -291,7 +292,7 @@
                                residents, n, t * GP_SEC);
   for (unsigned int k = 0; k < decision.n; k++)
     for (unsigned int i = sim->n_running; i-- > 0;)
-      if (sim->running[i]->ask.task == decision.tasks[k])
+      if (sim->running[i]->request.task == decision.tasks[k])
         {
           carry_out (sim, &decision, i, t);
           break;
@@ -308,7 +309,7 @@
 
   for (unsigned int i = 0; i < sim->n_running; i++)
     if (sim->running[i]->worker == w)
-      slowdown += truth[sim->running[i]->ask.kind] * (1.0 + load)
+      slowdown += truth[sim->running[i]->request.kind] * (1.0 + load)
                   * (sim->running[i]->throttled ? 0.25 : 1.0);
   ratio = (0.35 + 0.25 * load) * slowdown;
   sim->ratios[sim->n_ratios++] = ratio;
--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -24,7 +24,7 @@
 
 typedef struct
 {
-  gp_placement_request_t ask;
+  gp_placement_request_t request;
   gp_worker_t *worker;
 } placed_t;
 
@@ -58,23 +58,23 @@
 }
 
 static gp_placement_request_t
-random_ask (site_t *site)
+random_request (site_t *site)
 {
   GRand *random = site->random;
-  gp_placement_request_t ask = { .task = g_rand_int (random) };
+  gp_placement_request_t request = { .task = g_rand_int (random) };
 
-  ask.kind = (uint16_t)g_rand_int_range (random, 0, KINDS);
-  ask.group = (uint32_t)g_rand_int_range (random, 0, GROUPS);
-  ask.work_class
+  request.kind = (uint16_t)g_rand_int_range (random, 0, KINDS);
+  request.group = (uint32_t)g_rand_int_range (random, 0, GROUPS);
+  request.work_class
       = g_rand_int_range (random, 0, 5) == 0 ? GP_WORK_WATCHER : GP_WORK_BATCH;
-  ask.demand.millicores = 250U << g_rand_int_range (random, 0, 5);
-  ask.demand.memory_mib = 1000U << g_rand_int_range (random, 0, 5);
-  ask.demand.accelerators = g_rand_int_range (random, 0, 20) == 0;
-  ask.zones = GP_PLACEMENT_ALL_ZONES;
-  ask.previous = GP_WORKER_NONE;
-  ask.held = GP_WORKER_NONE;
-  ask.harm_limit = INFINITY;
-  return ask;
+  request.demand.millicores = 250U << g_rand_int_range (random, 0, 5);
+  request.demand.memory_mib = 1000U << g_rand_int_range (random, 0, 5);
+  request.demand.accelerators = g_rand_int_range (random, 0, 20) == 0;
+  request.zones = GP_PLACEMENT_ALL_ZONES;
+  request.previous = GP_WORKER_NONE;
+  request.held = GP_WORKER_NONE;
+  request.harm_limit = INFINITY;
+  return request;
 }
 
 /* Trains a model for each service, so that no prediction uses only the
@@ -97,17 +97,18 @@
 static void
 place_one (site_t *site)
 {
-  gp_placement_request_t ask = random_ask (site);
-  gp_placement_choice_t choice = gp_placement_choose (&site->placement, &ask);
+  gp_placement_request_t request = random_request (site);
+  gp_placement_choice_t choice
+      = gp_placement_choose (&site->placement, &request);
 
   if (choice.worker == NULL)
     {
       site->misses++;
       return;
     }
-  gp_placement_reserve (&site->placement, &ask, choice.worker);
-  gp_fleet_confirm (&site->fleet, choice.worker, &ask.demand);
-  site->tasks[site->n_tasks++] = (placed_t){ ask, choice.worker };
+  gp_placement_reserve (&site->placement, &request, choice.worker);
+  gp_fleet_confirm (&site->fleet, choice.worker, &request.demand);
+  site->tasks[site->n_tasks++] = (placed_t){ request, choice.worker };
 }
 
 static void
@@ -116,7 +117,7 @@
   unsigned int i
       = (unsigned int)g_rand_int_range (site->random, 0, (gint)site->n_tasks);
 
-  gp_placement_release (&site->placement, &site->tasks[i].ask,
+  gp_placement_release (&site->placement, &site->tasks[i].request,
                         site->tasks[i].worker);
   site->tasks[i] = site->tasks[--site->n_tasks];
 }
--- a/bench/bench_router.c
+++ b/bench/bench_router.c
@@ -101,7 +101,7 @@
   gp_outlier_t outlier;
   gp_candidate_t *candidates;
   gp_health_t *health;
-  guint turn;
+  guint next_executor;
 } entry_t;
 
 typedef struct
@@ -114,7 +114,7 @@
   GArray *delays;
   double imbalance;
   guint samples;
-  guint away;
+  guint other_zone;
   guint failed;
 } model_t;
 
@@ -191,7 +191,7 @@
   if (model->c->policy == POLICY_RANDOM)
     return (guint)g_rand_int_range (model->rand, 0, (gint32)model->c->n);
   if (model->c->policy == POLICY_ROUND_ROBIN)
-    return entry->turn++ % model->c->n;
+    return entry->next_executor++ % model->c->n;
   candidate = gp_router_pick (&entry->router, &route, model->rand, now);
   gp_router_sent (&entry->router, candidate);
   i = (guint)(candidate - entry->candidates);
@@ -219,8 +219,8 @@
 }
 
 static void
-judge (model_t *model, entry_t *entry, gp_health_t *health, bool success,
-       gp_time_t now)
+record_result (model_t *model, entry_t *entry, gp_health_t *health,
+               bool success, gp_time_t now)
 {
   gp_time_t duration = (gp_time_t)(success ? SERVICE_US : FAILURE_US);
   gp_outlier_action_t action;
@@ -269,7 +269,8 @@
       gp_router_done (&entry->router, &entry->candidates[done.executor]);
       gp_router_report (&entry->router, &entry->candidates[done.executor],
                         &load);
-      judge (model, entry, &entry->health[done.executor], success, done.at);
+      record_result (model, entry, &entry->health[done.executor], success,
+                     done.at);
     }
 }
 
@@ -310,7 +311,7 @@
   if (e % 3 != entry % 3)
     {
       delay += ROUND_TRIP;
-      model->away++;
+      model->other_zone++;
     }
   g_array_append_val (model->delays, delay);
 }
@@ -349,7 +350,8 @@
           c->name, c->n, c->n_entries, c->utilization,
           c->skew ? " skewed" : "", model->imbalance / model->samples,
           percentile_ms (model, 0.5), percentile_ms (model, 0.99),
-          percentile_ms (model, 0.999), 100.0 * model->away / N_REQUESTS);
+          percentile_ms (model, 0.999),
+          100.0 * model->other_zone / N_REQUESTS);
   if (c->black_hole)
     printf ("  failed %.3f %%", 100.0 * model->failed / N_REQUESTS);
   printf ("\n");
--- a/tests/unit/test_limiter.c
+++ b/tests/unit/test_limiter.c
@@ -42,27 +42,29 @@
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       GRand *random = g_rand_new_with_seed (seed);
-      bucket_t twin = { .rate = rates[seed % G_N_ELEMENTS (rates)],
-                        .burst = g_rand_int_range (random, 1, 30) };
+      bucket_t reference = { .rate = rates[seed % G_N_ELEMENTS (rates)],
+                             .burst = g_rand_int_range (random, 1, 30) };
       gp_limiter_t limiter;
       gp_time_t now = 1;
       int wrong = 0;
 
-      twin.millionths = twin.burst * 1000000;
-      gp_limiter_init (&limiter, (double)twin.rate, (uint32_t)twin.burst);
+      reference.millionths = reference.burst * 1000000;
+      gp_limiter_init (&limiter, (double)reference.rate,
+                       (uint32_t)reference.burst);
       for (int step = 0; step < STEPS; step++)
         {
           int count = g_rand_int_range (random, 1, 4);
           gp_time_t ready = gp_limiter_ready_at (&limiter, count, now);
           bool taken = gp_limiter_take (&limiter, count, now);
 
-          wrong += taken != bucket_take (&twin, count, now);
+          wrong += taken != bucket_take (&reference, count, now);
           wrong += taken != (ready == now);
-          now += g_rand_int_range (random, 0, (gint32)(3000000 / twin.rate));
+          now += g_rand_int_range (random, 0,
+                                   (gint32)(3000000 / reference.rate));
           if (!taken && ready != GP_TIME_NEVER && step % 2 == 0)
             {
-              wrong += bucket_take (&twin, count, ready - 1);
-              wrong += !bucket_take (&twin, count, ready);
+              wrong += bucket_take (&reference, count, ready - 1);
+              wrong += !bucket_take (&reference, count, ready);
               wrong += !gp_limiter_take (&limiter, count, ready);
               now = MAX (now, ready);
             }
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -197,7 +197,7 @@
 }
 
 static void
-naive_settle (naive_t *naive, gp_time_t now)
+naive_update_states (naive_t *naive, gp_time_t now)
 {
   gp_members_settings_t s = GP_MEMBERS_SETTINGS_DEFAULT;
 
@@ -220,7 +220,7 @@
 /* Returns true if an event of INCARNATION is accepted.  An announcement of
    a newer incarnation resets the guard.  */
 static bool
-naive_admit (naive_guard_t *guard, uint64_t incarnation, bool announces)
+naive_accept (naive_guard_t *guard, uint64_t incarnation, bool announces)
 {
   if (guard->known && incarnation == guard->incarnation)
     return true;
@@ -242,21 +242,21 @@
   gp_member_t seen[N_GUARDS]; /* copies as of the last change taken */
   GRand *rand;
   gp_time_t now;
-} twins_t;
+} pair_t;
 
 static void
-guard_event (twins_t *twins, int g, uint64_t incarnation)
+guard_event (pair_t *pair, int g, uint64_t incarnation)
 {
-  naive_guard_t *guard = &twins->naive.guards[g];
+  naive_guard_t *guard = &pair->naive.guards[g];
   const char *name = guard_names[g];
   gp_announcement_t a = announcement (name, incarnation, false);
-  int kind = g_rand_int_range (twins->rand, 0, 12);
-  bool counts = naive_admit (guard, incarnation, kind == 0);
+  int kind = g_rand_int_range (pair->rand, 0, 12);
+  bool counts = naive_accept (guard, incarnation, kind == 0);
 
-  a.slots = (uint32_t)g_rand_int_range (twins->rand, 8, 10);
+  a.slots = (uint32_t)g_rand_int_range (pair->rand, 8, 10);
   if (kind == 0)
     {
-      gp_members_announce (&twins->members, &a, twins->now);
+      gp_members_announce (&pair->members, &a, pair->now);
       if (counts)
         guard->reach = GP_REACH_UP;
       guard->heartbeat_received
@@ -265,66 +265,67 @@
     }
   else if (kind == 1)
     {
-      gp_members_connection_lost (&twins->members, name, incarnation,
-                                  twins->now);
+      gp_members_connection_lost (&pair->members, name, incarnation,
+                                  pair->now);
       guard->direct = guard->direct && !counts;
       guard->reach = counts ? GP_REACH_DOWN : guard->reach;
     }
   else if (kind == 2)
     {
-      gp_members_leaving (&twins->members, name, incarnation, twins->now);
+      gp_members_leaving (&pair->members, name, incarnation, pair->now);
       guard->leaving = guard->leaving || counts;
     }
   else if (kind == 3)
     {
-      gp_members_connection_open (&twins->members, name, incarnation);
+      gp_members_connection_open (&pair->members, name, incarnation);
       guard->reach = counts ? GP_REACH_UP : guard->reach;
     }
   else
     {
-      gp_members_heartbeat (&twins->members, name, incarnation, NULL,
-                            twins->now);
+      gp_members_heartbeat (&pair->members, name, incarnation, NULL,
+                            pair->now);
       counts = counts && (guard->direct || guard->reach == GP_REACH_UP);
       guard->heartbeat_received = guard->heartbeat_received || counts;
     }
   if (counts && (kind == 0 || kind > 3))
     {
       guard->direct = true;
-      guard->heard_at = twins->now;
+      guard->heard_at = pair->now;
     }
 }
 
 static void
-entry_event (twins_t *twins, int g, int e, uint64_t incarnation)
+entry_event (pair_t *pair, int g, int e, uint64_t incarnation)
 {
-  naive_t *naive = &twins->naive;
+  naive_t *naive = &pair->naive;
   naive_guard_t *guard = &naive->guards[g];
-  int kind = g_rand_int_range (twins->rand, 0, 8);
+  int kind = g_rand_int_range (pair->rand, 0, 8);
   gp_member_news_t news = { .announcement = announcement (
                                 guard_names[g], incarnation, kind == 3),
                             .gone = kind == 2 };
   bool known = naive->generation[e] != 0
-               && twins->now < naive->heard_at[e] + 90 * GP_SEC;
+               && pair->now < naive->heard_at[e] + 90 * GP_SEC;
 
   if (kind == 0)
     {
-      gp_members_reporter_open (&twins->members, entry_names[e], twins->now);
+      gp_members_reporter_open (&pair->members, entry_names[e], pair->now);
       naive->generation[e]++;
-      naive->opened_at[e] = twins->now;
-      naive->heard_at[e] = twins->now;
+      naive->opened_at[e] = pair->now;
+      naive->heard_at[e] = pair->now;
       return;
     }
   CU_ASSERT_EQUAL (
-      gp_members_reporter_heard (&twins->members, entry_names[e], twins->now),
+      gp_members_reporter_heard (&pair->members, entry_names[e], pair->now),
       known);
   if (!known)
     return;
-  naive->heard_at[e] = twins->now;
-  naive_settle (naive, twins->now); /* for the table these are two events */
+  naive->heard_at[e] = pair->now;
+  naive_update_states (naive,
+                       pair->now); /* for the table these are two events */
   if (kind > 4)
     return;
-  gp_members_apply_news (&twins->members, entry_names[e], &news, twins->now);
-  if (naive_admit (guard, incarnation, !news.gone))
+  gp_members_apply_news (&pair->members, entry_names[e], &news, pair->now);
+  if (naive_accept (guard, incarnation, !news.gone))
     {
       guard->said[e] = news.gone ? 0 : naive->generation[e];
       guard->leaving = guard->leaving || kind == 3;
@@ -339,17 +340,17 @@
 
 /* Takes the changes and checks that members not among them are unchanged.  */
 static void
-check_changes (twins_t *twins)
+check_changes (pair_t *pair)
 {
   gp_member_t *member;
 
-  while ((member = gp_members_next_change (&twins->members)) != NULL)
-    twins->seen[guard_index (member)] = *member;
+  while ((member = gp_members_next_change (&pair->members)) != NULL)
+    pair->seen[guard_index (member)] = *member;
   for (int g = 0; g < N_GUARDS; g++)
     {
-      const gp_member_t *seen = &twins->seen[g];
+      const gp_member_t *seen = &pair->seen[g];
 
-      member = gp_members_find (&twins->members, guard_names[g]);
+      member = gp_members_find (&pair->members, guard_names[g]);
       if (member == NULL)
         continue;
       CU_ASSERT_EQUAL_FATAL (seen->state, member->state);
@@ -362,13 +363,13 @@
 }
 
 static void
-compare (twins_t *twins)
+compare (pair_t *pair)
 {
   for (int g = 0; g < N_GUARDS; g++)
     {
-      const naive_guard_t *guard = &twins->naive.guards[g];
+      const naive_guard_t *guard = &pair->naive.guards[g];
       const gp_member_t *member
-          = gp_members_find (&twins->members, guard_names[g]);
+          = gp_members_find (&pair->members, guard_names[g]);
 
       CU_ASSERT_EQUAL_FATAL (guard->known, member != NULL);
       if (member == NULL)
@@ -380,27 +381,27 @@
 }
 
 static void
-twins_step (twins_t *twins)
+pair_step (pair_t *pair)
 {
-  int g = g_rand_int_range (twins->rand, 0, N_GUARDS);
-  uint64_t incarnation = twins->naive.guards[g].incarnation;
-  int other = g_rand_int_range (twins->rand, 0, 30);
-  gp_time_t pause = g_rand_int_range (twins->rand, 0, 100) == 0 ? 130 : 2;
+  int g = g_rand_int_range (pair->rand, 0, N_GUARDS);
+  uint64_t incarnation = pair->naive.guards[g].incarnation;
+  int other = g_rand_int_range (pair->rand, 0, 30);
+  gp_time_t pause = g_rand_int_range (pair->rand, 0, 100) == 0 ? 130 : 2;
 
   incarnation += other == 0 ? 1 : 0;
   incarnation -= other == 1 && incarnation > 0 ? 1 : 0;
-  twins->now += g_rand_int_range (twins->rand, 0, (gint32)(pause * GP_SEC));
-  naive_expire (&twins->naive, twins->now);
-  naive_settle (&twins->naive, twins->now);
-  gp_members_tick (&twins->members, twins->now);
-  if (g_rand_boolean (twins->rand))
-    guard_event (twins, g, incarnation);
+  pair->now += g_rand_int_range (pair->rand, 0, (gint32)(pause * GP_SEC));
+  naive_expire (&pair->naive, pair->now);
+  naive_update_states (&pair->naive, pair->now);
+  gp_members_tick (&pair->members, pair->now);
+  if (g_rand_boolean (pair->rand))
+    guard_event (pair, g, incarnation);
   else
-    entry_event (twins, g, g_rand_int_range (twins->rand, 0, N_ENTRIES),
+    entry_event (pair, g, g_rand_int_range (pair->rand, 0, N_ENTRIES),
                  incarnation);
-  naive_settle (&twins->naive, twins->now);
-  check_changes (twins);
-  compare (twins);
+  naive_update_states (&pair->naive, pair->now);
+  check_changes (pair);
+  compare (pair);
 }
 
 static void
@@ -410,15 +411,15 @@
 
   for (guint32 seed = 1; seed <= N_SEEDS; seed++)
     {
-      twins_t twins = { .rand = g_rand_new_with_seed (seed) };
+      pair_t pair = { .rand = g_rand_new_with_seed (seed) };
 
-      gp_members_init (&twins.members, &settings);
+      gp_members_init (&pair.members, &settings);
       for (int g = 0; g < N_GUARDS; g++)
-        twins.naive.guards[g].heard_at = INT32_MIN;
+        pair.naive.guards[g].heard_at = INT32_MIN;
       for (int i = 0; i < N_STEPS; i++)
-        twins_step (&twins);
-      gp_members_finish (&twins.members);
-      g_rand_free (twins.rand);
+        pair_step (&pair);
+      gp_members_finish (&pair.members);
+      g_rand_free (pair.rand);
     }
 }
 
@@ -435,7 +436,7 @@
 test_news (void)
 {
   gp_members_settings_t settings = GP_MEMBERS_SETTINGS_DEFAULT;
-  twins_t home = { .rand = g_rand_new_with_seed (7) };
+  pair_t home = { .rand = g_rand_new_with_seed (7) };
   gp_members_t away;
   uint64_t cursor = 0;
 
--- a/tests/unit/test_outlier.c
+++ b/tests/unit/test_outlier.c
@@ -224,7 +224,7 @@
   gp_health_count_t good;
   gp_health_count_t bad;
   guint failing = 0;
-  guint out = 0;
+  guint not_healthy = 0;
 
   if (health->state != GP_HEALTH_HEALTHY)
     return GP_OUTLIER_NONE;
@@ -232,7 +232,7 @@
   for (int i = 0; i < N_EXECUTORS; i++)
     {
       failing += naive_failing (naive, i);
-      out += naive->health[i].state != GP_HEALTH_HEALTHY;
+      not_healthy += naive->health[i].state != GP_HEALTH_HEALTHY;
     }
   good = naive_count (naive, result->executor, true, now);
   bad = naive_count (naive, result->executor, false, now);
@@ -241,7 +241,7 @@
     return GP_OUTLIER_NONE;
   good = naive_count (naive, -1, true, now);
   if (good.n == 0 || bad.total_us / bad.n * 2 >= good.total_us / good.n
-      || failing * 2 > N_EXECUTORS || out >= 2)
+      || failing * 2 > N_EXECUTORS || not_healthy >= 2)
     return GP_OUTLIER_NONE;
   naive_eject (naive, health, now);
   return GP_OUTLIER_EJECT;
@@ -294,8 +294,8 @@
 }
 
 static void
-twin_step (naive_t *naive, gp_outlier_t *outlier, gp_health_t *health,
-           GRand *rand, gp_time_t now)
+compare_step (naive_t *naive, gp_outlier_t *outlier, gp_health_t *health,
+              GRand *rand, gp_time_t now)
 {
   int i = g_rand_int_range (rand, 0, N_EXECUTORS);
   /* Executors alternate between failing and healthy, some of them
@@ -359,7 +359,7 @@
       for (int step = 0; step < N_STEPS; step++)
         {
           now += g_rand_int_range (rand, 0, GP_SEC);
-          twin_step (&naive, &outlier, health, rand, now);
+          compare_step (&naive, &outlier, health, rand, now);
         }
       for (int i = 0; i < N_EXECUTORS; i++)
         ejected += (int)health[i].ejections;
--- a/tests/unit/test_pending.c
+++ b/tests/unit/test_pending.c
@@ -208,10 +208,10 @@
   site_t site;
   gp_time_t retry_at[TASKS]; /* GP_TIME_NEVER if not queued */
   unsigned int picks;
-} twin_t;
+} reference_t;
 
 static unsigned int
-twin_rank (const gp_pending_task_t *task)
+reference_rank (const gp_pending_task_t *task)
 {
   static const unsigned int ranks[] = {
     [GP_WORK_LATENCY_CRITICAL] = 0, [GP_WORK_WATCHER] = 1, [GP_WORK_BATCH] = 2
@@ -223,17 +223,17 @@
 /* Returns true if task A precedes B: by latest start only if AT_RISK is
    set, otherwise by class and team first.  */
 static bool
-twin_before (const twin_t *twin, const gp_pending_task_t *a,
-             const gp_pending_task_t *b, bool turn)
+reference_before (const reference_t *reference, const gp_pending_task_t *a,
+                  const gp_pending_task_t *b, bool at_risk)
 {
-  double share_a = gp_quota_share (&twin->site.quota, a->charge.team);
-  double share_b = gp_quota_share (&twin->site.quota, b->charge.team);
+  double share_a = gp_quota_share (&reference->site.quota, a->charge.team);
+  double share_b = gp_quota_share (&reference->site.quota, b->charge.team);
 
-  if (!turn && twin_rank (a) != twin_rank (b))
-    return twin_rank (a) < twin_rank (b);
-  if (!turn && share_a != share_b)
+  if (!at_risk && reference_rank (a) != reference_rank (b))
+    return reference_rank (a) < reference_rank (b);
+  if (!at_risk && share_a != share_b)
     return share_a < share_b;
-  if (!turn && a->charge.team != b->charge.team)
+  if (!at_risk && a->charge.team != b->charge.team)
     return a->charge.team < b->charge.team;
   if (a->latest_start != b->latest_start)
     return a->latest_start < b->latest_start;
@@ -241,115 +241,117 @@
 }
 
 static unsigned int
-twin_find (const twin_t *twin, gp_time_t now, bool turn)
+reference_find (const reference_t *reference, gp_time_t now, bool at_risk)
 {
   unsigned int best = TASKS;
 
-  for (unsigned int i = 0; i < twin->site.n_tasks; i++)
+  for (unsigned int i = 0; i < reference->site.n_tasks; i++)
     {
-      const gp_pending_task_t *task = &twin->site.tasks[i];
+      const gp_pending_task_t *task = &reference->site.tasks[i];
 
-      if (twin->retry_at[i] > now)
+      if (reference->retry_at[i] > now)
         continue;
-      if (turn
-          && (twin_rank (task) == 0
+      if (at_risk
+          && (reference_rank (task) == 0
               || task->latest_start
-                     > now + twin->site.pending.settings.risk_horizon))
+                     > now + reference->site.pending.settings.risk_horizon))
         continue;
       if (best == TASKS
-          || twin_before (twin, task, &twin->site.tasks[best], turn))
+          || reference_before (reference, task, &reference->site.tasks[best],
+                               at_risk))
         best = i;
     }
   return best;
 }
 
 static unsigned int
-twin_next (twin_t *twin, gp_time_t now)
+reference_next (reference_t *reference, gp_time_t now)
 {
   unsigned int found = TASKS;
 
-  if (twin->picks == GP_PENDING_AT_RISK_INTERVAL - 1)
-    found = twin_find (twin, now, true);
+  if (reference->picks == GP_PENDING_AT_RISK_INTERVAL - 1)
+    found = reference_find (reference, now, true);
   if (found < TASKS)
-    twin->picks = 0;
-  else if ((found = twin_find (twin, now, false)) < TASKS)
-    twin->picks += twin->picks < GP_PENDING_AT_RISK_INTERVAL - 1;
+    reference->picks = 0;
+  else if ((found = reference_find (reference, now, false)) < TASKS)
+    reference->picks += reference->picks < GP_PENDING_AT_RISK_INTERVAL - 1;
   return found;
 }
 
 static void
-twin_add (twin_t *twin, GRand *random, gp_time_t now)
+reference_add (reference_t *reference, GRand *random, gp_time_t now)
 {
   static const gp_work_class_t classes[]
       = { GP_WORK_LATENCY_CRITICAL, GP_WORK_WATCHER, GP_WORK_BATCH };
   gp_work_class_t work_class = classes[g_rand_int_range (random, 0, 3)];
   /* Each task has a distinct latest start, so that there are no ties.  */
-  gp_time_t latest_start
-      = now + g_rand_int_range (random, 0, 200) * GP_SEC + twin->site.n_tasks;
+  gp_time_t latest_start = now + g_rand_int_range (random, 0, 200) * GP_SEC
+                           + reference->site.n_tasks;
 
-  twin->retry_at[twin->site.n_tasks] = now;
-  add (&twin->site, (uint32_t)g_rand_int_range (random, 0, TEAMS), work_class,
-       (uint32_t)g_rand_int_range (random, 1, 20), latest_start, now);
+  reference->retry_at[reference->site.n_tasks] = now;
+  add (&reference->site, (uint32_t)g_rand_int_range (random, 0, TEAMS),
+       work_class, (uint32_t)g_rand_int_range (random, 1, 20), latest_start,
+       now);
 }
 
 static void
-twin_take (twin_t *twin, GRand *random, gp_time_t now)
+reference_take (reference_t *reference, GRand *random, gp_time_t now)
 {
-  unsigned int expected = twin_next (twin, now);
-  gp_pending_task_t *task
-      = gp_pending_next (&twin->site.pending, &twin->site.quota, now);
+  unsigned int expected = reference_next (reference, now);
+  gp_pending_task_t *task = gp_pending_next (&reference->site.pending,
+                                             &reference->site.quota, now);
 
   CU_ASSERT_EQUAL (task == NULL, expected == TASKS);
   if (task == NULL || expected == TASKS)
     return;
-  CU_ASSERT_PTR_EQUAL (task, &twin->site.tasks[expected]);
-  twin->retry_at[expected] = GP_TIME_NEVER;
+  CU_ASSERT_PTR_EQUAL (task, &reference->site.tasks[expected]);
+  reference->retry_at[expected] = GP_TIME_NEVER;
   if (!g_rand_boolean (random))
     return;
-  (void)gp_pending_defer (&twin->site.pending, &twin->site.quota, task,
-                          GP_PENDING_NO_CAPACITY, now);
-  twin->retry_at[expected] = task->node.key;
+  (void)gp_pending_defer (&reference->site.pending, &reference->site.quota,
+                          task, GP_PENDING_NO_CAPACITY, now);
+  reference->retry_at[expected] = task->node.key;
 }
 
 static void
-twin_run (uint32_t seed)
+reference_run (uint32_t seed)
 {
-  twin_t *twin = g_new0 (twin_t, 1);
+  reference_t *reference = g_new0 (reference_t, 1);
   GRand *random = g_rand_new_with_seed (seed);
   uint32_t queued = 0;
 
-  site_init (&twin->site, &GP_PENDING_DEFAULTS);
+  site_init (&reference->site, &GP_PENDING_DEFAULTS);
   for (unsigned int step = 0; step < STEPS; step++)
     {
       gp_time_t now = step * (20 * GP_MSEC);
       int what = g_rand_int_range (random, 0, 10);
       int any = g_rand_int_range (random, 0, TASKS);
 
-      if (what < 2 && twin->site.n_tasks < TASKS)
-        twin_add (twin, random, now);
+      if (what < 2 && reference->site.n_tasks < TASKS)
+        reference_add (reference, random, now);
       else if (what < 9)
-        twin_take (twin, random, now);
-      else if (any < (int)twin->site.n_tasks)
+        reference_take (reference, random, now);
+      else if (any < (int)reference->site.n_tasks)
         {
-          gp_pending_remove (&twin->site.pending, &twin->site.quota,
-                             &twin->site.tasks[any]);
-          twin->retry_at[any] = GP_TIME_NEVER;
+          gp_pending_remove (&reference->site.pending, &reference->site.quota,
+                             &reference->site.tasks[any]);
+          reference->retry_at[any] = GP_TIME_NEVER;
         }
     }
-  for (unsigned int i = 0; i < twin->site.n_tasks; i++)
-    queued += twin->retry_at[i] != GP_TIME_NEVER;
-  CU_ASSERT_EQUAL (gp_pending_length (&twin->site.pending), queued);
-  CU_ASSERT_EQUAL (twin->site.n_tasks, TASKS);
-  site_finish (&twin->site);
+  for (unsigned int i = 0; i < reference->site.n_tasks; i++)
+    queued += reference->retry_at[i] != GP_TIME_NEVER;
+  CU_ASSERT_EQUAL (gp_pending_length (&reference->site.pending), queued);
+  CU_ASSERT_EQUAL (reference->site.n_tasks, TASKS);
+  site_finish (&reference->site);
   g_rand_free (random);
-  g_free (twin);
+  g_free (reference);
 }
 
 static void
 test_twin (void)
 {
   for (uint32_t seed = 1; seed <= 5; seed++)
-    twin_run (seed);
+    reference_run (seed);
 }
 
 /* Random demands with tight quotas, each task running for some time.  No
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -28,13 +28,14 @@
 
 static gp_worker_t *
 place (policy_site_t *site, const char *what,
-       const gp_placement_request_t *ask)
+       const gp_placement_request_t *request)
 {
-  gp_placement_choice_t choice = gp_placement_choose (&site->placement, ask);
+  gp_placement_choice_t choice
+      = gp_placement_choose (&site->placement, request);
 
   print_choice (what, &choice);
   if (choice.worker != NULL)
-    gp_placement_reserve (&site->placement, ask, choice.worker);
+    gp_placement_reserve (&site->placement, request, choice.worker);
   return choice.worker;
 }
 
@@ -42,42 +43,42 @@
 test_transcript (void)
 {
   policy_site_t site;
-  gp_placement_request_t ask = policy_ask (1, 40000, 100000);
+  gp_placement_request_t request = policy_ask (1, 40000, 100000);
   gp_resources_t headroom = { 1000, 1000, 0 };
-  gp_resources_t ended = ask.demand;
+  gp_resources_t ended = request.demand;
   gp_worker_t *worker;
 
   policy_site_init (&site, 4, 2, &site_worker);
-  worker = place (&site, "first", &ask);
-  place (&site, "batch spreads", &ask);
-  gp_placement_refuse (&site.placement, &ask, worker, &headroom);
-  ask.work_class = GP_WORK_WATCHER;
-  ask.previous = 2;
-  ask.has_checkpoint = true;
-  place (&site, "watcher stays", &ask);
-  place (&site, "watcher near", &ask);
-  ask.demand.millicores = 70000;
-  place (&site, "too large", &ask);
-  ask.demand.millicores = 30000;
-  place (&site, "full", &ask);
-  ask.held = gp_placement_hold (&site.placement, &ask, GP_SEC);
-  printf ("held %u\n", ask.held);
-  gp_fleet_confirm (&site.fleet, &site.workers[ask.held], &ended);
-  gp_fleet_release (&site.fleet, &site.workers[ask.held], 0, &ended);
-  ask.task = 2;
-  place (&site, "other task", &ask);
-  ask.task = 1;
-  ask.avoided[0] = ask.held;
-  ask.n_avoided = 1;
-  place (&site, "avoiding it", &ask);
-  gp_placement_drop_hold (&site.placement, &ask);
-  place (&site, "not held, avoiding it", &ask);
-  ask.n_avoided = 0;
-  place (&site, "at last", &ask);
-  ask.zones = 0;
-  place (&site, "no zone is open", &ask);
-  ask.demand.millicores = 70000;
-  place (&site, "and too large", &ask);
+  worker = place (&site, "first", &request);
+  place (&site, "batch spreads", &request);
+  gp_placement_refuse (&site.placement, &request, worker, &headroom);
+  request.work_class = GP_WORK_WATCHER;
+  request.previous = 2;
+  request.has_checkpoint = true;
+  place (&site, "watcher stays", &request);
+  place (&site, "watcher near", &request);
+  request.demand.millicores = 70000;
+  place (&site, "too large", &request);
+  request.demand.millicores = 30000;
+  place (&site, "full", &request);
+  request.held = gp_placement_hold (&site.placement, &request, GP_SEC);
+  printf ("held %u\n", request.held);
+  gp_fleet_confirm (&site.fleet, &site.workers[request.held], &ended);
+  gp_fleet_release (&site.fleet, &site.workers[request.held], 0, &ended);
+  request.task = 2;
+  place (&site, "other task", &request);
+  request.task = 1;
+  request.avoided[0] = request.held;
+  request.n_avoided = 1;
+  place (&site, "avoiding it", &request);
+  gp_placement_drop_hold (&site.placement, &request);
+  place (&site, "not held, avoiding it", &request);
+  request.n_avoided = 0;
+  place (&site, "at last", &request);
+  request.zones = 0;
+  place (&site, "no zone is open", &request);
+  request.demand.millicores = 70000;
+  place (&site, "and too large", &request);
   policy_site_finish (&site);
 }
 
@@ -85,7 +86,7 @@
 test_accelerators_kept (void)
 {
   policy_site_t site;
-  gp_placement_request_t ask = policy_ask (1, 40000, 1000);
+  gp_placement_request_t request = policy_ask (1, 40000, 1000);
   gp_worker_t accelerated;
 
   policy_site_init (&site, 1, 1, &site_worker);
@@ -93,11 +94,11 @@
   accelerated.capacity = site_worker;
   accelerated.capacity.accelerators = 2;
   gp_fleet_add (&site.fleet, &accelerated);
-  CU_ASSERT_EQUAL (place (&site, "plain", &ask)->index, 0);
-  CU_ASSERT_EQUAL (place (&site, "plain, else full", &ask)->index, 1);
-  ask.demand = (gp_resources_t){ 1000, 1000, 2 };
-  CU_ASSERT_EQUAL (place (&site, "accelerated", &ask)->index, 1);
-  CU_ASSERT_PTR_NULL (place (&site, "accelerators used", &ask));
+  CU_ASSERT_EQUAL (place (&site, "plain", &request)->index, 0);
+  CU_ASSERT_EQUAL (place (&site, "plain, else full", &request)->index, 1);
+  request.demand = (gp_resources_t){ 1000, 1000, 2 };
+  CU_ASSERT_EQUAL (place (&site, "accelerated", &request)->index, 1);
+  CU_ASSERT_PTR_NULL (place (&site, "accelerators used", &request));
   gp_worker_finish (&accelerated);
   policy_site_finish (&site);
 }
@@ -105,7 +106,7 @@
 /* Reference implementation: returns the worker with the lowest cost by
    scanning all of them.  */
 static gp_worker_t *
-scan_all (policy_site_t *site, const gp_placement_request_t *ask,
+scan_all (policy_site_t *site, const gp_placement_request_t *request,
           double *least)
 {
   gp_worker_t *best = NULL;
@@ -117,9 +118,9 @@
       gp_placement_cost_t cost;
       double total;
 
-      if (!gp_placement_allows (ask, worker))
+      if (!gp_placement_allows (request, worker))
         continue;
-      cost = gp_placement_cost (&site->placement, ask, worker);
+      cost = gp_placement_cost (&site->placement, request, worker);
       total = gp_placement_cost_total (&cost);
       if (total < *least)
         {
@@ -133,7 +134,7 @@
 /* A placed task.  */
 typedef struct
 {
-  gp_placement_request_t ask;
+  gp_placement_request_t request;
   gp_worker_t *worker;
 } placed_t;
 
@@ -175,29 +176,29 @@
 }
 
 static gp_placement_request_t
-random_ask (run_t *run, uint64_t task)
+random_request (run_t *run, uint64_t task)
 {
-  gp_placement_request_t ask
+  gp_placement_request_t request
       = policy_ask (task, 250U << g_rand_int_range (run->random, 0, 8),
                     500U << g_rand_int_range (run->random, 0, 9));
 
-  ask.group = (uint32_t)g_rand_int_range (run->random, 0, 5);
-  ask.kind = (uint16_t)ask.group;
-  ask.work_class = ask.group == 0 ? GP_WORK_WATCHER : GP_WORK_BATCH;
-  ask.previous
+  request.group = (uint32_t)g_rand_int_range (run->random, 0, 5);
+  request.kind = (uint16_t)request.group;
+  request.work_class = request.group == 0 ? GP_WORK_WATCHER : GP_WORK_BATCH;
+  request.previous
       = (uint32_t)g_rand_int_range (run->random, 0, (gint)run->site.n_workers);
-  ask.has_checkpoint = ask.group < 3;
-  return ask;
+  request.has_checkpoint = request.group < 3;
+  return request;
 }
 
 static void
 step_place (run_t *run, uint64_t task, bool exact)
 {
-  gp_placement_request_t ask = random_ask (run, task);
+  gp_placement_request_t request = random_request (run, task);
   double least;
-  gp_worker_t *naive = scan_all (&run->site, &ask, &least);
+  gp_worker_t *naive = scan_all (&run->site, &request, &least);
   gp_placement_choice_t choice
-      = gp_placement_choose (&run->site.placement, &ask);
+      = gp_placement_choose (&run->site.placement, &request);
 
   CU_ASSERT_EQUAL (naive != NULL, choice.outcome == GP_PLACEMENT_CHOSEN);
   if (exact)
@@ -208,12 +209,12 @@
       run->misses++;
       return;
     }
-  CU_ASSERT_TRUE (gp_resources_fit (&ask.demand, &choice.worker->free));
+  CU_ASSERT_TRUE (gp_resources_fit (&request.demand, &choice.worker->free));
   run->regret += choice.total - least;
   run->choices++;
-  gp_placement_reserve (&run->site.placement, &ask, choice.worker);
-  gp_fleet_confirm (&run->site.fleet, choice.worker, &ask.demand);
-  run->tasks[run->n_tasks++] = (placed_t){ ask, choice.worker };
+  gp_placement_reserve (&run->site.placement, &request, choice.worker);
+  gp_fleet_confirm (&run->site.fleet, choice.worker, &request.demand);
+  run->tasks[run->n_tasks++] = (placed_t){ request, choice.worker };
 }
 
 static void
@@ -222,7 +223,7 @@
   unsigned int i
       = (unsigned int)g_rand_int_range (run->random, 0, (gint)run->n_tasks);
 
-  gp_placement_release (&run->site.placement, &run->tasks[i].ask,
+  gp_placement_release (&run->site.placement, &run->tasks[i].request,
                         run->tasks[i].worker);
   run->tasks[i] = run->tasks[--run->n_tasks];
 }
@@ -236,7 +237,7 @@
 
   for (unsigned int i = 0; i < run->n_tasks; i++)
     gp_resources_add (&used[run->tasks[i].worker->index],
-                      &run->tasks[i].ask.demand);
+                      &run->tasks[i].request.demand);
   for (unsigned int i = 0; i < run->site.n_workers; i++)
     {
       gp_resources_add (&used[i], &run->site.workers[i].free);
@@ -290,20 +291,20 @@
 test_edge_of_class (void)
 {
   policy_site_t site;
-  gp_placement_request_t ask = policy_ask (1, 55000, 1000);
+  gp_placement_request_t request = policy_ask (1, 55000, 1000);
   gp_resources_t headroom = { 50000, 200000, 0 };
 
   policy_site_init (&site, 600, 1, &site_worker);
   for (unsigned int i = 0; i < 599; i++)
     gp_fleet_report (&site.fleet, &site.workers[i], &headroom);
-  CU_ASSERT_PTR_EQUAL (gp_placement_choose (&site.placement, &ask).worker,
+  CU_ASSERT_PTR_EQUAL (gp_placement_choose (&site.placement, &request).worker,
                        &site.workers[599]);
   gp_fleet_report (&site.fleet, &site.workers[599], &headroom);
   for (int i = 0; i < 2; i++)
-    CU_ASSERT_EQUAL (gp_placement_choose (&site.placement, &ask).outcome,
+    CU_ASSERT_EQUAL (gp_placement_choose (&site.placement, &request).outcome,
                      GP_PLACEMENT_NO_CAPACITY_NOW);
   gp_fleet_report (&site.fleet, &site.workers[7], &site_worker);
-  CU_ASSERT_PTR_EQUAL (gp_placement_choose (&site.placement, &ask).worker,
+  CU_ASSERT_PTR_EQUAL (gp_placement_choose (&site.placement, &request).worker,
                        &site.workers[7]);
   policy_site_finish (&site);
 }
--- a/tests/unit/test_remedy.c
+++ b/tests/unit/test_remedy.c
@@ -155,7 +155,7 @@
    total, fewer in the second half, and never two within the cool-down
    period.  */
 static void
-come_to_rest (uint32_t seed)
+check_actions_cease (uint32_t seed)
 {
   site_t site = { .n = 0 };
   GRand *random = g_rand_new_with_seed (seed);
@@ -191,7 +191,7 @@
 test_come_to_rest (void)
 {
   for (uint32_t seed = 1; seed <= 100; seed++)
-    come_to_rest (seed);
+    check_actions_cease (seed);
 }
 
 int
--- a/tests/unit/test_router.c
+++ b/tests/unit/test_router.c
@@ -25,7 +25,7 @@
   guint n;
   GRand *rand;
   gp_time_t now;
-} twins_t;
+} pair_t;
 
 static guint
 random_below (GRand *rand, guint bound)
@@ -34,203 +34,203 @@
 }
 
 static void
-twins_init (twins_t *twins, guint n, guint32 seed)
+pair_init (pair_t *pair, guint n, guint32 seed)
 {
   gp_router_settings_t settings = GP_ROUTER_SETTINGS_DEFAULT;
 
-  *twins = (twins_t){ .n = n, .rand = g_rand_new_with_seed (seed) };
-  gp_router_init (&twins->router, &settings);
+  *pair = (pair_t){ .n = n, .rand = g_rand_new_with_seed (seed) };
+  gp_router_init (&pair->router, &settings);
   for (guint i = 0; i < n; i++)
     {
-      gp_router_add (&twins->router, &twins->candidates[i], i % 2 == 0, 2, 5,
+      gp_router_add (&pair->router, &pair->candidates[i], i % 2 == 0, 2, 5,
                      NULL);
-      twins->present[i] = TRUE;
+      pair->present[i] = TRUE;
     }
 }
 
 static void
-twins_finish (twins_t *twins)
+pair_finish (pair_t *pair)
 {
-  gp_router_finish (&twins->router);
-  g_rand_free (twins->rand);
+  gp_router_finish (&pair->router);
+  g_rand_free (pair->rand);
 }
 
 /* Reference implementation, which scans all candidates.  */
 
 static gboolean
-naive_eligible (const twins_t *twins, guint i, const gp_route_t *route)
+is_eligible (const pair_t *pair, guint i, const gp_route_t *route)
 {
-  const gp_candidate_t *c = &twins->candidates[i];
+  const gp_candidate_t *c = &pair->candidates[i];
 
   for (guint t = 0; t < route->n_tried; t++)
     if (route->tried[t] == c)
       return FALSE;
-  return twins->present[i] && c->mode == GP_CANDIDATE_OPEN
+  return pair->present[i] && c->mode == GP_CANDIDATE_OPEN
          && c->in_flight < c->connections;
 }
 
 static double
-naive_latency (const twins_t *twins, guint i)
+naive_latency (const pair_t *pair, guint i)
 {
   double sum = 0;
   double n = 0;
 
-  if (twins->candidates[i].latency_us != 0)
-    return twins->candidates[i].latency_us;
-  for (guint k = 0; k < twins->n; k++)
-    if (twins->present[k] && twins->candidates[k].latency_us != 0)
+  if (pair->candidates[i].latency_us != 0)
+    return pair->candidates[i].latency_us;
+  for (guint k = 0; k < pair->n; k++)
+    if (pair->present[k] && pair->candidates[k].latency_us != 0)
       {
-        sum += twins->candidates[k].latency_us;
+        sum += pair->candidates[k].latency_us;
         n += 1;
       }
   return n == 0 ? 10000 : sum / n;
 }
 
 static double
-naive_load (const twins_t *twins, guint i)
+naive_load (const pair_t *pair, guint i)
 {
-  const gp_candidate_t *c = &twins->candidates[i];
+  const gp_candidate_t *c = &pair->candidates[i];
   double others = 0;
   double n = 0;
   double weight;
 
-  for (guint k = 0; k < twins->n; k++)
-    if (twins->present[k])
+  for (guint k = 0; k < pair->n; k++)
+    if (pair->present[k])
       {
-        others += twins->candidates[k].others;
+        others += pair->candidates[k].others;
         n += 1;
       }
   if (c->reported_at == INT64_MIN)
     return c->in_flight + others / n;
   weight = 1.0
            / (1.0
-              + (double)(twins->now - c->reported_at)
-                    / (1 + naive_latency (twins, i) / 2));
+              + (double)(pair->now - c->reported_at)
+                    / (1 + naive_latency (pair, i) / 2));
   return c->in_flight + c->others * weight + others / n * (1 - weight);
 }
 
 static double
-naive_wait (const twins_t *twins, guint i)
+naive_wait (const pair_t *pair, guint i)
 {
-  const gp_candidate_t *c = &twins->candidates[i];
-  double ahead = naive_load (twins, i) + 1 - c->slots;
-  double wait = ahead <= 0 ? 0 : ahead * naive_latency (twins, i) / c->slots;
+  const gp_candidate_t *c = &pair->candidates[i];
+  double ahead = naive_load (pair, i) + 1 - c->slots;
+  double wait = ahead <= 0 ? 0 : ahead * naive_latency (pair, i) / c->slots;
 
-  return c->near ? wait : wait + (double)twins->router.settings.zone_cost;
+  return c->near ? wait : wait + (double)pair->router.settings.zone_cost;
 }
 
 /* With two candidates per zone every one is sampled, so the pick must be
    the best of all up to rounding; among those without a wait, the one with
    the lowest load.  */
 static void
-check_best (const twins_t *twins, const gp_route_t *route,
+check_best (const pair_t *pair, const gp_route_t *route,
             const gp_candidate_t *picked)
 {
-  guint p = (guint)(picked - twins->candidates);
-  double wait = naive_wait (twins, p);
+  guint p = (guint)(picked - pair->candidates);
+  double wait = naive_wait (pair, p);
 
-  for (guint i = 0; i < twins->n; i++)
+  for (guint i = 0; i < pair->n; i++)
     {
-      if (!naive_eligible (twins, i, route))
+      if (!is_eligible (pair, i, route))
         continue;
-      CU_ASSERT_FATAL (wait <= naive_wait (twins, i) + ROUNDING_US);
-      if (wait == 0 && naive_wait (twins, i) == 0)
+      CU_ASSERT_FATAL (wait <= naive_wait (pair, i) + ROUNDING_US);
+      if (wait == 0 && naive_wait (pair, i) == 0)
         {
-          CU_ASSERT (naive_load (twins, p)
-                     <= naive_load (twins, i) + ROUNDING_LOAD);
+          CU_ASSERT (naive_load (pair, p)
+                     <= naive_load (pair, i) + ROUNDING_LOAD);
         }
     }
 }
 
 static void
-check_sums (const twins_t *twins)
+check_sums (const pair_t *pair)
 {
   uint64_t in_flight = 0;
   uint64_t slots = 0;
-  guint apart = 0;
+  guint not_in_set = 0;
   guint eligible = 0;
 
-  for (guint i = 0; i < twins->n; i++)
+  for (guint i = 0; i < pair->n; i++)
     {
-      const gp_candidate_t *c = &twins->candidates[i];
+      const gp_candidate_t *c = &pair->candidates[i];
 
-      eligible += naive_eligible (twins, i, &any_route) ? 1 : 0;
-      apart += c->index == GP_CANDIDATE_NOT_IN_SET;
-      if (!twins->present[i])
+      eligible += is_eligible (pair, i, &any_route) ? 1 : 0;
+      not_in_set += c->index == GP_CANDIDATE_NOT_IN_SET;
+      if (!pair->present[i])
         continue;
       in_flight += c->in_flight;
       slots += c->slots;
     }
-  CU_ASSERT_EQUAL (twins->router.total_in_flight, in_flight);
-  CU_ASSERT_EQUAL (twins->router.total_slots, slots);
-  CU_ASSERT_EQUAL (twins->n - apart, eligible);
-  CU_ASSERT_EQUAL (twins->router.near->len + twins->router.far->len, eligible);
+  CU_ASSERT_EQUAL (pair->router.total_in_flight, in_flight);
+  CU_ASSERT_EQUAL (pair->router.total_slots, slots);
+  CU_ASSERT_EQUAL (pair->n - not_in_set, eligible);
+  CU_ASSERT_EQUAL (pair->router.near->len + pair->router.far->len, eligible);
 }
 
 static void
-random_pick (twins_t *twins)
+random_pick (pair_t *pair)
 {
-  gp_route_t route = { .n_tried = random_below (twins->rand, 4) };
+  gp_route_t route = { .n_tried = random_below (pair->rand, 4) };
   gp_candidate_t *picked;
   guint left = 0;
 
   for (guint i = 0; i < route.n_tried; i++)
-    route.tried[i] = &twins->candidates[(random_below (twins->rand, 2) + 2 * i)
-                                        % twins->n];
-  for (guint i = 0; i < twins->n; i++)
-    left += naive_eligible (twins, i, &route) ? 1 : 0;
-  CU_ASSERT_EQUAL (gp_router_has_candidate (&twins->router, &route), left > 0);
-  picked = gp_router_pick (&twins->router, &route, twins->rand, twins->now);
+    route.tried[i]
+        = &pair->candidates[(random_below (pair->rand, 2) + 2 * i) % pair->n];
+  for (guint i = 0; i < pair->n; i++)
+    left += is_eligible (pair, i, &route) ? 1 : 0;
+  CU_ASSERT_EQUAL (gp_router_has_candidate (&pair->router, &route), left > 0);
+  picked = gp_router_pick (&pair->router, &route, pair->rand, pair->now);
   CU_ASSERT_EQUAL_FATAL (picked != NULL, left > 0);
   if (picked == NULL)
     return;
   CU_ASSERT_FATAL (
-      naive_eligible (twins, (guint)(picked - twins->candidates), &route));
-  if (twins->n <= 4)
-    check_best (twins, &route, picked);
-  gp_router_sent (&twins->router, picked);
+      is_eligible (pair, (guint)(picked - pair->candidates), &route));
+  if (pair->n <= 4)
+    check_best (pair, &route, picked);
+  gp_router_sent (&pair->router, picked);
 }
 
 static void
-random_report (twins_t *twins, gp_candidate_t *c)
+random_report (pair_t *pair, gp_candidate_t *c)
 {
-  gp_load_t load = { .running = random_below (twins->rand, 4),
-                     .queued = random_below (twins->rand, 6),
-                     .latency_us = 1000 * random_below (twins->rand, 30),
-                     .at = twins->now - random_below (twins->rand, 2000) };
+  gp_load_t load = { .running = random_below (pair->rand, 4),
+                     .queued = random_below (pair->rand, 6),
+                     .latency_us = 1000 * random_below (pair->rand, 30),
+                     .at = pair->now - random_below (pair->rand, 2000) };
 
-  gp_router_report (&twins->router, c, &load);
+  gp_router_report (&pair->router, c, &load);
 }
 
 static void
-random_step (twins_t *twins)
+random_step (pair_t *pair)
 {
-  guint i = random_below (twins->rand, twins->n);
-  gp_candidate_t *c = &twins->candidates[i];
-  guint kind = random_below (twins->rand, 20);
+  guint i = random_below (pair->rand, pair->n);
+  gp_candidate_t *c = &pair->candidates[i];
+  guint kind = random_below (pair->rand, 20);
 
-  twins->now += random_below (twins->rand, 20000);
-  if (!twins->present[i])
+  pair->now += random_below (pair->rand, 20000);
+  if (!pair->present[i])
     {
-      gp_router_add (&twins->router, c, i % 2 == 0, 2, 5, NULL);
-      twins->present[i] = TRUE;
+      gp_router_add (&pair->router, c, i % 2 == 0, 2, 5, NULL);
+      pair->present[i] = TRUE;
     }
-  else if (kind == 0 && c->in_flight == 0 && twins->router.n_candidates > 1)
+  else if (kind == 0 && c->in_flight == 0 && pair->router.n_candidates > 1)
     {
-      gp_router_remove (&twins->router, c);
-      twins->present[i] = FALSE;
+      gp_router_remove (&pair->router, c);
+      pair->present[i] = FALSE;
     }
   else if (kind == 1)
-    gp_router_eject (&twins->router, c);
+    gp_router_eject (&pair->router, c);
   else if (kind < 4)
-    gp_router_readmit (&twins->router, c);
+    gp_router_readmit (&pair->router, c);
   else if (kind < 8)
-    random_report (twins, c);
+    random_report (pair, c);
   else if (kind < 13 && c->in_flight > 0)
-    gp_router_done (&twins->router, c);
+    gp_router_done (&pair->router, c);
   else
-    random_pick (twins);
-  check_sums (twins);
+    random_pick (pair);
+  check_sums (pair);
 }
 
 static void
@@ -239,12 +239,12 @@
   for (guint32 seed = 1; seed <= N_SEEDS; seed++)
     for (guint n = 4; n <= N_CANDIDATES; n += 5)
       {
-        twins_t twins;
+        pair_t pair;
 
-        twins_init (&twins, n, seed);
+        pair_init (&pair, n, seed);
         for (int i = 0; i < N_STEPS / N_SEEDS; i++)
-          random_step (&twins);
-        twins_finish (&twins);
+          random_step (&pair);
+        pair_finish (&pair);
       }
 }
 
@@ -252,19 +252,18 @@
 static void
 test_uniform (void)
 {
-  twins_t twins;
+  pair_t pair;
   guint counts[N_CANDIDATES] = { 0 };
   gp_route_t route = { .n_tried = 2 };
 
-  twins_init (&twins, N_CANDIDATES, 1);
-  route.tried[0] = &twins.candidates[4];
-  route.tried[1] = &twins.candidates[0];
+  pair_init (&pair, N_CANDIDATES, 1);
+  route.tried[0] = &pair.candidates[4];
+  route.tried[1] = &pair.candidates[0];
   for (int i = 0; i < 30000; i++)
     {
-      gp_candidate_t *c
-          = gp_router_pick (&twins.router, &route, twins.rand, 0);
+      gp_candidate_t *c = gp_router_pick (&pair.router, &route, pair.rand, 0);
 
-      counts[c - twins.candidates]++;
+      counts[c - pair.candidates]++;
     }
   for (guint i = 0; i < N_CANDIDATES; i++)
     {
@@ -273,7 +272,7 @@
       CU_ASSERT_EQUAL (counts[i] > 9500 && counts[i] < 10500, wanted);
       CU_ASSERT_EQUAL (counts[i] == 0, !wanted);
     }
-  twins_finish (&twins);
+  pair_finish (&pair);
 }
 
 /* A request leaves the zone if the wait there exceeds the cost of reaching
@@ -281,50 +280,48 @@
 static void
 test_zone (void)
 {
-  twins_t twins;
+  pair_t pair;
   gp_load_t load = { .running = 2, .queued = 0, .latency_us = 4000, .at = 0 };
 
-  twins_init (&twins, 2, 1);
-  gp_router_report (&twins.router, &twins.candidates[0], &load);
+  pair_init (&pair, 2, 1);
+  gp_router_report (&pair.router, &pair.candidates[0], &load);
   /* One of two slots must become free: 2 ms, compared with 3 ms to the
      other zone.  */
-  CU_ASSERT_EQUAL (gp_router_wait_at (&twins.router, &twins.candidates[0], 0),
+  CU_ASSERT_EQUAL (gp_router_wait_at (&pair.router, &pair.candidates[0], 0),
                    2000);
-  CU_ASSERT_PTR_EQUAL (
-      gp_router_pick (&twins.router, &any_route, twins.rand, 0),
-      &twins.candidates[0]);
+  CU_ASSERT_PTR_EQUAL (gp_router_pick (&pair.router, &any_route, pair.rand, 0),
+                       &pair.candidates[0]);
   load.queued = 1;
-  gp_router_report (&twins.router, &twins.candidates[0], &load);
-  CU_ASSERT_PTR_EQUAL (
-      gp_router_pick (&twins.router, &any_route, twins.rand, 0),
-      &twins.candidates[1]);
-  twins_finish (&twins);
+  gp_router_report (&pair.router, &pair.candidates[0], &load);
+  CU_ASSERT_PTR_EQUAL (gp_router_pick (&pair.router, &any_route, pair.rand, 0),
+                       &pair.candidates[1]);
+  pair_finish (&pair);
 }
 
 /* A probe is given to one request that can be retried.  */
 static void
 test_probe (void)
 {
-  twins_t twins;
+  pair_t pair;
   gp_route_t may_probe = { .may_probe = true };
   gp_candidate_t *c;
 
-  twins_init (&twins, 3, 1);
-  c = &twins.candidates[1];
-  gp_router_eject (&twins.router, c);
-  gp_router_offer_probe (&twins.router, c);
+  pair_init (&pair, 3, 1);
+  c = &pair.candidates[1];
+  gp_router_eject (&pair.router, c);
+  gp_router_offer_probe (&pair.router, c);
   CU_ASSERT_PTR_NOT_EQUAL (
-      gp_router_pick (&twins.router, &any_route, twins.rand, 0), c);
-  CU_ASSERT_PTR_EQUAL (
-      gp_router_pick (&twins.router, &may_probe, twins.rand, 0), c);
-  gp_router_sent (&twins.router, c);
+      gp_router_pick (&pair.router, &any_route, pair.rand, 0), c);
+  CU_ASSERT_PTR_EQUAL (gp_router_pick (&pair.router, &may_probe, pair.rand, 0),
+                       c);
+  gp_router_sent (&pair.router, c);
   CU_ASSERT_PTR_NOT_EQUAL (
-      gp_router_pick (&twins.router, &may_probe, twins.rand, 0), c);
-  gp_router_remove (&twins.router, c);
-  CU_ASSERT_EQUAL (twins.router.total_in_flight, 0);
-  gp_router_done (&twins.router, c);
-  CU_ASSERT_EQUAL (twins.router.total_in_flight, 0);
-  twins_finish (&twins);
+      gp_router_pick (&pair.router, &may_probe, pair.rand, 0), c);
+  gp_router_remove (&pair.router, c);
+  CU_ASSERT_EQUAL (pair.router.total_in_flight, 0);
+  gp_router_done (&pair.router, c);
+  CU_ASSERT_EQUAL (pair.router.total_in_flight, 0);
+  pair_finish (&pair);
 }
 
 /* In each zone exactly the given number of entries route to an executor,
