--- a/bench/bench_interference.c
+++ b/bench/bench_interference.c
@@ -47,9 +47,8 @@
 typedef struct
 {
   const char *name;
-  gp_resources_t
-      capacity; /* capacity for tasks, without that used by the executor */
-  double cores; /* mean size of a task */
+  gp_resources_t capacity; /* without the executor's part */
+  double cores;            /* mean size of a task */
   double run_seconds;
   double per_second; /* arrival rate */
   int night_seconds; /* common deadline; 0 if it depends on the run time */
--- a/src/coordination/homes.c
+++ b/src/coordination/homes.c
@@ -46,7 +46,7 @@
 
   /* The guard's own zone, then another one.  Repeating both covers a
      region whose entries are all in one zone or all in other zones.  */
-  for (int turn = 0; turn < 2 * GP_HOMES_MAX && n < GP_HOMES_MAX; turn++)
+  for (int round = 0; round < 2 * GP_HOMES_MAX && n < GP_HOMES_MAX; round++)
     {
       size_t best = best_entry (guard, region, zone, same_zone, entries,
                                 n_entries, except);
--- a/src/coordination/lease_grantor.h
+++ b/src/coordination/lease_grantor.h
@@ -110,8 +110,7 @@
   uint64_t ask_id;         /* id of the pending request, or 0 */
   gp_time_t ask_sent_at;   /* send time of the pending request */
   gp_time_t vouched_since; /* when the vouch was requested, or -1 */
-  GHashTable
-      *fences; /* fences listed in the current vouch: guard -> incarnation */
+  GHashTable *fences;      /* in the vouch: guard -> incarnation */
 } gp_lease_voucher_t;
 
 typedef struct
--- a/src/coordination/lease_holder.c
+++ b/src/coordination/lease_holder.c
@@ -61,7 +61,8 @@
       = holder->next_incarnation;
 }
 
-/* Lets the lease lapse or expire; called before anything else.  */
+/* Checks the lease for having lapsed or being overdue; called before
+   anything else.  */
 static void
 check_lease (gp_lease_holder_t *holder, gp_time_t now,
              gp_lease_holder_actions_t *actions)
--- a/src/coordination/members.h
+++ b/src/coordination/members.h
@@ -130,7 +130,7 @@
   gp_time_t forget_after;  /* time in the state gone */
 } gp_members_settings_t;
 
-/* Three missed heartbeats of 2 s.  */
+/* suspect_after is three heartbeat periods of 2 s.  */
 #define GP_MEMBERS_SETTINGS_DEFAULT                                           \
   ((gp_members_settings_t){ .suspect_after = 6 * GP_SEC,                      \
                             .gone_after = 30 * GP_SEC,                        \
--- a/src/coordination/subset.h
+++ b/src/coordination/subset.h
@@ -23,9 +23,9 @@
    executor, if the service has N_EXECUTORS in the executor's zone.  */
 size_t gp_subset_size (size_t n_entries, size_t n_executors);
 
-/* Returns true if ENTRIES[SELF] is among the SHARE entries of its zone
+/* Returns true if ENTRIES[SELF] is among the SIZE entries of its zone
    that rank highest for EXECUTOR.  */
 bool gp_subset_contains (const char *executor, const gp_home_t *entries,
-                         size_t n_entries, size_t self, size_t share);
+                         size_t n_entries, size_t self, size_t size);
 
 #endif
