--- a/bench/bench_interference.c
+++ b/bench/bench_interference.c
@@ -1,11 +1,12 @@
-/* Policies compared on one recorded load in virtual time.
+/* Compares placement policies on one recorded load in virtual time.
 
-   Eleven workers each run an executor of a service and tasks beside it.  The
-   hidden truth is a slowdown by kind that multiplies the service's latency,
-   which is not the form that the learner assumes; it sees only the p99 of
-   windows of 10 s, 20 s late and with 15% noise.  A task checkpoints every
-   120 s.  All policies share the queue, the learner and the remedies unless
-   said otherwise; they differ in the choice of the worker.  */
+   Eleven workers each run an executor of a service and tasks beside it.
+   The true slowdown depends on the kinds of tasks and multiplies the
+   service's latency, which differs from the form assumed by the model.
+   The model sees only the p99 of 10 s windows, 20 s late and with 15%
+   noise.  A task checkpoints every 120 s.  All policies share the queue,
+   the model and the remedies unless stated otherwise; they differ in the
+   choice of the worker.  */
 
 #include <math.h>
 #include <stdio.h>
@@ -42,28 +43,29 @@
     = { "first-fit, no remedies", "first-fit", "ours, no interference term",
         "ours, never waits", "ours" };
 
-/* A user's site: workers, the batch work and when it must be done.  */
+/* A user's site: its workers, and the batch work with its deadlines.  */
 typedef struct
 {
   const char *name;
-  gp_resources_t capacity; /* for tasks, what the executor needs aside */
-  double cores;            /* of a mean task */
+  gp_resources_t capacity; /* without the executor's part */
+  double cores;            /* mean size of a task */
   double run_seconds;
-  double per_second; /* arrivals */
-  int night_seconds; /* one deadline for all, 0: by each run time */
+  double per_second; /* arrival rate */
+  int night_seconds; /* common deadline; 0 if it depends on the run time */
 } site_t;
 
 static const site_t sites[]
     = { { "Parabrisas Claros", { 52000, 200000, 0 }, 3.0, 400.0, 0.33, 0 },
         { "Obermaier", { 12000, 48000, 0 }, 0.8, 240.0, 0.5, SECONDS } };
 
-/* Slowdown of the service by one task of each kind, at its mean size.  */
+/* Slowdown of the service caused by one task of each kind, at its mean
+   size.  */
 static const double truth[KINDS] = { 0.0, 0.005, 0.01, 0.03, 0.07, 0.15 };
 
 typedef struct
 {
   gp_pending_task_t pending;
-  gp_placement_ask_t ask;
+  gp_placement_request_t request;
   int arrival;
   double run, deadline, progress, checkpoint;
   unsigned int worker;
@@ -79,7 +81,7 @@
 {
   const site_t *site;
   policy_t policy;
-  double intensity; /* of the arrivals */
+  double intensity; /* factor on the arrival rate */
   GRand *random;
   gp_fleet_t fleet;
   gp_spread_t spread;
@@ -108,7 +110,8 @@
   return sum - 6.0;
 }
 
-/* Load of the executor: a slow wave, and a surge for five minutes in 40.  */
+/* Load of the executor: a slow wave, and a surge of five minutes every 40
+   minutes.  */
 static double
 load_at (unsigned int worker, int t)
 {
@@ -138,16 +141,17 @@
         job->run = site->run_seconds * exp (0.6 * normal (random));
         job->deadline = site->night_seconds > 0 ? site->night_seconds
                                                 : t + 300 + 3 * job->run;
-        job->ask = (gp_placement_ask_t){ .task = ++sim->n_jobs,
-                                         .work_class = GP_WORK_BATCH,
-                                         .kind = (uint16_t)g_rand_int_range (
-                                             random, 0, KINDS),
-                                         .demand = demand,
-                                         .zones = GP_PLACEMENT_ALL_ZONES,
-                                         .previous = GP_WORKER_NONE,
-                                         .held = GP_WORKER_NONE };
+        job->request = (gp_placement_request_t){
+          .task = ++sim->n_jobs,
+          .work_class = GP_WORK_BATCH,
+          .kind = (uint16_t)g_rand_int_range (random, 0, KINDS),
+          .demand = demand,
+          .zones = GP_PLACEMENT_ALL_ZONES,
+          .previous = GP_WORKER_NONE,
+          .held = GP_WORKER_NONE
+        };
         gp_pending_task_init (
-            &job->pending, job->ask.task, 0, GP_WORK_BATCH, &demand,
+            &job->pending, job->request.task, 0, GP_WORK_BATCH, &demand,
             (gp_time_t)((job->deadline - job->run) * GP_SEC));
       }
   g_rand_free (random);
@@ -158,11 +162,11 @@
 {
   bool at_risk = job->deadline - t < 2 * (job->run - job->checkpoint) + 60;
 
-  job->ask.harm_limit = sim->policy == OURS && !at_risk ? 0.02 : INFINITY;
+  job->request.harm_limit = sim->policy == OURS && !at_risk ? 0.02 : INFINITY;
   if (sim->policy >= NO_TERM)
-    return gp_placement_choose (&sim->placement, &job->ask).worker;
+    return gp_placement_choose (&sim->placement, &job->request).worker;
   for (unsigned int i = 0; i < WORKERS; i++)
-    if (gp_placement_allows (&job->ask, &sim->workers[i]))
+    if (gp_placement_allows (&job->request, &sim->workers[i]))
       return &sim->workers[i];
   return NULL;
 }
@@ -183,10 +187,10 @@
                             GP_PENDING_NO_CAPACITY, t * GP_SEC);
           continue;
         }
-      gp_placement_reserve (&sim->placement, &job->ask, worker);
-      gp_fleet_confirm (&sim->fleet, worker, &job->ask.demand);
-      gp_residency_change (&sim->residency[worker->index], job->ask.kind,
-                           GP_RESIDENCY_WHOLE, t * GP_SEC);
+      gp_placement_reserve (&sim->placement, &job->request, worker);
+      gp_fleet_confirm (&sim->fleet, worker, &job->request.demand);
+      gp_residency_change (&sim->residency[worker->index], job->request.kind,
+                           GP_RESIDENCY_UNTHROTTLED, t * GP_SEC);
       job->worker = worker->index;
       sim->running[sim->n_running++] = job;
     }
@@ -197,11 +201,11 @@
 {
   job_t *job = sim->running[i];
 
-  gp_placement_release (&sim->placement, &job->ask,
+  gp_placement_release (&sim->placement, &job->request,
                         &sim->workers[job->worker]);
-  gp_residency_change (&sim->residency[job->worker], job->ask.kind,
+  gp_residency_change (&sim->residency[job->worker], job->request.kind,
                        job->throttled ? -GP_RESIDENCY_THROTTLED
-                                      : -GP_RESIDENCY_WHOLE,
+                                      : -GP_RESIDENCY_UNTHROTTLED,
                        t * GP_SEC);
   gp_quota_release (&sim->quota, &job->pending.charge);
   job->throttled = false;
@@ -221,7 +225,7 @@
       if (job->progress < job->run)
         continue;
       job->done = true;
-      sim->result.done += job->run * job->ask.demand.millicores / 3.6e6;
+      sim->result.done += job->run * job->request.demand.millicores / 3.6e6;
       sim->result.late += t > job->deadline;
       leave (sim, i, t);
     }
@@ -238,19 +242,19 @@
     {
       sim->result.throttles += throttle;
       job->throttled = throttle;
-      gp_residency_change (&sim->residency[job->worker], job->ask.kind,
+      gp_residency_change (&sim->residency[job->worker], job->request.kind,
                            throttle ? -3 : 3, t * GP_SEC);
       return;
     }
   sim->result.evictions++;
   sim->result.lost += (job->progress - job->checkpoint)
-                      * job->ask.demand.millicores / 3.6e6;
+                      * job->request.demand.millicores / 3.6e6;
   job->progress = job->checkpoint;
   leave (sim, i, t);
   gp_pending_add (&sim->pending, &job->pending, t * GP_SEC);
 }
 
-/* A measurement of worker W that ended LAG ago arrives.  */
+/* Processes a measurement of worker W that ended LAG ago.  */
 static void
 measured (sim_t *sim, unsigned int w, double load, double ratio, int t)
 {
@@ -268,7 +272,7 @@
         job_t *job = sim->running[i];
 
         residents[n++] = (gp_remedy_resident_t){
-          .task = job->ask.task,
+          .task = job->request.task,
           .work_class = GP_WORK_BATCH,
           .throttled = job->throttled,
           .since_checkpoint
@@ -277,7 +281,8 @@
                                 * GP_SEC),
           .relief
           = (1.0 + load)
-            * gp_interference_slope (&sim->interference, 0, job->ask.kind).mean
+            * gp_interference_slope (&sim->interference, 0, job->request.kind)
+                  .mean
         };
       }
   if (sim->policy == FIRST_FIT_PLAIN)
@@ -286,7 +291,7 @@
                                residents, n, t * GP_SEC);
   for (unsigned int k = 0; k < decision.n; k++)
     for (unsigned int i = sim->n_running; i-- > 0;)
-      if (sim->running[i]->ask.task == decision.tasks[k])
+      if (sim->running[i]->request.task == decision.tasks[k])
         {
           carry_out (sim, &decision, i, t);
           break;
@@ -303,7 +308,7 @@
 
   for (unsigned int i = 0; i < sim->n_running; i++)
     if (sim->running[i]->worker == w)
-      slowdown += truth[sim->running[i]->ask.kind] * (1.0 + load)
+      slowdown += truth[sim->running[i]->request.kind] * (1.0 + load)
                   * (sim->running[i]->throttled ? 0.25 : 1.0);
   ratio = (0.35 + 0.25 * load) * slowdown;
   sim->ratios[sim->n_ratios++] = ratio;
@@ -312,7 +317,7 @@
   sim->workers[w].load_permille = (uint16_t)(1000 * load);
   if (t % WINDOW != WINDOW - 1)
     return;
-  /* The oldest slot is what arrives now; this window takes its place.  */
+  /* The measurement in the oldest slot arrives now.  */
   if (t > LAG + WINDOW)
     measured (sim, w, sim->load[w][(slot + 1) % 3],
               sim->sent[w][(slot + 1) % 3], t + 1);
@@ -340,7 +345,7 @@
   gp_interference_init (&sim->interference, &GP_INTERFERENCE_DEFAULTS);
   gp_placement_init (&sim->placement, &weights, &sim->fleet, &sim->spread,
                      policy >= NO_WAIT ? &sim->interference : NULL);
-  settings.backoff_most = 10 * GP_SEC;
+  settings.backoff_max = 10 * GP_SEC;
   gp_pending_init (&sim->pending, &settings);
   gp_quota_init (&sim->quota);
   gp_quota_set_limit (&sim->quota, 0, &limit);
@@ -419,7 +424,7 @@
   g_free (sim);
 }
 
-/* All policies on the load that SEED and INTENSITY give.  */
+/* Runs all policies on the load given by SEED and INTENSITY.  */
 static void
 compare_policies (const site_t *site, double intensity, uint32_t seed)
 {
--- a/bench/bench_lease.c
+++ b/bench/bench_lease.c
@@ -1,5 +1,5 @@
-/* Cost of the lease protocol at 3,600 guards: time of a renewal at the entry
-   and at the guard, of a tick, of a vouch, and memory per guard.  */
+/* Cost of the lease protocol with 3,600 guards: time of a renewal at the
+   entry and at the guard, of a tick and of a vouch; memory per guard.  */
 
 #include <malloc.h>
 #include <stdio.h>
@@ -102,7 +102,7 @@
       gp_lease_reply_t reply
           = { .incarnation = 1, .remaining = timing->length };
 
-      now = gp_lease_holder_due (&holder);
+      now = gp_lease_holder_next_deadline (&holder);
       gp_lease_holder_check (&holder, now, &actions);
       reply.sequence = holder.sequence;
       gp_lease_holder_reply (&holder, &reply, now, &actions);
--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -1,7 +1,7 @@
-/* Decisions a second and bytes of the placement, by size of the fleet.
+/* Placement decisions per second and memory use, by size of the fleet.
 
-   Each fleet is filled with tasks up to its share of 95,000 on 3,600 workers,
-   then tasks are placed and others released in turn.  */
+   Each fleet is filled with the task density of 95,000 tasks on 3,600
+   workers; then tasks are placed and released in turn.  */
 
 #include <math.h>
 #include <stdio.h>
@@ -24,7 +24,7 @@
 
 typedef struct
 {
-  gp_placement_ask_t ask;
+  gp_placement_request_t request;
   gp_worker_t *worker;
 } placed_t;
 
@@ -57,27 +57,28 @@
   gp_fleet_add (&site->fleet, worker);
 }
 
-static gp_placement_ask_t
-random_ask (site_t *site)
+static gp_placement_request_t
+random_request (site_t *site)
 {
   GRand *random = site->random;
-  gp_placement_ask_t ask = { .task = g_rand_int (random) };
+  gp_placement_request_t request = { .task = g_rand_int (random) };
 
-  ask.kind = (uint16_t)g_rand_int_range (random, 0, KINDS);
-  ask.group = (uint32_t)g_rand_int_range (random, 0, GROUPS);
-  ask.work_class
+  request.kind = (uint16_t)g_rand_int_range (random, 0, KINDS);
+  request.group = (uint32_t)g_rand_int_range (random, 0, GROUPS);
+  request.work_class
       = g_rand_int_range (random, 0, 5) == 0 ? GP_WORK_WATCHER : GP_WORK_BATCH;
-  ask.demand.millicores = 250U << g_rand_int_range (random, 0, 5);
-  ask.demand.memory_mib = 1000U << g_rand_int_range (random, 0, 5);
-  ask.demand.accelerators = g_rand_int_range (random, 0, 20) == 0;
-  ask.zones = GP_PLACEMENT_ALL_ZONES;
-  ask.previous = GP_WORKER_NONE;
-  ask.held = GP_WORKER_NONE;
-  ask.harm_limit = INFINITY;
-  return ask;
+  request.demand.millicores = 250U << g_rand_int_range (random, 0, 5);
+  request.demand.memory_mib = 1000U << g_rand_int_range (random, 0, 5);
+  request.demand.accelerators = g_rand_int_range (random, 0, 20) == 0;
+  request.zones = GP_PLACEMENT_ALL_ZONES;
+  request.previous = GP_WORKER_NONE;
+  request.held = GP_WORKER_NONE;
+  request.harm_limit = INFINITY;
+  return request;
 }
 
-/* Train a model for each service, so that none is predicted by its prior.  */
+/* Trains a model for each service, so that no prediction uses only the
+   prior.  */
 static void
 train (site_t *site)
 {
@@ -85,7 +86,8 @@
 
   gp_residency_init (&residency, 0);
   for (int kind = 0; kind < KINDS; kind++)
-    gp_residency_change (&residency, (uint16_t)kind, GP_RESIDENCY_WHOLE, kind);
+    gp_residency_change (&residency, (uint16_t)kind, GP_RESIDENCY_UNTHROTTLED,
+                         kind);
   for (uint16_t service = 0; service < 20; service++)
     for (int i = 1; i < 50; i++)
       gp_interference_measure (&site->interference, service, 0.5, &residency,
@@ -95,17 +97,18 @@
 static void
 place_one (site_t *site)
 {
-  gp_placement_ask_t ask = random_ask (site);
-  gp_placement_choice_t choice = gp_placement_choose (&site->placement, &ask);
+  gp_placement_request_t request = random_request (site);
+  gp_placement_choice_t choice
+      = gp_placement_choose (&site->placement, &request);
 
   if (choice.worker == NULL)
     {
       site->misses++;
       return;
     }
-  gp_placement_reserve (&site->placement, &ask, choice.worker);
-  gp_fleet_confirm (&site->fleet, choice.worker, &ask.demand);
-  site->tasks[site->n_tasks++] = (placed_t){ ask, choice.worker };
+  gp_placement_reserve (&site->placement, &request, choice.worker);
+  gp_fleet_confirm (&site->fleet, choice.worker, &request.demand);
+  site->tasks[site->n_tasks++] = (placed_t){ request, choice.worker };
 }
 
 static void
@@ -114,7 +117,7 @@
   unsigned int i
       = (unsigned int)g_rand_int_range (site->random, 0, (gint)site->n_tasks);
 
-  gp_placement_release (&site->placement, &site->tasks[i].ask,
+  gp_placement_release (&site->placement, &site->tasks[i].request,
                         site->tasks[i].worker);
   site->tasks[i] = site->tasks[--site->n_tasks];
 }
@@ -178,7 +181,7 @@
   site_finish (&site);
 }
 
-/* Take tasks from a queue of many and defer them again.  */
+/* Takes tasks from a long queue and defers them again.  */
 static void
 run_pending (void)
 {
@@ -241,6 +244,6 @@
           "pending task %zu, ask %zu\n",
           sizeof (gp_worker_t), sizeof (gp_residency_t), 8 * 66 * 67,
           2 * 1024 * 16, sizeof (gp_pending_task_t),
-          sizeof (gp_placement_ask_t));
+          sizeof (gp_placement_request_t));
   return 0;
 }
--- a/bench/bench_router.c
+++ b/bench/bench_router.c
@@ -1,5 +1,5 @@
-/* Cost of routing: time of a pick; and how evenly the router spreads
-   requests, in a queue model of virtual time.  */
+/* Cost of routing: time of a pick, and how evenly requests are
+   distributed, in a queueing model in virtual time.  */
 
 #include <math.h>
 
@@ -50,9 +50,9 @@
   g_free (candidates);
 }
 
-/* The queue model: entries route to executors of eight slots with FIFO
-   queues; an answer brings the executor's load.  Zones are dealt out in
-   turn, to executors and entries.  */
+/* Queueing model: entries route to executors with eight slots and FIFO
+   queues; an answer carries the executor's load.  Executors and entries
+   are assigned to the zones in turn.  */
 
 #define MAX_ENTRIES 18
 #define SERVICE_US 10000.0
@@ -74,11 +74,11 @@
   guint n;
   guint n_entries;
   double utilization;
-  bool skew;       /* all requests come to the entries of one zone */
-  bool one_zone;   /* the router takes all zones for one */
-  bool black_hole; /* executor 0 fails all */
+  bool skew;       /* all requests arrive at the entries of one zone */
+  bool one_zone;   /* the router treats all zones as one */
+  bool black_hole; /* executor 0 fails every request */
   bool eject;
-  bool all; /* entries route to all executors, not to a subset */
+  bool all; /* entries route to all executors instead of a subset */
   gp_router_settings_t settings;
 } case_t;
 
@@ -101,7 +101,7 @@
   gp_outlier_t outlier;
   gp_candidate_t *candidates;
   gp_health_t *health;
-  guint turn;
+  guint next_executor;
 } entry_t;
 
 typedef struct
@@ -114,7 +114,7 @@
   GArray *delays;
   double imbalance;
   guint samples;
-  guint away;
+  guint other_zone;
   guint failed;
 } model_t;
 
@@ -134,7 +134,7 @@
          - (*(const gp_time_t *)a < *(const gp_time_t *)b);
 }
 
-/* Does the entry route to executor I?  */
+/* Returns true if the entry routes to executor I.  */
 static bool
 in_subset (const case_t *c, guint entry, guint i)
 {
@@ -142,7 +142,7 @@
   char names[MAX_ENTRIES][16];
   char name[16];
   gp_home_t entries[MAX_ENTRIES];
-  size_t share = gp_subset_share (c->n_entries / 3, c->n / 3);
+  size_t share = gp_subset_size (c->n_entries / 3, c->n / 3);
 
   for (guint e = 0; e < c->n_entries; e++)
     {
@@ -191,7 +191,7 @@
   if (model->c->policy == POLICY_RANDOM)
     return (guint)g_rand_int_range (model->rand, 0, (gint32)model->c->n);
   if (model->c->policy == POLICY_ROUND_ROBIN)
-    return entry->turn++ % model->c->n;
+    return entry->next_executor++ % model->c->n;
   candidate = gp_router_pick (&entry->router, &route, model->rand, now);
   gp_router_sent (&entry->router, candidate);
   i = (guint)(candidate - entry->candidates);
@@ -219,8 +219,8 @@
 }
 
 static void
-judge (model_t *model, entry_t *entry, gp_health_t *health, bool success,
-       gp_time_t now)
+record_result (model_t *model, entry_t *entry, gp_health_t *health,
+               bool success, gp_time_t now)
 {
   gp_time_t duration = (gp_time_t)(success ? SERVICE_US : FAILURE_US);
   gp_outlier_action_t action;
@@ -229,7 +229,7 @@
   model->failed += !success;
   if (!model->c->eject)
     return;
-  if (health->state == GP_HEALTH_PROBED)
+  if (health->state == GP_HEALTH_PROBING)
     action = gp_outlier_probe_done (&entry->outlier, health, success, now);
   else
     action
@@ -269,11 +269,12 @@
       gp_router_done (&entry->router, &entry->candidates[done.executor]);
       gp_router_report (&entry->router, &entry->candidates[done.executor],
                         &load);
-      judge (model, entry, &entry->health[done.executor], success, done.at);
+      record_result (model, entry, &entry->health[done.executor], success,
+                     done.at);
     }
 }
 
-/* Serve a request from NOW on and return how long it waits for a slot.  */
+/* Serves a request that arrives at NOW and returns its wait for a slot.  */
 static gp_time_t
 model_serve (model_t *model, guint entry, guint e, gp_time_t now)
 {
@@ -310,7 +311,7 @@
   if (e % 3 != entry % 3)
     {
       delay += ROUND_TRIP;
-      model->away++;
+      model->other_zone++;
     }
   g_array_append_val (model->delays, delay);
 }
@@ -349,7 +350,8 @@
           c->name, c->n, c->n_entries, c->utilization,
           c->skew ? " skewed" : "", model->imbalance / model->samples,
           percentile_ms (model, 0.5), percentile_ms (model, 0.99),
-          percentile_ms (model, 0.999), 100.0 * model->away / N_REQUESTS);
+          percentile_ms (model, 0.999),
+          100.0 * model->other_zone / N_REQUESTS);
   if (c->black_hole)
     printf ("  failed %.3f %%", 100.0 * model->failed / N_REQUESTS);
   printf ("\n");
--- a/src/coordination/estimate.c
+++ b/src/coordination/estimate.c
@@ -1,7 +1,8 @@
 /* Logarithmic histograms with halving.
 
-   The class of a value is its octave and the two bits below the leading one,
-   so it needs no floating point and is the same everywhere.  */
+   The bucket of a value is determined by its octave and the two bits below
+   the leading one.  This needs no floating point, so the result is the
+   same on every platform.  */
 
 #include "coordination/estimate.h"
 
@@ -11,12 +12,12 @@
 enum
 {
   CLASSES_PER_OCTAVE = 4,
-  TOTAL_MAX = 4096,  /* then all counts are halved */
-  RAISE_DIVISOR = 10 /* a tenth more than was seen */
+  TOTAL_MAX = 4096,  /* when reached, all counts are halved */
+  RAISE_DIVISOR = 10 /* a raise adds a tenth of the observed usage */
 };
 
 static unsigned int
-class_of (uint64_t value)
+bucket_of (uint64_t value)
 {
   unsigned int octave;
   unsigned int quarter;
@@ -27,12 +28,12 @@
   octave = 63U - (unsigned int)__builtin_clzll (value);
   quarter = (unsigned int)((value << 2 >> octave) & 3U);
   class = CLASSES_PER_OCTAVE * octave + quarter;
-  return MIN (class, GP_ESTIMATE_CLASSES - 1);
+  return MIN (class, GP_ESTIMATE_BUCKETS - 1);
 }
 
-/* The greatest value of CLASS.  */
+/* The largest value in bucket CLASS.  */
 static uint64_t
-upper_edge (unsigned int class)
+bucket_upper_bound (unsigned int class)
 {
   unsigned int octave = class / CLASSES_PER_OCTAVE;
   uint64_t quarter = class % CLASSES_PER_OCTAVE;
@@ -43,10 +44,10 @@
 }
 
 static void
-halve (gp_estimate_histogram_t *histogram)
+halve_counts (gp_estimate_histogram_t *histogram)
 {
   histogram->total = 0;
-  for (unsigned int i = 0; i < GP_ESTIMATE_CLASSES; i++)
+  for (unsigned int i = 0; i < GP_ESTIMATE_BUCKETS; i++)
     {
       histogram->counts[i] /= 2;
       histogram->total += histogram->counts[i];
@@ -56,10 +57,10 @@
 void
 gp_estimate_histogram_add (gp_estimate_histogram_t *histogram, uint64_t value)
 {
-  histogram->counts[class_of (value)]++;
+  histogram->counts[bucket_of (value)]++;
   histogram->total++;
   if (histogram->total >= TOTAL_MAX)
-    halve (histogram);
+    halve_counts (histogram);
 }
 
 uint64_t
@@ -71,13 +72,13 @@
 
   if (histogram->total == 0)
     return 0;
-  for (unsigned int i = 0; i < GP_ESTIMATE_CLASSES; i++)
+  for (unsigned int i = 0; i < GP_ESTIMATE_BUCKETS; i++)
     {
       below += histogram->counts[i];
       if (below > 0 && below >= wanted)
-        return upper_edge (i);
+        return bucket_upper_bound (i);
     }
-  return upper_edge (GP_ESTIMATE_CLASSES - 1);
+  return bucket_upper_bound (GP_ESTIMATE_BUCKETS - 1);
 }
 
 void
@@ -106,9 +107,10 @@
 {
   uint64_t learned;
 
-  if (histogram->total < GP_ESTIMATE_ENOUGH)
+  if (histogram->total < GP_ESTIMATE_MIN_SAMPLES)
     return declared;
-  learned = gp_estimate_histogram_quantile (histogram, GP_ESTIMATE_RESERVED);
+  learned = gp_estimate_histogram_quantile (histogram,
+                                            GP_ESTIMATE_RESERVED_QUANTILE);
   return MAX (declared, (uint32_t)MIN (learned, most));
 }
 
@@ -145,7 +147,7 @@
 gp_estimate_run_time (const gp_estimate_t *estimate, double q,
                       gp_time_t declared)
 {
-  if (estimate->run_time_ms.total < GP_ESTIMATE_ENOUGH)
+  if (estimate->run_time_ms.total < GP_ESTIMATE_MIN_SAMPLES)
     return declared;
   return (gp_time_t)gp_estimate_histogram_quantile (&estimate->run_time_ms, q)
          * GP_MSEC;
@@ -158,5 +160,6 @@
   if (deadline == GP_TIME_NEVER)
     return GP_TIME_NEVER;
   return deadline
-         - gp_estimate_run_time (estimate, GP_ESTIMATE_CAUTIOUS, declared);
+         - gp_estimate_run_time (estimate, GP_ESTIMATE_LATEST_START_QUANTILE,
+                                 declared);
 }
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -1,8 +1,8 @@
 /* Workers indexed by headroom.
 
-   Invariants: a worker is linked in the bucket of its free resources if and
-   only if it is serving and not held; a bit of a mask is set if and only if
-   the bucket is not empty.  */
+   Invariants: a worker is linked in the bucket of its free resources if
+   and only if it is serving and not held; a bit in a mask is set if and
+   only if the bucket is not empty.  */
 
 #include "coordination/fleet.h"
 
@@ -10,20 +10,21 @@
 
 enum
 {
-  CLASSES = 32,            /* of free processors and of free memory */
-  SMALLEST_OCTAVE = 6,     /* below 64 units everything is one class */
-  VISITS_PER_CANDIDATE = 8 /* before a search leaves a zone */
+  CLASSES = 32,        /* size classes of free processors and of free memory */
+  SMALLEST_OCTAVE = 6, /* amounts below 64 share one class */
+  VISITS_PER_CANDIDATE = 8 /* limit on workers visited in a zone */
 };
 
 struct gp_fleet_cell
 {
-  uint32_t rows;             /* processor classes that are not empty */
-  uint32_t columns[CLASSES]; /* memory classes, by processor class */
+  uint32_t rows;             /* bit mask of non-empty processor classes */
+  uint32_t columns[CLASSES]; /* bit masks of non-empty memory classes, by
+                                processor class */
   gp_list_t buckets[CLASSES * CLASSES];
 };
 
 static unsigned int
-class_of (uint32_t amount)
+size_class (uint32_t amount)
 {
   unsigned int octave;
   unsigned int half;
@@ -61,8 +62,8 @@
   fleet->cells = g_new (gp_fleet_cell_t, 2 * (gsize)n_zones);
   fleet->n_zones = n_zones;
   fleet->shapes = g_array_new (FALSE, FALSE, sizeof (gp_fleet_shape_t));
-  fleet->holds = 0;
-  fleet->growth = 1;
+  fleet->n_held = 0;
+  fleet->growth_count = 1;
   for (uint32_t i = 0; i < 2 * n_zones; i++)
     cell_init (&fleet->cells[i]);
 }
@@ -98,8 +99,8 @@
 {
   gp_fleet_cell_t *cell
       = cell_of (fleet, worker->zone, worker->capacity.accelerators > 0);
-  unsigned int row = class_of (worker->free.millicores);
-  unsigned int column = class_of (worker->free.memory_mib);
+  unsigned int row = size_class (worker->free.millicores);
+  unsigned int column = size_class (worker->free.memory_mib);
 
   if (gp_list_empty (&worker->link))
     return;
@@ -116,8 +117,8 @@
 {
   gp_fleet_cell_t *cell
       = cell_of (fleet, worker->zone, worker->capacity.accelerators > 0);
-  unsigned int row = class_of (worker->free.millicores);
-  unsigned int column = class_of (worker->free.memory_mib);
+  unsigned int row = size_class (worker->free.millicores);
+  unsigned int column = size_class (worker->free.memory_mib);
 
   if (worker->state != GP_WORKER_SERVING || worker->held_for != 0)
     return;
@@ -126,9 +127,9 @@
   cell->rows |= 1U << row;
 }
 
-/* Compute the free resources of WORKER anew and move it to its bucket.  */
+/* Recomputes the free resources of WORKER and moves it to its bucket.  */
 static void
-refresh (gp_fleet_t *fleet, gp_worker_t *worker)
+update_free (gp_fleet_t *fleet, gp_worker_t *worker)
 {
   gp_resources_t before = worker->free;
   gp_resources_t after = worker->reported;
@@ -140,7 +141,7 @@
   worker->free = after;
   link_worker (fleet, worker);
   if (!gp_resources_fit (&after, &before))
-    fleet->growth++;
+    fleet->growth_count++;
 }
 
 static gp_fleet_shape_t *
@@ -203,7 +204,7 @@
   worker->free = worker->capacity;
   add_shape (fleet, worker);
   link_worker (fleet, worker);
-  fleet->growth++;
+  fleet->growth_count++;
 }
 
 void
@@ -227,7 +228,7 @@
   unlink_worker (fleet, worker);
   worker->state = state;
   link_worker (fleet, worker);
-  fleet->growth++;
+  fleet->growth_count++;
 }
 
 gp_worker_t *
@@ -243,7 +244,7 @@
                  const gp_resources_t *headroom)
 {
   worker->reported = *headroom;
-  refresh (fleet, worker);
+  update_free (fleet, worker);
 }
 
 static gp_resident_t *
@@ -291,7 +292,7 @@
 }
 
 uint32_t
-gp_worker_count (const gp_worker_t *worker, uint16_t kind)
+gp_worker_count_residents (const gp_worker_t *worker, uint16_t kind)
 {
   const gp_resident_t *resident = find_resident (worker, kind);
 
@@ -304,7 +305,7 @@
 {
   gp_resources_add (&worker->unconfirmed, demand);
   gp_worker_add_resident (worker, kind);
-  refresh (fleet, worker);
+  update_free (fleet, worker);
 }
 
 void
@@ -313,7 +314,7 @@
 {
   gp_resources_subtract (&worker->unconfirmed, demand);
   gp_resources_subtract (&worker->reported, demand);
-  refresh (fleet, worker);
+  update_free (fleet, worker);
 }
 
 void
@@ -323,7 +324,7 @@
   gp_resources_subtract (&worker->unconfirmed, demand);
   worker->reported = *headroom;
   gp_worker_remove_resident (worker, kind);
-  refresh (fleet, worker);
+  update_free (fleet, worker);
 }
 
 void
@@ -338,7 +339,7 @@
   reported->memory_mib = MIN (reported->memory_mib, most->memory_mib);
   reported->accelerators = MIN (reported->accelerators, most->accelerators);
   gp_worker_remove_resident (worker, kind);
-  refresh (fleet, worker);
+  update_free (fleet, worker);
 }
 
 void
@@ -346,12 +347,12 @@
                gp_time_t until)
 {
   unlink_worker (fleet, worker);
-  fleet->holds += (task != 0) - (worker->held_for != 0);
+  fleet->n_held += (task != 0) - (worker->held_for != 0);
   worker->held_for = task;
   worker->held_until = until;
   link_worker (fleet, worker);
   if (task == 0)
-    fleet->growth++;
+    fleet->growth_count++;
 }
 
 void
@@ -377,14 +378,14 @@
   return false;
 }
 
-/* One search: what is wanted and what was found.  */
+/* Parameters and results of one search.  */
 typedef struct
 {
   const gp_resources_t *demand;
   gp_worker_t **out;
   unsigned int found;
-  unsigned int wanted; /* stop at this number */
-  unsigned int visits; /* left */
+  unsigned int wanted; /* stop when this many were found */
+  unsigned int visits; /* remaining */
 } search_t;
 
 static bool
@@ -402,8 +403,8 @@
   return false;
 }
 
-/* Take the workers of BUCKET that fit, and turn the ring so that the next
-   search begins behind those seen now.  */
+/* Adds the workers of BUCKET that fit, then rotates the list so that the
+   next search begins after the last one visited.  */
 static void
 search_bucket (search_t *search, gp_list_t *bucket)
 {
@@ -426,13 +427,14 @@
     }
 }
 
-/* Search the buckets of CELL that can hold the demand, from tight to roomy
-   or the other way round.  */
+/* Searches the buckets of CELL that can fit the demand, in ascending order
+   of free resources, or in descending order if ROOMY.  */
 static void
 search_cell (search_t *search, gp_fleet_cell_t *cell, bool roomy)
 {
-  uint32_t rows = cell->rows & (~0U << class_of (search->demand->millicores));
-  uint32_t least = ~0U << class_of (search->demand->memory_mib);
+  uint32_t rows
+      = cell->rows & (~0U << size_class (search->demand->millicores));
+  uint32_t least = ~0U << size_class (search->demand->memory_mib);
 
   while (rows != 0 && !search_done (search))
     {
@@ -453,9 +455,9 @@
     }
 }
 
-/* Search the cells of one sort in all ZONES.  Each zone gives an equal part
-   of MAX, half of it from the roomy end; with BOUNDED the workers looked at
-   are bounded as well.  */
+/* Searches the cells of all ZONES with or without accelerators.  Each zone
+   provides an equal part of MAX, half of it from the workers with the most
+   room.  With BOUNDED the number of workers visited is limited as well.  */
 static void
 search_zones (gp_fleet_t *fleet, search_t *search, uint64_t zones,
               bool accelerated, unsigned int max, bool bounded)
--- a/src/coordination/members.c
+++ b/src/coordination/members.c
@@ -3,7 +3,7 @@
 /* Older than any report.  */
 static const gp_load_t no_load = { .at = INT64_MIN };
 
-/* Memory of members.  */
+/* Allocation.  */
 
 static void
 member_free (gpointer data)
@@ -80,12 +80,12 @@
   return g_hash_table_size (members->by_name);
 }
 
-/* Evidence and state.  */
+/* State of a member.  */
 
 static gp_member_state_t
-state_of (const gp_member_t *member)
+derive_state (const gp_member_t *member)
 {
-  bool others = gp_member_reported (member);
+  bool others = gp_member_is_reported (member);
   bool evidence = member->direct || others;
 
   if (member->announcement.leaving)
@@ -93,7 +93,7 @@
   if (!evidence)
     return member->state == GP_MEMBER_GONE ? GP_MEMBER_GONE
                                            : GP_MEMBER_SUSPECT;
-  if (others || member->beaten)
+  if (others || member->heartbeat_received)
     return GP_MEMBER_SERVING;
   return GP_MEMBER_JOINING;
 }
@@ -108,7 +108,7 @@
 static void
 mark_news (gp_members_t *members, gp_member_t *member)
 {
-  if (!member->told)
+  if (!member->advertised)
     return;
   member->sequence = ++members->sequence;
   gp_list_remove (&member->news_link);
@@ -141,9 +141,10 @@
 }
 
 void
-gp_members_settle (gp_members_t *members, gp_member_t *member, gp_time_t now)
+gp_members_refresh_state (gp_members_t *members, gp_member_t *member,
+                          gp_time_t now)
 {
-  gp_member_state_t state = state_of (member);
+  gp_member_state_t state = derive_state (member);
 
   if (state != member->state)
     enter_state (members, member, state, now);
@@ -155,8 +156,8 @@
   if (member->direct)
     return;
   member->direct = true;
-  member->beaten = false;
-  member->told = true;
+  member->heartbeat_received = false;
+  member->advertised = true;
   mark_news (members, member);
 }
 
@@ -168,7 +169,7 @@
   member->direct = false;
   gp_list_remove (&member->direct_link);
   mark_news (members, member);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
 }
 
 static void
@@ -202,7 +203,7 @@
          && g_strcmp0 (a->service, b->service) == 0;
 }
 
-/* Copy FROM over the announcement of MEMBER, except its name.  */
+/* Replaces the announcement of MEMBER by FROM, except for its name.  */
 static void
 announcement_copy (gp_members_t *members, gp_member_t *member,
                    const gp_announcement_t *from)
@@ -219,7 +220,7 @@
   g_free (old_address);
 }
 
-/* Forget what was known of an older incarnation.  */
+/* Clears what was known of an older incarnation.  */
 static void
 member_reset (gp_member_t *member)
 {
@@ -232,8 +233,8 @@
 }
 
 gp_member_t *
-gp_members_update (gp_members_t *members,
-                   const gp_announcement_t *announcement)
+gp_members_apply_announcement (gp_members_t *members,
+                               const gp_announcement_t *announcement)
 {
   gp_member_t *member = gp_members_find (members, announcement->name);
   gp_announcement_t next = *announcement;
@@ -249,7 +250,7 @@
   if (announcement->incarnation > member->announcement.incarnation)
     member_reset (member);
   else if (member->announcement.leaving)
-    next.leaving = true; /* an incarnation that leaves does not return */
+    next.leaving = true; /* an incarnation never returns from leaving */
   if (announcement_equal (&next, &member->announcement))
     return member;
   announcement_copy (members, member, &next);
@@ -259,8 +260,8 @@
 }
 
 gp_member_t *
-gp_members_current (gp_members_t *members, const char *name,
-                    uint64_t incarnation, gp_members_result_t *result)
+gp_members_find_incarnation (gp_members_t *members, const char *name,
+                             uint64_t incarnation, gp_members_result_t *result)
 {
   gp_member_t *member = gp_members_find (members, name);
 
@@ -278,7 +279,7 @@
 gp_members_announce (gp_members_t *members,
                      const gp_announcement_t *announcement, gp_time_t now)
 {
-  gp_member_t *member = gp_members_update (members, announcement);
+  gp_member_t *member = gp_members_apply_announcement (members, announcement);
 
   if (member == NULL)
     return GP_MEMBERS_STALE;
@@ -289,7 +290,7 @@
       mark_changed (members, member);
     }
   direct_extend (members, member, now);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
@@ -300,7 +301,7 @@
 {
   gp_members_result_t result;
   gp_member_t *member
-      = gp_members_current (members, name, incarnation, &result);
+      = gp_members_find_incarnation (members, name, incarnation, &result);
 
   if (member == NULL)
     return result;
@@ -309,9 +310,9 @@
   if (load != NULL)
     member->load = *load;
   direct_begin (members, member);
-  member->beaten = true;
+  member->heartbeat_received = true;
   direct_extend (members, member, now);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
@@ -321,13 +322,13 @@
 {
   gp_members_result_t result;
   gp_member_t *member
-      = gp_members_current (members, name, incarnation, &result);
+      = gp_members_find_incarnation (members, name, incarnation, &result);
 
   if (member == NULL || member->announcement.leaving)
     return result;
   member->announcement.leaving = true;
   mark_news (members, member);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
@@ -337,7 +338,7 @@
 {
   gp_members_result_t result;
   gp_member_t *member
-      = gp_members_current (members, name, incarnation, &result);
+      = gp_members_find_incarnation (members, name, incarnation, &result);
 
   if (member == NULL || member->reach == GP_REACH_UP)
     return result;
@@ -352,7 +353,7 @@
 {
   gp_members_result_t result;
   gp_member_t *member
-      = gp_members_current (members, name, incarnation, &result);
+      = gp_members_find_incarnation (members, name, incarnation, &result);
 
   if (member == NULL)
     return result;
@@ -362,7 +363,7 @@
   return GP_MEMBERS_ACCEPTED;
 }
 
-/* Time.  */
+/* Timeouts.  */
 
 static gp_time_t
 expire_direct (gp_members_t *members, gp_time_t now)
@@ -424,7 +425,7 @@
   return MIN (MIN (reporters, direct), MIN (suspects, tombstones));
 }
 
-/* Changes for the owner and news for other entries.  */
+/* Changes for the owner.  */
 
 gp_member_t *
 gp_members_next_change (gp_members_t *members)
--- a/src/coordination/outlier.c
+++ b/src/coordination/outlier.c
@@ -10,8 +10,8 @@
   gp_list_init (&outlier->probed);
 }
 
-/* Windows.  At the end of each, counts are halved: a slow service is judged
-   on more than one window, and old results fade.  */
+/* Windows.  At the end of each, counts are halved, so that slow services
+   are judged over more than one window and old results lose weight.  */
 
 static void
 count_halve (gp_health_count_t *count, uint32_t times)
@@ -71,23 +71,23 @@
   gp_list_remove (&health->link);
   set_failing (outlier, health, false);
   if (health->state != GP_HEALTH_HEALTHY)
-    outlier->n_out--;
+    outlier->n_not_healthy--;
   outlier->n_members--;
 }
 
-/* Judgement.  */
+/* Ejection criteria.  */
 
 static uint64_t
-requests_of (const gp_health_t *health)
+request_count (const gp_health_t *health)
 {
   return health->successes.n + health->failures.n;
 }
 
-/* Does it fail at least PCT of its requests?  */
+/* Returns true if at least PCT percent of its requests failed.  */
 static bool
 fails_often (const gp_health_t *health, uint64_t pct)
 {
-  return health->failures.n * 100 >= requests_of (health) * pct;
+  return health->failures.n * 100 >= request_count (health) * pct;
 }
 
 static bool
@@ -109,7 +109,8 @@
          > outlier->n_members * outlier->settings.shared_pct;
 }
 
-/* May one more be ejected?  One of two may, a single one may not.  */
+/* Returns true if one more executor may be ejected.  One of two may; a
+   single one may not.  */
 static bool
 may_eject (const gp_outlier_t *outlier)
 {
@@ -118,10 +119,10 @@
 
   if (allowed == 0 && outlier->n_members > 1)
     allowed = 1;
-  return outlier->n_out < allowed;
+  return outlier->n_not_healthy < allowed;
 }
 
-/* Ejection and return.  */
+/* Ejection and readmission.  */
 
 static void
 insert_by_until (gp_list_t *head, gp_health_t *health)
@@ -152,7 +153,7 @@
 static void
 eject (gp_outlier_t *outlier, gp_health_t *health, gp_time_t now)
 {
-  if (health->state == GP_HEALTH_HEALTHY && now >= health->clean_at)
+  if (health->state == GP_HEALTH_HEALTHY && now >= health->reset_at)
     health->ejections = 0;
   health->ejections++;
   health->state = GP_HEALTH_EJECTED;
@@ -167,10 +168,10 @@
   health->state = GP_HEALTH_HEALTHY;
   health->successes = (gp_health_count_t){ .n = 0 };
   health->failures = (gp_health_count_t){ .n = 0 };
-  health->clean_at = now + ejection_time (outlier, health->ejections);
+  health->reset_at = now + ejection_time (outlier, health->ejections);
   set_failing (outlier, health, false);
   gp_list_remove (&health->link);
-  outlier->n_out--;
+  outlier->n_not_healthy--;
 }
 
 gp_outlier_action_t
@@ -180,18 +181,18 @@
   uint64_t failure_pct = outlier->settings.failure_pct;
 
   if (health->state != GP_HEALTH_HEALTHY)
-    return GP_OUTLIER_NONE; /* the end of a request from before */
+    return GP_OUTLIER_NONE; /* the request was sent before the ejection */
   window_advance (outlier, health, now);
   count_add (success ? &health->successes : &health->failures, duration);
   if (success)
     count_add (&outlier->successes, duration);
   set_failing (outlier, health, fails_often (health, failure_pct / 2));
   if (success || !fails_often (health, failure_pct)
-      || requests_of (health) < outlier->settings.min_requests
+      || request_count (health) < outlier->settings.min_requests
       || !fails_fast (outlier, health) || fault_is_shared (outlier)
       || !may_eject (outlier))
     return GP_OUTLIER_NONE;
-  outlier->n_out++;
+  outlier->n_not_healthy++;
   eject (outlier, health, now);
   return GP_OUTLIER_EJECT;
 }
@@ -202,7 +203,7 @@
 {
   if (health->state != GP_HEALTH_WAITING)
     return;
-  health->state = GP_HEALTH_PROBED;
+  health->state = GP_HEALTH_PROBING;
   health->until = now + outlier->settings.probe_timeout;
   insert_by_until (&outlier->probed, health);
 }
@@ -211,7 +212,7 @@
 gp_outlier_probe_done (gp_outlier_t *outlier, gp_health_t *health,
                        bool success, gp_time_t now)
 {
-  if (health->state != GP_HEALTH_PROBED)
+  if (health->state != GP_HEALTH_PROBING)
     return GP_OUTLIER_NONE;
   if (success)
     {
@@ -223,7 +224,7 @@
 }
 
 static gp_health_t *
-first_of (const gp_list_t *head)
+first_in_list (const gp_list_t *head)
 {
   if (gp_list_empty (head))
     return NULL;
@@ -234,7 +235,7 @@
 gp_outlier_next_due (gp_outlier_t *outlier, gp_time_t now,
                      gp_outlier_action_t *action)
 {
-  gp_health_t *health = first_of (&outlier->ejected);
+  gp_health_t *health = first_in_list (&outlier->ejected);
 
   if (health != NULL && health->until <= now)
     {
@@ -243,7 +244,7 @@
       *action = GP_OUTLIER_OFFER_PROBE;
       return health;
     }
-  health = first_of (&outlier->probed);
+  health = first_in_list (&outlier->probed);
   if (health != NULL && health->until <= now)
     {
       eject (outlier, health, now);
@@ -257,8 +258,8 @@
 gp_time_t
 gp_outlier_deadline (const gp_outlier_t *outlier)
 {
-  const gp_health_t *ejected = first_of (&outlier->ejected);
-  const gp_health_t *probed = first_of (&outlier->probed);
+  const gp_health_t *ejected = first_in_list (&outlier->ejected);
+  const gp_health_t *probed = first_in_list (&outlier->probed);
   gp_time_t next = GP_TIME_NEVER;
 
   if (ejected != NULL)
--- a/src/coordination/pending.c
+++ b/src/coordination/pending.c
@@ -1,8 +1,9 @@
-/* The queue of pending tasks.
+/* Queue of pending tasks.
 
-   Invariants: a ready task is in the heap of its team and class, a deferred
-   one in the heap of the deferred; ready[] counts the ready ones.  A team
-   saves for at most one task, which is in the queue.  */
+   Invariants: a ready task is in the heap of its team and class, a
+   deferred one in the heap of deferred tasks; ready[] counts the ready
+   tasks.  A team reserves quota for at most one task, which is in the
+   queue.  */
 
 #include "coordination/pending.h"
 
@@ -13,10 +14,10 @@
 typedef struct
 {
   gp_task_heap_t ready[GP_PENDING_CLASSES];
-  gp_pending_task_t *saving; /* task for which quota is left */
+  gp_pending_task_t *quota_reserved_for; /* or NULL */
 } gp_pending_team_t;
 
-/* The rank of a class, 0 first.  */
+/* Returns the priority rank of a class; 0 is the highest.  */
 static unsigned int
 rank_of (gp_work_class_t work_class)
 {
@@ -65,9 +66,9 @@
 }
 
 static gp_pending_team_t *
-need_team (gp_pending_t *pending, uint32_t team)
+find_or_add_team (gp_pending_t *pending, uint32_t team)
 {
-  gp_pending_team_t added = { .saving = NULL };
+  gp_pending_team_t added = { .quota_reserved_for = NULL };
 
   while (team >= pending->teams->len)
     {
@@ -97,8 +98,9 @@
 
   task->state = GP_PENDING_READY;
   task->node.key = task->latest_start;
-  gp_task_heap_push (&need_team (pending, task->charge.team)->ready[rank],
-                     &task->node);
+  gp_task_heap_push (
+      &find_or_add_team (pending, task->charge.team)->ready[rank],
+      &task->node);
   pending->ready[rank]++;
 }
 
@@ -109,16 +111,16 @@
 
   g_assert (task->state == GP_PENDING_OUT);
   if (task->latest_start == GP_TIME_NEVER)
-    task->latest_start = now + pending->settings.patience[rank];
+    task->latest_start = now + pending->settings.default_wait[rank];
   task->deferrals = 0;
   task->no_capacity = 0;
   task->no_quota = 0;
   make_ready (pending, task);
 }
 
-/* Take TASK out of its heap.  */
+/* Removes TASK from its heap.  */
 static void
-take (gp_pending_t *pending, gp_pending_task_t *task)
+remove_from_heap (gp_pending_t *pending, gp_pending_task_t *task)
 {
   unsigned int rank = rank_of (task->work_class);
 
@@ -138,22 +140,22 @@
   task->state = GP_PENDING_OUT;
 }
 
-/* End the saving of TASK's team if it was for TASK.  */
+/* Ends the quota reservation for TASK, if its team has one.  */
 static void
-end_saving (gp_pending_t *pending, const gp_pending_task_t *task)
+end_quota_reservation (gp_pending_t *pending, const gp_pending_task_t *task)
 {
-  gp_pending_team_t *team = need_team (pending, task->charge.team);
+  gp_pending_team_t *team = find_or_add_team (pending, task->charge.team);
 
-  if (team->saving == task)
-    team->saving = NULL;
+  if (team->quota_reserved_for == task)
+    team->quota_reserved_for = NULL;
 }
 
 void
 gp_pending_remove (gp_pending_t *pending, gp_quota_t *quota,
                    gp_pending_task_t *task)
 {
-  take (pending, task);
-  end_saving (pending, task);
+  remove_from_heap (pending, task);
+  end_quota_reservation (pending, task);
   gp_quota_release (quota, &task->charge);
 }
 
@@ -163,7 +165,7 @@
 {
   gp_time_t most = task->work_class == GP_WORK_LATENCY_CRITICAL
                        ? settings->backoff_urgent
-                       : settings->backoff_most;
+                       : settings->backoff_max;
   gp_time_t backoff = settings->backoff_first;
 
   for (unsigned int i = 1; i < task->deferrals && backoff < most; i++)
@@ -172,7 +174,7 @@
 }
 
 static void
-count_one (uint16_t *count)
+increment_saturating (uint16_t *count)
 {
   if (*count < UINT16_MAX)
     (*count)++;
@@ -187,25 +189,25 @@
 
   g_assert (task->state == GP_PENDING_OUT);
   gp_quota_release (quota, &task->charge);
-  count_one (&task->deferrals);
+  increment_saturating (&task->deferrals);
   if (cause == GP_PENDING_NO_CAPACITY)
-    count_one (&task->no_capacity);
+    increment_saturating (&task->no_capacity);
   if (cause == GP_PENDING_NO_QUOTA)
-    count_one (&task->no_quota);
+    increment_saturating (&task->no_quota);
   task->state = GP_PENDING_DEFERRED;
   task->node.key = now + backoff_of (settings, task);
   gp_task_heap_push (&pending->deferred, &task->node);
   return task->no_capacity >= settings->hold_after;
 }
 
-/* Whether the quota has room for TASK, and also for the task for which its
-   team saves, unless TASK goes before that.  */
+/* Returns true if the quota has room for TASK and, unless TASK is of a
+   higher class, also for the task for which its team reserves quota.  */
 static bool
 has_room (gp_pending_t *pending, const gp_quota_t *quota,
           const gp_pending_task_t *task)
 {
   const gp_pending_task_t *saving
-      = team_at (pending, task->charge.team)->saving;
+      = team_at (pending, task->charge.team)->quota_reserved_for;
   gp_resources_t need = task->charge.resources;
 
   if (saving != NULL && saving != task
@@ -214,26 +216,27 @@
   return gp_quota_has_room (quota, task->charge.team, &need);
 }
 
-/* Let the team of TASK save for it when it waited for quota often enough and
-   can ever have it.  */
+/* Reserves quota for TASK if it was deferred for lack of quota often
+   enough and its demand fits the whole quota of its team.  */
 static void
-begin_saving (gp_pending_t *pending, const gp_quota_t *quota,
-              gp_pending_task_t *task)
+begin_quota_reservation (gp_pending_t *pending, const gp_quota_t *quota,
+                         gp_pending_task_t *task)
 {
   gp_pending_team_t *team = team_at (pending, task->charge.team);
 
-  if (team->saving != NULL || task->no_quota < pending->settings.hold_after)
+  if (team->quota_reserved_for != NULL
+      || task->no_quota < pending->settings.hold_after)
     return;
   if (gp_quota_can_ever_fit (quota, task->charge.team,
                              &task->charge.resources))
-    team->saving = task;
+    team->quota_reserved_for = task;
 }
 
-/* The first task of TEAM at RANK that its quota has room for; heads without
-   room are deferred.  */
+/* Returns the first task of TEAM at RANK for which its quota has room;
+   tasks before it are deferred.  */
 static gp_pending_task_t *
-head_of (gp_pending_t *pending, gp_quota_t *quota, gp_pending_team_t *team,
-         unsigned int rank, gp_time_t now)
+first_within_quota (gp_pending_t *pending, gp_quota_t *quota,
+                    gp_pending_team_t *team, unsigned int rank, gp_time_t now)
 {
   gp_pending_task_t *task;
 
@@ -241,17 +244,18 @@
     {
       if (has_room (pending, quota, task))
         return task;
-      take (pending, task);
+      remove_from_heap (pending, task);
       (void)gp_pending_defer (pending, quota, task, GP_PENDING_NO_QUOTA, now);
-      begin_saving (pending, quota, task);
+      begin_quota_reservation (pending, quota, task);
     }
   return NULL;
 }
 
-/* The head at RANK of the team with the least share, or NULL.  */
+/* Returns the first task at RANK of the team with the smallest quota
+   share, or NULL.  */
 static gp_pending_task_t *
-fairest (gp_pending_t *pending, gp_quota_t *quota, unsigned int rank,
-         gp_time_t now)
+first_of_least_served_team (gp_pending_t *pending, gp_quota_t *quota,
+                            unsigned int rank, gp_time_t now)
 {
   gp_pending_task_t *best = NULL;
   double best_share = INFINITY;
@@ -260,8 +264,8 @@
     return NULL;
   for (guint i = 0; i < pending->teams->len; i++)
     {
-      gp_pending_task_t *task
-          = head_of (pending, quota, team_at (pending, i), rank, now);
+      gp_pending_task_t *task = first_within_quota (
+          pending, quota, team_at (pending, i), rank, now);
       double share;
 
       if (task == NULL)
@@ -275,50 +279,51 @@
   return best;
 }
 
-/* The watcher or batch task with the nearest latest start, if that is at
-   risk.  */
+/* Returns the watcher or batch task with the earliest latest start if that
+   is at risk, or NULL.  */
 static gp_pending_task_t *
-most_at_risk (gp_pending_t *pending, gp_quota_t *quota, gp_time_t now)
+earliest_at_risk (gp_pending_t *pending, gp_quota_t *quota, gp_time_t now)
 {
   gp_pending_task_t *best = NULL;
 
   for (guint i = 0; i < pending->teams->len; i++)
     for (unsigned int rank = 1; rank < GP_PENDING_CLASSES; rank++)
       {
-        gp_pending_task_t *task
-            = head_of (pending, quota, team_at (pending, i), rank, now);
+        gp_pending_task_t *task = first_within_quota (
+            pending, quota, team_at (pending, i), rank, now);
 
         if (task != NULL
             && (best == NULL || task->latest_start < best->latest_start))
           best = task;
       }
-  if (best != NULL && best->latest_start > now + pending->settings.risk_ahead)
+  if (best != NULL
+      && best->latest_start > now + pending->settings.risk_horizon)
     return NULL;
   return best;
 }
 
 static void
-wake_deferred (gp_pending_t *pending, gp_time_t now)
+requeue_due (gp_pending_t *pending, gp_time_t now)
 {
   gp_task_heap_node_t *node;
 
   while ((node = gp_task_heap_first (&pending->deferred)) != NULL
          && node->key <= now)
     {
-      take (pending, task_of (node));
+      remove_from_heap (pending, task_of (node));
       make_ready (pending, task_of (node));
     }
 }
 
 void
-gp_pending_hurry (gp_pending_t *pending, unsigned int most)
+gp_pending_end_backoffs (gp_pending_t *pending, unsigned int most)
 {
   gp_task_heap_node_t *node;
 
   while (most-- > 0
          && (node = gp_task_heap_first (&pending->deferred)) != NULL)
     {
-      take (pending, task_of (node));
+      remove_from_heap (pending, task_of (node));
       make_ready (pending, task_of (node));
     }
 }
@@ -332,9 +337,9 @@
   pending->refilled = now;
 }
 
-/* Whether the pace allows a start at RANK.  */
+/* Returns true if the rate limit allows a start at RANK.  */
 static bool
-in_pace (const gp_pending_t *pending, unsigned int rank)
+rate_allows (const gp_pending_t *pending, unsigned int rank)
 {
   double least = rank == 0 ? 1.0 - pending->burst : 1.0;
 
@@ -346,8 +351,9 @@
 {
   gp_pending_task_t *task = NULL;
 
-  if (pending->picks + 1 >= GP_PENDING_TURN && in_pace (pending, 1))
-    task = most_at_risk (pending, quota, now);
+  if (pending->picks + 1 >= GP_PENDING_AT_RISK_INTERVAL
+      && rate_allows (pending, 1))
+    task = earliest_at_risk (pending, quota, now);
   if (task != NULL)
     {
       pending->picks = 0;
@@ -355,9 +361,9 @@
     }
   for (unsigned int rank = 0; rank < GP_PENDING_CLASSES && task == NULL;
        rank++)
-    if (in_pace (pending, rank))
-      task = fairest (pending, quota, rank, now);
-  if (task != NULL && pending->picks + 1 < GP_PENDING_TURN)
+    if (rate_allows (pending, rank))
+      task = first_of_least_served_team (pending, quota, rank, now);
+  if (task != NULL && pending->picks + 1 < GP_PENDING_AT_RISK_INTERVAL)
     pending->picks++;
   return task;
 }
@@ -367,23 +373,23 @@
 {
   gp_pending_task_t *task;
 
-  wake_deferred (pending, now);
+  requeue_due (pending, now);
   if (pending->rate > 0.0)
     refill (pending, now);
   task = pick (pending, quota, now);
   if (task == NULL)
     return NULL;
-  take (pending, task);
-  end_saving (pending, task);
+  remove_from_heap (pending, task);
+  end_quota_reservation (pending, task);
   if (pending->rate > 0.0)
     pending->tokens -= 1.0;
   (void)gp_quota_propose (quota, &task->charge);
   return task;
 }
 
-/* When the pace allows a start at RANK.  */
+/* Returns the time at which the rate limit allows a start at RANK.  */
 static gp_time_t
-pace_point (const gp_pending_t *pending, unsigned int rank, gp_time_t now)
+rate_allows_at (const gp_pending_t *pending, unsigned int rank, gp_time_t now)
 {
   double least = rank == 0 ? 1.0 - pending->burst : 1.0;
   double missing = least - pending->tokens;
@@ -395,20 +401,20 @@
 }
 
 gp_time_t
-gp_pending_wake (const gp_pending_t *pending, gp_time_t now)
+gp_pending_next_wake (const gp_pending_t *pending, gp_time_t now)
 {
   const gp_task_heap_node_t *node = gp_task_heap_first (&pending->deferred);
   gp_time_t wake = node == NULL ? GP_TIME_NEVER : MAX (now, node->key);
 
   for (unsigned int rank = 0; rank < GP_PENDING_CLASSES; rank++)
     if (pending->ready[rank] > 0)
-      wake = MIN (wake, pace_point (pending, rank, now));
+      wake = MIN (wake, rate_allows_at (pending, rank, now));
   return wake;
 }
 
 void
-gp_pending_pace (gp_pending_t *pending, double rate, double burst,
-                 gp_time_t now)
+gp_pending_set_rate (gp_pending_t *pending, double rate, double burst,
+                     gp_time_t now)
 {
   pending->rate = rate;
   pending->burst = burst;
--- a/src/coordination/regression.c
+++ b/src/coordination/regression.c
@@ -1,13 +1,13 @@
-/* Recursive least squares in Kalman form, on sparse features.  */
+/* Recursive least squares in Kalman form, with sparse features.  */
 
 #include "coordination/regression.h"
 
 #include <math.h>
 #include <stddef.h>
 
-#define CLIP_DEVIATIONS 3. /* an innovation counts at most so much */
-#define NOISE_GAIN 0.02    /* of the moving mean of squared innovations */
-#define NOISE_LEAST 0.02
+#define CLIP_DEVIATIONS 3. /* bound of an innovation */
+#define NOISE_GAIN 0.02    /* weight of a sample in the noise estimate */
+#define NOISE_MIN 0.02
 
 void
 gp_regression_init (gp_regression_t *regression, unsigned int features,
@@ -39,7 +39,7 @@
   return mean;
 }
 
-/* Element I of P x.  */
+/* Returns element I of P x.  */
 static double
 gain_of (const gp_regression_t *regression, const gp_regression_input_t *input,
          unsigned int i)
@@ -76,8 +76,7 @@
   double excess;
 
   innovation = fmax (-most, fmin (most, innovation));
-  excess
-      = fmax (NOISE_LEAST * NOISE_LEAST, innovation * innovation - variance);
+  excess = fmax (NOISE_MIN * NOISE_MIN, innovation * innovation - variance);
   regression->noise += NOISE_GAIN * (excess - regression->noise);
   for (unsigned int i = 0; i < regression->features; i++)
     gain[i] = gain_of (regression, input, i);
--- a/src/coordination/reporters.c
+++ b/src/coordination/reporters.c
@@ -1,5 +1,5 @@
-/* The part of membership that deals with other entries: what they report,
-   and what they are told.  */
+/* Membership: reports received from other entries and updates sent to
+   them.  */
 
 #include "coordination/members_private.h"
 
@@ -35,7 +35,7 @@
 }
 
 bool
-gp_member_reported (const gp_member_t *member)
+gp_member_is_reported (const gp_member_t *member)
 {
   return gp_member_reporter (member) != NULL;
 }
@@ -62,8 +62,8 @@
                      gp_time_t now)
 {
   GP_LIST_FOREACH (pos, &reporter->reports)
-  gp_members_settle (members, GP_CONTAINER_OF (pos, gp_report_t, link)->member,
-                     now);
+  gp_members_refresh_state (
+      members, GP_CONTAINER_OF (pos, gp_report_t, link)->member, now);
 }
 
 void
@@ -100,8 +100,9 @@
   return true;
 }
 
-/* The report of REPORTER on MEMBER; without one, an unused one or that of a
-   silent reporter, else that of the reporter heard longest ago.  */
+/* Returns the slot for a report of REPORTER on MEMBER: its present report
+   if there is one; otherwise an unused slot, or that of the reporter heard
+   longest ago.  */
 static gp_report_t *
 report_slot (gp_member_t *member, const gp_reporter_t *reporter)
 {
@@ -123,7 +124,7 @@
 }
 
 static void
-report_take (gp_member_t *member, gp_reporter_t *reporter)
+report_set (gp_member_t *member, gp_reporter_t *reporter)
 {
   gp_report_t *report = report_slot (member, reporter);
 
@@ -134,11 +135,11 @@
 }
 
 static gp_members_result_t
-learn_gone (gp_members_t *members, const gp_reporter_t *reporter,
+apply_gone (gp_members_t *members, const gp_reporter_t *reporter,
             const gp_announcement_t *announcement, gp_time_t now)
 {
   gp_members_result_t result;
-  gp_member_t *member = gp_members_current (
+  gp_member_t *member = gp_members_find_incarnation (
       members, announcement->name, announcement->incarnation, &result);
 
   if (member == NULL)
@@ -146,13 +147,13 @@
   for (size_t i = 0; i < GP_MEMBER_REPORTS; i++)
     if (member->reports[i].reporter == reporter)
       gp_report_drop (&member->reports[i]);
-  gp_members_settle (members, member, now);
+  gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
 gp_members_result_t
-gp_members_learn (gp_members_t *members, const char *reporter,
-                  const gp_member_news_t *news, gp_time_t now)
+gp_members_apply_news (gp_members_t *members, const char *reporter,
+                       const gp_member_news_t *news, gp_time_t now)
 {
   gp_reporter_t *from = reporter_find (members, reporter);
   gp_announcement_t announcement = news->announcement;
@@ -161,28 +162,30 @@
   if (from == NULL)
     return GP_MEMBERS_UNKNOWN;
   if (news->gone)
-    return learn_gone (members, from, &news->announcement, now);
+    return apply_gone (members, from, &news->announcement, now);
   member = gp_members_find (members, announcement.name);
   if (member != NULL && member->direct
       && member->announcement.incarnation == announcement.incarnation)
     {
-      /* What the guard itself said here is newer, but for the end.  */
+      /* The guard's own announcement to this entry is newer, except that
+         its departure may have been reported first.  */
       announcement = member->announcement;
       announcement.leaving |= news->announcement.leaving;
     }
-  member = gp_members_update (members, &announcement);
+  member = gp_members_apply_announcement (members, &announcement);
   if (member == NULL)
     return GP_MEMBERS_STALE;
   if (news->load.at > member->load.at)
     member->load = news->load;
-  report_take (member, from);
-  gp_members_settle (members, member, now);
+  report_set (member, from);
+  gp_members_refresh_state (members, member, now);
   return GP_MEMBERS_ACCEPTED;
 }
 
-/* Drop the reports of earlier connections that were not repeated.  */
+/* Drops the reports of earlier connections that were not repeated.  */
 static void
-reporter_sweep (gp_members_t *members, gp_reporter_t *reporter, gp_time_t now)
+reporter_drop_unrepeated (gp_members_t *members, gp_reporter_t *reporter,
+                          gp_time_t now)
 {
   reporter->sweep_at = GP_TIME_NEVER;
   GP_LIST_FOREACH_SAFE (pos, &reporter->reports)
@@ -192,7 +195,7 @@
     if (report->generation == reporter->generation)
       continue;
     gp_report_drop (report);
-    gp_members_settle (members, report->member, now);
+    gp_members_refresh_state (members, report->member, now);
   }
 }
 
@@ -220,14 +223,14 @@
           continue;
         }
       if (reporter->sweep_at <= now)
-        reporter_sweep (members, reporter, now);
+        reporter_drop_unrepeated (members, reporter, now);
       due = reporter->silent ? reporter->forget_at : reporter->silent_at;
       next = MIN (next, MIN (due, reporter->sweep_at));
     }
   return next;
 }
 
-/* News for other entries.  */
+/* Updates for other entries.  */
 
 static gp_member_news_t
 news_of (const gp_member_t *member)
@@ -238,9 +241,10 @@
 }
 
 uint64_t
-gp_members_tell (gp_members_t *members, uint64_t cursor, size_t budget,
-                 size_t (*visit) (const gp_member_news_t *news, void *data),
-                 void *data)
+gp_members_visit_news (gp_members_t *members, uint64_t cursor, size_t budget,
+                       size_t (*visit) (const gp_member_news_t *news,
+                                        void *data),
+                       void *data)
 {
   gp_list_t *head = &members->news;
   gp_list_t *pos = head;
--- a/src/coordination/request_queue.c
+++ b/src/coordination/request_queue.c
@@ -1,4 +1,4 @@
-/* The requests that wait at a guard, by the order of their turns.  */
+/* Queue of the requests waiting at a guard, in scheduling order.  */
 
 #include "coordination/request_queue.h"
 
@@ -6,15 +6,15 @@
 #define BATCH GP_ADMISSION_BATCH
 
 static bool
-turn_before (const gp_heap_node_t *na, const gp_heap_node_t *nb)
+sort_key_before (const gp_heap_node_t *na, const gp_heap_node_t *nb)
 {
   const gp_admission_request_t *a
       = GP_CONTAINER_OF (na, gp_admission_request_t, order);
   const gp_admission_request_t *b
       = GP_CONTAINER_OF (nb, gp_admission_request_t, order);
 
-  if (a->turn != b->turn)
-    return a->turn < b->turn;
+  if (a->sort_key != b->sort_key)
+    return a->sort_key < b->sort_key;
   return a->sequence < b->sequence;
 }
 
@@ -31,11 +31,12 @@
   return a->sequence < b->sequence;
 }
 
-/* The point by which REQUEST is ordered in its class.  The latency target
-   tells which wait hurts most; the deadline is often far behind it, and a
-   caller that waits longer must not be served later for it.  */
+/* Returns the sort key of REQUEST within its class.  Latency-critical
+   requests are ordered by their latency target; their deadline is often
+   far later, and a caller that is willing to wait longer must not be
+   served later for that reason.  */
 static gp_time_t
-turn (const gp_admission_request_t *request)
+sort_key (const gp_admission_request_t *request)
 {
   if (request->work_class == BATCH)
     return request->urgent_at;
@@ -44,9 +45,9 @@
   return request->due;
 }
 
-/* The most slack first; of equals the latest arrival.  */
+/* Orders by descending slack, then latest arrival first.  */
 static bool
-slack_before (const gp_heap_node_t *na, const gp_heap_node_t *nb)
+more_slack_before (const gp_heap_node_t *na, const gp_heap_node_t *nb)
 {
   const gp_admission_request_t *a
       = GP_CONTAINER_OF (na, gp_admission_request_t, slack);
@@ -61,8 +62,8 @@
 static void
 init_order (gp_heap_t heaps[GP_ADMISSION_CLASSES])
 {
-  gp_heap_init (&heaps[CRITICAL], turn_before);
-  gp_heap_init (&heaps[BATCH], turn_before);
+  gp_heap_init (&heaps[CRITICAL], sort_key_before);
+  gp_heap_init (&heaps[BATCH], sort_key_before);
 }
 
 static gp_admission_request_t *
@@ -96,7 +97,7 @@
 }
 
 gp_request_quota_t *
-gp_request_queue_blocker (const gp_admission_request_t *request)
+gp_request_queue_blocking_quota (const gp_admission_request_t *request)
 {
   if (gp_request_quota_full (request->team))
     return request->team;
@@ -112,7 +113,7 @@
   gp_heap_insert (&queue->ready[request->work_class], &request->order);
 }
 
-/* Move the first blocked request of QUOTA and WORK_CLASS to READY if the
+/* Moves the first blocked request of QUOTA and WORK_CLASS to READY if the
    quota has room.  */
 static void
 wake (gp_request_queue_t *queue, gp_request_quota_t *quota,
@@ -146,9 +147,9 @@
     wake (queue, quota, BATCH);
 }
 
-/* Take REQUEST out of READY or BLOCKED.  */
+/* Removes REQUEST from READY or BLOCKED.  */
 static void
-leave_order (gp_request_queue_t *queue, gp_admission_request_t *request)
+remove_from_order (gp_request_queue_t *queue, gp_admission_request_t *request)
 {
   gp_admission_class_t work_class = request->work_class;
 
@@ -166,7 +167,7 @@
 block (gp_request_queue_t *queue, gp_admission_request_t *request,
        gp_request_quota_t *blocker)
 {
-  leave_order (queue, request);
+  remove_from_order (queue, request);
   request->blocker = blocker;
   gp_heap_insert (&blocker->blocked[request->work_class], &request->order);
 }
@@ -179,7 +180,7 @@
 
   while ((request = first_in_order (&queue->ready[work_class])) != NULL)
     {
-      gp_request_quota_t *blocker = gp_request_queue_blocker (request);
+      gp_request_quota_t *blocker = gp_request_queue_blocking_quota (request);
 
       if (blocker == NULL)
         return request;
@@ -196,7 +197,7 @@
 
   request->state = GP_ADMISSION_QUEUED;
   request->sequence = queue->next_sequence++;
-  request->turn = turn (request);
+  request->sort_key = sort_key (request);
   queue->count[work_class]++;
   queue->work[work_class] += request->work;
   request->team->queued++;
@@ -220,7 +221,7 @@
   gp_heap_remove (&queue->expiry, &request->expiry);
   if (work_class == BATCH)
     gp_heap_remove (&queue->slack, &request->slack);
-  leave_order (queue, request);
+  remove_from_order (queue, request);
 }
 
 void
@@ -238,5 +239,5 @@
   *queue = (gp_request_queue_t){ 0 };
   init_order (queue->ready);
   gp_heap_init (&queue->expiry, expiry_before);
-  gp_heap_init (&queue->slack, slack_before);
+  gp_heap_init (&queue->slack, more_slack_before);
 }
--- a/src/coordination/router.c
+++ b/src/coordination/router.c
@@ -1,20 +1,20 @@
 #include "coordination/router.h"
 
-/* Loads are in thousandths of a request, so that a faded load of less than
-   one still counts.  */
+/* Loads are in thousandths of a request, so that a decayed load of less
+   than one still counts.  */
 #define MILLI 1000
 
 /* Power of two choices.  */
 #define N_CHOICES 2
 
-/* The time in a slot that is assumed before any is known.  */
+/* Service time assumed until one is known.  */
 #define LATENCY_UNKNOWN_US 10000
 
-/* The cost of one candidate for the request at hand.  */
+/* A sampled candidate and its cost.  */
 typedef struct
 {
   gp_candidate_t *candidate;
-  gp_time_t wait; /* with the zone's cost */
+  gp_time_t wait; /* including the zone cost */
   uint64_t milli_load;
 } choice_t;
 
@@ -34,7 +34,7 @@
   g_ptr_array_free (router->far, TRUE);
 }
 
-/* The sets that are sampled.  */
+/* Sampled sets.  */
 
 static GPtrArray *
 set_of (const gp_router_t *router, const gp_candidate_t *candidate)
@@ -62,16 +62,16 @@
   guint index = candidate->index;
 
   g_ptr_array_remove_index_fast (set, index);
-  candidate->index = GP_CANDIDATE_APART;
+  candidate->index = GP_CANDIDATE_NOT_IN_SET;
   if (index < set->len)
     ((gp_candidate_t *)g_ptr_array_index (set, index))->index = index;
 }
 
-/* Put CANDIDATE into its set or apart, as it takes requests or not.  */
+/* Adds CANDIDATE to its set if it takes requests, otherwise removes it.  */
 static void
-place (gp_router_t *router, gp_candidate_t *candidate)
+update_set (gp_router_t *router, gp_candidate_t *candidate)
 {
-  bool inside = candidate->index != GP_CANDIDATE_APART;
+  bool inside = candidate->index != GP_CANDIDATE_NOT_IN_SET;
 
   if (takes_requests (candidate) == inside)
     return;
@@ -87,7 +87,7 @@
 {
   candidate->mode = mode;
   gp_list_remove (&candidate->probe_link);
-  place (router, candidate);
+  update_set (router, candidate);
 }
 
 void
@@ -97,14 +97,14 @@
   *candidate = (gp_candidate_t){ .data = data,
                                  .near = near,
                                  .mode = GP_CANDIDATE_OPEN,
-                                 .index = GP_CANDIDATE_APART,
+                                 .index = GP_CANDIDATE_NOT_IN_SET,
                                  .slots = slots,
                                  .connections = connections,
                                  .reported_at = INT64_MIN };
   gp_list_init (&candidate->probe_link);
   router->n_candidates++;
   router->total_slots += slots;
-  place (router, candidate);
+  update_set (router, candidate);
 }
 
 static void
@@ -221,9 +221,9 @@
                    (uint64_t)gp_router_latency (router));
 }
 
-/* Sampling without what was tried.  */
+/* Sampling that excludes tried candidates.  */
 
-/* Insert INDEX into the ascending EXCLUDED, unless it is there.  */
+/* Inserts INDEX into EXCLUDED, in ascending order, unless it is present.  */
 static void
 exclude_index (guint *excluded, guint *n, guint index)
 {
@@ -239,8 +239,8 @@
   (*n)++;
 }
 
-/* Write to EXCLUDED the indexes in SET of what ROUTE has tried, ascending,
-   and return their number.  */
+/* Stores in EXCLUDED the indexes in SET of the candidates that ROUTE has
+   tried, in ascending order, and returns their number.  */
 static guint
 excluded_indexes (const gp_router_t *router, const GPtrArray *set,
                   const gp_route_t *route, guint *excluded)
@@ -251,13 +251,14 @@
     {
       const gp_candidate_t *tried = route->tried[i];
 
-      if (tried->index != GP_CANDIDATE_APART && set_of (router, tried) == set)
+      if (tried->index != GP_CANDIDATE_NOT_IN_SET
+          && set_of (router, tried) == set)
         exclude_index (excluded, &n, tried->index);
     }
   return n;
 }
 
-/* A uniform member of SET that is not excluded, or NULL.  */
+/* Returns a uniformly random member of SET that is not excluded, or NULL.  */
 static gp_candidate_t *
 sample (const GPtrArray *set, const guint *excluded, guint n_excluded,
         GRand *rand)
@@ -278,7 +279,7 @@
 /* Choosing.  */
 
 static choice_t
-weigh (const gp_router_t *router, gp_candidate_t *candidate, gp_time_t now)
+evaluate (const gp_router_t *router, gp_candidate_t *candidate, gp_time_t now)
 {
   uint64_t load = gp_router_load (router, candidate, now);
   choice_t choice = { .candidate = candidate, .milli_load = load };
@@ -290,7 +291,7 @@
 }
 
 static bool
-better (const choice_t *a, const choice_t *b)
+is_better (const choice_t *a, const choice_t *b)
 {
   if (a->wait != b->wait)
     return a->wait < b->wait;
@@ -298,7 +299,7 @@
          < b->milli_load * a->candidate->slots;
 }
 
-/* Sample SET and replace BEST by what is better.  */
+/* Samples SET and replaces BEST by a better candidate, if found.  */
 static void
 choose_from (const gp_router_t *router, const GPtrArray *set,
              const gp_route_t *route, GRand *rand, gp_time_t now,
@@ -315,8 +316,8 @@
       if (candidate == NULL)
         return;
       exclude_index (excluded, &n_excluded, candidate->index);
-      choice = weigh (router, candidate, now);
-      if (best->candidate == NULL || better (&choice, best))
+      choice = evaluate (router, candidate, now);
+      if (best->candidate == NULL || is_better (&choice, best))
         *best = choice;
     }
 }
@@ -330,9 +331,10 @@
   return false;
 }
 
-/* The candidate that has waited longest for a probe.  */
+/* Returns the candidate that has waited longest for a probe, or NULL if
+   there is none or ROUTE has tried it.  */
 static gp_candidate_t *
-probe_for (const gp_router_t *router, const gp_route_t *route)
+waiting_probe (const gp_router_t *router, const gp_route_t *route)
 {
   const gp_list_t *first = router->probes.next;
   gp_candidate_t *candidate;
@@ -350,7 +352,7 @@
   choice_t best = { .candidate = NULL };
 
   if (route->may_probe)
-    best.candidate = probe_for (router, route);
+    best.candidate = waiting_probe (router, route);
   if (best.candidate != NULL)
     return best.candidate;
   choose_from (router, router->near, route, rand, now, &best);
@@ -383,7 +385,7 @@
   candidate->in_flight++;
   router->total_in_flight++;
   gp_list_remove (&candidate->probe_link);
-  place (router, candidate);
+  update_set (router, candidate);
 }
 
 void
@@ -394,7 +396,7 @@
   if (candidate->mode == GP_CANDIDATE_REMOVED)
     return;
   router->total_in_flight--;
-  place (router, candidate);
+  update_set (router, candidate);
 }
 
 void
--- a/src/daemon/tasks_mirror.c
+++ b/src/daemon/tasks_mirror.c
@@ -18,9 +18,9 @@
   gp_time_t deadline;
 
   if (state->work_class == GP__WIRE__WORK_CLASS__WORK_CLASS_WATCHER)
-    return now + tasks->pending.settings.patience[1];
+    return now + tasks->pending.settings.default_wait[1];
   if (state->deadline_us == 0)
-    return now + tasks->pending.settings.patience[2];
+    return now + tasks->pending.settings.default_wait[2];
   if (tasks->document != NULL)
     job = gp_document_find_batch_job (tasks->document, state->kind);
   deadline = now + (state->deadline_us - gp_time_wall ());
@@ -41,14 +41,14 @@
   gp_pending_task_init (&task->pending, state->id, task->team->index,
                         (gp_work_class_t)state->work_class, &declared,
                         latest_start (tasks, task, state));
-  task->ask
-      = (gp_placement_ask_t){ .task = state->id,
-                              .kind = task->kind->index,
-                              .work_class = (gp_work_class_t)state->work_class,
-                              .group = task->kind->index,
-                              .demand = declared,
-                              .previous = GP_WORKER_NONE,
-                              .held = GP_WORKER_NONE };
+  task->ask = (gp_placement_request_t){ .task = state->id,
+                                        .kind = task->kind->index,
+                                        .work_class
+                                        = (gp_work_class_t)state->work_class,
+                                        .group = task->kind->index,
+                                        .demand = declared,
+                                        .previous = GP_WORKER_NONE,
+                                        .held = GP_WORKER_NONE };
   gp_list_init (&task->placed_link);
   gp_list_init (&task->due_link);
   g_hash_table_add (tasks->tasks, task);
--- a/tests/unit/admission_twin.c
+++ b/tests/unit/admission_twin.c
@@ -1,11 +1,12 @@
-/* Admission by plain scans.  */
+/* Reference implementation of admission, by linear scans.  */
 
 #include "admission_twin.h"
 
 #define CRITICAL GP_ADMISSION_LATENCY_CRITICAL
 #define BATCH GP_ADMISSION_BATCH
 
-/* Requests in STATE of WORK_CLASS (or -1) and of GROUP (or NULL).  */
+/* Returns the number of requests in STATE of WORK_CLASS (any if -1) and
+   GROUP (any if NULL).  */
 static uint32_t
 count (const admission_twin_t *twin, gp_admission_state_t state,
        int work_class, const gp_request_quota_t *group)
@@ -83,7 +84,7 @@
 }
 
 static bool
-hopeless (const gp_admission_request_t *r, gp_time_t now)
+will_miss_deadline (const gp_admission_request_t *r, gp_time_t now)
 {
   return now + r->kind->service_time.mean > r->deadline;
 }
@@ -100,9 +101,9 @@
   g_ptr_array_add (twin->actions, r);
 }
 
-/* The key by which requests of a class take their turns.  */
+/* Returns the sort key of R within its class.  */
 static gp_time_t
-turn (const gp_admission_request_t *r)
+sort_key (const gp_admission_request_t *r)
 {
   if (r->work_class == BATCH)
     return r->urgent_at;
@@ -125,7 +126,7 @@
   return best;
 }
 
-/* Whether BATCH, the first of its class, goes before latency-critical
+/* Returns true if BATCH, the first of its class, precedes latency-critical
    requests.  */
 static bool
 takes_share (const admission_twin_t *twin, const gp_admission_request_t *batch,
@@ -140,8 +141,8 @@
   return batch->urgent_at <= now || most_slack (twin)->urgent_at <= end;
 }
 
-/* Count a start that breaks what admission promises.  R is still queued, or
-   is new and nothing that may start is queued.  */
+/* Counts the violations of the scheduling rules by starting R.  R is still
+   queued; or it is new, and no request that may start is queued.  */
 static void
 check_start (admission_twin_t *twin, const gp_admission_request_t *r,
              gp_time_t now)
@@ -154,10 +155,10 @@
           || !may_start (twin, o, now))
         continue;
       if (r->work_class == o->work_class)
-        twin->breaches += turn (o) < turn (r);
-      else if (r->work_class == BATCH) /* latency-critical behind batch */
+        twin->breaches += sort_key (o) < sort_key (r);
+      else if (r->work_class == BATCH) /* batch overtakes latency-critical */
         twin->breaches += !takes_share (twin, r, now);
-      else /* batch that is out of laxity behind others */
+      else /* another request overtakes batch that is out of laxity */
         twin->breaches += takes_share (twin, o, now);
     }
 }
@@ -175,8 +176,7 @@
   g_ptr_array_add (twin->actions, r);
 }
 
-/* The queued request of WORK_CLASS with the earliest turn of those that may
-   start, or NULL.  */
+/* Returns the first queued request of WORK_CLASS that may start, or NULL.  */
 static gp_admission_request_t *
 first (const admission_twin_t *twin, gp_admission_class_t work_class,
        gp_time_t now)
@@ -189,7 +189,7 @@
 
       if (r->state == GP_ADMISSION_QUEUED && r->work_class == work_class
           && may_start (twin, r, now)
-          && (best == NULL || turn (r) < turn (best)))
+          && (best == NULL || sort_key (r) < sort_key (best)))
         best = r;
     }
   return best;
@@ -227,7 +227,7 @@
         r = batch;
       if (r == NULL)
         return;
-      if (hopeless (r, now)
+      if (will_miss_deadline (r, now)
           && count (twin, GP_ADMISSION_QUEUED, r->work_class, NULL) > 1)
         refuse (twin, r, GP_ADMISSION_DEADLINE, now);
       else
@@ -235,7 +235,8 @@
     }
 }
 
-/* Why R cannot join the queue, or -1; makes place for it if need be.  */
+/* Returns the reason why R cannot be queued, or -1.  May refuse another
+   request to make room.  */
 static int
 queue_refusal (admission_twin_t *twin, gp_admission_request_t *r,
                gp_time_t now)
@@ -261,13 +262,13 @@
     limit -= limit / 4;
   if (count (twin, GP_ADMISSION_QUEUED, -1, NULL) < limit)
     return -1;
-  if (victim == NULL || !hopeless (victim, now))
+  if (victim == NULL || !will_miss_deadline (victim, now))
     victim = r->work_class == CRITICAL ? most_slack (twin) : NULL;
   if (victim == NULL)
     return GP_ADMISSION_QUEUE_FULL;
   refuse (twin, victim,
-          hopeless (victim, now) ? GP_ADMISSION_DEADLINE
-                                 : GP_ADMISSION_QUEUE_FULL,
+          will_miss_deadline (victim, now) ? GP_ADMISSION_DEADLINE
+                                           : GP_ADMISSION_QUEUE_FULL,
           now);
   return -1;
 }
--- a/tests/unit/lease_world_entry.c
+++ b/tests/unit/lease_world_entry.c
@@ -1,4 +1,4 @@
-/* Entries of the lease world and the log that they share.  */
+/* Lease simulation: entries and the log that they share.  */
 
 #include "lease_world_impl.h"
 
@@ -44,7 +44,8 @@
   entry_propose (w, entry, record);
 }
 
-/* The node of the entry at INDEX of the others of ENTRY.  */
+/* Returns the node of the entry that has INDEX among the entries other
+   than ENTRY.  */
 static unsigned
 other_entry (unsigned entry, unsigned index)
 {
@@ -99,7 +100,7 @@
       e->outstanding[i--] = e->outstanding[--e->num_outstanding];
   if (!lease_fold_apply (&e->fold, r))
     {
-      /* If it was its own, it may propose anew.  */
+      /* If this entry proposed it, it may propose again.  */
       if (r->kind == LEASE_RECORD_GRANT)
         e->granting[r->task] = NO_EPOCH;
       return;
@@ -126,9 +127,10 @@
   e->offset = w->first;
   if (w->options->mutation == LW_GAP_IGNORED && e->fold.guards[0].current != 0)
     return;
-  gp_lease_grantor_gap (&e->grantor, now);
+  gp_lease_grantor_log_gap (&e->grantor, now);
   e->fold = w->snapshot;
-  /* The fate of what it proposed is not known; it decides anew.  */
+  /* It is not known whether its proposals were accepted, so it decides
+     again.  */
   e->num_outstanding = 0;
   memset (e->granting, 0, sizeof e->granting);
   memset (e->ending, 0, sizeof e->ending);
@@ -246,7 +248,7 @@
     {
       unsigned g = (first + i) % LW_GUARDS;
 
-      if ((!e->held[g] && !w->options->rough) || now - e->heard[g] > 4 * GP_SEC
+      if ((!e->held[g] && !w->options->noisy) || now - e->heard[g] > 4 * GP_SEC
           || e->fold.guards[g].current == 0 || e->fold.guards[g].fenced)
         continue;
       record.guard = g;
@@ -287,7 +289,7 @@
   entry_t *e = &w->entries[entry];
   gp_time_t now = lw_local_time (w, entry);
 
-  if (e->grantor.fresh < 0 || now - e->grantor.fresh > 3 * GP_SEC)
+  if (e->grantor.fresh_at < 0 || now - e->grantor.fresh_at > 3 * GP_SEC)
     return;
   for (unsigned t = 0; t < LW_TASKS; t++)
     {
@@ -346,7 +348,7 @@
     request.held = true;
   gp_lease_grantor_heartbeat (&e->grantor, lw_guard_names[g], &request, now,
                               &grant, &actions);
-  if (w->options->mutation == LW_EARLY_RENEWAL && e->grantor.fresh >= 0
+  if (w->options->mutation == LW_EARLY_RENEWAL && e->grantor.fresh_at >= 0
       && request.incarnation > e->fold.guards[g].current)
     grant.remaining
         = MAX (gp_lease_grantor_fresh_until (&e->grantor) - now, 0);
@@ -380,12 +382,12 @@
   entry_t *e = &w->entries[event->node];
   GArray *fences = g_array_new (FALSE, FALSE, sizeof (gp_lease_fence_t));
   event_t vouch = { .kind = EV_VOUCH, .id = event->id };
-  gp_time_t promised = e->grantor.promised;
+  gp_time_t promised = e->grantor.promised_until;
 
   gp_lease_grantor_vouch (&e->grantor, ENTRY_SET,
                           lw_local_time (w, event->node), fences);
   if (w->options->mutation == LW_NO_PROMISE)
-    e->grantor.promised = promised;
+    e->grantor.promised_until = promised;
   for (guint i = 0; i < fences->len; i++)
     {
       gp_lease_fence_t *f = &g_array_index (fences, gp_lease_fence_t, i);
@@ -454,8 +456,9 @@
                          lw_local_time (w, entry));
   if (w->options->mutation == LW_NO_RESTART_HOLD && w->pid[entry] > 1)
     {
-      e->grantor.promised = 0;
-      e->grantor.ask_at += w->options->timing.promise; /* promises as well */
+      e->grantor.promised_until = 0;
+      e->grantor.next_ask_at
+          += w->options->timing.promise; /* delays its own promises too */
     }
   lw_trace (w, "e%u: entry starts", entry + 1);
   lw_push (w, w->now, &tick);
--- a/tests/unit/lease_world_worker.c
+++ b/tests/unit/lease_world_worker.c
@@ -1,4 +1,4 @@
-/* Worker VMs of the lease world: runtime and guard.  */
+/* Lease simulation: worker VMs with their runtime and guard.  */
 
 #include "lease_world_impl.h"
 
@@ -13,7 +13,7 @@
             task + 1, rt->running[task]);
   rt->running[task] = NO_EPOCH;
   rt->dying[task] = false;
-  if (lw_places (w, task) == 0)
+  if (lw_count_running (w, task) == 0)
     w->idle_since[task] = w->now;
   lw_send_local (w, guard, &event);
 }
@@ -33,14 +33,14 @@
   lw_send_local (w, guard, &event);
 }
 
-/* Kill every task; with rough edges that takes up to most of the margin,
-   but right after a suspension it comes before anything else.  */
+/* Kills every task.  In noisy runs that takes up to 90% of the margin,
+   except right after a suspension, when it happens before anything else.  */
 static void
 kill_all (world_t *w, unsigned guard)
 {
   runtime_t *rt = &w->runtimes[guard];
   gp_time_t margin = 500 * GP_MSEC;
-  bool slow = w->options->rough;
+  bool slow = w->options->noisy;
 
   for (unsigned i = 0; i < w->num_faults; i++)
     if (w->faults[i].kind == LW_PAUSE_VM && w->faults[i].a == guard
@@ -114,7 +114,7 @@
   runtime_lease (w, guard, e->deadline);
   lw_trace (w, "%s: task %u epoch %" PRIu64 " runs", lw_guard_names[guard],
             e->task + 1, e->id);
-  if (lw_places (w, e->task) == 0)
+  if (lw_count_running (w, e->task) == 0)
     lw_end_idle (w, e->task);
   rt->running[e->task] = e->id;
   w->result.starts++;
@@ -222,7 +222,7 @@
 guard_wake_later (world_t *w, unsigned guard)
 {
   unsigned node = lw_guard_node (guard);
-  gp_time_t due = gp_lease_holder_due (&w->guards[guard].holder);
+  gp_time_t due = gp_lease_holder_next_deadline (&w->guards[guard].holder);
   event_t wake = { .kind = EV_WAKE, .node = node, .pid = w->pid[node] };
 
   if (due == GP_TIME_NEVER || due == w->guards[guard].wake_at)
@@ -266,7 +266,7 @@
 
   if (w->options->mutation == LW_HOLDER_RECEIVE && reply.remaining > 0)
     reply.remaining
-        += now - holder->sent_at[reply.sequence % GP_LEASE_HOLDER_SENT];
+        += now - holder->sent_at[reply.sequence % GP_LEASE_HOLDER_SENT_TIMES];
   if (w->options->mutation == LW_VOUCH_REVIVES)
     reply.vouched = false;
   gp_lease_holder_reply (holder, &reply, now, actions);
@@ -288,9 +288,9 @@
     guard_start (w, guard, e, &actions);
   else if (e->kind == EV_STOPPED)
     gp_lease_holder_stopped (&g->holder, now, &actions);
-  else if (e->kind == EV_WAKE && w->options->rough
+  else if (e->kind == EV_WAKE && w->options->noisy
            && g_rand_int_range (w->rng, 0, 32) == 0)
-    gp_lease_holder_recycle (&g->holder, now, &actions);
+    gp_lease_holder_new_incarnation (&g->holder, now, &actions);
   else if (e->kind == EV_TASK_ENDED && e->id != NO_EPOCH)
     {
       gp_epoch_table_set_ended (&g->epochs, e->task, e->id);
@@ -336,7 +336,7 @@
 }
 
 void
-lw_vm_die (world_t *w, unsigned guard)
+lw_vm_kill (world_t *w, unsigned guard)
 {
   runtime_t *rt = &w->runtimes[guard];
 
@@ -346,7 +346,7 @@
         lw_trace (w, "%s: task %u epoch %" PRIu64 " dies with the VM",
                   lw_guard_names[guard], t + 1, rt->running[t]);
         rt->running[t] = NO_EPOCH;
-        if (lw_places (w, t) == 0)
+        if (lw_count_running (w, t) == 0)
           w->idle_since[t] = w->now;
       }
   *rt = (runtime_t){ 0 };
--- a/tests/unit/test_lease_explore.c
+++ b/tests/unit/test_lease_explore.c
@@ -1,8 +1,9 @@
 /* Explores interleavings of the lease protocol: every pair of faults on a
-   grid of times, then random scripts of up to six faults.  The same walk must
-   find a violation when a rule of the protocol is left out.
+   grid of times, then random scripts of up to six faults.  Mutation tests
+   check that scripts of this kind find a violation when a rule of the
+   protocol is left out.
 
-   GP_LEASE_SOAK=N runs N times as many random scripts.  */
+   GP_LEASE_SOAK=N multiplies the number of random scripts by N.  */
 
 #include <stdlib.h>
 
@@ -12,8 +13,9 @@
 #define MAX_FAULTS 6
 #define RANDOM_SCRIPTS 3000
 #define MUTANT_SCRIPTS 5000
-/* After the last fault: silence, wait of the fence, hold after a restart, and
-   messages under way for up to 20 s.  */
+/* Time allowed after the last fault for the silence timeout, the wait of
+   the fence, the hold after a restart, and messages delayed for up to 20
+   s.  */
 #define SETTLE (80 * GP_SEC)
 
 typedef struct
@@ -32,7 +34,8 @@
                                   .tick = 500 * GP_MSEC };
 }
 
-/* Whether A and B of a fault of KIND are entries, guards or unused.  */
+/* Chooses the targets A and B of fault F, which depending on its kind are
+   entries, guards or unused.  */
 static void
 choose_targets (GRand *rng, lease_world_fault_t *f)
 {
@@ -87,7 +90,7 @@
 
   s->num_faults = g_rand_int_range (rng, 1, MAX_FAULTS + 1);
   s->end = 0;
-  s->options.rough = g_rand_boolean (rng);
+  s->options.noisy = g_rand_boolean (rng);
   s->options.seed = seed;
   for (unsigned i = 0; i < s->num_faults; i++)
     {
@@ -99,7 +102,7 @@
       f->end = f->at + choose_length (rng);
       s->end = MAX (s->end, f->end);
     }
-  s->options.rough_until = s->end;
+  s->options.noisy_until = s->end;
   s->end += SETTLE;
   g_rand_free (rng);
 }
@@ -117,7 +120,7 @@
             (double)s->faults[i].end / GP_SEC);
 }
 
-/* Run the script; report and count what fails.  */
+/* Runs the script; prints it and returns 1 if it fails.  */
 static unsigned
 script_check (const script_t *s)
 {
@@ -138,7 +141,8 @@
   return text != NULL ? (unsigned)atoi (text) : 1;
 }
 
-/* Run the pair FIRST and SECOND with the second fault later or shorter.  */
+/* Runs the pair FIRST and SECOND with several start times and lengths of
+   the second fault.  */
 static unsigned
 pair_check (script_t *s, lease_world_fault_t first, lease_world_fault_t second)
 {
@@ -156,15 +160,16 @@
       {
         s->faults[1].at = starts[i] * GP_SEC;
         s->faults[1].end = s->faults[1].at + lengths[j] * GP_SEC;
-        s->options.rough_until = MAX (first.end, s->faults[1].end);
-        s->end = s->options.rough_until + SETTLE;
+        s->options.noisy_until = MAX (first.end, s->faults[1].end);
+        s->end = s->options.noisy_until + SETTLE;
         s->options.seed++;
         failures += script_check (s);
       }
   return failures;
 }
 
-/* How many targets a fault of KIND has among two entries and two guards.  */
+/* Returns the number of targets of a fault of KIND among two entries and
+   two guards.  */
 static unsigned
 num_targets (lease_world_fault_kind_t kind)
 {
@@ -180,7 +185,7 @@
   unsigned failures = 0;
 
   s.options.num_entries = 2;
-  s.options.rough = true;
+  s.options.noisy = true;
   for (unsigned first = 0; first < LW_FAULT_KINDS; first++)
     for (unsigned second = 0; second < LW_FAULT_KINDS; second++)
       for (unsigned target = 0; target < num_targets (second); target++)
@@ -212,25 +217,26 @@
   CU_ASSERT_EQUAL (failures, 0);
 }
 
-/* A situation in which a rule matters, on one entry and one guard.  Times are
-   in milliseconds; up to SPREAD is added to each.  */
+/* A scenario in which a rule of the protocol matters, with one entry and
+   one guard as targets.  Times are in milliseconds; a random time up to
+   SPREAD is added to each.  */
 typedef struct
 {
   lease_world_fault_kind_t kind;
   gint32 at;
   gint32 length;
-} focus_fault_t;
+} scenario_fault_t;
 
 typedef struct
 {
   lease_world_mutation_t mutation;
-  gint32 promise; /* s */
+  gint32 promise; /* in seconds */
   gint32 tick;
   gint32 spread;
-  focus_fault_t faults[MAX_FAULTS]; /* up to one of length 0 */
-} focus_t;
+  scenario_fault_t faults[MAX_FAULTS]; /* terminated by one of length 0 */
+} scenario_t;
 
-static const focus_t focuses[] = {
+static const scenario_t scenarios[] = {
   { LW_NO_MARGIN,
     15,
     50,
@@ -325,9 +331,9 @@
       { LW_FENCE, 11000, 1 } } },
 };
 
-/* Aim F at the entry and the guard of the script.  */
+/* Sets the targets of F to the entry and the guard of the script.  */
 static void
-aim (lease_world_fault_t *f, unsigned entry, unsigned guard)
+set_targets (lease_world_fault_t *f, unsigned entry, unsigned guard)
 {
   unsigned other = 1 - entry;
 
@@ -366,41 +372,41 @@
 }
 
 static void
-script_focus (script_t *s, const focus_t *focus, uint32_t seed)
+script_from_scenario (script_t *s, const scenario_t *scenario, uint32_t seed)
 {
   GRand *rng = g_rand_new_with_seed (seed);
   unsigned entry = g_rand_int_range (rng, 0, 2);
   unsigned guard = g_rand_int_range (rng, 0, LW_GUARDS);
 
   s->options.seed = seed;
-  s->options.rough = true;
+  s->options.noisy = true;
   s->options.num_entries = 2;
-  s->options.timing.promise = focus->promise * GP_SEC;
-  s->options.tick = focus->tick * GP_MSEC;
+  s->options.timing.promise = scenario->promise * GP_SEC;
+  s->options.tick = scenario->tick * GP_MSEC;
   s->end = 0;
-  for (unsigned i = 0; i < MAX_FAULTS && focus->faults[i].length > 0; i++)
+  for (unsigned i = 0; i < MAX_FAULTS && scenario->faults[i].length > 0; i++)
     {
       lease_world_fault_t *f = &s->faults[i];
-      gint32 later = g_rand_int_range (rng, 0, focus->spread);
-      gint32 longer = g_rand_int_range (rng, 0, focus->spread);
+      gint32 later = g_rand_int_range (rng, 0, scenario->spread);
+      gint32 longer = g_rand_int_range (rng, 0, scenario->spread);
 
       s->num_faults = i + 1;
-      f->kind = focus->faults[i].kind;
-      aim (f, entry, guard);
-      f->at = (focus->faults[i].at + later) * GP_MSEC;
-      f->end = f->at + (focus->faults[i].length + longer) * GP_MSEC;
+      f->kind = scenario->faults[i].kind;
+      set_targets (f, entry, guard);
+      f->at = (scenario->faults[i].at + later) * GP_MSEC;
+      f->end = f->at + (scenario->faults[i].length + longer) * GP_MSEC;
       s->end = MAX (s->end, f->end);
     }
   s->end += 5 * GP_SEC;
-  s->options.rough_until = s->end;
+  s->options.noisy_until = s->end;
   g_rand_free (rng);
 }
 
-/* The number of the first script of FOCUS that ends in a violation, with
-   MUTATION, or MUTANT_SCRIPTS.  */
+/* Returns the number of the first script of SCENARIO that ends in a
+   violation with MUTATION, or NUM_SCRIPTS.  */
 static unsigned
-first_finding (const focus_t *focus, lease_world_mutation_t mutation,
-               unsigned num_scripts)
+first_violation (const scenario_t *scenario, lease_world_mutation_t mutation,
+                 unsigned num_scripts)
 {
   script_t s = { .options = options_default () };
 
@@ -409,7 +415,7 @@
     {
       lease_world_result_t r;
 
-      script_focus (&s, focus, seed);
+      script_from_scenario (&s, scenario, seed);
       r = lease_world_run (&s.options, s.faults, s.num_faults, s.end);
       if (r.violation != NULL)
         return seed;
@@ -420,17 +426,19 @@
 static void
 test_mutations (void)
 {
-  for (unsigned i = 0; i < G_N_ELEMENTS (focuses); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (scenarios); i++)
     {
-      const focus_t *focus = &focuses[i];
-      unsigned found = first_finding (focus, focus->mutation, MUTANT_SCRIPTS);
+      const scenario_t *scenario = &scenarios[i];
+      unsigned found
+          = first_violation (scenario, scenario->mutation, MUTANT_SCRIPTS);
 
-      printf ("  %s: script %u\n", lease_world_mutation_name (focus->mutation),
-              found);
+      printf ("  %s: script %u\n",
+              lease_world_mutation_name (scenario->mutation), found);
       fflush (stdout);
       CU_ASSERT_TRUE (found < MUTANT_SCRIPTS);
-      /* The same scripts find nothing in the sound protocol.  */
-      CU_ASSERT_EQUAL (first_finding (focus, LW_SOUND, found + 1), found + 1);
+      /* The same scripts find no violation in the unmodified protocol.  */
+      CU_ASSERT_EQUAL (first_violation (scenario, LW_NO_MUTATION, found + 1),
+                       found + 1);
     }
 }
 
--- a/tests/unit/test_lease_rules.c
+++ b/tests/unit/test_lease_rules.c
@@ -1,4 +1,5 @@
-/* Single rules of the epoch table, the lease holder and the grantor.  */
+/* Tests of individual rules of the epoch table, the lease holder and the
+   grantor.  */
 
 #include "coordination/lease_grantor.h"
 #include "coordination/lease_holder.h"
@@ -10,7 +11,7 @@
 static gp_lease_timing_t timing;
 static GRand *rng;
 
-/* A holder of incarnation 10 at time 0, with its table.  */
+/* A holder of incarnation 10 at time 0, with its epoch table.  */
 typedef struct
 {
   gp_epoch_table_t epochs;
@@ -29,7 +30,7 @@
 }
 
 static void
-give (fixture_t *f, gp_time_t remaining, bool vouched, gp_time_t now)
+deliver_reply (fixture_t *f, gp_time_t remaining, bool vouched, gp_time_t now)
 {
   gp_lease_reply_t reply = { .incarnation = f->holder.incarnation,
                              .sequence = f->holder.sequence,
@@ -48,7 +49,8 @@
                                 &f->actions);
 }
 
-/* An epoch refused while an older one ran stays refused after that ends.  */
+/* An epoch refused while an older one is running stays refused after the
+   older one ends.  */
 static void
 test_refused_while_busy (void)
 {
@@ -73,7 +75,7 @@
   fixture_t f;
 
   fixture_init (&f);
-  give (&f, 10 * GP_SEC, false, 3 * GP_SEC);
+  deliver_reply (&f, 10 * GP_SEC, false, 3 * GP_SEC);
   CU_ASSERT_EQUAL (f.holder.deadline, 10 * GP_SEC);
   CU_ASSERT_EQUAL (start (&f, 1, 10, 4 * GP_SEC), GP_START_ACCEPTED);
   CU_ASSERT_EQUAL (start (&f, 1, 10, 4 * GP_SEC), GP_START_DUPLICATE);
@@ -86,13 +88,13 @@
   fixture_t f;
 
   fixture_init (&f);
-  give (&f, 10 * GP_SEC, false, 1 * GP_SEC);
-  /* The first thing that it sees after the pause is a Start.  */
+  deliver_reply (&f, 10 * GP_SEC, false, 1 * GP_SEC);
+  /* The first event after the pause is a Start.  */
   CU_ASSERT_EQUAL (start (&f, 1, 10, 11 * GP_SEC), GP_START_REFUSED);
   CU_ASSERT_EQUAL (f.holder.state, GP_LEASE_LAPSED);
   CU_ASSERT_EQUAL (f.actions.items[0].kind, GP_LEASE_HOLDER_STOP_ALL);
-  /* A renewal that was on its way comes too late.  */
-  give (&f, 60 * GP_SEC, false, 12 * GP_SEC);
+  /* A renewal sent before the pause arrives too late.  */
+  deliver_reply (&f, 60 * GP_SEC, false, 12 * GP_SEC);
   CU_ASSERT_EQUAL (f.holder.state, GP_LEASE_LAPSED);
   f.actions.count = 0;
   gp_lease_holder_stopped (&f.holder, 13 * GP_SEC, &f.actions);
@@ -107,10 +109,10 @@
   fixture_t f;
 
   fixture_init (&f);
-  give (&f, 10 * GP_SEC, true, 1 * GP_SEC);
+  deliver_reply (&f, 10 * GP_SEC, true, 1 * GP_SEC);
   CU_ASSERT_EQUAL (f.holder.state, GP_LEASE_NONE);
-  give (&f, 10 * GP_SEC, false, 1 * GP_SEC);
-  give (&f, 12 * GP_SEC, true, 2 * GP_SEC);
+  deliver_reply (&f, 10 * GP_SEC, false, 1 * GP_SEC);
+  deliver_reply (&f, 12 * GP_SEC, true, 2 * GP_SEC);
   CU_ASSERT_EQUAL (f.holder.deadline, 12 * GP_SEC);
   gp_epoch_table_finish (&f.epochs);
 }
@@ -121,13 +123,13 @@
   fixture_t f;
 
   fixture_init (&f);
-  give (&f, 10 * GP_SEC, false, 1 * GP_SEC);
+  deliver_reply (&f, 10 * GP_SEC, false, 1 * GP_SEC);
   CU_ASSERT_EQUAL (start (&f, 1, 10, 2 * GP_SEC), GP_START_ACCEPTED);
   for (uint64_t task = 2; task < 5; task++)
     gp_epoch_table_set_ended (&f.epochs, task, 1);
   CU_ASSERT_TRUE (gp_epoch_table_full (&f.epochs));
   f.actions.count = 0;
-  gp_lease_holder_recycle (&f.holder, 3 * GP_SEC, &f.actions);
+  gp_lease_holder_new_incarnation (&f.holder, 3 * GP_SEC, &f.actions);
   CU_ASSERT_EQUAL (f.holder.incarnation, 11);
   CU_ASSERT_EQUAL (f.actions.items[0].u.announce.inherits, 10);
   CU_ASSERT_EQUAL (start (&f, 1, 10, 3 * GP_SEC), GP_START_DUPLICATE);
@@ -135,9 +137,9 @@
   gp_epoch_table_finish (&f.epochs);
 }
 
-/* The remaining lease of a guard of incarnation 10.  */
+/* Sends a heartbeat of incarnation 10 and returns the grant.  */
 static gp_lease_grant_t
-beat (gp_lease_grantor_t *grantor, gp_time_t now)
+send_heartbeat (gp_lease_grantor_t *grantor, gp_time_t now)
 {
   gp_lease_request_t request
       = { .incarnation = 10, .held = true, .wants_vouch = true };
@@ -164,13 +166,14 @@
   gp_lease_grantor_t grantor;
 
   grantor_init (&grantor, 15 * GP_SEC);
-  CU_ASSERT_EQUAL (beat (&grantor, 4 * GP_SEC).remaining, 11 * GP_SEC);
-  gp_lease_grantor_gap (&grantor, 5 * GP_SEC);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, 4 * GP_SEC).remaining,
+                   11 * GP_SEC);
+  gp_lease_grantor_log_gap (&grantor, 5 * GP_SEC);
   gp_lease_grantor_read_done (&grantor, 4 * GP_SEC);
-  CU_ASSERT_EQUAL (beat (&grantor, 5 * GP_SEC).remaining, 0);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, 5 * GP_SEC).remaining, 0);
   gp_lease_grantor_registered (&grantor, GUARD, 11, 6 * GP_SEC);
   gp_lease_grantor_read_done (&grantor, 6 * GP_SEC);
-  CU_ASSERT_EQUAL (beat (&grantor, 6 * GP_SEC).superseded_by, 11);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, 6 * GP_SEC).superseded_by, 11);
   gp_lease_grantor_finish (&grantor);
 }
 
@@ -185,24 +188,24 @@
   grantor_init (&grantor, 15 * GP_SEC);
   gp_lease_grantor_tick (&grantor, now, &actions);
   CU_ASSERT_EQUAL (actions.count, 0);
-  beat (&grantor, now);
+  send_heartbeat (&grantor, now);
   gp_lease_grantor_tick (&grantor, now, &actions);
   CU_ASSERT_EQUAL (actions.count, 2);
   gp_lease_grantor_vouched (&grantor, 0, actions.items[0].u.ask.id, NULL, 0);
-  CU_ASSERT_FALSE (beat (&grantor, now).vouched);
+  CU_ASSERT_FALSE (send_heartbeat (&grantor, now).vouched);
   gp_lease_grantor_vouched (&grantor, 1, actions.items[1].u.ask.id, NULL, 0);
-  CU_ASSERT_EQUAL (beat (&grantor, now).remaining, 15 * GP_SEC);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, now).remaining, 15 * GP_SEC);
   actions.count = 0;
   now += 5 * GP_SEC;
-  CU_ASSERT_EQUAL (beat (&grantor, now).remaining, 10 * GP_SEC);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, now).remaining, 10 * GP_SEC);
   gp_lease_grantor_tick (&grantor, now, &actions);
   gp_lease_grantor_vouched (&grantor, 1, actions.items[1].u.ask.id, &fence, 1);
-  CU_ASSERT_EQUAL (beat (&grantor, now).remaining, 0);
+  CU_ASSERT_EQUAL (send_heartbeat (&grantor, now).remaining, 0);
   gp_lease_grantor_finish (&grantor);
 }
 
-/* When the grantor acts on a fence read at 1 s, after a vouch given then or,
-   with LISTED, just after.  */
+/* Returns the time in ms at which the grantor acts on a fence read at 1 s,
+   if it gives a vouch at VOUCH_AT.  A vouch after 1 s lists the fence.  */
 static gp_time_t
 act_time (gp_time_t promise, gp_time_t vouch_at)
 {
@@ -238,10 +241,10 @@
 {
   /* 1 s + 15 s (1 + d)/(1 - d) + 0.5 s.  */
   CU_ASSERT_EQUAL (act_time (15 * GP_SEC, 1 * GP_SEC), 16540);
-  /* The predecessor's promise and an own one outlast that.  */
+  /* The promises of the predecessor and of this process last longer.  */
   CU_ASSERT_EQUAL (act_time (30 * GP_SEC, 0), 30570);
   CU_ASSERT_EQUAL (act_time (30 * GP_SEC, 1 * GP_SEC), 31570);
-  /* A vouch that lists the fence does not put it off.  */
+  /* A vouch that lists the fence does not delay it.  */
   CU_ASSERT_EQUAL (act_time (30 * GP_SEC, 2 * GP_SEC), 30570);
 }
 
--- a/tests/unit/test_limiter.c
+++ b/tests/unit/test_limiter.c
@@ -1,4 +1,4 @@
-/* Tests of the token bucket against one that counts tokens.  */
+/* Tests of the token bucket, compared with one that counts tokens.  */
 
 #include <glib.h>
 
@@ -11,7 +11,8 @@
   STEPS = 5000
 };
 
-/* The naive twin: tokens in millionths, filled up at each look.  */
+/* Reference implementation: counts millionths of tokens and refills on
+   each call.  */
 typedef struct
 {
   int64_t rate;
@@ -35,33 +36,35 @@
 static void
 test_differential (void)
 {
-  /* Rates that divide a second into whole nanoseconds.  */
+  /* Rates for which a token takes a whole number of nanoseconds.  */
   static const int64_t rates[] = { 1, 5, 40, 1000, 12500 };
 
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       GRand *random = g_rand_new_with_seed (seed);
-      bucket_t twin = { .rate = rates[seed % G_N_ELEMENTS (rates)],
-                        .burst = g_rand_int_range (random, 1, 30) };
+      bucket_t reference = { .rate = rates[seed % G_N_ELEMENTS (rates)],
+                             .burst = g_rand_int_range (random, 1, 30) };
       gp_limiter_t limiter;
       gp_time_t now = 1;
       int wrong = 0;
 
-      twin.millionths = twin.burst * 1000000;
-      gp_limiter_init (&limiter, (double)twin.rate, (uint32_t)twin.burst);
+      reference.millionths = reference.burst * 1000000;
+      gp_limiter_init (&limiter, (double)reference.rate,
+                       (uint32_t)reference.burst);
       for (int step = 0; step < STEPS; step++)
         {
           int count = g_rand_int_range (random, 1, 4);
           gp_time_t ready = gp_limiter_ready_at (&limiter, count, now);
           bool taken = gp_limiter_take (&limiter, count, now);
 
-          wrong += taken != bucket_take (&twin, count, now);
+          wrong += taken != bucket_take (&reference, count, now);
           wrong += taken != (ready == now);
-          now += g_rand_int_range (random, 0, (gint32)(3000000 / twin.rate));
+          now += g_rand_int_range (random, 0,
+                                   (gint32)(3000000 / reference.rate));
           if (!taken && ready != GP_TIME_NEVER && step % 2 == 0)
             {
-              wrong += bucket_take (&twin, count, ready - 1);
-              wrong += !bucket_take (&twin, count, ready);
+              wrong += bucket_take (&reference, count, ready - 1);
+              wrong += !bucket_take (&reference, count, ready);
               wrong += !gp_limiter_take (&limiter, count, ready);
               now = MAX (now, ready);
             }
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -1,5 +1,6 @@
-/* Tests of membership: a scripted run printed as a transcript, a naive twin
-   on random scripts, and news handed from one table to another.  */
+/* Tests of membership: a scripted run printed as a transcript, random runs
+   compared with a reference implementation, and updates passed from one
+   table to another.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -68,7 +69,7 @@
                             .load.at = now,
                             .gone = gone };
 
-  gp_members_learn (members, reporter, &news, now);
+  gp_members_apply_news (members, reporter, &news, now);
   show (members, gone ? "news: gone" : "news: heard", now);
 }
 
@@ -125,18 +126,20 @@
   gp_members_finish (&members);
 }
 
-/* The naive twin keeps what happened and judges it by scanning.  */
+/* Reference implementation, which records the events and derives the state
+   by scanning them.  */
 
 typedef struct
 {
   bool known;
   bool leaving;
   bool direct;
-  bool beaten;
+  bool heartbeat_received;
   gp_reach_t reach;
   uint64_t incarnation;
   gp_time_t heard_at;
-  uint64_t said[N_ENTRIES]; /* generation in which it was reported, or 0 */
+  uint64_t said[N_ENTRIES]; /* connection generation of the reporter's last
+                               report, or 0 */
   gp_member_state_t state;
   gp_time_t state_since;
 } naive_guard_t;
@@ -144,12 +147,12 @@
 typedef struct
 {
   naive_guard_t guards[N_GUARDS];
-  uint64_t generation[N_ENTRIES]; /* 0: never open */
+  uint64_t generation[N_ENTRIES]; /* 0 if never open */
   gp_time_t opened_at[N_ENTRIES];
   gp_time_t heard_at[N_ENTRIES];
 } naive_t;
 
-/* Forget what has run out, as time passes.  */
+/* Drops what has expired at NOW.  */
 static void
 naive_expire (naive_t *naive, gp_time_t now)
 {
@@ -182,7 +185,8 @@
     {
       if (guard->leaving)
         return GP_MEMBER_LEAVING;
-      return others || guard->beaten ? GP_MEMBER_SERVING : GP_MEMBER_JOINING;
+      return others || guard->heartbeat_received ? GP_MEMBER_SERVING
+                                                 : GP_MEMBER_JOINING;
     }
   if (guard->leaving || guard->state == GP_MEMBER_GONE)
     return GP_MEMBER_GONE;
@@ -193,7 +197,7 @@
 }
 
 static void
-naive_settle (naive_t *naive, gp_time_t now)
+naive_update_states (naive_t *naive, gp_time_t now)
 {
   gp_members_settings_t s = GP_MEMBERS_SETTINGS_DEFAULT;
 
@@ -213,9 +217,10 @@
     }
 }
 
-/* Does an event of INCARNATION count?  A newer announcement resets.  */
+/* Returns true if an event of INCARNATION is accepted.  An announcement of
+   a newer incarnation resets the guard.  */
 static bool
-naive_admit (naive_guard_t *guard, uint64_t incarnation, bool announces)
+naive_accept (naive_guard_t *guard, uint64_t incarnation, bool announces)
 {
   if (guard->known && incarnation == guard->incarnation)
     return true;
@@ -234,90 +239,93 @@
 {
   gp_members_t members;
   naive_t naive;
-  gp_member_t seen[N_GUARDS]; /* copies, as of their last change */
+  gp_member_t seen[N_GUARDS]; /* copies as of the last change taken */
   GRand *rand;
   gp_time_t now;
-} twins_t;
+} pair_t;
 
 static void
-guard_event (twins_t *twins, int g, uint64_t incarnation)
+guard_event (pair_t *pair, int g, uint64_t incarnation)
 {
-  naive_guard_t *guard = &twins->naive.guards[g];
+  naive_guard_t *guard = &pair->naive.guards[g];
   const char *name = guard_names[g];
   gp_announcement_t a = announcement (name, incarnation, false);
-  int kind = g_rand_int_range (twins->rand, 0, 12);
-  bool counts = naive_admit (guard, incarnation, kind == 0);
+  int kind = g_rand_int_range (pair->rand, 0, 12);
+  bool counts = naive_accept (guard, incarnation, kind == 0);
 
-  a.slots = (uint32_t)g_rand_int_range (twins->rand, 8, 10);
+  a.slots = (uint32_t)g_rand_int_range (pair->rand, 8, 10);
   if (kind == 0)
     {
-      gp_members_announce (&twins->members, &a, twins->now);
+      gp_members_announce (&pair->members, &a, pair->now);
       if (counts)
         guard->reach = GP_REACH_UP;
-      guard->beaten = counts ? guard->beaten && guard->direct : guard->beaten;
+      guard->heartbeat_received
+          = counts ? guard->heartbeat_received && guard->direct
+                   : guard->heartbeat_received;
     }
   else if (kind == 1)
     {
-      gp_members_connection_lost (&twins->members, name, incarnation,
-                                  twins->now);
+      gp_members_connection_lost (&pair->members, name, incarnation,
+                                  pair->now);
       guard->direct = guard->direct && !counts;
       guard->reach = counts ? GP_REACH_DOWN : guard->reach;
     }
   else if (kind == 2)
     {
-      gp_members_leaving (&twins->members, name, incarnation, twins->now);
+      gp_members_leaving (&pair->members, name, incarnation, pair->now);
       guard->leaving = guard->leaving || counts;
     }
   else if (kind == 3)
     {
-      gp_members_connection_open (&twins->members, name, incarnation);
+      gp_members_connection_open (&pair->members, name, incarnation);
       guard->reach = counts ? GP_REACH_UP : guard->reach;
     }
   else
     {
-      gp_members_heartbeat (&twins->members, name, incarnation, NULL,
-                            twins->now);
+      gp_members_heartbeat (&pair->members, name, incarnation, NULL,
+                            pair->now);
       counts = counts && (guard->direct || guard->reach == GP_REACH_UP);
-      guard->beaten = guard->beaten || counts;
+      guard->heartbeat_received = guard->heartbeat_received || counts;
     }
   if (counts && (kind == 0 || kind > 3))
     {
       guard->direct = true;
-      guard->heard_at = twins->now;
+      guard->heard_at = pair->now;
     }
 }
 
 static void
-entry_event (twins_t *twins, int g, int e, uint64_t incarnation)
+entry_event (pair_t *pair, int g, int e, uint64_t incarnation)
 {
-  naive_t *naive = &twins->naive;
+  naive_t *naive = &pair->naive;
   naive_guard_t *guard = &naive->guards[g];
-  int kind = g_rand_int_range (twins->rand, 0, 8);
+  int kind = g_rand_int_range (pair->rand, 0, 8);
   gp_member_news_t news = { .announcement = announcement (
                                 guard_names[g], incarnation, kind == 3),
                             .gone = kind == 2 };
   bool known = naive->generation[e] != 0
-               && twins->now < naive->heard_at[e] + 90 * GP_SEC;
+               && pair->now < naive->heard_at[e] + 90 * GP_SEC;
 
   if (kind == 0)
     {
-      gp_members_reporter_open (&twins->members, entry_names[e], twins->now);
+      gp_members_reporter_open (&pair->members, entry_names[e], pair->now);
       naive->generation[e]++;
-      naive->opened_at[e] = twins->now;
-      naive->heard_at[e] = twins->now;
+      naive->opened_at[e] = pair->now;
+      naive->heard_at[e] = pair->now;
       return;
     }
   CU_ASSERT_EQUAL (
-      gp_members_reporter_heard (&twins->members, entry_names[e], twins->now),
+      gp_members_reporter_heard (&pair->members, entry_names[e], pair->now),
       known);
   if (!known)
     return;
-  naive->heard_at[e] = twins->now;
-  naive_settle (naive, twins->now); /* the table saw two events */
+  naive->heard_at[e] = pair->now;
+  naive_update_states (naive,
+                       pair->now); /* for the table these are two events */
   if (kind > 4)
     return;
-  gp_members_learn (&twins->members, entry_names[e], &news, twins->now);
-  if (naive_admit (guard, incarnation, !news.gone))
+  gp_members_apply_news (&pair->members, entry_names[e], &news, pair->now);
+  if (naive_accept (guard, incarnation, !news.gone))
     {
       guard->said[e] = news.gone ? 0 : naive->generation[e];
       guard->leaving = guard->leaving || kind == 3;
@@ -330,19 +338,19 @@
   return member->announcement.name[strlen ("guard-")] - '0';
 }
 
-/* Take the changes; what is not among them must not have changed.  */
+/* Takes the changes and checks that members not among them are unchanged.  */
 static void
-check_changes (twins_t *twins)
+check_changes (pair_t *pair)
 {
   gp_member_t *member;
 
-  while ((member = gp_members_next_change (&twins->members)) != NULL)
-    twins->seen[guard_index (member)] = *member;
+  while ((member = gp_members_next_change (&pair->members)) != NULL)
+    pair->seen[guard_index (member)] = *member;
   for (int g = 0; g < N_GUARDS; g++)
     {
-      const gp_member_t *seen = &twins->seen[g];
+      const gp_member_t *seen = &pair->seen[g];
 
-      member = gp_members_find (&twins->members, guard_names[g]);
+      member = gp_members_find (&pair->members, guard_names[g]);
       if (member == NULL)
         continue;
       CU_ASSERT_EQUAL_FATAL (seen->state, member->state);
@@ -355,13 +363,13 @@
 }
 
 static void
-compare (twins_t *twins)
+compare (pair_t *pair)
 {
   for (int g = 0; g < N_GUARDS; g++)
     {
-      const naive_guard_t *guard = &twins->naive.guards[g];
+      const naive_guard_t *guard = &pair->naive.guards[g];
       const gp_member_t *member
-          = gp_members_find (&twins->members, guard_names[g]);
+          = gp_members_find (&pair->members, guard_names[g]);
 
       CU_ASSERT_EQUAL_FATAL (guard->known, member != NULL);
       if (member == NULL)
@@ -373,27 +381,27 @@
 }
 
 static void
-twins_step (twins_t *twins)
+pair_step (pair_t *pair)
 {
-  int g = g_rand_int_range (twins->rand, 0, N_GUARDS);
-  uint64_t incarnation = twins->naive.guards[g].incarnation;
-  int other = g_rand_int_range (twins->rand, 0, 30);
-  gp_time_t pause = g_rand_int_range (twins->rand, 0, 100) == 0 ? 130 : 2;
+  int g = g_rand_int_range (pair->rand, 0, N_GUARDS);
+  uint64_t incarnation = pair->naive.guards[g].incarnation;
+  int other = g_rand_int_range (pair->rand, 0, 30);
+  gp_time_t pause = g_rand_int_range (pair->rand, 0, 100) == 0 ? 130 : 2;
 
   incarnation += other == 0 ? 1 : 0;
   incarnation -= other == 1 && incarnation > 0 ? 1 : 0;
-  twins->now += g_rand_int_range (twins->rand, 0, (gint32)(pause * GP_SEC));
-  naive_expire (&twins->naive, twins->now);
-  naive_settle (&twins->naive, twins->now);
-  gp_members_tick (&twins->members, twins->now);
-  if (g_rand_boolean (twins->rand))
-    guard_event (twins, g, incarnation);
+  pair->now += g_rand_int_range (pair->rand, 0, (gint32)(pause * GP_SEC));
+  naive_expire (&pair->naive, pair->now);
+  naive_update_states (&pair->naive, pair->now);
+  gp_members_tick (&pair->members, pair->now);
+  if (g_rand_boolean (pair->rand))
+    guard_event (pair, g, incarnation);
   else
-    entry_event (twins, g, g_rand_int_range (twins->rand, 0, N_ENTRIES),
+    entry_event (pair, g, g_rand_int_range (pair->rand, 0, N_ENTRIES),
                  incarnation);
-  naive_settle (&twins->naive, twins->now);
-  check_changes (twins);
-  compare (twins);
+  naive_update_states (&pair->naive, pair->now);
+  check_changes (pair);
+  compare (pair);
 }
 
 static void
@@ -403,24 +411,24 @@
 
   for (guint32 seed = 1; seed <= N_SEEDS; seed++)
     {
-      twins_t twins = { .rand = g_rand_new_with_seed (seed) };
+      pair_t pair = { .rand = g_rand_new_with_seed (seed) };
 
-      gp_members_init (&twins.members, &settings);
+      gp_members_init (&pair.members, &settings);
       for (int g = 0; g < N_GUARDS; g++)
-        twins.naive.guards[g].heard_at = INT32_MIN;
+        pair.naive.guards[g].heard_at = INT32_MIN;
       for (int i = 0; i < N_STEPS; i++)
-        twins_step (&twins);
-      gp_members_finish (&twins.members);
-      g_rand_free (twins.rand);
+        pair_step (&pair);
+      gp_members_finish (&pair.members);
+      g_rand_free (pair.rand);
     }
 }
 
-/* What one table tells, in pieces, makes another agree with it.  */
+/* Updates sent in pieces bring another table to the same state.  */
 
 static size_t
 carry (const gp_member_news_t *news, void *data)
 {
-  gp_members_learn (data, "entry-0", news, 0);
+  gp_members_apply_news (data, "entry-0", news, 0);
   return 1;
 }
 
@@ -428,7 +436,7 @@
 test_news (void)
 {
   gp_members_settings_t settings = GP_MEMBERS_SETTINGS_DEFAULT;
-  twins_t home = { .rand = g_rand_new_with_seed (7) };
+  pair_t home = { .rand = g_rand_new_with_seed (7) };
   gp_members_t away;
   uint64_t cursor = 0;
 
@@ -441,10 +449,12 @@
       size_t budget = (size_t)g_rand_int_range (home.rand, 0, 3);
 
       guard_event (&home, g, home.naive.guards[g].incarnation + (i % 50 == 0));
-      cursor = gp_members_tell (&home.members, cursor, budget, carry, &away);
+      cursor = gp_members_visit_news (&home.members, cursor, budget, carry,
+                                      &away);
       if (i % 10 != 0)
         continue;
-      cursor = gp_members_tell (&home.members, cursor, N_GUARDS, carry, &away);
+      cursor = gp_members_visit_news (&home.members, cursor, N_GUARDS, carry,
+                                      &away);
       for (g = 0; g < N_GUARDS; g++)
         {
           const gp_member_t *a
@@ -464,8 +474,8 @@
   g_rand_free (home.rand);
 }
 
-/* Load is taken if it is newer, and a reader that missed the end of a member
-   is told so.  */
+/* Only a newer load is accepted, and a reader that missed the removal of a
+   member is told that its cursor is lost.  */
 static void
 test_news_edges (void)
 {
@@ -478,9 +488,9 @@
   gp_members_init (&members, &settings);
   gp_members_reporter_open (&members, "entry-0", 0);
   news.load = (gp_load_t){ .running = 5, .at = 10 };
-  gp_members_learn (&members, "entry-0", &news, 10);
+  gp_members_apply_news (&members, "entry-0", &news, 10);
   news.load = (gp_load_t){ .running = 3, .at = 9 };
-  gp_members_learn (&members, "entry-0", &news, 10);
+  gp_members_apply_news (&members, "entry-0", &news, 10);
   CU_ASSERT_EQUAL (gp_members_find (&members, "guard-0")->load.running, 5);
   gp_members_finish (&members);
 
@@ -500,7 +510,8 @@
   gp_members_finish (&members);
 }
 
-/* Homes: one in the zone and one outside, and few move.  */
+/* Home entries: one is in the guard's zone and one outside, and removing
+   entries moves only the guards that had them as homes.  */
 
 #define N_HOMES 18
 
--- a/tests/unit/test_pending.c
+++ b/tests/unit/test_pending.c
@@ -1,4 +1,6 @@
-/* The pending queue against a plain list that is searched whole.  */
+/* Tests of the pending queue: transcripts, random runs compared with a
+   reference implementation that searches a list of all tasks, and
+   starvation under tight quotas.  */
 
 #include "runner.h"
 
@@ -41,7 +43,7 @@
   gp_pending_finish (&site->pending);
 }
 
-/* Add a task; its identity is its place, from 1.  */
+/* Adds a task; its id is its index plus 1.  */
 static gp_pending_task_t *
 add (site_t *site, uint32_t team, gp_work_class_t work_class,
      uint32_t millicores, gp_time_t latest_start, gp_time_t now)
@@ -63,14 +65,15 @@
 
   if (task == NULL)
     printf ("%s: none, again at %ld ms\n", what,
-            (long)(gp_pending_wake (&site->pending, now) / GP_MSEC));
+            (long)(gp_pending_next_wake (&site->pending, now) / GP_MSEC));
   else
     printf ("%s: task %u of team %u\n", what, (unsigned int)task->node.task,
             task->charge.team);
   return task;
 }
 
-/* Whatever is removed from a heap, the rest comes out in order.  */
+/* After arbitrary removals from a heap, the remaining nodes come out in
+   order.  */
 static void
 test_heap (void)
 {
@@ -120,8 +123,9 @@
   site_finish (&site);
 }
 
-/* A head without room defers alone, is kept room for, and is not starved by
-   smaller tasks of its team.  */
+/* A task for which the quota has no room is deferred without blocking
+   those behind it, gets quota reserved, and is not starved by smaller
+   tasks of its team.  */
 static void
 test_quota_head (void)
 {
@@ -171,7 +175,7 @@
         print_next (&site, "goes on", 0);
     }
   gp_pending_remove (&site.pending, &site.quota, large);
-  CU_ASSERT_EQUAL (gp_pending_wake (&site.pending, now), GP_TIME_NEVER);
+  CU_ASSERT_EQUAL (gp_pending_next_wake (&site.pending, now), GP_TIME_NEVER);
   CU_ASSERT_EQUAL (gp_pending_length (&site.pending), 0);
   site_finish (&site);
 }
@@ -186,28 +190,28 @@
     add (&site, 0, GP_WORK_WATCHER, 10, GP_TIME_NEVER, 0);
   for (int i = 0; i < 3; i++)
     add (&site, 0, GP_WORK_LATENCY_CRITICAL, 10, GP_TIME_NEVER, 0);
-  gp_pending_pace (&site.pending, 10.0, 2.0, 0);
+  gp_pending_set_rate (&site.pending, 10.0, 2.0, 0);
   for (int i = 0; i < 5; i++)
     print_next (&site, "at 0 ms", 0);
   print_next (&site, "at 199 ms", 199 * GP_MSEC);
   print_next (&site, "at 250 ms", 250 * GP_MSEC);
   print_next (&site, "at 350 ms", 350 * GP_MSEC);
-  gp_pending_pace (&site.pending, 0.0, 0.0, 350 * GP_MSEC);
+  gp_pending_set_rate (&site.pending, 0.0, 0.0, 350 * GP_MSEC);
   print_next (&site, "unbounded", 350 * GP_MSEC);
   site_finish (&site);
 }
 
-/* The twin searches all tasks.  It is told nothing but the rules: quotas are
-   ample in its runs, so that only order, back-off and turns decide.  */
+/* Reference implementation, which searches all tasks.  Its runs have ample
+   quotas, so that only order, backoff and at-risk picks matter.  */
 typedef struct
 {
   site_t site;
-  gp_time_t retry_at[TASKS]; /* GP_TIME_NEVER: not queued */
+  gp_time_t retry_at[TASKS]; /* GP_TIME_NEVER if not queued */
   unsigned int picks;
-} twin_t;
+} reference_t;
 
 static unsigned int
-twin_rank (const gp_pending_task_t *task)
+reference_rank (const gp_pending_task_t *task)
 {
   static const unsigned int ranks[] = {
     [GP_WORK_LATENCY_CRITICAL] = 0, [GP_WORK_WATCHER] = 1, [GP_WORK_BATCH] = 2
@@ -216,19 +220,20 @@
   return ranks[task->work_class];
 }
 
-/* Whether task A goes before B in its turn, or among all.  */
+/* Returns true if task A precedes B: by latest start only if AT_RISK is
+   set, otherwise by class and team first.  */
 static bool
-twin_before (const twin_t *twin, const gp_pending_task_t *a,
-             const gp_pending_task_t *b, bool turn)
+reference_before (const reference_t *reference, const gp_pending_task_t *a,
+                  const gp_pending_task_t *b, bool at_risk)
 {
-  double share_a = gp_quota_share (&twin->site.quota, a->charge.team);
-  double share_b = gp_quota_share (&twin->site.quota, b->charge.team);
+  double share_a = gp_quota_share (&reference->site.quota, a->charge.team);
+  double share_b = gp_quota_share (&reference->site.quota, b->charge.team);
 
-  if (!turn && twin_rank (a) != twin_rank (b))
-    return twin_rank (a) < twin_rank (b);
-  if (!turn && share_a != share_b)
+  if (!at_risk && reference_rank (a) != reference_rank (b))
+    return reference_rank (a) < reference_rank (b);
+  if (!at_risk && share_a != share_b)
     return share_a < share_b;
-  if (!turn && a->charge.team != b->charge.team)
+  if (!at_risk && a->charge.team != b->charge.team)
     return a->charge.team < b->charge.team;
   if (a->latest_start != b->latest_start)
     return a->latest_start < b->latest_start;
@@ -236,120 +241,122 @@
 }
 
 static unsigned int
-twin_find (const twin_t *twin, gp_time_t now, bool turn)
+reference_find (const reference_t *reference, gp_time_t now, bool at_risk)
 {
   unsigned int best = TASKS;
 
-  for (unsigned int i = 0; i < twin->site.n_tasks; i++)
+  for (unsigned int i = 0; i < reference->site.n_tasks; i++)
     {
-      const gp_pending_task_t *task = &twin->site.tasks[i];
+      const gp_pending_task_t *task = &reference->site.tasks[i];
 
-      if (twin->retry_at[i] > now)
+      if (reference->retry_at[i] > now)
         continue;
-      if (turn
-          && (twin_rank (task) == 0
+      if (at_risk
+          && (reference_rank (task) == 0
               || task->latest_start
-                     > now + twin->site.pending.settings.risk_ahead))
+                     > now + reference->site.pending.settings.risk_horizon))
         continue;
       if (best == TASKS
-          || twin_before (twin, task, &twin->site.tasks[best], turn))
+          || reference_before (reference, task, &reference->site.tasks[best],
+                               at_risk))
         best = i;
     }
   return best;
 }
 
 static unsigned int
-twin_next (twin_t *twin, gp_time_t now)
+reference_next (reference_t *reference, gp_time_t now)
 {
   unsigned int found = TASKS;
 
-  if (twin->picks == GP_PENDING_TURN - 1)
-    found = twin_find (twin, now, true);
+  if (reference->picks == GP_PENDING_AT_RISK_INTERVAL - 1)
+    found = reference_find (reference, now, true);
   if (found < TASKS)
-    twin->picks = 0;
-  else if ((found = twin_find (twin, now, false)) < TASKS)
-    twin->picks += twin->picks < GP_PENDING_TURN - 1;
+    reference->picks = 0;
+  else if ((found = reference_find (reference, now, false)) < TASKS)
+    reference->picks += reference->picks < GP_PENDING_AT_RISK_INTERVAL - 1;
   return found;
 }
 
 static void
-twin_add (twin_t *twin, GRand *random, gp_time_t now)
+reference_add (reference_t *reference, GRand *random, gp_time_t now)
 {
   static const gp_work_class_t classes[]
       = { GP_WORK_LATENCY_CRITICAL, GP_WORK_WATCHER, GP_WORK_BATCH };
   gp_work_class_t work_class = classes[g_rand_int_range (random, 0, 3)];
-  /* One latest start for each task, so that no tie decides.  */
-  gp_time_t latest_start
-      = now + g_rand_int_range (random, 0, 200) * GP_SEC + twin->site.n_tasks;
-
-  twin->retry_at[twin->site.n_tasks] = now;
-  add (&twin->site, (uint32_t)g_rand_int_range (random, 0, TEAMS), work_class,
-       (uint32_t)g_rand_int_range (random, 1, 20), latest_start, now);
+  /* Each task has a distinct latest start, so that there are no ties.  */
+  gp_time_t latest_start = now + g_rand_int_range (random, 0, 200) * GP_SEC
+                           + reference->site.n_tasks;
+
+  reference->retry_at[reference->site.n_tasks] = now;
+  add (&reference->site, (uint32_t)g_rand_int_range (random, 0, TEAMS),
+       work_class, (uint32_t)g_rand_int_range (random, 1, 20), latest_start,
+       now);
 }
 
 static void
-twin_take (twin_t *twin, GRand *random, gp_time_t now)
+reference_take (reference_t *reference, GRand *random, gp_time_t now)
 {
-  unsigned int expected = twin_next (twin, now);
-  gp_pending_task_t *task
-      = gp_pending_next (&twin->site.pending, &twin->site.quota, now);
+  unsigned int expected = reference_next (reference, now);
+  gp_pending_task_t *task = gp_pending_next (&reference->site.pending,
+                                             &reference->site.quota, now);
 
   CU_ASSERT_EQUAL (task == NULL, expected == TASKS);
   if (task == NULL || expected == TASKS)
     return;
-  CU_ASSERT_PTR_EQUAL (task, &twin->site.tasks[expected]);
-  twin->retry_at[expected] = GP_TIME_NEVER;
+  CU_ASSERT_PTR_EQUAL (task, &reference->site.tasks[expected]);
+  reference->retry_at[expected] = GP_TIME_NEVER;
   if (!g_rand_boolean (random))
     return;
-  (void)gp_pending_defer (&twin->site.pending, &twin->site.quota, task,
-                          GP_PENDING_NO_CAPACITY, now);
-  twin->retry_at[expected] = task->node.key;
+  (void)gp_pending_defer (&reference->site.pending, &reference->site.quota,
+                          task, GP_PENDING_NO_CAPACITY, now);
+  reference->retry_at[expected] = task->node.key;
 }
 
 static void
-twin_run (uint32_t seed)
+reference_run (uint32_t seed)
 {
-  twin_t *twin = g_new0 (twin_t, 1);
+  reference_t *reference = g_new0 (reference_t, 1);
   GRand *random = g_rand_new_with_seed (seed);
   uint32_t queued = 0;
 
-  site_init (&twin->site, &GP_PENDING_DEFAULTS);
+  site_init (&reference->site, &GP_PENDING_DEFAULTS);
   for (unsigned int step = 0; step < STEPS; step++)
     {
       gp_time_t now = step * (20 * GP_MSEC);
       int what = g_rand_int_range (random, 0, 10);
       int any = g_rand_int_range (random, 0, TASKS);
 
-      if (what < 2 && twin->site.n_tasks < TASKS)
-        twin_add (twin, random, now);
+      if (what < 2 && reference->site.n_tasks < TASKS)
+        reference_add (reference, random, now);
       else if (what < 9)
-        twin_take (twin, random, now);
-      else if (any < (int)twin->site.n_tasks)
+        reference_take (reference, random, now);
+      else if (any < (int)reference->site.n_tasks)
         {
-          gp_pending_remove (&twin->site.pending, &twin->site.quota,
-                             &twin->site.tasks[any]);
-          twin->retry_at[any] = GP_TIME_NEVER;
+          gp_pending_remove (&reference->site.pending, &reference->site.quota,
+                             &reference->site.tasks[any]);
+          reference->retry_at[any] = GP_TIME_NEVER;
         }
     }
-  for (unsigned int i = 0; i < twin->site.n_tasks; i++)
-    queued += twin->retry_at[i] != GP_TIME_NEVER;
-  CU_ASSERT_EQUAL (gp_pending_length (&twin->site.pending), queued);
-  CU_ASSERT_EQUAL (twin->site.n_tasks, TASKS);
-  site_finish (&twin->site);
+  for (unsigned int i = 0; i < reference->site.n_tasks; i++)
+    queued += reference->retry_at[i] != GP_TIME_NEVER;
+  CU_ASSERT_EQUAL (gp_pending_length (&reference->site.pending), queued);
+  CU_ASSERT_EQUAL (reference->site.n_tasks, TASKS);
+  site_finish (&reference->site);
   g_rand_free (random);
-  g_free (twin);
+  g_free (reference);
 }
 
 static void
 test_twin (void)
 {
   for (uint32_t seed = 1; seed <= 5; seed++)
-    twin_run (seed);
+    reference_run (seed);
 }
 
-/* Random demands on tight quotas, each task running for a while: no quota is
-   exceeded, every task gets its turn, and the large ones, which never fit
-   beside another, wait no longer than half as long again as the mean.  */
+/* Random demands with tight quotas, each task running for some time.  No
+   quota is exceeded and every task is started.  Large tasks, which never
+   fit beside another one, wait at most 1.5 times as long as the mean.  */
 static void
 starvation_run (uint32_t seed)
 {
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -1,4 +1,5 @@
-/* Placement against a scan of the whole fleet with the same scoring.  */
+/* Tests of placement: transcripts, and random runs compared with a scan of
+   the whole fleet with the same cost function.  */
 
 #include "policy_site.h"
 #include "runner.h"
@@ -26,13 +27,15 @@
 }
 
 static gp_worker_t *
-place (policy_site_t *site, const char *what, const gp_placement_ask_t *ask)
+place (policy_site_t *site, const char *what,
+       const gp_placement_request_t *request)
 {
-  gp_placement_choice_t choice = gp_placement_choose (&site->placement, ask);
+  gp_placement_choice_t choice
+      = gp_placement_choose (&site->placement, request);
 
   print_choice (what, &choice);
   if (choice.worker != NULL)
-    gp_placement_reserve (&site->placement, ask, choice.worker);
+    gp_placement_reserve (&site->placement, request, choice.worker);
   return choice.worker;
 }
 
@@ -40,42 +43,42 @@
 test_transcript (void)
 {
   policy_site_t site;
-  gp_placement_ask_t ask = policy_request (1, 40000, 100000);
+  gp_placement_request_t request = policy_request (1, 40000, 100000);
   gp_resources_t headroom = { 1000, 1000, 0 };
-  gp_resources_t ended = ask.demand;
+  gp_resources_t ended = request.demand;
   gp_worker_t *worker;
 
   policy_site_init (&site, 4, 2, &site_worker);
-  worker = place (&site, "first", &ask);
-  place (&site, "batch spreads", &ask);
-  gp_placement_refuse (&site.placement, &ask, worker, &headroom);
-  ask.work_class = GP_WORK_WATCHER;
-  ask.previous = 2;
-  ask.has_checkpoint = true;
-  place (&site, "watcher stays", &ask);
-  place (&site, "watcher near", &ask);
-  ask.demand.millicores = 70000;
-  place (&site, "too large", &ask);
-  ask.demand.millicores = 30000;
-  place (&site, "full", &ask);
-  ask.held = gp_placement_hold (&site.placement, &ask, GP_SEC);
-  printf ("held %u\n", ask.held);
-  gp_fleet_confirm (&site.fleet, &site.workers[ask.held], &ended);
-  gp_fleet_release (&site.fleet, &site.workers[ask.held], 0, &ended);
-  ask.task = 2;
-  place (&site, "other task", &ask);
-  ask.task = 1;
-  ask.avoided[0] = ask.held;
-  ask.n_avoided = 1;
-  place (&site, "avoiding it", &ask);
-  gp_placement_drop_hold (&site.placement, &ask);
-  place (&site, "not held, avoiding it", &ask);
-  ask.n_avoided = 0;
-  place (&site, "at last", &ask);
-  ask.zones = 0;
-  place (&site, "no zone is open", &ask);
-  ask.demand.millicores = 70000;
-  place (&site, "and too large", &ask);
+  worker = place (&site, "first", &request);
+  place (&site, "batch spreads", &request);
+  gp_placement_refuse (&site.placement, &request, worker, &headroom);
+  request.work_class = GP_WORK_WATCHER;
+  request.previous = 2;
+  request.has_checkpoint = true;
+  place (&site, "watcher stays", &request);
+  place (&site, "watcher near", &request);
+  request.demand.millicores = 70000;
+  place (&site, "too large", &request);
+  request.demand.millicores = 30000;
+  place (&site, "full", &request);
+  request.held = gp_placement_hold (&site.placement, &request, GP_SEC);
+  printf ("held %u\n", request.held);
+  gp_fleet_confirm (&site.fleet, &site.workers[request.held], &ended);
+  gp_fleet_release (&site.fleet, &site.workers[request.held], 0, &ended);
+  request.task = 2;
+  place (&site, "other task", &request);
+  request.task = 1;
+  request.avoided[0] = request.held;
+  request.n_avoided = 1;
+  place (&site, "avoiding it", &request);
+  gp_placement_drop_hold (&site.placement, &request);
+  place (&site, "not held, avoiding it", &request);
+  request.n_avoided = 0;
+  place (&site, "at last", &request);
+  request.zones = 0;
+  place (&site, "no zone is open", &request);
+  request.demand.millicores = 70000;
+  place (&site, "and too large", &request);
   policy_site_finish (&site);
 }
 
@@ -83,7 +86,7 @@
 test_accelerators_kept (void)
 {
   policy_site_t site;
-  gp_placement_ask_t ask = policy_request (1, 40000, 1000);
+  gp_placement_request_t request = policy_request (1, 40000, 1000);
   gp_worker_t accelerated;
 
   policy_site_init (&site, 1, 1, &site_worker);
@@ -91,18 +94,20 @@
   accelerated.capacity = site_worker;
   accelerated.capacity.accelerators = 2;
   gp_fleet_add (&site.fleet, &accelerated);
-  CU_ASSERT_EQUAL (place (&site, "plain", &ask)->index, 0);
-  CU_ASSERT_EQUAL (place (&site, "plain, else full", &ask)->index, 1);
-  ask.demand = (gp_resources_t){ 1000, 1000, 2 };
-  CU_ASSERT_EQUAL (place (&site, "accelerated", &ask)->index, 1);
-  CU_ASSERT_PTR_NULL (place (&site, "accelerators used", &ask));
+  CU_ASSERT_EQUAL (place (&site, "plain", &request)->index, 0);
+  CU_ASSERT_EQUAL (place (&site, "plain, else full", &request)->index, 1);
+  request.demand = (gp_resources_t){ 1000, 1000, 2 };
+  CU_ASSERT_EQUAL (place (&site, "accelerated", &request)->index, 1);
+  CU_ASSERT_PTR_NULL (place (&site, "accelerators used", &request));
   gp_worker_finish (&accelerated);
   policy_site_finish (&site);
 }
 
-/* What the naive twin finds: the least cost over all workers.  */
+/* Reference implementation: returns the worker with the lowest cost by
+   scanning all of them.  */
 static gp_worker_t *
-scan_all (policy_site_t *site, const gp_placement_ask_t *ask, double *least)
+scan_all (policy_site_t *site, const gp_placement_request_t *request,
+          double *least)
 {
   gp_worker_t *best = NULL;
 
@@ -113,9 +118,9 @@
       gp_placement_cost_t cost;
       double total;
 
-      if (!gp_placement_allows (ask, worker))
+      if (!gp_placement_allows (request, worker))
         continue;
-      cost = gp_placement_cost (&site->placement, ask, worker);
+      cost = gp_placement_cost (&site->placement, request, worker);
       total = gp_placement_cost_total (&cost);
       if (total < *least)
         {
@@ -126,10 +131,10 @@
   return best;
 }
 
-/* A task that was placed.  */
+/* A placed task.  */
 typedef struct
 {
-  gp_placement_ask_t ask;
+  gp_placement_request_t request;
   gp_worker_t *worker;
 } placed_t;
 
@@ -145,7 +150,8 @@
   unsigned int misses;
 } run_t;
 
-/* Give the workers a service whose model has seen some measurements.  */
+/* Gives the workers a service whose model has been updated with some
+   measurements.  */
 static void
 begin_interference (run_t *run)
 {
@@ -156,8 +162,8 @@
   gp_residency_init (&residency, 0);
   for (int i = 1; i < 40; i++)
     {
-      gp_residency_change (&residency, (uint16_t)(i % 5), GP_RESIDENCY_WHOLE,
-                           i * GP_SEC);
+      gp_residency_change (&residency, (uint16_t)(i % 5),
+                           GP_RESIDENCY_UNTHROTTLED, i * GP_SEC);
       gp_interference_measure (&run->interference, 0, 0.5, &residency,
                                i * GP_SEC, (i + 1) * GP_SEC, 0.03 * i);
     }
@@ -169,30 +175,30 @@
     }
 }
 
-static gp_placement_ask_t
-random_ask (run_t *run, uint64_t task)
+static gp_placement_request_t
+random_request (run_t *run, uint64_t task)
 {
-  gp_placement_ask_t ask
+  gp_placement_request_t request
       = policy_request (task, 250U << g_rand_int_range (run->random, 0, 8),
                         500U << g_rand_int_range (run->random, 0, 9));
 
-  ask.group = (uint32_t)g_rand_int_range (run->random, 0, 5);
-  ask.kind = (uint16_t)ask.group;
-  ask.work_class = ask.group == 0 ? GP_WORK_WATCHER : GP_WORK_BATCH;
-  ask.previous
+  request.group = (uint32_t)g_rand_int_range (run->random, 0, 5);
+  request.kind = (uint16_t)request.group;
+  request.work_class = request.group == 0 ? GP_WORK_WATCHER : GP_WORK_BATCH;
+  request.previous
       = (uint32_t)g_rand_int_range (run->random, 0, (gint)run->site.n_workers);
-  ask.has_checkpoint = ask.group < 3;
-  return ask;
+  request.has_checkpoint = request.group < 3;
+  return request;
 }
 
 static void
 step_place (run_t *run, uint64_t task, bool exact)
 {
-  gp_placement_ask_t ask = random_ask (run, task);
+  gp_placement_request_t request = random_request (run, task);
   double least;
-  gp_worker_t *naive = scan_all (&run->site, &ask, &least);
+  gp_worker_t *naive = scan_all (&run->site, &request, &least);
   gp_placement_choice_t choice
-      = gp_placement_choose (&run->site.placement, &ask);
+      = gp_placement_choose (&run->site.placement, &request);
 
   CU_ASSERT_EQUAL (naive != NULL, choice.outcome == GP_PLACEMENT_CHOSEN);
   if (exact)
@@ -203,12 +209,12 @@
       run->misses++;
       return;
     }
-  CU_ASSERT_TRUE (gp_resources_fit (&ask.demand, &choice.worker->free));
+  CU_ASSERT_TRUE (gp_resources_fit (&request.demand, &choice.worker->free));
   run->regret += choice.total - least;
   run->choices++;
-  gp_placement_reserve (&run->site.placement, &ask, choice.worker);
-  gp_fleet_confirm (&run->site.fleet, choice.worker, &ask.demand);
-  run->tasks[run->n_tasks++] = (placed_t){ ask, choice.worker };
+  gp_placement_reserve (&run->site.placement, &request, choice.worker);
+  gp_fleet_confirm (&run->site.fleet, choice.worker, &request.demand);
+  run->tasks[run->n_tasks++] = (placed_t){ request, choice.worker };
 }
 
 static void
@@ -217,12 +223,13 @@
   unsigned int i
       = (unsigned int)g_rand_int_range (run->random, 0, (gint)run->n_tasks);
 
-  gp_placement_release (&run->site.placement, &run->tasks[i].ask,
+  gp_placement_release (&run->site.placement, &run->tasks[i].request,
                         run->tasks[i].worker);
   run->tasks[i] = run->tasks[--run->n_tasks];
 }
 
-/* What is placed on each worker equals what is missing there.  */
+/* Checks that the demands of the tasks placed on each worker plus its free
+   resources equal its capacity.  */
 static void
 check_headroom (const run_t *run)
 {
@@ -230,7 +237,7 @@
 
   for (unsigned int i = 0; i < run->n_tasks; i++)
     gp_resources_add (&used[run->tasks[i].worker->index],
-                      &run->tasks[i].ask.demand);
+                      &run->tasks[i].request.demand);
   for (unsigned int i = 0; i < run->site.n_workers; i++)
     {
       gp_resources_add (&used[i], &run->site.workers[i].free);
@@ -277,37 +284,39 @@
   random_run (300, 5, false);
 }
 
-/* One worker has room and very many of its class just don't: it is found, and
-   a miss is known until some headroom grows.  */
+/* One worker has room and hundreds of the same size class narrowly lack
+   it: it is found, and a miss is remembered until the headroom of some
+   worker grows.  */
 static void
 test_edge_of_class (void)
 {
   policy_site_t site;
-  gp_placement_ask_t ask = policy_request (1, 55000, 1000);
+  gp_placement_request_t request = policy_request (1, 55000, 1000);
   gp_resources_t headroom = { 50000, 200000, 0 };
 
   policy_site_init (&site, 600, 1, &site_worker);
   for (unsigned int i = 0; i < 599; i++)
     gp_fleet_report (&site.fleet, &site.workers[i], &headroom);
-  CU_ASSERT_PTR_EQUAL (gp_placement_choose (&site.placement, &ask).worker,
+  CU_ASSERT_PTR_EQUAL (gp_placement_choose (&site.placement, &request).worker,
                        &site.workers[599]);
   gp_fleet_report (&site.fleet, &site.workers[599], &headroom);
   for (int i = 0; i < 2; i++)
-    CU_ASSERT_EQUAL (gp_placement_choose (&site.placement, &ask).outcome,
+    CU_ASSERT_EQUAL (gp_placement_choose (&site.placement, &request).outcome,
                      GP_PLACEMENT_NO_CAPACITY_NOW);
   gp_fleet_report (&site.fleet, &site.workers[7], &site_worker);
-  CU_ASSERT_PTR_EQUAL (gp_placement_choose (&site.placement, &ask).worker,
+  CU_ASSERT_PTR_EQUAL (gp_placement_choose (&site.placement, &request).worker,
                        &site.workers[7]);
   policy_site_finish (&site);
 }
 
-/* Small tasks come and go on a full site; a task that needs a whole worker
-   gets one by a hold, on which nothing else is placed meanwhile.  */
+/* Small tasks are placed and released on a full site.  A task that needs a
+   whole worker gets one by a hold, during which nothing else is placed
+   there.  */
 static void
 test_hold (void)
 {
   run_t *run = g_new0 (run_t, 1);
-  gp_placement_ask_t large = policy_request (1, 60000, 1000);
+  gp_placement_request_t large = policy_request (1, 60000, 1000);
   gp_worker_t *got = NULL;
   uint32_t least = 0;
   unsigned int steps = 0;
@@ -331,7 +340,7 @@
     }
   CU_ASSERT_PTR_EQUAL (got, &run->site.workers[large.held]);
   gp_placement_reserve (&run->site.placement, &large, got);
-  CU_ASSERT_EQUAL (run->site.fleet.holds, 0);
+  CU_ASSERT_EQUAL (run->site.fleet.n_held, 0);
   CU_ASSERT_EQUAL (got->held_for, 0);
   gp_interference_finish (&run->interference);
   policy_site_finish (&run->site);
--- a/tests/unit/test_suspects.c
+++ b/tests/unit/test_suspects.c
@@ -1,4 +1,5 @@
-/* Blame between tasks and workers, by script and over random outcomes.  */
+/* Tests of the attribution of failures to tasks or workers: a scripted
+   transcript, and random outcomes.  */
 
 #include "runner.h"
 
@@ -43,7 +44,7 @@
   printf ("%3ld s: task %u %s on worker %u: %s%s\n", (long)(now / GP_SEC),
           task, failed ? "failed" : "succeeded", worker,
           state_names[site->workers[worker].state],
-          gp_suspects_parks (&site->suspects, &site->tasks[task])
+          gp_suspects_should_park (&site->suspects, &site->tasks[task])
               ? ", task parked"
               : "");
 }
@@ -86,8 +87,8 @@
   end_task (&site, 10, 6, true, 821 * GP_SEC);
 }
 
-/* Tasks that failed elsewhere before don't make a worker suspected, however
-   many there are; their parking is enough.  */
+/* Tasks that failed elsewhere before do not make a worker suspected,
+   however many there are; parking them is enough.  */
 static void
 test_bad_tasks (void)
 {
@@ -104,8 +105,8 @@
   CU_ASSERT_TRUE (gp_suspects_allows (&site.suspects, 15));
 }
 
-/* One worker fails everything and some tasks fail everywhere: exactly these
-   are found.  */
+/* One worker fails every task and some tasks fail everywhere: exactly
+   these are identified.  */
 static void
 random_outcomes (uint32_t seed)
 {
@@ -122,7 +123,7 @@
       bool failed = worker == BAD_WORKER || task < BAD_TASKS;
 
       (void)gp_suspects_tick (&site.suspects, worker, now);
-      if (gp_suspects_parks (&site.suspects, &site.tasks[task])
+      if (gp_suspects_should_park (&site.suspects, &site.tasks[task])
           || !gp_suspects_allows (&site.suspects, worker))
         continue;
       on_bad += worker == BAD_WORKER;
@@ -135,7 +136,7 @@
   for (uint32_t i = 0; i < WORKERS; i++)
     CU_ASSERT_EQUAL (site.workers[i].suspicions > 0, i == BAD_WORKER);
   for (unsigned int i = 0; i < TASKS; i++)
-    CU_ASSERT_EQUAL (gp_suspects_parks (&site.suspects, &site.tasks[i]),
+    CU_ASSERT_EQUAL (gp_suspects_should_park (&site.suspects, &site.tasks[i]),
                      i < BAD_TASKS);
   g_rand_free (random);
 }
