--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -225,21 +225,21 @@
   char *id;
   int status = 404;
 
-  switch (gp_platform_beat_kind (path.base, path.size, &id))
+  switch (gp_platform_executor_request (path.base, path.size, &id))
     {
-    case GP_BEAT_HEARTBEAT:
+    case GP_EXECUTOR_REQUEST_HEARTBEAT:
       status
           = gp_guard_heartbeat (guard, id, gp_http_exchange_body (exchange));
       break;
-    case GP_BEAT_GOODBYE:
+    case GP_EXECUTOR_REQUEST_DEREGISTER:
       gp_guard_goodbye (guard, id, gp_http_exchange_body (exchange));
       status = 200;
       break;
-    case GP_BEAT_UNNAMED:
+    case GP_EXECUTOR_REQUEST_INVALID_ID:
       gp_guard_refuse_unnamed ();
       status = 400;
       break;
-    case GP_BEAT_OTHER:
+    case GP_EXECUTOR_REQUEST_UNKNOWN:
       break;
     }
   g_free (id);
--- a/src/jobsd/guard_farewell.c
+++ b/src/jobsd/guard_farewell.c
@@ -124,7 +124,7 @@
 gp_guard_goodbye (gp_job_guard_t *guard, const char *id, gp_http_text_t body)
 {
   gp_farewell_t *farewell = &guard->farewell;
-  int64_t born_ms = gp_platform_goodbye_born (body.base, body.size);
+  int64_t born_ms = gp_platform_deregistration_born (body.base, body.size);
   bool known = gp_guard_executor_is (guard, id)
                && (born_ms == 0 || born_ms == guard->agent.executor->born_ms);
 
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -71,7 +71,7 @@
 
   if (gp_platform_heartbeat_parse (&heartbeat, "x", text, size, NULL))
     gp_heartbeat_finish (&heartbeat);
-  gp_platform_beat_kind (text, size, &id);
+  gp_platform_executor_request (text, size, &id);
   g_free (id);
 }
 
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -84,7 +84,7 @@
       printf ("\n    list of one that has told: ");
       print_list (borns[i], 1);
       printf ("\n    goodbye: %" G_GINT64_FORMAT "\n",
-              gp_platform_goodbye_born (goodbye, strlen (goodbye)));
+              gp_platform_deregistration_born (goodbye, strlen (goodbye)));
     }
 }
 
--- a/tests/unit/test_platform.c
+++ b/tests/unit/test_platform.c
@@ -191,7 +191,8 @@
   parse_beat ("{}");
   parse_beat ("[]");
   parse_beat ("{\"service\"");
-  CU_ASSERT_EQUAL (gp_platform_beat_kind ("/other", 6, &id), GP_BEAT_OTHER);
+  CU_ASSERT_EQUAL (gp_platform_executor_request ("/other", 6, &id),
+                   GP_EXECUTOR_REQUEST_UNKNOWN);
   CU_ASSERT_PTR_NULL (id);
 }
 
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -233,7 +233,7 @@
   static const char *const kinds[]
       = { "heartbeat", "goodbye", "unnamed", "other" };
   g_autofree char *id = NULL;
-  gp_beat_kind_t kind = gp_platform_beat_kind (path, size, &id);
+  gp_executor_request_t kind = gp_platform_executor_request (path, size, &id);
 
   printf ("  %.60s: %s%s%.20s\n", path, kinds[kind], id != NULL ? " of " : "",
           id != NULL ? id : "");
