--- a/src/jobsd/guard_beats.c
+++ b/src/jobsd/guard_beats.c
@@ -102,7 +102,7 @@
 {
   GError *error
       = g_error_new_literal (GP_JSON_ERROR, GP_JSON_ERROR_IDENTITY, why);
-  uint64_t refusals = gp_refusal_note (GP_REFUSED_HEARTBEAT, id, error);
+  uint64_t refusals = gp_refusals_add (GP_REFUSED_HEARTBEAT, id, error);
 
   if (refusals > 0)
     gp_log (GP_LOG_INFO, "executor.unconfirmed", GP_LOG_S ("executor", id),
@@ -199,7 +199,7 @@
 static int
 refuse (const char *id, GError *error)
 {
-  uint64_t refusals = gp_refusal_note (GP_REFUSED_HEARTBEAT, id, error);
+  uint64_t refusals = gp_refusals_add (GP_REFUSED_HEARTBEAT, id, error);
 
   if (refusals > 0)
     gp_log (GP_LOG_WARNING, "heartbeat.malformed", GP_LOG_S ("executor", id),
--- a/src/jobsd/jobs_front.c
+++ b/src/jobsd/jobs_front.c
@@ -408,7 +408,7 @@
 refuse_malformed (gp_http_exchange_t *exchange, const gp_queue_t *queue,
                   const char *id, const GError *error)
 {
-  uint64_t refusals = gp_refusal_note (GP_REFUSED_JOB, queue->name, error);
+  uint64_t refusals = gp_refusals_add (GP_REFUSED_JOB, queue->name, error);
 
   if (refusals > 0)
     gp_log (GP_LOG_WARNING, "job.malformed", GP_LOG_S ("job", id),
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -793,7 +793,7 @@
 refuse (const char *sender, gp_json_error_t kind)
 {
   GError *error = g_error_new_literal (GP_JSON_ERROR, (gint)kind, "why");
-  uint64_t due = gp_refusal_note (GP_REFUSED_HEARTBEAT, sender, error);
+  uint64_t due = gp_refusals_add (GP_REFUSED_HEARTBEAT, sender, error);
 
   g_error_free (error);
   return due;
