--- a/src/jobsd/announce.c
+++ b/src/jobsd/announce.c
@@ -40,7 +40,7 @@
   bytes = g_bytes_get_data (value, &size);
   gp_platform_store_batch_add (batch, announcer->settings->node, bytes, size);
   gp_platform_store_append (
-      announcer->store, GP_TOPIC_NODES, batch, GP_PLATFORM_STORE_ANYWHERE,
+      announcer->store, GP_TOPIC_NODES, batch, GP_PLATFORM_STORE_UNCONDITIONAL,
       gp_loop_now (announcer->loop) + ANNOUNCE_TIME, on_announced, announcer);
   g_bytes_unref (value);
   g_byte_array_unref (batch);
--- a/src/jobsd/feed.c
+++ b/src/jobsd/feed.c
@@ -187,7 +187,7 @@
   gp_time_t now = gp_loop_now (feed->loop);
 
   feed->call = NULL;
-  if (answer->result == GP_PLATFORM_STORE_FORGOTTEN
+  if (answer->result == GP_PLATFORM_STORE_EXPIRED
       || (answer->result == GP_PLATFORM_STORE_DONE
           && answer->end < feed->position))
     {
@@ -252,6 +252,6 @@
         = gp_platform_store_read (feed->store, feed->topic, feed->position,
                                   wait, deadline, on_read, feed);
   else
-    feed->call = gp_platform_store_newest (
+    feed->call = gp_platform_store_read_newest (
         feed->store, feed->topic, feed->after, deadline, on_page, feed);
 }
--- a/src/jobsd/janitor.c
+++ b/src/jobsd/janitor.c
@@ -50,9 +50,10 @@
     {
       janitor->dropping = true;
       gp_log (GP_LOG_INFO, "jobs.dropped", GP_LOG_I ("jobs", drops));
-      gp_platform_store_append (
-          janitor->store, GP_TOPIC_JOBS, batch, GP_PLATFORM_STORE_ANYWHERE,
-          gp_loop_now (janitor->loop) + DROP_TIME, on_dropped, janitor);
+      gp_platform_store_append (janitor->store, GP_TOPIC_JOBS, batch,
+                                GP_PLATFORM_STORE_UNCONDITIONAL,
+                                gp_loop_now (janitor->loop) + DROP_TIME,
+                                on_dropped, janitor);
     }
   g_byte_array_unref (batch);
 }
--- a/src/jobsd/jobs_front.c
+++ b/src/jobsd/jobs_front.c
@@ -239,7 +239,7 @@
       return;
     case GP_PLATFORM_STORE_REFUSED:
     case GP_PLATFORM_STORE_CONFLICT:
-    case GP_PLATFORM_STORE_FORGOTTEN:
+    case GP_PLATFORM_STORE_EXPIRED:
       if (!change->doubtful && change->may_return
           && ++change->refusals >= REFUSALS_MAX)
         give_up (change, result->reason);
@@ -309,7 +309,7 @@
   }
   if (batch->len > 0)
     front->call = gp_platform_store_append (
-        front->store, GP_TOPIC_JOBS, batch, GP_PLATFORM_STORE_ANYWHERE,
+        front->store, GP_TOPIC_JOBS, batch, GP_PLATFORM_STORE_UNCONDITIONAL,
         now + patience, on_appended, front);
   g_byte_array_unref (batch);
 }
--- a/src/jobsd/leader_append.c
+++ b/src/jobsd/leader_append.c
@@ -203,7 +203,7 @@
   Gp__Jobs__Leadership *leadership;
   bool own;
 
-  if (!gp_platform_store_record_is (record, GP_LEADER_KEY))
+  if (!gp_platform_store_record_has_key (record, GP_LEADER_KEY))
     return false;
   leadership
       = gp__jobs__leadership__unpack (NULL, record->value_size, record->value);
@@ -224,7 +224,7 @@
 has_other_leader (const gp_platform_store_answer_t *answer)
 {
   for (size_t i = 0; i < answer->count; i++)
-    if (gp_platform_store_record_is (&answer->records[i], GP_LEADER_KEY))
+    if (gp_platform_store_record_has_key (&answer->records[i], GP_LEADER_KEY))
       return true;
   return false;
 }
@@ -277,7 +277,7 @@
   size_t last = leader->batch_records - 1;
 
   leader->call = NULL;
-  if (answer->result == GP_PLATFORM_STORE_FORGOTTEN)
+  if (answer->result == GP_PLATFORM_STORE_EXPIRED)
     {
       depose (leader, "its append cannot be read any more");
       return;
@@ -325,7 +325,7 @@
       leader->doubtful = true;
       break;
     case GP_PLATFORM_STORE_REFUSED:
-    case GP_PLATFORM_STORE_FORGOTTEN:
+    case GP_PLATFORM_STORE_EXPIRED:
       break;
     }
   gp_log (GP_LOG_INFO, "append.failed", GP_LOG_S ("why", answer->reason),
--- a/src/jobsd/way.c
+++ b/src/jobsd/way.c
@@ -31,7 +31,7 @@
   way->failures = 0;
   way->relayed = peer != NULL;
   gp_counter_set (&relayed_gauge, way->relayed);
-  gp_platform_store_set_way (way->store, peer);
+  gp_platform_store_set_relay (way->store, peer);
   if (way->relayed)
     gp_timer_arm (&way->probe, gp_loop_now (way->loop) + PROBE_TIME);
 }
@@ -73,7 +73,7 @@
   if (!way->relayed)
     return;
   if (answer->result == GP_PLATFORM_STORE_DONE
-      || answer->result == GP_PLATFORM_STORE_FORGOTTEN)
+      || answer->result == GP_PLATFORM_STORE_EXPIRED)
     take_way (way, NULL);
   else
     gp_timer_arm (&way->probe, gp_loop_now (way->loop) + PROBE_TIME);
@@ -99,7 +99,7 @@
   gp_counter_register (&relayed_gauge);
   gp_counter_register (&peers_gauge);
   gp_timer_init (&way->probe, loop, on_probe_due, way);
-  gp_platform_store_on_result (store, on_result, way);
+  gp_platform_store_set_on_result (store, on_result, way);
 }
 
 void
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -113,8 +113,8 @@
   gp_store_page_t page;
 
   gp_store_page_init (&page);
-  if (gp_store_page_read (&page, TOPIC, 0, bytes, size, NULL) && page.cut)
-    gp_store_page_pass (&page, TOPIC, 0);
+  if (gp_store_page_parse_read (&page, TOPIC, 0, bytes, size, NULL) && page.cut)
+    gp_store_page_add_unreadable (&page, TOPIC, 0);
   touch_records (&page);
   gp_store_page_finish (&page);
 }
@@ -125,7 +125,7 @@
   gp_store_page_t page;
 
   gp_store_page_init (&page);
-  gp_store_page_newest (&page, TOPIC, bytes, size, NULL);
+  gp_store_page_parse_newest (&page, TOPIC, bytes, size, NULL);
   touch_records (&page);
   gp_store_page_finish (&page);
 }
@@ -136,7 +136,7 @@
   uint64_t offset;
   uint64_t end;
 
-  gp_store_page_appended (bytes, size, &offset, &end, NULL);
+  gp_store_page_parse_append (bytes, size, &offset, &end, NULL);
 }
 
 int
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -434,8 +434,8 @@
 
   printf ("  %s: ", name);
   gp_store_page_init (&page);
-  if (!gp_store_page_read (&page, "t", READ_FROM, bytes->data, bytes->len,
-                           &error))
+  if (!gp_store_page_parse_read (&page, "t", READ_FROM, bytes->data,
+                                 bytes->len, &error))
     print_refused (error);
   else
     {
@@ -531,7 +531,8 @@
   GError *error = NULL;
 
   gp_store_page_init (&page);
-  if (!gp_store_page_newest (&page, "t", (const uint8_t *)body, size, &error))
+  if (!gp_store_page_parse_newest (&page, "t", (const uint8_t *)body, size,
+                                   &error))
     print_refused (error);
   else
     {
@@ -603,8 +604,9 @@
       GError *error = NULL;
 
       printf ("  %s: ", bodies[i]);
-      if (gp_store_page_appended ((const uint8_t *)bodies[i],
-                                  strlen (bodies[i]), &offset, &end, &error))
+      if (gp_store_page_parse_append ((const uint8_t *)bodies[i],
+                                      strlen (bodies[i]), &offset, &end,
+                                      &error))
         printf ("at %" G_GUINT64_FORMAT " to %" G_GUINT64_FORMAT "\n", offset,
                 end);
       else
