--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -177,8 +177,8 @@
       break;
     case GP_AGENT_CALL_PACE:
       gp_counter_add (&paces_count, 1);
-      gp_platform_runtime_pace (guard->runtime, &what, call->percent,
-                                on_ordered, order);
+      gp_platform_runtime_limit_speed (guard->runtime, &what, call->percent,
+                                       on_ordered, order);
       break;
     case GP_AGENT_CALL_NONE:
       break;
--- a/src/jobsd/job_answers.c
+++ b/src/jobsd/job_answers.c
@@ -16,7 +16,7 @@
 gp_job_patience (const gp_http_exchange_t *exchange)
 {
   gp_http_text_t header
-      = gp_http_exchange_header (exchange, GP_PLATFORM_PATIENCE_HEADER);
+      = gp_http_exchange_header (exchange, GP_PLATFORM_TIMEOUT_HEADER);
   char text[32];
   gp_time_t told;
 
--- a/src/jobsd/operator_feed.c
+++ b/src/jobsd/operator_feed.c
@@ -71,7 +71,7 @@
   gp_operator_feed_t *operators = data;
   char *zone;
 
-  switch (gp_platform_operator_record (record, &zone))
+  switch (gp_platform_operator_record_kind (record, &zone))
     {
     case GP_OPERATOR_DOCUMENT:
       if (record->value_size > 0)
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -82,7 +82,7 @@
   gp_executor_list_t list;
 
   gp_executor_list_init (&list);
-  gp_executor_list_decode (&list, json, &(gp_executor_asked_t){ .executor = "x", .born_ms = 1 });
+  gp_executor_list_decode (&list, json, &(gp_executor_list_request_t){ .executor = "x", .born_ms = 1 });
   gp_executor_clock (json);
   gp_executor_list_finish (&list);
   json_decref (json);
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -57,7 +57,8 @@
       "{\"clockMs\":7,\"running\":[[\"" TASK "\",1,\"\",0]],\"ended\":["
       "[1,\"" TASK "\",1,\"done\",\"\"]]%s}",
       born);
-  const gp_executor_asked_t asked = { .executor = ID, .born_ms = asked_ms };
+  const gp_executor_list_request_t asked
+      = { .executor = ID, .born_ms = asked_ms };
   json_t *json = json_loads (body, 0, NULL);
   gp_executor_list_t list;
 
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -283,7 +283,7 @@
 static void
 print_list (const char *body, size_t size, uint64_t confirmed)
 {
-  const gp_executor_asked_t asked
+  const gp_executor_list_request_t asked
       = { .executor = "x1", .confirmed = confirmed };
   json_t *json = json_loadb (body, size, 0, NULL);
   gp_executor_list_t list;
