--- a/src/jobsd/guard_list.c
+++ b/src/jobsd/guard_list.c
@@ -45,9 +45,9 @@
   uint64_t stale = guard->agent.stale_ends;
   /* Nothing is absent from a list that could not be read whole: it is like
      one that was asked for before all runs.  */
-  gp_time_t asked_at = list->whole ? list->sent_at : INT64_MIN;
+  gp_time_t asked_at = list->complete ? list->sent_at : INT64_MIN;
 
-  if (list->whole)
+  if (list->complete)
     gp_agent_fence_listed (&guard->agent, fence);
   if (gp_agent_listed (&guard->agent, list->runs, list->run_count, list->ends,
                        list->end_count, list->clock_ms, asked_at,
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -113,7 +113,7 @@
   gp_store_page_t page;
 
   gp_store_page_init (&page);
-  if (gp_store_page_parse_read (&page, TOPIC, 0, bytes, size, NULL) && page.cut)
+  if (gp_store_page_parse_read (&page, TOPIC, 0, bytes, size, NULL) && page.truncated)
     gp_store_page_add_unreadable (&page, TOPIC, 0);
   touch_records (&page);
   gp_store_page_finish (&page);
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -65,7 +65,8 @@
   gp_executor_list_init (&list);
   CU_ASSERT (gp_executor_list_decode (&list, json, &asked));
   printf ("born %" G_GINT64_FORMAT ", %u runs, %u ends, %s", list.born_ms,
-          list.runs->len, list.ends->len, list.whole ? "whole" : "not whole");
+          list.runs->len, list.ends->len,
+          list.complete ? "whole" : "not whole");
   gp_executor_list_finish (&list);
   json_decref (json);
 }
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -292,7 +292,7 @@
   if (!gp_executor_list_decode (&list, json, &asked))
     printf ("no list");
   else
-    printf ("%s,", list.whole ? "whole" : "not whole");
+    printf ("%s,", list.complete ? "whole" : "not whole");
   for (guint i = 0; i < list.runs->len; i++)
     {
       const gp_agent_row_t *run
@@ -440,7 +440,7 @@
   else
     {
       printf ("end %" G_GUINT64_FORMAT "%s,", page.end,
-              page.cut ? ", cut" : "");
+              page.truncated ? ", cut" : "");
       print_records (&page);
       printf ("\n");
     }
