--- a/tests/unit/test_orders.c
+++ b/tests/unit/test_orders.c
@@ -1,5 +1,6 @@
-/* Tests of what an executor's answers to orders are taken for: each status
-   and body is given to a start, a stop, an identification and a list.  */
+/* Tests of the results that the client derives from an executor's answers:
+   each status and body is returned to a start, a stop, an identification and a
+   list request.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -112,7 +113,7 @@
 static void
 test_answers (void)
 {
-  /* Its clients live as long as the process, see gp_platform_runtime_t.  */
+  /* Static, as its clients are never freed, see gp_platform_runtime_t.  */
   static fixture_t fixture;
   gp_http_server_options_t options = { .address = "127.0.0.1:0",
                                        .max_body_size = BODY_MAX,
--- a/tests/unit/test_platform.c
+++ b/tests/unit/test_platform.c
@@ -1,5 +1,5 @@
-/* Tests of what the platform sends: settings, submissions, documents and
-   heartbeats, whole and broken.  */
+/* Tests of the decoders of the platform's input: settings, submissions,
+   documents and heartbeats, valid and malformed.  */
 
 #include <glib.h>
 #include <stdio.h>
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -1,6 +1,6 @@
-/* Tests of what comes from outside and is not in form: for each decoder a
-   table of cases, each of which changes one place of a body that is in form.
-   A line tells the case and what has come of it.  */
+/* Tests of the decoders with malformed external input.  Each decoder has a
+   table of cases, each of which changes one field of a valid body.  The
+   transcript has a line per case with the change and the result.  */
 
 #include <glib.h>
 #include <jansson.h>
@@ -17,11 +17,13 @@
 #include "platform/store_page.h"
 #include "runner.h"
 
-/* A text longer than any name, task, checkpoint or work that is taken.  */
+/* Length of a string that exceeds the limits of all names, tasks, checkpoints
+   and specifications; LONG in a table stands for such a string.  */
 #define LONG_SIZE 5000
 #define LONG "\"LONG\""
 
-/* PLACE, as in `steps.0.count', gets VALUE or, with NULL, goes.  */
+/* A change of a body: the field at PLACE, as in `steps.0.count', is set to
+   VALUE or, if that is NULL, removed.  */
 typedef struct
 {
   const char *place;
@@ -64,7 +66,7 @@
     json_object_set_new (json, key, value_of (text));
 }
 
-/* BASE with CHANGE made; to be freed.  */
+/* Apply CHANGE to BASE.  The caller frees the result.  */
 static char *
 changed (const char *base, const case_t *change)
 {
@@ -100,7 +102,7 @@
   g_error_free (error);
 }
 
-/* How many of the beginnings of BASE are TAKEN.  */
+/* Print how many of the proper prefixes of BASE are accepted.  */
 static void
 cut (const char *base, bool (*taken) (const char *body, size_t size))
 {
@@ -266,11 +268,11 @@
   print_kind (path, strlen (path) - 1);
 }
 
-/* Executors' lists.  */
+/* Lists of executors.  */
 
 #define TASK "\"5c0e7a21d94b36f8.0.1."
 
-/* The second rows are changed; the others are to stay.  */
+/* The cases change the second rows; the others must remain.  */
 static const char list_base[]
     = "{\"clockMs\":482113,\"running\":[[" TASK "1\",1,\"\",41,100],"
       "[" TASK "2\",2,\"c\",41,100],[" TASK "3\",1,\"\",41,100]],"
@@ -385,7 +387,7 @@
     }
 }
 
-/* Pages of the store.  */
+/* Answers of the store.  */
 
 #define READ_FROM 840
 
@@ -400,7 +402,8 @@
     }
 }
 
-/* A frame whose content is SIZE bytes at CONTENT; its length says SAID.  */
+/* Append a frame with the SIZE bytes at CONTENT, whose length field contains
+   SAID.  */
 static void
 put_frame (GByteArray *page, uint64_t said, const char *content, size_t size)
 {
@@ -447,8 +450,8 @@
   gp_store_page_finish (&page);
 }
 
-/* A page of two records with a frame between them, which is told by its
-   length and its content.  */
+/* Decode a page of two records with a frame between them that has the given
+   length field and content.  */
 static void
 read_page (const char *name, uint64_t end, uint64_t said, const char *content,
            size_t size)
@@ -711,7 +714,7 @@
       print_refused (error);
       return;
     }
-  /* As the queue's policy does before the check.  */
+  /* The queue sets these before a submission is checked.  */
   free (submission->queue);
   free (submission->service);
   submission->queue = strdup ("queue");
@@ -824,7 +827,8 @@
   printf (" %s\n", lines < 300 ? "fewer than 300" : "too many");
 }
 
-/* A reason that ends within a character is told all the same.  */
+/* An error body is created even if the reason is truncated within a UTF-8
+   character.  */
 static void
 test_reasons (void)
 {
