--- a/tests/unit/test_orders.c
+++ b/tests/unit/test_orders.c
@@ -80,9 +80,9 @@
 }
 
 static void
-ask (fixture_t *fixture, int status, const char *body)
+send_requests (fixture_t *fixture, int status, const char *body)
 {
-  static const ProtobufCBinaryData nothing = { 0, NULL };
+  static const ProtobufCBinaryData empty = { 0, NULL };
   gp_platform_runtime_t *runtime = fixture->runtime;
   const gp_runtime_order_t order
       = { .executor = "x1",
@@ -95,7 +95,7 @@
   fixture->body = body;
   fixture->answered = 0;
   printf ("%d %s\n  start:", status, body);
-  gp_platform_runtime_start (runtime, &order, &nothing, &nothing, 0, on_order,
+  gp_platform_runtime_start (runtime, &order, &empty, &empty, 0, on_order,
                              fixture);
   CU_ASSERT_TRUE (run_until_count (&fixture->loop, &fixture->answered, 1));
   printf ("\n  stop:");
@@ -128,20 +128,22 @@
   address
       = g_strdup_printf ("127.0.0.1:%d", gp_http_server_port (fixture.server));
   fixture.runtime = gp_platform_runtime_new (&fixture.loop, address, NULL);
-  ask (&fixture, 200,
-       "{\"clockMs\":7,\"running\":[[\"t.0.0.0\",1,\"\",0]],\"ended\":[]}");
-  ask (&fixture, 200, "{\"clockMs\":\"7\",\"running\":[],\"ended\":[]}");
-  ask (&fixture, 200, "{}");
-  ask (&fixture, 200, "[]");
-  ask (&fixture, 200, "{\"clockMs\":7,\"runn");
-  ask (&fixture, 200, "");
-  ask (&fixture, 409, "{\"clockMs\":7,\"reason\":\"old\"}");
-  ask (&fixture, 409, "{\"clockMs\":7,\"reason\":\"tired\"}");
-  ask (&fixture, 409, "{\"clockMs\":7,\"reason\":7}");
-  ask (&fixture, 409, "{\"clockMs\":7}");
-  ask (&fixture, 409, "{\"clockMs\":7,\"reas");
-  ask (&fixture, 421, "");
-  ask (&fixture, 503, "busy");
+  send_requests (
+      &fixture, 200,
+      "{\"clockMs\":7,\"running\":[[\"t.0.0.0\",1,\"\",0]],\"ended\":[]}");
+  send_requests (&fixture, 200,
+                 "{\"clockMs\":\"7\",\"running\":[],\"ended\":[]}");
+  send_requests (&fixture, 200, "{}");
+  send_requests (&fixture, 200, "[]");
+  send_requests (&fixture, 200, "{\"clockMs\":7,\"runn");
+  send_requests (&fixture, 200, "");
+  send_requests (&fixture, 409, "{\"clockMs\":7,\"reason\":\"old\"}");
+  send_requests (&fixture, 409, "{\"clockMs\":7,\"reason\":\"tired\"}");
+  send_requests (&fixture, 409, "{\"clockMs\":7,\"reason\":7}");
+  send_requests (&fixture, 409, "{\"clockMs\":7}");
+  send_requests (&fixture, 409, "{\"clockMs\":7,\"reas");
+  send_requests (&fixture, 421, "");
+  send_requests (&fixture, 503, "busy");
   gp_loop_finish (&fixture.loop);
 }
 
--- a/tests/unit/test_platform.c
+++ b/tests/unit/test_platform.c
@@ -112,17 +112,17 @@
 static void
 parse_document (gp_queues_t *queues, const char *text)
 {
-  gp_queues_t fresh;
+  gp_queues_t parsed;
   GError *error = NULL;
 
-  gp_queues_init (&fresh);
-  if (!gp_platform_document_parse (&fresh, (const uint8_t *)text,
+  gp_queues_init (&parsed);
+  if (!gp_platform_document_parse (&parsed, (const uint8_t *)text,
                                    strlen (text), &error))
     print_error (error);
   else
-    printf ("  version %d: %s\n", (int)fresh.version,
-            gp_queues_replace (queues, &fresh) ? "in force" : "older");
-  gp_queues_finish (&fresh);
+    printf ("  version %d: %s\n", (int)parsed.version,
+            gp_queues_replace (queues, &parsed) ? "in force" : "older");
+  gp_queues_finish (&parsed);
 }
 
 static void
@@ -160,21 +160,22 @@
 }
 
 static void
-parse_beat (const char *body)
+parse_heartbeat (const char *body)
 {
-  gp_heartbeat_t beat = { 0 };
+  gp_heartbeat_t heartbeat = { 0 };
   GError *error = NULL;
 
-  if (!gp_platform_heartbeat_parse (&beat, "x1", body, strlen (body), &error))
+  if (!gp_platform_heartbeat_parse (&heartbeat, "x1", body, strlen (body),
+                                    &error))
     {
       print_error (error);
       return;
     }
   printf ("  %s of %s: %u milli, %zu labels, draining %d, clock %d\n",
-          beat.executor->id, beat.executor->service, beat.executor->cpu_milli,
-          beat.executor->n_labels, beat.executor->draining,
-          (int)beat.clock_ms);
-  gp_heartbeat_finish (&beat);
+          heartbeat.executor->id, heartbeat.executor->service,
+          heartbeat.executor->cpu_milli, heartbeat.executor->n_labels,
+          heartbeat.executor->draining, (int)heartbeat.clock_ms);
+  gp_heartbeat_finish (&heartbeat);
 }
 
 static void
@@ -183,14 +184,14 @@
   char *id;
 
   printf ("heartbeats\n");
-  parse_beat ("{\"service\":\"s\",\"address\":\"a\",\"zone\":\"z\","
-              "\"version\":\"v1\",\"slots\":8,\"coldRemainingMs\":0,"
-              "\"state\":\"draining\",\"capacity\":{\"cpu\":16000,"
-              "\"memMb\":1024,\"gpu\":0},\"labels\":[\"a\",\"r1\"],"
-              "\"clockMs\":12,\"seq\":3}");
-  parse_beat ("{}");
-  parse_beat ("[]");
-  parse_beat ("{\"service\"");
+  parse_heartbeat ("{\"service\":\"s\",\"address\":\"a\",\"zone\":\"z\","
+                   "\"version\":\"v1\",\"slots\":8,\"coldRemainingMs\":0,"
+                   "\"state\":\"draining\",\"capacity\":{\"cpu\":16000,"
+                   "\"memMb\":1024,\"gpu\":0},\"labels\":[\"a\",\"r1\"],"
+                   "\"clockMs\":12,\"seq\":3}");
+  parse_heartbeat ("{}");
+  parse_heartbeat ("[]");
+  parse_heartbeat ("{\"service\"");
   CU_ASSERT_EQUAL (gp_platform_executor_request ("/other", 6, &id),
                    GP_EXECUTOR_REQUEST_UNKNOWN);
   CU_ASSERT_PTR_NULL (id);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -22,16 +22,16 @@
 #define LONG_SIZE 5000
 #define LONG "\"LONG\""
 
-/* A change of a body: the field at PLACE, as in `steps.0.count', is set to
+/* A change of a body: the field at PATH, as in `steps.0.count', is set to
    VALUE or, if that is NULL, removed.  */
 typedef struct
 {
-  const char *place;
+  const char *path;
   const char *value;
 } case_t;
 
 static json_t *
-value_of (const char *text)
+parse_value (const char *text)
 {
   g_autofree char *filled = NULL;
 
@@ -59,20 +59,20 @@
   if (json_is_array (json) && text == NULL)
     json_array_remove (json, index);
   else if (json_is_array (json))
-    json_array_set_new (json, index, value_of (text));
+    json_array_set_new (json, index, parse_value (text));
   else if (text == NULL)
     json_object_del (json, key);
   else
-    json_object_set_new (json, key, value_of (text));
+    json_object_set_new (json, key, parse_value (text));
 }
 
 /* Apply CHANGE to BASE.  The caller frees the result.  */
 static char *
-changed (const char *base, const case_t *change)
+apply_change (const char *base, const case_t *change)
 {
   json_t *body = json_loads (base, 0, NULL);
   json_t *at = body;
-  char **keys = g_strsplit (change->place, ".", -1);
+  char **keys = g_strsplit (change->path, ".", -1);
   size_t last = g_strv_length (keys) - 1;
   char *text;
 
@@ -89,14 +89,14 @@
 print_case (const case_t *change)
 {
   if (change->value == NULL)
-    printf ("  no %s: ", change->place);
+    printf ("  no %s: ", change->path);
   else
-    printf ("  %s = %s: ", change->place, change->value);
+    printf ("  %s = %s: ", change->path, change->value);
 }
 
 /* Prints ERROR, which is freed.  */
 static void
-print_refused (GError *error)
+print_error (GError *error)
 {
   printf ("refused, %s: %s\n", gp_json_error_kind (error), error->message);
   g_error_free (error);
@@ -104,13 +104,14 @@
 
 /* Print how many of the proper prefixes of BASE are accepted.  */
 static void
-cut (const char *base, bool (*taken) (const char *body, size_t size))
+count_accepted_prefixes (const char *base,
+                         bool (*accepts) (const char *body, size_t size))
 {
   size_t size = strlen (base);
   size_t count = 0;
 
   for (size_t i = 0; i < size; i++)
-    count += taken (base, i);
+    count += accepts (base, i);
   printf ("  taken of %zu cut bodies: %zu\n", size, count);
 }
 
@@ -125,34 +126,36 @@
 static void
 parse_heartbeat (const char *body, size_t size)
 {
-  gp_heartbeat_t beat = { 0 };
+  gp_heartbeat_t heartbeat = { 0 };
   GError *error = NULL;
 
-  if (!gp_platform_heartbeat_parse (&beat, "x1", body, size, &error))
+  if (!gp_platform_heartbeat_parse (&heartbeat, "x1", body, size, &error))
     {
-      CU_ASSERT_PTR_NULL (beat.executor);
-      print_refused (error);
+      CU_ASSERT_PTR_NULL (heartbeat.executor);
+      print_error (error);
       return;
     }
   printf ("taken, '%s' in '%s', %u milli, %u MB, %u accelerators, %zu labels, "
           "%s, %u ms left, clock %" G_GINT64_FORMAT
           ", sequence %" G_GUINT64_FORMAT "\n",
-          beat.executor->service, beat.executor->zone,
-          beat.executor->cpu_milli, beat.executor->memory_mb,
-          beat.executor->accelerators, beat.executor->n_labels,
-          beat.executor->draining ? "draining" : "ready",
-          beat.executor->remaining_ms, beat.clock_ms, beat.sequence);
-  gp_heartbeat_finish (&beat);
+          heartbeat.executor->service, heartbeat.executor->zone,
+          heartbeat.executor->cpu_milli, heartbeat.executor->memory_mb,
+          heartbeat.executor->accelerators, heartbeat.executor->n_labels,
+          heartbeat.executor->draining ? "draining" : "ready",
+          heartbeat.executor->remaining_ms, heartbeat.clock_ms,
+          heartbeat.sequence);
+  gp_heartbeat_finish (&heartbeat);
 }
 
 static bool
-takes_heartbeat (const char *body, size_t size)
+accepts_heartbeat (const char *body, size_t size)
 {
-  gp_heartbeat_t beat = { 0 };
-  bool taken = gp_platform_heartbeat_parse (&beat, "x1", body, size, NULL);
+  gp_heartbeat_t heartbeat = { 0 };
+  bool accepted
+      = gp_platform_heartbeat_parse (&heartbeat, "x1", body, size, NULL);
 
-  gp_heartbeat_finish (&beat);
-  return taken;
+  gp_heartbeat_finish (&heartbeat);
+  return accepted;
 }
 
 static void
@@ -216,7 +219,7 @@
   parse_heartbeat (heartbeat_base, strlen (heartbeat_base));
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      g_autofree char *body = changed (heartbeat_base, &cases[i]);
+      g_autofree char *body = apply_change (heartbeat_base, &cases[i]);
 
       print_case (&cases[i]);
       parse_heartbeat (body, strlen (body));
@@ -226,7 +229,7 @@
       printf ("  body %zu: ", i);
       parse_heartbeat (bodies[i], strlen (bodies[i]));
     }
-  cut (heartbeat_base, takes_heartbeat);
+  count_accepted_prefixes (heartbeat_base, accepts_heartbeat);
 }
 
 static void
@@ -285,13 +288,13 @@
 static void
 print_list (const char *body, size_t size, uint64_t confirmed)
 {
-  const gp_executor_list_request_t asked
+  const gp_executor_list_request_t request
       = { .executor = "x1", .confirmed = confirmed };
   json_t *json = json_loadb (body, size, 0, NULL);
   gp_executor_list_t list;
 
   gp_executor_list_init (&list);
-  if (!gp_executor_list_decode (&list, json, &asked))
+  if (!gp_executor_list_decode (&list, json, &request))
     printf ("no list");
   else
     printf ("%s,", list.complete ? "whole" : "not whole");
@@ -363,25 +366,26 @@
           { "clockMs", "-5" },
           { "clockMs", "9000000000000000000" } };
 
-  static const case_t late[] = { { "ended.2.0", "60000000" },
-                                 { "ended.2.0", "9000000000000000000" } };
+  static const case_t new_guard_cases[]
+      = { { "ended.2.0", "60000000" },
+          { "ended.2.0", "9000000000000000000" } };
 
   printf ("lists\n  in form: ");
   print_list (list_base, strlen (list_base), CONFIRMED);
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      g_autofree char *body = changed (list_base, &cases[i]);
+      g_autofree char *body = apply_change (list_base, &cases[i]);
 
       print_case (&cases[i]);
       print_list (body, strlen (body), CONFIRMED);
     }
   printf ("  cut: ");
   print_list (list_base, strlen (list_base) / 2, CONFIRMED);
-  for (size_t i = 0; i < G_N_ELEMENTS (late); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (new_guard_cases); i++)
     {
-      g_autofree char *body = changed (list_base, &late[i]);
+      g_autofree char *body = apply_change (list_base, &new_guard_cases[i]);
 
-      print_case (&late[i]);
+      print_case (&new_guard_cases[i]);
       printf ("to a new guard: ");
       print_list (body, strlen (body), 0);
     }
@@ -403,11 +407,11 @@
 }
 
 /* Append a frame with the SIZE bytes at CONTENT, whose length field contains
-   SAID.  */
+   LENGTH.  */
 static void
-put_frame (GByteArray *page, uint64_t said, const char *content, size_t size)
+put_frame (GByteArray *page, uint64_t length, const char *content, size_t size)
 {
-  put_number (page, said, 4);
+  put_number (page, length, 4);
   g_byte_array_append (page, (const uint8_t *)content, (guint)size);
 }
 
@@ -439,7 +443,7 @@
   gp_store_page_init (&page);
   if (!gp_store_page_parse_read (&page, "t", READ_FROM, bytes->data,
                                  bytes->len, &error))
-    print_refused (error);
+    print_error (error);
   else
     {
       printf ("end %" G_GUINT64_FORMAT "%s,", page.end,
@@ -453,8 +457,8 @@
 /* Decode a page of two records with a frame between them that has the given
    length field and content.  */
 static void
-read_page (const char *name, uint64_t end, uint64_t said, const char *content,
-           size_t size)
+read_page (const char *name, uint64_t end, uint64_t length,
+           const char *content, size_t size)
 {
   GByteArray *page = g_byte_array_new ();
 
@@ -464,7 +468,7 @@
              "\x01"
              "avv",
              4);
-  put_frame (page, said, content, size);
+  put_frame (page, length, content, size);
   put_frame (page, 4,
              "\x01"
              "cvv",
@@ -536,7 +540,7 @@
   gp_store_page_init (&page);
   if (!gp_store_page_parse_newest (&page, "t", (const uint8_t *)body, size,
                                    &error))
-    print_refused (error);
+    print_error (error);
   else
     {
       printf ("end %" G_GUINT64_FORMAT "%s,", page.end,
@@ -578,7 +582,7 @@
   print_newest (newest_base, strlen (newest_base));
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      g_autofree char *body = changed (newest_base, &cases[i]);
+      g_autofree char *body = apply_change (newest_base, &cases[i]);
 
       print_case (&cases[i]);
       print_newest (body, strlen (body));
@@ -613,7 +617,7 @@
         printf ("at %" G_GUINT64_FORMAT " to %" G_GUINT64_FORMAT "\n", offset,
                 end);
       else
-        print_refused (error);
+        print_error (error);
     }
 }
 
@@ -635,7 +639,7 @@
   gp_queues_init (&queues);
   if (!gp_platform_document_parse (&queues, (const uint8_t *)body, size,
                                    &error))
-    print_refused (error);
+    print_error (error);
   else
     printf ("version %" G_GUINT64_FORMAT ", %u queues\n", queues.version,
             queues.queues->len);
@@ -643,16 +647,16 @@
 }
 
 static bool
-takes_document (const char *body, size_t size)
+accepts_document (const char *body, size_t size)
 {
   gp_queues_t queues;
-  bool taken;
+  bool accepted;
 
   gp_queues_init (&queues);
-  taken = gp_platform_document_parse (&queues, (const uint8_t *)body, size,
-                                      NULL);
+  accepted = gp_platform_document_parse (&queues, (const uint8_t *)body, size,
+                                         NULL);
   gp_queues_finish (&queues);
-  return taken;
+  return accepted;
 }
 
 static void
@@ -688,12 +692,12 @@
   print_document (document_base, strlen (document_base));
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      g_autofree char *body = changed (document_base, &cases[i]);
+      g_autofree char *body = apply_change (document_base, &cases[i]);
 
       print_case (&cases[i]);
       print_document (body, strlen (body));
     }
-  cut (document_base, takes_document);
+  count_accepted_prefixes (document_base, accepts_document);
 }
 
 static const char submission_base[]
@@ -711,7 +715,7 @@
 
   if (submission == NULL)
     {
-      print_refused (error);
+      print_error (error);
       return;
     }
   /* The queue sets these before a submission is checked.  */
@@ -723,12 +727,12 @@
     printf ("taken, %zu steps, work of %zu\n", submission->n_steps,
             submission->spec.len);
   else
-    print_refused (error);
+    print_error (error);
   gp__jobs__submission__free_unpacked (submission, NULL);
 }
 
 static bool
-takes_submission (const char *body, size_t size)
+accepts_submission (const char *body, size_t size)
 {
   Gp__Jobs__Submission *submission
       = gp_platform_submission_parse (body, size, NULL);
@@ -784,24 +788,24 @@
   print_submission (submission_base, strlen (submission_base));
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      g_autofree char *body = changed (submission_base, &cases[i]);
+      g_autofree char *body = apply_change (submission_base, &cases[i]);
 
       print_case (&cases[i]);
       print_submission (body, strlen (body));
     }
-  cut (submission_base, takes_submission);
+  count_accepted_prefixes (submission_base, accepts_submission);
 }
 
 /* Log lines.  */
 
 static uint64_t
-refuse (const char *sender, gp_json_error_t kind)
+add_refusal (const char *sender, gp_json_error_t kind)
 {
   GError *error = g_error_new_literal (GP_JSON_ERROR, (gint)kind, "why");
-  uint64_t due = gp_refusals_add (GP_REFUSED_HEARTBEAT, sender, error);
+  uint64_t count_due = gp_refusals_add (GP_REFUSED_HEARTBEAT, sender, error);
 
   g_error_free (error);
-  return due;
+  return count_due;
 }
 
 static void
@@ -812,17 +816,17 @@
   printf ("lines of one sender's 1,000 refusals:");
   for (int i = 0; i < 1000; i++)
     {
-      uint64_t due = refuse ("one", GP_JSON_ERROR_WORD);
+      uint64_t count_due = add_refusal ("one", GP_JSON_ERROR_WORD);
 
-      if (due > 0)
-        printf (" %" G_GUINT64_FORMAT, due);
+      if (count_due > 0)
+        printf (" %" G_GUINT64_FORMAT, count_due);
     }
   printf ("\nlines of one refusal each of 100,000 senders:");
   for (int i = 0; i < 100000; i++)
     {
       g_autofree char *sender = g_strdup_printf ("sender %d", i);
 
-      lines += refuse (sender, GP_JSON_ERROR_MISSING) > 0;
+      lines += add_refusal (sender, GP_JSON_ERROR_MISSING) > 0;
     }
   printf (" %s\n", lines < 300 ? "fewer than 300" : "too many");
 }
