--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -179,8 +179,8 @@
       break;
     case GP_AGENT_CALL_PACE:
       gp_counter_add (&paces_count, 1);
-      gp_platform_runtime_pace (guard->runtime, &what, call->percent,
-                                on_order_answered, order);
+      gp_platform_runtime_limit_speed (guard->runtime, &what, call->percent,
+                                       on_order_answered, order);
       break;
     case GP_AGENT_CALL_NONE:
       break;
@@ -227,21 +227,21 @@
   char *id;
   int status = 404;
 
-  switch (gp_platform_beat_kind (path.base, path.size, &id))
+  switch (gp_platform_executor_request (path.base, path.size, &id))
     {
-    case GP_BEAT_HEARTBEAT:
+    case GP_EXECUTOR_REQUEST_HEARTBEAT:
       status
           = gp_guard_heartbeat (guard, id, gp_http_exchange_body (exchange));
       break;
-    case GP_BEAT_GOODBYE:
+    case GP_EXECUTOR_REQUEST_DEREGISTER:
       gp_guard_deregister (guard, id, gp_http_exchange_body (exchange));
       status = 200;
       break;
-    case GP_BEAT_UNNAMED:
+    case GP_EXECUTOR_REQUEST_INVALID_ID:
       gp_guard_reject_invalid_id ();
       status = 400;
       break;
-    case GP_BEAT_OTHER:
+    case GP_EXECUTOR_REQUEST_UNKNOWN:
       break;
     }
   g_free (id);
--- a/src/jobsd/guard_deregistration.c
+++ b/src/jobsd/guard_deregistration.c
@@ -127,7 +127,7 @@
                      gp_http_text_t body)
 {
   gp_deregistration_t *deregistration = &guard->deregistration;
-  int64_t born_ms = gp_platform_goodbye_born (body.base, body.size);
+  int64_t born_ms = gp_platform_deregistration_born (body.base, body.size);
   bool known = gp_guard_executor_is (guard, id)
                && (born_ms == 0 || born_ms == guard->agent.executor->born_ms);
 
--- a/src/jobsd/jobs_api.c
+++ b/src/jobsd/jobs_api.c
@@ -244,7 +244,7 @@
       return;
     case GP_PLATFORM_STORE_REFUSED:
     case GP_PLATFORM_STORE_CONFLICT:
-    case GP_PLATFORM_STORE_FORGOTTEN:
+    case GP_PLATFORM_STORE_EXPIRED:
       if (!change->outcome_unknown && change->may_retry
           && ++change->refusals >= REFUSALS_MAX)
         give_up (change, result->reason);
@@ -315,7 +315,7 @@
   }
   if (batch->len > 0)
     api->call = gp_platform_store_append (api->store, GP_TOPIC_JOBS, batch,
-                                          GP_PLATFORM_STORE_ANYWHERE,
+                                          GP_PLATFORM_STORE_UNCONDITIONAL,
                                           now + timeout, on_appended, api);
   g_byte_array_unref (batch);
 }
@@ -414,7 +414,7 @@
 refuse_malformed (gp_http_exchange_t *exchange, const gp_queue_t *queue,
                   const char *id, const GError *error)
 {
-  uint64_t refusals = gp_refusal_note (GP_REFUSED_JOB, queue->name, error);
+  uint64_t refusals = gp_refusals_add (GP_REFUSED_JOB, queue->name, error);
 
   if (refusals > 0)
     gp_log (GP_LOG_WARNING, "job.malformed", GP_LOG_S ("job", id),
--- a/src/jobsd/store_route.c
+++ b/src/jobsd/store_route.c
@@ -32,7 +32,7 @@
   route->failures = 0;
   route->relayed = peer != NULL;
   gp_counter_set (&relayed_gauge, route->relayed);
-  gp_platform_store_set_way (route->store, peer);
+  gp_platform_store_set_relay (route->store, peer);
   if (route->relayed)
     gp_timer_arm (&route->probe, gp_loop_now (route->loop) + PROBE_INTERVAL);
 }
@@ -74,7 +74,7 @@
   if (!route->relayed)
     return;
   if (answer->result == GP_PLATFORM_STORE_DONE
-      || answer->result == GP_PLATFORM_STORE_FORGOTTEN)
+      || answer->result == GP_PLATFORM_STORE_EXPIRED)
     set_route (route, NULL);
   else
     gp_timer_arm (&route->probe, gp_loop_now (route->loop) + PROBE_INTERVAL);
@@ -102,7 +102,7 @@
   gp_counter_register (&relayed_gauge);
   gp_counter_register (&peers_gauge);
   gp_timer_init (&route->probe, loop, on_probe_due, route);
-  gp_platform_store_on_result (store, on_result, route);
+  gp_platform_store_set_on_result (store, on_result, route);
 }
 
 void
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -57,14 +57,16 @@
       "{\"clockMs\":7,\"running\":[[\"" TASK "\",1,\"\",0]],\"ended\":["
       "[1,\"" TASK "\",1,\"done\",\"\"]]%s}",
       born);
-  const gp_executor_asked_t asked = { .executor = ID, .born_ms = asked_ms };
+  const gp_executor_list_request_t asked
+      = { .executor = ID, .born_ms = asked_ms };
   json_t *json = json_loads (body, 0, NULL);
   gp_executor_list_t list;
 
   gp_executor_list_init (&list);
   CU_ASSERT (gp_executor_list_decode (&list, json, &asked));
   printf ("born %" G_GINT64_FORMAT ", %u runs, %u ends, %s", list.born_ms,
-          list.runs->len, list.ends->len, list.whole ? "whole" : "not whole");
+          list.runs->len, list.ends->len,
+          list.complete ? "whole" : "not whole");
   gp_executor_list_finish (&list);
   json_decref (json);
 }
@@ -84,7 +86,7 @@
       printf ("\n    list of one that has told: ");
       print_list (borns[i], 1);
       printf ("\n    goodbye: %" G_GINT64_FORMAT "\n",
-              gp_platform_goodbye_born (goodbye, strlen (goodbye)));
+              gp_platform_deregistration_born (goodbye, strlen (goodbye)));
     }
 }
 
--- a/tests/unit/test_orders.c
+++ b/tests/unit/test_orders.c
@@ -1,5 +1,6 @@
-/* Tests of what an executor's answers to orders are taken for: each status
-   and body is given to a start, a stop, an identification and a list.  */
+/* Tests of the results that the client derives from an executor's answers:
+   each status and body is returned to a start, a stop, an identification and a
+   list request.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -79,9 +80,9 @@
 }
 
 static void
-ask (fixture_t *fixture, int status, const char *body)
+send_requests (fixture_t *fixture, int status, const char *body)
 {
-  static const ProtobufCBinaryData nothing = { 0, NULL };
+  static const ProtobufCBinaryData empty = { 0, NULL };
   gp_platform_runtime_t *runtime = fixture->runtime;
   const gp_runtime_order_t order
       = { .executor = "x1",
@@ -94,7 +95,7 @@
   fixture->body = body;
   fixture->answered = 0;
   printf ("%d %s\n  start:", status, body);
-  gp_platform_runtime_start (runtime, &order, &nothing, &nothing, 0, on_order,
+  gp_platform_runtime_start (runtime, &order, &empty, &empty, 0, on_order,
                              fixture);
   CU_ASSERT_TRUE (run_until_count (&fixture->loop, &fixture->answered, 1));
   printf ("\n  stop:");
@@ -112,7 +113,7 @@
 static void
 test_answers (void)
 {
-  /* Its clients live as long as the process, see gp_platform_runtime_t.  */
+  /* Static, as its clients are never freed, see gp_platform_runtime_t.  */
   static fixture_t fixture;
   gp_http_server_options_t options = { .address = "127.0.0.1:0",
                                        .max_body_size = BODY_MAX,
@@ -127,20 +128,22 @@
   address
       = g_strdup_printf ("127.0.0.1:%d", gp_http_server_port (fixture.server));
   fixture.runtime = gp_platform_runtime_new (&fixture.loop, address, NULL);
-  ask (&fixture, 200,
-       "{\"clockMs\":7,\"running\":[[\"t.0.0.0\",1,\"\",0]],\"ended\":[]}");
-  ask (&fixture, 200, "{\"clockMs\":\"7\",\"running\":[],\"ended\":[]}");
-  ask (&fixture, 200, "{}");
-  ask (&fixture, 200, "[]");
-  ask (&fixture, 200, "{\"clockMs\":7,\"runn");
-  ask (&fixture, 200, "");
-  ask (&fixture, 409, "{\"clockMs\":7,\"reason\":\"old\"}");
-  ask (&fixture, 409, "{\"clockMs\":7,\"reason\":\"tired\"}");
-  ask (&fixture, 409, "{\"clockMs\":7,\"reason\":7}");
-  ask (&fixture, 409, "{\"clockMs\":7}");
-  ask (&fixture, 409, "{\"clockMs\":7,\"reas");
-  ask (&fixture, 421, "");
-  ask (&fixture, 503, "busy");
+  send_requests (
+      &fixture, 200,
+      "{\"clockMs\":7,\"running\":[[\"t.0.0.0\",1,\"\",0]],\"ended\":[]}");
+  send_requests (&fixture, 200,
+                 "{\"clockMs\":\"7\",\"running\":[],\"ended\":[]}");
+  send_requests (&fixture, 200, "{}");
+  send_requests (&fixture, 200, "[]");
+  send_requests (&fixture, 200, "{\"clockMs\":7,\"runn");
+  send_requests (&fixture, 200, "");
+  send_requests (&fixture, 409, "{\"clockMs\":7,\"reason\":\"old\"}");
+  send_requests (&fixture, 409, "{\"clockMs\":7,\"reason\":\"tired\"}");
+  send_requests (&fixture, 409, "{\"clockMs\":7,\"reason\":7}");
+  send_requests (&fixture, 409, "{\"clockMs\":7}");
+  send_requests (&fixture, 409, "{\"clockMs\":7,\"reas");
+  send_requests (&fixture, 421, "");
+  send_requests (&fixture, 503, "busy");
   gp_loop_finish (&fixture.loop);
 }
 
