--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -1,4 +1,5 @@
-/* Decisions of the guard: what to tell the executor of its VM.  */
+/* Guard: the executor, its lease and fence, and the runs that the leader
+   wants.  */
 
 #include "jobs/agent_private.h"
 
@@ -8,18 +9,22 @@
 #include "base/log.h"
 #include "jobs/grants.h"
 
-/* Between tries of a call without an answer or with a passing refusal.  */
+/* Delay before a call is retried that had no answer or a temporary
+   refusal.  */
 #define RETRY_TIME (100 * GP_MSEC)
-/* Without an answer of the executor for so long, leases are not moved on:
-   the longest wait of a list and its timeout.  */
+/* Leases are not extended after this time without an answer of the executor:
+   the longest wait of a list request plus its timeout.  */
 #define SILENCE_TIME (1500 * GP_MSEC)
-/* Orders that are under way when an executor says that it leaves still come in
-   this time; a leader that takes over later may want what was never begun.  */
+/* Orders under way when an executor announces that it leaves still arrive
+   within this time; a leader that takes over later may order starts again that
+   were never made.  */
 #define DRAIN_START_TIME (GP_SEC)
-/* Milliseconds by which no answer falls behind another one.  */
+/* Answers that overtake each other differ by less than this, in
+   milliseconds.  */
 #define CLOCK_BEHIND_MS 5000
-/* A time of day that has stepped back by seconds is made up for in a few
-   tries; a month is more than any step.  */
+/* Steps of the fence, in milliseconds: a time of day that stepped back by
+   seconds is made up for in a few tries.  The last step, a month, exceeds any
+   step of the clock.  */
 #define FENCE_LEAP_MS 1000
 #define FENCE_LEAP_MAX_MS (INT64_C (1) << 31)
 
@@ -31,7 +36,7 @@
          + GP_AGENT_LEASE_MARGIN;
 }
 
-/* Messages that the agent keeps are made with malloc, as protobuf-c does
+/* Messages that the agent keeps are allocated with malloc, as protobuf-c does
    when it unpacks without an allocator.  */
 
 static void
@@ -126,8 +131,7 @@
   g_array_unref (agent->gone);
 }
 
-/* Say once that the executor's clock is lower than it was: answers overtake
-   each other by less.  */
+/* Logs, once per incarnation, that the executor's clock has gone back.  */
 static void
 note_clock_behind (gp_agent_t *agent, int64_t clock_ms)
 {
@@ -168,9 +172,9 @@
   agent->fence++;
 }
 
-/* A call that was overtaken by one with a new fence tells nothing of that:
-   each leap that is made for nothing puts the fence ahead of the time of day,
-   at which the next process begins.  */
+/* FENCE is lower than the agent's if the call was overtaken by one with a new
+   fence; then nothing is to be done.  An unnecessary step would put the fence
+   ahead of the time of day, with which the next process begins.  */
 void
 gp_agent_fenced (gp_agent_t *agent, int64_t fence)
 {
@@ -202,10 +206,10 @@
          || now->accelerators < before->accelerators;
 }
 
-/* The leader gave the runs that have not begun for the room that there was:
-   one that is tried again for seconds would begin where there is none, on an
-   executor that does not refuse it.  It gets them back and places them anew.
- */
+/* The leader placed the runs that have not begun on the resources that the
+   executor had.  If they were retried for seconds, they would begin where
+   these are missing, as the executor does not refuse them.  So they are
+   returned to the leader to be placed anew.  */
 static void
 give_back (gp_agent_t *agent)
 {
@@ -222,7 +226,8 @@
     }
 }
 
-/* Say what is begun anew where EXECUTOR is the next life of the one before. */
+/* Logs what is lost if EXECUTOR is the next incarnation of the current
+   executor.  */
 static void
 note_restart (const gp_agent_t *agent, const Gp__Jobs__Executor *executor)
 {
@@ -240,8 +245,9 @@
           GP_LOG_I ("clock_ms", agent->clock_ms));
 }
 
-/* Until when starts are made at EXECUTOR, of which a heartbeat has come.  One
-   that is met while it leaves may have said so long ago.  */
+/* Returns until when starts are made at EXECUTOR, which has just sent a
+   heartbeat.  An executor that is already leaving when it is found may have
+   announced that long ago.  */
 static gp_time_t
 starts_until (const gp_agent_t *agent, const Gp__Jobs__Executor *executor,
               gp_time_t now)
@@ -295,11 +301,12 @@
           GP_LOG_I ("runs", g_hash_table_size (agent->runs)));
 }
 
-/* Note when the lease has run out; before anything moves it on.  */
+/* Records the expiry of the lease.  To be called before the lease is
+   extended.  */
 static void
 check_lapse (gp_agent_t *agent, gp_time_t now)
 {
-  /* A process before this one may have moved the lease until it ended.  */
+  /* An earlier guard process may have extended the lease until it ended.  */
   gp_time_t lease = MAX (agent->lease, agent->known_since);
 
   if (agent->executor == NULL || agent->lapsed || agent->ended
@@ -349,7 +356,7 @@
       GP_LOG_I ("runs", g_hash_table_size (agent->runs)));
 }
 
-/* What the leader wants.  */
+/* The runs that the leader wants.  */
 
 gp_agent_run_t *
 gp_agent_find_run (const gp_agent_t *agent, const char *name, uint32_t number)
@@ -377,7 +384,6 @@
   return run;
 }
 
-/* Has the executor already told the end of this run?  */
 bool
 gp_agent_has_ended (const gp_agent_t *agent, const char *name, uint32_t number)
 {
@@ -391,7 +397,7 @@
   return false;
 }
 
-/* Take START over from *PLACE.  */
+/* Takes ownership of *PLACE, if it is kept.  */
 static void
 want_start (gp_agent_t *agent, Gp__Jobs__Start **place)
 {
@@ -429,8 +435,8 @@
     }
 }
 
-/* A run that was taken out of an array leaves a hole, which protobuf-c does
-   not free: close it.  */
+/* Removes the NULL entries of an array from which starts were taken over:
+   protobuf-c does not accept them when it frees the message.  */
 static void
 close_holes (Gp__Jobs__Start **starts, size_t *count)
 {
@@ -452,8 +458,8 @@
   return false;
 }
 
-/* Stop what the leader does not want; what was absent and is not wanted is
-   on record.  */
+/* Stops the runs that the leader does not want.  An absent run that it does
+   not want has been recorded and is dropped.  */
 static void
 stop_unwanted (gp_agent_t *agent, const Gp__Jobs__Sync *sync)
 {
@@ -486,8 +492,8 @@
     }
 }
 
-/* Does the leader mean the life that is here?  One of the version before names
-   none.  */
+/* Does the leader mean the current incarnation?  A leader of the previous
+   version sends no birth time.  */
 static bool
 is_meant (const gp_agent_t *agent, const char *id, int64_t born_ms)
 {
@@ -535,8 +541,8 @@
 static void
 forget_ends (gp_agent_t *agent, uint64_t seen)
 {
-  /* No more than this life has listed: a leader of the version before may mean
-     another one.  */
+  /* At most up to what this incarnation has listed: a leader of the previous
+     version may mean another one.  */
   agent->seen_ends = MAX (agent->seen_ends, MIN (seen, agent->listed_ends));
   while (agent->ends->len > 0)
     {
@@ -566,8 +572,8 @@
 
 /* The lease.  */
 
-/* The lease point on the executor's clock, taken low: its clock may run
-   slow since it was read.  */
+/* The result is a lower bound: the executor's clock may have run slow since it
+   was read.  */
 int64_t
 gp_agent_lease_on_clock (const gp_agent_t *agent)
 {
--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -1,38 +1,41 @@
-/* Decisions of the guard: what to tell the executor of its VM.
+/* Guard: decides which calls to make to the executor of its VM.
 
-   The leading entry says which runs belong here (a sync, then orders).  The
-   worker brings the executor there with calls that may stay unanswered and
-   be carried out late, and tells the leader the ends that the executor lists
-   and the runs that are absent.
+   The leading entry says which runs belong on this executor (first a sync,
+   then orders).  The agent brings the executor to that state with calls that
+   may stay unanswered and be carried out late, and reports to the leader the
+   ends that the executor lists and the runs that are absent.
 
    Invariants:
-   - A run counts as absent only after a stop of it was confirmed, or its
-     only start was refused, and a list asked for after that does not show
-     it: the executor refuses a start of it from then on.
+   - A run counts as absent only after a stop of it was confirmed, or its only
+     start was refused, and a list requested after that does not show it: from
+     then on the executor refuses to start it.
    - The lease that calls carry ends LEASE_TIME after the sending of the last
-     report that the leader has acknowledged, on a clock that may run slow by
-     GP_AGENT_CLOCK_SLOW_PERMILLE; it is not moved on while the executor
-     does not answer, so that its end becomes certain.
-   - An acknowledgement counts for the executor that its report named: one that
-     is met later is not under a lease that the leader does not know of.  A
-     guard that has just begun takes none of a leader whose lead may be over,
-     see jobs/grants.h.
-   - Once the lease has certainly run out, nothing is started until a sync
-     that takes a report of that into account: the leader may have given the
-     runs to others.
+     report that the leader acknowledged, on a clock that may run slow by
+     GP_AGENT_CLOCK_SLOW_PERMILLE.  It is not extended while the executor does
+     not answer, so that its end becomes certain.
+   - An acknowledgement counts only for the executor that its report named: an
+     executor found later is not under a lease that the leader does not know
+     of.  A guard that has just started accepts no acknowledgement from a
+     leader whose leadership may be over, see jobs/grants.h.
+   - Once the lease has certainly expired, nothing is started until a sync
+     arrives that takes a report of the expiry into account: the leader may
+     have assigned the runs elsewhere.
    - Nothing is started while the gate is closed, see jobs/start_gate.h, nor
-     longer than DRAIN_START_TIME after the executor has said that it leaves.
-     What has not begun then, or in a zone that is evacuated, is given back.
-   - The fence only rises: with each life of the executor that is met, each
-     connection that ends, each word of the leader, and where a start that was
-     not answered has to be made void, see jobs/agent_alone.c.  It begins at
-     the time of day, so that it is above those of processes before this one;
-     where that has stepped back it leaps until the executor takes it.
-   - Ends, clock and lease are those of one life.  A list that another life
-     may answer, as a connection has ended, confirms nothing and extends
-     nothing, and no order is sent before it is answered.  It carries a new
-     fence.  So what was ordered of the life before is either shown by the list
-     with which the next one is met, or never carried out.
+     later than DRAIN_START_TIME after the executor announced that it leaves.
+     Runs that have not begun by then, or in an evacuated zone, are returned to
+     the leader.
+   - The fence only rises: with each incarnation of the executor that is found,
+     each connection that ends, where the leader asks for it, and where an
+     unanswered start must be invalidated, see jobs/agent_alone.c.  Its first
+     value is the time of day, which puts it above the fences of earlier guard
+     processes.  If the time of day has stepped back, the fence is raised in
+     growing steps until the executor accepts it.
+   - Ends, clock and lease belong to one incarnation.  After a connection has
+     ended, another incarnation may answer the next list; such a list confirms
+     no ends and extends no lease, and no order is sent before it is answered.
+     It carries a new fence.  So an order to the previous incarnation either
+     shows in the list with which the next one is found, or is never carried
+     out.
 
    Pure: events and NOW in, calls and reports out.  */
 
@@ -44,38 +47,40 @@
 #include "jobs/spec_store.h"
 #include "jobs/start_gate.h"
 
-/* Duration of an executor's lease.  Long enough to outlive a guard that is
-   killed or frozen for 4 s; short enough that work on a VM that is gone for
-   good is back within 6 s.  */
+/* Duration of an executor's lease.  It outlives a guard that is killed or
+   frozen for 4 s; work of a VM that is lost for good is placed anew within 6
+   s.  */
 #define GP_AGENT_LEASE_TIME (5 * GP_SEC)
-/* How slow an executor's clock may run, in thousandths.  */
+/* Assumed upper bound on how slow an executor's clock may run, in
+   thousandths.  */
 #define GP_AGENT_CLOCK_SLOW_PERMILLE 20
-/* Added to the end of a lease before it counts as certain.  */
+/* Safety margin added to the end of a lease before it counts as expired.  */
 #define GP_AGENT_LEASE_MARGIN (150 * GP_MSEC)
 
-/* The latest point at which a lease given for a report sent at SENT_AT ends
-   on an executor.  */
+/* Returns the latest time at which a lease granted for a report sent at
+   SENT_AT ends on an executor.  */
 gp_time_t gp_agent_lease_end (gp_time_t sent_at);
 
 typedef enum
 {
-  GP_RUN_STARTING, /* to be started */
-  GP_RUN_PRESENT,  /* it was started */
-  GP_RUN_STOPPING, /* to be stopped */
-  GP_RUN_STOPPED,  /* the stop was taken: an end or its absence will show */
+  GP_RUN_STARTING, /* not started yet */
+  GP_RUN_PRESENT,  /* started */
+  GP_RUN_STOPPING, /* a stop has to be confirmed */
+  GP_RUN_STOPPED,  /* the stop was confirmed; a list will show its end or its
+                      absence */
   GP_RUN_ABSENT    /* it never ran here and never will */
 } gp_run_phase_t;
 
-/* Why a start waits, see jobs/agent_alone.c.  */
+/* Why the start of a run is held back, see jobs/agent_alone.c.  */
 typedef enum
 {
   GP_HOLD_NOT,
-  GP_HOLD_BESIDE, /* for a run that is to be alone, to settle */
-  /* It is to be alone, and ...  */
-  GP_HOLD_TURN,  /* ... so is another one */
-  GP_HOLD_LIST,  /* ... nothing is known of what has begun before */
-  GP_HOLD_BEGUN, /* ... others have only just begun */
-  GP_HOLD_DOUBT  /* ... a start that was not answered may begin yet */
+  GP_HOLD_BESIDE, /* an isolated run of another job has not settled */
+  /* The run is isolated and ...  */
+  GP_HOLD_TURN,  /* ... another isolated run goes first */
+  GP_HOLD_LIST,  /* ... no list has shown yet which runs have begun */
+  GP_HOLD_BEGUN, /* ... runs of other jobs have only just begun */
+  GP_HOLD_DOUBT  /* ... an unanswered start may still be carried out */
 } gp_agent_hold_t;
 
 typedef struct
@@ -83,44 +88,53 @@
   char name[GP_TASK_NAME_SIZE];
   uint32_t run;
   gp_run_phase_t phase;
-  Gp__Jobs__Start *start; /* owned; NULL for a run that is only stopped */
+  Gp__Jobs__Start *start; /* owned; NULL for a run that is only to be
+                             stopped */
   bool in_flight;
-  bool doubtful;          /* a start went unanswered, and may be carried out
-                             yet */
-  bool listed;            /* seen on the executor's list */
-  gp_time_t listed_since; /* first, 0: never ... */
-  gp_time_t listed_at;    /* ... and last */
-  unsigned unlisted;      /* lists that did not show it, one after the other */
-  bool settled_told;      /* the leader was told that it has settled */
-  gp_time_t sent_at;      /* its first start that may have been carried out,
-                             or be yet; 0: none */
-  gp_time_t tried_at;     /* its first start, 0: never */
-  int64_t start_fence;    /* of its last start */
-  gp_time_t held_since;   /* its start waits for those of others, 0: it does
-                             not ... */
-  gp_agent_hold_t hold;   /* ... for this, at first */
-  gp_time_t retry_at;     /* no call before */
-  gp_time_t confirmed_at; /* when the phase was entered by an answer */
-  gp_time_t began_at;     /* when it was first known to have begun, 0: it is
+  bool doubtful;          /* a start went unanswered and may still be carried
+                             out */
+  bool listed;            /* it is on the executor's last list */
+  gp_time_t listed_since; /* time of the first list that showed it, 0: none */
+  gp_time_t listed_at;    /* time of the last list that showed it */
+  unsigned unlisted;      /* number of consecutive lists that did not show
+                             it */
+  bool settled_told;      /* the leader was told that the run has settled */
+  gp_time_t sent_at;      /* when the first start was sent that was or may
+                             still be carried out; 0: none */
+  gp_time_t tried_at;     /* when its first start was sent, 0: never */
+  int64_t start_fence;    /* fence of its last start */
+  gp_time_t held_since;   /* since when its start is held back, 0: it is
                              not */
-  int64_t measure;        /* as last listed, see gp_agent_row_t */
-  gp_headroom_t headroom; /* of a serving run, without filling work */
-  double taught_headroom; /* the same as the leader had it ... */
-  double taught_slope;    /* ... with its rise in a second ... */
-  gp_time_t taught_at;    /* ... then, 0: never */
-  double missed;          /* headroom that it lacks of what is foreseen */
-  double over;            /* seconds for which it was over its target then */
-  gp_time_t over_since;   /* the time since when, or GP_TIME_NEVER */
-  double busy;            /* share of the last half second for which a filling
-                             run was busy; NAN: not seen yet */
+  gp_agent_hold_t hold;   /* the first reason for which it is held back */
+  gp_time_t retry_at;     /* no call before this time */
+  gp_time_t confirmed_at; /* when an answer or a list last confirmed a change
+                             of phase */
+  gp_time_t began_at;     /* when it was first known to have begun, 0: not
+                             known to */
+  int64_t measure;        /* from the last list, see gp_agent_row_t */
+  gp_headroom_t headroom; /* of a serving run, excluding the effect of filling
+                             runs */
+  double taught_headroom; /* the same, as the leader sent it */
+  double taught_slope;    /* its change per second, as the leader sent it */
+  gp_time_t taught_at;    /* when the leader sent them, 0: never */
+  double missed;          /* by how much the measured headroom fell short of
+                             the expected one */
+  double over;            /* for how many seconds it was over its latency
+                             target at the last measurement */
+  gp_time_t over_since;   /* since when it is over the target, or
+                             GP_TIME_NEVER */
+  double busy;            /* share of the last half second in which a filling
+                             run was busy; NAN: not measured yet */
   double work;            /* busy work that it did in that time */
-  gp_time_t at_work_at;   /* it was first seen at work, 0: never */
-  uint32_t pace;          /* percent of full speed, as last confirmed ... */
-  gp_time_t paced_at;     /* ... then, 0: never */
-  uint32_t pace_before;   /* until then */
-  gp_time_t pace_again;   /* repeat it then: a call without an answer may
-                             still set an older one; GP_TIME_NEVER */
-  gp_time_t pace_sure_at; /* no such call is left by then */
+  gp_time_t at_work_at;   /* when it was first measured at work, 0: never */
+  uint32_t pace;          /* percent of full speed, as last confirmed */
+  gp_time_t paced_at;     /* when PACE was confirmed, 0: never */
+  uint32_t pace_before;   /* the pace before that */
+  gp_time_t pace_again;   /* when to repeat the pace, as an unanswered call may
+                             still set an older one; GP_TIME_NEVER: not
+                             needed */
+  gp_time_t pace_sure_at; /* from then on no unanswered pace call can take
+                             effect */
 } gp_agent_run_t;
 
 typedef enum
@@ -135,217 +149,245 @@
 {
   gp_agent_call_kind_t kind;
   gp_agent_run_t *run; /* valid during the call only */
-  const GBytes *spec;  /* the same, for a start */
-  int64_t lease_ms;    /* on the executor's clock, for a start */
+  const GBytes *spec;  /* for a start, valid during the call only */
+  int64_t lease_ms;    /* for a start: end of the lease on the executor's
+                          clock */
   uint32_t percent;    /* for a pace */
 } gp_agent_call_t;
 
-/* What an order came to.  */
+/* Outcome of a call.  */
 typedef enum
 {
   GP_AGENT_TAKEN,
-  GP_AGENT_FENCED,   /* a higher fence was seen there */
-  GP_AGENT_TOO_OLD,  /* this run or a later one was stopped or ended there */
-  GP_AGENT_TOO_LATE, /* the lease of the order had run out */
+  GP_AGENT_FENCED,   /* the executor has seen a higher fence */
+  GP_AGENT_TOO_OLD,  /* the executor has stopped or ended this run or a later
+                        one of the task */
+  GP_AGENT_TOO_LATE, /* the lease that the order carried had expired */
   GP_AGENT_NO_ROOM,
-  GP_AGENT_REFUSED,    /* nothing was done: unhealthy, or a bad order */
+  GP_AGENT_REFUSED,    /* nothing was done: the executor is unhealthy or the
+                          order is invalid */
   GP_AGENT_REPLACED,   /* another executor answered */
   GP_AGENT_UNANSWERED, /* it may be carried out now or later */
-  GP_AGENT_CUT,        /* the same: the other side ended the connection */
-  GP_AGENT_NOBODY      /* nobody listens at the executor's address */
+  GP_AGENT_CUT,        /* the same, and the other side closed the
+                          connection */
+  GP_AGENT_NOBODY      /* the connection to the executor's address was
+                          refused */
 } gp_agent_result_t;
 
-/* A filling run that has ended, of which the measures still tell.  */
+/* A filling run that has ended and still contributes to the current
+   measurement window.  */
 typedef struct
 {
   char *image; /* owned */
-  double work; /* busy work, as last measured */
+  double work; /* busy work when it was last measured */
   gp_time_t ended_at;
 } gp_agent_gone_t;
 
-/* A row of the executor's list.  */
+/* One run on the executor's list.  */
 typedef struct
 {
   const char *task;
   uint32_t run;
-  int64_t measure; /* tail latency in milliseconds of a run that serves, else
-                      thousandths of a core in use; over half a second */
+  int64_t measure; /* of a serving run the tail latency in milliseconds, of
+                      other runs the CPU in use in thousandths of a core; over
+                      the last half second */
 } gp_agent_row_t;
 
 typedef struct
 {
-  Gp__Jobs__Executor *executor;       /* owned, NULL: none known */
-  Gp__Jobs__Predecessor *predecessor; /* owned: the last executor before it
-                                         that had runs; NULL: none known */
+  Gp__Jobs__Executor *executor;       /* owned, NULL: not known yet */
+  Gp__Jobs__Predecessor *predecessor; /* owned: the last executor before this
+                                         one that had runs; NULL: none
+                                         known */
   GHashTable *runs;                   /* name to gp_agent_run_t, owned */
   gp_spec_store_t specs;              /* kept when the executor changes */
-  GPtrArray *ends;      /* Gp__Jobs__End, owned, not yet on record */
-  uint64_t seen_ends;   /* on record */
-  uint64_t listed_ends; /* the highest number taken in */
-  uint64_t stale_ends;  /* rows of ends that were listed though on record */
+  GPtrArray *ends;      /* Gp__Jobs__End, owned: listed, but not durably
+                           recorded yet */
+  uint64_t seen_ends;   /* ends up to this number are durably recorded */
+  uint64_t listed_ends; /* highest end number received in a list */
+  uint64_t stale_ends;  /* number of ends that were listed although they were
+                           recorded */
   uint64_t synced;      /* number of the last sync */
   bool is_synced;       /* RUNS is what the leader wants */
-  uint64_t life;        /* counts the lives that were met */
-  GPtrArray *carried; /* Gp__Jobs__TaskRun, owned: other runs than RUNS on the
-                         last list */
+  uint64_t life;        /* number of executor incarnations found */
+  GPtrArray *carried;   /* Gp__Jobs__TaskRun, owned: runs on the last list that
+                           are not in RUNS */
   int64_t fence;
-  int64_t fence_asked;  /* the highest of a question */
-  int64_t fence_leap;   /* added when the fence is too low, doubles */
-  int64_t fence_listed; /* the highest that a list of this life was asked for
-                           with: no order with a lower one is carried out after
-                           that list; 0: none was answered */
-  int64_t clock_ms;     /* the executor's clock ... */
-  gp_time_t clock_at;   /* ... no earlier than here */
-  bool clock_is_behind; /* an answer told of a lower one */
-  gp_time_t began_at;   /* this process did */
-  gp_time_t named_at;   /* sending of the first report of the executor, or
-                           GP_TIME_NEVER */
-  gp_time_t granted;    /* sending of the last acknowledged report */
-  gp_time_t lease;      /* the same of the lease that calls carry */
-  gp_time_t heard_at;   /* last answer of the executor */
-  gp_time_t down_since; /* a call failed, and none was answered since; 0: one
-                           was */
-  bool is_cut;          /* its side has ended a connection, or a list went
-                           unanswered, and none was answered since: another
-                           life may answer */
-  gp_time_t gone_from;  /* where the first failure showed that it may have
-                           ended: its end at the earliest; 0: it did not */
-  bool lapsed;          /* the lease ran out, and no sync since says so */
+  int64_t fence_asked;  /* highest fence of an identity query */
+  int64_t fence_leap;   /* how far to raise the fence when it is too low;
+                           doubles each time */
+  int64_t fence_listed; /* highest fence of a list that this incarnation
+                           answered: no order with a lower one is carried out
+                           after that list; 0: no list was answered */
+  int64_t clock_ms;     /* reading of the executor's clock, -1: none */
+  gp_time_t clock_at;   /* local time of that reading, no earlier than the
+                           reading itself */
+  bool clock_is_behind; /* an answer carried a lower clock value */
+  gp_time_t began_at;   /* when this process started */
+  gp_time_t named_at;   /* when the first report with this executor was sent,
+                           or GP_TIME_NEVER */
+  gp_time_t granted;    /* sending time of the last acknowledged report */
+  gp_time_t lease;      /* the same of the report behind the lease that calls
+                           carry */
+  gp_time_t heard_at;   /* time of the executor's last answer */
+  gp_time_t down_since; /* time of the first failed call since the last answer;
+                           0: none has failed */
+  bool is_cut;          /* the executor closed a connection or left a list
+                           unanswered, and no list was answered since: another
+                           incarnation may answer */
+  gp_time_t gone_from;  /* earliest time at which the executor may have ended,
+                           from the first failed call; 0: no call showed
+                           that */
+  bool lapsed;          /* the lease expired, and no sync has taken that into
+                           account yet */
   gp_time_t lapsed_at;
   bool ended;             /* the executor has ended for good */
-  gp_time_t known_since;  /* this process knows the executor since */
-  gp_time_t starts_until; /* nothing is started there from then on, as it is
-                             about to leave; GP_TIME_NEVER: it is not */
-  gp_start_gate_t gate;   /* may anything be started? */
+  gp_time_t known_since;  /* since when this process knows the executor */
+  gp_time_t starts_until; /* no starts from then on, as the executor is about
+                             to leave; GP_TIME_NEVER: it is not */
+  gp_start_gate_t gate;   /* closed while no starts are allowed */
   gp_pacer_t pacer;
   GArray *gone;          /* gp_agent_gone_t */
-  bool distrusts_phases; /* a run stays over its target though all that was
-                            seen busy is slowed down */
-  bool plan_is_old;      /* filling runs have come or gone since the pacer's
-                            last plan */
-  gp_time_t measured_at; /* the measures of the runs are from then */
-  bool has_measures;     /* and the leader does not have them yet */
-  gp_time_t retry_time;  /* duration between tries of a call */
+  bool distrusts_phases; /* a serving run stays over its target although all
+                            runs measured as busy are slowed down: treat all
+                            filling runs as busy */
+  bool plan_is_old;      /* filling runs have started or ended since the
+                            pacer's last plan */
+  gp_time_t measured_at; /* when the runs were last measured */
+  bool has_measures;     /* there are measurements that the leader does not
+                            have yet */
+  gp_time_t retry_time;  /* delay before a call is retried */
 } gp_agent_t;
 
-/* ZONE_SPAN is the duration for which a word that the zone is open holds, 0:
-   for good.  */
+/* ZONE_SPAN is how long a notice that the zone is open holds, 0: without
+   limit.  */
 void gp_agent_init (gp_agent_t *agent, gp_time_t zone_span, gp_time_t now);
 void gp_agent_finish (gp_agent_t *agent);
 
-/* Use fences from FENCE on.  */
+/* Raises the fence to FENCE, unless it is higher already.  */
 void gp_agent_begin_fence (gp_agent_t *agent, int64_t fence);
-/* Orders that were made before count no more, once one is carried out that is
-   made from now on.  */
+/* Raises the fence, which invalidates earlier orders as soon as the executor
+   accepts an order made from now on.  */
 void gp_agent_raise_fence (gp_agent_t *agent);
-/* The executor has seen a higher fence than FENCE, which a call of its current
-   life carried, or a question.  */
+/* The executor has seen a higher fence than FENCE, which a call to its current
+   incarnation or an identity query carried.  */
 void gp_agent_fenced (gp_agent_t *agent, int64_t fence);
-/* The fence for a question which life is there: above all orders, also those
-   that are made until its answer has come; those after it begin with it.  */
+/* Returns the fence for a query of the executor's identity: above all orders,
+   including those made until its answer arrives.  Orders after the answer
+   start with that fence.  */
 int64_t gp_agent_ask_fence (gp_agent_t *agent);
 
-/* Is the executor of this VM that life of ID?  */
+/* Is the executor of this VM the incarnation of ID that was born at
+   BORN_MS?  */
 bool gp_agent_is_life (const gp_agent_t *agent, const char *id,
                        int64_t born_ms);
-/* The executor of this VM is EXECUTOR now, which the agent takes over; if
-   it is another one, or another life, all that was known is forgotten.
-   CLOCK_MS is its clock or -1.  */
+/* EXECUTOR, of which the agent takes ownership, is the executor of this VM
+   now.  If it is another executor or another incarnation, everything known of
+   the previous one is dropped.  CLOCK_MS is its clock, or -1.  */
 void gp_agent_set_executor (gp_agent_t *agent, Gp__Jobs__Executor *executor,
                             int64_t clock_ms, gp_time_t now);
-/* May RUN have taken the executor down, should that not answer again?  */
+/* Could RUN have caused the failure of the executor, if that does not answer
+   again?  */
 bool gp_agent_is_suspect (const gp_agent_t *agent, const gp_agent_run_t *run);
-/* Say in ROW what tells the suspect RUN from others: when it had begun.  */
+/* Fills in ROW the details that tell the suspect RUN from others, such as when
+   it began.  */
 void gp_agent_describe_suspect (const gp_agent_t *agent,
                                 const gp_agent_run_t *run,
                                 Gp__Jobs__TaskRun *row);
-/* Is the leader to be told now that RUN, which it watches, has settled? Counts
-   as told from then on.  */
+/* Should the leader be told now that RUN, which it watches, has settled?
+   Counts as told from then on.  */
 bool gp_agent_tells_settled (gp_agent_run_t *run);
-/* The executor has ended, and all that ran on it: it said goodbye, and nobody
-   listens at its address any more.  It stays the one that is reported.  */
+/* The executor and all runs on it have ended: it announced its leaving, and
+   its address refuses connections now.  It stays the executor that is
+   reported.  */
 void gp_agent_executor_ended (gp_agent_t *agent);
 
-/* A report was sent, at a time later than all before.  */
+/* A report was sent at SENT_AT, which is later than all before.  */
 void gp_agent_reported (gp_agent_t *agent, gp_time_t sent_at);
 
-/* The leader's words.  LEAD_AGE is the age of its last append.  */
+/* Messages from the leader.  LEAD_AGE is the age of its last append to the
+   log.  */
 void gp_agent_acknowledged (gp_agent_t *agent, gp_time_t sent_at,
                             gp_time_t lead_age, gp_time_t now);
-/* At KNOWN_AT the zone of the VM was EVACUATED, or was not.  */
+/* At KNOWN_AT the zone of the VM was evacuated, or not.  */
 void gp_agent_zone_told (gp_agent_t *agent, bool evacuated,
                          gp_time_t known_at);
 void gp_agent_sync (gp_agent_t *agent, Gp__Jobs__Sync *sync);
 void gp_agent_order (gp_agent_t *agent, Gp__Jobs__Orders *orders);
-/* Another leader has come: what it wants is not known yet.  */
+/* There is a new leader, and the runs that it wants are not known yet.  */
 void gp_agent_unsync (gp_agent_t *agent);
 
-/* The executor's list, which showed all that runs, was asked for with FENCE;
-   to be told before that is taken in.  */
+/* The executor's list, which shows everything that runs, was requested with
+   FENCE.  To be called before gp_agent_listed.  */
 void gp_agent_fence_listed (gp_agent_t *agent, int64_t fence);
 
-/* The counter of starts that waited.  */
+/* Registers the counter of starts that were held back.  */
 void gp_agent_register_alone (void);
 
-/* Has a run that is to be alone not settled, so that those of other jobs wait
-   for it?  */
+/* Is there an isolated run that has not settled, so that runs of other jobs
+   wait for it?  */
 bool gp_agent_keeps_alone (const gp_agent_t *agent);
 
-/* The leader knows the load of a serving run from all of its kind.  */
+/* The leader reports the load of a serving run, as estimated from all replicas
+   of its service.  */
 void gp_agent_teach_load (gp_agent_t *agent, const char *task,
                           int32_t headroom_permille, int32_t slope_permille,
                           gp_time_t now);
 
-/* The next call to make, marked as in flight; NONE when there is none before
- *AGAIN_AT.  */
+/* Returns the next call to make and marks it as in flight.  Its kind is NONE
+   if there is none before *AGAIN_AT.  */
 gp_agent_call_t gp_agent_next_call (gp_agent_t *agent, gp_time_t now,
                                     gp_time_t *again_at);
-/* May a call that came to RESULT have been carried out, or be yet, as no
-   answer came?  */
+/* Does RESULT mean that no answer arrived, so that the call was or may still
+   be carried out?  */
 bool gp_agent_is_unanswered (gp_agent_result_t result);
-/* The answer to a call about run NUMBER of the task NAME; PERCENT is what a
-   pace asked for.  */
+/* A call about run NUMBER of the task NAME was answered or failed; PERCENT is
+   the pace that it requested.  */
 void gp_agent_answered (gp_agent_t *agent, gp_agent_call_kind_t kind,
                         const char *name, uint32_t number, uint32_t percent,
                         gp_agent_result_t result, int64_t clock_ms,
                         gp_time_t now);
 
-/* The ends that the next list confirms.  */
+/* Returns the highest end number that the next list request confirms.  */
 uint64_t gp_agent_list_confirmed (const gp_agent_t *agent, gp_time_t now);
-/* The lease for the next list on the executor's clock, 0: do not extend.  */
+/* Returns the end of the lease for the next list request, on the executor's
+   clock; 0: do not extend it.  */
 int64_t gp_agent_list_lease (gp_agent_t *agent, gp_time_t now);
-/* The executor's list, asked for at SENT_AT.  Returns whether there is news
-   for the leader.  */
+/* Handles the executor's list, requested at SENT_AT.  Returns whether there is
+   something new to report to the leader.  */
 bool gp_agent_listed (gp_agent_t *agent, const gp_agent_row_t *rows,
                       size_t row_count, const Gp__Jobs__End *ends,
                       size_t end_count, int64_t clock_ms, gp_time_t sent_at,
                       gp_time_t now);
-/* Does the measure of RUN at NOW tell of the load of a run that serves?  */
+/* Does the measurement of RUN at NOW show the load of a warmed-up serving
+   run?  */
 bool gp_agent_is_telling (const gp_agent_run_t *run, gp_time_t now);
 
-/* The busy work that the measures at NOW still tell of GONE.  */
+/* Returns the busy work of GONE that still falls into the measurement window
+   at NOW.  */
 double gp_agent_gone_work (const gp_agent_gone_t *gone, gp_time_t now);
 
-/* The list was answered by another executor, or refused for the fence.  */
+/* The list request failed: no answer, an answer of another executor, or a
+   refusal because of the fence.  */
 void gp_agent_list_refused (gp_agent_t *agent, gp_agent_result_t result,
                             int64_t clock_ms, gp_time_t now);
 
-/* Add to JOBS the ids, owned, of the jobs whose specification is to be asked
-   of the leader.  */
+/* Adds to JOBS the ids, owned, of the jobs whose specification must be
+   requested from the leader.  */
 void gp_agent_lacking (const gp_agent_t *agent, GPtrArray *jobs);
 
-/* May another life answer the next call?  */
+/* May another incarnation of the executor answer the next call?  */
 bool gp_agent_doubts_life (const gp_agent_t *agent, gp_time_t now);
 
-/* Have calls to the executor failed, and was none answered since?  Its runs
-   may be at work nevertheless.  */
+/* Have calls to the executor failed, with no answer since?  Its runs may still
+   be at work.  */
 bool gp_agent_is_down (const gp_agent_t *agent, gp_time_t now);
 
-/* Has the executor answered a call lately?  */
+/* Has the executor answered a call recently?  */
 bool gp_agent_answers (const gp_agent_t *agent, gp_time_t now);
 
-/* Has the executor's lease certainly run out, and did no sync take that into
-   account yet?  */
+/* Has the executor's lease certainly expired, with no sync since that takes
+   this into account?  */
 bool gp_agent_lapsed (gp_agent_t *agent, gp_time_t now);
 
 #endif
--- a/src/jobs/agent_alone.c
+++ b/src/jobs/agent_alone.c
@@ -1,23 +1,28 @@
-/* Starts that are to be alone, so that an end of the executor tells.
-
-   The leader gives a suspect an executor on which nothing else is to begin
-   with it, or until it has settled; see jobs/suspicion.h.  When that was
-   decided, when it was written down and when it was ordered tell little of
-   when a run begins: a guard waits for leases, for lists and for
-   specifications, its orders go unanswered and are carried out seconds later,
-   and the next guard makes those again that the one before was killed over.
-   What begins when is known here, so it is here that a start is kept alone.
-
-   Invariants, while such a run R has not settled:
+/* Isolated starts: a run that may take its executor down is started on its
+   own, so that a failure of the executor can be attributed to it.
+
+   The leader gives a suspect an executor on which no other run begins at the
+   same time or before the suspect has settled; see jobs/suspicion.h.  The
+   leader cannot enforce that by itself: the times of its decision, its record
+   and its order say little about when a run begins.  A guard waits for leases,
+   lists and specifications; its orders go unanswered and are carried out
+   seconds later; and if it is killed meanwhile, the next guard process repeats
+   them.  Only the guard knows which runs have begun, so the isolation is
+   enforced here.
+
+   Invariants, while an isolated run R has not settled:
    - No start of another job is made.
-   - R is started only when a list of this executor was taken in, and the runs
-     of other jobs have all begun for so long that they are no suspects.
-   - A start that was not answered may be carried out at any time, until the
-     executor has seen a higher fence: R is started only when all those of
-     others are void by that, and again only when its own are.  The fence is
-     raised for it; the next list tells whether they were carried out first.
-
-   An R that can't be begun goes back to the leader: others wait for it.  */
+   - R is started only after a list of this executor was received, and when the
+     runs of other jobs have all been at work for so long that they are no
+     suspects.
+   - An unanswered start may be carried out at any time until the executor has
+     seen a higher fence.  So R is started only when all such starts of other
+     jobs are invalidated by a higher fence, and started again only when its
+     own are.  The fence is raised for this purpose; the next list shows
+     whether the starts were carried out before.
+
+   If R cannot be started, it is returned to the leader, as other runs wait for
+   it.  */
 
 #include "jobs/agent_private.h"
 
@@ -32,12 +37,13 @@
                   "Starts that waited for those of others: one was to be "
                   "alone");
 
-static const char *const hold_names[] = { "",
-                                          "another one is to be alone",
-                                          "it is not its turn to be alone",
-                                          "no list tells what has begun",
-                                          "others have just begun",
-                                          "an order that was not answered" };
+static const char *const hold_names[]
+    = { "",
+        "an isolated run of another job has not settled",
+        "another isolated run goes first",
+        "no list has shown what runs",
+        "runs of other jobs have just begun",
+        "an unanswered start may still be carried out" };
 
 void
 gp_agent_register_alone (void)
@@ -51,7 +57,7 @@
   return strncmp (run->name, other->name, GP_JOB_ID_SIZE) == 0;
 }
 
-/* Is RUN to be alone, and may it begin yet or has it not settled?  */
+/* Is RUN isolated, and either not begun yet or not settled?  */
 static bool
 keeps_alone (const gp_agent_run_t *run)
 {
@@ -72,7 +78,7 @@
   return false;
 }
 
-/* Does RUN come before OTHER?  One that may have begun does.  */
+/* Does RUN go before OTHER?  A run that may have begun goes first.  */
 static bool
 goes_first (const gp_agent_run_t *run, const gp_agent_run_t *other)
 {
@@ -104,7 +110,7 @@
   return gp_agent_alone_run (agent) != NULL;
 }
 
-/* Let the next calls make the unanswered start of RUN void.  */
+/* Invalidates the unanswered start of RUN with the next calls.  */
 static void
 make_void (gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -112,7 +118,7 @@
     gp_agent_raise_fence (agent);
 }
 
-/* Was a start of RUN made that may be carried out yet?  */
+/* May a start of RUN still be carried out?  */
 static bool
 may_begin_yet (const gp_agent_run_t *run)
 {
@@ -132,7 +138,7 @@
   return false;
 }
 
-/* What of OTHER keeps a run of another job from being alone?  */
+/* Returns how OTHER prevents the isolated start of a run of another job.  */
 static gp_agent_hold_t
 hold_by (gp_agent_t *agent, const gp_agent_run_t *other, gp_time_t now,
          gp_time_t *again_at)
@@ -151,7 +157,7 @@
   return GP_HOLD_BEGUN;
 }
 
-/* What keeps RUN, whose turn it is, from being alone?  */
+/* Returns what prevents the isolated start of RUN, which goes first.  */
 static gp_agent_hold_t
 hold_of_alone (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now,
                gp_time_t *again_at)
@@ -244,6 +250,6 @@
     return;
   gp_log (GP_LOG_INFO, "run.given_back", GP_LOG_S ("task", run->name),
           GP_LOG_I ("run", run->run),
-          GP_LOG_S ("why", "it is to be alone and can't be begun"));
+          GP_LOG_S ("why", "its isolated start goes unanswered"));
   gp_agent_want_stop (agent, run->name, run->run);
 }
--- a/src/jobs/agent_calls.c
+++ b/src/jobs/agent_calls.c
@@ -1,4 +1,4 @@
-/* The calls that an agent makes, and what their answers mean.  */
+/* Guard: the calls to the executor and the handling of their answers.  */
 
 #include "jobs/agent_private.h"
 
@@ -6,15 +6,15 @@
 
 #include "base/log.h"
 
-/* How long after a call went unanswered it may still be carried out: 12 s on
-   the sites known, and some more.  */
+/* How long after its failure an unanswered call may still be carried out.  The
+   longest delay on the known sites is 12 s.  */
 #define LATE_TIME (13 * GP_SEC)
 #define PACE_REPEAT_TIME (GP_SEC)
 
 static const char *const call_names[] = { "none", "start", "stop", "pace" };
 static const char *const result_names[]
     = { "taken",   "fenced",   "too old",   "too late", "no room",
-        "refused", "replaced", "no answer", "cut",      "nobody there" };
+        "refused", "replaced", "no answer", "cut",      "connection refused" };
 
 static bool
 wants_pace (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now)
@@ -52,7 +52,8 @@
   return GP_AGENT_CALL_NONE;
 }
 
-/* Stops go first, as they make room; slowing down is next.  */
+/* Stops come first, as they release resources, then changes of pace, which
+   slow runs down.  */
 static int
 rank (gp_agent_call_kind_t kind)
 {
@@ -70,8 +71,9 @@
   return 0;
 }
 
-/* A start that came before the leader's last word may be outdated: after a
-   pause it can still be read from a connection that the leader gave up.  */
+/* Only while synced: a start that arrived before the leader's latest sync may
+   be outdated.  After a pause of this process it can still be read from a
+   connection that the leader has given up.  */
 static bool
 may_start (const gp_agent_t *agent, gp_time_t now)
 {
@@ -80,7 +82,7 @@
          && gp_start_gate_is_open (&agent->gate, now);
 }
 
-/* Has the start of RUN to wait for those of others?  */
+/* Must the start of RUN be held back because of other runs?  */
 static bool
 is_held (gp_agent_t *agent, gp_agent_run_t *run, const gp_agent_run_t *alone,
          gp_time_t now, gp_time_t *again_at)
@@ -92,7 +94,7 @@
   return hold != GP_HOLD_NOT;
 }
 
-/* A start of RUN is made.  */
+/* Records that a start of RUN is sent.  */
 static void
 note_start (const gp_agent_t *agent, gp_agent_run_t *run, gp_time_t now)
 {
@@ -113,7 +115,8 @@
   gpointer value;
 
   *again_at = GP_TIME_NEVER;
-  /* Where another life may answer, a list finds out first.  */
+  /* While another incarnation may answer, nothing is sent before a list shows
+     which one it is.  */
   if (agent->executor == NULL || agent->ended || agent->clock_ms < 0
       || gp_agent_doubts_life (agent, now))
     return best;
@@ -152,7 +155,7 @@
   return best;
 }
 
-/* Add the job of TASK to JOBS, once.  */
+/* Adds the job of TASK to JOBS, unless it is in there.  */
 static void
 add_job_of (GPtrArray *jobs, const char *task)
 {
@@ -236,8 +239,8 @@
     }
 }
 
-/* A pace that went unanswered may take effect after newer ones: until that
-   is over, the one that is wanted is repeated.  */
+/* A pace call that went unanswered may take effect after newer ones, so the
+   wanted pace is repeated until that can no longer happen.  */
 static void
 pace_answered (gp_agent_run_t *run, gp_agent_result_t result, uint32_t percent,
                gp_time_t now)
@@ -262,7 +265,8 @@
   gp_agent_run_t *run = gp_agent_find_run (agent, name, number);
 
   gp_agent_note_failed (agent, result, now);
-  /* Once its side has ended a connection, only a list tells who answers.  */
+  /* After the executor has closed a connection, only a list shows which
+     incarnation answers.  */
   if (result != GP_AGENT_REPLACED && !agent->is_cut)
     gp_agent_take_clock (agent, clock_ms, now);
   if (kind != GP_AGENT_CALL_PACE || result != GP_AGENT_TAKEN)
--- a/src/jobs/agent_list.c
+++ b/src/jobs/agent_list.c
@@ -1,5 +1,5 @@
-/* What an agent reads from its executor's list: ends, rows, measures, and
-   what is absent.  */
+/* Guard: handling of the executor's list: ends, runs, measurements, and runs
+   that are absent.  */
 
 #include "jobs/agent_private.h"
 
@@ -63,7 +63,7 @@
     ((gp_agent_run_t *)value)->listed = false;
 }
 
-/* ROW does not belong here by what the leader has said so far.  */
+/* ROW is not a run that the leader wants, as far as is known.  */
 static void
 carry (gp_agent_t *agent, const gp_agent_row_t *row)
 {
@@ -107,10 +107,10 @@
     }
 }
 
-/* Nothing more is started here for the reason WHY, so the leader gets back
-   what has not begun.  A guard that has just begun does not know what has:
-   that shows on the list.  The first list without a run may have been asked
-   for before the run was known, the second one was not.  */
+/* Returns the runs that have not begun to the leader, as nothing more is
+   started here because of WHY.  A guard that has just started learns from the
+   lists which runs have begun.  The first list that does not show a run may
+   have been requested before the run was known, the second was not.  */
 static void
 give_back_unlisted (gp_agent_t *agent, const char *why)
 {
@@ -131,8 +131,9 @@
     }
 }
 
-/* Runs that the list, asked for after their phase was sure, does not show.
-   Returns whether one became absent.  */
+/* Finds the runs that are missing in the list, which was requested at SENT_AT,
+   after their phase was confirmed.  Returns whether one of them became
+   absent.  */
 static bool
 find_absent (gp_agent_t *agent, gp_time_t sent_at)
 {
@@ -186,10 +187,10 @@
                        int64_t clock_ms, gp_time_t now)
 {
   gp_agent_note_failed (agent, result, now);
-  /* The next one comes on another connection.  */
+  /* The next list is requested on a new connection.  */
   if (gp_agent_is_unanswered (result))
     gp_agent_note_cut (agent);
-  /* A refusal does not tell which life it is of.  */
+  /* A refusal does not tell which incarnation sent it.  */
   if (result != GP_AGENT_REPLACED && !gp_agent_doubts_life (agent, now))
     gp_agent_take_clock (agent, clock_ms, now);
 }
--- a/src/jobs/agent_measure.c
+++ b/src/jobs/agent_measure.c
@@ -1,54 +1,60 @@
-/* What an agent learns from the measures of its executor's runs.
+/* Guard: evaluation of the measurements of the executor's runs.
 
-   The executor tells the tail latency of each run that serves, and the
-   processors that each filling run uses, both over the last half second.  A
-   filling run presses only while it is busy, which shows in the processors
-   that it uses (jobs/pressure.h).  So that cause and effect match, its work
-   is counted over the same half second: by the pace that it had in it, from
-   when it was first at work, and for a while after its end.  */
+   For each serving run the executor reports its tail latency, and for each
+   filling run the CPU that it uses, both over the last half second.  A filling
+   run affects serving runs only while it is busy, which shows in its use of
+   CPU (jobs/pressure.h).  For cause and effect to match, its work is counted
+   over the same half second: scaled by the pace that it had in that time, from
+   the time at which it was first at work, and for a while after its end.  */
 
 #include "jobs/agent_private.h"
 
 #include <math.h>
 
-/* Measures are of the time before them for so long.  */
+/* Length of the window before a measurement over which it is taken.  */
 #define WINDOW (500 * GP_MSEC)
-/* Taken in twice as often, a rise shows a quarter of a second sooner.  */
+/* Least time between evaluations.  Twice per window shows an increase a
+   quarter of a second earlier.  */
 #define MEASURE_TIME (230 * GP_MSEC)
-/* A new run is seen at work so long after it began, in the mean.  */
+/* Mean time from the beginning of a run to the first measurement that shows it
+   at work.  */
 #define SEEN_AFTER (150 * GP_MSEC)
-/* A pace tells so long after it was taken.  */
+/* Delay until a confirmed pace shows in the measurements.  */
 #define PACE_TIME (100 * GP_MSEC)
-/* A run that is not busy uses this share of what it may, a busy one all.  */
+/* Share of its allowed CPU that a run uses while it is not busy; a busy run
+   uses all of it.  */
 #define LIGHT_SHARE (2.0 / 3.0)
-/* At a lower mean pace, of 1, the processors in use tell too little.  */
+/* Below this mean pace (1.0 is full speed) the CPU in use is too little to
+   tell whether a run is busy.  */
 #define PACE_LEAST 0.08
-/* A run counts as busy from this share of the window on: a phase lasts five
-   to nine seconds, so that it has just begun.  */
+/* A run counts as busy from this share of the window on.  A busy phase lasts
+   five to nine seconds, so such a run has just entered one.  */
 #define BUSY_LEAST 0.3
-/* The plan has to hold from when a pace tells to when the next one does.  */
+/* Time after now that a plan has to cover: from when its paces take effect to
+   when those of the next plan do.  */
 #define PLAN_FROM (100 * GP_MSEC)
 #define PLAN_UNTIL (450 * GP_MSEC)
-/* After so many seconds over the target all filling runs count as busy.  */
+/* When a serving run was over its target for so many seconds, all filling runs
+   count as busy.  */
 #define DISTRUST_AFTER 1.2
-/* A serving run that has just started does not have its load yet.  */
+/* Until then a new serving run does not have its full load.  */
 #define WARM_TIME (GP_SEC)
-/* A run with less headroom than this is believed itself rather than the plan;
-   what the plan did not foresee counts by this share.  */
+/* Feedback for the plan: if the measured headroom is below FEEDBACK_UNDER,
+   what it lacks of the expected headroom counts by FEEDBACK_SHARE.  */
 #define FEEDBACK_UNDER 1.3
 #define FEEDBACK_SHARE 0.7
-/* What the leader says of a load is newer than what is measured here for so
-   long.  */
+/* How long the leader's estimate of a load takes precedence over local
+   measurements, as being more recent.  */
 #define TAUGHT_TIME (GP_SEC)
 
-/* The share of the window at NOW that lies after SINCE.  */
+/* Returns the share of the window that ends at NOW that lies after SINCE.  */
 static double
 window_share (gp_time_t since, gp_time_t now)
 {
   return CLAMP ((double)(now - since) / WINDOW, 0.0, 1.0);
 }
 
-/* The pace that RUN had in the window, 0 to 1.  */
+/* Returns the mean pace of RUN in the window, from 0 to 1.  */
 static double
 mean_pace (const gp_agent_run_t *run, gp_time_t now)
 {
@@ -61,8 +67,8 @@
   return (before + (after - before) * share) / GP_PACER_FULL;
 }
 
-/* See for which share of the window RUN, which had PACE in it, was busy;
-   while its pace changes, what was seen before stands.  */
+/* Estimates the share of the window in which RUN, at the mean pace PACE, was
+   busy.  While its pace changes, the previous estimate is kept.  */
 static void
 see_busy (gp_agent_run_t *run, double pace, gp_time_t now)
 {
@@ -120,7 +126,7 @@
   return gone->work * (1.0 - window_share (gone->ended_at, now));
 }
 
-/* Add to WORK what is left in the window of runs that have ended.  */
+/* Adds to WORK the work of ended runs that still lies in the window.  */
 static void
 add_gone (gp_agent_t *agent, gp_pressure_work_t *work, gp_time_t now)
 {
@@ -136,7 +142,8 @@
     }
 }
 
-/* The busy work of the filling runs in the window at NOW.  */
+/* Returns the busy work of the filling runs in the window that ends at
+   NOW.  */
 static gp_pressure_work_t
 take_fillings (gp_agent_t *agent, gp_time_t now)
 {
@@ -192,7 +199,8 @@
   return run->taught_at != 0 && now - run->taught_at < TAUGHT_TIME;
 }
 
-/* The headroom of RUN at WHEN, soon after NOW, without filling work.  */
+/* Returns the expected headroom of RUN at WHEN, soon after NOW, without
+   filling runs.  */
 static double
 headroom_at (const gp_agent_run_t *run, gp_time_t now, gp_time_t when)
 {
@@ -202,7 +210,7 @@
          + run->taught_slope * (double)(when - run->taught_at) / GP_SEC;
 }
 
-/* Note for how long RUN has been over its target.  */
+/* Records for how long RUN has been over its target.  */
 static void
 note_over (gp_agent_run_t *run, gp_time_t now)
 {
@@ -215,8 +223,8 @@
   run->over = over ? (double)(now - run->over_since) / GP_SEC : 0.0;
 }
 
-/* The headroom that RUN, measured with HEADROOM, lacks of what is expected
-   when TAKEN of it is taken; as far as it counts.  */
+/* Returns the weighted amount by which the measured HEADROOM of RUN falls
+   short of the expected one, when filling runs take TAKEN of it.  */
 static double
 missed_by (const gp_agent_run_t *run, double headroom, double taken,
            gp_time_t now)
@@ -228,8 +236,8 @@
   return FEEDBACK_SHARE * fmax (0.0, expected - headroom);
 }
 
-/* Take in the measure of the serving RUN beside WORK.  Returns whether it
-   tells of its load.  */
+/* Evaluates the measurement of the serving RUN beside the filling WORK.
+   Returns whether it shows the run's load.  */
 static bool
 take_serving (gp_agent_t *agent, gp_agent_run_t *run,
               const gp_pressure_work_t *work, gp_time_t now)
@@ -250,7 +258,7 @@
   return true;
 }
 
-/* Is RUN at work, or will it be as soon as its start is carried out?  */
+/* Is RUN at work, or will it be once its start is carried out?  */
 static bool
 will_work (const gp_agent_run_t *run)
 {
@@ -285,9 +293,9 @@
                                .over = run->over };
 }
 
-/* Does the plan look at the serving RUN?  At one whose load is known, and at
-   one that is over its target: the load of one that has just come is known
-   after a second only, and users bear four over the target.  */
+/* Does the plan consider the serving RUN?  Yes if its load is known or it is
+   over its target: the load of a new run is known only after a second, and
+   users tolerate four seconds over the target.  */
 static bool
 is_to_be_kept (const gp_agent_run_t *run, gp_time_t now)
 {
@@ -295,8 +303,6 @@
          || run->over > 0.0;
 }
 
-/* Let the pacer plan anew with the filling runs that there are now; those that
-   were not seen at work yet may be busy.  */
 void
 gp_agent_plan (gp_agent_t *agent, gp_time_t now)
 {
--- a/src/jobs/agent_suspects.c
+++ b/src/jobs/agent_suspects.c
@@ -1,4 +1,4 @@
-/* What an agent knows of the runs that may have taken its executor down; see
+/* Guard: which runs may have caused the failure of the executor; see
    jobs/suspicion.h.  */
 
 #include "jobs/agent_private.h"
@@ -6,12 +6,13 @@
 #include "base/log.h"
 #include "jobs/suspicion.h"
 
-/* Calls that get no answer fail for so long before the executor counts as
-   down: single ones are lost.  */
+/* How long calls must go unanswered before the executor counts as down: single
+   calls get lost.  */
 #define DOWN_TIME (300 * GP_MSEC)
 
-/* An executor that is up answers a list within this, whatever happens there: a
-   connection that ends later had been dead before.  */
+/* An executor that is up always answers a list within this time.  If a
+   connection closes later than that after the last answer, the executor had
+   failed before.  */
 #define ANSWER_TIME (300 * GP_MSEC)
 
 static bool
@@ -20,7 +21,7 @@
   return run->start != NULL && run->start->gang;
 }
 
-/* Has RUN been there for TIME when it was last listed?  */
+/* Had RUN been at work for TIME when it was last listed?  */
 static bool
 was_listed_for (const gp_agent_run_t *run, gp_time_t time)
 {
@@ -40,8 +41,8 @@
   return run->listed_since == 0 && run->began_at == 0;
 }
 
-/* May RUN have begun no longer than JUST_TIME before the executor went?  The
-   answer to a start that takes the executor down may be lost with it.  */
+/* May RUN have begun at most GP_SUSPICION_JUST_TIME before the executor ended?
+   The answer to a start that takes the executor down may be lost with it.  */
 static bool
 had_just_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -52,8 +53,8 @@
          && agent->gone_from - earliest <= GP_SUSPICION_JUST_TIME;
 }
 
-/* For how many milliseconds RUN was at work when the executor was last known
-   to be up, 0: it is not known.  */
+/* Returns for how many milliseconds RUN was at work when the executor was last
+   known to be up, 0: not known.  */
 static uint32_t
 age_ms (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -64,8 +65,8 @@
              : 0;
 }
 
-/* Has nobody told whether RUN has begun, and when?  A start that was held up
-   may arrive at any time.  */
+/* Is it unknown whether and when RUN has begun?  A delayed start may arrive at
+   any time.  */
 static bool
 is_unanswered (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -85,8 +86,8 @@
   return false;
 }
 
-/* Had RUN begun lately?  If some have begun just then, no others are meant.
-   One whose start was not answered for long may never have begun.  */
+/* Had RUN begun recently?  If some runs had only just begun, only those count.
+   A run whose start went unanswered for long may never have begun.  */
 static bool
 is_fresh (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -121,9 +122,10 @@
          || (agent->down_since != 0 && now - agent->down_since >= DOWN_TIME);
 }
 
-/* Can a start of RUN have reached the executor before it went down?  One that
-   left after a call had failed, with no answer since, has not: many are given
-   to an executor until the leader learns of its end, 3 s later.  */
+/* Could a start of RUN have reached the executor before it went down?  One
+   that was sent after a call had failed, with no answer since, could not.
+   There are many such starts, as the leader learns of the failure only 3 s
+   later.  */
 static bool
 may_have_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -150,8 +152,8 @@
   return true;
 }
 
-/* A call has failed at NOW: where it is the first one, the executor ended at
-   GONE_FROM at the earliest, or that is not known (0).  */
+/* A call failed at NOW.  If it is the first to fail, the executor ended at
+   GONE_FROM at the earliest; 0: not known.  */
 static void
 note_down (gp_agent_t *agent, gp_time_t gone_from, gp_time_t now)
 {
@@ -161,8 +163,8 @@
   agent->gone_from = gone_from;
 }
 
-/* What was ordered before must not be carried out by the next life, where that
-   is not known yet.  */
+/* Raises the fence: the next incarnation must not carry out orders that were
+   sent before it is known.  */
 void
 gp_agent_note_cut (gp_agent_t *agent)
 {
@@ -242,8 +244,8 @@
   agent->predecessor = NULL;
 }
 
-/* An executor without runs does not take the place of one whose runs the
-   leader may still wait for.  */
+/* An executor without runs does not replace an earlier predecessor, whose runs
+   the leader may still wait for.  */
 void
 gp_agent_keep_predecessor (gp_agent_t *agent, gp_time_t now)
 {
