--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -297,8 +297,8 @@
 /* Should the leader be told now that RUN, which it watches, has settled?
    Counts as told from then on.  */
 bool gp_agent_tells_settled (gp_agent_run_t *run);
-/* The executor and all runs on it have ended: it announced its leaving, and
-   its address refuses connections now.  It stays the executor that is
+/* The executor and all runs on it have ended: it deregistered, and its
+   address refuses connections now.  It stays the executor that is
    reported.  */
 void gp_agent_executor_ended (gp_agent_t *agent);
 
