--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -26,10 +26,10 @@
      the leader.
    - The fence only rises: with each incarnation of the executor that is found,
      each connection that ends, where the leader asks for it, and where an
-     unanswered start must be invalidated, see jobs/agent_alone.c.  Its first
-     value is the time of day, which puts it above the fences of earlier guard
-     processes.  If the time of day has stepped back, the fence is raised in
-     growing steps until the executor accepts it.
+     unanswered start must be invalidated, see jobs/agent_isolation.c.  Its
+   first value is the time of day, which puts it above the fences of earlier
+   guard processes.  If the time of day has stepped back, the fence is raised
+   in growing steps until the executor accepts it.
    - Ends, clock and lease belong to one incarnation.  After a connection has
      ended, another incarnation may answer the next list; such a list confirms
      no ends and extends no lease, and no order is sent before it is answered.
@@ -71,7 +71,7 @@
   GP_RUN_ABSENT    /* it never ran here and never will */
 } gp_run_phase_t;
 
-/* Why the start of a run is held back, see jobs/agent_alone.c.  */
+/* Why the start of a run is held back, see jobs/agent_isolation.c.  */
 typedef enum
 {
   GP_HOLD_NOT,
