--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -64,7 +64,7 @@
 static void
 clear_gone (gpointer data)
 {
-  g_free (((gp_agent_gone_t *)data)->image);
+  g_free (((gp_agent_ended_filling_t *)data)->image);
 }
 
 void
@@ -72,7 +72,7 @@
 {
   memset (agent, 0, sizeof *agent);
   agent->began_at = now;
-  agent->named_at = GP_TIME_NEVER;
+  agent->first_reported_at = GP_TIME_NEVER;
   agent->runs
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_run);
   agent->ends = g_ptr_array_new_with_free_func (free_end);
@@ -82,12 +82,12 @@
   agent->lease = INT64_MIN / 2;
   agent->retry_time = RETRY_TIME;
   gp_pacer_init (&agent->pacer);
-  agent->gone = g_array_new (FALSE, FALSE, sizeof (gp_agent_gone_t));
+  agent->gone = g_array_new (FALSE, FALSE, sizeof (gp_agent_ended_filling_t));
   g_array_set_clear_func (agent->gone, clear_gone);
   agent->clock_ms = -1;
   agent->carried = g_ptr_array_new_with_free_func (free_task_run);
   agent->fence = 1;
-  agent->fence_leap = FENCE_LEAP_MS;
+  agent->fence_step = FENCE_LEAP_MS;
 }
 
 static void
@@ -105,14 +105,14 @@
   agent->clock_is_behind = false;
   agent->fence_listed = 0;
   agent->stale_ends = 0;
-  agent->named_at = GP_TIME_NEVER;
+  agent->first_reported_at = GP_TIME_NEVER;
   agent->granted = INT64_MIN / 2;
   agent->lease = INT64_MIN / 2;
   agent->lapsed = false;
   agent->ended = false;
   agent->down_since = 0;
   agent->is_cut = false;
-  agent->gone_from = 0;
+  agent->earliest_end_at = 0;
   g_hash_table_remove_all (agent->runs);
   g_array_set_size (agent->gone, 0);
   g_ptr_array_set_size (agent->ends, 0);
@@ -146,14 +146,14 @@
 }
 
 void
-gp_agent_take_clock (gp_agent_t *agent, int64_t clock_ms, gp_time_t now)
+gp_agent_update_clock (gp_agent_t *agent, int64_t clock_ms, gp_time_t now)
 {
   if (clock_ms < 0)
     return;
   note_clock_behind (agent, clock_ms);
   agent->heard_at = now;
   agent->down_since = 0;
-  agent->gone_from = 0;
+  agent->earliest_end_at = 0;
   if (agent->clock_ms >= clock_ms)
     return;
   agent->clock_ms = clock_ms;
@@ -161,7 +161,7 @@
 }
 
 void
-gp_agent_begin_fence (gp_agent_t *agent, int64_t fence)
+gp_agent_raise_fence_to (gp_agent_t *agent, int64_t fence)
 {
   agent->fence = MAX (agent->fence, fence);
 }
@@ -176,23 +176,24 @@
    fence; then nothing is to be done.  An unnecessary step would put the fence
    ahead of the time of day, with which the next process begins.  */
 void
-gp_agent_fenced (gp_agent_t *agent, int64_t fence)
+gp_agent_fence_rejected (gp_agent_t *agent, int64_t fence)
 {
   if (fence < agent->fence)
     return;
-  agent->fence += agent->fence_leap;
-  agent->fence_leap = MIN (agent->fence_leap * 2, FENCE_LEAP_MAX_MS);
+  agent->fence += agent->fence_step;
+  agent->fence_step = MIN (agent->fence_step * 2, FENCE_LEAP_MAX_MS);
 }
 
 int64_t
-gp_agent_ask_fence (gp_agent_t *agent)
+gp_agent_query_fence (gp_agent_t *agent)
 {
   agent->fence_asked = MAX (agent->fence_asked, agent->fence) + 1;
   return agent->fence_asked;
 }
 
 bool
-gp_agent_is_life (const gp_agent_t *agent, const char *id, int64_t born_ms)
+gp_agent_is_incarnation (const gp_agent_t *agent, const char *id,
+                         int64_t born_ms)
 {
   return agent->executor != NULL && agent->executor->born_ms == born_ms
          && strcmp (agent->executor->id, id) == 0;
@@ -254,7 +255,7 @@
 {
   if (!executor->draining)
     return GP_TIME_NEVER;
-  if (!gp_agent_is_life (agent, executor->id, executor->born_ms))
+  if (!gp_agent_is_incarnation (agent, executor->id, executor->born_ms))
     return now;
   return agent->executor->draining ? agent->starts_until
                                    : now + DRAIN_START_TIME;
@@ -265,7 +266,7 @@
                        int64_t clock_ms, gp_time_t now)
 {
   agent->starts_until = starts_until (agent, executor, now);
-  if (gp_agent_is_life (agent, executor->id, executor->born_ms))
+  if (gp_agent_is_incarnation (agent, executor->id, executor->born_ms))
     {
       if (has_shrunk (agent->executor, executor))
         give_back (agent);
@@ -284,7 +285,7 @@
           GP_LOG_I ("clock_ms", clock_ms), GP_LOG_I ("fence", agent->fence));
     }
   agent->executor = executor;
-  gp_agent_take_clock (agent, clock_ms, now);
+  gp_agent_update_clock (agent, clock_ms, now);
 }
 
 void
@@ -293,7 +294,7 @@
   if (agent->executor == NULL || agent->ended)
     return;
   agent->ended = true;
-  gp_agent_forget_list (agent);
+  gp_agent_clear_list (agent);
   agent->is_synced = false;
   agent->synced = 0;
   gp_log (GP_LOG_INFO, "executor.ended",
@@ -314,7 +315,7 @@
     return;
   agent->lapsed = true;
   agent->lapsed_at = now;
-  gp_agent_forget_list (agent);
+  gp_agent_clear_list (agent);
   agent->is_synced = false;
   agent->synced = 0;
   gp_log (GP_LOG_INFO, "lease.lapsed",
@@ -327,15 +328,15 @@
 void
 gp_agent_reported (gp_agent_t *agent, gp_time_t sent_at)
 {
-  if (agent->executor != NULL && agent->named_at == GP_TIME_NEVER)
-    agent->named_at = sent_at;
+  if (agent->executor != NULL && agent->first_reported_at == GP_TIME_NEVER)
+    agent->first_reported_at = sent_at;
 }
 
 void
 gp_agent_acknowledged (gp_agent_t *agent, gp_time_t sent_at,
                        gp_time_t lead_age, gp_time_t now)
 {
-  if (sent_at < agent->named_at
+  if (sent_at < agent->first_reported_at
       || !gp_grants_trusted (agent->began_at, lead_age, now))
     return;
   check_lapse (agent, now);
@@ -343,7 +344,7 @@
 }
 
 void
-gp_agent_zone_told (gp_agent_t *agent, bool evacuated, gp_time_t known_at)
+gp_agent_set_evacuated (gp_agent_t *agent, bool evacuated, gp_time_t known_at)
 {
   bool before = agent->gate.evacuated;
 
@@ -376,16 +377,17 @@
   run->run = number;
   run->phase = phase;
   run->pace = GP_PACER_FULL;
-  run->pace_again = GP_TIME_NEVER;
+  run->pace_repeat_at = GP_TIME_NEVER;
   run->busy = NAN;
   gp_headroom_init (&run->headroom);
-  run->over_since = GP_TIME_NEVER;
+  run->over_target_since = GP_TIME_NEVER;
   g_hash_table_replace (agent->runs, run->name, run);
   return run;
 }
 
 bool
-gp_agent_has_ended (const gp_agent_t *agent, const char *name, uint32_t number)
+gp_agent_run_has_ended (const gp_agent_t *agent, const char *name,
+                        uint32_t number)
 {
   for (guint i = 0; i < agent->ends->len; i++)
     {
@@ -404,7 +406,7 @@
   Gp__Jobs__Start *start = *place;
   gp_agent_run_t *run = g_hash_table_lookup (agent->runs, start->task);
 
-  if (gp_agent_has_ended (agent, start->task, start->run))
+  if (gp_agent_run_has_ended (agent, start->task, start->run))
     return;
   if (run != NULL && run->run > start->run)
     return;
@@ -414,7 +416,7 @@
     {
       run->start = start;
       *place = NULL;
-      agent->plan_is_old = true;
+      agent->plan_is_stale = true;
     }
 }
 
@@ -423,12 +425,12 @@
 {
   gp_agent_run_t *run = g_hash_table_lookup (agent->runs, name);
 
-  if (gp_agent_has_ended (agent, name, number)
+  if (gp_agent_run_has_ended (agent, name, number)
       || (run != NULL && run->run > number))
     return;
   if (run == NULL || run->run < number)
     run = add_run (agent, name, number, GP_RUN_STOPPING);
-  if (run->phase == GP_RUN_STARTING || run->phase == GP_RUN_PRESENT)
+  if (run->phase == GP_RUN_STARTING || run->phase == GP_RUN_STARTED)
     {
       run->phase = GP_RUN_STOPPING;
       run->retry_at = 0;
@@ -498,7 +500,7 @@
 is_meant (const gp_agent_t *agent, const char *id, int64_t born_ms)
 {
   return agent->executor != NULL
-         && gp_agent_is_life (
+         && gp_agent_is_incarnation (
              agent, id, born_ms != 0 ? born_ms : agent->executor->born_ms);
 }
 
@@ -523,7 +525,7 @@
 }
 
 void
-gp_agent_unsync (gp_agent_t *agent)
+gp_agent_clear_sync (gp_agent_t *agent)
 {
   agent->is_synced = false;
   agent->synced = 0;
@@ -585,16 +587,16 @@
 }
 
 bool
-gp_agent_answers (const gp_agent_t *agent, gp_time_t now)
+gp_agent_is_responsive (const gp_agent_t *agent, gp_time_t now)
 {
   return now - agent->heard_at < SILENCE_TIME;
 }
 
 void
-gp_agent_move_lease (gp_agent_t *agent, gp_time_t now)
+gp_agent_extend_lease (gp_agent_t *agent, gp_time_t now)
 {
   check_lapse (agent, now);
-  if (gp_agent_answers (agent, now))
+  if (gp_agent_is_responsive (agent, now))
     agent->lease = MAX (agent->lease, agent->granted);
 }
 
@@ -607,21 +609,21 @@
 uint64_t
 gp_agent_list_confirmed (const gp_agent_t *agent, gp_time_t now)
 {
-  return gp_agent_doubts_life (agent, now) ? 0 : agent->seen_ends;
+  return gp_agent_incarnation_is_uncertain (agent, now) ? 0 : agent->seen_ends;
 }
 
 int64_t
 gp_agent_list_lease (gp_agent_t *agent, gp_time_t now)
 {
-  gp_agent_move_lease (agent, now);
-  if (gp_agent_doubts_life (agent, now))
+  gp_agent_extend_lease (agent, now);
+  if (gp_agent_incarnation_is_uncertain (agent, now))
     return 0;
   return gp_agent_lease_is_open (agent, now) ? gp_agent_lease_on_clock (agent)
                                              : 0;
 }
 
 bool
-gp_agent_lapsed (gp_agent_t *agent, gp_time_t now)
+gp_agent_lease_lapsed (gp_agent_t *agent, gp_time_t now)
 {
   check_lapse (agent, now);
   return agent->lapsed;
--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -64,7 +64,7 @@
 typedef enum
 {
   GP_RUN_STARTING, /* not started yet */
-  GP_RUN_PRESENT,  /* started */
+  GP_RUN_STARTED,  /* started */
   GP_RUN_STOPPING, /* a stop has to be confirmed */
   GP_RUN_STOPPED,  /* the stop was confirmed; a list will show its end or its
                       absence */
@@ -74,13 +74,14 @@
 /* Why the start of a run is held back, see jobs/agent_isolation.c.  */
 typedef enum
 {
-  GP_HOLD_NOT,
-  GP_HOLD_BESIDE, /* an isolated run of another job has not settled */
+  GP_HOLD_NONE,
+  GP_HOLD_ISOLATED_RUN, /* an isolated run of another job has not settled */
   /* The run is isolated and ...  */
-  GP_HOLD_TURN,  /* ... another isolated run goes first */
-  GP_HOLD_LIST,  /* ... no list has shown yet which runs have begun */
-  GP_HOLD_BEGUN, /* ... runs of other jobs have only just begun */
-  GP_HOLD_DOUBT  /* ... an unanswered start may still be carried out */
+  GP_HOLD_QUEUED,        /* ... another isolated run goes first */
+  GP_HOLD_NO_LIST,       /* ... no list has shown yet which runs have begun */
+  GP_HOLD_RECENT_STARTS, /* ... runs of other jobs have only just begun */
+  GP_HOLD_UNANSWERED_START /* ... an unanswered start may still be carried out
+                            */
 } gp_agent_hold_t;
 
 typedef struct
@@ -96,44 +97,44 @@
   bool listed;            /* it is on the executor's last list */
   gp_time_t listed_since; /* time of the first list that showed it, 0: none */
   gp_time_t listed_at;    /* time of the last list that showed it */
-  unsigned unlisted;      /* number of consecutive lists that did not show
-                             it */
-  bool settled_told;      /* the leader was told that the run has settled */
+  unsigned missed_lists;  /* number of consecutive lists that did not show
+                         it */
+  bool settled_reported;  /* the leader was told that the run has settled */
   gp_time_t sent_at;      /* when the first start was sent that was or may
                              still be carried out; 0: none */
-  gp_time_t tried_at;     /* when its first start was sent, 0: never */
-  int64_t start_fence;    /* fence of its last start */
-  gp_time_t held_since;   /* since when its start is held back, 0: it is
-                             not */
-  gp_agent_hold_t hold;   /* the first reason for which it is held back */
-  gp_time_t retry_at;     /* no call before this time */
-  gp_time_t confirmed_at; /* when an answer or a list last confirmed a change
-                             of phase */
-  gp_time_t began_at;     /* when it was first known to have begun, 0: not
-                             known to */
-  int64_t measure;        /* from the last list, see gp_agent_row_t */
+  gp_time_t first_start_at; /* when its first start was sent, 0: never */
+  int64_t start_fence;      /* fence of its last start */
+  gp_time_t held_since;     /* since when its start is held back, 0: it is
+                               not */
+  gp_agent_hold_t hold;     /* the first reason for which it is held back */
+  gp_time_t retry_at;       /* no call before this time */
+  gp_time_t confirmed_at;   /* when an answer or a list last confirmed a change
+                               of phase */
+  gp_time_t began_at;       /* when it was first known to have begun, 0: not
+                               known to */
+  int64_t measure;          /* from the last list, see gp_agent_row_t */
   gp_headroom_t headroom; /* of a serving run, excluding the effect of filling
                              runs */
-  double taught_headroom; /* the same, as the leader sent it */
-  double taught_slope;    /* its change per second, as the leader sent it */
+  double leader_headroom; /* the same, as the leader sent it */
+  double leader_slope;    /* its change per second, as the leader sent it */
   gp_time_t taught_at;    /* when the leader sent them, 0: never */
   double missed;          /* by how much the measured headroom fell short of
                              the expected one */
   double over;            /* for how many seconds it was over its latency
                              target at the last measurement */
-  gp_time_t over_since;   /* since when it is over the target, or
-                             GP_TIME_NEVER */
-  double busy;            /* share of the last half second in which a filling
-                             run was busy; NAN: not measured yet */
-  double work;            /* busy work that it did in that time */
-  gp_time_t at_work_at;   /* when it was first measured at work, 0: never */
-  uint32_t pace;          /* percent of full speed, as last confirmed */
-  gp_time_t paced_at;     /* when PACE was confirmed, 0: never */
-  uint32_t pace_before;   /* the pace before that */
-  gp_time_t pace_again;   /* when to repeat the pace, as an unanswered call may
-                             still set an older one; GP_TIME_NEVER: not
-                             needed */
-  gp_time_t pace_sure_at; /* from then on no unanswered pace call can take
+  gp_time_t over_target_since; /* since when it is over the target, or
+                           GP_TIME_NEVER */
+  double busy;              /* share of the last half second in which a filling
+                               run was busy; NAN: not measured yet */
+  double work;              /* busy work that it did in that time */
+  gp_time_t active_since;   /* when it was first measured at work, 0: never */
+  uint32_t pace;            /* percent of full speed, as last confirmed */
+  gp_time_t paced_at;       /* when PACE was confirmed, 0: never */
+  uint32_t pace_before;     /* the pace before that */
+  gp_time_t pace_repeat_at; /* when to repeat the pace, as an unanswered call
+                           may still set an older one; GP_TIME_NEVER: not
+                           needed */
+  gp_time_t pace_certain_at; /* from then on no unanswered pace call can take
                              effect */
 } gp_agent_run_t;
 
@@ -158,20 +159,20 @@
 /* Outcome of a call.  */
 typedef enum
 {
-  GP_AGENT_TAKEN,
+  GP_AGENT_ACCEPTED,
   GP_AGENT_FENCED,   /* the executor has seen a higher fence */
   GP_AGENT_TOO_OLD,  /* the executor has stopped or ended this run or a later
                         one of the task */
   GP_AGENT_TOO_LATE, /* the lease that the order carried had expired */
   GP_AGENT_NO_ROOM,
-  GP_AGENT_REFUSED,    /* nothing was done: the executor is unhealthy or the
-                          order is invalid */
-  GP_AGENT_REPLACED,   /* another executor answered */
-  GP_AGENT_UNANSWERED, /* it may be carried out now or later */
-  GP_AGENT_CUT,        /* the same, and the other side closed the
-                          connection */
-  GP_AGENT_NOBODY      /* the connection to the executor's address was
-                          refused */
+  GP_AGENT_REFUSED,      /* nothing was done: the executor is unhealthy or the
+                            order is invalid */
+  GP_AGENT_REPLACED,     /* another executor answered */
+  GP_AGENT_UNANSWERED,   /* it may be carried out now or later */
+  GP_AGENT_DISCONNECTED, /* the same, and the other side closed the
+                   connection */
+  GP_AGENT_CONNECTION_REFUSED /* the connection to the executor's address was
+                     refused */
 } gp_agent_result_t;
 
 /* A filling run that has ended and still contributes to the current
@@ -181,7 +182,7 @@
   char *image; /* owned */
   double work; /* busy work when it was last measured */
   gp_time_t ended_at;
-} gp_agent_gone_t;
+} gp_agent_ended_filling_t;
 
 /* One run on the executor's list.  */
 typedef struct
@@ -214,7 +215,7 @@
                            are not in RUNS */
   int64_t fence;
   int64_t fence_asked;  /* highest fence of an identity query */
-  int64_t fence_leap;   /* how far to raise the fence when it is too low;
+  int64_t fence_step;   /* how far to raise the fence when it is too low;
                            doubles each time */
   int64_t fence_listed; /* highest fence of a list that this incarnation
                            answered: no order with a lower one is carried out
@@ -224,8 +225,8 @@
                            reading itself */
   bool clock_is_behind; /* an answer carried a lower clock value */
   gp_time_t began_at;   /* when this process started */
-  gp_time_t named_at;   /* when the first report with this executor was sent,
-                           or GP_TIME_NEVER */
+  gp_time_t first_reported_at; /* when the first report with this executor was
+                         sent, or GP_TIME_NEVER */
   gp_time_t granted;    /* sending time of the last acknowledged report */
   gp_time_t lease;      /* the same of the report behind the lease that calls
                            carry */
@@ -235,11 +236,11 @@
   bool is_cut;          /* the executor closed a connection or left a list
                            unanswered, and no list was answered since: another
                            incarnation may answer */
-  gp_time_t gone_from;  /* earliest time at which the executor may have ended,
-                           from the first failed call; 0: no call showed
-                           that */
-  bool lapsed;          /* the lease expired, and no sync has taken that into
-                           account yet */
+  gp_time_t earliest_end_at; /* earliest time at which the executor may have
+                          ended, from the first failed call; 0: no call showed
+                          that */
+  bool lapsed; /* the lease expired, and no sync has taken that into
+                  account yet */
   gp_time_t lapsed_at;
   bool ended;             /* the executor has ended for good */
   gp_time_t known_since;  /* since when this process knows the executor */
@@ -247,15 +248,15 @@
                              to leave; GP_TIME_NEVER: it is not */
   gp_start_gate_t gate;   /* closed while no starts are allowed */
   gp_pacer_t pacer;
-  GArray *gone;          /* gp_agent_gone_t */
-  bool distrusts_phases; /* a serving run stays over its target although all
-                            runs measured as busy are slowed down: treat all
-                            filling runs as busy */
-  bool plan_is_old;      /* filling runs have started or ended since the
-                            pacer's last plan */
+  GArray *gone;          /* gp_agent_ended_filling_t */
+  bool assumes_busy;     /* a serving run stays over its target although all
+                                runs measured as busy are slowed down: treat all
+                                filling runs as busy */
+  bool plan_is_stale;    /* filling runs have started or ended since the
+                          pacer's last plan */
   gp_time_t measured_at; /* when the runs were last measured */
-  bool has_measures;     /* there are measurements that the leader does not
-                            have yet */
+  bool has_measurements; /* there are measurements that the leader does not
+                        have yet */
   gp_time_t retry_time;  /* delay before a call is retried */
 } gp_agent_t;
 
@@ -265,22 +266,22 @@
 void gp_agent_finish (gp_agent_t *agent);
 
 /* Raises the fence to FENCE, unless it is higher already.  */
-void gp_agent_begin_fence (gp_agent_t *agent, int64_t fence);
+void gp_agent_raise_fence_to (gp_agent_t *agent, int64_t fence);
 /* Raises the fence, which invalidates earlier orders as soon as the executor
    accepts an order made from now on.  */
 void gp_agent_raise_fence (gp_agent_t *agent);
 /* The executor has seen a higher fence than FENCE, which a call to its current
    incarnation or an identity query carried.  */
-void gp_agent_fenced (gp_agent_t *agent, int64_t fence);
+void gp_agent_fence_rejected (gp_agent_t *agent, int64_t fence);
 /* Returns the fence for a query of the executor's identity: above all orders,
    including those made until its answer arrives.  Orders after the answer
    start with that fence.  */
-int64_t gp_agent_ask_fence (gp_agent_t *agent);
+int64_t gp_agent_query_fence (gp_agent_t *agent);
 
 /* Is the executor of this VM the incarnation of ID that was born at
    BORN_MS?  */
-bool gp_agent_is_life (const gp_agent_t *agent, const char *id,
-                       int64_t born_ms);
+bool gp_agent_is_incarnation (const gp_agent_t *agent, const char *id,
+                              int64_t born_ms);
 /* EXECUTOR, of which the agent takes ownership, is the executor of this VM
    now.  If it is another executor or another incarnation, everything known of
    the previous one is dropped.  CLOCK_MS is its clock, or -1.  */
@@ -296,7 +297,7 @@
                                 Gp__Jobs__TaskRun *row);
 /* Should the leader be told now that RUN, which it watches, has settled?
    Counts as told from then on.  */
-bool gp_agent_tells_settled (gp_agent_run_t *run);
+bool gp_agent_report_settled (gp_agent_run_t *run);
 /* The executor and all runs on it have ended: it deregistered, and its
    address refuses connections now.  It stays the executor that is
    reported.  */
@@ -310,29 +311,29 @@
 void gp_agent_acknowledged (gp_agent_t *agent, gp_time_t sent_at,
                             gp_time_t lead_age, gp_time_t now);
 /* At KNOWN_AT the zone of the VM was evacuated, or not.  */
-void gp_agent_zone_told (gp_agent_t *agent, bool evacuated,
-                         gp_time_t known_at);
+void gp_agent_set_evacuated (gp_agent_t *agent, bool evacuated,
+                             gp_time_t known_at);
 void gp_agent_sync (gp_agent_t *agent, Gp__Jobs__Sync *sync);
 void gp_agent_order (gp_agent_t *agent, Gp__Jobs__Orders *orders);
 /* There is a new leader, and the runs that it wants are not known yet.  */
-void gp_agent_unsync (gp_agent_t *agent);
+void gp_agent_clear_sync (gp_agent_t *agent);
 
 /* The executor's list, which shows everything that runs, was requested with
    FENCE.  To be called before gp_agent_listed.  */
 void gp_agent_fence_listed (gp_agent_t *agent, int64_t fence);
 
 /* Registers the counter of starts that were held back.  */
-void gp_agent_register_alone (void);
+void gp_agent_register_counters (void);
 
 /* Is there an isolated run that has not settled, so that runs of other jobs
    wait for it?  */
-bool gp_agent_keeps_alone (const gp_agent_t *agent);
+bool gp_agent_has_isolated_run (const gp_agent_t *agent);
 
 /* The leader reports the load of a serving run, as estimated from all replicas
    of its service.  */
-void gp_agent_teach_load (gp_agent_t *agent, const char *task,
-                          int32_t headroom_permille, int32_t slope_permille,
-                          gp_time_t now);
+void gp_agent_set_load (gp_agent_t *agent, const char *task,
+                        int32_t headroom_permille, int32_t slope_permille,
+                        gp_time_t now);
 
 /* Returns the next call to make and marks it as in flight.  Its kind is NONE
    if there is none before *AGAIN_AT.  */
@@ -361,33 +362,35 @@
                       gp_time_t now);
 /* Does the measurement of RUN at NOW show the load of a warmed-up serving
    run?  */
-bool gp_agent_is_telling (const gp_agent_run_t *run, gp_time_t now);
+bool gp_agent_shows_load (const gp_agent_run_t *run, gp_time_t now);
 
 /* Returns the busy work of GONE that still falls into the measurement window
    at NOW.  */
-double gp_agent_gone_work (const gp_agent_gone_t *gone, gp_time_t now);
+double gp_agent_ended_filling_work (const gp_agent_ended_filling_t *gone,
+                                    gp_time_t now);
 
 /* The list request failed: no answer, an answer of another executor, or a
    refusal because of the fence.  */
-void gp_agent_list_refused (gp_agent_t *agent, gp_agent_result_t result,
-                            int64_t clock_ms, gp_time_t now);
+void gp_agent_list_failed (gp_agent_t *agent, gp_agent_result_t result,
+                           int64_t clock_ms, gp_time_t now);
 
 /* Adds to JOBS the ids, owned, of the jobs whose specification must be
    requested from the leader.  */
-void gp_agent_lacking (const gp_agent_t *agent, GPtrArray *jobs);
+void gp_agent_missing_specs (const gp_agent_t *agent, GPtrArray *jobs);
 
 /* May another incarnation of the executor answer the next call?  */
-bool gp_agent_doubts_life (const gp_agent_t *agent, gp_time_t now);
+bool gp_agent_incarnation_is_uncertain (const gp_agent_t *agent,
+                                        gp_time_t now);
 
 /* Have calls to the executor failed, with no answer since?  Its runs may still
    be at work.  */
 bool gp_agent_is_down (const gp_agent_t *agent, gp_time_t now);
 
 /* Has the executor answered a call recently?  */
-bool gp_agent_answers (const gp_agent_t *agent, gp_time_t now);
+bool gp_agent_is_responsive (const gp_agent_t *agent, gp_time_t now);
 
 /* Has the executor's lease certainly expired, with no sync since that takes
    this into account?  */
-bool gp_agent_lapsed (gp_agent_t *agent, gp_time_t now);
+bool gp_agent_lease_lapsed (gp_agent_t *agent, gp_time_t now);
 
 #endif
--- a/src/jobs/agent_calls.c
+++ b/src/jobs/agent_calls.c
@@ -19,10 +19,10 @@
 static bool
 wants_pace (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now)
 {
-  return run->phase == GP_RUN_PRESENT && run->start != NULL
+  return run->phase == GP_RUN_STARTED && run->start != NULL
          && run->start->fills
          && (run->pace != gp_agent_wanted_pace (agent, run)
-             || now >= run->pace_again);
+             || now >= run->pace_repeat_at);
 }
 
 static bool
@@ -42,7 +42,7 @@
                                          : GP_AGENT_CALL_NONE;
     case GP_RUN_STOPPING:
       return GP_AGENT_CALL_STOP;
-    case GP_RUN_PRESENT:
+    case GP_RUN_STARTED:
       return wants_pace (agent, run, now) ? GP_AGENT_CALL_PACE
                                           : GP_AGENT_CALL_NONE;
     case GP_RUN_STOPPED:
@@ -87,20 +87,20 @@
 is_held (gp_agent_t *agent, gp_agent_run_t *run, const gp_agent_run_t *alone,
          gp_time_t now, gp_time_t *again_at)
 {
-  gp_agent_hold_t hold = gp_agent_hold_of (agent, run, alone, now, again_at);
+  gp_agent_hold_t hold = gp_agent_find_hold (agent, run, alone, now, again_at);
 
-  if (hold != GP_HOLD_NOT)
+  if (hold != GP_HOLD_NONE)
     gp_agent_note_hold (run, hold, now);
-  return hold != GP_HOLD_NOT;
+  return hold != GP_HOLD_NONE;
 }
 
 /* Records that a start of RUN is sent.  */
 static void
 note_start (const gp_agent_t *agent, gp_agent_run_t *run, gp_time_t now)
 {
-  gp_agent_note_hold (run, GP_HOLD_NOT, now);
-  if (run->tried_at == 0)
-    run->tried_at = now;
+  gp_agent_note_hold (run, GP_HOLD_NONE, now);
+  if (run->first_start_at == 0)
+    run->first_start_at = now;
   if (run->sent_at == 0)
     run->sent_at = now;
   run->start_fence = agent->fence;
@@ -118,12 +118,12 @@
   /* While another incarnation may answer, nothing is sent before a list shows
      which one it is.  */
   if (agent->executor == NULL || agent->ended || agent->clock_ms < 0
-      || gp_agent_doubts_life (agent, now))
+      || gp_agent_incarnation_is_uncertain (agent, now))
     return best;
-  gp_agent_move_lease (agent, now);
-  if (agent->plan_is_old)
+  gp_agent_extend_lease (agent, now);
+  if (agent->plan_is_stale)
     gp_agent_plan (agent, now);
-  alone = gp_agent_alone_run (agent);
+  alone = gp_agent_isolated_run (agent);
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -166,7 +166,7 @@
 }
 
 void
-gp_agent_lacking (const gp_agent_t *agent, GPtrArray *jobs)
+gp_agent_missing_specs (const gp_agent_t *agent, GPtrArray *jobs)
 {
   GHashTableIter iter;
   gpointer value;
@@ -185,8 +185,8 @@
 bool
 gp_agent_is_unanswered (gp_agent_result_t result)
 {
-  return result == GP_AGENT_UNANSWERED || result == GP_AGENT_CUT
-         || result == GP_AGENT_NOBODY;
+  return result == GP_AGENT_UNANSWERED || result == GP_AGENT_DISCONNECTED
+         || result == GP_AGENT_CONNECTION_REFUSED;
 }
 
 static void
@@ -200,14 +200,14 @@
     }
   switch (result)
     {
-    case GP_AGENT_TAKEN:
-      run->phase = GP_RUN_PRESENT;
+    case GP_AGENT_ACCEPTED:
+      run->phase = GP_RUN_STARTED;
       run->confirmed_at = now;
       run->began_at = now;
       break;
     case GP_AGENT_UNANSWERED:
-    case GP_AGENT_CUT:
-    case GP_AGENT_NOBODY:
+    case GP_AGENT_DISCONNECTED:
+    case GP_AGENT_CONNECTION_REFUSED:
       run->doubtful = true;
       break;
     case GP_AGENT_TOO_OLD:
@@ -231,7 +231,7 @@
 {
   if (run->phase != GP_RUN_STOPPING)
     return;
-  if (result == GP_AGENT_TAKEN || result == GP_AGENT_TOO_OLD
+  if (result == GP_AGENT_ACCEPTED || result == GP_AGENT_TOO_OLD
       || (result == GP_AGENT_REFUSED && !run->doubtful && !run->listed))
     {
       run->phase = GP_RUN_STOPPED;
@@ -245,16 +245,16 @@
 pace_answered (gp_agent_run_t *run, gp_agent_result_t result, uint32_t percent,
                gp_time_t now)
 {
-  if (result == GP_AGENT_TAKEN)
+  if (result == GP_AGENT_ACCEPTED)
     {
       run->pace_before = run->pace;
       run->pace = percent;
       run->paced_at = now;
     }
   if (gp_agent_is_unanswered (result))
-    run->pace_sure_at = now + LATE_TIME;
-  run->pace_again
-      = now < run->pace_sure_at ? now + PACE_REPEAT_TIME : GP_TIME_NEVER;
+    run->pace_certain_at = now + LATE_TIME;
+  run->pace_repeat_at
+      = now < run->pace_certain_at ? now + PACE_REPEAT_TIME : GP_TIME_NEVER;
 }
 
 void
@@ -268,8 +268,8 @@
   /* After the executor has closed a connection, only a list shows which
      incarnation answers.  */
   if (result != GP_AGENT_REPLACED && !agent->is_cut)
-    gp_agent_take_clock (agent, clock_ms, now);
-  if (kind != GP_AGENT_CALL_PACE || result != GP_AGENT_TAKEN)
+    gp_agent_update_clock (agent, clock_ms, now);
+  if (kind != GP_AGENT_CALL_PACE || result != GP_AGENT_ACCEPTED)
     gp_log (GP_LOG_INFO, "order.answered", GP_LOG_S ("task", name),
             GP_LOG_I ("run", number), GP_LOG_S ("order", call_names[kind]),
             GP_LOG_S ("result", result_names[result]),
--- a/src/jobs/agent_isolation.c
+++ b/src/jobs/agent_isolation.c
@@ -46,7 +46,7 @@
         "an unanswered start may still be carried out" };
 
 void
-gp_agent_register_alone (void)
+gp_agent_register_counters (void)
 {
   gp_counter_register (&held_count);
 }
@@ -67,7 +67,7 @@
     {
     case GP_RUN_STARTING:
       return true;
-    case GP_RUN_PRESENT:
+    case GP_RUN_STARTED:
       return !gp_agent_has_settled (run);
     case GP_RUN_STOPPING:
       return run->doubtful;
@@ -82,8 +82,9 @@
 static bool
 goes_first (const gp_agent_run_t *run, const gp_agent_run_t *other)
 {
-  bool begun = run->tried_at != 0 || run->phase != GP_RUN_STARTING;
-  bool other_begun = other->tried_at != 0 || other->phase != GP_RUN_STARTING;
+  bool begun = run->first_start_at != 0 || run->phase != GP_RUN_STARTING;
+  bool other_begun
+      = other->first_start_at != 0 || other->phase != GP_RUN_STARTING;
 
   if (begun != other_begun)
     return begun;
@@ -91,7 +92,7 @@
 }
 
 const gp_agent_run_t *
-gp_agent_alone_run (const gp_agent_t *agent)
+gp_agent_isolated_run (const gp_agent_t *agent)
 {
   const gp_agent_run_t *first = NULL;
   GHashTableIter iter;
@@ -105,9 +106,9 @@
 }
 
 bool
-gp_agent_keeps_alone (const gp_agent_t *agent)
+gp_agent_has_isolated_run (const gp_agent_t *agent)
 {
-  return gp_agent_alone_run (agent) != NULL;
+  return gp_agent_isolated_run (agent) != NULL;
 }
 
 /* Invalidates the unanswered start of RUN with the next calls.  */
@@ -130,7 +131,7 @@
       return run->doubtful || run->in_flight;
     case GP_RUN_STOPPING:
       return run->doubtful;
-    case GP_RUN_PRESENT:
+    case GP_RUN_STARTED:
     case GP_RUN_STOPPED:
     case GP_RUN_ABSENT:
       return false;
@@ -149,12 +150,12 @@
     {
       if (other->doubtful)
         make_void (agent, other);
-      return GP_HOLD_DOUBT;
+      return GP_HOLD_UNANSWERED_START;
     }
   if (other->began_at == 0 || now >= begun_at)
-    return GP_HOLD_NOT;
+    return GP_HOLD_NONE;
   *again_at = MIN (*again_at, begun_at);
-  return GP_HOLD_BEGUN;
+  return GP_HOLD_RECENT_STARTS;
 }
 
 /* Returns what prevents the isolated start of RUN, which goes first.  */
@@ -162,16 +163,16 @@
 hold_of_alone (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now,
                gp_time_t *again_at)
 {
-  gp_agent_hold_t hold = GP_HOLD_NOT;
+  gp_agent_hold_t hold = GP_HOLD_NONE;
   GHashTableIter iter;
   gpointer value;
 
   if (agent->fence_listed == 0)
-    return GP_HOLD_LIST;
+    return GP_HOLD_NO_LIST;
   if (run->doubtful)
     {
       make_void (agent, run);
-      return GP_HOLD_DOUBT;
+      return GP_HOLD_UNANSWERED_START;
     }
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -181,22 +182,22 @@
 }
 
 gp_agent_hold_t
-gp_agent_hold_of (gp_agent_t *agent, const gp_agent_run_t *run,
-                  const gp_agent_run_t *alone, gp_time_t now,
-                  gp_time_t *again_at)
+gp_agent_find_hold (gp_agent_t *agent, const gp_agent_run_t *run,
+                    const gp_agent_run_t *alone, gp_time_t now,
+                    gp_time_t *again_at)
 {
   if (alone == NULL)
-    return GP_HOLD_NOT;
+    return GP_HOLD_NONE;
   if (!is_same_job (run, alone))
-    return run->start->alone ? GP_HOLD_TURN : GP_HOLD_BESIDE;
+    return run->start->alone ? GP_HOLD_QUEUED : GP_HOLD_ISOLATED_RUN;
   return run->start->alone ? hold_of_alone (agent, run, now, again_at)
-                           : GP_HOLD_NOT;
+                           : GP_HOLD_NONE;
 }
 
 void
 gp_agent_note_hold (gp_agent_run_t *run, gp_agent_hold_t hold, gp_time_t now)
 {
-  if (hold != GP_HOLD_NOT)
+  if (hold != GP_HOLD_NONE)
     {
       if (run->held_since == 0)
         {
@@ -221,7 +222,7 @@
 }
 
 void
-gp_agent_void_starts (gp_agent_t *agent)
+gp_agent_invalidate_starts (gp_agent_t *agent)
 {
   GHashTableIter iter;
   gpointer value;
@@ -241,12 +242,13 @@
 }
 
 void
-gp_agent_give_back_alone (gp_agent_t *agent, gp_time_t now)
+gp_agent_return_isolated (gp_agent_t *agent, gp_time_t now)
 {
-  const gp_agent_run_t *run = gp_agent_alone_run (agent);
+  const gp_agent_run_t *run = gp_agent_isolated_run (agent);
 
   if (run == NULL || run->phase != GP_RUN_STARTING || run->in_flight
-      || run->tried_at == 0 || now - run->tried_at < GP_SUSPICION_KEEP_TIME)
+      || run->first_start_at == 0
+      || now - run->first_start_at < GP_SUSPICION_KEEP_TIME)
     return;
   gp_log (GP_LOG_INFO, "run.given_back", GP_LOG_S ("task", run->name),
           GP_LOG_I ("run", run->run),
--- a/src/jobs/agent_list.c
+++ b/src/jobs/agent_list.c
@@ -43,7 +43,7 @@
       run = gp_agent_find_run (agent, ends[i].task, ends[i].run);
       if (run != NULL)
         {
-          gp_agent_note_gone (agent, run, now);
+          gp_agent_note_ended (agent, run, now);
           g_hash_table_remove (agent->runs, ends[i].task);
         }
       news = true;
@@ -52,7 +52,7 @@
 }
 
 void
-gp_agent_forget_list (gp_agent_t *agent)
+gp_agent_clear_list (gp_agent_t *agent)
 {
   GHashTableIter iter;
   gpointer value;
@@ -79,7 +79,7 @@
 take_rows (gp_agent_t *agent, const gp_agent_row_t *rows, size_t count,
            gp_time_t now)
 {
-  gp_agent_forget_list (agent);
+  gp_agent_clear_list (agent);
   for (size_t i = 0; i < count; i++)
     {
       gp_agent_run_t *run
@@ -87,12 +87,12 @@
 
       if (run == NULL)
         {
-          if (!gp_agent_has_ended (agent, rows[i].task, rows[i].run))
+          if (!gp_agent_run_has_ended (agent, rows[i].task, rows[i].run))
             carry (agent, &rows[i]);
           continue;
         }
       run->listed = true;
-      run->unlisted = 0;
+      run->missed_lists = 0;
       run->listed_at = now;
       if (run->listed_since == 0)
         run->listed_since = now;
@@ -101,7 +101,7 @@
       run->measure = rows[i].measure;
       if (run->phase == GP_RUN_STARTING && run->start != NULL)
         {
-          run->phase = GP_RUN_PRESENT;
+          run->phase = GP_RUN_STARTED;
           run->confirmed_at = now;
         }
     }
@@ -123,7 +123,7 @@
       gp_agent_run_t *run = value;
 
       if (run->phase != GP_RUN_STARTING || run->listed || run->in_flight
-          || ++run->unlisted < 2)
+          || ++run->missed_lists < 2)
         continue;
       gp_log (GP_LOG_INFO, "run.given_back", GP_LOG_S ("task", run->name),
               GP_LOG_I ("run", run->run), GP_LOG_S ("why", why));
@@ -148,7 +148,7 @@
 
       if (run->listed || run->in_flight || run->confirmed_at >= sent_at)
         continue;
-      if (run->phase == GP_RUN_PRESENT)
+      if (run->phase == GP_RUN_STARTED)
         run->phase = GP_RUN_STOPPING;
       if (run->phase == GP_RUN_STOPPED)
         {
@@ -167,10 +167,10 @@
   bool news;
 
   agent->is_cut = false;
-  gp_agent_take_clock (agent, clock_ms, now);
+  gp_agent_update_clock (agent, clock_ms, now);
   news = take_ends (agent, ends, end_count, now);
   take_rows (agent, rows, row_count, now);
-  gp_agent_void_starts (agent);
+  gp_agent_invalidate_starts (agent);
   if (agent->is_synced)
     gp_agent_stop_carried (agent);
   gp_agent_measure (agent, now);
@@ -178,19 +178,20 @@
     give_back_unlisted (agent, "zone evacuated");
   else if (now >= agent->starts_until)
     give_back_unlisted (agent, "executor leaves");
-  gp_agent_give_back_alone (agent, now);
+  gp_agent_return_isolated (agent, now);
   return find_absent (agent, sent_at) || news;
 }
 
 void
-gp_agent_list_refused (gp_agent_t *agent, gp_agent_result_t result,
-                       int64_t clock_ms, gp_time_t now)
+gp_agent_list_failed (gp_agent_t *agent, gp_agent_result_t result,
+                      int64_t clock_ms, gp_time_t now)
 {
   gp_agent_note_failed (agent, result, now);
   /* The next list is requested on a new connection.  */
   if (gp_agent_is_unanswered (result))
-    gp_agent_note_cut (agent);
+    gp_agent_note_disconnect (agent);
   /* A refusal does not tell which incarnation sent it.  */
-  if (result != GP_AGENT_REPLACED && !gp_agent_doubts_life (agent, now))
-    gp_agent_take_clock (agent, clock_ms, now);
+  if (result != GP_AGENT_REPLACED
+      && !gp_agent_incarnation_is_uncertain (agent, now))
+    gp_agent_update_clock (agent, clock_ms, now);
 }
--- a/src/jobs/agent_measure.c
+++ b/src/jobs/agent_measure.c
@@ -90,12 +90,12 @@
 {
   double pace = mean_pace (run, now);
 
-  if (run->measure > 0 && run->at_work_at == 0)
-    run->at_work_at = now - SEEN_AFTER;
+  if (run->measure > 0 && run->active_since == 0)
+    run->active_since = now - SEEN_AFTER;
   see_busy (run, pace, now);
   run->work = 0.0;
-  if (run->at_work_at != 0)
-    run->work = pace * window_share (run->at_work_at, now)
+  if (run->active_since != 0)
+    run->work = pace * window_share (run->active_since, now)
                 * (isnan (run->busy) ? GP_PRESSURE_BUSY_SHARE : run->busy);
 }
 
@@ -106,22 +106,23 @@
 }
 
 void
-gp_agent_note_gone (gp_agent_t *agent, const gp_agent_run_t *run,
-                    gp_time_t now)
+gp_agent_note_ended (gp_agent_t *agent, const gp_agent_run_t *run,
+                     gp_time_t now)
 {
-  gp_agent_gone_t gone;
+  gp_agent_ended_filling_t gone;
 
-  agent->plan_is_old = true;
+  agent->plan_is_stale = true;
   if (run->start == NULL || !run->start->fills)
     return;
-  gone = (gp_agent_gone_t){ .image = g_strdup (run->start->image),
-                            .work = run->work,
-                            .ended_at = now };
+  gone = (gp_agent_ended_filling_t){ .image = g_strdup (run->start->image),
+                                     .work = run->work,
+                                     .ended_at = now };
   g_array_append_val (agent->gone, gone);
 }
 
 double
-gp_agent_gone_work (const gp_agent_gone_t *gone, gp_time_t now)
+gp_agent_ended_filling_work (const gp_agent_ended_filling_t *gone,
+                             gp_time_t now)
 {
   return gone->work * (1.0 - window_share (gone->ended_at, now));
 }
@@ -132,11 +133,11 @@
 {
   for (guint i = agent->gone->len; i-- > 0;)
     {
-      const gp_agent_gone_t *gone
-          = &g_array_index (agent->gone, gp_agent_gone_t, i);
+      const gp_agent_ended_filling_t *gone
+          = &g_array_index (agent->gone, gp_agent_ended_filling_t, i);
 
       work->work[place_of (agent, gone->image)]
-          += gp_agent_gone_work (gone, now);
+          += gp_agent_ended_filling_work (gone, now);
       if (now - gone->ended_at >= WINDOW)
         g_array_remove_index_fast (agent->gone, i);
     }
@@ -173,23 +174,23 @@
 }
 
 bool
-gp_agent_is_telling (const gp_agent_run_t *run, gp_time_t now)
+gp_agent_shows_load (const gp_agent_run_t *run, gp_time_t now)
 {
-  return is_measured (run) && run->at_work_at != 0
-         && now - run->at_work_at >= WARM_TIME;
+  return is_measured (run) && run->active_since != 0
+         && now - run->active_since >= WARM_TIME;
 }
 
 void
-gp_agent_teach_load (gp_agent_t *agent, const char *task,
-                     int32_t headroom_permille, int32_t slope_permille,
-                     gp_time_t now)
+gp_agent_set_load (gp_agent_t *agent, const char *task,
+                   int32_t headroom_permille, int32_t slope_permille,
+                   gp_time_t now)
 {
   gp_agent_run_t *run = g_hash_table_lookup (agent->runs, task);
 
   if (run == NULL)
     return;
-  run->taught_headroom = headroom_permille / 1000.0;
-  run->taught_slope = slope_permille / 1000.0;
+  run->leader_headroom = headroom_permille / 1000.0;
+  run->leader_slope = slope_permille / 1000.0;
   run->taught_at = now;
 }
 
@@ -206,8 +207,8 @@
 {
   if (!is_taught (run, now))
     return gp_headroom_at (&run->headroom, when);
-  return run->taught_headroom
-         + run->taught_slope * (double)(when - run->taught_at) / GP_SEC;
+  return run->leader_headroom
+         + run->leader_slope * (double)(when - run->taught_at) / GP_SEC;
 }
 
 /* Records for how long RUN has been over its target.  */
@@ -217,10 +218,10 @@
   bool over = run->measure > run->start->target_ms;
 
   if (!over)
-    run->over_since = GP_TIME_NEVER;
-  else if (run->over_since == GP_TIME_NEVER)
-    run->over_since = now;
-  run->over = over ? (double)(now - run->over_since) / GP_SEC : 0.0;
+    run->over_target_since = GP_TIME_NEVER;
+  else if (run->over_target_since == GP_TIME_NEVER)
+    run->over_target_since = now;
+  run->over = over ? (double)(now - run->over_target_since) / GP_SEC : 0.0;
 }
 
 /* Returns the weighted amount by which the measured HEADROOM of RUN falls
@@ -247,12 +248,12 @@
   double headroom
       = gp_headroom_of ((double)run->measure, run->start->target_ms);
 
-  if (run->at_work_at == 0)
-    run->at_work_at = now;
+  if (run->active_since == 0)
+    run->active_since = now;
   note_over (run, now);
   run->missed = missed_by (run, headroom,
                            gp_pressure_sum (pressure, image, work), now);
-  if (!gp_agent_is_telling (run, now))
+  if (!gp_agent_shows_load (run, now))
     return false;
   gp_pressure_learn (pressure, image, work, headroom, &run->headroom, now);
   return true;
@@ -263,14 +264,13 @@
 will_work (const gp_agent_run_t *run)
 {
   return run->listed || run->phase == GP_RUN_STARTING
-         || run->phase == GP_RUN_PRESENT;
+         || run->phase == GP_RUN_STARTED;
 }
 
 static bool
 may_be_busy (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  return agent->distrusts_phases || isnan (run->busy)
-         || run->busy >= BUSY_LEAST;
+  return agent->assumes_busy || isnan (run->busy) || run->busy >= BUSY_LEAST;
 }
 
 uint32_t
@@ -312,7 +312,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  agent->plan_is_old = false;
+  agent->plan_is_stale = false;
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -339,8 +339,8 @@
   if (now - agent->measured_at < MEASURE_TIME)
     return;
   agent->measured_at = now;
-  agent->has_measures = false;
-  agent->distrusts_phases = false;
+  agent->has_measurements = false;
+  agent->assumes_busy = false;
   work = take_fillings (agent, now);
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -350,9 +350,9 @@
       if (!is_measured (run))
         continue;
       if (take_serving (agent, run, &work, now))
-        agent->has_measures = true;
+        agent->has_measurements = true;
       if (run->over > DISTRUST_AFTER)
-        agent->distrusts_phases = true;
+        agent->assumes_busy = true;
     }
   gp_agent_plan (agent, now);
 }
--- a/src/jobs/agent_private.h
+++ b/src/jobs/agent_private.h
@@ -10,14 +10,14 @@
                                    uint32_t number);
 
 /* Has the executor already listed the end of this run?  */
-bool gp_agent_has_ended (const gp_agent_t *agent, const char *name,
-                         uint32_t number);
+bool gp_agent_run_has_ended (const gp_agent_t *agent, const char *name,
+                             uint32_t number);
 
 /* Stops run NUMBER of the task NAME, whether it is known or not.  */
 void gp_agent_want_stop (gp_agent_t *agent, const char *name, uint32_t number);
 
 /* The last list no longer tells which runs are at work.  */
-void gp_agent_forget_list (gp_agent_t *agent);
+void gp_agent_clear_list (gp_agent_t *agent);
 
 /* Stops the runs on the executor's last list that do not belong there.  */
 void gp_agent_stop_carried (gp_agent_t *agent);
@@ -27,8 +27,8 @@
 void gp_agent_measure (gp_agent_t *agent, gp_time_t now);
 
 /* RUN has ended; its work stays in the measurement window for a while.  */
-void gp_agent_note_gone (gp_agent_t *agent, const gp_agent_run_t *run,
-                         gp_time_t now);
+void gp_agent_note_ended (gp_agent_t *agent, const gp_agent_run_t *run,
+                          gp_time_t now);
 
 /* Returns the speed that the filling RUN should have, in percent.  */
 uint32_t gp_agent_wanted_pace (gp_agent_t *agent, const gp_agent_run_t *run);
@@ -48,39 +48,41 @@
 
 /* Returns the isolated run that goes first among those that have not settled,
    or NULL.  */
-const gp_agent_run_t *gp_agent_alone_run (const gp_agent_t *agent);
+const gp_agent_run_t *gp_agent_isolated_run (const gp_agent_t *agent);
 
 /* Returns why the start of RUN must be held back; ALONE is the result of
-   gp_agent_alone_run.  Lowers *AGAIN_AT to the time at which the result may
+   gp_agent_isolated_run.  Lowers *AGAIN_AT to the time at which the result may
    change; it may also change with each list.  May raise the fence.  */
-gp_agent_hold_t gp_agent_hold_of (gp_agent_t *agent, const gp_agent_run_t *run,
-                                  const gp_agent_run_t *alone, gp_time_t now,
-                                  gp_time_t *again_at);
+gp_agent_hold_t gp_agent_find_hold (gp_agent_t *agent,
+                                    const gp_agent_run_t *run,
+                                    const gp_agent_run_t *alone, gp_time_t now,
+                                    gp_time_t *again_at);
 
 /* The start of RUN is held back because of HOLD, or made now
-   (GP_HOLD_NOT).  */
+   (GP_HOLD_NONE).  */
 void gp_agent_note_hold (gp_agent_run_t *run, gp_agent_hold_t hold,
                          gp_time_t now);
 
 /* To be called after each list.  The first marks unanswered starts as invalid
    that can no longer be carried out; the second returns an isolated run to the
    leader that could not be started for too long.  */
-void gp_agent_void_starts (gp_agent_t *agent);
-void gp_agent_give_back_alone (gp_agent_t *agent, gp_time_t now);
+void gp_agent_invalidate_starts (gp_agent_t *agent);
+void gp_agent_return_isolated (gp_agent_t *agent, gp_time_t now);
 
 /* A call had RESULT: records since when calls fail.  */
 void gp_agent_note_failed (gp_agent_t *agent, gp_agent_result_t result,
                            gp_time_t now);
 
 /* A connection has ended: another incarnation may answer the next call.  */
-void gp_agent_note_cut (gp_agent_t *agent);
+void gp_agent_note_disconnect (gp_agent_t *agent);
 
 /* The executor answered with its clock, or -1.  */
-void gp_agent_take_clock (gp_agent_t *agent, int64_t clock_ms, gp_time_t now);
+void gp_agent_update_clock (gp_agent_t *agent, int64_t clock_ms,
+                            gp_time_t now);
 
 /* Extends the lease that calls carry to the last one granted, if the executor
    answers; first checks whether the previous one has expired.  */
-void gp_agent_move_lease (gp_agent_t *agent, gp_time_t now);
+void gp_agent_extend_lease (gp_agent_t *agent, gp_time_t now);
 bool gp_agent_lease_is_open (const gp_agent_t *agent, gp_time_t now);
 /* Returns the end of the lease on the executor's clock.  */
 int64_t gp_agent_lease_on_clock (const gp_agent_t *agent);
--- a/src/jobs/agent_suspects.c
+++ b/src/jobs/agent_suspects.c
@@ -48,9 +48,9 @@
 {
   gp_time_t earliest = is_unknown (run) ? run->sent_at : run->began_at;
 
-  return agent->gone_from != 0 && earliest != 0
+  return agent->earliest_end_at != 0 && earliest != 0
          && earliest <= agent->down_since
-         && agent->gone_from - earliest <= GP_SUSPICION_JUST_TIME;
+         && agent->earliest_end_at - earliest <= GP_SUSPICION_JUST_TIME;
 }
 
 /* Returns for how many milliseconds RUN was at work when the executor was last
@@ -58,7 +58,7 @@
 static uint32_t
 age_ms (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  gp_time_t up = MAX (agent->heard_at, agent->gone_from);
+  gp_time_t up = MAX (agent->heard_at, agent->earliest_end_at);
 
   return run->began_at != 0 && up > run->began_at
              ? (uint32_t)((up - run->began_at) / GP_MSEC)
@@ -105,12 +105,12 @@
   row->just = had_just_begun (agent, run);
   row->age_ms = age_ms (agent, run);
   row->unanswered = is_unanswered (agent, run);
-  row->timed = agent->gone_from != 0;
+  row->timed = agent->earliest_end_at != 0;
   row->alone = run->start != NULL && run->start->alone;
 }
 
 bool
-gp_agent_doubts_life (const gp_agent_t *agent, gp_time_t now)
+gp_agent_incarnation_is_uncertain (const gp_agent_t *agent, gp_time_t now)
 {
   return agent->is_cut || gp_agent_is_down (agent, now);
 }
@@ -118,7 +118,7 @@
 bool
 gp_agent_is_down (const gp_agent_t *agent, gp_time_t now)
 {
-  return agent->gone_from != 0
+  return agent->earliest_end_at != 0
          || (agent->down_since != 0 && now - agent->down_since >= DOWN_TIME);
 }
 
@@ -142,31 +142,31 @@
 }
 
 bool
-gp_agent_tells_settled (gp_agent_run_t *run)
+gp_agent_report_settled (gp_agent_run_t *run)
 {
   bool asked = run->start != NULL && run->start->watched;
 
-  if (!asked || run->settled_told || !gp_agent_has_settled (run))
+  if (!asked || run->settled_reported || !gp_agent_has_settled (run))
     return false;
-  run->settled_told = true;
+  run->settled_reported = true;
   return true;
 }
 
 /* A call failed at NOW.  If it is the first to fail, the executor ended at
    GONE_FROM at the earliest; 0: not known.  */
 static void
-note_down (gp_agent_t *agent, gp_time_t gone_from, gp_time_t now)
+note_down (gp_agent_t *agent, gp_time_t earliest_end_at, gp_time_t now)
 {
   if (agent->down_since != 0)
     return;
   agent->down_since = now;
-  agent->gone_from = gone_from;
+  agent->earliest_end_at = earliest_end_at;
 }
 
 /* Raises the fence: the next incarnation must not carry out orders that were
    sent before it is known.  */
 void
-gp_agent_note_cut (gp_agent_t *agent)
+gp_agent_note_disconnect (gp_agent_t *agent)
 {
   if (agent->is_cut)
     return;
@@ -180,21 +180,21 @@
 {
   switch (result)
     {
-    case GP_AGENT_CUT:
-      gp_agent_note_cut (agent);
+    case GP_AGENT_DISCONNECTED:
+      gp_agent_note_disconnect (agent);
       note_down (agent,
                  now - agent->heard_at <= ANSWER_TIME ? now : agent->heard_at,
                  now);
       break;
-    case GP_AGENT_NOBODY:
-      gp_agent_note_cut (agent);
+    case GP_AGENT_CONNECTION_REFUSED:
+      gp_agent_note_disconnect (agent);
       note_down (agent, agent->heard_at, now);
       break;
     case GP_AGENT_UNANSWERED:
     case GP_AGENT_REPLACED:
       note_down (agent, 0, now);
       break;
-    case GP_AGENT_TAKEN:
+    case GP_AGENT_ACCEPTED:
     case GP_AGENT_FENCED:
     case GP_AGENT_TOO_OLD:
     case GP_AGENT_TOO_LATE:
--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -130,7 +130,7 @@
   if (order->life == guard->agent.life)
     {
       if (result == GP_AGENT_FENCED)
-        gp_agent_fenced (&guard->agent, order->fence);
+        gp_agent_fence_rejected (&guard->agent, order->fence);
       gp_agent_answered (&guard->agent, order->kind, order->name, order->run,
                          order->percent, result, clock_ms, now_of (guard));
     }
@@ -263,7 +263,7 @@
     gp_peer_close (guard->leader, true);
   guard->leader = peer;
   guard->epoch = lead->epoch;
-  gp_agent_unsync (&guard->agent);
+  gp_agent_clear_sync (&guard->agent);
   gp_guard_tell_anew (guard);
   gp_log (GP_LOG_INFO, "leader.known", GP_LOG_S ("leader", lead->node),
           GP_LOG_I ("epoch", lead->epoch));
@@ -288,9 +288,9 @@
                              : GP_GRANTS_TERM_TIME,
                          now_of (guard));
   if (message->zone_age_ms > 0)
-    gp_agent_zone_told (&guard->agent, message->evacuated,
-                        message->sent_at
-                            - (gp_time_t)message->zone_age_ms * GP_MSEC);
+    gp_agent_set_evacuated (&guard->agent, message->evacuated,
+                            message->sent_at
+                                - (gp_time_t)message->zone_age_ms * GP_MSEC);
   if (guard->agent.ended && message->sent_at > guard->ended_at)
     guard->end_known = true;
   gp_guard_leave_if_done (guard);
@@ -398,7 +398,7 @@
   gp_counter_register (&unanswered_count);
   gp_counter_register (&fenced_count);
   gp_guard_register_beats ();
-  gp_agent_register_alone ();
+  gp_agent_register_counters ();
   gp_guard_register_reports ();
   gp_histogram_register (&order_time);
   gp_histogram_register (&record_time);
@@ -454,7 +454,7 @@
   gp_traffic_reporter_init (&guard->traffic, &guard->loop);
   gp_refusals_init (&guard->refusals);
   gp_agent_init (&guard->agent, zone_span (settings), now_of (guard));
-  gp_agent_begin_fence (&guard->agent, gp_time_wall_ms ());
+  gp_agent_raise_fence_to (&guard->agent, gp_time_wall_ms ());
   gp_deferred_init (&guard->act, on_act);
   gp_timer_init (&guard->report, &guard->loop, on_report_due, guard);
   gp_timer_init (&guard->calls, &guard->loop, on_calls_due, guard);
--- a/src/jobsd/guard_beats.c
+++ b/src/jobsd/guard_beats.c
@@ -59,8 +59,8 @@
 static bool
 is_current (const gp_job_guard_t *guard, const gp_heartbeat_t *heartbeat)
 {
-  return gp_agent_is_life (&guard->agent, heartbeat->executor->id,
-                           heartbeat->executor->born_ms);
+  return gp_agent_is_incarnation (&guard->agent, heartbeat->executor->id,
+                                  heartbeat->executor->born_ms);
 }
 
 /* Of the current life.  */
@@ -118,7 +118,7 @@
     return "another life was met meanwhile";
   if (list->result == GP_AGENT_REPLACED)
     return "another one answers at its address";
-  if (list->result != GP_AGENT_TAKEN)
+  if (list->result != GP_AGENT_ACCEPTED)
     return "no answer";
   if (list->born_ms != introduction->heartbeat.executor->born_ms)
     return "another life of it answers at its address";
@@ -135,11 +135,11 @@
   gp_heartbeat_t *heartbeat = &introduction->heartbeat;
   const char *doubt = doubt_of (introduction, list);
 
-  gp_agent_begin_fence (&guard->agent, introduction->fence);
+  gp_agent_raise_fence_to (&guard->agent, introduction->fence);
   if (list->result == GP_AGENT_FENCED
       && introduction->questions < QUESTIONS_MAX)
     {
-      gp_agent_fenced (&guard->agent, introduction->fence);
+      gp_agent_fence_rejected (&guard->agent, introduction->fence);
       ask (introduction);
       return;
     }
@@ -167,7 +167,7 @@
           .born_ms = executor->born_ms,
           .deadline = gp_loop_now (&guard->loop) + GP_GUARD_ORDER_TIME };
 
-  introduction->fence = gp_agent_ask_fence (&guard->agent);
+  introduction->fence = gp_agent_query_fence (&guard->agent);
   order.fence = introduction->fence;
   introduction->questions++;
   gp_platform_runtime_identify (guard->runtime, &order, on_identified,
--- a/src/jobsd/guard_farewell.c
+++ b/src/jobsd/guard_farewell.c
@@ -46,7 +46,8 @@
 
   if (farewell->life != guard->agent.life)
     end_farewell (farewell);
-  else if (result == GP_AGENT_NOBODY || result == GP_AGENT_REPLACED)
+  else if (result == GP_AGENT_CONNECTION_REFUSED
+           || result == GP_AGENT_REPLACED)
     {
       end_farewell (farewell);
       gp_agent_executor_ended (&guard->agent);
--- a/src/jobsd/guard_list.c
+++ b/src/jobsd/guard_list.c
@@ -72,13 +72,14 @@
 list_result (const gp_agent_t *agent, const gp_runtime_list_t *list,
              gp_time_t now)
 {
-  if (list->result != GP_AGENT_TAKEN)
+  if (list->result != GP_AGENT_ACCEPTED)
     return list->result;
   if (list->born_ms == GP_BORN_UNREADABLE)
-    return gp_agent_doubts_life (agent, now) ? GP_AGENT_UNANSWERED
-                                             : GP_AGENT_TAKEN;
-  return list->born_ms == agent->executor->born_ms ? GP_AGENT_TAKEN
-                                                   : GP_AGENT_NOBODY;
+    return gp_agent_incarnation_is_uncertain (agent, now) ? GP_AGENT_UNANSWERED
+                                                          : GP_AGENT_ACCEPTED;
+  return list->born_ms == agent->executor->born_ms
+             ? GP_AGENT_ACCEPTED
+             : GP_AGENT_CONNECTION_REFUSED;
 }
 
 /* Returns the pause until the next call.  */
@@ -87,7 +88,7 @@
 {
   gp_agent_result_t result = list_result (&guard->agent, list, now_of (guard));
 
-  if (result == GP_AGENT_TAKEN)
+  if (result == GP_AGENT_ACCEPTED)
     {
       gp_guard_take_list (guard, list, guard->listed_fence);
       return LIST_SPACING;
@@ -98,10 +99,10 @@
             GP_LOG_I ("born_ms", list->born_ms),
             GP_LOG_I ("born_known_ms", guard->agent.executor->born_ms));
   if (result == GP_AGENT_FENCED)
-    gp_agent_fenced (&guard->agent, guard->listed_fence);
-  gp_agent_list_refused (&guard->agent, result,
-                         result == list->result ? list->clock_ms : -1,
-                         now_of (guard));
+    gp_agent_fence_rejected (&guard->agent, guard->listed_fence);
+  gp_agent_list_failed (&guard->agent, result,
+                        result == list->result ? list->clock_ms : -1,
+                        now_of (guard));
   return is_cut_lately (&guard->agent, now_of (guard)) ? LIST_RETRY_CUT_TIME
                                                        : LIST_RETRY_TIME;
 }
@@ -131,9 +132,9 @@
 static gp_time_t
 list_wait (const gp_agent_t *agent, gp_time_t now)
 {
-  if (gp_agent_doubts_life (agent, now))
+  if (gp_agent_incarnation_is_uncertain (agent, now))
     return 0;
-  return gp_agent_keeps_alone (agent) ? LIST_WAIT_ALONE : LIST_WAIT;
+  return gp_agent_has_isolated_run (agent) ? LIST_WAIT_ALONE : LIST_WAIT;
 }
 
 void
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -106,7 +106,7 @@
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      if (gp_agent_tells_settled (value))
+      if (gp_agent_report_settled (value))
         add_row (settled, value);
       if ((report->lapsed || report->down)
           && gp_agent_is_suspect (agent, value))
@@ -124,14 +124,15 @@
 {
   for (guint i = 0; i < agent->gone->len; i++)
     {
-      const gp_agent_gone_t *gone
-          = &g_array_index (agent->gone, gp_agent_gone_t, i);
+      const gp_agent_ended_filling_t *gone
+          = &g_array_index (agent->gone, gp_agent_ended_filling_t, i);
       Gp__Jobs__Filling filling = GP__JOBS__FILLING__INIT;
 
       filling.image = gone->image;
       filling.pace_percent = GP_PACER_FULL;
       filling.work_permille
-          = (uint32_t)(gp_agent_gone_work (gone, agent->measured_at) * 1000.0);
+          = (uint32_t)(gp_agent_ended_filling_work (gone, agent->measured_at)
+                       * 1000.0);
       g_array_append_val (fillings, filling);
     }
 }
@@ -145,9 +146,9 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (!agent->has_measures)
+  if (!agent->has_measurements)
     return;
-  agent->has_measures = false;
+  agent->has_measurements = false;
   g_ptr_array_set_size (guard->told.servings, 0);
   guard->told.servings_at = report->sent_at;
   g_hash_table_iter_init (&iter, agent->runs);
@@ -166,7 +167,7 @@
           filling.work_permille = (uint32_t)(run->work * 1000.0);
           g_array_append_val (fillings, filling);
         }
-      else if (gp_agent_is_telling (run, agent->measured_at))
+      else if (gp_agent_shows_load (run, agent->measured_at))
         {
           serving.task = (char *)run->name;
           serving.ratio_permille
@@ -226,7 +227,7 @@
   told->servings_at = 0;
   g_hash_table_iter_init (&iter, guard->agent.runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    ((gp_agent_run_t *)value)->settled_told = false;
+    ((gp_agent_run_t *)value)->settled_reported = false;
 }
 
 void
@@ -266,9 +267,8 @@
     return;
   for (size_t i = 0; i < message->n_headrooms; i++)
     if (message->headrooms[i] != 0)
-      gp_agent_teach_load (&guard->agent,
-                           g_ptr_array_index (told->servings, i),
-                           message->headrooms[i], message->slopes[i], now);
+      gp_agent_set_load (&guard->agent, g_ptr_array_index (told->servings, i),
+                         message->headrooms[i], message->slopes[i], now);
 }
 
 void
@@ -312,16 +312,16 @@
     }
   else
     report.predecessor = agent->predecessor;
-  report.lapsed = gp_agent_lapsed (agent, now);
-  report.answers = gp_agent_answers (agent, now);
+  report.lapsed = gp_agent_lease_lapsed (agent, now);
+  report.answers = gp_agent_is_responsive (agent, now);
   report.down = gp_agent_is_down (agent, now);
-  report.keeps_alone = gp_agent_keeps_alone (agent);
+  report.keeps_alone = gp_agent_has_isolated_run (agent);
   guard->told.down = report.down;
   report.ended = agent->ended;
   report.synced = agent->synced;
   report.ends = (Gp__Jobs__End **)agent->ends->pdata;
   report.n_ends = agent->ends->len;
-  gp_agent_lacking (agent, lacking);
+  gp_agent_missing_specs (agent, lacking);
   report.lacking = (char **)lacking->pdata;
   report.n_lacking = lacking->len;
   report_runs (agent, &report, absent);
--- a/tests/unit/fake_executor.c
+++ b/tests/unit/fake_executor.c
@@ -127,7 +127,7 @@
   if (!take_fence (fake, fence))
     return GP_AGENT_FENCED;
   if (find (fake, task, run) != NULL)
-    return GP_AGENT_TAKEN;
+    return GP_AGENT_ACCEPTED;
   if (run <= GPOINTER_TO_UINT (g_hash_table_lookup (fake->highest, task)))
     return GP_AGENT_TOO_OLD;
   if (lease_ms < fake_executor_clock (fake, now))
@@ -140,7 +140,7 @@
       fake->starts, g_strdup (key),
       GUINT_TO_POINTER (
           GPOINTER_TO_UINT (g_hash_table_lookup (fake->starts, key)) + 1));
-  return GP_AGENT_TAKEN;
+  return GP_AGENT_ACCEPTED;
 }
 
 gp_agent_result_t
@@ -157,7 +157,7 @@
     raise_highest (fake, task, run);
   else if (at->stop_at == GP_TIME_NEVER)
     at->stop_at = now + STOP_TIME;
-  return GP_AGENT_TAKEN;
+  return GP_AGENT_ACCEPTED;
 }
 
 gp_agent_result_t
@@ -172,7 +172,7 @@
          && ((Gp__Jobs__End *)g_ptr_array_index (fake->ends, 0))->number
                 <= confirmed)
     g_ptr_array_remove_index (fake->ends, 0);
-  return GP_AGENT_TAKEN;
+  return GP_AGENT_ACCEPTED;
 }
 
 void
--- a/tests/unit/late_world.c
+++ b/tests/unit/late_world.c
@@ -53,7 +53,7 @@
 begin_guard (late_world_t *world, late_worker_t *worker)
 {
   gp_agent_init (&worker->agent, 0, world->site.now);
-  gp_agent_begin_fence (&worker->agent, world->site.now / GP_MSEC * 1000);
+  gp_agent_raise_fence_to (&worker->agent, world->site.now / GP_MSEC * 1000);
   worker->met = false;
   worker->listing = false;
 }
@@ -102,7 +102,8 @@
   worker->listing = false;
   g_array_set_size (worker->flights, 0);
   if (late_worker_has_guard (world, worker))
-    gp_agent_list_refused (&worker->agent, GP_AGENT_CUT, -1, world->site.now);
+    gp_agent_list_failed (&worker->agent, GP_AGENT_DISCONNECTED, -1,
+                          world->site.now);
   if ((world->faults & LATE_GUARDS) && late_chance (world->random, 0.5))
     kill_guard (world, worker);
   if (world->faults & LATE_STARTS)
@@ -154,7 +155,7 @@
       result = fake_executor_start (&worker->fake, flight->name, flight->run,
                                     flight->lease_ms, flight->fence, now);
       let_last (worker);
-      if (result == GP_AGENT_TAKEN && !there)
+      if (result == GP_AGENT_ACCEPTED && !there)
         note_start (world, worker, flight->name, flight->run);
       return result;
     case GP_AGENT_CALL_STOP:
@@ -166,7 +167,7 @@
     case GP_AGENT_CALL_PACE:
       break;
     }
-  return GP_AGENT_TAKEN;
+  return GP_AGENT_ACCEPTED;
 }
 
 /* Calls.  */
@@ -215,7 +216,7 @@
   if (!late_worker_has_guard (world, worker) || !worker->met)
     return;
   if (result == GP_AGENT_FENCED)
-    gp_agent_fenced (&worker->agent, flight->fence);
+    gp_agent_fence_rejected (&worker->agent, flight->fence);
   if (flight->kind != GP_AGENT_CALL_NONE)
     {
       gp_agent_answered (&worker->agent, flight->kind, flight->name,
@@ -223,10 +224,10 @@
       return;
     }
   worker->listing = false;
-  if (result == GP_AGENT_TAKEN)
+  if (result == GP_AGENT_ACCEPTED)
     take_list (world, worker, flight->sent_at, flight->fence);
   else
-    gp_agent_list_refused (&worker->agent, result, clock, now);
+    gp_agent_list_failed (&worker->agent, result, clock, now);
 }
 
 static void
@@ -277,7 +278,7 @@
   flight->confirmed
       = gp_agent_list_confirmed (&worker->agent, world->site.now);
   flight->lease_ms = gp_agent_list_lease (&worker->agent, world->site.now);
-  if (gp_agent_keeps_alone (&worker->agent))
+  if (gp_agent_has_isolated_run (&worker->agent))
     flight->due = MIN (flight->due, world->site.now + 50 * GP_MSEC);
 }
 
@@ -285,15 +286,15 @@
 static void
 meet (late_world_t *world, late_worker_t *worker)
 {
-  int64_t fence = gp_agent_ask_fence (&worker->agent);
+  int64_t fence = gp_agent_query_fence (&worker->agent);
 
-  gp_agent_begin_fence (&worker->agent, fence);
+  gp_agent_raise_fence_to (&worker->agent, fence);
   while (fake_executor_hold (&worker->fake, 0, 0, fence, world->site.now)
          == GP_AGENT_FENCED)
     {
-      gp_agent_fenced (&worker->agent, fence);
-      fence = gp_agent_ask_fence (&worker->agent);
-      gp_agent_begin_fence (&worker->agent, fence);
+      gp_agent_fence_rejected (&worker->agent, fence);
+      fence = gp_agent_query_fence (&worker->agent);
+      gp_agent_raise_fence_to (&worker->agent, fence);
     }
   gp_agent_set_executor (&worker->agent, agent_executor_new (worker->id),
                          fake_executor_clock (&worker->fake, world->site.now),
--- a/tests/unit/late_world_leader.c
+++ b/tests/unit/late_world_leader.c
@@ -241,7 +241,7 @@
       if (run->phase == GP_RUN_ABSENT)
         gp_scheduler_absent (scheduler, worker->executor, &row,
                              world->site.now);
-      if (gp_agent_tells_settled (run))
+      if (gp_agent_report_settled (run))
         gp_scheduler_settled (scheduler, worker->executor, &rows, 1);
     }
 }
@@ -276,7 +276,7 @@
 {
   gp_agent_t *agent = &worker->agent;
   gp_time_t now = world->site.now;
-  bool lapsed = gp_agent_lapsed (agent, now);
+  bool lapsed = gp_agent_lease_lapsed (agent, now);
   bool down = gp_agent_is_down (agent, now);
   gp_job_executor_t *executor;
 
@@ -294,7 +294,7 @@
     gp_scheduler_end (&world->site.scheduler, executor,
                       g_ptr_array_index (agent->ends, i), now, now / GP_MSEC);
   take_runs (world, worker);
-  if (gp_agent_keeps_alone (agent))
+  if (gp_agent_has_isolated_run (agent))
     gp_suspicion_goes_on (executor, now);
   if (executor->suspects_told)
     gp_scheduler_no_suspects (executor);
@@ -302,8 +302,8 @@
     tell_suspects (world, worker);
   if (lapsed && !executor->dead)
     jobs_site_dead (&world->site, executor,
-                    gp_agent_answers (agent, now) ? GP_DEATH_LAPSED
-                                                  : GP_DEATH_UNHEARD);
+                    gp_agent_is_responsive (agent, now) ? GP_DEATH_LAPSED
+                                                        : GP_DEATH_UNHEARD);
   if (executor->dead
       || (agent->synced != worker->sync
           && now - worker->synced_at > RESYNC_TIME))
@@ -369,10 +369,10 @@
       worker->executor = NULL;
       worker->wants_sync = true;
       g_strlcpy (worker->place, worker->on_record, sizeof worker->place);
-      gp_agent_unsync (&worker->agent);
+      gp_agent_clear_sync (&worker->agent);
       for (gpointer at = g_hash_table_get_values (worker->agent.runs);
            at != NULL; at = g_list_delete_link (at, at))
-        ((gp_agent_run_t *)((GList *)at)->data)->settled_told = false;
+        ((gp_agent_run_t *)((GList *)at)->data)->settled_reported = false;
       worker->report_at = now + 100 * GP_MSEC;
     }
 }
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -101,12 +101,12 @@
 
   printf ("nothing starts before the sync, after it the run does\n");
   begin (&agent, now);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   agent_sync_with (&agent, TASK, 1, 0);
-  gp_agent_unsync (&agent);
-  call (&agent, GP_AGENT_TAKEN, now);
+  gp_agent_clear_sync (&agent);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   agent_sync_with (&agent, TASK, 1, 0);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   show (&agent);
   gp_agent_finish (&agent);
 }
@@ -121,10 +121,10 @@
   begin (&agent, now);
   agent_sync_with (&agent, TASK, 1, 0);
   call (&agent, GP_AGENT_UNANSWERED, now);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   now += 200 * GP_MSEC;
   call (&agent, GP_AGENT_NO_ROOM, now);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   show (&agent);
   gp_agent_listed (&agent, NULL, 0, NULL, 0, 5300, now, now);
   show (&agent);
@@ -144,15 +144,15 @@
   agent_sync_with (&agent, TASK, 1, 0);
   gp_agent_list_lease (&agent, now);
   now += 6 * GP_SEC;
-  printf ("  lapsed: %d\n", gp_agent_lapsed (&agent, now));
+  printf ("  lapsed: %d\n", gp_agent_lease_lapsed (&agent, now));
   gp_agent_listed (&agent, NULL, 0, NULL, 0, 11000, now - 1, now);
   gp_agent_acknowledged (&agent, now, 0, now);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   agent_sync_with (&agent, TASK, 1, now - 1);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   agent_sync_with (&agent, TASK, 2, now);
-  printf ("  lapsed: %d\n", gp_agent_lapsed (&agent, now));
-  call (&agent, GP_AGENT_TAKEN, now);
+  printf ("  lapsed: %d\n", gp_agent_lease_lapsed (&agent, now));
+  call (&agent, GP_AGENT_ACCEPTED, now);
   gp_agent_finish (&agent);
 }
 
@@ -165,10 +165,10 @@
   printf ("another executor: what was known of the first is forgotten\n");
   begin (&agent, now);
   agent_sync_with (&agent, TASK, 1, 0);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   gp_agent_set_executor (&agent, agent_executor_new ("x2"), 70, now);
   show (&agent);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   printf ("  fence %d\n", (int)agent.fence);
   gp_agent_finish (&agent);
 }
@@ -242,8 +242,8 @@
   begin (&agent, now);
   while (agent.fence < INT64_C (600000))
     {
-      gp_agent_fenced (&agent, agent.fence - 1);
-      gp_agent_fenced (&agent, agent.fence);
+      gp_agent_fence_rejected (&agent, agent.fence - 1);
+      gp_agent_fence_rejected (&agent, agent.fence);
       refusals++;
     }
   printf ("  by ten minutes after %u refusals\n", refusals);
@@ -261,17 +261,17 @@
   begin (&agent, now);
   agent_sync_with (&agent, TASK, 1, 0);
   gp_agent_executor_ended (&agent);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   agent_sync_with (&agent, TASK, 1, now);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   now += 6 * GP_SEC;
-  printf ("  lapsed: %d, ended: %d\n", gp_agent_lapsed (&agent, now),
+  printf ("  lapsed: %d, ended: %d\n", gp_agent_lease_lapsed (&agent, now),
           agent.ended);
   gp_agent_set_executor (&agent, agent_executor_new ("x2"), 70, now);
   gp_agent_reported (&agent, now);
   gp_agent_acknowledged (&agent, now, 0, now);
   agent_sync_with (&agent, TASK, 2, now);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   gp_agent_finish (&agent);
 }
 
@@ -286,11 +286,11 @@
   printf ("a stop goes on until the end is listed\n");
   begin (&agent, now);
   agent_sync_with (&agent, TASK, 1, 0);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   order_stop (&agent, TASK, 1);
   call (&agent, GP_AGENT_UNANSWERED, now);
   now += 200 * GP_MSEC;
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   gp_agent_listed (&agent, &row, 1, NULL, 0, 5300, now + 1, now + 2);
   show (&agent);
   end.number = 1;
@@ -325,13 +325,13 @@
   agent_sync_with (&agent, TASK, 1, 0);
   gp_agent_find_run (&agent, TASK, 1)->start->gang = gang;
   gp_agent_find_run (&agent, TASK, 1)->start->watched = true;
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   gp_agent_listed (&agent, &row, 1, NULL, 0, 5300, now + 1, now + 2);
   now += age;
   gp_agent_listed (&agent, &row, 1, NULL, 0, 9000, now + 1, now + 2);
   printf ("  listed for %d ms%s, told as settled: %d\n", (int)(age / GP_MSEC),
           gang ? " in a gang" : "",
-          gp_agent_tells_settled (gp_agent_find_run (&agent, TASK, 1)));
+          gp_agent_report_settled (gp_agent_find_run (&agent, TASK, 1)));
   show_suspects (&agent, now + 3);
   gp_agent_finish (&agent);
 }
@@ -356,7 +356,7 @@
   gp_agent_finish (&agent);
   printf ("one that left after another call had failed has not\n");
   begin (&agent, now);
-  gp_agent_list_refused (&agent, GP_AGENT_UNANSWERED, -1, now);
+  gp_agent_list_failed (&agent, GP_AGENT_UNANSWERED, -1, now);
   agent_sync_with (&agent, TASK, 1, 0);
   call (&agent, GP_AGENT_UNANSWERED, now + 1);
   show_suspects (&agent, now + 3);
@@ -398,13 +398,13 @@
   begin (&agent, now - older);
   agent_hold_spec (&agent, OTHER, now);
   agent_sync_with (&agent, TASK, 1, 0);
-  call (&agent, GP_AGENT_TAKEN, now - older);
+  call (&agent, GP_AGENT_ACCEPTED, now - older);
   gp_agent_listed (&agent, &row, 1, NULL, 0, 5300, now - 2, now - 1);
   order_start (&agent, OTHER, 2);
   call (&agent, started, now);
-  if (started == GP_AGENT_TAKEN)
+  if (started == GP_AGENT_ACCEPTED)
     agent.heard_at = now;
-  gp_agent_list_refused (&agent, result, -1, now + delay);
+  gp_agent_list_failed (&agent, result, -1, now + delay);
   show_beginners (&agent, what, now + 3 * GP_SEC);
 }
 
@@ -420,25 +420,25 @@
 
   printf ("which of several runs had only just begun\n");
   crash_beside ("the connection ends after 10 ms", 300 * GP_MSEC,
-                GP_AGENT_TAKEN, GP_AGENT_CUT, 10 * GP_MSEC);
-  crash_beside ("nobody listens after 60 ms", 300 * GP_MSEC, GP_AGENT_TAKEN,
-                GP_AGENT_NOBODY, 60 * GP_MSEC);
+                GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED, 10 * GP_MSEC);
+  crash_beside ("nobody listens after 60 ms", 300 * GP_MSEC, GP_AGENT_ACCEPTED,
+                GP_AGENT_CONNECTION_REFUSED, 60 * GP_MSEC);
   crash_beside ("the answer to the start was lost with it", 300 * GP_MSEC,
-                GP_AGENT_CUT, GP_AGENT_CUT, 10 * GP_MSEC);
+                GP_AGENT_DISCONNECTED, GP_AGENT_DISCONNECTED, 10 * GP_MSEC);
   crash_beside ("the connection ends after a second", 300 * GP_MSEC,
-                GP_AGENT_TAKEN, GP_AGENT_CUT, GP_SEC);
-  crash_beside ("calls run out of time", 300 * GP_MSEC, GP_AGENT_TAKEN,
+                GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED, GP_SEC);
+  crash_beside ("calls run out of time", 300 * GP_MSEC, GP_AGENT_ACCEPTED,
                 GP_AGENT_UNANSWERED, 60 * GP_MSEC);
   crash_beside ("the same, after a start that went unanswered", 300 * GP_MSEC,
                 GP_AGENT_UNANSWERED, GP_AGENT_UNANSWERED, 60 * GP_MSEC);
-  crash_beside ("both had begun for longer", 300 * GP_MSEC, GP_AGENT_TAKEN,
-                GP_AGENT_CUT, 200 * GP_MSEC);
+  crash_beside ("both had begun for longer", 300 * GP_MSEC, GP_AGENT_ACCEPTED,
+                GP_AGENT_DISCONNECTED, 200 * GP_MSEC);
   printf ("a run that was started and is to be stopped had begun\n");
   begin (&agent, now);
   agent_sync_with (&agent, TASK, 1, 0);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   order_stop (&agent, TASK, 1);
-  gp_agent_list_refused (&agent, GP_AGENT_UNANSWERED, -1, now + 1);
+  gp_agent_list_failed (&agent, GP_AGENT_UNANSWERED, -1, now + 1);
   show_beginners (&agent, "stopped", now + 3 * GP_SEC);
 }
 
@@ -456,17 +456,17 @@
 
   printf ("is the executor down?\n");
   begin (&agent, now);
-  gp_agent_list_refused (&agent, GP_AGENT_UNANSWERED, -1, now);
+  gp_agent_list_failed (&agent, GP_AGENT_UNANSWERED, -1, now);
   show_down (&agent, "a call went unanswered", now);
   show_down (&agent, "299 ms later", now + 299 * GP_MSEC);
   show_down (&agent, "300 ms later", now + 300 * GP_MSEC);
   gp_agent_listed (&agent, NULL, 0, NULL, 0, 5300, now, now + GP_SEC);
   show_down (&agent, "an answer", now + GP_SEC);
-  gp_agent_list_refused (&agent, GP_AGENT_CUT, -1, now + GP_SEC);
+  gp_agent_list_failed (&agent, GP_AGENT_DISCONNECTED, -1, now + GP_SEC);
   show_down (&agent, "its side ends a connection", now + GP_SEC);
   gp_agent_listed (&agent, NULL, 0, NULL, 0, 5400, now, now + GP_SEC);
   show_down (&agent, "but answers on another one", now + GP_SEC);
-  gp_agent_list_refused (&agent, GP_AGENT_NOBODY, -1, now + GP_SEC);
+  gp_agent_list_failed (&agent, GP_AGENT_CONNECTION_REFUSED, -1, now + GP_SEC);
   show_down (&agent, "nobody listens", now + GP_SEC);
   gp_agent_finish (&agent);
 }
@@ -503,7 +503,7 @@
   begin (&agent, now);
   gp_agent_set_executor (&agent, executor_of_cores ("x1", 8), 5001, now);
   agent_sync_with (&agent, TASK, 1, 0);
-  call (&agent, GP_AGENT_TAKEN, now);
+  call (&agent, GP_AGENT_ACCEPTED, now);
   gp_agent_set_executor (&agent, executor_of_cores ("x1", 4), 5002, now);
   show (&agent);
   gp_agent_finish (&agent);
--- a/tests/unit/test_agent_measure.c
+++ b/tests/unit/test_agent_measure.c
@@ -56,7 +56,7 @@
 static void
 teach (gp_agent_t *agent, int32_t headroom_permille, gp_time_t now)
 {
-  gp_agent_teach_load (agent, SERVING, headroom_permille, 0, now);
+  gp_agent_set_load (agent, SERVING, headroom_permille, 0, now);
 }
 
 /* The executor lists a tail of TAIL_MS and what A and B use.  */
@@ -142,7 +142,7 @@
   gp_time_t now = 10 * GP_SEC;
   Gp__Jobs__End end = GP__JOBS__END__INIT;
   const gp_agent_row_t left = { SERVING, 1, 30 };
-  const gp_agent_gone_t *gone;
+  const gp_agent_ended_filling_t *gone;
 
   begin (&agent, now);
   for (int i = 0; i < 4; i++)
@@ -153,10 +153,10 @@
   end.how = GP_END_DONE;
   gp_agent_listed (&agent, &left, 1, &end, 1, 5000 + now / GP_MSEC, now, now);
   CU_ASSERT_EQUAL_FATAL (agent.gone->len, 1);
-  gone = &g_array_index (agent.gone, gp_agent_gone_t, 0);
-  CU_ASSERT (gp_agent_gone_work (gone, now) > 0.9);
-  CU_ASSERT (gp_agent_gone_work (gone, now + STEP) < 0.6);
-  CU_ASSERT_EQUAL (gp_agent_gone_work (gone, now + 2 * STEP), 0.0);
+  gone = &g_array_index (agent.gone, gp_agent_ended_filling_t, 0);
+  CU_ASSERT (gp_agent_ended_filling_work (gone, now) > 0.9);
+  CU_ASSERT (gp_agent_ended_filling_work (gone, now + STEP) < 0.6);
+  CU_ASSERT_EQUAL (gp_agent_ended_filling_work (gone, now + 2 * STEP), 0.0);
   list (&agent, 30, 0, 0, now + 3 * STEP);
   CU_ASSERT_EQUAL (agent.gone->len, 0);
   gp_agent_finish (&agent);
@@ -193,10 +193,10 @@
   for (int i = 0; i < 4; i++, now += STEP)
     {
       list (&agent, 10, 0, 0, now);
-      CU_ASSERT_FALSE (agent.has_measures);
+      CU_ASSERT_FALSE (agent.has_measurements);
     }
   list (&agent, 30, 0, 0, now);
-  CU_ASSERT_TRUE (agent.has_measures);
+  CU_ASSERT_TRUE (agent.has_measurements);
   gp_agent_finish (&agent);
 }
 
--- a/tests/unit/test_agent_random.c
+++ b/tests/unit/test_agent_random.c
@@ -90,7 +90,7 @@
     case GP_AGENT_CALL_PACE:
       break;
     }
-  return GP_AGENT_TAKEN;
+  return GP_AGENT_ACCEPTED;
 }
 
 static void
@@ -101,7 +101,7 @@
                       : fake_executor_clock (&world->fake, world->now);
 
   if (result == GP_AGENT_FENCED)
-    gp_agent_fenced (&world->agent, flight->fence);
+    gp_agent_fence_rejected (&world->agent, flight->fence);
   if (flight->kind != GP_AGENT_CALL_NONE)
     {
       gp_agent_answered (&world->agent, flight->kind, flight->name,
@@ -109,11 +109,11 @@
       return;
     }
   world->listing = false;
-  if (result == GP_AGENT_TAKEN)
+  if (result == GP_AGENT_ACCEPTED)
     fake_executor_list (&world->fake, &world->agent, flight->sent_at,
                         world->now);
   else
-    gp_agent_list_refused (&world->agent, result, clock, world->now);
+    gp_agent_list_failed (&world->agent, result, clock, world->now);
 }
 
 static void
@@ -170,7 +170,7 @@
 lead (world_t *world)
 {
   gp_agent_t *agent = &world->agent;
-  bool lapsed = gp_agent_lapsed (agent, world->now);
+  bool lapsed = gp_agent_lease_lapsed (agent, world->now);
 
   if (lapsed)
     world->given_up = world->wanted;
@@ -284,7 +284,7 @@
       if (chance (&world, 0.001))
         restart_guard (&world);
       if (chance (&world, 0.003))
-        gp_agent_unsync (&world.agent);
+        gp_agent_clear_sync (&world.agent);
       fly (&world);
     }
   gp_agent_finish (&world.agent);
--- a/tests/unit/test_alone.c
+++ b/tests/unit/test_alone.c
@@ -43,7 +43,7 @@
 {
   guard->now = 10 * GP_SEC;
   gp_agent_init (&guard->agent, 0, guard->now);
-  gp_agent_begin_fence (&guard->agent, 100);
+  gp_agent_raise_fence_to (&guard->agent, 100);
   gp_agent_set_executor (&guard->agent, agent_executor_new ("x1"), 5000,
                          guard->now);
   gp_agent_reported (&guard->agent, guard->now);
@@ -92,9 +92,9 @@
       g_strlcpy (name, next.run->name, sizeof name);
       printf (" %s %s,", next.kind == GP_AGENT_CALL_START ? "start" : "stop",
               short_name (name));
-      gp_agent_answered (&guard->agent, next.kind, name, 1, 0, result,
-                         result == GP_AGENT_TAKEN ? guard->now / GP_MSEC : -1,
-                         guard->now);
+      gp_agent_answered (
+          &guard->agent, next.kind, name, 1, 0, result,
+          result == GP_AGENT_ACCEPTED ? guard->now / GP_MSEC : -1, guard->now);
     }
   printf (" fence %ld", (long)guard->agent.fence);
   if (again_at != GP_TIME_NEVER)
@@ -129,7 +129,7 @@
   call (guard, GP_AGENT_UNANSWERED);
   order (guard, SUSPECT, true);
   guard->now += 150 * GP_MSEC;
-  call (guard, GP_AGENT_TAKEN);
+  call (guard, GP_AGENT_ACCEPTED);
 }
 
 /* What the soak and the scripts of late orders saw.  */
@@ -141,18 +141,18 @@
   printf ("a start that was not answered is void before a suspect begins\n");
   leave_unanswered (&guard);
   list (&guard, NULL, NULL);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   guard.now += 10 * GP_MSEC;
-  gp_agent_list_refused (&guard.agent, GP_AGENT_CUT, -1, guard.now);
+  gp_agent_list_failed (&guard.agent, GP_AGENT_DISCONNECTED, -1, guard.now);
   show_suspect (&guard, SUSPECT);
   show_suspect (&guard, OTHER);
   gp_agent_finish (&guard.agent);
   printf ("it was carried out before: the suspect waits until it has begun\n");
   leave_unanswered (&guard);
   list (&guard, OTHER, NULL);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   guard.now += GP_SUSPICION_BEGIN_TIME;
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   gp_agent_finish (&guard.agent);
 }
 
@@ -167,14 +167,14 @@
   order (&guard, SUSPECT, true);
   order (&guard, SIBLING, false);
   order (&guard, OTHER, false);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   list (&guard, SUSPECT, SIBLING);
-  printf ("  keeps alone: %d\n", gp_agent_keeps_alone (&guard.agent));
+  printf ("  keeps alone: %d\n", gp_agent_has_isolated_run (&guard.agent));
   guard.now += GP_SUSPICION_SETTLE_TIME;
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   list (&guard, SUSPECT, SIBLING);
-  call (&guard, GP_AGENT_TAKEN);
-  printf ("  keeps alone: %d\n", gp_agent_keeps_alone (&guard.agent));
+  call (&guard, GP_AGENT_ACCEPTED);
+  printf ("  keeps alone: %d\n", gp_agent_has_isolated_run (&guard.agent));
   gp_agent_finish (&guard.agent);
 }
 
@@ -186,9 +186,9 @@
   printf ("a guard that has just begun knows nothing before the first list\n");
   begin (&guard);
   order (&guard, SUSPECT, true);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   list (&guard, NULL, NULL);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   gp_agent_finish (&guard.agent);
 }
 
@@ -213,9 +213,9 @@
   printf ("it can't be begun: the leader gets it back, others go on\n");
   guard.now += GP_SUSPICION_KEEP_TIME;
   list (&guard, NULL, NULL);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   list (&guard, NULL, NULL);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   gp_agent_finish (&guard.agent);
 }
 
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -106,7 +106,7 @@
 static void
 renew (gp_agent_t *agent, gp_time_t now)
 {
-  gp_agent_take_clock (agent, agent->clock_ms + 1, now);
+  gp_agent_update_clock (agent, agent->clock_ms + 1, now);
   gp_agent_acknowledged (agent, now, 0, now);
 }
 
@@ -150,7 +150,7 @@
   begin (&agent, now);
   agent_sync_with (&agent, TASK, 1, 0);
   show_call (&agent, "before any word", GP_AGENT_UNANSWERED, now);
-  gp_agent_zone_told (&agent, false, now - GP_SEC);
+  gp_agent_set_evacuated (&agent, false, now - GP_SEC);
   show_call (&agent, "told that it is open", GP_AGENT_UNANSWERED, now);
   now += SPAN - GP_SEC;
   renew (&agent, now);
@@ -158,17 +158,17 @@
   now += GP_MSEC * 200;
   renew (&agent, now);
   show_call (&agent, "for longer", GP_AGENT_UNANSWERED, now);
-  gp_agent_zone_told (&agent, false, now);
+  gp_agent_set_evacuated (&agent, false, now);
   show_call (&agent, "a newer word", GP_AGENT_UNANSWERED, now);
-  gp_agent_zone_told (&agent, true, now + GP_MSEC);
+  gp_agent_set_evacuated (&agent, true, now + GP_MSEC);
   now += GP_SEC;
   renew (&agent, now);
   show_call (&agent, "evacuated", GP_AGENT_UNANSWERED, now);
-  gp_agent_zone_told (&agent, false, now - 2 * GP_SEC);
+  gp_agent_set_evacuated (&agent, false, now - 2 * GP_SEC);
   show_call (&agent, "an older word that it is open", GP_AGENT_UNANSWERED,
              now);
-  gp_agent_zone_told (&agent, false, now);
-  show_call (&agent, "taken back", GP_AGENT_TAKEN, now);
+  gp_agent_set_evacuated (&agent, false, now);
+  show_call (&agent, "taken back", GP_AGENT_ACCEPTED, now);
   gp_agent_finish (&agent);
 }
 
@@ -180,25 +180,25 @@
 
   printf ("what has not begun is given back\n");
   begin (&agent, now);
-  gp_agent_zone_told (&agent, false, now);
+  gp_agent_set_evacuated (&agent, false, now);
   agent_sync_with (&agent, TASK, 1, 0);
   show_call (&agent, "a start without an answer", GP_AGENT_UNANSWERED, now);
-  gp_agent_zone_told (&agent, true, now);
+  gp_agent_set_evacuated (&agent, true, now);
   now += GP_SEC;
   list (&agent, false, now);
-  show_call (&agent, "one list without it", GP_AGENT_TAKEN, now);
+  show_call (&agent, "one list without it", GP_AGENT_ACCEPTED, now);
   list (&agent, false, now + 1);
-  show_call (&agent, "two", GP_AGENT_TAKEN, now + 1);
+  show_call (&agent, "two", GP_AGENT_ACCEPTED, now + 1);
   gp_agent_finish (&agent);
 
   printf ("what has begun goes on, as a guard that starts anew sees\n");
   begin (&agent, now);
-  gp_agent_zone_told (&agent, true, now);
+  gp_agent_set_evacuated (&agent, true, now);
   agent_sync_with (&agent, TASK, 1, 0);
   list (&agent, false, now);
   list (&agent, true, now + 1);
   list (&agent, true, now + 2);
-  show_call (&agent, "it is listed", GP_AGENT_TAKEN, now + 2);
+  show_call (&agent, "it is listed", GP_AGENT_ACCEPTED, now + 2);
   gp_agent_finish (&agent);
 }
 
@@ -222,27 +222,27 @@
 
   printf ("an executor leaves: nothing begins there a second later\n");
   begin (&agent, now);
-  gp_agent_zone_told (&agent, false, now);
+  gp_agent_set_evacuated (&agent, false, now);
   agent_sync_with (&agent, TASK, 1, 0);
   beat (&agent, true, now);
   show_call (&agent, "an order that was under way", GP_AGENT_UNANSWERED, now);
   now += GP_SEC;
   renew (&agent, now);
-  gp_agent_zone_told (&agent, false, now);
+  gp_agent_set_evacuated (&agent, false, now);
   beat (&agent, true, now);
   show_call (&agent, "a second later", GP_AGENT_UNANSWERED, now);
   list (&agent, false, now);
   list (&agent, false, now + 1);
-  show_call (&agent, "two lists without it", GP_AGENT_TAKEN, now + 1);
+  show_call (&agent, "two lists without it", GP_AGENT_ACCEPTED, now + 1);
   beat (&agent, false, now + 2);
   CU_ASSERT_EQUAL (agent.starts_until, GP_TIME_NEVER);
   gp_agent_finish (&agent);
 
   printf ("nor where it is met while it leaves\n");
   begin_with (&agent, true, now);
-  gp_agent_zone_told (&agent, false, now);
+  gp_agent_set_evacuated (&agent, false, now);
   agent_sync_with (&agent, TASK, 1, 0);
-  show_call (&agent, "a start", GP_AGENT_TAKEN, now);
+  show_call (&agent, "a start", GP_AGENT_ACCEPTED, now);
   gp_agent_finish (&agent);
 }
 
@@ -306,7 +306,8 @@
       for (unsigned i = 0; i < count; i++)
         if (words[i].arrives_at <= now)
           {
-            gp_agent_zone_told (&agent, words[i].evacuated, words[i].known_at);
+            gp_agent_set_evacuated (&agent, words[i].evacuated,
+                                    words[i].known_at);
             words[i--] = words[--count];
           }
       if (g_rand_int_range (random, 0, 400) == 0)
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -446,7 +446,7 @@
   if (gp_agent_list_lease (agent, world->now) > 0)
     world->lease_end = MAX (world->lease_end,
                             agent->lease + GP_AGENT_LEASE_TIME * 1000 / 980);
-  if (gp_agent_lapsed (agent, world->now))
+  if (gp_agent_lease_lapsed (agent, world->now))
     {
       /* As after a sync that takes the lapse into account.  */
       agent->lapsed = false;
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -94,7 +94,7 @@
 begin (gp_agent_t *agent, gp_time_t now)
 {
   gp_agent_init (agent, 0, now);
-  gp_agent_begin_fence (agent, 1000);
+  gp_agent_raise_fence_to (agent, 1000);
   agent_hold_spec (agent, TASK, now);
   gp_agent_set_executor (agent, agent_life_new (ID, 1), 5000, now);
   gp_agent_reported (agent, now);
@@ -181,11 +181,11 @@
   list_end (&agent, 57, 1, now);
   agent_confirm_ends (&agent, ID, 1, 57);
   agent_sync_life (&agent, ID, TASK, 1, 2, 0);
-  gp_agent_list_refused (&agent, GP_AGENT_CUT, -1, now);
+  gp_agent_list_failed (&agent, GP_AGENT_DISCONNECTED, -1, now);
   show_doubt (&agent, "cut", now);
-  gp_agent_list_refused (&agent, GP_AGENT_NOBODY, -1, now);
+  gp_agent_list_failed (&agent, GP_AGENT_CONNECTION_REFUSED, -1, now);
   show_doubt (&agent, "nobody there", now);
-  gp_agent_answered (&agent, GP_AGENT_CALL_STOP, TASK, 9, 0, GP_AGENT_TAKEN,
+  gp_agent_answered (&agent, GP_AGENT_CALL_STOP, TASK, 9, 0, GP_AGENT_ACCEPTED,
                      6000, now);
   show_doubt (&agent, "an order is answered", now);
   gp_agent_listed (&agent, NULL, 0, NULL, 0, 6001, now, now);
--- a/tests/unit/test_lives_random.c
+++ b/tests/unit/test_lives_random.c
@@ -110,10 +110,10 @@
 static gp_agent_result_t
 carry_out (world_t *world, const flight_t *flight)
 {
-  gp_agent_result_t result = GP_AGENT_TAKEN;
+  gp_agent_result_t result = GP_AGENT_ACCEPTED;
 
   if (world->now < world->dark_until)
-    return GP_AGENT_NOBODY;
+    return GP_AGENT_CONNECTION_REFUSED;
   switch (flight->kind)
     {
     case GP_AGENT_CALL_START:
@@ -126,7 +126,7 @@
       result
           = fake_executor_hold (&world->fake, flight->confirmed,
                                 flight->lease_ms, flight->fence, world->now);
-      if (result == GP_AGENT_TAKEN)
+      if (result == GP_AGENT_ACCEPTED)
         check_confirmed (world, flight);
       return result;
     case GP_AGENT_CALL_PACE:
@@ -140,10 +140,10 @@
 answer_question (world_t *world, const flight_t *flight,
                  gp_agent_result_t result)
 {
-  gp_agent_begin_fence (&world->agent, flight->fence);
+  gp_agent_raise_fence_to (&world->agent, flight->fence);
   if (result == GP_AGENT_FENCED)
-    gp_agent_fenced (&world->agent, flight->fence);
-  if (result != GP_AGENT_TAKEN || flight->life != world->agent.life
+    gp_agent_fence_rejected (&world->agent, flight->fence);
+  if (result != GP_AGENT_ACCEPTED || flight->life != world->agent.life
       || flight->asked_born_ms != world->born_ms)
     return;
   gp_agent_set_executor (&world->agent, agent_life_new (ID, world->born_ms),
@@ -170,17 +170,18 @@
   if (flight->life != world->agent.life || world->agent.executor == NULL)
     return;
   if (result == GP_AGENT_FENCED)
-    gp_agent_fenced (&world->agent, flight->fence);
+    gp_agent_fence_rejected (&world->agent, flight->fence);
   if (flight->kind != GP_AGENT_CALL_NONE)
     gp_agent_answered (&world->agent, flight->kind, TASK, flight->run, 0,
                        result, clock, world->now);
-  else if (result != GP_AGENT_TAKEN)
-    gp_agent_list_refused (&world->agent, result, clock, world->now);
+  else if (result != GP_AGENT_ACCEPTED)
+    gp_agent_list_failed (&world->agent, result, clock, world->now);
   else if (world->agent.executor->born_ms == world->born_ms)
     fake_executor_list (&world->fake, &world->agent, flight->sent_at,
                         world->now);
   else
-    gp_agent_list_refused (&world->agent, GP_AGENT_NOBODY, -1, world->now);
+    gp_agent_list_failed (&world->agent, GP_AGENT_CONNECTION_REFUSED, -1,
+                          world->now);
 }
 
 static void
@@ -245,12 +246,12 @@
             : world->born_ms + g_rand_int_range (world->random, -3, 4);
   flight_t *flight;
 
-  if (gp_agent_is_life (&world->agent, ID, born_ms))
+  if (gp_agent_is_incarnation (&world->agent, ID, born_ms))
     return;
   flight = take_off (world, GP_AGENT_CALL_NONE);
   flight->asks = true;
   flight->due += g_rand_int_range (world->random, 0, 100) * GP_MSEC;
-  flight->fence = gp_agent_ask_fence (&world->agent);
+  flight->fence = gp_agent_query_fence (&world->agent);
   flight->asked_born_ms = born_ms;
 }
 
@@ -265,7 +266,8 @@
     if (((const Gp__Jobs__TaskRun *)g_ptr_array_index (agent->carried, i))->run
         == run)
       return true;
-  return gp_agent_has_ended (agent, TASK, run) || (at != NULL && at->listed);
+  return gp_agent_run_has_ended (agent, TASK, run)
+         || (at != NULL && at->listed);
 }
 
 static void
@@ -300,7 +302,7 @@
 
   if (agent->executor == NULL)
     return;
-  lapsed = gp_agent_lapsed (agent, world->now);
+  lapsed = gp_agent_lease_lapsed (agent, world->now);
   if (lapsed)
     world->given_up = world->wanted;
   if (agent->executor->born_ms != world->known_born_ms
@@ -353,7 +355,7 @@
 {
   gp_agent_finish (&world->agent);
   gp_agent_init (&world->agent, 0, world->now);
-  gp_agent_begin_fence (&world->agent, world->wall_ms);
+  gp_agent_raise_fence_to (&world->agent, world->wall_ms);
   agent_hold_spec (&world->agent, TASK, world->now);
   world->listing = false;
   for (guint i = 0; i < world->flights->len; i++)
@@ -402,7 +404,7 @@
       flight_t *flight = &g_array_index (world->flights, flight_t, i);
 
       if (!flight->told)
-        answer (world, flight, GP_AGENT_CUT);
+        answer (world, flight, GP_AGENT_DISCONNECTED);
       flight->lost = true;
       flight->told = true;
     }
@@ -440,7 +442,7 @@
       if (chance (&world, 0.001))
         restart_guard (&world);
       if (chance (&world, 0.003))
-        gp_agent_unsync (&world.agent);
+        gp_agent_clear_sync (&world.agent);
       if (world.now >= world.dark_until && chance (&world, 0.01))
         restart_executor (&world);
       fly (&world);
--- a/tests/unit/test_orders.c
+++ b/tests/unit/test_orders.c
@@ -27,7 +27,7 @@
 {
   switch (result)
     {
-    case GP_AGENT_TAKEN:
+    case GP_AGENT_ACCEPTED:
       return "taken";
     case GP_AGENT_FENCED:
       return "fenced";
@@ -43,9 +43,9 @@
       return "replaced";
     case GP_AGENT_UNANSWERED:
       return "unanswered";
-    case GP_AGENT_CUT:
+    case GP_AGENT_DISCONNECTED:
       return "cut";
-    case GP_AGENT_NOBODY:
+    case GP_AGENT_CONNECTION_REFUSED:
       return "nobody";
     }
   return "";
--- a/tests/unit/test_strays.c
+++ b/tests/unit/test_strays.c
@@ -135,7 +135,7 @@
   gp_agent_set_executor (&agent, agent_executor_new ("x1"), 1000, 0);
   gp_agent_listed (&agent, &row, 1, NULL, 0, 1000, 0, 0);
   CU_ASSERT_EQUAL (agent.carried->len, 1);
-  CU_ASSERT (gp_agent_lapsed (&agent, gp_agent_lease_end (0) + 1));
+  CU_ASSERT (gp_agent_lease_lapsed (&agent, gp_agent_lease_end (0) + 1));
   CU_ASSERT_EQUAL (agent.carried->len, 0);
   gp_agent_finish (&agent);
 }
