--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -21,12 +21,12 @@
 #define DRAIN_START_TIME (GP_SEC)
 /* Answers that overtake each other differ by less than this, in
    milliseconds.  */
-#define CLOCK_BEHIND_MS 5000
+#define CLOCK_DISORDER_MS 5000
 /* Steps of the fence, in milliseconds: a time of day that stepped back by
    seconds is made up for in a few tries.  The last step, a month, exceeds any
    step of the clock.  */
-#define FENCE_LEAP_MS 1000
-#define FENCE_LEAP_MAX_MS (INT64_C (1) << 31)
+#define FENCE_STEP_MS 1000
+#define FENCE_STEP_MAX_MS (INT64_C (1) << 31)
 
 gp_time_t
 gp_agent_lease_end (gp_time_t sent_at)
@@ -62,7 +62,7 @@
 }
 
 static void
-clear_gone (gpointer data)
+clear_ended_filling (gpointer data)
 {
   g_free (((gp_agent_ended_filling_t *)data)->image);
 }
@@ -82,12 +82,13 @@
   agent->lease = INT64_MIN / 2;
   agent->retry_time = RETRY_TIME;
   gp_pacer_init (&agent->pacer);
-  agent->gone = g_array_new (FALSE, FALSE, sizeof (gp_agent_ended_filling_t));
-  g_array_set_clear_func (agent->gone, clear_gone);
+  agent->ended_fillings
+      = g_array_new (FALSE, FALSE, sizeof (gp_agent_ended_filling_t));
+  g_array_set_clear_func (agent->ended_fillings, clear_ended_filling);
   agent->clock_ms = -1;
   agent->carried = g_ptr_array_new_with_free_func (free_task_run);
   agent->fence = 1;
-  agent->fence_step = FENCE_LEAP_MS;
+  agent->fence_step = FENCE_STEP_MS;
 }
 
 static void
@@ -111,10 +112,10 @@
   agent->lapsed = false;
   agent->ended = false;
   agent->down_since = 0;
-  agent->is_cut = false;
+  agent->is_disconnected = false;
   agent->earliest_end_at = 0;
   g_hash_table_remove_all (agent->runs);
-  g_array_set_size (agent->gone, 0);
+  g_array_set_size (agent->ended_fillings, 0);
   g_ptr_array_set_size (agent->ends, 0);
 }
 
@@ -128,14 +129,14 @@
   g_ptr_array_unref (agent->ends);
   g_ptr_array_unref (agent->carried);
   gp_pacer_finish (&agent->pacer);
-  g_array_unref (agent->gone);
+  g_array_unref (agent->ended_fillings);
 }
 
 /* Logs, once per incarnation, that the executor's clock has gone back.  */
 static void
-note_clock_behind (gp_agent_t *agent, int64_t clock_ms)
+log_clock_behind (gp_agent_t *agent, int64_t clock_ms)
 {
-  if (agent->clock_is_behind || agent->clock_ms - clock_ms < CLOCK_BEHIND_MS)
+  if (agent->clock_is_behind || agent->clock_ms - clock_ms < CLOCK_DISORDER_MS)
     return;
   agent->clock_is_behind = true;
   gp_log (GP_LOG_WARNING, "executor.clock_behind",
@@ -150,7 +151,7 @@
 {
   if (clock_ms < 0)
     return;
-  note_clock_behind (agent, clock_ms);
+  log_clock_behind (agent, clock_ms);
   agent->heard_at = now;
   agent->down_since = 0;
   agent->earliest_end_at = 0;
@@ -181,14 +182,14 @@
   if (fence < agent->fence)
     return;
   agent->fence += agent->fence_step;
-  agent->fence_step = MIN (agent->fence_step * 2, FENCE_LEAP_MAX_MS);
+  agent->fence_step = MIN (agent->fence_step * 2, FENCE_STEP_MAX_MS);
 }
 
 int64_t
 gp_agent_query_fence (gp_agent_t *agent)
 {
-  agent->fence_asked = MAX (agent->fence_asked, agent->fence) + 1;
-  return agent->fence_asked;
+  agent->query_fence = MAX (agent->query_fence, agent->fence) + 1;
+  return agent->query_fence;
 }
 
 bool
@@ -212,7 +213,7 @@
    these are missing, as the executor does not refuse them.  So they are
    returned to the leader to be placed anew.  */
 static void
-give_back (gp_agent_t *agent)
+return_unstarted (gp_agent_t *agent)
 {
   GHashTableIter iter;
   gpointer value;
@@ -230,7 +231,7 @@
 /* Logs what is lost if EXECUTOR is the next incarnation of the current
    executor.  */
 static void
-note_restart (const gp_agent_t *agent, const Gp__Jobs__Executor *executor)
+log_restart (const gp_agent_t *agent, const Gp__Jobs__Executor *executor)
 {
   const Gp__Jobs__Executor *before = agent->executor;
 
@@ -269,15 +270,15 @@
   if (gp_agent_is_incarnation (agent, executor->id, executor->born_ms))
     {
       if (has_shrunk (agent->executor, executor))
-        give_back (agent);
+        return_unstarted (agent);
       gp__jobs__executor__free_unpacked (agent->executor, NULL);
     }
   else
     {
       gp_agent_keep_predecessor (agent, now);
-      note_restart (agent, executor);
+      log_restart (agent, executor);
       drop_executor (agent);
-      agent->life++;
+      agent->incarnation_number++;
       agent->known_since = now;
       gp_log (
           GP_LOG_INFO, "executor.known", GP_LOG_S ("executor", executor->id),
@@ -378,7 +379,7 @@
   run->phase = phase;
   run->pace = GP_PACER_FULL;
   run->pace_repeat_at = GP_TIME_NEVER;
-  run->busy = NAN;
+  run->busy_share = NAN;
   gp_headroom_init (&run->headroom);
   run->over_target_since = GP_TIME_NEVER;
   g_hash_table_replace (agent->runs, run->name, run);
@@ -401,7 +402,7 @@
 
 /* Takes ownership of *PLACE, if it is kept.  */
 static void
-want_start (gp_agent_t *agent, Gp__Jobs__Start **place)
+add_start (gp_agent_t *agent, Gp__Jobs__Start **place)
 {
   Gp__Jobs__Start *start = *place;
   gp_agent_run_t *run = g_hash_table_lookup (agent->runs, start->task);
@@ -440,7 +441,7 @@
 /* Removes the NULL entries of an array from which starts were taken over:
    protobuf-c does not accept them when it frees the message.  */
 static void
-close_holes (Gp__Jobs__Start **starts, size_t *count)
+compact_starts (Gp__Jobs__Start **starts, size_t *count)
 {
   size_t kept = 0;
 
@@ -497,7 +498,7 @@
 /* Does the leader mean the current incarnation?  A leader of the previous
    version sends no birth time.  */
 static bool
-is_meant (const gp_agent_t *agent, const char *id, int64_t born_ms)
+is_addressed (const gp_agent_t *agent, const char *id, int64_t born_ms)
 {
   return agent->executor != NULL
          && gp_agent_is_incarnation (
@@ -507,7 +508,7 @@
 void
 gp_agent_sync (gp_agent_t *agent, Gp__Jobs__Sync *sync)
 {
-  if (!is_meant (agent, sync->executor, sync->born_ms) || agent->ended
+  if (!is_addressed (agent, sync->executor, sync->born_ms) || agent->ended
       || (agent->lapsed && sync->after < agent->lapsed_at))
     return;
   if (agent->lapsed)
@@ -515,8 +516,8 @@
   agent->lapsed = false;
   stop_unwanted (agent, sync);
   for (size_t i = 0; i < sync->n_starts; i++)
-    want_start (agent, &sync->starts[i]);
-  close_holes (sync->starts, &sync->n_starts);
+    add_start (agent, &sync->starts[i]);
+  compact_starts (sync->starts, &sync->n_starts);
   gp_agent_stop_carried (agent);
   agent->synced = sync->number;
   agent->is_synced = true;
@@ -532,7 +533,7 @@
 }
 
 static void
-forget_absent (gp_agent_t *agent, const Gp__Jobs__TaskRun *what)
+drop_absent (gp_agent_t *agent, const Gp__Jobs__TaskRun *what)
 {
   const gp_agent_run_t *run = gp_agent_find_run (agent, what->task, what->run);
 
@@ -541,7 +542,7 @@
 }
 
 static void
-forget_ends (gp_agent_t *agent, uint64_t seen)
+drop_recorded_ends (gp_agent_t *agent, uint64_t seen)
 {
   /* At most up to what this incarnation has listed: a leader of the previous
      version may mean another one.  */
@@ -559,15 +560,15 @@
 void
 gp_agent_order (gp_agent_t *agent, Gp__Jobs__Orders *orders)
 {
-  if (!is_meant (agent, orders->executor, orders->born_ms)
+  if (!is_addressed (agent, orders->executor, orders->born_ms)
       || !agent->is_synced)
     return;
   for (size_t i = 0; i < orders->n_forget; i++)
-    forget_absent (agent, orders->forget[i]);
-  forget_ends (agent, orders->seen_ends);
+    drop_absent (agent, orders->forget[i]);
+  drop_recorded_ends (agent, orders->seen_ends);
   for (size_t i = 0; i < orders->n_starts; i++)
-    want_start (agent, &orders->starts[i]);
-  close_holes (orders->starts, &orders->n_starts);
+    add_start (agent, &orders->starts[i]);
+  compact_starts (orders->starts, &orders->n_starts);
   for (size_t i = 0; i < orders->n_stops; i++)
     gp_agent_want_stop (agent, orders->stops[i]->task, orders->stops[i]->run);
 }
--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -80,8 +80,8 @@
   GP_HOLD_QUEUED,        /* ... another isolated run goes first */
   GP_HOLD_NO_LIST,       /* ... no list has shown yet which runs have begun */
   GP_HOLD_RECENT_STARTS, /* ... runs of other jobs have only just begun */
-  GP_HOLD_UNANSWERED_START /* ... an unanswered start may still be carried out
-                            */
+  GP_HOLD_UNANSWERED_START /* ... an unanswered start may still be carried
+                              out */
 } gp_agent_hold_t;
 
 typedef struct
@@ -92,13 +92,13 @@
   Gp__Jobs__Start *start; /* owned; NULL for a run that is only to be
                              stopped */
   bool in_flight;
-  bool doubtful;          /* a start went unanswered and may still be carried
+  bool start_uncertain;   /* a start went unanswered and may still be carried
                              out */
   bool listed;            /* it is on the executor's last list */
   gp_time_t listed_since; /* time of the first list that showed it, 0: none */
   gp_time_t listed_at;    /* time of the last list that showed it */
   unsigned missed_lists;  /* number of consecutive lists that did not show
-                         it */
+                             it */
   bool settled_reported;  /* the leader was told that the run has settled */
   gp_time_t sent_at;      /* when the first start was sent that was or may
                              still be carried out; 0: none */
@@ -117,14 +117,14 @@
                              runs */
   double leader_headroom; /* the same, as the leader sent it */
   double leader_slope;    /* its change per second, as the leader sent it */
-  gp_time_t taught_at;    /* when the leader sent them, 0: never */
-  double missed;          /* by how much the measured headroom fell short of
-                             the expected one */
-  double over;            /* for how many seconds it was over its latency
-                             target at the last measurement */
+  gp_time_t leader_load_at; /* when the leader sent them, 0: never */
+  double headroom_deficit;  /* by how much the measured headroom fell short of
+                               the expected one */
+  double over_target_s;     /* for how many seconds it was over its latency
+                               target at the last measurement */
   gp_time_t over_target_since; /* since when it is over the target, or
-                           GP_TIME_NEVER */
-  double busy;              /* share of the last half second in which a filling
+                                  GP_TIME_NEVER */
+  double busy_share;        /* share of the last half second in which a filling
                                run was busy; NAN: not measured yet */
   double work;              /* busy work that it did in that time */
   gp_time_t active_since;   /* when it was first measured at work, 0: never */
@@ -132,10 +132,10 @@
   gp_time_t paced_at;       /* when PACE was confirmed, 0: never */
   uint32_t pace_before;     /* the pace before that */
   gp_time_t pace_repeat_at; /* when to repeat the pace, as an unanswered call
-                           may still set an older one; GP_TIME_NEVER: not
-                           needed */
+                               may still set an older one; GP_TIME_NEVER: not
+                               needed */
   gp_time_t pace_certain_at; /* from then on no unanswered pace call can take
-                             effect */
+                                effect */
 } gp_agent_run_t;
 
 typedef enum
@@ -170,9 +170,9 @@
   GP_AGENT_REPLACED,     /* another executor answered */
   GP_AGENT_UNANSWERED,   /* it may be carried out now or later */
   GP_AGENT_DISCONNECTED, /* the same, and the other side closed the
-                   connection */
+                            connection */
   GP_AGENT_CONNECTION_REFUSED /* the connection to the executor's address was
-                     refused */
+                                 refused */
 } gp_agent_result_t;
 
 /* A filling run that has ended and still contributes to the current
@@ -210,11 +210,11 @@
                            recorded */
   uint64_t synced;      /* number of the last sync */
   bool is_synced;       /* RUNS is what the leader wants */
-  uint64_t life;        /* number of executor incarnations found */
-  GPtrArray *carried;   /* Gp__Jobs__TaskRun, owned: runs on the last list that
-                           are not in RUNS */
+  uint64_t incarnation_number; /* number of executor incarnations found */
+  GPtrArray *carried; /* Gp__Jobs__TaskRun, owned: runs on the last list that
+                         are not in RUNS */
   int64_t fence;
-  int64_t fence_asked;  /* highest fence of an identity query */
+  int64_t query_fence;  /* highest fence of an identity query */
   int64_t fence_step;   /* how far to raise the fence when it is too low;
                            doubles each time */
   int64_t fence_listed; /* highest fence of a list that this incarnation
@@ -226,21 +226,21 @@
   bool clock_is_behind; /* an answer carried a lower clock value */
   gp_time_t began_at;   /* when this process started */
   gp_time_t first_reported_at; /* when the first report with this executor was
-                         sent, or GP_TIME_NEVER */
+                                  sent, or GP_TIME_NEVER */
   gp_time_t granted;    /* sending time of the last acknowledged report */
   gp_time_t lease;      /* the same of the report behind the lease that calls
                            carry */
   gp_time_t heard_at;   /* time of the executor's last answer */
   gp_time_t down_since; /* time of the first failed call since the last answer;
                            0: none has failed */
-  bool is_cut;          /* the executor closed a connection or left a list
+  bool is_disconnected; /* the executor closed a connection or left a list
                            unanswered, and no list was answered since: another
                            incarnation may answer */
   gp_time_t earliest_end_at; /* earliest time at which the executor may have
-                          ended, from the first failed call; 0: no call showed
-                          that */
-  bool lapsed; /* the lease expired, and no sync has taken that into
-                  account yet */
+                                ended, from the first failed call; 0: no call
+                                showed that */
+  bool lapsed; /* the lease expired, and no sync has taken that into account
+                  yet */
   gp_time_t lapsed_at;
   bool ended;             /* the executor has ended for good */
   gp_time_t known_since;  /* since when this process knows the executor */
@@ -248,16 +248,16 @@
                              to leave; GP_TIME_NEVER: it is not */
   gp_start_gate_t gate;   /* closed while no starts are allowed */
   gp_pacer_t pacer;
-  GArray *gone;          /* gp_agent_ended_filling_t */
-  bool assumes_busy;     /* a serving run stays over its target although all
-                                runs measured as busy are slowed down: treat all
-                                filling runs as busy */
-  bool plan_is_stale;    /* filling runs have started or ended since the
-                          pacer's last plan */
-  gp_time_t measured_at; /* when the runs were last measured */
-  bool has_measurements; /* there are measurements that the leader does not
-                        have yet */
-  gp_time_t retry_time;  /* delay before a call is retried */
+  GArray *ended_fillings; /* gp_agent_ended_filling_t */
+  bool assumes_busy;      /* a serving run stays over its target although all
+                             runs measured as busy are slowed down: treat all
+                             filling runs as busy */
+  bool plan_is_stale;     /* filling runs have started or ended since the
+                             pacer's last plan */
+  gp_time_t measured_at;  /* when the runs were last measured */
+  bool has_measurements;  /* there are measurements that the leader does not
+                             have yet */
+  gp_time_t retry_time;   /* delay before a call is retried */
 } gp_agent_t;
 
 /* ZONE_SPAN is how long a notice that the zone is open holds, 0: without
--- a/src/jobs/agent_calls.c
+++ b/src/jobs/agent_calls.c
@@ -8,7 +8,7 @@
 
 /* How long after its failure an unanswered call may still be carried out.  The
    longest delay on the known sites is 12 s.  */
-#define LATE_TIME (13 * GP_SEC)
+#define MAX_CALL_DELAY (13 * GP_SEC)
 #define PACE_REPEAT_TIME (GP_SEC)
 
 static const char *const call_names[] = { "none", "start", "stop", "pace" };
@@ -26,7 +26,7 @@
 }
 
 static bool
-can_start (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now)
+has_spec (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now)
 {
   return run->start != NULL
          && gp_spec_store_of_task (&agent->specs, run->name, now) != NULL;
@@ -38,8 +38,8 @@
   switch (run->phase)
     {
     case GP_RUN_STARTING:
-      return can_start (agent, run, now) ? GP_AGENT_CALL_START
-                                         : GP_AGENT_CALL_NONE;
+      return has_spec (agent, run, now) ? GP_AGENT_CALL_START
+                                        : GP_AGENT_CALL_NONE;
     case GP_RUN_STOPPING:
       return GP_AGENT_CALL_STOP;
     case GP_RUN_STARTED:
@@ -55,7 +55,7 @@
 /* Stops come first, as they release resources, then changes of pace, which
    slow runs down.  */
 static int
-rank (gp_agent_call_kind_t kind)
+call_priority (gp_agent_call_kind_t kind)
 {
   switch (kind)
     {
@@ -75,7 +75,7 @@
    be outdated.  After a pause of this process it can still be read from a
    connection that the leader has given up.  */
 static bool
-may_start (const gp_agent_t *agent, gp_time_t now)
+may_send_starts (const gp_agent_t *agent, gp_time_t now)
 {
   return agent->is_synced && now < agent->starts_until
          && gp_agent_lease_is_open (agent, now)
@@ -133,12 +133,12 @@
       if (kind == GP_AGENT_CALL_NONE || run->in_flight)
         continue;
       if (kind == GP_AGENT_CALL_START
-          && (!may_start (agent, now)
+          && (!may_send_starts (agent, now)
               || is_held (agent, run, alone, now, again_at)))
         continue;
       if (run->retry_at > now)
         *again_at = MIN (*again_at, run->retry_at);
-      else if (rank (kind) > rank (best.kind))
+      else if (call_priority (kind) > call_priority (best.kind))
         best = (gp_agent_call_t){ .kind = kind, .run = run };
     }
   if (best.run == NULL)
@@ -195,7 +195,8 @@
 {
   if (run->phase != GP_RUN_STARTING)
     {
-      run->doubtful = run->doubtful || gp_agent_is_unanswered (result);
+      run->start_uncertain
+          = run->start_uncertain || gp_agent_is_unanswered (result);
       return;
     }
   switch (result)
@@ -208,7 +209,7 @@
     case GP_AGENT_UNANSWERED:
     case GP_AGENT_DISCONNECTED:
     case GP_AGENT_CONNECTION_REFUSED:
-      run->doubtful = true;
+      run->start_uncertain = true;
       break;
     case GP_AGENT_TOO_OLD:
     case GP_AGENT_NO_ROOM:
@@ -219,7 +220,7 @@
     case GP_AGENT_FENCED:
     case GP_AGENT_TOO_LATE:
     case GP_AGENT_REPLACED:
-      if (!run->doubtful)
+      if (!run->start_uncertain)
         run->sent_at = 0;
       break;
     }
@@ -232,7 +233,7 @@
   if (run->phase != GP_RUN_STOPPING)
     return;
   if (result == GP_AGENT_ACCEPTED || result == GP_AGENT_TOO_OLD
-      || (result == GP_AGENT_REFUSED && !run->doubtful && !run->listed))
+      || (result == GP_AGENT_REFUSED && !run->start_uncertain && !run->listed))
     {
       run->phase = GP_RUN_STOPPED;
       run->confirmed_at = now;
@@ -252,7 +253,7 @@
       run->paced_at = now;
     }
   if (gp_agent_is_unanswered (result))
-    run->pace_certain_at = now + LATE_TIME;
+    run->pace_certain_at = now + MAX_CALL_DELAY;
   run->pace_repeat_at
       = now < run->pace_certain_at ? now + PACE_REPEAT_TIME : GP_TIME_NEVER;
 }
@@ -267,7 +268,7 @@
   gp_agent_note_failed (agent, result, now);
   /* After the executor has closed a connection, only a list shows which
      incarnation answers.  */
-  if (result != GP_AGENT_REPLACED && !agent->is_cut)
+  if (result != GP_AGENT_REPLACED && !agent->is_disconnected)
     gp_agent_update_clock (agent, clock_ms, now);
   if (kind != GP_AGENT_CALL_PACE || result != GP_AGENT_ACCEPTED)
     gp_log (GP_LOG_INFO, "order.answered", GP_LOG_S ("task", name),
--- a/src/jobs/agent_isolation.c
+++ b/src/jobs/agent_isolation.c
@@ -59,7 +59,7 @@
 
 /* Is RUN isolated, and either not begun yet or not settled?  */
 static bool
-keeps_alone (const gp_agent_run_t *run)
+is_unsettled_isolated (const gp_agent_run_t *run)
 {
   if (run->start == NULL || !run->start->alone)
     return false;
@@ -70,7 +70,7 @@
     case GP_RUN_STARTED:
       return !gp_agent_has_settled (run);
     case GP_RUN_STOPPING:
-      return run->doubtful;
+      return run->start_uncertain;
     case GP_RUN_STOPPED:
     case GP_RUN_ABSENT:
       return false;
@@ -100,7 +100,8 @@
 
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (keeps_alone (value) && (first == NULL || goes_first (value, first)))
+    if (is_unsettled_isolated (value)
+        && (first == NULL || goes_first (value, first)))
       first = value;
   return first;
 }
@@ -113,7 +114,7 @@
 
 /* Invalidates the unanswered start of RUN with the next calls.  */
 static void
-make_void (gp_agent_t *agent, const gp_agent_run_t *run)
+invalidate_start (gp_agent_t *agent, const gp_agent_run_t *run)
 {
   if (run->start_fence >= agent->fence)
     gp_agent_raise_fence (agent);
@@ -121,16 +122,16 @@
 
 /* May a start of RUN still be carried out?  */
 static bool
-may_begin_yet (const gp_agent_run_t *run)
+may_still_begin (const gp_agent_run_t *run)
 {
   if (run->began_at != 0)
     return false;
   switch (run->phase)
     {
     case GP_RUN_STARTING:
-      return run->doubtful || run->in_flight;
+      return run->start_uncertain || run->in_flight;
     case GP_RUN_STOPPING:
-      return run->doubtful;
+      return run->start_uncertain;
     case GP_RUN_STARTED:
     case GP_RUN_STOPPED:
     case GP_RUN_ABSENT:
@@ -141,15 +142,15 @@
 
 /* Returns how OTHER prevents the isolated start of a run of another job.  */
 static gp_agent_hold_t
-hold_by (gp_agent_t *agent, const gp_agent_run_t *other, gp_time_t now,
-         gp_time_t *again_at)
+hold_due_to (gp_agent_t *agent, const gp_agent_run_t *other, gp_time_t now,
+             gp_time_t *again_at)
 {
   gp_time_t begun_at = other->began_at + GP_SUSPICION_BEGIN_TIME;
 
-  if (may_begin_yet (other))
+  if (may_still_begin (other))
     {
-      if (other->doubtful)
-        make_void (agent, other);
+      if (other->start_uncertain)
+        invalidate_start (agent, other);
       return GP_HOLD_UNANSWERED_START;
     }
   if (other->began_at == 0 || now >= begun_at)
@@ -160,8 +161,8 @@
 
 /* Returns what prevents the isolated start of RUN, which goes first.  */
 static gp_agent_hold_t
-hold_of_alone (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now,
-               gp_time_t *again_at)
+hold_of_isolated (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now,
+                  gp_time_t *again_at)
 {
   gp_agent_hold_t hold = GP_HOLD_NONE;
   GHashTableIter iter;
@@ -169,15 +170,15 @@
 
   if (agent->fence_listed == 0)
     return GP_HOLD_NO_LIST;
-  if (run->doubtful)
+  if (run->start_uncertain)
     {
-      make_void (agent, run);
+      invalidate_start (agent, run);
       return GP_HOLD_UNANSWERED_START;
     }
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (!is_same_job (run, value))
-      hold = MAX (hold, hold_by (agent, value, now, again_at));
+      hold = MAX (hold, hold_due_to (agent, value, now, again_at));
   return hold;
 }
 
@@ -190,7 +191,7 @@
     return GP_HOLD_NONE;
   if (!is_same_job (run, alone))
     return run->start->alone ? GP_HOLD_QUEUED : GP_HOLD_ISOLATED_RUN;
-  return run->start->alone ? hold_of_alone (agent, run, now, again_at)
+  return run->start->alone ? hold_of_isolated (agent, run, now, again_at)
                            : GP_HOLD_NONE;
 }
 
@@ -232,10 +233,10 @@
     {
       gp_agent_run_t *run = value;
 
-      if (!run->doubtful || run->listed || run->in_flight
+      if (!run->start_uncertain || run->listed || run->in_flight
           || run->start_fence >= agent->fence_listed)
         continue;
-      run->doubtful = false;
+      run->start_uncertain = false;
       if (run->began_at == 0)
         run->sent_at = 0;
     }
--- a/src/jobs/agent_list.c
+++ b/src/jobs/agent_list.c
@@ -65,7 +65,7 @@
 
 /* ROW is not a run that the leader wants, as far as is known.  */
 static void
-carry (gp_agent_t *agent, const gp_agent_row_t *row)
+add_carried (gp_agent_t *agent, const gp_agent_row_t *row)
 {
   Gp__Jobs__TaskRun *run = g_new (Gp__Jobs__TaskRun, 1);
 
@@ -88,7 +88,7 @@
       if (run == NULL)
         {
           if (!gp_agent_run_has_ended (agent, rows[i].task, rows[i].run))
-            carry (agent, &rows[i]);
+            add_carried (agent, &rows[i]);
           continue;
         }
       run->listed = true;
@@ -112,7 +112,7 @@
    lists which runs have begun.  The first list that does not show a run may
    have been requested before the run was known, the second was not.  */
 static void
-give_back_unlisted (gp_agent_t *agent, const char *why)
+return_unlisted (gp_agent_t *agent, const char *why)
 {
   GHashTableIter iter;
   gpointer value;
@@ -166,7 +166,7 @@
 {
   bool news;
 
-  agent->is_cut = false;
+  agent->is_disconnected = false;
   gp_agent_update_clock (agent, clock_ms, now);
   news = take_ends (agent, ends, end_count, now);
   take_rows (agent, rows, row_count, now);
@@ -175,9 +175,9 @@
     gp_agent_stop_carried (agent);
   gp_agent_measure (agent, now);
   if (agent->gate.evacuated)
-    give_back_unlisted (agent, "zone evacuated");
+    return_unlisted (agent, "zone evacuated");
   else if (now >= agent->starts_until)
-    give_back_unlisted (agent, "executor leaves");
+    return_unlisted (agent, "executor leaves");
   gp_agent_return_isolated (agent, now);
   return find_absent (agent, sent_at) || news;
 }
--- a/src/jobs/agent_measure.c
+++ b/src/jobs/agent_measure.c
@@ -12,46 +12,46 @@
 #include <math.h>
 
 /* Length of the window before a measurement over which it is taken.  */
-#define WINDOW (500 * GP_MSEC)
+#define WINDOW_TIME (500 * GP_MSEC)
 /* Least time between evaluations.  Twice per window shows an increase a
    quarter of a second earlier.  */
-#define MEASURE_TIME (230 * GP_MSEC)
+#define MEASURE_INTERVAL (230 * GP_MSEC)
 /* Mean time from the beginning of a run to the first measurement that shows it
    at work.  */
-#define SEEN_AFTER (150 * GP_MSEC)
+#define DETECTION_DELAY (150 * GP_MSEC)
 /* Delay until a confirmed pace shows in the measurements.  */
-#define PACE_TIME (100 * GP_MSEC)
+#define PACE_DELAY (100 * GP_MSEC)
 /* Share of its allowed CPU that a run uses while it is not busy; a busy run
    uses all of it.  */
-#define LIGHT_SHARE (2.0 / 3.0)
+#define IDLE_SHARE (2.0 / 3.0)
 /* Below this mean pace (1.0 is full speed) the CPU in use is too little to
    tell whether a run is busy.  */
-#define PACE_LEAST 0.08
+#define MIN_PACE 0.08
 /* A run counts as busy from this share of the window on.  A busy phase lasts
    five to nine seconds, so such a run has just entered one.  */
-#define BUSY_LEAST 0.3
+#define MIN_BUSY_SHARE 0.3
 /* Time after now that a plan has to cover: from when its paces take effect to
    when those of the next plan do.  */
 #define PLAN_FROM (100 * GP_MSEC)
 #define PLAN_UNTIL (450 * GP_MSEC)
 /* When a serving run was over its target for so many seconds, all filling runs
    count as busy.  */
-#define DISTRUST_AFTER 1.2
+#define ASSUME_BUSY_AFTER 1.2
 /* Until then a new serving run does not have its full load.  */
-#define WARM_TIME (GP_SEC)
-/* Feedback for the plan: if the measured headroom is below FEEDBACK_UNDER,
+#define WARM_UP_TIME (GP_SEC)
+/* Feedback for the plan: if the measured headroom is below FEEDBACK_BELOW,
    what it lacks of the expected headroom counts by FEEDBACK_SHARE.  */
-#define FEEDBACK_UNDER 1.3
+#define FEEDBACK_BELOW 1.3
 #define FEEDBACK_SHARE 0.7
 /* How long the leader's estimate of a load takes precedence over local
    measurements, as being more recent.  */
-#define TAUGHT_TIME (GP_SEC)
+#define LEADER_LOAD_TIME (GP_SEC)
 
 /* Returns the share of the window that ends at NOW that lies after SINCE.  */
 static double
 window_share (gp_time_t since, gp_time_t now)
 {
-  return CLAMP ((double)(now - since) / WINDOW, 0.0, 1.0);
+  return CLAMP ((double)(now - since) / WINDOW_TIME, 0.0, 1.0);
 }
 
 /* Returns the mean pace of RUN in the window, from 0 to 1.  */
@@ -63,44 +63,46 @@
   double share = 1.0;
 
   if (run->paced_at != 0)
-    share = window_share (run->paced_at + PACE_TIME, now);
+    share = window_share (run->paced_at + PACE_DELAY, now);
   return (before + (after - before) * share) / GP_PACER_FULL;
 }
 
 /* Estimates the share of the window in which RUN, at the mean pace PACE, was
    busy.  While its pace changes, the previous estimate is kept.  */
 static void
-see_busy (gp_agent_run_t *run, double pace, gp_time_t now)
+estimate_busy_share (gp_agent_run_t *run, double pace, gp_time_t now)
 {
   double full = run->start->cpu_milli;
   bool changes
-      = run->paced_at != 0 && now < run->paced_at + PACE_TIME + WINDOW;
+      = run->paced_at != 0 && now < run->paced_at + PACE_DELAY + WINDOW_TIME;
   double share;
 
-  if (run->measure == 0 || full == 0.0 || pace < PACE_LEAST)
+  if (run->measure == 0 || full == 0.0 || pace < MIN_PACE)
     return;
-  if (changes && !isnan (run->busy))
+  if (changes && !isnan (run->busy_share))
     return;
   share = (double)run->measure / full / pace;
-  run->busy = CLAMP ((share - LIGHT_SHARE) / (1.0 - LIGHT_SHARE), 0.0, 1.0);
+  run->busy_share
+      = CLAMP ((share - IDLE_SHARE) / (1.0 - IDLE_SHARE), 0.0, 1.0);
 }
 
 static void
-take_filling (gp_agent_run_t *run, gp_time_t now)
+measure_filling (gp_agent_run_t *run, gp_time_t now)
 {
   double pace = mean_pace (run, now);
 
   if (run->measure > 0 && run->active_since == 0)
-    run->active_since = now - SEEN_AFTER;
-  see_busy (run, pace, now);
+    run->active_since = now - DETECTION_DELAY;
+  estimate_busy_share (run, pace, now);
   run->work = 0.0;
   if (run->active_since != 0)
     run->work = pace * window_share (run->active_since, now)
-                * (isnan (run->busy) ? GP_PRESSURE_BUSY_SHARE : run->busy);
+                * (isnan (run->busy_share) ? GP_PRESSURE_BUSY_SHARE
+                                           : run->busy_share);
 }
 
 static unsigned int
-place_of (gp_agent_t *agent, const char *image)
+image_index (gp_agent_t *agent, const char *image)
 {
   return gp_pressure_place (&agent->pacer.pressure, image);
 }
@@ -117,7 +119,7 @@
   gone = (gp_agent_ended_filling_t){ .image = g_strdup (run->start->image),
                                      .work = run->work,
                                      .ended_at = now };
-  g_array_append_val (agent->gone, gone);
+  g_array_append_val (agent->ended_fillings, gone);
 }
 
 double
@@ -129,24 +131,24 @@
 
 /* Adds to WORK the work of ended runs that still lies in the window.  */
 static void
-add_gone (gp_agent_t *agent, gp_pressure_work_t *work, gp_time_t now)
+add_ended_fillings (gp_agent_t *agent, gp_pressure_work_t *work, gp_time_t now)
 {
-  for (guint i = agent->gone->len; i-- > 0;)
+  for (guint i = agent->ended_fillings->len; i-- > 0;)
     {
-      const gp_agent_ended_filling_t *gone
-          = &g_array_index (agent->gone, gp_agent_ended_filling_t, i);
+      const gp_agent_ended_filling_t *gone = &g_array_index (
+          agent->ended_fillings, gp_agent_ended_filling_t, i);
 
-      work->work[place_of (agent, gone->image)]
+      work->work[image_index (agent, gone->image)]
           += gp_agent_ended_filling_work (gone, now);
-      if (now - gone->ended_at >= WINDOW)
-        g_array_remove_index_fast (agent->gone, i);
+      if (now - gone->ended_at >= WINDOW_TIME)
+        g_array_remove_index_fast (agent->ended_fillings, i);
     }
 }
 
 /* Returns the busy work of the filling runs in the window that ends at
    NOW.  */
 static gp_pressure_work_t
-take_fillings (gp_agent_t *agent, gp_time_t now)
+measure_fillings (gp_agent_t *agent, gp_time_t now)
 {
   gp_pressure_work_t work = { { 0.0 } };
   GHashTableIter iter;
@@ -159,10 +161,10 @@
 
       if (!run->listed || run->start == NULL || !run->start->fills)
         continue;
-      take_filling (run, now);
-      work.work[place_of (agent, run->start->image)] += run->work;
+      measure_filling (run, now);
+      work.work[image_index (agent, run->start->image)] += run->work;
     }
-  add_gone (agent, &work, now);
+  add_ended_fillings (agent, &work, now);
   return work;
 }
 
@@ -177,7 +179,7 @@
 gp_agent_shows_load (const gp_agent_run_t *run, gp_time_t now)
 {
   return is_measured (run) && run->active_since != 0
-         && now - run->active_since >= WARM_TIME;
+         && now - run->active_since >= WARM_UP_TIME;
 }
 
 void
@@ -191,13 +193,14 @@
     return;
   run->leader_headroom = headroom_permille / 1000.0;
   run->leader_slope = slope_permille / 1000.0;
-  run->taught_at = now;
+  run->leader_load_at = now;
 }
 
 static bool
-is_taught (const gp_agent_run_t *run, gp_time_t now)
+has_leader_load (const gp_agent_run_t *run, gp_time_t now)
 {
-  return run->taught_at != 0 && now - run->taught_at < TAUGHT_TIME;
+  return run->leader_load_at != 0
+         && now - run->leader_load_at < LEADER_LOAD_TIME;
 }
 
 /* Returns the expected headroom of RUN at WHEN, soon after NOW, without
@@ -205,15 +208,15 @@
 static double
 headroom_at (const gp_agent_run_t *run, gp_time_t now, gp_time_t when)
 {
-  if (!is_taught (run, now))
+  if (!has_leader_load (run, now))
     return gp_headroom_at (&run->headroom, when);
   return run->leader_headroom
-         + run->leader_slope * (double)(when - run->taught_at) / GP_SEC;
+         + run->leader_slope * (double)(when - run->leader_load_at) / GP_SEC;
 }
 
 /* Records for how long RUN has been over its target.  */
 static void
-note_over (gp_agent_run_t *run, gp_time_t now)
+update_over_target (gp_agent_run_t *run, gp_time_t now)
 {
   bool over = run->measure > run->start->target_ms;
 
@@ -221,18 +224,19 @@
     run->over_target_since = GP_TIME_NEVER;
   else if (run->over_target_since == GP_TIME_NEVER)
     run->over_target_since = now;
-  run->over = over ? (double)(now - run->over_target_since) / GP_SEC : 0.0;
+  run->over_target_s
+      = over ? (double)(now - run->over_target_since) / GP_SEC : 0.0;
 }
 
 /* Returns the weighted amount by which the measured HEADROOM of RUN falls
    short of the expected one, when filling runs take TAKEN of it.  */
 static double
-missed_by (const gp_agent_run_t *run, double headroom, double taken,
-           gp_time_t now)
+deficit_of (const gp_agent_run_t *run, double headroom, double taken,
+            gp_time_t now)
 {
   double expected = headroom_at (run, now, now) - taken;
 
-  if (headroom >= FEEDBACK_UNDER)
+  if (headroom >= FEEDBACK_BELOW)
     return 0.0;
   return FEEDBACK_SHARE * fmax (0.0, expected - headroom);
 }
@@ -240,8 +244,8 @@
 /* Evaluates the measurement of the serving RUN beside the filling WORK.
    Returns whether it shows the run's load.  */
 static bool
-take_serving (gp_agent_t *agent, gp_agent_run_t *run,
-              const gp_pressure_work_t *work, gp_time_t now)
+measure_serving (gp_agent_t *agent, gp_agent_run_t *run,
+                 const gp_pressure_work_t *work, gp_time_t now)
 {
   gp_pressure_t *pressure = &agent->pacer.pressure;
   const char *image = run->start->image;
@@ -250,9 +254,9 @@
 
   if (run->active_since == 0)
     run->active_since = now;
-  note_over (run, now);
-  run->missed = missed_by (run, headroom,
-                           gp_pressure_sum (pressure, image, work), now);
+  update_over_target (run, now);
+  run->headroom_deficit = deficit_of (
+      run, headroom, gp_pressure_sum (pressure, image, work), now);
   if (!gp_agent_shows_load (run, now))
     return false;
   gp_pressure_learn (pressure, image, work, headroom, &run->headroom, now);
@@ -270,7 +274,8 @@
 static bool
 may_be_busy (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  return agent->assumes_busy || isnan (run->busy) || run->busy >= BUSY_LEAST;
+  return agent->assumes_busy || isnan (run->busy_share)
+         || run->busy_share >= MIN_BUSY_SHARE;
 }
 
 uint32_t
@@ -289,18 +294,18 @@
 
   return (gp_pacer_serving_t){ .image = run->start->image,
                                .headroom = MIN (from, until),
-                               .missed = run->missed,
-                               .over = run->over };
+                               .headroom_deficit = run->headroom_deficit,
+                               .over_target_s = run->over_target_s };
 }
 
 /* Does the plan consider the serving RUN?  Yes if its load is known or it is
    over its target: the load of a new run is known only after a second, and
    users tolerate four seconds over the target.  */
 static bool
-is_to_be_kept (const gp_agent_run_t *run, gp_time_t now)
+is_protected (const gp_agent_run_t *run, gp_time_t now)
 {
-  return gp_headroom_is_known (&run->headroom) || is_taught (run, now)
-         || run->over > 0.0;
+  return gp_headroom_is_known (&run->headroom) || has_leader_load (run, now)
+         || run->over_target_s > 0.0;
 }
 
 void
@@ -321,9 +326,9 @@
       if (run->start == NULL || !will_work (run))
         continue;
       if (run->start->fills)
-        busy.work[place_of (agent, run->start->image)]
+        busy.work[image_index (agent, run->start->image)]
             += may_be_busy (agent, run);
-      else if (is_to_be_kept (run, now) && count < GP_PACER_SERVINGS)
+      else if (is_protected (run, now) && count < GP_PACER_SERVINGS)
         servings[count++] = plan_serving (run, now);
     }
   gp_pacer_update (&agent->pacer, servings, count, &busy);
@@ -336,12 +341,12 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (now - agent->measured_at < MEASURE_TIME)
+  if (now - agent->measured_at < MEASURE_INTERVAL)
     return;
   agent->measured_at = now;
   agent->has_measurements = false;
   agent->assumes_busy = false;
-  work = take_fillings (agent, now);
+  work = measure_fillings (agent, now);
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -349,9 +354,9 @@
 
       if (!is_measured (run))
         continue;
-      if (take_serving (agent, run, &work, now))
+      if (measure_serving (agent, run, &work, now))
         agent->has_measurements = true;
-      if (run->over > DISTRUST_AFTER)
+      if (run->over_target_s > ASSUME_BUSY_AFTER)
         agent->assumes_busy = true;
     }
   gp_agent_plan (agent, now);
--- a/src/jobs/agent_suspects.c
+++ b/src/jobs/agent_suspects.c
@@ -36,7 +36,7 @@
 
 /* Is it unknown whether the start of RUN has reached the executor?  */
 static bool
-is_unknown (const gp_agent_run_t *run)
+start_is_unconfirmed (const gp_agent_run_t *run)
 {
   return run->listed_since == 0 && run->began_at == 0;
 }
@@ -44,9 +44,10 @@
 /* May RUN have begun at most GP_SUSPICION_JUST_TIME before the executor ended?
    The answer to a start that takes the executor down may be lost with it.  */
 static bool
-had_just_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
+may_have_just_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  gp_time_t earliest = is_unknown (run) ? run->sent_at : run->began_at;
+  gp_time_t earliest
+      = start_is_unconfirmed (run) ? run->sent_at : run->began_at;
 
   return agent->earliest_end_at != 0 && earliest != 0
          && earliest <= agent->down_since
@@ -70,18 +71,18 @@
 static bool
 is_unanswered (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  return is_unknown (run) && !had_just_begun (agent, run);
+  return start_is_unconfirmed (run) && !may_have_just_begun (agent, run);
 }
 
 static bool
-has_just_begun_run (const gp_agent_t *agent)
+has_recent_start (const gp_agent_t *agent)
 {
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (had_just_begun (agent, value))
+    if (may_have_just_begun (agent, value))
       return true;
   return false;
 }
@@ -91,9 +92,9 @@
 static bool
 is_fresh (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  if (has_just_begun_run (agent))
-    return had_just_begun (agent, run);
-  return !is_unknown (run)
+  if (has_recent_start (agent))
+    return may_have_just_begun (agent, run);
+  return !start_is_unconfirmed (run)
          && agent->heard_at - run->began_at < GP_SUSPICION_FRESH_TIME;
 }
 
@@ -102,7 +103,7 @@
                            Gp__Jobs__TaskRun *row)
 {
   row->fresh = is_fresh (agent, run);
-  row->just = had_just_begun (agent, run);
+  row->just = may_have_just_begun (agent, run);
   row->age_ms = age_ms (agent, run);
   row->unanswered = is_unanswered (agent, run);
   row->timed = agent->earliest_end_at != 0;
@@ -112,7 +113,7 @@
 bool
 gp_agent_incarnation_is_uncertain (const gp_agent_t *agent, gp_time_t now)
 {
-  return agent->is_cut || gp_agent_is_down (agent, now);
+  return agent->is_disconnected || gp_agent_is_down (agent, now);
 }
 
 bool
@@ -129,7 +130,7 @@
 static bool
 may_have_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  if (!is_unknown (run))
+  if (!start_is_unconfirmed (run))
     return true;
   return run->sent_at != 0
          && (agent->down_since == 0 || run->sent_at <= agent->down_since);
@@ -155,7 +156,7 @@
 /* A call failed at NOW.  If it is the first to fail, the executor ended at
    GONE_FROM at the earliest; 0: not known.  */
 static void
-note_down (gp_agent_t *agent, gp_time_t earliest_end_at, gp_time_t now)
+record_failure (gp_agent_t *agent, gp_time_t earliest_end_at, gp_time_t now)
 {
   if (agent->down_since != 0)
     return;
@@ -168,9 +169,9 @@
 void
 gp_agent_note_disconnect (gp_agent_t *agent)
 {
-  if (agent->is_cut)
+  if (agent->is_disconnected)
     return;
-  agent->is_cut = true;
+  agent->is_disconnected = true;
   gp_agent_raise_fence (agent);
 }
 
@@ -182,17 +183,17 @@
     {
     case GP_AGENT_DISCONNECTED:
       gp_agent_note_disconnect (agent);
-      note_down (agent,
-                 now - agent->heard_at <= ANSWER_TIME ? now : agent->heard_at,
-                 now);
+      record_failure (
+          agent, now - agent->heard_at <= ANSWER_TIME ? now : agent->heard_at,
+          now);
       break;
     case GP_AGENT_CONNECTION_REFUSED:
       gp_agent_note_disconnect (agent);
-      note_down (agent, agent->heard_at, now);
+      record_failure (agent, agent->heard_at, now);
       break;
     case GP_AGENT_UNANSWERED:
     case GP_AGENT_REPLACED:
-      note_down (agent, 0, now);
+      record_failure (agent, 0, now);
       break;
     case GP_AGENT_ACCEPTED:
     case GP_AGENT_FENCED:
--- a/src/jobs/pacer.c
+++ b/src/jobs/pacer.c
@@ -120,11 +120,11 @@
 
   for (size_t i = 0; i < count; i++)
     {
-      double late = fmax (0.0, servings[i].over - OVER_GRACE);
+      double late = fmax (0.0, servings[i].over_target_s - OVER_GRACE);
 
       if (late > 0.0 || servings[i].headroom > HOPELESS)
         relieve (pacer, servings[i].image,
-                 servings[i].headroom - servings[i].missed,
+                 servings[i].headroom - servings[i].headroom_deficit,
                  GOAL + OVER_SLOPE * late,
                  late > 0.0 ? WEIGHT_ANY : WEIGHT_LEAST, &plan);
     }
--- a/src/jobs/pacer.h
+++ b/src/jobs/pacer.h
@@ -25,9 +25,9 @@
 typedef struct
 {
   const char *image;
-  double headroom; /* expected without filling work */
-  double missed;   /* what it lacks of that for no known reason */
-  double over;     /* seconds for which it has been over its target */
+  double headroom;         /* expected without filling work */
+  double headroom_deficit; /* what it lacks of that for no known reason */
+  double over_target_s;    /* seconds for which it has been over its target */
 } gp_pacer_serving_t;
 
 typedef struct
--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -127,7 +127,7 @@
   else
     gp_histogram_add (&order_time, now_of (guard) - order->sent_at);
   gp_counter_add (&fenced_count, result == GP_AGENT_FENCED);
-  if (order->life == guard->agent.life)
+  if (order->life == guard->agent.incarnation_number)
     {
       if (result == GP_AGENT_FENCED)
         gp_agent_fence_rejected (&guard->agent, order->fence);
@@ -155,7 +155,7 @@
 
   order->guard = guard;
   order->kind = call->kind;
-  order->life = agent->life;
+  order->life = agent->incarnation_number;
   order->fence = agent->fence;
   g_strlcpy (order->name, call->run->name, sizeof order->name);
   order->run = call->run->run;
--- a/src/jobsd/guard_beats.c
+++ b/src/jobsd/guard_beats.c
@@ -114,7 +114,7 @@
 static const char *
 doubt_of (const introduction_t *introduction, const gp_runtime_list_t *list)
 {
-  if (introduction->life != introduction->guard->agent.life)
+  if (introduction->life != introduction->guard->agent.incarnation_number)
     return "another life was met meanwhile";
   if (list->result == GP_AGENT_REPLACED)
     return "another one answers at its address";
@@ -189,7 +189,7 @@
   introduction = g_new0 (introduction_t, 1);
   introduction->guard = guard;
   introduction->heartbeat = *heartbeat;
-  introduction->life = guard->agent.life;
+  introduction->life = guard->agent.incarnation_number;
   heartbeat->executor = NULL;
   ask (introduction);
   return 200;
--- a/src/jobsd/guard_farewell.c
+++ b/src/jobsd/guard_farewell.c
@@ -44,7 +44,7 @@
   gp_farewell_t *farewell = &guard->farewell;
   gp_time_t now = gp_loop_now (&guard->loop);
 
-  if (farewell->life != guard->agent.life)
+  if (farewell->life != guard->agent.incarnation_number)
     end_farewell (farewell);
   else if (result == GP_AGENT_CONNECTION_REFUSED
            || result == GP_AGENT_REPLACED)
@@ -136,7 +136,7 @@
     return;
   g_free (farewell->executor);
   farewell->executor = g_strdup (id);
-  farewell->life = guard->agent.life;
+  farewell->life = guard->agent.incarnation_number;
   farewell->until = gp_loop_now (&guard->loop) + FAREWELL_TIME;
   ask (guard);
 }
--- a/src/jobsd/guard_list.c
+++ b/src/jobsd/guard_list.c
@@ -62,7 +62,7 @@
 static bool
 is_cut_lately (const gp_agent_t *agent, gp_time_t now)
 {
-  return agent->is_cut && now - agent->down_since < LIST_CUT_TIME;
+  return agent->is_disconnected && now - agent->down_since < LIST_CUT_TIME;
 }
 
 /* What LIST means of the life that works here.  Where another one lists,
@@ -117,7 +117,7 @@
   guard->listing = false;
   if (guard->agent.executor == NULL)
     return;
-  if (guard->listed_life == guard->agent.life)
+  if (guard->listed_life == guard->agent.incarnation_number)
     pause = take_answer (guard, list);
   if (gp_agent_is_down (&guard->agent, now) != guard->told.down)
     gp_guard_send_report (guard);
@@ -153,7 +153,7 @@
   order.executor = agent->executor->id;
   order.born_ms = agent->executor->born_ms;
   guard->listing = true;
-  guard->listed_life = agent->life;
+  guard->listed_life = agent->incarnation_number;
   guard->listed_fence = agent->fence;
   gp_platform_runtime_list (
       guard->runtime, &order, gp_agent_list_confirmed (agent, now),
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -122,10 +122,10 @@
 static void
 add_gone (const gp_agent_t *agent, GArray *fillings)
 {
-  for (guint i = 0; i < agent->gone->len; i++)
+  for (guint i = 0; i < agent->ended_fillings->len; i++)
     {
-      const gp_agent_ended_filling_t *gone
-          = &g_array_index (agent->gone, gp_agent_ended_filling_t, i);
+      const gp_agent_ended_filling_t *gone = &g_array_index (
+          agent->ended_fillings, gp_agent_ended_filling_t, i);
       Gp__Jobs__Filling filling = GP__JOBS__FILLING__INIT;
 
       filling.image = gone->image;
--- a/tests/unit/test_agent_measure.c
+++ b/tests/unit/test_agent_measure.c
@@ -152,13 +152,13 @@
   end.run = 1;
   end.how = GP_END_DONE;
   gp_agent_listed (&agent, &left, 1, &end, 1, 5000 + now / GP_MSEC, now, now);
-  CU_ASSERT_EQUAL_FATAL (agent.gone->len, 1);
-  gone = &g_array_index (agent.gone, gp_agent_ended_filling_t, 0);
+  CU_ASSERT_EQUAL_FATAL (agent.ended_fillings->len, 1);
+  gone = &g_array_index (agent.ended_fillings, gp_agent_ended_filling_t, 0);
   CU_ASSERT (gp_agent_ended_filling_work (gone, now) > 0.9);
   CU_ASSERT (gp_agent_ended_filling_work (gone, now + STEP) < 0.6);
   CU_ASSERT_EQUAL (gp_agent_ended_filling_work (gone, now + 2 * STEP), 0.0);
   list (&agent, 30, 0, 0, now + 3 * STEP);
-  CU_ASSERT_EQUAL (agent.gone->len, 0);
+  CU_ASSERT_EQUAL (agent.ended_fillings->len, 0);
   gp_agent_finish (&agent);
 }
 
--- a/tests/unit/test_filling_load.c
+++ b/tests/unit/test_filling_load.c
@@ -200,7 +200,8 @@
   gp_headroom_t *load = &site->loads[place->image];
   gp_pressure_work_t work = work_done (place);
   gp_pressure_work_t busy = { { 0.0 } };
-  gp_pacer_serving_t serving = { .image = image, .over = place->over };
+  gp_pacer_serving_t serving
+      = { .image = image, .over_target_s = place->over };
 
   gp_pressure_learn (&site->pacer.pressure, image, &work, place->headroom,
                      load, now);
--- a/tests/unit/test_lives_random.c
+++ b/tests/unit/test_lives_random.c
@@ -70,7 +70,7 @@
 {
   flight_t flight
       = { .kind = kind,
-          .life = world->agent.life,
+          .life = world->agent.incarnation_number,
           .real_life = world->real_life,
           .sent_at = world->now,
           .fence = world->agent.fence,
@@ -143,7 +143,8 @@
   gp_agent_raise_fence_to (&world->agent, flight->fence);
   if (result == GP_AGENT_FENCED)
     gp_agent_fence_rejected (&world->agent, flight->fence);
-  if (result != GP_AGENT_ACCEPTED || flight->life != world->agent.life
+  if (result != GP_AGENT_ACCEPTED
+      || flight->life != world->agent.incarnation_number
       || flight->asked_born_ms != world->born_ms)
     return;
   gp_agent_set_executor (&world->agent, agent_life_new (ID, world->born_ms),
@@ -167,7 +168,8 @@
     }
   if (flight->kind == GP_AGENT_CALL_NONE)
     world->listing = false;
-  if (flight->life != world->agent.life || world->agent.executor == NULL)
+  if (flight->life != world->agent.incarnation_number
+      || world->agent.executor == NULL)
     return;
   if (result == GP_AGENT_FENCED)
     gp_agent_fence_rejected (&world->agent, flight->fence);
--- a/tests/unit/test_pressure.c
+++ b/tests/unit/test_pressure.c
@@ -192,7 +192,7 @@
                    gp_pressure_place (&pacer.pressure, "f"), 0.0);
   gp_pacer_update (&pacer, &serving, 1, &busy);
   CU_ASSERT_EQUAL (gp_pacer_pace (&pacer, "f"), GP_PACER_FULL);
-  serving.over = 2.0;
+  serving.over_target_s = 2.0;
   gp_pacer_update (&pacer, &serving, 1, &busy);
   CU_ASSERT_EQUAL (gp_pacer_pace (&pacer, "f"), 0);
   gp_pacer_finish (&pacer);
