--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -364,9 +364,9 @@
    run?  */
 bool gp_agent_shows_load (const gp_agent_run_t *run, gp_time_t now);
 
-/* Returns the busy work of GONE that still falls into the measurement window
-   at NOW.  */
-double gp_agent_ended_filling_work (const gp_agent_ended_filling_t *gone,
+/* Returns the busy work of FILLING that still falls into the measurement
+   window at NOW.  */
+double gp_agent_ended_filling_work (const gp_agent_ended_filling_t *filling,
                                     gp_time_t now);
 
 /* The list request failed: no answer, an answer of another executor, or a
--- a/src/jobs/agent_calls.c
+++ b/src/jobs/agent_calls.c
@@ -84,10 +84,11 @@
 
 /* Must the start of RUN be held back because of other runs?  */
 static bool
-is_held (gp_agent_t *agent, gp_agent_run_t *run, const gp_agent_run_t *alone,
-         gp_time_t now, gp_time_t *again_at)
+is_held (gp_agent_t *agent, gp_agent_run_t *run,
+         const gp_agent_run_t *isolated, gp_time_t now, gp_time_t *again_at)
 {
-  gp_agent_hold_t hold = gp_agent_find_hold (agent, run, alone, now, again_at);
+  gp_agent_hold_t hold
+      = gp_agent_find_hold (agent, run, isolated, now, again_at);
 
   if (hold != GP_HOLD_NONE)
     gp_agent_note_hold (run, hold, now);
@@ -110,7 +111,7 @@
 gp_agent_next_call (gp_agent_t *agent, gp_time_t now, gp_time_t *again_at)
 {
   gp_agent_call_t best = { .kind = GP_AGENT_CALL_NONE };
-  const gp_agent_run_t *alone;
+  const gp_agent_run_t *isolated;
   GHashTableIter iter;
   gpointer value;
 
@@ -123,7 +124,7 @@
   gp_agent_extend_lease (agent, now);
   if (agent->plan_is_stale)
     gp_agent_plan (agent, now);
-  alone = gp_agent_isolated_run (agent);
+  isolated = gp_agent_isolated_run (agent);
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -134,7 +135,7 @@
         continue;
       if (kind == GP_AGENT_CALL_START
           && (!may_send_starts (agent, now)
-              || is_held (agent, run, alone, now, again_at)))
+              || is_held (agent, run, isolated, now, again_at)))
         continue;
       if (run->retry_at > now)
         *again_at = MIN (*again_at, run->retry_at);
--- a/src/jobs/agent_isolation.c
+++ b/src/jobs/agent_isolation.c
@@ -184,12 +184,12 @@
 
 gp_agent_hold_t
 gp_agent_find_hold (gp_agent_t *agent, const gp_agent_run_t *run,
-                    const gp_agent_run_t *alone, gp_time_t now,
+                    const gp_agent_run_t *isolated, gp_time_t now,
                     gp_time_t *again_at)
 {
-  if (alone == NULL)
+  if (isolated == NULL)
     return GP_HOLD_NONE;
-  if (!is_same_job (run, alone))
+  if (!is_same_job (run, isolated))
     return run->start->alone ? GP_HOLD_QUEUED : GP_HOLD_ISOLATED_RUN;
   return run->start->alone ? hold_of_isolated (agent, run, now, again_at)
                            : GP_HOLD_NONE;
--- a/src/jobs/agent_list.c
+++ b/src/jobs/agent_list.c
@@ -25,8 +25,8 @@
 }
 
 static bool
-take_ends (gp_agent_t *agent, const Gp__Jobs__End *ends, size_t count,
-           gp_time_t now)
+add_ends (gp_agent_t *agent, const Gp__Jobs__End *ends, size_t count,
+          gp_time_t now)
 {
   bool news = false;
 
@@ -76,8 +76,8 @@
 }
 
 static void
-take_rows (gp_agent_t *agent, const gp_agent_row_t *rows, size_t count,
-           gp_time_t now)
+update_runs (gp_agent_t *agent, const gp_agent_row_t *rows, size_t count,
+             gp_time_t now)
 {
   gp_agent_clear_list (agent);
   for (size_t i = 0; i < count; i++)
@@ -168,8 +168,8 @@
 
   agent->is_disconnected = false;
   gp_agent_update_clock (agent, clock_ms, now);
-  news = take_ends (agent, ends, end_count, now);
-  take_rows (agent, rows, row_count, now);
+  news = add_ends (agent, ends, end_count, now);
+  update_runs (agent, rows, row_count, now);
   gp_agent_invalidate_starts (agent);
   if (agent->is_synced)
     gp_agent_stop_carried (agent);
--- a/src/jobs/agent_measure.c
+++ b/src/jobs/agent_measure.c
@@ -111,22 +111,22 @@
 gp_agent_note_ended (gp_agent_t *agent, const gp_agent_run_t *run,
                      gp_time_t now)
 {
-  gp_agent_ended_filling_t gone;
+  gp_agent_ended_filling_t filling;
 
   agent->plan_is_stale = true;
   if (run->start == NULL || !run->start->fills)
     return;
-  gone = (gp_agent_ended_filling_t){ .image = g_strdup (run->start->image),
-                                     .work = run->work,
-                                     .ended_at = now };
-  g_array_append_val (agent->ended_fillings, gone);
+  filling = (gp_agent_ended_filling_t){ .image = g_strdup (run->start->image),
+                                        .work = run->work,
+                                        .ended_at = now };
+  g_array_append_val (agent->ended_fillings, filling);
 }
 
 double
-gp_agent_ended_filling_work (const gp_agent_ended_filling_t *gone,
+gp_agent_ended_filling_work (const gp_agent_ended_filling_t *filling,
                              gp_time_t now)
 {
-  return gone->work * (1.0 - window_share (gone->ended_at, now));
+  return filling->work * (1.0 - window_share (filling->ended_at, now));
 }
 
 /* Adds to WORK the work of ended runs that still lies in the window.  */
@@ -135,12 +135,12 @@
 {
   for (guint i = agent->ended_fillings->len; i-- > 0;)
     {
-      const gp_agent_ended_filling_t *gone = &g_array_index (
+      const gp_agent_ended_filling_t *filling = &g_array_index (
           agent->ended_fillings, gp_agent_ended_filling_t, i);
 
-      work->work[image_index (agent, gone->image)]
-          += gp_agent_ended_filling_work (gone, now);
-      if (now - gone->ended_at >= WINDOW_TIME)
+      work->work[image_index (agent, filling->image)]
+          += gp_agent_ended_filling_work (filling, now);
+      if (now - filling->ended_at >= WINDOW_TIME)
         g_array_remove_index_fast (agent->ended_fillings, i);
     }
 }
--- a/src/jobs/agent_private.h
+++ b/src/jobs/agent_private.h
@@ -50,13 +50,13 @@
    or NULL.  */
 const gp_agent_run_t *gp_agent_isolated_run (const gp_agent_t *agent);
 
-/* Returns why the start of RUN must be held back; ALONE is the result of
+/* Returns why the start of RUN must be held back; ISOLATED is the result of
    gp_agent_isolated_run.  Lowers *AGAIN_AT to the time at which the result may
    change; it may also change with each list.  May raise the fence.  */
 gp_agent_hold_t gp_agent_find_hold (gp_agent_t *agent,
                                     const gp_agent_run_t *run,
-                                    const gp_agent_run_t *alone, gp_time_t now,
-                                    gp_time_t *again_at);
+                                    const gp_agent_run_t *isolated,
+                                    gp_time_t now, gp_time_t *again_at);
 
 /* The start of RUN is held back because of HOLD, or made now
    (GP_HOLD_NONE).  */
