--- a/src/jobs/executor.c
+++ b/src/jobs/executor.c
@@ -1,11 +1,11 @@
-/* What the leading entry believes of an executor.  */
+/* The leading entry's view of an executor.  */
 
 #include "jobs/executor.h"
 
 #include <string.h>
 
-/* Of a serving run's processors, the share in thousandths that it leaves
-   unused in the mean; filling runs count on half of that.  */
+/* Share of the CPU reserved on an executor, in thousandths, that filling runs
+   may use beside serving runs, as these leave it unused on average.  */
 #define SERVING_UNUSED_PERMILLE 500
 
 gp_job_executor_t *
@@ -43,7 +43,8 @@
   return true;
 }
 
-/* Reports come a few times a second and seldom differ.  */
+/* Copies the labels only if they have changed: reports arrive a few times a
+   second and rarely differ.  */
 static void
 set_labels (gp_job_executor_t *executor, const Gp__Jobs__Executor *report)
 {
--- a/src/jobs/executor.h
+++ b/src/jobs/executor.h
@@ -1,21 +1,21 @@
-/* An executor: one life of the runtime that works on a VM.
+/* An executor: one incarnation of the runtime that runs tasks on a VM.
 
-   A life is named by its id together with the time of its birth, where the
-   executor tells one: it may start again under the id that it had, and then
-   runs nothing and knows nothing of before.  Each life has an object of its
-   own, so that what was believed of the one before, or ordered of it, stays
-   with that; see gp_book_next_life.
+   An incarnation is identified by its id together with the time of its birth,
+   if the executor reports one: it may restart under its previous id, and then
+   runs nothing and knows nothing of earlier runs.  Each incarnation has an
+   object of its own, so that what is known of the previous one, and what was
+   ordered from it, stays with that; see gp_book_next_life.
 
-   What the leading entry believes of its executors stands here: capacity and
-   labels as reported by the guard, what is reserved by the runs assigned to
-   it, and how its runs have ended lately.  */
+   The object holds the view of the leading entry: capacity and labels as
+   reported by the guard, the resources reserved by the runs assigned to it,
+   and how its runs ended recently.  */
 
 #ifndef GP_JOBS_EXECUTOR_H
 #define GP_JOBS_EXECUTOR_H
 
 #include "jobs/job.h"
 
-/* What a run takes, or an executor has.  */
+/* Resources that a run needs or an executor has.  */
 typedef struct
 {
   int64_t cpu_milli;
@@ -26,72 +26,81 @@
 struct gp_job_executor
 {
   char *id;
-  int64_t born_ms; /* 0: not known */
-  char *past_name; /* a key in the book of its own, once another life has its
+  int64_t born_ms; /* time of its birth, 0: not known */
+  char *past_name; /* its own key in the book once another incarnation uses its
                       id; NULL until then */
   char *service;
   char **labels; /* NULL-terminated, may be NULL */
   gp_room_t capacity;
-  gp_room_t used;  /* by runs, filling ones only by their memory */
-  int64_t lasting; /* thousandths of a core of runs that last */
-  int64_t filling; /* thousandths of a core that filling runs ask for */
-  int64_t serving; /* number of runs with a tail latency to keep */
+  gp_room_t used;  /* by runs; of filling runs only the memory */
+  int64_t lasting; /* CPU of long-running runs, in thousandths of a core */
+  int64_t filling; /* CPU requested by filling runs, in thousandths of a
+                      core */
+  int64_t serving; /* number of runs with a latency target */
   gp_list_t tasks; /* gp_job_task_t.on_executor */
   uint32_t task_count;
-  bool reachable;           /* its guard reports */
-  gp_time_t reported_at;    /* its guard reported it to this leader last, 0:
+  bool reachable;           /* its guard reports to this leader */
+  gp_time_t reported_at;    /* when its guard last reported it to this leader,
+                               0: never */
+  gp_time_t reported_since; /* when its guard first reported it to this leader,
+                               0: never */
+  uint64_t reports;         /* number of reports from its guard */
+  gp_time_t assigned_at;    /* when this process last assigned a run to it, 0:
                                never */
-  gp_time_t reported_since; /* and first, 0: never */
-  uint64_t reports;         /* number of its guard's reports */
-  gp_time_t assigned_at;    /* this process gave it its last run, 0: never */
-  char kept_for[GP_JOB_ID_SIZE + 1]; /* it takes no runs but those of this
-                                        job, "": it does ... */
-  gp_time_t kept_until; /* ... but for no longer than this; 0: a leader before
-                           has kept it */
-  bool
-      suspects_told; /* its guard has told which runs may have taken it down */
-  gp_time_t cut_at;  /* its guard ended its connection to this leader, and has
-                        not reported it since; 0: it did not */
-  gp_time_t unspoken_since; /* no guard reports it since then, 0: one does */
-  bool awaited;     /* it was noted what its runs wait for since it does not */
+  char kept_for[GP_JOB_ID_SIZE + 1]; /* dedicated executor: id of the only job
+                                        whose runs it takes, "": not
+                                        dedicated */
+  gp_time_t kept_until; /* end of its dedication at the latest; 0: a previous
+                           leader dedicated it */
+  bool suspects_told;   /* its guard has reported which runs may have taken it
+                           down */
+  gp_time_t cut_at;     /* when its guard closed the connection to this leader,
+                           without a report since; 0: it did not */
+  gp_time_t unspoken_since; /* since when no guard reports it, 0: one does */
+  bool awaited;     /* it was logged that its runs wait because no guard
+                       reports it */
   bool down;        /* its guard gets no answer from it */
-  bool blamed;      /* that was noted against a queue */
+  bool blamed;      /* its failure was counted against a queue */
   bool quarantined; /* see jobs/quarantine.h */
   bool draining;
-  bool evacuated;          /* its availability zone is: it gets no new work */
-  bool dead;               /* certainly runs nothing any more */
-  gp_time_t lost_at;       /* since then, and its guard told nothing of what
-                              may have taken it down; 0: it did */
-  gp_time_t leaves_at;     /* while draining: its end at the earliest */
-  uint32_t failed_in_row;  /* runs that failed since one was done */
-  gp_time_t trusted_again; /* no new work before, after failures */
-  gp_time_t relocated_at;  /* a run was moved away last */
-  gp_time_t full_until;    /* it has refused for want of room */
+  bool evacuated;          /* its zone is evacuated: it gets no new work */
+  bool dead;               /* it certainly runs nothing any more */
+  gp_time_t lost_at;       /* when it was lost without a report of which runs
+                              may have taken it down; 0: there was one, or it
+                              is not lost */
+  gp_time_t leaves_at;     /* while draining: the earliest time of its end */
+  uint32_t failed_in_row;  /* number of failed runs since the last successful
+                              one */
+  gp_time_t trusted_again; /* no new work before this time, after failures */
+  gp_time_t relocated_at;  /* when a run was last moved away from it */
+  gp_time_t full_until;    /* no new work before this time, as it has refused a
+                              run for lack of resources */
 };
 
 gp_job_executor_t *gp_job_executor_new (const char *id);
 void gp_job_executor_free (gp_job_executor_t *executor);
 
-/* Take over what its guard says.  */
+/* Updates EXECUTOR from a report of its guard.  */
 void gp_job_executor_update (gp_job_executor_t *executor,
                              const Gp__Jobs__Executor *report, gp_time_t now);
 
-/* Reserve for TASK, which has been assigned to EXECUTOR, and let go.  */
+/* Reserves the resources of TASK, which is assigned to EXECUTOR now, and
+   releases them.  */
 void gp_job_executor_add (gp_job_executor_t *executor, gp_job_task_t *task);
 void gp_job_executor_remove (gp_job_executor_t *executor, gp_job_task_t *task);
 
-/* EXECUTOR takes other runs again, if it was kept for JOB and no suspect of
-   that is there any more that has not settled.  */
+/* Ends the dedication of EXECUTOR to JOB, unless it has an isolated run of
+   that job that has not settled.  */
 void gp_job_executor_end_keep (gp_job_executor_t *executor,
                                const gp_job_t *job);
 
-/* Is a run of TASK at work that nobody wants, by the last report of the
-   executor's guard?  The task waits for its end: begun elsewhere it would be
-   at work twice.  */
+/* Is a stray run of TASK, one that no job wants any more, still on its
+   executor, by the last report of the executor's guard?  The task waits for
+   its end: started elsewhere meanwhile, it would run twice.  */
 bool gp_job_executor_has_stray (const gp_job_task_t *task);
 
-/* Thousandths of a core that filling runs find on EXECUTOR, beside those that
-   it has; negative when it has too many.  */
+/* Returns the CPU on EXECUTOR that is available to further filling runs, in
+   thousandths of a core.  Negative if there are too many.  */
 int64_t gp_job_executor_left_over (const gp_job_executor_t *executor);
 
 bool gp_job_executor_has_label (const gp_job_executor_t *executor,
--- a/src/jobs/pacer.c
+++ b/src/jobs/pacer.c
@@ -1,33 +1,34 @@
-/* How fast filling runs may work beside runs that serve.  */
+/* Speed limits for filling runs beside serving runs.  */
 
 #include "jobs/pacer.h"
 
 #include <math.h>
 #include <string.h>
 
-/* The plan leaves every serving run this headroom, a little over the target:
-   a measure is off by 8 % there, and a pace takes 0.1 s to tell.  */
+/* Headroom that the plan leaves each serving run: a little more than the
+   target needs, as measurements are off by 8 % there and a pace takes 0.1 s to
+   show.  */
 #define GOAL 1.08
-/* A run with less than this without filling work is not helped by slowing
-   that down.  */
+/* A serving run with less headroom than this without filling runs does not
+   reach its target by slowing them down.  */
 #define HOPELESS 0.8
-/* A run that stays over its target tells that the weights are wrong: after
-   OVER_GRACE seconds the goal rises by OVER_SLOPE a second, and nothing
-   counts as hopeless.  The users bear four seconds.  */
+/* A run that stays over its target shows that the learned weights are wrong:
+   after OVER_GRACE seconds the goal rises by OVER_SLOPE per second, and no run
+   counts as hopeless.  The users tolerate four seconds over the target.  */
 #define OVER_GRACE 0.6
 #define OVER_SLOPE 0.8
-/* Less excess than this is none.  */
+/* A smaller excess counts as none.  */
 #define EXCESS_LEAST 1e-6
-/* An image with less weight than this is not slowed down for a run that is
-   under its target, or just over it: it would have to be halted, and gain
-   next to nothing.  */
+/* Images with a smaller weight are not slowed down for a run that is under its
+   target or only just over it: they would have to be halted for almost no
+   gain.  */
 #define WEIGHT_LEAST 0.15
-/* For a run that stays over its target any image is: its weights are wrong,
-   also one of zero.  */
+/* For a run that stays over its target, all images are slowed down, even those
+   with a weight of zero: its weights are wrong.  */
 #define WEIGHT_ANY (-1.0)
-/* Under this speed, in percent, filling work is halted.  */
+/* Below this speed, in percent, filling runs are halted.  */
 #define PACE_MIN 10
-/* Smaller changes, in percent, are not worth a call.  */
+/* Smaller changes, in percent, do not justify a call.  */
 #define PACE_STEP 8
 
 void
@@ -50,8 +51,8 @@
   return pacer->paces[gp_pressure_place (&pacer->pressure, image)];
 }
 
-/* The place of the image that presses SERVING most with the PLAN, by more than
-   LEAST, or -1.  */
+/* Returns the index of the image in PLAN that affects SERVING most, with a
+   weight above LEAST, or -1.  */
 static int
 hardest (const gp_pacer_t *pacer, const char *serving,
          const gp_pressure_work_t *plan, double least)
@@ -72,8 +73,9 @@
   return place;
 }
 
-/* Take work off PLAN, of images that weigh more than LEAST, until SERVING,
-   which has HEADROOM without any, is expected at GOAL.  */
+/* Reduces the work in PLAN of images that weigh more than LEAST, until the
+   expected headroom of SERVING, which is HEADROOM without filling runs,
+   reaches GOAL.  */
 static void
 relieve (const gp_pacer_t *pacer, const char *serving, double headroom,
          double goal, double least, gp_pressure_work_t *plan)
--- a/src/jobs/spec_spread.c
+++ b/src/jobs/spec_spread.c
@@ -1,24 +1,25 @@
-/* How a leader brings specifications of jobs to the guards.  */
+/* Distribution of job specifications from a leader to the guards.  */
 
 #include "jobs/spec_spread.h"
 
-/* What was sent counts as being on its way so long: a guard says with each
-   report, every 300 ms, what it lacks.  */
+/* How long a sent specification counts as under way: guards report missing
+   specifications with each report, every 300 ms.  */
 #define UNDER_WAY_TIME (GP_SEC)
 
-/* What GUARD was told of a job.  */
+/* How a guard was sent the specification of a job.  */
 typedef struct
 {
   bool by_leader;
   gp_time_t at;
 } told_t;
 
-/* The specification of one job.  */
+/* Distribution of the specification of one job.  */
 typedef struct
 {
   GHashTable *told; /* name of a guard to told_t, both owned */
-  char *holder;     /* owned; NULL: none has it from the leader */
-  unsigned shared;  /* guards that were sent to HOLDER */
+  char *holder;     /* last guard that got it from the leader, owned; NULL:
+                       none */
+  unsigned shared;  /* number of guards referred to HOLDER */
 } row_t;
 
 static void
--- a/src/jobs/spec_spread.h
+++ b/src/jobs/spec_spread.h
@@ -1,13 +1,13 @@
-/* How a leader brings specifications of jobs to the guards.
+/* Distribution of job specifications from a leader to the guards.
 
-   Each guard gets the specification of a job once, with its first run: the
-   first guard from the leader, the next GP_SPEC_SPREAD_SHARE from that guard
-   (see jobs/spec_store.h), and so on.  So a job of 160 tasks on as many
-   workers costs its leader five copies; an entry may have 2 Mbit/s.  A guard
-   that could not get it from the other one says so and gets it from the
-   leader.
+   Each guard gets the specification of a job once, with the first run of the
+   job: the first guard from the leader, the next GP_SPEC_SPREAD_SHARE from
+   that guard (see jobs/spec_store.h), and so on.  A job of 160 tasks on as
+   many workers costs its leader five copies; the link of an entry may have no
+   more than 2 Mbit/s.  A guard that could not get the specification from
+   another guard reports that and gets it from the leader.
 
-   What a guard has been told is forgotten with its connection.  Pure.  */
+   The state of a guard is dropped when its connection ends.  Pure.  */
 
 #ifndef GP_JOBS_SPEC_SPREAD_H
 #define GP_JOBS_SPEC_SPREAD_H
@@ -17,44 +17,46 @@
 
 #include "base/time.h"
 
-/* Guards that are sent to one holder: each asks it over a connection of its
-   own, for some 0.1 ms of its processor.  */
+/* Number of guards referred to one holder.  Each of them opens a connection to
+   the holder, which costs it about 0.1 ms of CPU.  */
 #define GP_SPEC_SPREAD_SHARE 32
 
 typedef enum
 {
-  GP_SPEC_KNOWN,       /* the guard has it, or gets it with what was sent */
-  GP_SPEC_FROM_LEADER, /* it has to be sent */
-  GP_SPEC_FROM_HOLDER  /* the guard is to be told who has it */
+  GP_SPEC_KNOWN,       /* the guard has it or gets it with an earlier
+                          message */
+  GP_SPEC_FROM_LEADER, /* the leader has to send it */
+  GP_SPEC_FROM_HOLDER  /* the guard has to be told which guard has it */
 } gp_spec_way_t;
 
 typedef struct
 {
-  GHashTable *jobs; /* id to its row, owned */
+  GHashTable *jobs; /* id of a job to its row, owned */
 } gp_spec_spread_t;
 
 void gp_spec_spread_init (gp_spec_spread_t *spread);
 void gp_spec_spread_finish (gp_spec_spread_t *spread);
 
-/* Forget all.  */
+/* Drops all state.  */
 void gp_spec_spread_reset (gp_spec_spread_t *spread);
 
-/* A run of JOB goes to GUARD, a VM's name: how does the specification get
-   there?  HOLDER is set to the guard that has it, valid until the next call,
-   for GP_SPEC_FROM_HOLDER.  The guard counts as knowing it from now on.  */
+/* Returns how the specification of JOB gets to GUARD, a VM's name, for a run
+   there.  For GP_SPEC_FROM_HOLDER, HOLDER is set to the guard that has it,
+   valid until the next call.  The guard counts as having it from now on.  */
 gp_spec_way_t gp_spec_spread_way (gp_spec_spread_t *spread, const char *job,
                                   const char *guard, gp_time_t now,
                                   const char **holder);
 
-/* GUARD lacks the specification of JOB.  Returns whether it is to be sent: not
-   while one from the leader may still be on its way.  */
+/* GUARD reports that it has no specification of JOB.  Returns whether the
+   leader has to send it, which is not the case while an earlier copy may still
+   be under way.  */
 bool gp_spec_spread_lacks (gp_spec_spread_t *spread, const char *job,
                            const char *guard, gp_time_t now);
 
 /* The connection to GUARD has ended.  */
 void gp_spec_spread_forget_guard (gp_spec_spread_t *spread, const char *guard);
 
-/* No run of JOB is started any more.  */
+/* No more runs of JOB will be started.  */
 void gp_spec_spread_forget_job (gp_spec_spread_t *spread, const char *job);
 
 #endif
--- a/src/jobs/spec_store.c
+++ b/src/jobs/spec_store.c
@@ -1,4 +1,4 @@
-/* The specifications of jobs that a guard holds.  */
+/* The job specifications that a guard holds.  */
 
 #include "jobs/spec_store.h"
 
@@ -7,9 +7,9 @@
 
 #include "jobs/job.h"
 
-/* A holder answers within two round trips, some ten milliseconds; one that was
-   told of the specification at the same moment may have to wait for it
-   itself, behind what else its leader sends.  */
+/* A holder usually answers within two round trips, about ten milliseconds.  A
+   holder that was sent the specification at the same time may itself have to
+   wait for it, behind other messages of its leader.  */
 #define HOLDER_TIME (400 * GP_MSEC)
 
 uint64_t
@@ -119,7 +119,7 @@
   return true;
 }
 
-/* The leader is to be asked from now on.  */
+/* From now on the leader has to be asked.  */
 static void
 give_holder_up (gp_spec_t *spec)
 {
--- a/src/jobs/start_gate.c
+++ b/src/jobs/start_gate.c
@@ -1,4 +1,4 @@
-/* May a guard start anything?  */
+/* The condition for starts on a guard: its zone must not be evacuated.  */
 
 #include "jobs/start_gate.h"
 
--- a/src/jobs/start_gate.h
+++ b/src/jobs/start_gate.h
@@ -1,15 +1,15 @@
-/* May a guard start anything?  Not while its availability zone is evacuated.
-
-   The guard does not read the operators' records: the leader tells it with
-   each acknowledgement whether the zone is evacuated and how old that
-   knowledge is.  The acknowledgement echoes the time at which the guard sent
-   its report, so that the age counts from a point on the guard's own clock:
-   however long the word took, or a leader was cut off or held up, the guard
-   knows at which time the zone was open at the latest.  A word that the zone
-   is open holds for SPAN from there, which is less than the time within which
-   operators expect an evacuation to be in force; without a newer one nothing
-   is started.  So what was ordered before and is tried again ends with it as
-   well.
+/* The condition for starts on a guard: its availability zone must not be
+   evacuated.
+
+   The guard does not read the operators' records: with each acknowledgement
+   the leader sends whether the zone is evacuated and how old that information
+   is.  The acknowledgement echoes the time at which the guard sent its report,
+   so that the age counts from a point on the guard's own clock.  However long
+   the message was under way, or the leader was cut off or paused, the guard
+   knows the latest time at which the zone was surely open.  A notice that the
+   zone is open holds for SPAN from that time, which is shorter than the time
+   within which operators expect an evacuation to be in force; without a newer
+   notice nothing is started.  This also ends retries of earlier orders.
 
    Pure.  */
 
@@ -22,16 +22,17 @@
 
 typedef struct
 {
-  gp_time_t span;       /* a duration; 0: a word holds for good */
-  gp_time_t told_at;    /* the last word is of then */
-  gp_time_t open_until; /* nothing is started later */
+  gp_time_t span;       /* how long a notice that the zone is open holds, a
+                           duration; 0: without limit */
+  gp_time_t told_at;    /* time of the information in the last notice */
+  gp_time_t open_until; /* no starts after this time */
   bool evacuated;
 } gp_start_gate_t;
 
 void gp_start_gate_init (gp_start_gate_t *gate, gp_time_t span);
 
-/* At KNOWN_AT the zone was EVACUATED, or was not; an older word than the last
-   one changes nothing.  */
+/* At KNOWN_AT the zone was evacuated, or not.  Older information than the last
+   one is ignored.  */
 void gp_start_gate_told (gp_start_gate_t *gate, bool evacuated,
                          gp_time_t known_at);
 
