--- a/src/jobs/spec_spread.c
+++ b/src/jobs/spec_distribution.c
@@ -1,6 +1,6 @@
 /* Distribution of job specifications from a leader to the guards.  */
 
-#include "jobs/spec_spread.h"
+#include "jobs/spec_distribution.h"
 
 /* How long a sent specification counts as under way: guards report missing
    specifications with each report, every 300 ms.  */
--- a/src/jobs/spec_spread.h
+++ b/src/jobs/spec_distribution.h
@@ -9,8 +9,8 @@
 
    The state of a guard is dropped when its connection ends.  Pure.  */
 
-#ifndef GP_JOBS_SPEC_SPREAD_H
-#define GP_JOBS_SPEC_SPREAD_H
+#ifndef GP_JOBS_SPEC_DISTRIBUTION_H
+#define GP_JOBS_SPEC_DISTRIBUTION_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -21,7 +21,7 @@
 
 #include "jobs/grants.h"
 #include "jobs/scheduler.h"
-#include "jobs/spec_spread.h"
+#include "jobs/spec_distribution.h"
 #include "jobsd/feed.h"
 #include "jobsd/link.h"
 #include "jobsd/operator_feed.h"
--- a/tests/unit/test_specs.c
+++ b/tests/unit/test_specs.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "jobs/spec_spread.h"
+#include "jobs/spec_distribution.h"
 #include "jobs/spec_store.h"
 #include "runner.h"
 
