--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -349,7 +349,7 @@
 {
   bool before = agent->gate.evacuated;
 
-  gp_start_gate_told (&agent->gate, evacuated, known_at);
+  gp_start_gate_update (&agent->gate, evacuated, known_at);
   if (agent->gate.evacuated == before)
     return;
   gp_log (
@@ -377,7 +377,7 @@
   g_strlcpy (run->name, name, sizeof run->name);
   run->run = number;
   run->phase = phase;
-  run->pace = GP_PACER_FULL;
+  run->pace = GP_PACER_FULL_SPEED;
   run->pace_repeat_at = GP_TIME_NEVER;
   run->busy_share = NAN;
   gp_headroom_init (&run->headroom);
--- a/src/jobs/agent_calls.c
+++ b/src/jobs/agent_calls.c
@@ -29,7 +29,7 @@
 has_spec (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now)
 {
   return run->start != NULL
-         && gp_spec_store_of_task (&agent->specs, run->name, now) != NULL;
+         && gp_spec_store_find_by_task (&agent->specs, run->name, now) != NULL;
 }
 
 static gp_agent_call_kind_t
@@ -148,7 +148,8 @@
   best.lease_ms = gp_agent_lease_on_clock (agent);
   if (best.kind == GP_AGENT_CALL_START)
     {
-      best.spec = gp_spec_store_of_task (&agent->specs, best.run->name, now);
+      best.spec
+          = gp_spec_store_find_by_task (&agent->specs, best.run->name, now);
       note_start (agent, best.run, now);
     }
   if (best.kind == GP_AGENT_CALL_PACE)
@@ -178,7 +179,7 @@
       gp_agent_run_t *run = value;
 
       if (run->phase == GP_RUN_STARTING && run->start != NULL
-          && gp_spec_store_lacks (&agent->specs, run->name))
+          && gp_spec_store_is_missing (&agent->specs, run->name))
         add_job_of (jobs, run->name);
     }
 }
--- a/src/jobs/agent_measure.c
+++ b/src/jobs/agent_measure.c
@@ -64,7 +64,7 @@
 
   if (run->paced_at != 0)
     share = window_share (run->paced_at + PACE_DELAY, now);
-  return (before + (after - before) * share) / GP_PACER_FULL;
+  return (before + (after - before) * share) / GP_PACER_FULL_SPEED;
 }
 
 /* Estimates the share of the window in which RUN, at the mean pace PACE, was
@@ -283,7 +283,7 @@
 {
   return may_be_busy (agent, run)
              ? gp_pacer_pace (&agent->pacer, run->start->image)
-             : GP_PACER_FULL;
+             : GP_PACER_FULL_SPEED;
 }
 
 static gp_pacer_serving_t
@@ -311,7 +311,7 @@
 void
 gp_agent_plan (gp_agent_t *agent, gp_time_t now)
 {
-  gp_pacer_serving_t servings[GP_PACER_SERVINGS];
+  gp_pacer_serving_t servings[GP_PACER_MAX_SERVINGS];
   size_t count = 0;
   gp_pressure_work_t busy = { { 0.0 } };
   GHashTableIter iter;
@@ -328,7 +328,7 @@
       if (run->start->fills)
         busy.work[image_index (agent, run->start->image)]
             += may_be_busy (agent, run);
-      else if (is_protected (run, now) && count < GP_PACER_SERVINGS)
+      else if (is_protected (run, now) && count < GP_PACER_MAX_SERVINGS)
         servings[count++] = plan_serving (run, now);
     }
   gp_pacer_update (&agent->pacer, servings, count, &busy);
--- a/src/jobs/book.c
+++ b/src/jobs/book.c
@@ -89,10 +89,10 @@
 
   next->born_ms = born_ms;
   g_hash_table_steal (book->executors, executor->id);
-  executor->past_name
+  executor->previous_key
       = g_strdup_printf ("%s born %" G_GINT64_FORMAT " past %p", executor->id,
                          executor->born_ms, (void *)executor);
-  g_hash_table_insert (book->executors, executor->past_name, executor);
+  g_hash_table_insert (book->executors, executor->previous_key, executor);
   g_hash_table_insert (book->executors, next->id, next);
   return next;
 }
--- a/src/jobs/executor.c
+++ b/src/jobs/executor.c
@@ -24,7 +24,7 @@
   while (gp_list_pop_front (&executor->tasks) != NULL)
     ;
   g_free (executor->id);
-  g_free (executor->past_name);
+  g_free (executor->previous_key);
   g_free (executor->service);
   g_strfreev (executor->labels);
   g_free (executor);
@@ -105,13 +105,14 @@
   task->executor = NULL;
   executor->task_count--;
   reserve (executor, gp_task_step (task), -1);
-  gp_job_executor_end_keep (executor, task->job);
+  gp_job_executor_end_dedication (executor, task->job);
 }
 
 void
-gp_job_executor_end_keep (gp_job_executor_t *executor, const gp_job_t *job)
+gp_job_executor_end_dedication (gp_job_executor_t *executor,
+                                const gp_job_t *job)
 {
-  if (strcmp (executor->kept_for, job->id) != 0)
+  if (strcmp (executor->dedicated_to, job->id) != 0)
     return;
   GP_LIST_FOREACH (link, &executor->tasks)
   {
@@ -121,7 +122,7 @@
     if (task->job == job && task->alone && !task->settled)
       return;
   }
-  *executor->kept_for = '\0';
+  *executor->dedicated_to = '\0';
 }
 
 bool
@@ -134,7 +135,7 @@
 }
 
 int64_t
-gp_job_executor_left_over (const gp_job_executor_t *executor)
+gp_job_executor_spare_cpu (const gp_job_executor_t *executor)
 {
   int64_t unused = executor->capacity.cpu_milli - executor->used.cpu_milli;
 
--- a/src/jobs/executor.h
+++ b/src/jobs/executor.h
@@ -21,18 +21,18 @@
   int64_t cpu_milli;
   int64_t memory_mb;
   int64_t accelerators;
-} gp_room_t;
+} gp_job_resources_t;
 
 struct gp_job_executor
 {
   char *id;
-  int64_t born_ms; /* time of its birth, 0: not known */
-  char *past_name; /* its own key in the book once another incarnation uses its
-                      id; NULL until then */
+  int64_t born_ms;    /* time of its birth, 0: not known */
+  char *previous_key; /* its own key in the book once another incarnation uses
+                         its id; NULL until then */
   char *service;
   char **labels; /* NULL-terminated, may be NULL */
-  gp_room_t capacity;
-  gp_room_t used;  /* by runs; of filling runs only the memory */
+  gp_job_resources_t capacity;
+  gp_job_resources_t used; /* by runs; of filling runs only the memory */
   int64_t lasting; /* CPU of long-running runs, in thousandths of a core */
   int64_t filling; /* CPU requested by filling runs, in thousandths of a
                       core */
@@ -47,34 +47,36 @@
   uint64_t reports;         /* number of reports from its guard */
   gp_time_t assigned_at;    /* when this process last assigned a run to it, 0:
                                never */
-  char kept_for[GP_JOB_ID_SIZE + 1]; /* dedicated executor: id of the only job
-                                        whose runs it takes, "": not
-                                        dedicated */
-  gp_time_t kept_until; /* end of its dedication at the latest; 0: a previous
-                           leader dedicated it */
-  bool suspects_told;   /* its guard has reported which runs may have taken it
-                           down */
-  gp_time_t cut_at;     /* when its guard closed the connection to this leader,
-                           without a report since; 0: it did not */
-  gp_time_t unspoken_since; /* since when no guard reports it, 0: one does */
+  char dedicated_to[GP_JOB_ID_SIZE + 1]; /* dedicated executor: id of the only
+                                            job whose runs it takes, "": not
+                                            dedicated */
+  gp_time_t dedicated_until; /* end of its dedication at the latest; 0: a
+                                previous leader dedicated it */
+  bool suspects_reported; /* its guard has reported which runs may have taken
+                             it down */
+  gp_time_t disconnected_at;  /* when its guard closed the connection to this
+                                 leader, without a report since; 0: it did
+                                 not */
+  gp_time_t unreported_since; /* since when no guard reports it, 0: one does */
   bool awaited;     /* it was logged that its runs wait because no guard
                        reports it */
   bool down;        /* its guard gets no answer from it */
   bool blamed;      /* its failure was counted against a queue */
   bool quarantined; /* see jobs/quarantine.h */
   bool draining;
-  bool evacuated;          /* its zone is evacuated: it gets no new work */
-  bool dead;               /* it certainly runs nothing any more */
-  gp_time_t lost_at;       /* when it was lost without a report of which runs
-                              may have taken it down; 0: there was one, or it
-                              is not lost */
-  gp_time_t leaves_at;     /* while draining: the earliest time of its end */
-  uint32_t failed_in_row;  /* number of failed runs since the last successful
-                              one */
-  gp_time_t trusted_again; /* no new work before this time, after failures */
-  gp_time_t relocated_at;  /* when a run was last moved away from it */
-  gp_time_t full_until;    /* no new work before this time, as it has refused a
-                              run for lack of resources */
+  bool evacuated;         /* its zone is evacuated: it gets no new work */
+  bool dead;              /* it certainly runs nothing any more */
+  gp_time_t lost_at;      /* when it was lost without a report of which runs
+                             may have taken it down; 0: there was one, or it is
+                             not lost */
+  gp_time_t leaves_at;    /* while draining: the earliest time of its end */
+  uint32_t failed_in_row; /* number of failed runs since the last successful
+                             one */
+  gp_time_t
+      distrusted_until;   /* no new work before this time, after failures */
+  gp_time_t relocated_at; /* when a run was last moved away from it */
+  gp_time_t full_until;   /* no new work before this time, as it has refused a
+                             run for lack of resources */
 };
 
 gp_job_executor_t *gp_job_executor_new (const char *id);
@@ -91,8 +93,8 @@
 
 /* Ends the dedication of EXECUTOR to JOB, unless it has an isolated run of
    that job that has not settled.  */
-void gp_job_executor_end_keep (gp_job_executor_t *executor,
-                               const gp_job_t *job);
+void gp_job_executor_end_dedication (gp_job_executor_t *executor,
+                                     const gp_job_t *job);
 
 /* Is a stray run of TASK, one that no job wants any more, still on its
    executor, by the last report of the executor's guard?  The task waits for
@@ -101,7 +103,7 @@
 
 /* Returns the CPU on EXECUTOR that is available to further filling runs, in
    thousandths of a core.  Negative if there are too many.  */
-int64_t gp_job_executor_left_over (const gp_job_executor_t *executor);
+int64_t gp_job_executor_spare_cpu (const gp_job_executor_t *executor);
 
 bool gp_job_executor_has_label (const gp_job_executor_t *executor,
                                 const char *label);
--- a/src/jobs/pacer.c
+++ b/src/jobs/pacer.c
@@ -36,7 +36,7 @@
 {
   gp_pressure_init (&pacer->pressure);
   for (unsigned int i = 0; i < GP_PRESSURE_IMAGES; i++)
-    pacer->paces[i] = GP_PACER_FULL;
+    pacer->paces[i] = GP_PACER_FULL_SPEED;
 }
 
 void
@@ -105,12 +105,12 @@
 static void
 set_pace (uint32_t *pace, double share)
 {
-  uint32_t percent = (uint32_t)lround (share * GP_PACER_FULL);
+  uint32_t percent = (uint32_t)lround (share * GP_PACER_FULL_SPEED);
   uint32_t change = percent > *pace ? percent - *pace : *pace - percent;
 
   if (percent < PACE_MIN)
     percent = 0;
-  if (change >= PACE_STEP || percent == 0 || percent == GP_PACER_FULL)
+  if (change >= PACE_STEP || percent == 0 || percent == GP_PACER_FULL_SPEED)
     *pace = percent;
 }
 
@@ -134,5 +134,5 @@
     if (busy->work[i] > 0.0)
       set_pace (&pacer->paces[i], plan.work[i] / busy->work[i]);
     else
-      pacer->paces[i] = GP_PACER_FULL;
+      pacer->paces[i] = GP_PACER_FULL_SPEED;
 }
--- a/src/jobs/pacer.h
+++ b/src/jobs/pacer.h
@@ -16,10 +16,10 @@
 #include "base/time.h"
 #include "jobs/pressure.h"
 
-#define GP_PACER_FULL 100 /* percent */
+#define GP_PACER_FULL_SPEED 100 /* percent */
 
 /* Maximum number of serving runs on an executor that are considered.  */
-#define GP_PACER_SERVINGS 64
+#define GP_PACER_MAX_SERVINGS 64
 
 typedef struct
 {
--- a/src/jobs/placer.c
+++ b/src/jobs/placer.c
@@ -32,7 +32,7 @@
 is_usable (const gp_job_executor_t *executor, gp_time_t now)
 {
   return executor->reachable && !executor->draining && !executor->dead
-         && now >= executor->trusted_again && now >= executor->full_until;
+         && now >= executor->distrusted_until && now >= executor->full_until;
 }
 
 static bool
@@ -102,7 +102,7 @@
   int64_t reserved = executor->capacity.cpu_milli * RESERVED_PERMILLE / 1000;
 
   if (step->fills)
-    return gp_job_executor_left_over (executor)
+    return gp_job_executor_spare_cpu (executor)
                >= (int64_t)step->cpu_milli * FILL_PERMILLE / 1000
            || may_crowd (executor, task, now);
   if (task->job->submission->priority == 0)
@@ -125,8 +125,8 @@
                     const gp_job_task_t *task, const Gp__Jobs__Step *step,
                     gp_time_t now)
 {
-  const gp_room_t *capacity = &executor->capacity;
-  const gp_room_t *used = &executor->used;
+  const gp_job_resources_t *capacity = &executor->capacity;
+  const gp_job_resources_t *used = &executor->used;
 
   return used->memory_mb + step->memory_mb <= capacity->memory_mb
          && used->accelerators + step->accelerators <= capacity->accelerators
--- a/src/jobs/placer_score.c
+++ b/src/jobs/placer_score.c
@@ -177,7 +177,7 @@
 
       if (expected > harm_limit (task->job, pass->now))
         return INT64_MIN;
-      points = gp_job_executor_left_over (executor) * 1000 / capacity
+      points = gp_job_executor_spare_cpu (executor) * 1000 / capacity
                - (int64_t)(expected * HARM_POINTS);
     }
   else
--- a/src/jobs/placer_waits.c
+++ b/src/jobs/placer_waits.c
@@ -84,7 +84,8 @@
     return GP_WAIT_UNREACHABLE;
   if (executor->draining)
     return GP_WAIT_DRAINING;
-  if (pass->now < executor->trusted_again || pass->now < executor->full_until)
+  if (pass->now < executor->distrusted_until
+      || pass->now < executor->full_until)
     return GP_WAIT_DISTRUSTED;
   if (executor->quarantined
       || !gp_suspicion_admits (executor, task, pass->now))
--- a/src/jobs/scheduler.c
+++ b/src/jobs/scheduler.c
@@ -255,7 +255,7 @@
   for (uint32_t i = FAILURES_TO_DISTRUST;
        i < executor->failed_in_row && pause < DISTRUST_TIME_MAX; i++)
     pause *= 2;
-  executor->trusted_again = now + pause;
+  executor->distrusted_until = now + pause;
   gp_log (GP_LOG_INFO, "executor.distrusted",
           GP_LOG_S ("executor", executor->id),
           GP_LOG_I ("failed_in_row", executor->failed_in_row),
--- a/src/jobs/scheduler_losses.c
+++ b/src/jobs/scheduler_losses.c
@@ -120,20 +120,21 @@
       = task->alone ? name_suspects (executor, task->job) : NULL;
 
   gp_task_name (task, name);
-  gp_log (GP_LOG_INFO, "run.lost", GP_LOG_S ("task", name),
-          GP_LOG_I ("run", task->run), GP_LOG_S ("executor", executor->id),
-          GP_LOG_I ("suspect", suspicion != GP_SUSPICION_NONE),
-          GP_LOG_I ("crashes", task->crashes),
-          GP_LOG_I ("evidence", task->evidence),
-          GP_LOG_I ("told", executor->suspects_told),
-          GP_LOG_I ("fresh", task->fresh), GP_LOG_I ("just", task->just),
-          GP_LOG_I ("unanswered", task->unanswered),
-          GP_LOG_I ("alone", task->alone), GP_LOG_I ("age_ms", task->age_ms),
-          GP_LOG_S ("suspects", suspects),
-          GP_LOG_S ("beside", beside != NULL ? beside : ""),
-          GP_LOG_I ("assigned_ms_ago", ms_ago (task->since, now)),
-          GP_LOG_I ("guard_gone_ms_ago", ms_ago (executor->cut_at, now)),
-          GP_LOG_I ("reported_ms_ago", ms_ago (executor->reported_at, now)));
+  gp_log (
+      GP_LOG_INFO, "run.lost", GP_LOG_S ("task", name),
+      GP_LOG_I ("run", task->run), GP_LOG_S ("executor", executor->id),
+      GP_LOG_I ("suspect", suspicion != GP_SUSPICION_NONE),
+      GP_LOG_I ("crashes", task->crashes),
+      GP_LOG_I ("evidence", task->evidence),
+      GP_LOG_I ("told", executor->suspects_reported),
+      GP_LOG_I ("fresh", task->fresh), GP_LOG_I ("just", task->just),
+      GP_LOG_I ("unanswered", task->unanswered),
+      GP_LOG_I ("alone", task->alone), GP_LOG_I ("age_ms", task->age_ms),
+      GP_LOG_S ("suspects", suspects),
+      GP_LOG_S ("beside", beside != NULL ? beside : ""),
+      GP_LOG_I ("assigned_ms_ago", ms_ago (task->since, now)),
+      GP_LOG_I ("guard_gone_ms_ago", ms_ago (executor->disconnected_at, now)),
+      GP_LOG_I ("reported_ms_ago", ms_ago (executor->reported_at, now)));
 }
 
 /* Does the death of EXECUTOR, for the reason WHY, speak against a run that had
@@ -257,7 +258,7 @@
 void
 gp_scheduler_no_suspects (gp_job_executor_t *executor)
 {
-  executor->suspects_told = false;
+  executor->suspects_reported = false;
   GP_LIST_FOREACH (link, &executor->tasks)
   {
     gp_suspicion_forget_told (
@@ -284,7 +285,7 @@
 gp_scheduler_suspects (gp_scheduler_t *scheduler, gp_job_executor_t *executor,
                        Gp__Jobs__TaskRun *const *runs, size_t count)
 {
-  executor->suspects_told = true;
+  executor->suspects_reported = true;
   for (size_t i = 0; i < count; i++)
     {
       gp_job_task_t *task = task_of_run (scheduler, executor, runs[i]);
@@ -365,7 +366,7 @@
   const gp_job_t *sole_job = gp_suspicion_sole_job (executor);
   char *suspects = name_suspects (executor, NULL);
   bool crash = may_be_crash (executor, why);
-  bool together = crash && !executor->suspects_told
+  bool together = crash && !executor->suspects_reported
                   && went_with_others (scheduler->book, executor, now);
   bool proved = crash && proved_job (executor) != NULL;
 
@@ -375,7 +376,7 @@
           GP_LOG_I ("runs", executor->task_count),
           GP_LOG_S ("why", death_name (why)));
   gp_counter_add (&dead_counts[why], 1);
-  executor->lost_at = executor->suspects_told ? 0 : now;
+  executor->lost_at = executor->suspects_reported ? 0 : now;
   executor->dead = true;
   executor->reachable = false;
   GP_LIST_FOREACH_SAFE (link, &executor->tasks)
@@ -390,6 +391,6 @@
     gp_counter_add (&beside_runs_count, proved && task->job != sole_job);
     lose_run (scheduler, task, suspicion, suspects, now, wall_ms);
   }
-  executor->suspects_told = false;
+  executor->suspects_reported = false;
   g_free (suspects);
 }
--- a/src/jobs/spec_distribution.c
+++ b/src/jobs/spec_distribution.c
@@ -33,26 +33,26 @@
 }
 
 void
-gp_spec_spread_init (gp_spec_spread_t *spread)
+gp_spec_distribution_init (gp_spec_distribution_t *spread)
 {
   spread->jobs
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_row);
 }
 
 void
-gp_spec_spread_finish (gp_spec_spread_t *spread)
+gp_spec_distribution_finish (gp_spec_distribution_t *spread)
 {
   g_hash_table_destroy (spread->jobs);
 }
 
 void
-gp_spec_spread_reset (gp_spec_spread_t *spread)
+gp_spec_distribution_reset (gp_spec_distribution_t *spread)
 {
   g_hash_table_remove_all (spread->jobs);
 }
 
 static row_t *
-row_of (gp_spec_spread_t *spread, const char *job)
+row_of (gp_spec_distribution_t *spread, const char *job)
 {
   row_t *row = g_hash_table_lookup (spread->jobs, job);
 
@@ -82,15 +82,16 @@
   row->shared = 0;
 }
 
-gp_spec_way_t
-gp_spec_spread_way (gp_spec_spread_t *spread, const char *job,
-                    const char *guard, gp_time_t now, const char **holder)
+gp_spec_source_t
+gp_spec_distribution_source (gp_spec_distribution_t *spread, const char *job,
+                             const char *guard, gp_time_t now,
+                             const char **holder)
 {
   row_t *row = row_of (spread, job);
 
   if (g_hash_table_contains (row->told, guard))
     return GP_SPEC_KNOWN;
-  if (row->holder == NULL || row->shared >= GP_SPEC_SPREAD_SHARE)
+  if (row->holder == NULL || row->shared >= GP_SPEC_DISTRIBUTION_FANOUT)
     {
       send_to (row, guard, now);
       return GP_SPEC_FROM_LEADER;
@@ -102,8 +103,9 @@
 }
 
 bool
-gp_spec_spread_lacks (gp_spec_spread_t *spread, const char *job,
-                      const char *guard, gp_time_t now)
+gp_spec_distribution_is_missing (gp_spec_distribution_t *spread,
+                                 const char *job, const char *guard,
+                                 gp_time_t now)
 {
   row_t *row = row_of (spread, job);
   const told_t *told = g_hash_table_lookup (row->told, guard);
@@ -115,7 +117,8 @@
 }
 
 void
-gp_spec_spread_forget_guard (gp_spec_spread_t *spread, const char *guard)
+gp_spec_distribution_remove_guard (gp_spec_distribution_t *spread,
+                                   const char *guard)
 {
   GHashTableIter iter;
   gpointer value;
@@ -132,7 +135,8 @@
 }
 
 void
-gp_spec_spread_forget_job (gp_spec_spread_t *spread, const char *job)
+gp_spec_distribution_remove_job (gp_spec_distribution_t *spread,
+                                 const char *job)
 {
   g_hash_table_remove (spread->jobs, job);
 }
--- a/src/jobs/spec_store.c
+++ b/src/jobs/spec_store.c
@@ -91,7 +91,7 @@
 hold (gp_spec_store_t *store, gp_spec_t *spec,
       const ProtobufCBinaryData *bytes, gp_time_t now)
 {
-  while (store->size + bytes->len > GP_SPEC_STORE_MAX && store->size > 0)
+  while (store->size + bytes->len > GP_SPEC_STORE_MAX_SIZE && store->size > 0)
     drop (store, find_oldest (store));
   spec->bytes = g_bytes_new (bytes->data, bytes->len);
   spec->used_at = now;
@@ -101,8 +101,8 @@
 }
 
 bool
-gp_spec_store_tell (gp_spec_store_t *store, const Gp__Jobs__Spec *told,
-                    gp_time_t now)
+gp_spec_store_add (gp_spec_store_t *store, const Gp__Jobs__Spec *told,
+                   gp_time_t now)
 {
   gp_spec_t *spec = g_hash_table_lookup (store->specs, told->job);
 
@@ -128,8 +128,8 @@
 }
 
 bool
-gp_spec_store_take (gp_spec_store_t *store, const Gp__Jobs__Spec *told,
-                    gp_time_t now)
+gp_spec_store_receive (gp_spec_store_t *store, const Gp__Jobs__Spec *told,
+                       gp_time_t now)
 {
   gp_spec_t *spec = g_hash_table_lookup (store->specs, told->job);
 
@@ -146,7 +146,7 @@
 }
 
 bool
-gp_spec_store_lost (gp_spec_store_t *store, const char *holder)
+gp_spec_store_drop_holder (gp_spec_store_t *store, const char *holder)
 {
   bool any = false;
   GHashTableIter iter;
@@ -208,7 +208,8 @@
 }
 
 const GBytes *
-gp_spec_store_of_task (gp_spec_store_t *store, const char *task, gp_time_t now)
+gp_spec_store_find_by_task (gp_spec_store_t *store, const char *task,
+                            gp_time_t now)
 {
   gp_spec_t *spec = find_of_task (store, task);
 
@@ -228,7 +229,7 @@
 }
 
 bool
-gp_spec_store_lacks (const gp_spec_store_t *store, const char *task)
+gp_spec_store_is_missing (const gp_spec_store_t *store, const char *task)
 {
   const gp_spec_t *spec = find_of_task (store, task);
 
--- a/src/jobs/spec_store.h
+++ b/src/jobs/spec_store.h
@@ -7,7 +7,7 @@
 
    A specification is identified by its job and a digest of its bytes, so that
    one that another writer stored in its place is not mistaken for it.  When
-   the total size exceeds GP_SPEC_STORE_MAX, the least recently used
+   the total size exceeds GP_SPEC_STORE_MAX_SIZE, the least recently used
    specification is dropped; a guard that needs it again asks the leader.
 
    Pure: events and NOW in, specifications and requests out.  */
@@ -24,7 +24,7 @@
 
 /* Maximum total size in bytes: a thousand specifications of the largest size,
    in a process that may use a few hundred megabytes.  */
-#define GP_SPEC_STORE_MAX ((size_t)4 * 1024 * 1024)
+#define GP_SPEC_STORE_MAX_SIZE ((size_t)4 * 1024 * 1024)
 
 /* A specification that is held or awaited.  */
 typedef struct
@@ -52,17 +52,17 @@
 /* The leader has sent a specification: either its bytes, which are copied, or
    the address of the guard that holds it.  Returns whether to ask that
    holder.  */
-bool gp_spec_store_tell (gp_spec_store_t *store, const Gp__Jobs__Spec *spec,
-                         gp_time_t now);
+bool gp_spec_store_add (gp_spec_store_t *store, const Gp__Jobs__Spec *spec,
+                        gp_time_t now);
 
 /* The holder has answered.  Bytes with another digest than announced are
    rejected.  Returns false if the leader has to be asked.  */
-bool gp_spec_store_take (gp_spec_store_t *store, const Gp__Jobs__Spec *spec,
-                         gp_time_t now);
+bool gp_spec_store_receive (gp_spec_store_t *store, const Gp__Jobs__Spec *spec,
+                            gp_time_t now);
 
 /* The guard at HOLDER cannot be reached: the leader has to be asked for what
    it was to send.  Returns whether there was any.  */
-bool gp_spec_store_lost (gp_spec_store_t *store, const char *holder);
+bool gp_spec_store_drop_holder (gp_spec_store_t *store, const char *holder);
 
 /* Gives up the holders that have not answered in time.  Returns whether there
    were any.  */
@@ -72,8 +72,8 @@
 gp_time_t gp_spec_store_next_expiry (const gp_spec_store_t *store);
 
 /* Returns the specification of the job of TASK, or NULL if it is not held.  */
-const GBytes *gp_spec_store_of_task (gp_spec_store_t *store, const char *task,
-                                     gp_time_t now);
+const GBytes *gp_spec_store_find_by_task (gp_spec_store_t *store,
+                                          const char *task, gp_time_t now);
 
 /* Returns the specification of JOB with DIGEST, or NULL if it is not held.  */
 GBytes *gp_spec_store_find (const gp_spec_store_t *store, const char *job,
@@ -81,6 +81,6 @@
 
 /* Does the leader have to be asked for the specification of the job of
    TASK?  */
-bool gp_spec_store_lacks (const gp_spec_store_t *store, const char *task);
+bool gp_spec_store_is_missing (const gp_spec_store_t *store, const char *task);
 
 #endif
--- a/src/jobs/start_gate.c
+++ b/src/jobs/start_gate.c
@@ -12,7 +12,8 @@
 }
 
 void
-gp_start_gate_told (gp_start_gate_t *gate, bool evacuated, gp_time_t known_at)
+gp_start_gate_update (gp_start_gate_t *gate, bool evacuated,
+                      gp_time_t known_at)
 {
   if (known_at < gate->told_at)
     return;
--- a/src/jobs/start_gate.h
+++ b/src/jobs/start_gate.h
@@ -33,8 +33,8 @@
 
 /* At KNOWN_AT the zone was evacuated, or not.  Older information than the last
    one is ignored.  */
-void gp_start_gate_told (gp_start_gate_t *gate, bool evacuated,
-                         gp_time_t known_at);
+void gp_start_gate_update (gp_start_gate_t *gate, bool evacuated,
+                           gp_time_t known_at);
 
 bool gp_start_gate_is_open (const gp_start_gate_t *gate, gp_time_t now);
 
--- a/src/jobs/suspicion.c
+++ b/src/jobs/suspicion.c
@@ -37,7 +37,7 @@
 static bool
 is_suspect (const gp_job_task_t *task)
 {
-  if (task->executor->suspects_told || task->settled)
+  if (task->executor->suspects_reported || task->settled)
     return gp_suspicion_is_beginner (task);
   if (task->alone)
     return true;
@@ -57,7 +57,7 @@
   task->evidence = 0;
   task->alone = false;
   if (task->executor != NULL)
-    gp_job_executor_end_keep (task->executor, task->job);
+    gp_job_executor_end_dedication (task->executor, task->job);
   return changed;
 }
 
@@ -86,10 +86,10 @@
 static bool
 went_with_guard (const gp_job_task_t *task)
 {
-  gp_time_t cut_at = task->executor->cut_at;
+  gp_time_t disconnected_at = task->executor->disconnected_at;
 
-  return task->since != 0 && cut_at >= task->since
-         && cut_at - task->since <= GP_SUSPICION_JUST_TIME;
+  return task->since != 0 && disconnected_at >= task->since
+         && disconnected_at - task->since <= GP_SUSPICION_JUST_TIME;
 }
 
 /* What the end of its executor adds to the evidence against TASK, which may
@@ -99,7 +99,7 @@
 {
   bool sole = sole_job == task->job;
 
-  if (task->alone && !task->executor->suspects_told)
+  if (task->alone && !task->executor->suspects_reported)
     return went_with_guard (task) ? GP_SUSPICION_PROOF : GP_SUSPICION_HINT;
   if (sole && (task->just || (task->fresh && task->alone && !task->timed)))
     return GP_SUSPICION_PROOF;
@@ -209,10 +209,10 @@
 /* Until when EXECUTOR is kept.  What a leader before has kept counts from the
    first report to this one on.  */
 static gp_time_t
-kept_until (const gp_job_executor_t *executor)
+dedicated_until (const gp_job_executor_t *executor)
 {
-  if (executor->kept_until != 0)
-    return executor->kept_until;
+  if (executor->dedicated_until != 0)
+    return executor->dedicated_until;
   return executor->reported_since == 0
              ? GP_TIME_NEVER
              : executor->reported_since + GP_SUSPICION_SETTLE_TIME
@@ -222,7 +222,7 @@
 bool
 gp_suspicion_is_kept (const gp_job_executor_t *executor, gp_time_t now)
 {
-  return *executor->kept_for != '\0' && now < kept_until (executor);
+  return *executor->dedicated_to != '\0' && now < dedicated_until (executor);
 }
 
 bool
@@ -230,7 +230,7 @@
                           const gp_job_t *job, gp_time_t now)
 {
   return gp_suspicion_is_kept (executor, now)
-         && strcmp (executor->kept_for, job->id) == 0;
+         && strcmp (executor->dedicated_to, job->id) == 0;
 }
 
 bool
@@ -255,8 +255,8 @@
 static void
 keep_until (gp_job_executor_t *executor, const gp_job_t *job, gp_time_t until)
 {
-  g_strlcpy (executor->kept_for, job->id, sizeof executor->kept_for);
-  executor->kept_until = until;
+  g_strlcpy (executor->dedicated_to, job->id, sizeof executor->dedicated_to);
+  executor->dedicated_until = until;
 }
 
 void
@@ -279,9 +279,10 @@
 gp_suspicion_keep_for (gp_job_executor_t *executor, const gp_job_t *job,
                        gp_time_t until)
 {
-  bool kept = strcmp (executor->kept_for, job->id) == 0;
+  bool kept = strcmp (executor->dedicated_to, job->id) == 0;
 
-  keep_until (executor, job, kept ? MAX (until, executor->kept_until) : until);
+  keep_until (executor, job,
+              kept ? MAX (until, executor->dedicated_until) : until);
 }
 
 int64_t
@@ -377,8 +378,8 @@
   if (executor->assigned_at >= decided_at)
     executor->assigned_at = now;
   /* It was kept for a time that begins with the decision.  */
-  if (executor->kept_until > decided_at)
-    executor->kept_until += now - decided_at;
+  if (executor->dedicated_until > decided_at)
+    executor->dedicated_until += now - decided_at;
   GP_LIST_FOREACH (link, &executor->tasks)
   {
     gp_job_task_t *task = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
--- a/src/jobs/urgency.c
+++ b/src/jobs/urgency.c
@@ -70,7 +70,7 @@
           += (double)(executor->capacity.cpu_milli - executor->lasting);
       service->room[KIND_FILLING]
           += (double)(executor->filling
-                      + MAX (gp_job_executor_left_over (executor), 0));
+                      + MAX (gp_job_executor_spare_cpu (executor), 0));
     }
   return services;
 }
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -129,7 +129,7 @@
       Gp__Jobs__Filling filling = GP__JOBS__FILLING__INIT;
 
       filling.image = gone->image;
-      filling.pace_percent = GP_PACER_FULL;
+      filling.pace_percent = GP_PACER_FULL_SPEED;
       filling.work_permille
           = (uint32_t)(gp_agent_ended_filling_work (gone, agent->measured_at)
                        * 1000.0);
--- a/src/jobsd/guard_specs.c
+++ b/src/jobsd/guard_specs.c
@@ -179,7 +179,7 @@
     return;
   if (frame->message_case == GP__JOBS__FRAME__MESSAGE_SPEC)
     {
-      if (gp_spec_store_take (specs->store, frame->spec, now))
+      if (gp_spec_store_receive (specs->store, frame->spec, now))
         specs->on_change (false, specs->data);
       else
         note_failed (specs, holder->address, "not held there");
@@ -197,7 +197,7 @@
   if (holder == NULL)
     return;
   specs = holder->specs;
-  if (gp_spec_store_lost (specs->store, holder->address))
+  if (gp_spec_store_drop_holder (specs->store, holder->address))
     note_failed (specs, holder->address,
                  reason != NULL ? reason->message : "closed here");
   g_hash_table_remove (specs->holders, holder->address);
@@ -232,7 +232,7 @@
                                   holder, &error);
   if (holder->peer == NULL)
     {
-      if (gp_spec_store_lost (specs->store, address))
+      if (gp_spec_store_drop_holder (specs->store, address))
         note_failed (specs, address, error->message);
       g_error_free (error);
       free_holder (holder);
@@ -265,7 +265,7 @@
                      size_t count)
 {
   for (size_t i = 0; i < count; i++)
-    if (gp_spec_store_tell (specs->store, told[i], now_of (specs)))
+    if (gp_spec_store_add (specs->store, told[i], now_of (specs)))
       ask (specs, told[i]);
   answer_askers (specs);
   arm (specs);
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -389,7 +389,7 @@
   leader->disputed
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   gp_refusals_init (&leader->refusals);
-  gp_spec_spread_init (&leader->specs);
+  gp_spec_distribution_init (&leader->specs);
   leader->new_places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                               (GDestroyNotify)g_bytes_unref);
   leader->frames = g_ptr_array_new ();
@@ -410,7 +410,7 @@
   g_hash_table_destroy (leader->places);
   g_hash_table_destroy (leader->disputed);
   gp_refusals_finish (&leader->refusals);
-  gp_spec_spread_finish (&leader->specs);
+  gp_spec_distribution_finish (&leader->specs);
   g_hash_table_destroy (leader->new_places);
   g_ptr_array_unref (leader->frames);
   g_ptr_array_unref (leader->drops);
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -80,9 +80,9 @@
   GHashTable *places;     /* node to id of its executor, owned */
   GHashTable *disputed;   /* ids that records place on two VMs, owned: until
                              a guard reports one, its place proves nothing */
-  gp_spec_spread_t specs; /* what the guards hold */
-  GPtrArray *drops;       /* ids of jobs whose progress goes, owned */
-  GHashTable *new_places; /* key to record, owned: not yet written */
+  gp_spec_distribution_t specs; /* what the guards hold */
+  GPtrArray *drops;             /* ids of jobs whose progress goes, owned */
+  GHashTable *new_places;       /* key to record, owned: not yet written */
   gp_leader_role_t role;
   uint64_t epoch;
   uint64_t position; /* the progress topic's end, as far as known */
--- a/src/jobsd/leader_append.c
+++ b/src/jobsd/leader_append.c
@@ -103,7 +103,7 @@
       gp_leader_add_record (leader, job->id, bytes);
       g_array_append_val (leader->batch_states, state);
       if (gp_job_ended (job))
-        gp_spec_spread_forget_job (&leader->specs, job->id);
+        gp_spec_distribution_remove_job (&leader->specs, job->id);
       g_bytes_unref (bytes);
     }
 }
--- a/src/jobsd/leader_frames.c
+++ b/src/jobsd/leader_frames.c
@@ -200,8 +200,8 @@
   const gp_link_t *holder;
   const char *name;
 
-  switch (gp_spec_spread_way (&leader->specs, job->id, link->node,
-                              gp_loop_now (leader->loop), &name))
+  switch (gp_spec_distribution_source (&leader->specs, job->id, link->node,
+                                       gp_loop_now (leader->loop), &name))
     {
     case GP_SPEC_KNOWN:
       break;
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -221,7 +221,7 @@
     declare_dead (leader, executor, GP_DEATH_LEFT);
   if (report->keeps_alone)
     gp_suspicion_goes_on (executor, now);
-  if (executor->suspects_told)
+  if (executor->suspects_reported)
     gp_scheduler_no_suspects (executor);
   if ((report->lapsed || report->down) && !executor->dead)
     gp_scheduler_suspects (&leader->scheduler, executor, report->suspects,
@@ -241,7 +241,7 @@
   executor->down = report->down;
   link->silent = report->ended || (report->lapsed && !report->answers);
   executor->reported_at = now;
-  executor->cut_at = 0;
+  executor->disconnected_at = 0;
   if (executor->reported_since == 0)
     executor->reported_since = now;
   executor->reachable = !report->lapsed && !report->ended && !link->wants_sync
@@ -271,8 +271,9 @@
   gp_leader_t *leader = link->leader;
 
   for (size_t i = 0; i < report->n_lacking; i++)
-    if (gp_spec_spread_lacks (&leader->specs, report->lacking[i], link->node,
-                              gp_loop_now (leader->loop)))
+    if (gp_spec_distribution_is_missing (&leader->specs, report->lacking[i],
+                                         link->node,
+                                         gp_loop_now (leader->loop)))
       g_ptr_array_add (link->lacking, g_strdup (report->lacking[i]));
 }
 
@@ -349,7 +350,7 @@
   link->peer = NULL;
   link->wants_sync = true;
   link->taught_images = 0;
-  gp_spec_spread_forget_guard (&link->leader->specs, link->node);
+  gp_spec_distribution_remove_guard (&link->leader->specs, link->node);
   g_ptr_array_set_size (link->lacking, 0);
   if (link->executor != NULL)
     link->executor->reachable = false;
@@ -363,7 +364,7 @@
   if (link == NULL || link->peer != peer)
     return;
   if (link->executor != NULL)
-    link->executor->cut_at = gp_loop_now (link->leader->loop);
+    link->executor->disconnected_at = gp_loop_now (link->leader->loop);
   set_down (link, reason != NULL ? reason->message : "closed here");
   gp_timer_arm (&link->redial, gp_loop_now (link->leader->loop) + REDIAL_TIME);
 }
@@ -460,7 +461,7 @@
   gpointer value;
 
   gp_leader_drop_frames (leader);
-  gp_spec_spread_reset (&leader->specs);
+  gp_spec_distribution_reset (&leader->specs);
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -556,9 +557,9 @@
   gp_time_t now = gp_loop_now (leader->loop);
   gp_time_t end = leases_end (leader, link, executor);
 
-  if (executor->unspoken_since == 0)
-    executor->unspoken_since = now;
-  if (executor->awaited || now - executor->unspoken_since < QUIET_TIME)
+  if (executor->unreported_since == 0)
+    executor->unreported_since = now;
+  if (executor->awaited || now - executor->unreported_since < QUIET_TIME)
     return;
   executor->awaited = true;
   gp_log (GP_LOG_INFO, "executor.awaited", GP_LOG_S ("executor", executor->id),
@@ -590,7 +591,7 @@
     return;
   if (is_spoken_for (link, executor))
     {
-      executor->unspoken_since = 0;
+      executor->unreported_since = 0;
       executor->awaited = false;
       return;
     }
--- a/tests/unit/agent_messages.c
+++ b/tests/unit/agent_messages.c
@@ -40,7 +40,7 @@
   spec.bytes.data = (uint8_t *)bytes;
   spec.bytes.len = sizeof bytes - 1;
   spec.digest = gp_spec_digest (spec.bytes.data, spec.bytes.len);
-  gp_spec_store_tell (&agent->specs, &spec, now);
+  gp_spec_store_add (&agent->specs, &spec, now);
 }
 
 Gp__Jobs__Executor *
--- a/tests/unit/late_world.c
+++ b/tests/unit/late_world.c
@@ -72,7 +72,7 @@
     }
   if (worker->executor != NULL)
     {
-      worker->executor->cut_at = world->site.now;
+      worker->executor->disconnected_at = world->site.now;
       worker->executor->reachable = false;
     }
   worker->wants_sync = true;
--- a/tests/unit/late_world_leader.c
+++ b/tests/unit/late_world_leader.c
@@ -204,7 +204,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  worker->executor->suspects_told = true;
+  worker->executor->suspects_reported = true;
   g_hash_table_iter_init (&iter, worker->agent.runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -296,7 +296,7 @@
   take_runs (world, worker);
   if (gp_agent_has_isolated_run (agent))
     gp_suspicion_goes_on (executor, now);
-  if (executor->suspects_told)
+  if (executor->suspects_reported)
     gp_scheduler_no_suspects (executor);
   if ((lapsed || down) && !executor->dead)
     tell_suspects (world, worker);
@@ -310,7 +310,7 @@
     worker->wants_sync = true;
   executor->down = down;
   executor->reported_at = now;
-  executor->cut_at = 0;
+  executor->disconnected_at = 0;
   if (executor->reported_since == 0)
     executor->reported_since = now;
   executor->reachable
--- a/tests/unit/test_filling_load.c
+++ b/tests/unit/test_filling_load.c
@@ -215,10 +215,10 @@
     {
       const char *filling = fillings[place->fills[i].image];
 
-      place->fills[i].pace
-          = place->fills[i].busy
-                ? gp_pacer_pace (&site->pacer, filling) / (double)GP_PACER_FULL
-                : 1.0;
+      place->fills[i].pace = place->fills[i].busy
+                                 ? gp_pacer_pace (&site->pacer, filling)
+                                       / (double)GP_PACER_FULL_SPEED
+                                 : 1.0;
     }
 }
 
--- a/tests/unit/test_pressure.c
+++ b/tests/unit/test_pressure.c
@@ -174,7 +174,7 @@
       serving.headroom = 3.0 + i * 1e-5 + i * 1e-13;
       gp_pacer_update (&pacer, &serving, 1, &busy);
     }
-  CU_ASSERT_EQUAL (gp_pacer_pace (&pacer, "f"), GP_PACER_FULL);
+  CU_ASSERT_EQUAL (gp_pacer_pace (&pacer, "f"), GP_PACER_FULL_SPEED);
   gp_pacer_finish (&pacer);
 }
 
@@ -191,7 +191,7 @@
   gp_pressure_set (&pacer.pressure, "s",
                    gp_pressure_place (&pacer.pressure, "f"), 0.0);
   gp_pacer_update (&pacer, &serving, 1, &busy);
-  CU_ASSERT_EQUAL (gp_pacer_pace (&pacer, "f"), GP_PACER_FULL);
+  CU_ASSERT_EQUAL (gp_pacer_pace (&pacer, "f"), GP_PACER_FULL_SPEED);
   serving.over_target_s = 2.0;
   gp_pacer_update (&pacer, &serving, 1, &busy);
   CU_ASSERT_EQUAL (gp_pacer_pace (&pacer, "f"), 0);
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -162,7 +162,7 @@
   jobs[1] = jobs_site_submit (&site, "00000000000000bb",
                               of_queue ("good", 1, 500));
   jobs_site_plan (&site);
-  executor->suspects_told = true;
+  executor->suspects_reported = true;
   for (int i = 0; i <= beside; i++)
     {
       jobs[i]->tasks[0].suspect = true;
--- a/tests/unit/test_specs.c
+++ b/tests/unit/test_specs.c
@@ -39,10 +39,10 @@
   gp_time_t expiry = gp_spec_store_next_expiry (store);
 
   printf ("%s: %s, %s, gives up in %d ms\n", what,
-          gp_spec_store_of_task (store, TASK, now) != NULL ? "held"
-                                                           : "not held",
-          gp_spec_store_lacks (store, TASK) ? "to be asked of the leader"
-                                            : "nothing to ask the leader",
+          gp_spec_store_find_by_task (store, TASK, now) != NULL ? "held"
+                                                                : "not held",
+          gp_spec_store_is_missing (store, TASK) ? "to be asked of the leader"
+                                                 : "nothing to ask the leader",
           expiry == GP_TIME_NEVER ? -1 : (int)((expiry - now) / GP_MSEC));
 }
 
@@ -59,26 +59,26 @@
   none.holder = "";
   gp_spec_store_init (&store);
   show (&store, now, "nothing told");
-  CU_ASSERT_TRUE (gp_spec_store_tell (&store, &there, now));
+  CU_ASSERT_TRUE (gp_spec_store_add (&store, &there, now));
   show (&store, now, "a holder told");
-  CU_ASSERT_FALSE (gp_spec_store_take (&store, &none, now));
+  CU_ASSERT_FALSE (gp_spec_store_receive (&store, &none, now));
   show (&store, now, "the holder has none");
-  CU_ASSERT_TRUE (gp_spec_store_tell (&store, &there, now));
-  CU_ASSERT_FALSE (gp_spec_store_take (&store, &other, now));
+  CU_ASSERT_TRUE (gp_spec_store_add (&store, &there, now));
+  CU_ASSERT_FALSE (gp_spec_store_receive (&store, &other, now));
   show (&store, now, "the holder gives another");
-  CU_ASSERT_TRUE (gp_spec_store_tell (&store, &there, now));
-  CU_ASSERT_FALSE (gp_spec_store_lost (&store, "10.0.0.2:7000"));
-  CU_ASSERT_TRUE (gp_spec_store_lost (&store, HOLDER));
+  CU_ASSERT_TRUE (gp_spec_store_add (&store, &there, now));
+  CU_ASSERT_FALSE (gp_spec_store_drop_holder (&store, "10.0.0.2:7000"));
+  CU_ASSERT_TRUE (gp_spec_store_drop_holder (&store, HOLDER));
   show (&store, now, "the holder is gone");
-  CU_ASSERT_TRUE (gp_spec_store_tell (&store, &there, now));
+  CU_ASSERT_TRUE (gp_spec_store_add (&store, &there, now));
   CU_ASSERT_FALSE (gp_spec_store_expire (&store, now + 399 * GP_MSEC));
   CU_ASSERT_TRUE (gp_spec_store_expire (&store, now + 400 * GP_MSEC));
   show (&store, now, "the holder does not answer");
-  CU_ASSERT_FALSE (gp_spec_store_tell (&store, &here, now));
+  CU_ASSERT_FALSE (gp_spec_store_add (&store, &here, now));
   show (&store, now, "the leader sends it");
-  CU_ASSERT_FALSE (gp_spec_store_tell (&store, &there, now));
+  CU_ASSERT_FALSE (gp_spec_store_add (&store, &there, now));
   show (&store, now, "a holder told of what is held");
-  CU_ASSERT_FALSE (gp_spec_store_tell (&store, &other, now));
+  CU_ASSERT_FALSE (gp_spec_store_add (&store, &other, now));
   CU_ASSERT_PTR_NULL (gp_spec_store_find (&store, JOB, here.digest));
   CU_ASSERT_PTR_NOT_NULL (gp_spec_store_find (&store, JOB, other.digest));
   show (&store, now, "another writer's came in its place");
@@ -102,9 +102,9 @@
 
       g_snprintf (job, sizeof job, "%016x", i);
       spec = spec_of (job, bytes, NULL);
-      gp_spec_store_tell (&store, &spec, i);
-      gp_spec_store_of_task (&store, "0000000000000000.0.0.0", i);
-      CU_ASSERT_TRUE_FATAL (store.size <= GP_SPEC_STORE_MAX);
+      gp_spec_store_add (&store, &spec, i);
+      gp_spec_store_find_by_task (&store, "0000000000000000.0.0.0", i);
+      CU_ASSERT_TRUE_FATAL (store.size <= GP_SPEC_STORE_MAX_SIZE);
     }
   for (int i = 0; i < 3000; i++)
     {
@@ -114,7 +114,8 @@
               != NULL;
     }
   printf ("of 3000 of %d bytes %d held, the one in use: %d\n", SIZE, held,
-          gp_spec_store_of_task (&store, "0000000000000000.0.0.0", 0) != NULL);
+          gp_spec_store_find_by_task (&store, "0000000000000000.0.0.0", 0)
+              != NULL);
   gp_spec_store_finish (&store);
 }
 
@@ -132,45 +133,51 @@
 static void
 test_copies (void)
 {
-  gp_spec_spread_t spread;
+  gp_spec_distribution_t spread;
   const char *holder;
   int copies = 0;
 
-  gp_spec_spread_init (&spread);
+  gp_spec_distribution_init (&spread);
   for (int again = 0; again < 2; again++)
     for (int i = 0; i < GUARDS; i++)
-      copies += gp_spec_spread_way (&spread, JOB, guard_name (i), 0, &holder)
+      copies += gp_spec_distribution_source (&spread, JOB, guard_name (i), 0,
+                                             &holder)
                 == GP_SPEC_FROM_LEADER;
   printf ("two runs on each of %d workers: %d copies from the leader\n",
           GUARDS, copies);
-  CU_ASSERT_TRUE (copies <= 1 + GUARDS / GP_SPEC_SPREAD_SHARE);
-  gp_spec_spread_finish (&spread);
+  CU_ASSERT_TRUE (copies <= 1 + GUARDS / GP_SPEC_DISTRIBUTION_FANOUT);
+  gp_spec_distribution_finish (&spread);
 }
 
 static void
 test_lacking (void)
 {
-  gp_spec_spread_t spread;
+  gp_spec_distribution_t spread;
   const char *holder = NULL;
   gp_time_t now = GP_SEC;
 
-  gp_spec_spread_init (&spread);
-  gp_spec_spread_way (&spread, JOB, "w0", now, &holder);
-  CU_ASSERT_FALSE (gp_spec_spread_lacks (&spread, JOB, "w0", now));
-  CU_ASSERT_TRUE (gp_spec_spread_lacks (&spread, JOB, "w0", now + GP_SEC));
-  CU_ASSERT_EQUAL (gp_spec_spread_way (&spread, JOB, "w1", now, &holder),
-                   GP_SPEC_FROM_HOLDER);
+  gp_spec_distribution_init (&spread);
+  gp_spec_distribution_source (&spread, JOB, "w0", now, &holder);
+  CU_ASSERT_FALSE (gp_spec_distribution_is_missing (&spread, JOB, "w0", now));
+  CU_ASSERT_TRUE (
+      gp_spec_distribution_is_missing (&spread, JOB, "w0", now + GP_SEC));
+  CU_ASSERT_EQUAL (
+      gp_spec_distribution_source (&spread, JOB, "w1", now, &holder),
+      GP_SPEC_FROM_HOLDER);
   CU_ASSERT_STRING_EQUAL (holder, "w0");
-  CU_ASSERT_TRUE (gp_spec_spread_lacks (&spread, JOB, "w1", now));
-  gp_spec_spread_forget_guard (&spread, "w1");
-  CU_ASSERT_EQUAL (gp_spec_spread_way (&spread, JOB, "w2", now, &holder),
-                   GP_SPEC_FROM_LEADER);
-  CU_ASSERT_EQUAL (gp_spec_spread_way (&spread, JOB, "w1", now, &holder),
-                   GP_SPEC_FROM_HOLDER);
-  gp_spec_spread_forget_job (&spread, JOB);
-  CU_ASSERT_EQUAL (gp_spec_spread_way (&spread, JOB, "w1", now, &holder),
-                   GP_SPEC_FROM_LEADER);
-  gp_spec_spread_finish (&spread);
+  CU_ASSERT_TRUE (gp_spec_distribution_is_missing (&spread, JOB, "w1", now));
+  gp_spec_distribution_remove_guard (&spread, "w1");
+  CU_ASSERT_EQUAL (
+      gp_spec_distribution_source (&spread, JOB, "w2", now, &holder),
+      GP_SPEC_FROM_LEADER);
+  CU_ASSERT_EQUAL (
+      gp_spec_distribution_source (&spread, JOB, "w1", now, &holder),
+      GP_SPEC_FROM_HOLDER);
+  gp_spec_distribution_remove_job (&spread, JOB);
+  CU_ASSERT_EQUAL (
+      gp_spec_distribution_source (&spread, JOB, "w1", now, &holder),
+      GP_SPEC_FROM_LEADER);
+  gp_spec_distribution_finish (&spread);
 }
 
 /* Runs go to guards that lose their connections, refuse each other and start
@@ -181,14 +188,14 @@
 {
   GRand *random = g_rand_new_with_seed (seed);
   gp_spec_store_t stores[GUARDS];
-  gp_spec_spread_t spread;
+  gp_spec_distribution_t spread;
   gp_time_t now = GP_SEC;
   Gp__Jobs__Spec here = spec_of (JOB, "work", NULL);
   Gp__Jobs__Spec there = spec_of (JOB, "work", HOLDER);
   int lacking = GUARDS;
 
   there.holder = HOLDER;
-  gp_spec_spread_init (&spread);
+  gp_spec_distribution_init (&spread);
   for (int i = 0; i < GUARDS; i++)
     gp_spec_store_init (&stores[i]);
   for (int round = 0; round < 20 && lacking > 0; round++)
@@ -203,34 +210,35 @@
 
           if (round < 4 && g_rand_int_range (random, 0, 10) == 0)
             {
-              gp_spec_spread_forget_guard (&spread, name);
+              gp_spec_distribution_remove_guard (&spread, name);
               gp_spec_store_finish (store);
               gp_spec_store_init (store);
             }
-          switch (gp_spec_spread_way (&spread, JOB, name, now, &holder))
+          switch (
+              gp_spec_distribution_source (&spread, JOB, name, now, &holder))
             {
             case GP_SPEC_FROM_LEADER:
-              gp_spec_store_tell (store, &here, now);
+              gp_spec_store_add (store, &here, now);
               break;
             case GP_SPEC_FROM_HOLDER:
-              if (gp_spec_store_tell (store, &there, now)
+              if (gp_spec_store_add (store, &there, now)
                   && g_rand_int_range (random, 0, 3) > 0)
-                gp_spec_store_take (store, &here, now);
+                gp_spec_store_receive (store, &here, now);
               break;
             case GP_SPEC_KNOWN:
               gp_spec_store_expire (store, now + GP_SEC);
-              if (gp_spec_store_lacks (store, TASK)
-                  && gp_spec_spread_lacks (&spread, JOB, name, now))
-                gp_spec_store_tell (store, &here, now);
+              if (gp_spec_store_is_missing (store, TASK)
+                  && gp_spec_distribution_is_missing (&spread, JOB, name, now))
+                gp_spec_store_add (store, &here, now);
               break;
             }
-          lacking += gp_spec_store_of_task (store, TASK, now) == NULL;
+          lacking += gp_spec_store_find_by_task (store, TASK, now) == NULL;
         }
     }
   CU_ASSERT_EQUAL (lacking, 0);
   for (int i = 0; i < GUARDS; i++)
     gp_spec_store_finish (&stores[i]);
-  gp_spec_spread_finish (&spread);
+  gp_spec_distribution_finish (&spread);
   g_rand_free (random);
 }
 
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -61,7 +61,7 @@
 {
   gp_job_executor_t *executor = gp_book_executor (&site->book, id);
 
-  if (!executor->suspects_told)
+  if (!executor->suspects_reported)
     GP_LIST_FOREACH (link, &executor->tasks)
   tell_suspect (site, GP_CONTAINER_OF (link, gp_job_task_t, on_executor),
                 BEGUN_JUST_NOW);
@@ -471,7 +471,7 @@
   job = jobs_site_submit (&site, JOB_A, jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
   job->tasks[0].alone = true;
-  job->tasks[0].executor->cut_at = site.now + after;
+  job->tasks[0].executor->disconnected_at = site.now + after;
   site.now += 3 * GP_SEC;
   jobs_site_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
   printf ("  %ld ms after its order: evidence %u\n", (long)(after / GP_MSEC),
--- a/tests/unit/test_waits.c
+++ b/tests/unit/test_waits.c
@@ -47,15 +47,15 @@
 static void
 failing (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
 {
-  executor->trusted_again = GP_TIME_NEVER;
+  executor->distrusted_until = GP_TIME_NEVER;
 }
 
 static void
 kept (jobs_site_t *site, gp_job_executor_t *executor, gp_job_t *job)
 {
-  g_strlcpy (executor->kept_for, "00000000000000bb",
-             sizeof executor->kept_for);
-  executor->kept_until = GP_TIME_NEVER;
+  g_strlcpy (executor->dedicated_to, "00000000000000bb",
+             sizeof executor->dedicated_to);
+  executor->dedicated_until = GP_TIME_NEVER;
 }
 
 static void
