--- a/src/jobs/executor.c
+++ b/src/jobs/executor.c
@@ -78,13 +78,13 @@
 reserve (gp_job_executor_t *executor, const Gp__Jobs__Step *step, int64_t sign)
 {
   if (step->fills)
-    executor->filling += sign * step->cpu_milli;
+    executor->filling_cpu += sign * step->cpu_milli;
   else
     executor->used.cpu_milli += sign * step->cpu_milli;
   if (step->long_running)
-    executor->lasting += sign * step->cpu_milli;
+    executor->long_running_cpu += sign * step->cpu_milli;
   if (step->target_ms > 0)
-    executor->serving += sign;
+    executor->serving_count += sign;
   executor->used.memory_mb += sign * step->memory_mb;
   executor->used.accelerators += sign * step->accelerators;
 }
@@ -139,9 +139,9 @@
 {
   int64_t unused = executor->capacity.cpu_milli - executor->used.cpu_milli;
 
-  return unused - executor->filling
+  return unused - executor->filling_cpu
          + executor->used.cpu_milli * SERVING_UNUSED_PERMILLE / 1000
-               * (executor->serving > 0);
+               * (executor->serving_count > 0);
 }
 
 bool
--- a/src/jobs/executor.h
+++ b/src/jobs/executor.h
@@ -32,12 +32,13 @@
   char *service;
   char **labels; /* NULL-terminated, may be NULL */
   gp_job_resources_t capacity;
-  gp_job_resources_t used; /* by runs; of filling runs only the memory */
-  int64_t lasting; /* CPU of long-running runs, in thousandths of a core */
-  int64_t filling; /* CPU requested by filling runs, in thousandths of a
-                      core */
-  int64_t serving; /* number of runs with a latency target */
-  gp_list_t tasks; /* gp_job_task_t.on_executor */
+  gp_job_resources_t used;  /* by runs; of filling runs only the memory */
+  int64_t long_running_cpu; /* CPU of long-running runs, in thousandths of a
+                               core */
+  int64_t filling_cpu;   /* CPU requested by filling runs, in thousandths of a
+                            core */
+  int64_t serving_count; /* number of runs with a latency target */
+  gp_list_t tasks;       /* gp_job_task_t.on_executor */
   uint32_t task_count;
   bool reachable;           /* its guard reports to this leader */
   gp_time_t reported_at;    /* when its guard last reported it to this leader,
@@ -58,11 +59,11 @@
                                  leader, without a report since; 0: it did
                                  not */
   gp_time_t unreported_since; /* since when no guard reports it, 0: one does */
-  bool awaited;     /* it was logged that its runs wait because no guard
-                       reports it */
-  bool down;        /* its guard gets no answer from it */
-  bool blamed;      /* its failure was counted against a queue */
-  bool quarantined; /* see jobs/quarantine.h */
+  bool wait_logged;     /* it was logged that its runs wait because no guard
+                           reports it */
+  bool down;            /* its guard gets no answer from it */
+  bool failure_counted; /* its failure was counted against a queue */
+  bool quarantined;     /* see jobs/quarantine.h */
   bool draining;
   bool evacuated;         /* its zone is evacuated: it gets no new work */
   bool dead;              /* it certainly runs nothing any more */
--- a/src/jobs/placer_score.c
+++ b/src/jobs/placer_score.c
@@ -94,7 +94,7 @@
   unsigned int place = gp_pressure_place (pass->pressure, image);
   double sum = 0.0;
 
-  if (candidate->executor->serving == 0)
+  if (candidate->executor->serving_count == 0)
     return 0.0;
   count_fillings (pass, candidate);
   GP_LIST_FOREACH (link, &candidate->executor->tasks)
@@ -181,7 +181,7 @@
                - (int64_t)(expected * HARM_POINTS);
     }
   else
-    points = (free - executor->filling / 2) * 1000 / capacity;
+    points = (free - executor->filling_cpu / 2) * 1000 / capacity;
   if (step->target_ms > 0)
     points += (int64_t)ALIKE_POINTS * alike_on (executor, step->image);
   if (*step->preferred_rack != '\0'
--- a/src/jobs/scheduler.c
+++ b/src/jobs/scheduler.c
@@ -435,8 +435,8 @@
           GP_LOG_I ("estimate_ms", gp_task_step (task)->estimate_ms),
           GP_LOG_I ("run", task->run), GP_LOG_S ("executor", executor->id),
           GP_LOG_I ("used_cpu_milli", executor->used.cpu_milli),
-          GP_LOG_I ("filling_cpu_milli", executor->filling),
-          GP_LOG_I ("serving", executor->serving),
+          GP_LOG_I ("filling_cpu_milli", executor->filling_cpu),
+          GP_LOG_I ("serving", executor->serving_count),
           GP_LOG_I ("used_memory_mb", executor->used.memory_mb));
 }
 
--- a/src/jobs/scheduler_losses.c
+++ b/src/jobs/scheduler_losses.c
@@ -270,7 +270,7 @@
 gp_scheduler_up (gp_scheduler_t *scheduler, gp_job_executor_t *executor)
 {
   executor->down = false;
-  executor->blamed = false;
+  executor->failure_counted = false;
   GP_LIST_FOREACH (link, &executor->tasks)
   {
     const gp_job_task_t *task
@@ -352,9 +352,9 @@
 {
   const gp_job_t *job = proved_job (executor);
 
-  if (job == NULL || executor->blamed)
+  if (job == NULL || executor->failure_counted)
     return;
-  executor->blamed = true;
+  executor->failure_counted = true;
   gp_quarantine_note (&scheduler->quarantine, scheduler->book,
                       job->submission->queue, now);
 }
--- a/src/jobs/spec_distribution.h
+++ b/src/jobs/spec_distribution.h
@@ -31,36 +31,36 @@
 
 typedef struct
 {
-  GHashTable *jobs; /* id of a job to its row, owned */
+  GHashTable *jobs; /* id of a job to its state, owned */
 } gp_spec_distribution_t;
 
-void gp_spec_distribution_init (gp_spec_distribution_t *spread);
-void gp_spec_distribution_finish (gp_spec_distribution_t *spread);
+void gp_spec_distribution_init (gp_spec_distribution_t *distribution);
+void gp_spec_distribution_finish (gp_spec_distribution_t *distribution);
 
 /* Drops all state.  */
-void gp_spec_distribution_reset (gp_spec_distribution_t *spread);
+void gp_spec_distribution_reset (gp_spec_distribution_t *distribution);
 
 /* Returns how the specification of JOB gets to GUARD, a VM's name, for a run
    there.  For GP_SPEC_FROM_HOLDER, HOLDER is set to the guard that has it,
    valid until the next call.  The guard counts as having it from now on.  */
-gp_spec_source_t gp_spec_distribution_source (gp_spec_distribution_t *spread,
-                                              const char *job,
-                                              const char *guard, gp_time_t now,
-                                              const char **holder);
+gp_spec_source_t
+gp_spec_distribution_source (gp_spec_distribution_t *distribution,
+                             const char *job, const char *guard, gp_time_t now,
+                             const char **holder);
 
 /* GUARD reports that it has no specification of JOB.  Returns whether the
    leader has to send it, which is not the case while an earlier copy may still
    be under way.  */
-bool gp_spec_distribution_is_missing (gp_spec_distribution_t *spread,
+bool gp_spec_distribution_is_missing (gp_spec_distribution_t *distribution,
                                       const char *job, const char *guard,
                                       gp_time_t now);
 
 /* The connection to GUARD has ended.  */
-void gp_spec_distribution_remove_guard (gp_spec_distribution_t *spread,
+void gp_spec_distribution_remove_guard (gp_spec_distribution_t *distribution,
                                         const char *guard);
 
 /* No more runs of JOB will be started.  */
-void gp_spec_distribution_remove_job (gp_spec_distribution_t *spread,
+void gp_spec_distribution_remove_job (gp_spec_distribution_t *distribution,
                                       const char *job);
 
 #endif
--- a/src/jobs/spec_store.c
+++ b/src/jobs/spec_store.c
@@ -10,7 +10,7 @@
 /* A holder usually answers within two round trips, about ten milliseconds.  A
    holder that was sent the specification at the same time may itself have to
    wait for it, behind other messages of its leader.  */
-#define HOLDER_TIME (400 * GP_MSEC)
+#define HOLDER_TIMEOUT (400 * GP_MSEC)
 
 uint64_t
 gp_spec_digest (const uint8_t *bytes, size_t size)
@@ -88,8 +88,8 @@
 }
 
 static void
-hold (gp_spec_store_t *store, gp_spec_t *spec,
-      const ProtobufCBinaryData *bytes, gp_time_t now)
+set_bytes (gp_spec_store_t *store, gp_spec_t *spec,
+           const ProtobufCBinaryData *bytes, gp_time_t now)
 {
   while (store->size + bytes->len > GP_SPEC_STORE_MAX_SIZE && store->size > 0)
     drop (store, find_oldest (store));
@@ -111,17 +111,17 @@
   spec = add (store, told->job, told->digest, now);
   if (told->held)
     {
-      hold (store, spec, &told->bytes, now);
+      set_bytes (store, spec, &told->bytes, now);
       return false;
     }
   spec->holder = g_strdup (told->holder);
-  spec->await_end = now + HOLDER_TIME;
+  spec->await_end = now + HOLDER_TIMEOUT;
   return true;
 }
 
 /* From now on the leader has to be asked.  */
 static void
-give_holder_up (gp_spec_t *spec)
+give_up_holder (gp_spec_t *spec)
 {
   g_clear_pointer (&spec->holder, g_free);
   spec->await_end = GP_TIME_NEVER;
@@ -138,10 +138,10 @@
   if (!told->held
       || gp_spec_digest (told->bytes.data, told->bytes.len) != spec->digest)
     {
-      give_holder_up (spec);
+      give_up_holder (spec);
       return false;
     }
-  hold (store, spec, &told->bytes, now);
+  set_bytes (store, spec, &told->bytes, now);
   return true;
 }
 
@@ -159,7 +159,7 @@
 
       if (spec->bytes != NULL || g_strcmp0 (spec->holder, holder) != 0)
         continue;
-      give_holder_up (spec);
+      give_up_holder (spec);
       any = true;
     }
   return any;
@@ -179,7 +179,7 @@
 
       if (spec->await_end > now)
         continue;
-      give_holder_up (spec);
+      give_up_holder (spec);
       any = true;
     }
   return any;
--- a/src/jobs/start_gate.h
+++ b/src/jobs/start_gate.h
@@ -22,14 +22,14 @@
 
 typedef struct
 {
-  gp_time_t span;       /* how long a notice that the zone is open holds, a
+  gp_time_t validity;   /* how long a notice that the zone is open holds, a
                            duration; 0: without limit */
-  gp_time_t told_at;    /* time of the information in the last notice */
+  gp_time_t known_at;   /* time of the information in the last notice */
   gp_time_t open_until; /* no starts after this time */
   bool evacuated;
 } gp_start_gate_t;
 
-void gp_start_gate_init (gp_start_gate_t *gate, gp_time_t span);
+void gp_start_gate_init (gp_start_gate_t *gate, gp_time_t validity);
 
 /* At KNOWN_AT the zone was evacuated, or not.  Older information than the last
    one is ignored.  */
--- a/src/jobs/urgency.c
+++ b/src/jobs/urgency.c
@@ -66,10 +66,10 @@
       if (find_service (services, executor->service) == NULL)
         g_array_append_val (services, added);
       service = find_service (services, executor->service);
-      service->room[KIND_RESERVED]
-          += (double)(executor->capacity.cpu_milli - executor->lasting);
+      service->room[KIND_RESERVED] += (double)(executor->capacity.cpu_milli
+                                               - executor->long_running_cpu);
       service->room[KIND_FILLING]
-          += (double)(executor->filling
+          += (double)(executor->filling_cpu
                       + MAX (gp_job_executor_spare_cpu (executor), 0));
     }
   return services;
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -559,9 +559,9 @@
 
   if (executor->unreported_since == 0)
     executor->unreported_since = now;
-  if (executor->awaited || now - executor->unreported_since < QUIET_TIME)
+  if (executor->wait_logged || now - executor->unreported_since < QUIET_TIME)
     return;
-  executor->awaited = true;
+  executor->wait_logged = true;
   gp_log (GP_LOG_INFO, "executor.awaited", GP_LOG_S ("executor", executor->id),
           GP_LOG_S ("guard", node), GP_LOG_I ("runs", executor->task_count),
           GP_LOG_I ("for_ms", (end - now) / GP_MSEC),
@@ -592,7 +592,7 @@
   if (is_spoken_for (link, executor))
     {
       executor->unreported_since = 0;
-      executor->awaited = false;
+      executor->wait_logged = false;
       return;
     }
   note_awaited (leader, link, executor, node);
