--- a/src/jobs/fields.c
+++ b/src/jobs/fields.c
@@ -1,4 +1,4 @@
-/* Checks of single fields of what comes from outside.  */
+/* Checks of single fields of external input.  */
 
 #include "jobs/fields.h"
 
@@ -11,7 +11,7 @@
 #include "base/error.h"
 #include "jobs/job.h"
 
-/* Three numbers after the id of a job, each after a dot.  */
+/* Numbers after the id of a job in the name of a task, each after a dot.  */
 #define TASK_NUMBERS 3
 
 bool
@@ -52,7 +52,7 @@
   return true;
 }
 
-/* Does TEXT hold TASK_NUMBERS numbers, each after a dot, that fit?  */
+/* Does TEXT consist of TASK_NUMBERS numbers of 32 bits, each after a dot?  */
 static bool
 are_numbers (const char *text)
 {
--- a/src/jobs/frames.c
+++ b/src/jobs/frames.c
@@ -1,4 +1,5 @@
-/* The frames between the leading entry and the guards, as checked messages. */
+/* Decoding and validation of the frames between the leading entry and the
+   guards.  */
 
 #include "jobs/frames.h"
 
@@ -11,15 +12,15 @@
 
 #include <string.h>
 
-/* Reports of one turn of the loop get times of their own, a microsecond apart,
-   and so run ahead of the clock.  */
+/* Reports of the same iteration of the event loop get distinct times, a
+   microsecond apart, which therefore run ahead of the clock.  */
 #define ECHO_SLACK GP_MSEC
 
-/* Rows that stand for themselves.  */
+/* Rows that are checked one by one.  */
 
 typedef bool (*check_row_t) (const ProtobufCMessage *row, GError **error);
 
-/* Leave out the ROWS that CHECK refuses; PLACE is their name.  */
+/* Removes the ROWS that CHECK rejects; PLACE is their name in the error.  */
 static void
 sift (void *rows, size_t *count, check_row_t check, const char *place,
       GError **refused)
@@ -42,8 +43,8 @@
   *count = kept;
 }
 
-/* The name and number of a run as an executor told them: a task that nobody
-   knows is answered as such, so its name need not be one of ours.  */
+/* Checks a run that an executor has reported.  A task name of any form is
+   allowed, as tasks unknown to the scheduler are reported as well.  */
 static bool
 check_told_run (const char *task, uint32_t run, GError **error)
 {
@@ -110,7 +111,7 @@
   return true;
 }
 
-/* What the leader says.  */
+/* Messages of the leader.  */
 
 static bool
 check_lead (const Gp__Jobs__Lead *lead, GError **error)
@@ -120,8 +121,8 @@
   return gp_field_name (lead->node, "lead.node", error);
 }
 
-/* A lease ends a while after the sending of a report: one in the future would
-   never end.  */
+/* A lease ends some time after the sending of a report: with a sending time
+   far in the future it would never end.  */
 static bool
 check_acknowledge (Gp__Jobs__Acknowledge *acknowledge, gp_time_t now,
                    GError **refused, GError **error)
@@ -167,7 +168,7 @@
   return true;
 }
 
-/* Where it is held, or the bytes that the digest stands for.  */
+/* Checks the address of the holder, or that the bytes match the digest.  */
 static bool
 check_source (const Gp__Jobs__Spec *spec, GError **error)
 {
@@ -192,7 +193,7 @@
   return true;
 }
 
-/* The leader names only runs that it has numbered itself.  */
+/* The leader names only runs to which it has assigned the number itself.  */
 static bool
 check_runs (Gp__Jobs__TaskRun *const *runs, size_t count, const char *place,
             GError **error)
@@ -228,7 +229,7 @@
          && check_runs (orders->forget, orders->n_forget, "forget", error);
 }
 
-/* What guards say.  */
+/* Messages of the guards.  */
 
 static bool
 check_answer (const Gp__Jobs__Spec *spec, GError **error)
--- a/src/jobs/frames.h
+++ b/src/jobs/frames.h
@@ -1,11 +1,13 @@
-/* The frames between the leading entry and the guards, as checked messages.
+/* Decoding and validation of the frames between the leading entry and the
+   guards.
 
-   The one place that decides whether a frame is valid.  A connection may come
-   from, or lead to, another process than the one that is meant, and its bytes
-   may decode by chance.  What a process of this product always sends is
-   demanded: a frame without it is refused as a whole, and its connection is
-   to be closed.  Rows that repeat what an executor or a measure told stand
-   for themselves: one that is wrong is left out, the others hold.
+   This is the only place that decides whether a frame is valid.  A connection
+   may come from, or lead to, another process than the intended one, whose
+   bytes may decode by chance.  Fields that every process of this product sets
+   are required: a frame without them is rejected as a whole, and its
+   connection has to be closed.  Rows that repeat what an executor reported or
+   what was measured are checked one by one: invalid ones are left out, and the
+   others are kept.
 
    Pure: no log line, no counter.  */
 
@@ -19,16 +21,18 @@
 #include "base/time.h"
 #include "jobs.pb-c.h"
 
-/* No epoch is higher: it is the number of a record, and a million records a
-   second make as many in nine years.  A guard turns away every leader with a
-   lower epoch than the highest that it has seen.  */
+/* Upper bound on epochs.  An epoch is the number of a record, and at a million
+   records per second it takes nine years to reach this one.  A guard rejects
+   every leader with an epoch lower than the highest that it has seen, so that
+   an invalid high one would lock all others out.  */
 #define GP_EPOCH_MAX ((uint64_t)1 << 48)
 
-/* Decode a frame that came at NOW, to be freed with
-   gp__jobs__frame__free_unpacked.  NULL sets ERROR: GP_STATE_ERROR_CORRUPT
-   for bytes that are no frame, GP_STATE_ERROR_INVALID with the name of the
-   field that breaks a rule.  REFUSED is set to the error of the first row that
-   was left out.  Echoes of the receiver's own sendings lie before NOW.  */
+/* Decodes a frame that arrived at NOW; to be freed with
+   gp__jobs__frame__free_unpacked.  On failure, returns NULL and sets ERROR:
+   GP_STATE_ERROR_CORRUPT if the bytes are not a frame, GP_STATE_ERROR_INVALID
+   with the name of the invalid field otherwise.  REFUSED is set to the error
+   of the first row that was left out.  Times that echo earlier messages of the
+   receiver have to be before NOW.  */
 Gp__Jobs__Frame *gp_frame_parse (const uint8_t *bytes, size_t size,
                                  gp_time_t now, GError **refused,
                                  GError **error);
--- a/src/jobs/grants.c
+++ b/src/jobs/grants.c
@@ -1,4 +1,4 @@
-/* Until when leaders before this one may have given leases.  */
+/* Until when previous leaders may have granted leases.  */
 
 #include "jobs/grants.h"
 
@@ -6,19 +6,20 @@
 
 #include "jobs/agent.h"
 
-/* What GP_GRANTS_TERM_TIME after its beginning spares a guard relies on.  */
+/* A lease from a previous leader is over by the time a guard trusts every
+   leader, see gp_grants_trusted.  */
 G_STATIC_ASSERT (GP_AGENT_LEASE_TIME < GP_GRANTS_TERM_TIME);
 
-/* A leader that was heard of.  Kept for good: there are as many as entries. */
+/* A previous leader.  Kept for good: there are no more than entries.  */
 typedef struct
 {
   gp_list_t link;
   char *node; /* owned */
   uint64_t incarnation;
-  uint64_t announced; /* the newest process that is known there */
-  uint64_t offset;    /* of its last record */
-  gp_time_t until;    /* it may give leases until then ... */
-  gp_time_t fresh; /* ... and to guards that have started since until then */
+  uint64_t announced; /* incarnation of the newest process known on NODE */
+  uint64_t offset;    /* offset of its last record */
+  gp_time_t until;    /* until when it may grant leases */
+  gp_time_t fresh;    /* the same to guards that have started since */
 } gp_former_leader_t;
 
 void
@@ -87,8 +88,8 @@
 void
 gp_grants_read (gp_grants_t *grants, uint64_t offset, gp_time_t now)
 {
-  /* Records that are kept for good come in the order of their keys, without
-     those that they replace: NEXT then moves back and forth.  */
+  /* Records that are kept for good are read in the order of their keys,
+     without those that they replaced, so that NEXT moves back and forth.  */
   if (offset > MAX (grants->next, grants->told))
     gp_grants_unreadable (grants, now);
   grants->next = offset + 1;
@@ -104,13 +105,14 @@
   former->offset = offset;
   former->until = until;
   former->fresh = fresh;
-  /* The topics are read side by side: the process after it may be known
-     before its last record.  */
+  /* The topics are read concurrently: the next process on NODE may be known
+     before the last record of this one is read.  */
   if (incarnation < former->announced)
     end_term (former, now);
 }
 
-/* Take over what RECORD tells, as leaders before it were missed.  */
+/* Replaces the state by that in RECORD, as earlier records of leaders were
+   missed.  */
 static void
 take_told (gp_grants_t *grants, const Gp__Jobs__Leadership *record,
            gp_time_t now)
@@ -143,7 +145,7 @@
     gp_grants_ended (grants, record->node, now);
 }
 
-/* Rounded up: a term must not be told too short.  */
+/* Rounded up: a remaining term must not be too short.  */
 static uint32_t
 milliseconds_left (gp_time_t until, gp_time_t now)
 {
--- a/src/jobs/hand_in.c
+++ b/src/jobs/hand_in.c
@@ -1,17 +1,19 @@
-/* How long a hand-in waits for the store.  */
+/* Timeouts of write requests.  */
 
 #include "jobs/hand_in.h"
 
 #include <glib.h>
 
-/* The answer leaves so long before the caller's patience ends, for the way
-   back and a busy loop; but not before this share of the patience is over.  */
+/* How long before the caller's timeout the answer is sent, to allow for the
+   way back and a busy event loop; at most one MARGIN_SHAREth of the
+   timeout.  */
 #define ANSWER_MARGIN (300 * GP_MSEC)
 #define MARGIN_SHARE 3
-/* A refused caller is back after this: the least that it can be told to wait,
-   and some time between its tries.  */
+/* Least remaining timeout with which a refused caller can try again: the
+   shortest delay that it can be told, and some time for the next try.  */
 #define RETURN_TIME (1300 * GP_MSEC)
-/* A last try waits for this share of the caller's patience.  */
+/* Share of the timeout, in thousandths, for which the last try of a caller
+   waits.  */
 #define LAST_TRY_PERMILLE 450
 
 gp_time_t
--- a/src/jobs/hand_in.h
+++ b/src/jobs/hand_in.h
@@ -1,14 +1,15 @@
-/* How long a hand-in (a submission or cancellation) waits for the store.
+/* Timeouts of write requests: of a submission or cancellation that waits for
+   the store.
 
    Pure.
 
-   While the store fails, a caller that can come again within its patience is
-   told soon to do so: by then this entry may have found another way to the
-   store, or another entry has one.  One that can't has hardly another chance
-   than this one: it waits for a part of its time, as the store may be back any
-   moment, but not so long that it could not try another entry at once.  What
-   the store could not write down before the answer has to leave is refused
-   rather than begun, as its fate would be left open.  */
+   While the store fails, a caller that can try again within its timeout is
+   soon told to do so: by then this entry may have found another way to the
+   store, or another entry has one.  A caller that cannot try again has hardly
+   another chance: its request waits for part of its timeout, as the store may
+   recover at any time, but it is refused early enough to try another entry at
+   once.  A write that the store could not complete before the answer is due is
+   refused rather than begun, as its outcome would be unknown.  */
 
 #ifndef GP_JOBS_HAND_IN_H
 #define GP_JOBS_HAND_IN_H
@@ -17,19 +18,20 @@
 
 #include "base/time.h"
 
-/* When the answer to a caller that comes NOW, and waits for PATIENCE (a
-   duration), has to leave.  */
+/* Returns when the answer is due to a caller whose request arrives at NOW and
+   that waits for PATIENCE, a duration.  */
 gp_time_t gp_hand_in_deadline (gp_time_t now, gp_time_t patience);
 
-/* When that caller is refused at the latest, unless a record for it has been
-   begun.  */
+/* Returns when that caller is refused at the latest, unless a record for it
+   has been begun.  */
 gp_time_t gp_hand_in_refuse_at (gp_time_t now, gp_time_t patience);
 
-/* Can a caller with so much PATIENCE left come again, if it is refused?  */
+/* Can a caller whose remaining timeout is PATIENCE try again if it is
+   refused?  */
 bool gp_hand_in_may_return (gp_time_t patience);
 
-/* May a record be begun NOW that takes STORE_TIME (a duration), for a caller
-   whose answer has to leave at DEADLINE?  */
+/* May a record that takes STORE_TIME, a duration, to write be begun at NOW, if
+   the answer to its caller is due at DEADLINE?  */
 bool gp_hand_in_is_in_time (gp_time_t deadline, gp_time_t store_time,
                             gp_time_t now);
 
--- a/src/jobs/quarantine.c
+++ b/src/jobs/quarantine.c
@@ -1,4 +1,4 @@
-/* Queues some of whose tasks take their executors down.  */
+/* Quarantine for queues whose tasks take executors down.  */
 
 #include "jobs/quarantine.h"
 
@@ -7,12 +7,14 @@
 #include "base/log.h"
 #include "jobs/suspicion.h"
 
-/* The last ends of a queue, the newest first.  */
+/* The last failures of executors that tasks of a queue caused, newest
+   first.  */
 typedef struct
 {
   gp_time_t ends[GP_QUARANTINE_ENDS];
-  gp_time_t waited_at; /* a task of it found no place in quarantine last */
-  bool fits;           /* its work found room in quarantine when it came under
+  gp_time_t waited_at; /* when a task of the queue last found no place in
+                          quarantine */
+  bool fits;           /* its work fitted into quarantine when it came under
                           suspicion */
 } record_t;
 
@@ -30,7 +32,7 @@
   g_hash_table_destroy (quarantine->queues);
 }
 
-/* Until when RECORD's queue is under suspicion.  */
+/* Returns until when the queue of RECORD is under suspicion.  */
 static gp_time_t
 fresh_until (const record_t *record)
 {
@@ -157,9 +159,9 @@
   return strcmp (left->executor->id, right->executor->id);
 }
 
-/* The executors that answer, those that are in quarantine first, then those
-   with the least to lose; DOWN becomes the number of those in quarantine that
-   don't.  */
+/* Returns the executors that answer: first those in quarantine, then those
+   with the least work to lose.  Sets DOWN to the number of executors in
+   quarantine that do not answer.  */
 static GArray *
 rate (const gp_book_t *book, gp_time_t now, guint *down)
 {
@@ -188,7 +190,8 @@
   return rated;
 }
 
-/* A leader of many executors rates them only while there is a need to.  */
+/* Clears the quarantine.  Executors are rated only while there is one, as
+   there may be many.  */
 static void
 choose_none (gp_quarantine_t *quarantine, const gp_book_t *book)
 {
--- a/src/jobs/quarantine.h
+++ b/src/jobs/quarantine.h
@@ -1,68 +1,74 @@
-/* Queues some of whose tasks take their executors down, and where their new
-   tasks are started.
+/* Quarantine for queues whose tasks take executors down.
 
-   One task that does so is under suspicion by itself, see jobs/suspicion.h.
-   Where a queue brings one after the other, each of them still takes down the
-   executor on which it is started first, with all that was at work there.  So
-   a queue of which two ends within FRESH_TIME were proofs is under suspicion
-   for as long as such ends go on, and FRESH_TIME more, where its work fits
-   into quarantine: a site's only queue would stand still there:
+   A single task that takes executors down comes under suspicion by itself, see
+   jobs/suspicion.h.  If a queue brings many such tasks, each of them still
+   takes down the executor on which it is started first, with all runs on it.
+   So a queue comes under suspicion when its tasks have clearly caused
+   GP_QUARANTINE_ENDS failures within GP_QUARANTINE_FRESH_TIME.  It stays so
+   while such failures continue, and GP_QUARANTINE_FRESH_TIME longer.  This
+   applies only if its work fits into quarantine: the work of a site's only
+   queue would come to a halt there.
 
-   - Its new tasks are started in quarantine, on a few executors, on each the
-     tasks of one job at a time: what takes the executor down is told apart at
-     once.
-   - What is not of such a queue goes elsewhere as long as it finds a place.
+   - Its new tasks are started on the few executors in quarantine, each of
+     which takes the tasks of one job at a time, so that the cause of a failure
+     is known at once.
+   - Tasks of other queues go to other executors as long as there is a place.
 
-   The executors with the least to lose are chosen; one that is in quarantine
-   stays there, and the one that comes after it has nothing to lose yet.
+   The executors with the least work to lose are chosen.  One that is in
+   quarantine stays there, and the next incarnation that takes its place has
+   nothing to lose yet.
 
-   Learned by the leader from ends; nothing is recorded, and another leader
-   begins anew.  Pure.  */
+   The leader learns this from failures; nothing is recorded, and a new leader
+   starts without it.  Pure.  */
 
 #ifndef GP_JOBS_QUARANTINE_H
 #define GP_JOBS_QUARANTINE_H
 
 #include "jobs/book.h"
 
-/* Ends that put a queue under suspicion: one may be chance, as an executor
-   also goes down by itself as something has just begun there.  */
+/* Number of failures that put a queue under suspicion.  A single one may be a
+   coincidence, as an executor may also fail by itself just after a run has
+   begun.  */
 #define GP_QUARANTINE_ENDS 2
-/* How long such an end counts ...  */
+/* How long such a failure counts.  */
 #define GP_QUARANTINE_FRESH_TIME (10 * GP_SEC)
-/* ... at the most, where tasks wait that may be like those: a queue that
-   brings more than can be tried would never come out.  */
+/* How long after the last failure waiting tasks of the queue can prolong the
+   suspicion: a queue with more tasks than can be tried would otherwise never
+   leave quarantine.  */
 #define GP_QUARANTINE_MOST_TIME (30 * GP_SEC)
-/* Of all executors, one in so many is in quarantine, but one at least.  */
+/* One of so many executors is in quarantine, at least one.  */
 #define GP_QUARANTINE_SHARE 4
-/* A job that has begun keeps its executor for so long: orders are answered
-   within milliseconds, and so is an end that a task brings about.  */
+/* How long an executor in quarantine is reserved for the job that has begun
+   there: orders are answered within milliseconds, and a failure that a task
+   causes shows as quickly.  */
 #define GP_QUARANTINE_KEEP_TIME (150 * GP_MSEC)
 
 typedef struct
 {
-  GHashTable *queues; /* name to the times of its last ends, owned */
-  bool chosen;        /* executors are in quarantine */
+  GHashTable *queues; /* name to the last failures that its tasks caused,
+                         owned */
+  bool chosen;        /* there are executors in quarantine */
 } gp_quarantine_t;
 
 void gp_quarantine_init (gp_quarantine_t *quarantine);
 void gp_quarantine_finish (gp_quarantine_t *quarantine);
 
-/* An executor went down as a task of QUEUE, and of no other job, had just
-   begun there.  */
+/* An executor failed just after a task of QUEUE had begun on it, and no task
+   of another job.  */
 void gp_quarantine_note (gp_quarantine_t *quarantine, const gp_book_t *book,
                          const char *queue, gp_time_t now);
 
-/* A task of QUEUE finds no place in quarantine: what has not been tried yet
-   may be like those that were.  */
+/* A task of QUEUE finds no place in quarantine: tasks that have not been tried
+   yet may fail like those before.  */
 void gp_quarantine_note_waiting (gp_quarantine_t *quarantine,
                                  const char *queue, gp_time_t now);
 
-/* Is QUEUE under suspicion?  And is any?  */
+/* Is QUEUE under suspicion?  Is any queue?  */
 bool gp_quarantine_has (const gp_quarantine_t *quarantine, const char *queue,
                         gp_time_t now);
 bool gp_quarantine_is_on (const gp_quarantine_t *quarantine, gp_time_t now);
 
-/* Choose the executors of BOOK that are in quarantine from NOW on.  */
+/* Chooses the executors of BOOK that are in quarantine from NOW on.  */
 void gp_quarantine_choose (gp_quarantine_t *quarantine, const gp_book_t *book,
                            gp_time_t now);
 
--- a/src/jobs/queues.c
+++ b/src/jobs/queues.c
@@ -1,4 +1,4 @@
-/* The operators' document as the entries use it.  */
+/* The queues in the operators' document, as the entries use them.  */
 
 #include "jobs/queues.h"
 
--- a/src/jobs/retry_after.c
+++ b/src/jobs/retry_after.c
@@ -1,14 +1,14 @@
-/* When a caller that was refused is to come back.  */
+/* When a refused caller should try again.  */
 
 #include "jobs/retry_after.h"
 
 #include <glib.h>
 
-/* A caller has to have so many tries within its patience.  */
+/* A caller must get this number of tries before it gives up.  */
 #define TRIES_LEAST 3
-/* An outage is expected to last no longer than this from now on.  */
+/* Upper bound on how much longer an outage is expected to last.  */
 #define AWAY_MAX (30 * GP_SEC)
-/* The time that is waited is spread over so much of it, in thousandths.  */
+/* Random addition to the delay, up to this share of it, in thousandths.  */
 #define SPREAD_PERMILLE 500
 
 unsigned
--- a/src/jobs/retry_after.h
+++ b/src/jobs/retry_after.h
@@ -1,13 +1,13 @@
-/* When a caller that was refused is to come back.
+/* When a refused caller should try again.
 
-   Pure: what is known of the store and of the caller in, whole seconds out.
+   Pure: the state of the store and of the caller in, whole seconds out.
 
-   A store that has not answered for a while is expected to stay away for about
-   as long again: calls that come sooner are in vain, and in an outage of
-   minutes nobody has to be asked each second.  But a caller that would give up
-   before then must have another try within its time, and after the end of an
-   outage not all are to come at once: each waits for a share of the time that
-   follows from its request.  */
+   A store that has not answered for some time is expected to stay unavailable
+   for about as long again: earlier tries are useless, and in an outage of
+   minutes callers need not try every second.  But a caller that would give up
+   before then must get another try in time.  And after an outage the callers
+   must not all return at once, so that each delay is extended by an amount
+   that depends on the request.  */
 
 #ifndef GP_JOBS_RETRY_AFTER_H
 #define GP_JOBS_RETRY_AFTER_H
@@ -18,14 +18,15 @@
 
 typedef struct
 {
-  gp_time_t store_away; /* a duration: the store has not answered for so long;
-                           0: it has, and this process only is not ready */
-  gp_time_t store_time; /* a duration: what its answers take */
-  gp_time_t patience;   /* a duration: the caller waits for so long in all */
-  uint32_t spread;      /* any number that differs from request to request */
+  gp_time_t store_away; /* for how long the store has not answered, a duration;
+                           0: it answers, and only this process is not
+                           ready */
+  gp_time_t store_time; /* how long the store takes to answer, a duration */
+  gp_time_t patience;   /* for how long the caller waits in all, a duration */
+  uint32_t spread;      /* any number that differs between requests */
 } gp_retry_after_t;
 
-/* At least 1.  */
+/* Returns the delay in seconds, at least 1.  */
 unsigned gp_retry_after_s (const gp_retry_after_t *refusal);
 
 #endif
