--- a/src/jobs/hand_in.c
+++ b/src/jobs/write_request.c
@@ -1,6 +1,6 @@
 /* Timeouts of write requests.  */
 
-#include "jobs/hand_in.h"
+#include "jobs/write_request.h"
 
 #include <glib.h>
 
--- a/src/jobs/hand_in.h
+++ b/src/jobs/write_request.h
@@ -11,8 +11,8 @@
    once.  A write that the store could not complete before the answer is due is
    refused rather than begun, as its outcome would be unknown.  */
 
-#ifndef GP_JOBS_HAND_IN_H
-#define GP_JOBS_HAND_IN_H
+#ifndef GP_JOBS_WRITE_REQUEST_H
+#define GP_JOBS_WRITE_REQUEST_H
 
 #include <stdbool.h>
 
--- a/src/jobsd/jobs_front.c
+++ b/src/jobsd/jobs_front.c
@@ -14,7 +14,7 @@
 #include "base/counters.h"
 #include "base/histogram.h"
 #include "base/log.h"
-#include "jobs/hand_in.h"
+#include "jobs/write_request.h"
 #include "jobs/records.h"
 #include "jobsd/job_answers.h"
 #include "platform/json.h"
--- a/tests/unit/test_hand_in.c
+++ b/tests/unit/test_hand_in.c
@@ -8,7 +8,7 @@
 #include <glib.h>
 #include <stdio.h>
 
-#include "jobs/hand_in.h"
+#include "jobs/write_request.h"
 #include "runner.h"
 
 #define CALLERS 2000
