--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -338,7 +338,7 @@
                        gp_time_t lead_age, gp_time_t now)
 {
   if (sent_at < agent->first_reported_at
-      || !gp_grants_trusted (agent->began_at, lead_age, now))
+      || !gp_grants_is_trusted (agent->began_at, lead_age, now))
     return;
   check_lapse (agent, now);
   agent->granted = MAX (agent->granted, sent_at);
--- a/src/jobs/grants.c
+++ b/src/jobs/grants.c
@@ -7,7 +7,7 @@
 #include "jobs/agent.h"
 
 /* A lease from a previous leader is over by the time a guard trusts every
-   leader, see gp_grants_trusted.  */
+   leader, see gp_grants_is_trusted.  */
 G_STATIC_ASSERT (GP_AGENT_LEASE_TIME < GP_GRANTS_TERM_TIME);
 
 /* A previous leader.  Kept for good: there are no more than entries.  */
@@ -78,20 +78,20 @@
 }
 
 void
-gp_grants_unreadable (gp_grants_t *grants, gp_time_t now)
+gp_grants_leadership_unreadable (gp_grants_t *grants, gp_time_t now)
 {
   grants->gap = true;
-  grants->unread_until = now + GP_GRANTS_TERM_TIME;
-  grants->unread_fresh = now + GP_GRANTS_FRESH_TIME;
+  grants->unknown_until = now + GP_GRANTS_TERM_TIME;
+  grants->unknown_fresh_until = now + GP_GRANTS_FRESH_TIME;
 }
 
 void
-gp_grants_read (gp_grants_t *grants, uint64_t offset, gp_time_t now)
+gp_grants_record_read (gp_grants_t *grants, uint64_t offset, gp_time_t now)
 {
   /* Records that are kept for good are read in the order of their keys,
      without those that they replaced, so that NEXT moves back and forth.  */
   if (offset > MAX (grants->next, grants->told))
-    gp_grants_unreadable (grants, now);
+    gp_grants_leadership_unreadable (grants, now);
   grants->next = offset + 1;
 }
 
@@ -127,14 +127,16 @@
             now + (gp_time_t)former->until_ms * GP_MSEC,
             now + (gp_time_t)former->fresh_ms * GP_MSEC, now);
     }
-  grants->unread_until = now + (gp_time_t)record->unread_ms * GP_MSEC;
-  grants->unread_fresh = now + (gp_time_t)record->unread_fresh_ms * GP_MSEC;
+  grants->unknown_until = now + (gp_time_t)record->unread_ms * GP_MSEC;
+  grants->unknown_fresh_until
+      = now + (gp_time_t)record->unread_fresh_ms * GP_MSEC;
   grants->gap = false;
 }
 
 void
-gp_grants_heard (gp_grants_t *grants, const Gp__Jobs__Leadership *record,
-                 uint64_t offset, gp_time_t now)
+gp_grants_leadership_read (gp_grants_t *grants,
+                           const Gp__Jobs__Leadership *record, uint64_t offset,
+                           gp_time_t now)
 {
   if (grants->gap && record->tells_formers)
     take_told (grants, record, now);
@@ -142,7 +144,7 @@
   hear (grants, record->node, record->incarnation, offset,
         now + GP_GRANTS_TERM_TIME, now + GP_GRANTS_FRESH_TIME, now);
   if (record->resigned)
-    gp_grants_ended (grants, record->node, now);
+    gp_grants_leader_ended (grants, record->node, now);
 }
 
 /* Rounded up: a remaining term must not be too short.  */
@@ -153,8 +155,8 @@
 }
 
 void
-gp_grants_tell (const gp_grants_t *grants, Gp__Jobs__Leadership *record,
-                gp_time_t now)
+gp_grants_add_formers (const gp_grants_t *grants, Gp__Jobs__Leadership *record,
+                       gp_time_t now)
 {
   GPtrArray *formers = g_ptr_array_new ();
 
@@ -178,12 +180,13 @@
   record->n_formers = formers->len;
   record->formers = (Gp__Jobs__Former **)g_ptr_array_free (formers, FALSE);
   record->tells_formers = true;
-  record->unread_ms = milliseconds_left (grants->unread_until, now);
-  record->unread_fresh_ms = milliseconds_left (grants->unread_fresh, now);
+  record->unread_ms = milliseconds_left (grants->unknown_until, now);
+  record->unread_fresh_ms
+      = milliseconds_left (grants->unknown_fresh_until, now);
 }
 
 void
-gp_grants_clear_told (Gp__Jobs__Leadership *record)
+gp_grants_free_formers (Gp__Jobs__Leadership *record)
 {
   for (size_t i = 0; i < record->n_formers; i++)
     g_free (record->formers[i]);
@@ -192,7 +195,7 @@
 }
 
 void
-gp_grants_ended (gp_grants_t *grants, const char *node, gp_time_t now)
+gp_grants_leader_ended (gp_grants_t *grants, const char *node, gp_time_t now)
 {
   gp_former_leader_t *former = find (grants, node);
 
@@ -201,8 +204,9 @@
 }
 
 void
-gp_grants_announced (gp_grants_t *grants, const char *node,
-                     uint64_t incarnation, uint64_t ceased, gp_time_t now)
+gp_grants_process_announced (gp_grants_t *grants, const char *node,
+                             uint64_t incarnation, uint64_t ceased,
+                             gp_time_t now)
 {
   gp_former_leader_t *former = find_or_add (grants, node);
 
@@ -214,9 +218,9 @@
 }
 
 gp_time_t
-gp_grants_end (const gp_grants_t *grants, bool obeyed)
+gp_grants_end_time (const gp_grants_t *grants, bool obeyed)
 {
-  gp_time_t end = obeyed ? grants->unread_fresh : grants->unread_until;
+  gp_time_t end = obeyed ? grants->unknown_fresh_until : grants->unknown_until;
 
   GP_LIST_FOREACH (link, &grants->formers)
   {
@@ -229,7 +233,7 @@
 }
 
 bool
-gp_grants_trusted (gp_time_t began_at, gp_time_t lead_age, gp_time_t now)
+gp_grants_is_trusted (gp_time_t began_at, gp_time_t lead_age, gp_time_t now)
 {
   return now >= began_at + GP_GRANTS_TERM_TIME
          || lead_age <= GP_GRANTS_FRESH_TIME;
--- a/src/jobs/grants.h
+++ b/src/jobs/grants.h
@@ -55,53 +55,58 @@
 
 typedef struct
 {
-  gp_list_t formers;      /* gp_former_leader_t, owned */
-  uint64_t next;          /* offset after the last record that was read */
-  uint64_t told;          /* offset after the last leader's record that was
-                             read, which lists all previous leaders */
-  bool gap;               /* records from offset TOLD on were missed */
-  gp_time_t unread_until; /* until when leaders that are not known may grant
-                             leases */
-  gp_time_t unread_fresh; /* the same to guards that have started since */
+  gp_list_t formers;       /* gp_former_leader_t, owned */
+  uint64_t next;           /* offset after the last record that was read */
+  uint64_t told;           /* offset after the last leader's record that was
+                              read, which lists all previous leaders */
+  bool gap;                /* records from offset TOLD on were missed */
+  gp_time_t unknown_until; /* until when leaders that are not known may grant
+                              leases */
+  gp_time_t
+      unknown_fresh_until; /* the same to guards that have started since */
 } gp_grants_t;
 
 void gp_grants_init (gp_grants_t *grants);
 void gp_grants_finish (gp_grants_t *grants);
 
 /* The record at OFFSET was read, of whatever kind.  */
-void gp_grants_read (gp_grants_t *grants, uint64_t offset, gp_time_t now);
+void gp_grants_record_read (gp_grants_t *grants, uint64_t offset,
+                            gp_time_t now);
 
 /* That record is the leader's record RECORD.  */
-void gp_grants_heard (gp_grants_t *grants, const Gp__Jobs__Leadership *record,
-                      uint64_t offset, gp_time_t now);
+void gp_grants_leadership_read (gp_grants_t *grants,
+                                const Gp__Jobs__Leadership *record,
+                                uint64_t offset, gp_time_t now);
 
 /* That record is a leader's and cannot be decoded.  */
-void gp_grants_unreadable (gp_grants_t *grants, gp_time_t now);
+void gp_grants_leadership_unreadable (gp_grants_t *grants, gp_time_t now);
 
 /* Adds the previous leaders to RECORD, which is about to be written.  The
    second function frees what the first has added.  */
-void gp_grants_tell (const gp_grants_t *grants, Gp__Jobs__Leadership *record,
-                     gp_time_t now);
-void gp_grants_clear_told (Gp__Jobs__Leadership *record);
+void gp_grants_add_formers (const gp_grants_t *grants,
+                            Gp__Jobs__Leadership *record, gp_time_t now);
+void gp_grants_free_formers (Gp__Jobs__Leadership *record);
 
 /* The leader on NODE has announced its resignation, or its process has
    ended.  */
-void gp_grants_ended (gp_grants_t *grants, const char *node, gp_time_t now);
+void gp_grants_leader_ended (gp_grants_t *grants, const char *node,
+                             gp_time_t now);
 
 /* Process INCARNATION on NODE has announced itself; it no longer leads because
    of its records before offset CEASED.  Ends the term of an earlier process on
    NODE, and its own if none of its records from CEASED on was read.  */
-void gp_grants_announced (gp_grants_t *grants, const char *node,
-                          uint64_t incarnation, uint64_t ceased,
-                          gp_time_t now);
+void gp_grants_process_announced (gp_grants_t *grants, const char *node,
+                                  uint64_t incarnation, uint64_t ceased,
+                                  gp_time_t now);
 
 /* Returns the time after which no previous leader acknowledges a report.
    OBEYED: the guard has reported to this leader; leases that it got before are
    accounted for elsewhere.  */
-gp_time_t gp_grants_end (const gp_grants_t *grants, bool obeyed);
+gp_time_t gp_grants_end_time (const gp_grants_t *grants, bool obeyed);
 
 /* May a guard that started at BEGAN_AT, and knows of no other leader, accept a
    lease from a leader whose last append is LEAD_AGE old?  */
-bool gp_grants_trusted (gp_time_t began_at, gp_time_t lead_age, gp_time_t now);
+bool gp_grants_is_trusted (gp_time_t began_at, gp_time_t lead_age,
+                           gp_time_t now);
 
 #endif
--- a/src/jobs/placer.c
+++ b/src/jobs/placer.c
@@ -196,7 +196,7 @@
   gp_job_executor_add (candidate->executor, task);
   if (gp_placer_wants_quarantine (pass, task))
     gp_suspicion_keep_for (candidate->executor, job,
-                           pass->now + GP_QUARANTINE_KEEP_TIME);
+                           pass->now + GP_QUARANTINE_DEDICATION_TIME);
   else if (gp_placer_wants_alone (pass, task))
     gp_suspicion_keep (candidate->executor, task, pass->now);
   gp_suspicion_assigned (task, pass->now);
@@ -421,7 +421,7 @@
                             .placed = placed };
   GArray *jobs;
 
-  gp_quarantine_choose (quarantine, book, now);
+  gp_quarantine_choose_executors (quarantine, book, now);
   pass.candidates = find_candidates (book, now);
   if (pass.candidates->len == 0)
     gp_placer_look_at_all (&pass, wall_ms);
--- a/src/jobs/placer_suspects.c
+++ b/src/jobs/placer_suspects.c
@@ -19,8 +19,8 @@
 static bool
 is_of_suspects (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
-  return gp_quarantine_has (pass->quarantine, task->job->submission->queue,
-                            pass->now);
+  return gp_quarantine_is_suspect (pass->quarantine,
+                                   task->job->submission->queue, pass->now);
 }
 
 bool
@@ -42,7 +42,7 @@
 gp_placer_wants_quarantine (const gp_placer_pass_t *pass,
                             const gp_job_task_t *task)
 {
-  if (!gp_quarantine_is_on (pass->quarantine, pass->now))
+  if (!gp_quarantine_is_active (pass->quarantine, pass->now))
     return false;
   if (gp_placer_wants_alone (pass, task))
     return !gp_suspicion_is_strong (task);
@@ -121,7 +121,7 @@
   gp_placer_candidate_t *best = least_at_stake (pass, task, false);
 
   if (best == NULL && is_of_suspects (pass, task))
-    gp_quarantine_note_waiting (pass->quarantine, task->job->submission->queue,
-                                pass->now);
+    gp_quarantine_record_waiting (pass->quarantine,
+                                  task->job->submission->queue, pass->now);
   return best;
 }
--- a/src/jobs/quarantine.c
+++ b/src/jobs/quarantine.c
@@ -11,7 +11,7 @@
    first.  */
 typedef struct
 {
-  gp_time_t ends[GP_QUARANTINE_ENDS];
+  gp_time_t ends[GP_QUARANTINE_FAILURES];
   gp_time_t waited_at; /* when a task of the queue last found no place in
                           quarantine */
   bool fits;           /* its work fitted into quarantine when it came under
@@ -36,13 +36,13 @@
 static gp_time_t
 fresh_until (const record_t *record)
 {
-  gp_time_t oldest = record->ends[GP_QUARANTINE_ENDS - 1];
-  gp_time_t until
-      = MAX (record->ends[0], record->waited_at) + GP_QUARANTINE_FRESH_TIME;
+  gp_time_t oldest = record->ends[GP_QUARANTINE_FAILURES - 1];
+  gp_time_t until = MAX (record->ends[0], record->waited_at)
+                    + GP_QUARANTINE_SUSPICION_TIME;
 
-  if (oldest == 0 || record->ends[0] - oldest > GP_QUARANTINE_FRESH_TIME)
+  if (oldest == 0 || record->ends[0] - oldest > GP_QUARANTINE_SUSPICION_TIME)
     return 0;
-  return MIN (until, record->ends[0] + GP_QUARANTINE_MOST_TIME);
+  return MIN (until, record->ends[0] + GP_QUARANTINE_MAX_TIME);
 }
 
 static bool
@@ -82,8 +82,9 @@
 }
 
 void
-gp_quarantine_note (gp_quarantine_t *quarantine, const gp_book_t *book,
-                    const char *queue, gp_time_t now)
+gp_quarantine_record_failure (gp_quarantine_t *quarantine,
+                              const gp_book_t *book, const char *queue,
+                              gp_time_t now)
 {
   record_t *record = g_hash_table_lookup (quarantine->queues, queue);
   bool before;
@@ -95,7 +96,7 @@
     }
   before = is_fresh (record, now);
   memmove (&record->ends[1], &record->ends[0],
-           (GP_QUARANTINE_ENDS - 1) * sizeof record->ends[0]);
+           (GP_QUARANTINE_FAILURES - 1) * sizeof record->ends[0]);
   record->ends[0] = now;
   if (before || !is_fresh (record, now))
     return;
@@ -105,8 +106,8 @@
 }
 
 void
-gp_quarantine_note_waiting (gp_quarantine_t *quarantine, const char *queue,
-                            gp_time_t now)
+gp_quarantine_record_waiting (gp_quarantine_t *quarantine, const char *queue,
+                              gp_time_t now)
 {
   record_t *record = g_hash_table_lookup (quarantine->queues, queue);
 
@@ -115,8 +116,8 @@
 }
 
 bool
-gp_quarantine_has (const gp_quarantine_t *quarantine, const char *queue,
-                   gp_time_t now)
+gp_quarantine_is_suspect (const gp_quarantine_t *quarantine, const char *queue,
+                          gp_time_t now)
 {
   const record_t *record = g_hash_table_lookup (quarantine->queues, queue);
 
@@ -124,7 +125,7 @@
 }
 
 bool
-gp_quarantine_is_on (const gp_quarantine_t *quarantine, gp_time_t now)
+gp_quarantine_is_active (const gp_quarantine_t *quarantine, gp_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
@@ -207,15 +208,15 @@
 }
 
 void
-gp_quarantine_choose (gp_quarantine_t *quarantine, const gp_book_t *book,
-                      gp_time_t now)
+gp_quarantine_choose_executors (gp_quarantine_t *quarantine,
+                                const gp_book_t *book, gp_time_t now)
 {
   guint down;
   guint wanted;
   guint count;
   GArray *rated;
 
-  if (!gp_quarantine_is_on (quarantine, now))
+  if (!gp_quarantine_is_active (quarantine, now))
     {
       choose_none (quarantine, book);
       return;
--- a/src/jobs/quarantine.h
+++ b/src/jobs/quarantine.h
@@ -4,10 +4,10 @@
    jobs/suspicion.h.  If a queue brings many such tasks, each of them still
    takes down the executor on which it is started first, with all runs on it.
    So a queue comes under suspicion when its tasks have clearly caused
-   GP_QUARANTINE_ENDS failures within GP_QUARANTINE_FRESH_TIME.  It stays so
-   while such failures continue, and GP_QUARANTINE_FRESH_TIME longer.  This
-   applies only if its work fits into quarantine: the work of a site's only
-   queue would come to a halt there.
+   GP_QUARANTINE_FAILURES failures within GP_QUARANTINE_SUSPICION_TIME.  It
+   stays so while such failures continue, and GP_QUARANTINE_SUSPICION_TIME
+   longer.  This applies only if its work fits into quarantine: the work of a
+   site's only queue would come to a halt there.
 
    - Its new tasks are started on the few executors in quarantine, each of
      which takes the tasks of one job at a time, so that the cause of a failure
@@ -29,19 +29,19 @@
 /* Number of failures that put a queue under suspicion.  A single one may be a
    coincidence, as an executor may also fail by itself just after a run has
    begun.  */
-#define GP_QUARANTINE_ENDS 2
+#define GP_QUARANTINE_FAILURES 2
 /* How long such a failure counts.  */
-#define GP_QUARANTINE_FRESH_TIME (10 * GP_SEC)
+#define GP_QUARANTINE_SUSPICION_TIME (10 * GP_SEC)
 /* How long after the last failure waiting tasks of the queue can prolong the
    suspicion: a queue with more tasks than can be tried would otherwise never
    leave quarantine.  */
-#define GP_QUARANTINE_MOST_TIME (30 * GP_SEC)
+#define GP_QUARANTINE_MAX_TIME (30 * GP_SEC)
 /* One of so many executors is in quarantine, at least one.  */
 #define GP_QUARANTINE_SHARE 4
 /* How long an executor in quarantine is reserved for the job that has begun
    there: orders are answered within milliseconds, and a failure that a task
    causes shows as quickly.  */
-#define GP_QUARANTINE_KEEP_TIME (150 * GP_MSEC)
+#define GP_QUARANTINE_DEDICATION_TIME (150 * GP_MSEC)
 
 typedef struct
 {
@@ -55,21 +55,23 @@
 
 /* An executor failed just after a task of QUEUE had begun on it, and no task
    of another job.  */
-void gp_quarantine_note (gp_quarantine_t *quarantine, const gp_book_t *book,
-                         const char *queue, gp_time_t now);
+void gp_quarantine_record_failure (gp_quarantine_t *quarantine,
+                                   const gp_book_t *book, const char *queue,
+                                   gp_time_t now);
 
 /* A task of QUEUE finds no place in quarantine: tasks that have not been tried
    yet may fail like those before.  */
-void gp_quarantine_note_waiting (gp_quarantine_t *quarantine,
-                                 const char *queue, gp_time_t now);
+void gp_quarantine_record_waiting (gp_quarantine_t *quarantine,
+                                   const char *queue, gp_time_t now);
 
 /* Is QUEUE under suspicion?  Is any queue?  */
-bool gp_quarantine_has (const gp_quarantine_t *quarantine, const char *queue,
-                        gp_time_t now);
-bool gp_quarantine_is_on (const gp_quarantine_t *quarantine, gp_time_t now);
+bool gp_quarantine_is_suspect (const gp_quarantine_t *quarantine,
+                               const char *queue, gp_time_t now);
+bool gp_quarantine_is_active (const gp_quarantine_t *quarantine,
+                              gp_time_t now);
 
 /* Chooses the executors of BOOK that are in quarantine from NOW on.  */
-void gp_quarantine_choose (gp_quarantine_t *quarantine, const gp_book_t *book,
-                           gp_time_t now);
+void gp_quarantine_choose_executors (gp_quarantine_t *quarantine,
+                                     const gp_book_t *book, gp_time_t now);
 
 #endif
--- a/src/jobs/scheduler_losses.c
+++ b/src/jobs/scheduler_losses.c
@@ -355,8 +355,8 @@
   if (job == NULL || executor->failure_counted)
     return;
   executor->failure_counted = true;
-  gp_quarantine_note (&scheduler->quarantine, scheduler->book,
-                      job->submission->queue, now);
+  gp_quarantine_record_failure (&scheduler->quarantine, scheduler->book,
+                                job->submission->queue, now);
 }
 
 void
--- a/src/jobs/write_request.c
+++ b/src/jobs/write_request.c
@@ -17,27 +17,28 @@
 #define LAST_TRY_PERMILLE 450
 
 gp_time_t
-gp_hand_in_deadline (gp_time_t now, gp_time_t patience)
+gp_write_request_deadline (gp_time_t now, gp_time_t patience)
 {
   return now + patience - MIN (ANSWER_MARGIN, patience / MARGIN_SHARE);
 }
 
 gp_time_t
-gp_hand_in_refuse_at (gp_time_t now, gp_time_t patience)
+gp_write_request_refuse_at (gp_time_t now, gp_time_t patience)
 {
-  if (gp_hand_in_may_return (patience))
-    return gp_hand_in_deadline (now, patience);
+  if (gp_write_request_can_retry (patience))
+    return gp_write_request_deadline (now, patience);
   return now + patience * LAST_TRY_PERMILLE / 1000;
 }
 
 bool
-gp_hand_in_may_return (gp_time_t patience)
+gp_write_request_can_retry (gp_time_t patience)
 {
   return patience >= RETURN_TIME;
 }
 
 bool
-gp_hand_in_is_in_time (gp_time_t deadline, gp_time_t store_time, gp_time_t now)
+gp_write_request_is_in_time (gp_time_t deadline, gp_time_t store_time,
+                             gp_time_t now)
 {
   return now + store_time <= deadline;
 }
--- a/src/jobsd/jobs_front.c
+++ b/src/jobsd/jobs_front.c
@@ -297,7 +297,7 @@
     const uint8_t *data = g_bytes_get_data (change->value, &size);
 
     if (!change->doubtful
-        && !gp_hand_in_is_in_time (change->deadline, store_time, now))
+        && !gp_write_request_is_in_time (change->deadline, store_time, now))
       {
         give_up (change, "the store would answer too late");
         continue;
@@ -360,7 +360,7 @@
 {
   gp_time_t now = gp_loop_now (front->loop);
   gp_time_t patience = gp_job_patience (exchange);
-  bool may_return = gp_hand_in_may_return (patience);
+  bool may_return = gp_write_request_can_retry (patience);
   change_t *change;
 
   if (front->failures >= FAILURES_TO_REFUSE && front->call != NULL
@@ -376,8 +376,8 @@
   change->cancels = cancels;
   change->may_return = may_return;
   change->since = now;
-  change->deadline = gp_hand_in_deadline (now, patience);
-  change->refuse_at = gp_hand_in_refuse_at (now, patience);
+  change->deadline = gp_write_request_deadline (now, patience);
+  change->refuse_at = gp_write_request_refuse_at (now, patience);
   g_snprintf (change->key, sizeof change->key, "%s%s",
               cancels ? GP_CANCEL_PREFIX : "", id);
   change->value = value;
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -113,13 +113,14 @@
   leader->role = GP_LEADER_LEADING;
   leader->epoch = epoch;
   /* It gives nothing any more by a lead of its own that was lost.  */
-  gp_grants_ended (&leader->grants, leader->node, now_of (leader));
+  gp_grants_leader_ended (&leader->grants, leader->node, now_of (leader));
   gp_log (GP_LOG_INFO, "lead.taken", GP_LOG_I ("epoch", epoch),
           GP_LOG_I ("jobs", g_hash_table_size (leader->book->jobs)),
-          GP_LOG_I (
-              "foreign_leases_ms",
-              MAX (gp_grants_end (&leader->grants, false) - now_of (leader), 0)
-                  / GP_MSEC));
+          GP_LOG_I ("foreign_leases_ms",
+                    MAX (gp_grants_end_time (&leader->grants, false)
+                             - now_of (leader),
+                         0)
+                        / GP_MSEC));
   take_over_jobs (leader);
   gp_leader_dial_all (leader);
 }
@@ -189,8 +190,8 @@
 gp_leader_announced (gp_leader_t *leader, const char *node,
                      uint64_t incarnation, uint64_t ceased)
 {
-  gp_grants_announced (&leader->grants, node, incarnation, ceased,
-                       now_of (leader));
+  gp_grants_process_announced (&leader->grants, node, incarnation, ceased,
+                               now_of (leader));
 }
 
 static void
@@ -207,9 +208,11 @@
   leader->resigned = leadership->resigned || (here && !own);
   if (!own)
     leader->forgot = false;
-  gp_grants_heard (&leader->grants, leadership, offset, now_of (leader));
+  gp_grants_leadership_read (&leader->grants, leadership, offset,
+                             now_of (leader));
   if (leader->resigned)
-    gp_grants_ended (&leader->grants, leadership->node, now_of (leader));
+    gp_grants_leader_ended (&leader->grants, leadership->node,
+                            now_of (leader));
 }
 
 /* Who leads cannot be read: somebody may, who is given the time of silence
@@ -217,7 +220,7 @@
 static void
 on_leadership_refused (gp_leader_t *leader)
 {
-  gp_grants_unreadable (&leader->grants, now_of (leader));
+  gp_grants_leadership_unreadable (&leader->grants, now_of (leader));
   if (!leader->led)
     note_heard (leader);
   leader->led = true;
@@ -306,7 +309,7 @@
   gp_record_t decoded;
   GError *error = NULL;
 
-  gp_grants_read (&leader->grants, record->offset, now_of (leader));
+  gp_grants_record_read (&leader->grants, record->offset, now_of (leader));
   /* A key was dropped.  */
   if (record->value_size == 0)
     return;
@@ -378,8 +381,8 @@
   leader->data = data;
   gp_grants_init (&leader->grants);
   /* Earlier processes here have ended.  */
-  gp_grants_announced (&leader->grants, node, leader->incarnation, 0,
-                       gp_loop_now (loop));
+  gp_grants_process_announced (&leader->grants, node, leader->incarnation, 0,
+                               gp_loop_now (loop));
   gp_pressure_init (&leader->pressure);
   leader->fillings = g_ptr_array_new_with_free_func (g_free);
   gp_scheduler_init (&leader->scheduler, book, &leader->pressure);
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -134,7 +134,7 @@
    higher number than it was taken, which has to be announced.  */
 bool gp_leader_outnumber (gp_leader_t *leader, uint64_t incarnation);
 
-/* The entry on NODE has announced itself, see gp_grants_announced.  */
+/* The entry on NODE has announced itself, see gp_grants_process_announced.  */
 void gp_leader_announced (gp_leader_t *leader, const char *node,
                           uint64_t incarnation, uint64_t ceased);
 
--- a/src/jobsd/leader_append.c
+++ b/src/jobsd/leader_append.c
@@ -55,9 +55,9 @@
   record.incarnation = leader->incarnation;
   record.resigned = resigned;
   record.beat = ++leader->beat;
-  gp_grants_tell (&leader->grants, &record, now_of (leader));
+  gp_grants_add_formers (&leader->grants, &record, now_of (leader));
   value = gp_message_pack (&record.base);
-  gp_grants_clear_told (&record);
+  gp_grants_free_formers (&record);
   gp_leader_add_record (leader, GP_LEADER_KEY, value);
   g_bytes_unref (value);
 }
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -532,7 +532,7 @@
             const gp_job_executor_t *executor)
 {
   bool obeyed = link != NULL && link->obeyed_at > 0;
-  gp_time_t given = gp_grants_end (&leader->grants, obeyed);
+  gp_time_t given = gp_grants_end_time (&leader->grants, obeyed);
 
   if (obeyed)
     given = MAX (given, link->obeyed_at);
@@ -570,8 +570,8 @@
                         ? (now - executor->reported_at) / GP_MSEC
                         : -1),
           GP_LOG_I ("former_leaders_ms",
-                    (gp_grants_end (&leader->grants,
-                                    link != NULL && link->obeyed_at > 0)
+                    (gp_grants_end_time (&leader->grants,
+                                         link != NULL && link->obeyed_at > 0)
                      - now)
                         / GP_MSEC));
 }
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -15,8 +15,8 @@
 show (const gp_grants_t *grants, const char *when)
 {
   printf ("  %s: %d ms, for a guard that obeyed %d ms\n", when,
-          (int)(gp_grants_end (grants, false) / GP_MSEC),
-          (int)(gp_grants_end (grants, true) / GP_MSEC));
+          (int)(gp_grants_end_time (grants, false) / GP_MSEC),
+          (int)(gp_grants_end_time (grants, true) / GP_MSEC));
 }
 
 /* The record at OFFSET of process INCARNATION on NODE was read, and all before
@@ -29,8 +29,8 @@
 
   record.node = (char *)node;
   record.incarnation = incarnation;
-  gp_grants_read (grants, offset, now);
-  gp_grants_heard (grants, &record, offset, now);
+  gp_grants_record_read (grants, offset, now);
+  gp_grants_leadership_read (grants, &record, offset, now);
 }
 
 static void
@@ -45,9 +45,9 @@
   show (&grants, "e1 has led until 1 s");
   hear (&grants, "e2", 200, 1, 3 * GP_SEC);
   show (&grants, "e2 until 3 s");
-  gp_grants_ended (&grants, "e2", 4 * GP_SEC);
+  gp_grants_leader_ended (&grants, "e2", 4 * GP_SEC);
   show (&grants, "e2 has resigned at 4 s: e1 counts on");
-  gp_grants_announced (&grants, "e1", 101, 0, 5 * GP_SEC);
+  gp_grants_process_announced (&grants, "e1", 101, 0, 5 * GP_SEC);
   show (&grants, "e1 has started again at 5 s");
   hear (&grants, "e1", 101, 2, 6 * GP_SEC);
   show (&grants, "and has led until 6 s");
@@ -63,15 +63,15 @@
   gp_grants_init (&grants);
   for (uint64_t offset = 0; offset <= 5; offset++)
     hear (&grants, "e1", 100, offset, GP_SEC);
-  gp_grants_announced (&grants, "e1", 99, 0, 2 * GP_SEC);
+  gp_grants_process_announced (&grants, "e1", 99, 0, 2 * GP_SEC);
   show (&grants, "an earlier process");
-  gp_grants_announced (&grants, "e1", 100, 0, 2 * GP_SEC);
+  gp_grants_process_announced (&grants, "e1", 100, 0, 2 * GP_SEC);
   show (&grants, "its own start");
-  gp_grants_announced (&grants, "e1", 100, 5, 2 * GP_SEC);
+  gp_grants_process_announced (&grants, "e1", 100, 5, 2 * GP_SEC);
   show (&grants, "the end of an earlier lead");
-  gp_grants_announced (&grants, "e2", 300, 9, 2 * GP_SEC);
+  gp_grants_process_announced (&grants, "e2", 300, 9, 2 * GP_SEC);
   show (&grants, "another entry");
-  gp_grants_announced (&grants, "e1", 100, 6, 2 * GP_SEC);
+  gp_grants_process_announced (&grants, "e1", 100, 6, 2 * GP_SEC);
   show (&grants, "the end of this lead");
   hear (&grants, "e2", 250, 6, 4 * GP_SEC);
   show (&grants, "a record of a process known to have ended");
@@ -90,23 +90,23 @@
   hear (&writer, "e1", 100, 0, GP_SEC);
   record.node = (char *)"e2";
   record.incarnation = 200;
-  gp_grants_tell (&writer, &record, 4 * GP_SEC);
+  gp_grants_add_formers (&writer, &record, 4 * GP_SEC);
   gp_grants_init (&reader);
-  gp_grants_read (&reader, 7, 5 * GP_SEC);
+  gp_grants_record_read (&reader, 7, 5 * GP_SEC);
   show (&reader, "a record out of the middle, read at 5 s");
-  gp_grants_read (&reader, 9, 5 * GP_SEC);
-  gp_grants_heard (&reader, &record, 9, 5 * GP_SEC);
-  gp_grants_ended (&reader, "e2", 5 * GP_SEC);
+  gp_grants_record_read (&reader, 9, 5 * GP_SEC);
+  gp_grants_leadership_read (&reader, &record, 9, 5 * GP_SEC);
+  gp_grants_leader_ended (&reader, "e2", 5 * GP_SEC);
   show (&reader, "e2 tells that e1 had 5 s left, and resigns");
-  gp_grants_read (&reader, 3, 6 * GP_SEC);
-  gp_grants_read (&reader, 10, 6 * GP_SEC);
+  gp_grants_record_read (&reader, 3, 6 * GP_SEC);
+  gp_grants_record_read (&reader, 10, 6 * GP_SEC);
   show (&reader, "older ones, and the next, change nothing");
-  gp_grants_read (&reader, 12, 7 * GP_SEC);
+  gp_grants_record_read (&reader, 12, 7 * GP_SEC);
   show (&reader, "a gap at 7 s");
-  gp_grants_clear_told (&record);
+  gp_grants_free_formers (&record);
   record.tells_formers = false;
-  gp_grants_heard (&reader, &record, 13, 7 * GP_SEC);
-  gp_grants_ended (&reader, "e2", 7 * GP_SEC);
+  gp_grants_leadership_read (&reader, &record, 13, 7 * GP_SEC);
+  gp_grants_leader_ended (&reader, "e2", 7 * GP_SEC);
   show (&reader, "a record that does not tell leaves it");
   gp_grants_finish (&reader);
   gp_grants_finish (&writer);
@@ -122,21 +122,21 @@
   printf ("an old word of a leader that leads again does not end its term\n");
   gp_grants_init (&writer);
   hear (&writer, "e1", 100, 0, GP_SEC);
-  gp_grants_announced (&writer, "e1", 100, 1, GP_SEC);
+  gp_grants_process_announced (&writer, "e1", 100, 1, GP_SEC);
   hear (&writer, "e1", 100, 1, 2 * GP_SEC);
   record.node = (char *)"e2";
   record.incarnation = 200;
-  gp_grants_tell (&writer, &record, 2 * GP_SEC);
+  gp_grants_add_formers (&writer, &record, 2 * GP_SEC);
   gp_grants_init (&reader);
-  gp_grants_read (&reader, 5, 2 * GP_SEC);
-  gp_grants_heard (&reader, &record, 5, 2 * GP_SEC);
-  gp_grants_ended (&reader, "e2", 2 * GP_SEC);
+  gp_grants_record_read (&reader, 5, 2 * GP_SEC);
+  gp_grants_leadership_read (&reader, &record, 5, 2 * GP_SEC);
+  gp_grants_leader_ended (&reader, "e2", 2 * GP_SEC);
   show (&reader, "told of by the next leader");
-  gp_grants_announced (&reader, "e1", 100, 1, 2 * GP_SEC);
+  gp_grants_process_announced (&reader, "e1", 100, 1, 2 * GP_SEC);
   show (&reader, "its word on the lead before that");
-  gp_grants_announced (&reader, "e1", 100, 2, 2 * GP_SEC);
+  gp_grants_process_announced (&reader, "e1", 100, 2, 2 * GP_SEC);
   show (&reader, "its word on this lead");
-  gp_grants_clear_told (&record);
+  gp_grants_free_formers (&record);
   gp_grants_finish (&reader);
   gp_grants_finish (&writer);
 }
@@ -232,8 +232,8 @@
   Gp__Jobs__Leadership *record
       = gp__jobs__leadership__unpack (NULL, size, bytes);
 
-  gp_grants_read (&entry->grants, offset, world->now);
-  gp_grants_heard (&entry->grants, record, offset, world->now);
+  gp_grants_record_read (&entry->grants, offset, world->now);
+  gp_grants_leadership_read (&entry->grants, record, offset, world->now);
   entry->heard_at = record->resigned ? 0 : world->now;
   gp__jobs__leadership__free_unpacked (record, NULL);
 }
@@ -262,8 +262,9 @@
         if (word->entry != i)
           continue;
         if (&world->entries[i] != entry)
-          gp_grants_announced (&entry->grants, world->entries[i].name,
-                               word->incarnation, word->ceased, world->now);
+          gp_grants_process_announced (&entry->grants, world->entries[i].name,
+                                       word->incarnation, word->ceased,
+                                       world->now);
         break;
       }
   entry->heard = world->announcements->len;
@@ -274,8 +275,8 @@
 {
   entry->incarnation = ++world->incarnations;
   gp_grants_init (&entry->grants);
-  gp_grants_announced (&entry->grants, entry->name, entry->incarnation, 0,
-                       world->now);
+  gp_grants_process_announced (&entry->grants, entry->name, entry->incarnation,
+                               0, world->now);
   entry->leads = false;
   read_newest (world, entry);
   read_newest_announcements (world, entry);
@@ -290,9 +291,9 @@
   record.node = entry->name;
   record.incarnation = entry->incarnation;
   record.resigned = resigned;
-  gp_grants_tell (&entry->grants, &record, world->now);
+  gp_grants_add_formers (&entry->grants, &record, world->now);
   g_ptr_array_add (world->log, gp_message_pack (&record.base));
-  gp_grants_clear_told (&record);
+  gp_grants_free_formers (&record);
   entry->end = world->log->len;
   entry->read = world->log->len;
   entry->confirmed_at = world->now;
@@ -314,8 +315,9 @@
           world->announcements, announcement_t, entry->heard);
 
       if (&world->entries[word->entry] != entry)
-        gp_grants_announced (&entry->grants, world->entries[word->entry].name,
-                             word->incarnation, word->ceased, world->now);
+        gp_grants_process_announced (
+            &entry->grants, world->entries[word->entry].name,
+            word->incarnation, word->ceased, world->now);
     }
 }
 
@@ -354,7 +356,7 @@
       entry->reported_at = 0;
       entry->linked_at = 0;
       entry->obeyed_at = 0;
-      gp_grants_ended (&entry->grants, entry->name, world->now);
+      gp_grants_leader_ended (&entry->grants, entry->name, world->now);
       entry->dead = false;
     }
 }
@@ -396,7 +398,7 @@
                     && entry->linked_at == entry->reported_at
                     && world->now - entry->reported_at < QUIET_TIME;
   bool obeyed = entry->obeyed_at > 0;
-  gp_time_t given = gp_grants_end (&entry->grants, obeyed);
+  gp_time_t given = gp_grants_end_time (&entry->grants, obeyed);
 
   given = MAX (given, MAX (entry->obeyed_at, entry->reported_at));
   if (!entry->leads || spoken_for || entry->dead
--- a/tests/unit/test_hand_in.c
+++ b/tests/unit/test_hand_in.c
@@ -28,18 +28,19 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (patiences); i++)
     {
-      gp_time_t deadline = gp_hand_in_deadline (GP_SEC, patiences[i]);
-
-      printf ("%d ms of patience: %d ms to answer in, refused after %d, %s, "
-              "%s\n",
-              (int)(patiences[i] / GP_MSEC),
-              (int)((deadline - GP_SEC) / GP_MSEC),
-              (int)((gp_hand_in_refuse_at (GP_SEC, patiences[i]) - GP_SEC)
-                    / GP_MSEC),
-              gp_hand_in_may_return (patiences[i]) ? "may return" : "last try",
-              gp_hand_in_is_in_time (deadline, STORE_TIME, GP_SEC)
-                  ? "tried"
-                  : "refused at once");
+      gp_time_t deadline = gp_write_request_deadline (GP_SEC, patiences[i]);
+
+      printf (
+          "%d ms of patience: %d ms to answer in, refused after %d, %s, "
+          "%s\n",
+          (int)(patiences[i] / GP_MSEC), (int)((deadline - GP_SEC) / GP_MSEC),
+          (int)((gp_write_request_refuse_at (GP_SEC, patiences[i]) - GP_SEC)
+                / GP_MSEC),
+          gp_write_request_can_retry (patiences[i]) ? "may return"
+                                                    : "last try",
+          gp_write_request_is_in_time (deadline, STORE_TIME, GP_SEC)
+              ? "tried"
+              : "refused at once");
     }
 }
 
@@ -48,14 +49,14 @@
 static bool
 is_served (gp_time_t now, gp_time_t patience, gp_time_t *until)
 {
-  gp_time_t deadline = gp_hand_in_deadline (now, patience);
+  gp_time_t deadline = gp_write_request_deadline (now, patience);
   gp_time_t begin = MAX (now, BACK_AT);
 
-  *until = gp_hand_in_may_return (patience)
+  *until = gp_write_request_can_retry (patience)
                ? MIN (now + REFUSE_TIME, deadline)
-               : gp_hand_in_refuse_at (now, patience);
+               : gp_write_request_refuse_at (now, patience);
   return begin <= *until
-         && gp_hand_in_is_in_time (deadline, STORE_TIME, begin);
+         && gp_write_request_is_in_time (deadline, STORE_TIME, begin);
 }
 
 /* By the rules before: each is refused soon, and whoever has less patience
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -56,9 +56,9 @@
 static void
 condemn (jobs_site_t *site, const char *queue)
 {
-  for (int i = 0; i < GP_QUARANTINE_ENDS; i++)
-    gp_quarantine_note (&site->scheduler.quarantine, &site->book, queue,
-                        site->now);
+  for (int i = 0; i < GP_QUARANTINE_FAILURES; i++)
+    gp_quarantine_record_failure (&site->scheduler.quarantine, &site->book,
+                                  queue, site->now);
 }
 
 static void
@@ -84,7 +84,7 @@
   const gp_quarantine_t *quarantine = &site->scheduler.quarantine;
 
   printf ("  %s: %d\n", what,
-          gp_quarantine_has (quarantine, "bad", site->now));
+          gp_quarantine_is_suspect (quarantine, "bad", site->now));
 }
 
 static void
@@ -95,31 +95,31 @@
 
   printf ("which queue is under suspicion\n");
   jobs_site_init (&site);
-  gp_quarantine_note (quarantine, &site.book, "bad", site.now);
+  gp_quarantine_record_failure (quarantine, &site.book, "bad", site.now);
   show (&site, "after one end");
-  site.now += GP_QUARANTINE_FRESH_TIME + 1;
-  gp_quarantine_note (quarantine, &site.book, "bad", site.now);
+  site.now += GP_QUARANTINE_SUSPICION_TIME + 1;
+  gp_quarantine_record_failure (quarantine, &site.book, "bad", site.now);
   show (&site, "another one too late");
-  site.now += GP_QUARANTINE_FRESH_TIME;
-  gp_quarantine_note (quarantine, &site.book, "bad", site.now);
+  site.now += GP_QUARANTINE_SUSPICION_TIME;
+  gp_quarantine_record_failure (quarantine, &site.book, "bad", site.now);
   show (&site, "and one in time");
   printf ("  another queue: %d\n",
-          gp_quarantine_has (quarantine, "good", site.now));
-  site.now += GP_QUARANTINE_FRESH_TIME;
+          gp_quarantine_is_suspect (quarantine, "good", site.now));
+  site.now += GP_QUARANTINE_SUSPICION_TIME;
   show (&site, "as long as the last end is fresh");
-  gp_quarantine_note_waiting (quarantine, "bad", site.now);
-  site.now += GP_QUARANTINE_FRESH_TIME;
+  gp_quarantine_record_waiting (quarantine, "bad", site.now);
+  site.now += GP_QUARANTINE_SUSPICION_TIME;
   show (&site, "or since a task of it waited");
   site.now += 1;
   show (&site, "no longer");
   printf ("but not for ever\n");
-  gp_quarantine_note (quarantine, &site.book, "bad", site.now);
-  gp_quarantine_note (quarantine, &site.book, "bad", site.now);
+  gp_quarantine_record_failure (quarantine, &site.book, "bad", site.now);
+  gp_quarantine_record_failure (quarantine, &site.book, "bad", site.now);
   for (int i = 0; i < 4; i++)
     {
-      site.now += GP_QUARANTINE_FRESH_TIME;
+      site.now += GP_QUARANTINE_SUSPICION_TIME;
       show (&site, "ten seconds more, and one waits");
-      gp_quarantine_note_waiting (quarantine, "bad", site.now);
+      gp_quarantine_record_waiting (quarantine, "bad", site.now);
     }
   jobs_site_finish (&site);
 }
@@ -169,7 +169,8 @@
       jobs[i]->tasks[0].fresh = true;
       jobs[i]->tasks[0].just = just;
     }
-  gp_quarantine_note (&site.scheduler.quarantine, &site.book, "bad", site.now);
+  gp_quarantine_record_failure (&site.scheduler.quarantine, &site.book, "bad",
+                                site.now);
   gp_scheduler_down (&site.scheduler, executor, site.now);
   gp_scheduler_down (&site.scheduler, executor, site.now);
   show (&site, what);
@@ -210,14 +211,14 @@
   show_quarantine (&site);
   jobs_site_print_job (bad);
   jobs_site_print_job (next);
-  site.now += GP_QUARANTINE_KEEP_TIME;
+  site.now += GP_QUARANTINE_DEDICATION_TIME;
   jobs_site_plan (&site);
   jobs_site_print_job (next);
   printf ("other work goes elsewhere, if it finds a place\n");
   good = jobs_site_submit (&site, "00000000000000dd",
                            of_queue ("good", 7, 4000));
   fills = jobs_site_submit (&site, "00000000000000ee", filling ("good", 8));
-  site.now += GP_QUARANTINE_KEEP_TIME;
+  site.now += GP_QUARANTINE_DEDICATION_TIME;
   jobs_site_plan (&site);
   jobs_site_print_job (good);
   jobs_site_print_job (fills);
