--- a/src/jobs/fields.c
+++ b/src/jobs/fields.c
@@ -15,40 +15,40 @@
 #define TASK_NUMBERS 3
 
 bool
-gp_field_fail (GError **error, const char *place, const char *what)
+gp_field_fail (GError **error, const char *field, const char *what)
 {
-  g_set_error (error, GP_STATE_ERROR, GP_STATE_ERROR_INVALID, "%s: %s", place,
+  g_set_error (error, GP_STATE_ERROR, GP_STATE_ERROR_INVALID, "%s: %s", field,
                what);
   return false;
 }
 
 bool
-gp_field_name_or_empty (const char *text, const char *place, GError **error)
+gp_field_name_or_empty (const char *text, const char *field, GError **error)
 {
   if (strlen (text) > GP_FIELD_NAME_MAX)
-    return gp_field_fail (error, place, "too long");
+    return gp_field_fail (error, field, "too long");
   if (!g_utf8_validate (text, -1, NULL))
-    return gp_field_fail (error, place, "not UTF-8");
+    return gp_field_fail (error, field, "not UTF-8");
   return true;
 }
 
 bool
-gp_field_name (const char *text, const char *place, GError **error)
+gp_field_name (const char *text, const char *field, GError **error)
 {
   if (*text == '\0')
-    return gp_field_fail (error, place, "missing");
-  return gp_field_name_or_empty (text, place, error);
+    return gp_field_fail (error, field, "missing");
+  return gp_field_name_or_empty (text, field, error);
 }
 
 bool
-gp_field_text (const ProtobufCBinaryData *text, size_t max, const char *place,
+gp_field_text (const ProtobufCBinaryData *text, size_t max, const char *field,
                GError **error)
 {
   if (text->len > max)
-    return gp_field_fail (error, place, "too long");
+    return gp_field_fail (error, field, "too long");
   if (text->len > 0
       && !g_utf8_validate ((const char *)text->data, (gssize)text->len, NULL))
-    return gp_field_fail (error, place, "not UTF-8");
+    return gp_field_fail (error, field, "not UTF-8");
   return true;
 }
 
@@ -72,50 +72,50 @@
 }
 
 bool
-gp_field_task (const char *text, const char *place, GError **error)
+gp_field_task (const char *text, const char *field, GError **error)
 {
   size_t size = strlen (text);
 
   if (size == 0)
-    return gp_field_fail (error, place, "missing");
+    return gp_field_fail (error, field, "missing");
   if (size <= GP_JOB_ID_SIZE || size >= GP_TASK_NAME_SIZE
       || !gp_job_id_valid (text, GP_JOB_ID_SIZE)
       || !are_numbers (text + GP_JOB_ID_SIZE))
-    return gp_field_fail (error, place, "not the name of a task");
+    return gp_field_fail (error, field, "not the name of a task");
   return true;
 }
 
 bool
-gp_field_address (const char *text, const char *place, GError **error)
+gp_field_address (const char *text, const char *field, GError **error)
 {
   struct sockaddr_storage address;
 
   if (*text == '\0')
-    return gp_field_fail (error, place, "missing");
+    return gp_field_fail (error, field, "missing");
   if (!gp_address_parse (text, &address) || gp_address_port (&address) == 0)
-    return gp_field_fail (error, place, "not an address");
+    return gp_field_fail (error, field, "not an address");
   return true;
 }
 
 bool
-gp_field_range (int64_t value, int64_t min, int64_t max, const char *place,
+gp_field_range (int64_t value, int64_t min, int64_t max, const char *field,
                 GError **error)
 {
   if (value >= min && value <= max)
     return true;
   g_set_error (error, GP_STATE_ERROR, GP_STATE_ERROR_INVALID,
-               "%s: %" PRId64 " is not from %" PRId64 " to %" PRId64, place,
+               "%s: %" PRId64 " is not from %" PRId64 " to %" PRId64, field,
                value, min, max);
   return false;
 }
 
 bool
-gp_field_real (double value, double min, double max, const char *place,
+gp_field_real (double value, double min, double max, const char *field,
                GError **error)
 {
   if (isfinite (value) && value >= min && value <= max)
     return true;
   g_set_error (error, GP_STATE_ERROR, GP_STATE_ERROR_INVALID,
-               "%s: %g is not from %g to %g", place, value, min, max);
+               "%s: %g is not from %g to %g", field, value, min, max);
   return false;
 }
--- a/src/jobs/fields.h
+++ b/src/jobs/fields.h
@@ -4,7 +4,7 @@
    Bytes of another writer may decode by chance, so each field is checked
    against the limits that a writer of this product observes.  A check that
    fails sets ERROR to GP_STATE_ERROR_INVALID with a message that begins with
-   PLACE, the name of the field.  */
+   FIELD, the name of the field.  */
 
 #ifndef GP_JOBS_FIELDS_H
 #define GP_JOBS_FIELDS_H
@@ -30,29 +30,29 @@
 #define GP_FIELD_WALL_MAX_MS INT64_C (253402300799999)
 
 /* Checks a name, which must not be empty; and a name that may be empty.  */
-bool gp_field_name (const char *text, const char *place, GError **error);
-bool gp_field_name_or_empty (const char *text, const char *place,
+bool gp_field_name (const char *text, const char *field, GError **error);
+bool gp_field_name_or_empty (const char *text, const char *field,
                              GError **error);
 
 /* Checks a UTF-8 text of at most MAX bytes.  */
 bool gp_field_text (const ProtobufCBinaryData *text, size_t max,
-                    const char *place, GError **error);
+                    const char *field, GError **error);
 
 /* Checks the name of a task, "ID.OCCURRENCE.STEP.INDEX".  */
-bool gp_field_task (const char *text, const char *place, GError **error);
+bool gp_field_task (const char *text, const char *field, GError **error);
 
 /* Checks an IP literal with a port other than zero.  */
-bool gp_field_address (const char *text, const char *place, GError **error);
+bool gp_field_address (const char *text, const char *field, GError **error);
 
 /* Checks a number in the range from MIN to MAX.  */
 bool gp_field_range (int64_t value, int64_t min, int64_t max,
-                     const char *place, GError **error);
+                     const char *field, GError **error);
 
 /* The same for a learned number; NaN and infinities are out of range.  */
-bool gp_field_real (double value, double min, double max, const char *place,
+bool gp_field_real (double value, double min, double max, const char *field,
                     GError **error);
 
-/* Sets ERROR to the message WHAT about PLACE.  Returns false.  */
-bool gp_field_fail (GError **error, const char *place, const char *what);
+/* Sets ERROR to the message WHAT about FIELD.  Returns false.  */
+bool gp_field_fail (GError **error, const char *field, const char *what);
 
 #endif
--- a/src/jobs/frames.c
+++ b/src/jobs/frames.c
@@ -14,16 +14,16 @@
 
 /* Reports of the same iteration of the event loop get distinct times, a
    microsecond apart, which therefore run ahead of the clock.  */
-#define ECHO_SLACK GP_MSEC
+#define SENT_AT_SLACK GP_MSEC
 
 /* Rows that are checked one by one.  */
 
 typedef bool (*check_row_t) (const ProtobufCMessage *row, GError **error);
 
-/* Removes the ROWS that CHECK rejects; PLACE is their name in the error.  */
+/* Removes the ROWS that CHECK rejects; FIELD is their name in the error.  */
 static void
-sift (void *rows, size_t *count, check_row_t check, const char *place,
-      GError **refused)
+remove_invalid (void *rows, size_t *count, check_row_t check,
+                const char *field, GError **refused)
 {
   ProtobufCMessage **messages = rows;
   size_t kept = 0;
@@ -37,7 +37,7 @@
           messages[kept++] = messages[i];
           continue;
         }
-      g_prefix_error (error, "%s[%zu].", place, i);
+      g_prefix_error (error, "%s[%zu].", field, i);
       protobuf_c_message_free_unpacked (messages[i], NULL);
     }
   *count = kept;
@@ -46,7 +46,7 @@
 /* Checks a run that an executor has reported.  A task name of any form is
    allowed, as tasks unknown to the scheduler are reported as well.  */
 static bool
-check_told_run (const char *task, uint32_t run, GError **error)
+check_reported_run (const char *task, uint32_t run, GError **error)
 {
   return gp_field_name (task, "task", error)
          && gp_field_range (run, 1, UINT32_MAX, "run", error);
@@ -59,7 +59,7 @@
 
   if (end->number == 0)
     return gp_field_fail (error, "number", "missing");
-  return check_told_run (end->task, end->run, error)
+  return check_reported_run (end->task, end->run, error)
          && gp_field_range (end->how, GP_END_DONE, GP_END_ALONE, "how", error)
          && gp_field_text (&end->checkpoint, GP_FIELD_CHECKPOINT_MAX,
                            "checkpoint", error);
@@ -70,7 +70,7 @@
 {
   const Gp__Jobs__TaskRun *run = (const Gp__Jobs__TaskRun *)row;
 
-  return check_told_run (run->task, run->run, error);
+  return check_reported_run (run->task, run->run, error);
 }
 
 static bool
@@ -127,13 +127,13 @@
 check_acknowledge (Gp__Jobs__Acknowledge *acknowledge, gp_time_t now,
                    GError **refused, GError **error)
 {
-  if (acknowledge->sent_at > now + ECHO_SLACK)
+  if (acknowledge->sent_at > now + SENT_AT_SLACK)
     return gp_field_fail (error, "acknowledge.sent_at", "in the future");
   if (acknowledge->n_headrooms != acknowledge->n_slopes)
     return gp_field_fail (error, "acknowledge.slopes",
                           "not as many as headrooms");
-  sift (acknowledge->weights, &acknowledge->n_weights, check_weights,
-        "weights", refused);
+  remove_invalid (acknowledge->weights, &acknowledge->n_weights, check_weights,
+                  "weights", refused);
   return check_fillings (acknowledge->fillings, acknowledge->n_fillings,
                          error);
 }
@@ -195,14 +195,14 @@
 
 /* The leader names only runs to which it has assigned the number itself.  */
 static bool
-check_runs (Gp__Jobs__TaskRun *const *runs, size_t count, const char *place,
+check_runs (Gp__Jobs__TaskRun *const *runs, size_t count, const char *field,
             GError **error)
 {
   for (size_t i = 0; i < count; i++)
     if (!gp_field_task (runs[i]->task, "task", error)
         || !gp_field_range (runs[i]->run, 1, UINT32_MAX, "run", error))
       {
-        g_prefix_error (error, "%s[%zu].", place, i);
+        g_prefix_error (error, "%s[%zu].", field, i);
         return false;
       }
   return true;
@@ -213,7 +213,7 @@
 {
   if (sync->number == 0)
     return gp_field_fail (error, "sync.number", "missing");
-  if (sync->after > now + ECHO_SLACK)
+  if (sync->after > now + SENT_AT_SLACK)
     return gp_field_fail (error, "sync.after", "in the future");
   return gp_field_name (sync->executor, "sync.executor", error)
          && check_starts (sync->starts, sync->n_starts, error);
@@ -271,18 +271,23 @@
         g_prefix_error (error, "report.lacking[%zu].", i);
         return false;
       }
-  sift (report->ends, &report->n_ends, check_end, "ends", refused);
-  sift (report->absent, &report->n_absent, check_run, "absent", refused);
-  sift (report->carried, &report->n_carried, check_run, "carried", refused);
-  sift (report->settled, &report->n_settled, check_run, "settled", refused);
-  sift (report->suspects, &report->n_suspects, check_run, "suspects", refused);
+  remove_invalid (report->ends, &report->n_ends, check_end, "ends", refused);
+  remove_invalid (report->absent, &report->n_absent, check_run, "absent",
+                  refused);
+  remove_invalid (report->carried, &report->n_carried, check_run, "carried",
+                  refused);
+  remove_invalid (report->settled, &report->n_settled, check_run, "settled",
+                  refused);
+  remove_invalid (report->suspects, &report->n_suspects, check_run, "suspects",
+                  refused);
   if (report->predecessor != NULL)
-    sift (report->predecessor->suspects, &report->predecessor->n_suspects,
-          check_run, "predecessor.suspects", refused);
-  sift (report->servings, &report->n_servings, check_serving, "servings",
-        refused);
-  sift (report->fillings, &report->n_fillings, check_filling, "fillings",
-        refused);
+    remove_invalid (report->predecessor->suspects,
+                    &report->predecessor->n_suspects, check_run,
+                    "predecessor.suspects", refused);
+  remove_invalid (report->servings, &report->n_servings, check_serving,
+                  "servings", refused);
+  remove_invalid (report->fillings, &report->n_fillings, check_filling,
+                  "fillings", refused);
   return true;
 }
 
--- a/src/jobs/grants.c
+++ b/src/jobs/grants.c
@@ -16,10 +16,10 @@
   gp_list_t link;
   char *node; /* owned */
   uint64_t incarnation;
-  uint64_t announced; /* incarnation of the newest process known on NODE */
-  uint64_t offset;    /* offset of its last record */
-  gp_time_t until;    /* until when it may grant leases */
-  gp_time_t fresh;    /* the same to guards that have started since */
+  uint64_t announced;    /* incarnation of the newest process known on NODE */
+  uint64_t offset;       /* offset of its last record */
+  gp_time_t until;       /* until when it may grant leases */
+  gp_time_t fresh_until; /* the same to guards that have started since */
 } gp_former_leader_t;
 
 void
@@ -74,7 +74,7 @@
 end_term (gp_former_leader_t *former, gp_time_t now)
 {
   former->until = MIN (former->until, now);
-  former->fresh = MIN (former->fresh, now);
+  former->fresh_until = MIN (former->fresh_until, now);
 }
 
 void
@@ -90,21 +90,22 @@
 {
   /* Records that are kept for good are read in the order of their keys,
      without those that they replaced, so that NEXT moves back and forth.  */
-  if (offset > MAX (grants->next, grants->told))
+  if (offset > MAX (grants->next, grants->leadership_next))
     gp_grants_leadership_unreadable (grants, now);
   grants->next = offset + 1;
 }
 
 static void
-hear (gp_grants_t *grants, const char *node, uint64_t incarnation,
-      uint64_t offset, gp_time_t until, gp_time_t fresh, gp_time_t now)
+update_leader (gp_grants_t *grants, const char *node, uint64_t incarnation,
+               uint64_t offset, gp_time_t until, gp_time_t fresh_until,
+               gp_time_t now)
 {
   gp_former_leader_t *former = find_or_add (grants, node);
 
   former->incarnation = incarnation;
   former->offset = offset;
   former->until = until;
-  former->fresh = fresh;
+  former->fresh_until = fresh_until;
   /* The topics are read concurrently: the next process on NODE may be known
      before the last record of this one is read.  */
   if (incarnation < former->announced)
@@ -114,8 +115,8 @@
 /* Replaces the state by that in RECORD, as earlier records of leaders were
    missed.  */
 static void
-take_told (gp_grants_t *grants, const Gp__Jobs__Leadership *record,
-           gp_time_t now)
+replace_formers (gp_grants_t *grants, const Gp__Jobs__Leadership *record,
+                 gp_time_t now)
 {
   GP_LIST_FOREACH (link, &grants->formers)
   end_term (GP_CONTAINER_OF (link, gp_former_leader_t, link), now);
@@ -123,9 +124,9 @@
     {
       const Gp__Jobs__Former *former = record->formers[i];
 
-      hear (grants, former->node, former->incarnation, former->offset,
-            now + (gp_time_t)former->until_ms * GP_MSEC,
-            now + (gp_time_t)former->fresh_ms * GP_MSEC, now);
+      update_leader (grants, former->node, former->incarnation, former->offset,
+                     now + (gp_time_t)former->until_ms * GP_MSEC,
+                     now + (gp_time_t)former->fresh_ms * GP_MSEC, now);
     }
   grants->unknown_until = now + (gp_time_t)record->unread_ms * GP_MSEC;
   grants->unknown_fresh_until
@@ -139,10 +140,10 @@
                            gp_time_t now)
 {
   if (grants->gap && record->tells_formers)
-    take_told (grants, record, now);
-  grants->told = MAX (grants->told, offset + 1);
-  hear (grants, record->node, record->incarnation, offset,
-        now + GP_GRANTS_TERM_TIME, now + GP_GRANTS_FRESH_TIME, now);
+    replace_formers (grants, record, now);
+  grants->leadership_next = MAX (grants->leadership_next, offset + 1);
+  update_leader (grants, record->node, record->incarnation, offset,
+                 now + GP_GRANTS_TERM_TIME, now + GP_GRANTS_FRESH_TIME, now);
   if (record->resigned)
     gp_grants_leader_ended (grants, record->node, now);
 }
@@ -173,7 +174,7 @@
     former->node = known->node;
     former->incarnation = known->incarnation;
     former->until_ms = milliseconds_left (known->until, now);
-    former->fresh_ms = milliseconds_left (known->fresh, now);
+    former->fresh_ms = milliseconds_left (known->fresh_until, now);
     former->offset = known->offset;
     g_ptr_array_add (formers, former);
   }
@@ -227,7 +228,7 @@
     const gp_former_leader_t *former
         = GP_CONTAINER_OF (link, gp_former_leader_t, link);
 
-    end = MAX (end, obeyed ? former->fresh : former->until);
+    end = MAX (end, obeyed ? former->fresh_until : former->until);
   }
   return end;
 }
--- a/src/jobs/grants.h
+++ b/src/jobs/grants.h
@@ -55,11 +55,11 @@
 
 typedef struct
 {
-  gp_list_t formers;       /* gp_former_leader_t, owned */
-  uint64_t next;           /* offset after the last record that was read */
-  uint64_t told;           /* offset after the last leader's record that was
-                              read, which lists all previous leaders */
-  bool gap;                /* records from offset TOLD on were missed */
+  gp_list_t formers;        /* gp_former_leader_t, owned */
+  uint64_t next;            /* offset after the last record that was read */
+  uint64_t leadership_next; /* offset after the last leader's record that was
+                               read, which lists all previous leaders */
+  bool gap; /* records from offset LEADERSHIP_NEXT on were missed */
   gp_time_t unknown_until; /* until when leaders that are not known may grant
                               leases */
   gp_time_t
--- a/src/jobs/quarantine.c
+++ b/src/jobs/quarantine.c
@@ -11,17 +11,17 @@
    first.  */
 typedef struct
 {
-  gp_time_t ends[GP_QUARANTINE_FAILURES];
+  gp_time_t failures[GP_QUARANTINE_FAILURES];
   gp_time_t waited_at; /* when a task of the queue last found no place in
                           quarantine */
   bool fits;           /* its work fitted into quarantine when it came under
                           suspicion */
-} record_t;
+} history_t;
 
 void
 gp_quarantine_init (gp_quarantine_t *quarantine)
 {
-  quarantine->chosen = false;
+  quarantine->is_active = false;
   quarantine->queues
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
@@ -32,23 +32,24 @@
   g_hash_table_destroy (quarantine->queues);
 }
 
-/* Returns until when the queue of RECORD is under suspicion.  */
+/* Returns until when the queue of HISTORY is under suspicion.  */
 static gp_time_t
-fresh_until (const record_t *record)
+suspicion_end (const history_t *history)
 {
-  gp_time_t oldest = record->ends[GP_QUARANTINE_FAILURES - 1];
-  gp_time_t until = MAX (record->ends[0], record->waited_at)
+  gp_time_t oldest = history->failures[GP_QUARANTINE_FAILURES - 1];
+  gp_time_t until = MAX (history->failures[0], history->waited_at)
                     + GP_QUARANTINE_SUSPICION_TIME;
 
-  if (oldest == 0 || record->ends[0] - oldest > GP_QUARANTINE_SUSPICION_TIME)
+  if (oldest == 0
+      || history->failures[0] - oldest > GP_QUARANTINE_SUSPICION_TIME)
     return 0;
-  return MIN (until, record->ends[0] + GP_QUARANTINE_MAX_TIME);
+  return MIN (until, history->failures[0] + GP_QUARANTINE_MAX_TIME);
 }
 
 static bool
-is_fresh (const record_t *record, gp_time_t now)
+is_suspect (const history_t *history, gp_time_t now)
 {
-  return now <= fresh_until (record);
+  return now <= suspicion_end (history);
 }
 
 /* Do the runs of QUEUE fit on the share of BOOK's executors that would be in
@@ -86,42 +87,42 @@
                               const gp_book_t *book, const char *queue,
                               gp_time_t now)
 {
-  record_t *record = g_hash_table_lookup (quarantine->queues, queue);
+  history_t *history = g_hash_table_lookup (quarantine->queues, queue);
   bool before;
 
-  if (record == NULL)
+  if (history == NULL)
     {
-      record = g_new0 (record_t, 1);
-      g_hash_table_insert (quarantine->queues, g_strdup (queue), record);
+      history = g_new0 (history_t, 1);
+      g_hash_table_insert (quarantine->queues, g_strdup (queue), history);
     }
-  before = is_fresh (record, now);
-  memmove (&record->ends[1], &record->ends[0],
-           (GP_QUARANTINE_FAILURES - 1) * sizeof record->ends[0]);
-  record->ends[0] = now;
-  if (before || !is_fresh (record, now))
+  before = is_suspect (history, now);
+  memmove (&history->failures[1], &history->failures[0],
+           (GP_QUARANTINE_FAILURES - 1) * sizeof history->failures[0]);
+  history->failures[0] = now;
+  if (before || !is_suspect (history, now))
     return;
-  record->fits = fits (book, queue);
+  history->fits = fits (book, queue);
   gp_log (GP_LOG_WARNING, "queue.suspect", GP_LOG_S ("queue", queue),
-          GP_LOG_I ("confined", record->fits));
+          GP_LOG_I ("confined", history->fits));
 }
 
 void
 gp_quarantine_record_waiting (gp_quarantine_t *quarantine, const char *queue,
                               gp_time_t now)
 {
-  record_t *record = g_hash_table_lookup (quarantine->queues, queue);
+  history_t *history = g_hash_table_lookup (quarantine->queues, queue);
 
-  if (record != NULL)
-    record->waited_at = now;
+  if (history != NULL)
+    history->waited_at = now;
 }
 
 bool
 gp_quarantine_is_suspect (const gp_quarantine_t *quarantine, const char *queue,
                           gp_time_t now)
 {
-  const record_t *record = g_hash_table_lookup (quarantine->queues, queue);
+  const history_t *history = g_hash_table_lookup (quarantine->queues, queue);
 
-  return record != NULL && record->fits && is_fresh (record, now);
+  return history != NULL && history->fits && is_suspect (history, now);
 }
 
 bool
@@ -133,9 +134,9 @@
   g_hash_table_iter_init (&iter, quarantine->queues);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const record_t *record = value;
+      const history_t *history = value;
 
-      if (record->fits && is_fresh (record, now))
+      if (history->fits && is_suspect (history, now))
         return true;
     }
   return false;
@@ -145,13 +146,13 @@
 {
   gp_job_executor_t *executor;
   int64_t at_stake;
-} rated_t;
+} candidate_t;
 
 static gint
-by_stake (gconstpointer a, gconstpointer b)
+compare_candidates (gconstpointer a, gconstpointer b)
 {
-  const rated_t *left = a;
-  const rated_t *right = b;
+  const candidate_t *left = a;
+  const candidate_t *right = b;
 
   if (left->executor->quarantined != right->executor->quarantined)
     return left->executor->quarantined ? -1 : 1;
@@ -164,9 +165,9 @@
    with the least work to lose.  Sets DOWN to the number of executors in
    quarantine that do not answer.  */
 static GArray *
-rate (const gp_book_t *book, gp_time_t now, guint *down)
+rate_executors (const gp_book_t *book, gp_time_t now, guint *down)
 {
-  GArray *rated = g_array_new (FALSE, FALSE, sizeof (rated_t));
+  GArray *candidates = g_array_new (FALSE, FALSE, sizeof (candidate_t));
   GHashTableIter iter;
   gpointer value;
 
@@ -174,34 +175,34 @@
   g_hash_table_iter_init (&iter, book->executors);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      rated_t row = { .executor = value };
+      candidate_t candidate = { .executor = value };
 
-      if (row.executor->dead || !row.executor->reachable
-          || row.executor->draining)
+      if (candidate.executor->dead || !candidate.executor->reachable
+          || candidate.executor->draining)
         continue;
-      if (row.executor->down)
+      if (candidate.executor->down)
         {
-          *down += row.executor->quarantined;
+          *down += candidate.executor->quarantined;
           continue;
         }
-      row.at_stake = gp_suspicion_at_stake (row.executor, now);
-      g_array_append_val (rated, row);
+      candidate.at_stake = gp_suspicion_at_stake (candidate.executor, now);
+      g_array_append_val (candidates, candidate);
     }
-  g_array_sort (rated, by_stake);
-  return rated;
+  g_array_sort (candidates, compare_candidates);
+  return candidates;
 }
 
 /* Clears the quarantine.  Executors are rated only while there is one, as
    there may be many.  */
 static void
-choose_none (gp_quarantine_t *quarantine, const gp_book_t *book)
+clear_quarantine (gp_quarantine_t *quarantine, const gp_book_t *book)
 {
   GHashTableIter iter;
   gpointer value;
 
-  if (!quarantine->chosen)
+  if (!quarantine->is_active)
     return;
-  quarantine->chosen = false;
+  quarantine->is_active = false;
   g_hash_table_iter_init (&iter, book->executors);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     ((gp_job_executor_t *)value)->quarantined = false;
@@ -214,18 +215,19 @@
   guint down;
   guint wanted;
   guint count;
-  GArray *rated;
+  GArray *candidates;
 
   if (!gp_quarantine_is_active (quarantine, now))
     {
-      choose_none (quarantine, book);
+      clear_quarantine (quarantine, book);
       return;
     }
-  quarantine->chosen = true;
-  rated = rate (book, now, &down);
-  wanted = MAX ((rated->len + down) / GP_QUARANTINE_SHARE, 1);
+  quarantine->is_active = true;
+  candidates = rate_executors (book, now, &down);
+  wanted = MAX ((candidates->len + down) / GP_QUARANTINE_SHARE, 1);
   count = wanted > down ? wanted - down : 0;
-  for (guint i = 0; i < rated->len; i++)
-    g_array_index (rated, rated_t, i).executor->quarantined = i < count;
-  g_array_free (rated, TRUE);
+  for (guint i = 0; i < candidates->len; i++)
+    g_array_index (candidates, candidate_t, i).executor->quarantined
+        = i < count;
+  g_array_free (candidates, TRUE);
 }
--- a/src/jobs/retry_after.h
+++ b/src/jobs/retry_after.h
@@ -18,12 +18,12 @@
 
 typedef struct
 {
-  gp_time_t store_away; /* for how long the store has not answered, a duration;
-                           0: it answers, and only this process is not
-                           ready */
-  gp_time_t store_time; /* how long the store takes to answer, a duration */
-  gp_time_t patience;   /* for how long the caller waits in all, a duration */
-  uint32_t spread;      /* any number that differs between requests */
+  gp_time_t store_outage; /* for how long the store has not answered, a
+                             duration; 0: it answers, and only this process is
+                             not ready */
+  gp_time_t store_time;   /* how long the store takes to answer, a duration */
+  gp_time_t timeout; /* for how long the caller waits in all, a duration */
+  uint32_t jitter;   /* any number that differs between requests */
 } gp_retry_after_t;
 
 /* Returns the delay in seconds, at least 1.  */
--- a/src/jobs/write_request.c
+++ b/src/jobs/write_request.c
@@ -11,29 +11,29 @@
 #define MARGIN_SHARE 3
 /* Least remaining timeout with which a refused caller can try again: the
    shortest delay that it can be told, and some time for the next try.  */
-#define RETURN_TIME (1300 * GP_MSEC)
+#define MIN_RETRY_TIMEOUT (1300 * GP_MSEC)
 /* Share of the timeout, in thousandths, for which the last try of a caller
    waits.  */
 #define LAST_TRY_PERMILLE 450
 
 gp_time_t
-gp_write_request_deadline (gp_time_t now, gp_time_t patience)
+gp_write_request_deadline (gp_time_t now, gp_time_t timeout)
 {
-  return now + patience - MIN (ANSWER_MARGIN, patience / MARGIN_SHARE);
+  return now + timeout - MIN (ANSWER_MARGIN, timeout / MARGIN_SHARE);
 }
 
 gp_time_t
-gp_write_request_refuse_at (gp_time_t now, gp_time_t patience)
+gp_write_request_refuse_at (gp_time_t now, gp_time_t timeout)
 {
-  if (gp_write_request_can_retry (patience))
-    return gp_write_request_deadline (now, patience);
-  return now + patience * LAST_TRY_PERMILLE / 1000;
+  if (gp_write_request_can_retry (timeout))
+    return gp_write_request_deadline (now, timeout);
+  return now + timeout * LAST_TRY_PERMILLE / 1000;
 }
 
 bool
-gp_write_request_can_retry (gp_time_t patience)
+gp_write_request_can_retry (gp_time_t timeout)
 {
-  return patience >= RETURN_TIME;
+  return timeout >= MIN_RETRY_TIMEOUT;
 }
 
 bool
--- a/src/jobs/write_request.h
+++ b/src/jobs/write_request.h
@@ -19,16 +19,16 @@
 #include "base/time.h"
 
 /* Returns when the answer is due to a caller whose request arrives at NOW and
-   that waits for PATIENCE, a duration.  */
-gp_time_t gp_write_request_deadline (gp_time_t now, gp_time_t patience);
+   that waits for TIMEOUT, a duration.  */
+gp_time_t gp_write_request_deadline (gp_time_t now, gp_time_t timeout);
 
 /* Returns when that caller is refused at the latest, unless a record for it
    has been begun.  */
-gp_time_t gp_write_request_refuse_at (gp_time_t now, gp_time_t patience);
+gp_time_t gp_write_request_refuse_at (gp_time_t now, gp_time_t timeout);
 
-/* Can a caller whose remaining timeout is PATIENCE try again if it is
+/* Can a caller whose remaining timeout is TIMEOUT try again if it is
    refused?  */
-bool gp_write_request_can_retry (gp_time_t patience);
+bool gp_write_request_can_retry (gp_time_t timeout);
 
 /* May a record that takes STORE_TIME, a duration, to write be begun at NOW, if
    the answer to its caller is due at DEADLINE?  */
--- a/src/jobsd/job_answers.c
+++ b/src/jobsd/job_answers.c
@@ -54,8 +54,8 @@
   char *body = gp_platform_error_body (why);
   char seconds[16];
 
-  refusal.patience = gp_job_patience (exchange);
-  refusal.spread = g_random_int ();
+  refusal.timeout = gp_job_patience (exchange);
+  refusal.jitter = g_random_int ();
   g_snprintf (seconds, sizeof seconds, "%u", gp_retry_after_s (&refusal));
 
   const gp_http_header_t headers[]
--- a/src/jobsd/job_answers.h
+++ b/src/jobsd/job_answers.h
@@ -18,7 +18,7 @@
                           const char *why);
 
 /* The same with 503: nothing was done, and the caller is to come back by what
-   REFUSAL says, in which patience and spread are filled in.  */
+   REFUSAL says, in which timeout and jitter are filled in.  */
 void gp_job_refuse (gp_http_exchange_t *exchange, const char *why,
                     gp_retry_after_t refusal);
 
--- a/src/jobsd/jobs_front.c
+++ b/src/jobsd/jobs_front.c
@@ -94,7 +94,7 @@
   gp_retry_after_t refusal = { .store_time = front->latency };
 
   if (front->failing_since != 0)
-    refusal.store_away = gp_loop_now (front->loop) - front->failing_since;
+    refusal.store_outage = gp_loop_now (front->loop) - front->failing_since;
   gp_job_refuse (exchange, why, refusal);
 }
 
--- a/tests/unit/test_retry_after.c
+++ b/tests/unit/test_retry_after.c
@@ -13,10 +13,10 @@
 show (const char *what, gp_time_t away, gp_time_t time, gp_time_t patience,
       uint32_t spread)
 {
-  const gp_retry_after_t refusal = { .store_away = away,
+  const gp_retry_after_t refusal = { .store_outage = away,
                                      .store_time = time,
-                                     .patience = patience,
-                                     .spread = spread };
+                                     .timeout = patience,
+                                     .jitter = spread };
 
   printf ("  %s: %u s\n", what, gp_retry_after_s (&refusal));
 }
@@ -62,11 +62,10 @@
 
       for (; now <= begin + patience; outcome.tries++)
         {
-          const gp_retry_after_t refusal
-              = { .store_away = now,
-                  .store_time = 4 * GP_MSEC,
-                  .patience = begin + patience - now,
-                  .spread = g_rand_int (random) };
+          const gp_retry_after_t refusal = { .store_outage = now,
+                                             .store_time = 4 * GP_MSEC,
+                                             .timeout = begin + patience - now,
+                                             .jitter = g_rand_int (random) };
 
           if (now >= outage)
             {
