--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -400,11 +400,11 @@
   return false;
 }
 
-/* Takes ownership of *PLACE, if it is kept.  */
+/* Takes ownership of *SLOT, if it is kept, and clears it.  */
 static void
-add_start (gp_agent_t *agent, Gp__Jobs__Start **place)
+add_start (gp_agent_t *agent, Gp__Jobs__Start **slot)
 {
-  Gp__Jobs__Start *start = *place;
+  Gp__Jobs__Start *start = *slot;
   gp_agent_run_t *run = g_hash_table_lookup (agent->runs, start->task);
 
   if (gp_agent_run_has_ended (agent, start->task, start->run))
@@ -416,7 +416,7 @@
   if (run->start == NULL)
     {
       run->start = start;
-      *place = NULL;
+      *slot = NULL;
       agent->plan_is_stale = true;
     }
 }
