--- a/tests/unit/agent_messages.c
+++ b/tests/unit/agent_messages.c
@@ -1,4 +1,4 @@
-/* Messages that an agent takes over.  */
+/* Messages of which an agent takes ownership.  */
 
 #include "agent_messages.h"
 
--- a/tests/unit/fake_executor.c
+++ b/tests/unit/fake_executor.c
@@ -1,4 +1,4 @@
-/* An executor in virtual time.  */
+/* A simulated executor in virtual time.  */
 
 #include "fake_executor.h"
 
--- a/tests/unit/fake_executor.h
+++ b/tests/unit/fake_executor.h
@@ -1,5 +1,5 @@
-/* An executor in virtual time, as the platform describes it: fences, leases
-   on a clock of its own, orders that are carried out late.  */
+/* A simulated executor in virtual time, as the platform describes it: fences,
+   leases on its own clock, and orders that are carried out late.  */
 
 #ifndef GP_TESTS_FAKE_EXECUTOR_H
 #define GP_TESTS_FAKE_EXECUTOR_H
@@ -11,23 +11,26 @@
   char task[GP_TASK_NAME_SIZE];
   uint32_t run;
   gp_time_t done_at;
-  bool early;        /* begun under a fence of the life before */
-  gp_time_t stop_at; /* GP_TIME_NEVER: it is not being stopped */
+  bool early;        /* started with a fence of the previous incarnation */
+  gp_time_t stop_at; /* GP_TIME_NEVER: not being stopped */
 } fake_run_t;
 
 typedef struct
 {
-  gp_time_t slow_permille; /* how much slower than time its clock runs */
-  int64_t clock_offset_ms; /* of this life's clock */
-  int64_t birth_fence; /* the highest before this life, 0: it is the first */
+  gp_time_t slow_permille; /* how much slower its clock runs, in
+                              thousandths */
+  int64_t clock_offset_ms; /* offset of this incarnation's clock */
+  int64_t birth_fence; /* highest fence before this incarnation, 0: it is the
+                          first */
   int64_t fence;
-  int64_t lease_ms; /* on its clock */
+  int64_t lease_ms; /* end of the lease on its clock */
   GArray *runs;     /* fake_run_t */
   GPtrArray *ends;  /* Gp__Jobs__End, owned, not confirmed */
   uint64_t end_count;
-  GHashTable *highest; /* task to the highest run stopped or ended */
-  GHashTable *starts;  /* "task/run" to how often it was started */
-  gp_time_t work_time; /* of a run */
+  GHashTable *highest; /* task to the highest run that was stopped or has
+                          ended */
+  GHashTable *starts;  /* "task/run" to the number of its starts */
+  gp_time_t work_time; /* duration of a run */
 } fake_executor_t;
 
 void fake_executor_init (fake_executor_t *fake);
@@ -35,7 +38,7 @@
 
 int64_t fake_executor_clock (const fake_executor_t *fake, gp_time_t now);
 
-/* End what is due by NOW.  */
+/* Ends the runs that are due by NOW.  */
 void fake_executor_advance (fake_executor_t *fake, gp_time_t now);
 
 gp_agent_result_t fake_executor_start (fake_executor_t *fake, const char *task,
@@ -48,11 +51,11 @@
                                       uint64_t confirmed, int64_t lease_ms,
                                       int64_t fence, gp_time_t now);
 
-/* AGENT takes in what the executor lists, asked for at SENT_AT.  */
+/* AGENT receives the executor's list, requested at SENT_AT.  */
 void fake_executor_list (const fake_executor_t *fake, gp_agent_t *agent,
                          gp_time_t sent_at, gp_time_t now);
 
-/* Is RUN of TASK at work?  */
+/* Is RUN of TASK running?  */
 bool fake_executor_runs (const fake_executor_t *fake, const char *task,
                          uint32_t run);
 
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -1,4 +1,4 @@
-/* Tests of the guard's decisions: a scripted transcript.  */
+/* Tests of the guard's agent: a scripted transcript.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -43,7 +43,7 @@
 static const char *const phase_names[]
     = { "starting", "present", "stopping", "stopped", "absent" };
 
-/* Make the next call and give it RESULT.  */
+/* Makes the next call, whose outcome is RESULT.  */
 static void
 call (gp_agent_t *agent, gp_agent_result_t result, gp_time_t now)
 {
@@ -173,8 +173,8 @@
   gp_agent_finish (&agent);
 }
 
-/* The lease that the next list would carry, in milliseconds beyond NOW on the
-   executor's clock; 0: none.  */
+/* Returns the lease that the next list would carry, in milliseconds after the
+   reading of the executor's clock; 0: none.  */
 static int
 lease_left (gp_agent_t *agent, gp_time_t now)
 {
@@ -229,8 +229,8 @@
   gp_agent_finish (&agent);
 }
 
-/* What users saw: a guard that had begun anew was refused for its fence to the
-   end of the day.  */
+/* Regression test: after a restart of the guard its fence was too low, and the
+   executor rejected all its calls for the rest of the day.  */
 static void
 test_fence_rises (void)
 {
@@ -313,7 +313,7 @@
   printf ("\n");
 }
 
-/* A run is listed for AGE, then its executor goes down.  */
+/* The executor fails after a run was listed for AGE.  */
 static void
 crash_after (gp_time_t age, bool gang)
 {
@@ -370,8 +370,8 @@
   gp_agent_finish (&agent);
 }
 
-/* Tell which run of the agent the executor may have gone down for, by the
-   flags of its predecessor's suspects.  */
+/* Prints the runs that may have caused the executor's failure, with the flags
+   of its predecessor's suspects.  */
 static void
 show_beginners (gp_agent_t *agent, const char *what, gp_time_t now)
 {
@@ -385,8 +385,8 @@
   gp_agent_finish (agent);
 }
 
-/* TASK was started OLDER ago and OTHER at NOW, with the result STARTED; then a
-   call to the executor fails with RESULT after DELAY.  */
+/* TASK was started at NOW - OLDER, and OTHER at NOW with the outcome STARTED;
+   a call to the executor fails with RESULT after DELAY.  */
 static void
 crash_beside (const char *what, gp_time_t older, gp_agent_result_t started,
               gp_agent_result_t result, gp_time_t delay)
@@ -408,10 +408,10 @@
   show_beginners (&agent, what, now + 3 * GP_SEC);
 }
 
-/* What users saw: honest jobs were failed for work that had begun beside them
-   up to a second later.  The cause: all that had not settled counted alike.
-   An executor's end shows at once where its side ends the connection, or
-   refuses one between two lists.  */
+/* Regression test: jobs were failed for other work that had begun on their
+   executor up to a second later, as all runs that had not settled were held
+   equally responsible.  A failure is noticed at once if the executor closes
+   the connection, or refuses one between two lists.  */
 static void
 test_beginners (void)
 {
--- a/tests/unit/test_agent_measure.c
+++ b/tests/unit/test_agent_measure.c
@@ -1,6 +1,6 @@
-/* Tests of what a guard makes of its executor's measures: a busy filling run
-   is slowed down, one in a light phase is not, and a run that stays over its
-   target makes it doubt the phases.  */
+/* Tests of the agent's evaluation of measurements: a busy filling run is
+   slowed down and one in a light phase is not, until a serving run stays over
+   its target, which shows that the phases are not what they seem.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -52,14 +52,15 @@
                    gp_pressure_place (&agent->pacer.pressure, "f"), 0.9);
 }
 
-/* The leader says that the serving run has HEADROOM without filling work.  */
+/* The leader reports the headroom of the serving run without filling runs.  */
 static void
 teach (gp_agent_t *agent, int32_t headroom_permille, gp_time_t now)
 {
   gp_agent_set_load (agent, SERVING, headroom_permille, 0, now);
 }
 
-/* The executor lists a tail of TAIL_MS and what A and B use.  */
+/* The executor lists a tail latency of TAIL_MS and the CPU that A and B
+   use.  */
 static void
 list (gp_agent_t *agent, int64_t tail_ms, int64_t a, int64_t b, gp_time_t now)
 {
@@ -134,7 +135,7 @@
   gp_agent_finish (&agent);
 }
 
-/* What has ended presses in the measures for half a second more.  */
+/* A run that has ended affects the measurements for another half second.  */
 static void
 test_gone (void)
 {
@@ -162,10 +163,9 @@
   gp_agent_finish (&agent);
 }
 
-/* A serving run that has just started tells nothing of its load.  */
-/* What users saw: a run that lasts was over its target for four seconds by
-   what worked beside it, from its start on.  The cause: its load was known
-   only a second later, and the plan passed it over until then.  */
+/* Regression test: a long-running run was over its target for its first four
+   seconds because of filling runs.  Its load was known only after a second,
+   and the plan did not consider it until then.  */
 static void
 test_unknown_load (void)
 {
@@ -183,6 +183,8 @@
   gp_agent_finish (&agent);
 }
 
+/* The measurements of a serving run that has just started do not show its
+   load.  */
 static void
 test_warm (void)
 {
--- a/tests/unit/test_agent_random.c
+++ b/tests/unit/test_agent_random.c
@@ -1,4 +1,4 @@
-/* Random runs of a guard's decisions against an executor that leaves calls
+/* Random tests of the guard's agent with an executor that leaves calls
    unanswered and carries them out late.  */
 
 #include <glib.h>
@@ -11,16 +11,16 @@
 
 #define TASK "00000000000000aa.0.0.0"
 
-/* One task at a time is wanted, as a leader would have it: run N + 1 only
-   after run N is known ended or absent.  */
+/* The leader wants one task at a time, and run N + 1 only after run N is known
+   to have ended or to be absent.  */
 
 #define STEP (20 * GP_MSEC)
 #define STEPS 1500
 
-/* A call on its way: carried out at DUE, answered unless LOST.  */
+/* A call under way: carried out at DUE, and answered unless LOST.  */
 typedef struct
 {
-  gp_agent_call_kind_t kind; /* NONE: a list */
+  gp_agent_call_kind_t kind; /* GP_AGENT_CALL_NONE: a list */
   char name[GP_TASK_NAME_SIZE];
   uint32_t run;
   int64_t fence;
@@ -29,7 +29,7 @@
   gp_time_t sent_at;
   gp_time_t due;
   bool lost;
-  gp_time_t gives_up; /* the agent takes it as unanswered then */
+  gp_time_t gives_up; /* the agent treats it as unanswered from then on */
 } flight_t;
 
 typedef struct
@@ -40,8 +40,8 @@
   GArray *flights;
   gp_time_t now;
   bool listing;
-  uint32_t wanted;   /* the leader's run, 0: none */
-  uint32_t given_up; /* runs up to here may be at work no more */
+  uint32_t wanted;   /* the run that the leader wants, 0: none */
+  uint32_t given_up; /* runs up to this one must not run any more */
   uint32_t done_runs;
 } world_t;
 
@@ -165,7 +165,7 @@
     }
 }
 
-/* What the leader would do with a report made now.  */
+/* Does what the leader would do on a report made now.  */
 static void
 lead (world_t *world)
 {
@@ -221,7 +221,7 @@
     }
 }
 
-/* A run that was given up is not at work, now or later.  */
+/* Checks that no run that was given up is running.  */
 static void
 check_world (world_t *world)
 {
@@ -254,7 +254,7 @@
                          world->now);
 }
 
-/* Returns the number of runs that were done.  */
+/* Returns the number of runs that completed.  */
 static uint32_t
 play (guint32 seed)
 {
--- a/tests/unit/test_alone.c
+++ b/tests/unit/test_alone.c
@@ -1,9 +1,9 @@
-/* Tests of starts that are to be alone, at a guard: what begins beside them.
+/* Tests of isolated starts at a guard, and of what begins beside them.
 
-   What users saw: a task that takes its executors down was started six times
-   and more.  Its starts were alone by the leader's word, and their ends told
-   nothing: a start of another job, made before and not answered, might have
-   begun at any time.  */
+   Regression tests: a task that takes its executors down was started six times
+   and more.  The leader had isolated its starts, but the failures proved
+   nothing: an earlier, unanswered start of another job might have begun at any
+   time.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -23,7 +23,7 @@
   gp_time_t now;
 } guard_t;
 
-/* The leader orders a start of TASK, which is to be ALONE or not.  */
+/* The leader orders a start of TASK, isolated if ALONE.  */
 static void
 order (guard_t *guard, const char *task, bool alone)
 {
@@ -51,8 +51,8 @@
   agent_sync_with (&guard->agent, OTHER, 0, 0);
 }
 
-/* The executor's list, asked for with the fence that there is, shows RUNNING
-   and ANOTHER (NULL: nothing) 20 ms later.  */
+/* The executor's list, requested with the current fence, arrives 20 ms later
+   and shows RUNNING and ANOTHER (NULL: nothing).  */
 static void
 list (guard_t *guard, const char *running, const char *another)
 {
@@ -75,7 +75,7 @@
   return strcmp (task, SIBLING) == 0 ? "sibling" : "other";
 }
 
-/* Print the calls that are made now; each comes to RESULT.  */
+/* Makes and prints all calls that are due, each with the outcome RESULT.  */
 static void
 call (guard_t *guard, gp_agent_result_t result)
 {
@@ -119,7 +119,7 @@
           row.unanswered ? "may have begun" : "", row.alone ? ", alone" : "");
 }
 
-/* A start of OTHER is not answered, and SUSPECT is ordered behind it.  */
+/* A start of OTHER goes unanswered, and SUSPECT is ordered after it.  */
 static void
 leave_unanswered (guard_t *guard)
 {
@@ -132,7 +132,8 @@
   call (guard, GP_AGENT_ACCEPTED);
 }
 
-/* What the soak and the scripts of late orders saw.  */
+/* Regression test: soak runs and the scripts of late orders found this
+   case.  */
 static void
 test_unanswered_beside (void)
 {
@@ -192,7 +193,8 @@
   gp_agent_finish (&guard.agent);
 }
 
-/* Its own starts: each is void before the next one.  */
+/* The suspect's own start goes unanswered: each one is invalidated before the
+   next is made.  */
 static void
 test_unanswered (void)
 {
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -1,6 +1,6 @@
-/* Tests of what leases may be left: a scripted transcript, and random runs of
-   leaders that are killed, frozen, cut off and restarted with the guard of an
-   executor that is so as well.  */
+/* Tests of the terms of previous leaders: a scripted transcript, and random
+   runs in which the leaders and the guard of an executor are killed, frozen,
+   cut off and restarted.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -19,8 +19,8 @@
           (int)(gp_grants_end_time (grants, true) / GP_MSEC));
 }
 
-/* The record at OFFSET of process INCARNATION on NODE was read, and all before
-   it.  */
+/* The record at OFFSET of process INCARNATION on NODE was read, and all
+   earlier ones.  */
 static void
 hear (gp_grants_t *grants, const char *node, uint64_t incarnation,
       uint64_t offset, gp_time_t now)
@@ -141,10 +141,10 @@
   gp_grants_finish (&writer);
 }
 
-/* Random runs.  The log and the announcements are arrays; entries read them
-   when they reach the store.  A leader that takes the executor for dead has to
-   be right: its lease is over, and no leader of an earlier epoch moves it on
-   again.  */
+/* Random runs.  The log and the announcements are arrays, which the entries
+   read when they can reach the store.  When a leader declares the executor
+   dead, its lease must have expired, and no leader of an earlier epoch may
+   extend it afterwards.  */
 
 #define ENTRIES 3
 #define STEP (50 * GP_MSEC)
@@ -165,39 +165,42 @@
   uint64_t incarnation;
   gp_grants_t grants;
   char name[4];
-  guint read;  /* records */
-  guint heard; /* announcements */
+  guint read;  /* records read */
+  guint heard; /* announcements read */
   bool leads;
   guint epoch;
-  guint end; /* of the log, as far as it wrote it */
+  guint end; /* end of the log after its last record */
   gp_time_t confirmed_at;
   gp_time_t heard_at;
-  gp_time_t down_until; /* killed */
+  gp_time_t down_until; /* killed until then */
   gp_time_t frozen_until;
-  gp_time_t cut_until;    /* from the store */
-  gp_time_t parted_until; /* from the guard */
-  gp_time_t reported_at;  /* this leader has heard of the executor */
-  gp_time_t linked_at;    /* ... and of its guard */
-  gp_time_t obeyed_at;    /* ... and of that for the first time */
-  bool dead;              /* it takes the executor for dead */
+  gp_time_t cut_until;    /* cut off from the store */
+  gp_time_t parted_until; /* cut off from the guard */
+  gp_time_t reported_at;  /* when the executor was last reported to this
+                             leader */
+  gp_time_t linked_at;    /* when its guard last reported to this leader */
+  gp_time_t obeyed_at;    /* when its guard first reported to this leader */
+  bool dead;              /* it has declared the executor dead */
 } entry_t;
 
 typedef struct
 {
   GRand *random;
   gp_time_t now;
-  GPtrArray *log;        /* GBytes, owned: records of leaders */
+  GPtrArray *log;        /* GBytes, owned: the leaders' records */
   GArray *announcements; /* announcement_t */
   entry_t entries[ENTRIES];
   gp_agent_t agent;
-  guint obeys; /* epoch */
+  guint obeys; /* epoch of the leader that the guard obeys */
   gp_time_t sent_at;
   gp_time_t guard_down_until;
-  gp_time_t known_at; /* the guard meets the executor then */
+  gp_time_t known_at; /* the guard learns of the executor then */
   gp_time_t lease_end;
-  guint dead_epoch; /* the executor is dead for this leader */
+  guint dead_epoch; /* epoch of the leader that has declared the executor dead,
+                       0: none */
   unsigned deaths;
-  gp_time_t waited; /* by the longest wait for a death */
+  gp_time_t waited; /* longest time from the failure of the executor to its
+                       being declared dead */
   uint64_t incarnations;
 } world_t;
 
@@ -238,7 +241,7 @@
   gp__jobs__leadership__free_unpacked (record, NULL);
 }
 
-/* Of what was written before, only the newest record is kept.  */
+/* Of the earlier records only the newest is kept.  */
 static void
 read_newest (world_t *world, entry_t *entry)
 {
@@ -248,8 +251,8 @@
     read_record (world, entry, world->log->len - 1);
 }
 
-/* Of the announcements, too, only the newest of each entry is kept; it may be
-   older than the records.  */
+/* Of the announcements, only the newest of each entry is kept; it may be older
+   than the records.  */
 static void
 read_newest_announcements (world_t *world, entry_t *entry)
 {
@@ -332,7 +335,7 @@
 static void
 meet_store (world_t *world, entry_t *entry)
 {
-  /* The topics are not read in step.  */
+  /* The topics are not read at the same pace.  */
   if (chance (world, 0.7))
     read_announcements (world, entry);
   if (entry->leads && entry->end != world->log->len)
@@ -361,7 +364,7 @@
     }
 }
 
-/* The guard reports to ENTRY and is acknowledged.  */
+/* The guard reports to ENTRY, which acknowledges it.  */
 static void
 meet_guard (world_t *world, entry_t *entry)
 {
@@ -404,7 +407,7 @@
   if (!entry->leads || spoken_for || entry->dead
       || world->now <= gp_agent_lease_end (given))
     return;
-  /* It decides only what it can write down.  */
+  /* A leader decides only what it can record.  */
   if (world->now < entry->cut_until || entry->end != world->log->len)
     return;
   entry->dead = true;
@@ -443,14 +446,14 @@
     gp_agent_set_executor (agent, agent_executor_new ("x1"), 5000, world->now);
   if (agent->executor == NULL)
     return;
-  /* The executor answers all the time: the worst case.  */
+  /* The executor answers at any time, which is the worst case.  */
   agent->heard_at = world->now;
   if (gp_agent_list_lease (agent, world->now) > 0)
     world->lease_end = MAX (world->lease_end,
                             agent->lease + GP_AGENT_LEASE_TIME * 1000 / 980);
   if (gp_agent_lease_lapsed (agent, world->now))
     {
-      /* As after a sync that takes the lapse into account.  */
+      /* As after a sync that takes the expiry into account.  */
       agent->lapsed = false;
       agent->lease = agent->granted;
     }
@@ -466,9 +469,9 @@
   gp_agent_init (&world->agent, 0, world->guard_down_until);
 }
 
-/* The guard reaches a former leader only, which the store has been cut off
-   from; by turns it starts anew, and has forgotten whom it obeyed, and the
-   other entries do, and have to learn who has led.  */
+/* The guard reaches only a previous leader, which is cut off from the store.
+   In some cases the guard restarts and no longer knows which leader it obeyed,
+   or the other entries restart and have to learn which leaders there were.  */
 static void
 part (world_t *world)
 {
--- a/tests/unit/test_hand_in.c
+++ b/tests/unit/test_hand_in.c
@@ -1,9 +1,11 @@
-/* Tests of how long hand-ins wait for the store.  What users saw: a store that
-   was away for five seconds, and callers whose last try came just before or
-   just after it was back were told at once that it does not answer, or that
-   nothing is known of their job, while it would have been written down within
-   milliseconds.  Played here: callers that come all through an outage and come
-   back a second after each refusal, by the rules and by those before.  */
+/* Tests of the timeouts of write requests.
+
+   Regression tests: during an outage of the store of five seconds, callers
+   whose last try came just before or after its end were told at once that the
+   store does not answer, or that nothing is known of their job, although a
+   record would have taken milliseconds.  Simulated are callers that arrive
+   throughout an outage and try again a second after each refusal, with the
+   current rules and the previous ones.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -15,7 +17,7 @@
 #define PATIENCE (3 * GP_SEC)
 #define BACK_AT (5 * GP_SEC)
 #define STORE_TIME (8 * GP_MSEC)
-/* A caller that may return is refused after this.  */
+/* A caller that can try again is refused after this time.  */
 #define REFUSE_TIME (200 * GP_MSEC)
 #define MARGIN_BEFORE (300 * GP_MSEC)
 
@@ -44,8 +46,8 @@
     }
 }
 
-/* Is a hand-in that comes at NOW, with PATIENCE left, written down and
-   answered in time?  If not, *UNTIL is when it is refused.  */
+/* Is a write request that arrives at NOW, with the remaining timeout PATIENCE,
+   recorded and answered in time?  If not, it is refused at *UNTIL.  */
 static bool
 is_served (gp_time_t now, gp_time_t patience, gp_time_t *until)
 {
@@ -59,8 +61,8 @@
          && gp_write_request_is_in_time (deadline, STORE_TIME, begin);
 }
 
-/* By the rules before: each is refused soon, and whoever has less patience
-   than the margin gets no answer in time.  */
+/* The previous rules: each request is refused soon, and a caller whose
+   remaining timeout is shorter than the margin gets no answer in time.  */
 static bool
 was_served (gp_time_t now, gp_time_t patience, gp_time_t *until)
 {
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -1,5 +1,5 @@
-/* Tests of executors that start again under the id that they had: what is
-   decoded of their lives, and what a guard and a leader begin anew.  */
+/* Tests of executors that restart under the same id: decoding of their
+   incarnations, and what a guard and a leader reset.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -16,7 +16,7 @@
 #define TASK "00000000000000aa.0.0.0"
 #define ID "x1"
 
-/* What is decoded.  */
+/* Decoding.  */
 
 static const char *const borns[] = {
   "",
@@ -49,7 +49,7 @@
   gp_heartbeat_finish (&beat);
 }
 
-/* A list that is asked of a life born at ASKED_MS.  */
+/* Prints a list that was requested from the incarnation born at ASKED_MS.  */
 static void
 print_list (const char *born, int64_t asked_ms)
 {
@@ -124,8 +124,8 @@
       agent->is_synced);
 }
 
-/* What users saw: a task ran again after its end was noted, as the end's
-   number was one that the life before had used.  */
+/* Regression test: a task ran again after its end was noted, as the number of
+   the end had been used by the previous incarnation.  */
 static void
 test_ends_of_next_life (void)
 {
@@ -167,8 +167,8 @@
           gp_agent_list_lease (agent, now) > 0, agent->fence);
 }
 
-/* Ends, leases and orders of a life must not reach the next one before that is
-   known.  */
+/* Confirmed ends, leases and orders of an incarnation must not reach the next
+   one before it is known.  */
 static void
 test_doubt (void)
 {
@@ -237,9 +237,9 @@
   jobs_site_finish (&site);
 }
 
-/* What a soak saw: a start of the life before was carried out by the next one
-   while its task waited to run again; its end was noted, and the task run once
-   more.  */
+/* Regression test: the next incarnation carried out a start of the previous
+   one while the task waited to run again; its end was noted, and the task ran
+   once more.  */
 static void
 test_done_late (void)
 {
--- a/tests/unit/test_lives_random.c
+++ b/tests/unit/test_lives_random.c
@@ -1,5 +1,5 @@
-/* Random histories of lives, lists and confirmations of an executor that
-   starts again under the id that it had, in virtual time.  */
+/* Random tests of incarnations, lists and confirmations of an executor that
+   restarts under the same id, in virtual time.  */
 
 #include <glib.h>
 
@@ -11,28 +11,30 @@
 #define TASK "00000000000000aa.0.0.0"
 #define ID "x1"
 
-/* One executor with one id; one task at a time is wanted,
-   run N + 1 only after run N is known ended, absent or lost with its life.  */
+/* There is one executor id.  The leader wants one task at a time, and the
+   next run of it only after the previous one is known to have ended, to be
+   absent or to be lost with its incarnation.  */
 
 #define STEP (20 * GP_MSEC)
 #define STEPS 1500
 
 typedef struct
 {
-  gp_agent_call_kind_t kind; /* NONE: a list */
-  bool asks;             /* the list is asked of a life that is not known */
-  int64_t asked_born_ms; /* as its heartbeat told */
+  gp_agent_call_kind_t kind; /* GP_AGENT_CALL_NONE: a list */
+  bool asks;                 /* the list is an identity query of an unknown
+                                incarnation */
+  int64_t asked_born_ms;     /* as reported by its heartbeat */
   uint32_t run;
-  uint64_t life; /* of the agent */
+  uint64_t life; /* incarnation number of the agent */
   int64_t fence;
   int64_t lease_ms;
   uint64_t confirmed;
   gp_time_t sent_at;
   gp_time_t due;
-  bool lost;          /* its answer is */
-  bool told;          /* the agent knows of that */
-  gp_time_t gives_up; /* the agent takes it as unanswered then */
-  unsigned real_life; /* that was there when it was sent */
+  bool lost;          /* its answer is lost */
+  bool told;          /* the agent knows that it is lost */
+  gp_time_t gives_up; /* the agent treats it as unanswered from then on */
+  unsigned real_life; /* the incarnation that existed when it was sent */
 } flight_t;
 
 typedef struct
@@ -41,22 +43,23 @@
   gp_agent_t agent;
   fake_executor_t fake;
   unsigned real_life;
-  int64_t born_ms; /* of the life that is there */
+  int64_t born_ms; /* of the current incarnation */
   gp_time_t dark_until;
   GArray *flights;
   gp_time_t now;
-  gp_time_t wall_ms; /* which may step back */
+  gp_time_t wall_ms; /* time of day, which may step back */
   bool listing;
-  bool list_is_dead; /* the connection for lists, silently; the next one is on
-                        another */
-  int64_t known_born_ms; /* by the leader */
+  bool list_is_dead;     /* the connection for lists is silently dead; the next
+                            list uses another one */
+  int64_t known_born_ms; /* as known to the leader */
   uint32_t wanted;
-  uint32_t given_up; /* runs up to here may be at work no more */
-  uint64_t recorded; /* ends of the life that is there, by the leader */
+  uint32_t given_up; /* runs up to this one must not run any more */
+  uint64_t recorded; /* ends of the current incarnation that the leader has
+                        recorded */
   unsigned recorded_life;
   uint32_t done_runs;
-  uint32_t early_runs; /* looks at those that were carried out late, by the
-                          next life */
+  uint32_t early_runs; /* number of times that a check saw a run that the next
+                          incarnation had carried out late */
 } world_t;
 
 static bool
@@ -87,8 +90,9 @@
   return &g_array_index (world->flights, flight_t, world->flights->len - 1);
 }
 
-/* What an executor forgets as confirmed was recorded as an end of its life; or
-   the list was of the life before and came before anybody could reach this
+/* Checks that the ends that the executor has dropped as confirmed were
+   recorded as ends of its incarnation, unless the confirmation was meant for
+   the previous incarnation and arrived before anyone could reach the current
    one.  */
 static void
 check_confirmed (const world_t *world, const flight_t *flight)
@@ -135,7 +139,7 @@
   return result;
 }
 
-/* The answer to a question who is there, as in jobsd/guard_beats.c.  */
+/* Handles the answer to an identity query, as in jobsd/guard_beats.c.  */
 static void
 answer_question (world_t *world, const flight_t *flight,
                  gp_agent_result_t result)
@@ -238,7 +242,7 @@
   flight->due = GP_TIME_NEVER;
 }
 
-/* A heartbeat of the life that is there, or of one before.  */
+/* Sends a heartbeat of the current incarnation, or of another one.  */
 static void
 beat (world_t *world)
 {
@@ -257,7 +261,7 @@
   flight->asked_born_ms = born_ms;
 }
 
-/* Runs at work and ended, as a report tells them.  */
+/* Does a report list RUN as running or ended?  */
 static bool
 is_carried (const world_t *world, uint32_t run)
 {
@@ -295,7 +299,7 @@
     agent_confirm_ends (agent, ID, world->known_born_ms, agent->listed_ends);
 }
 
-/* What the leader would do with a report made now.  */
+/* Does what the leader would do on a report made now.  */
 static void
 lead (world_t *world)
 {
@@ -332,9 +336,9 @@
     world->given_up = world->wanted;
 }
 
-/* A run that was given up is not at work, now or later: but for one that was
-   ordered of the life before and carried out before anybody could reach this
-   one, which no caller can keep from it.  */
+/* Checks that no run that was given up is running.  Exempt are runs that were
+   ordered from the previous incarnation and carried out before anyone could
+   reach the current one, which no caller can prevent.  */
 static void
 check_world (world_t *world)
 {
@@ -369,7 +373,7 @@
     }
 }
 
-/* Answers to what is on its way don't come.  */
+/* Loses the answers to all calls under way.  */
 static void
 lose_silently (world_t *world)
 {
@@ -378,8 +382,9 @@
     g_array_index (world->flights, flight_t, i).lost = true;
 }
 
-/* The executor starts again under its id.  Its connections end, or nobody
-   tells of that; what has not reached it yet may reach the next life.  */
+/* The executor restarts under its id.  Its connections are closed, or lost
+   silently; calls that have not arrived yet may reach the next
+   incarnation.  */
 static void
 restart_executor (world_t *world)
 {
@@ -412,8 +417,8 @@
     }
 }
 
-/* Adds to the numbers of runs that were done, and that were carried out by the
-   next life.  */
+/* Adds to the numbers of runs that completed and of runs that the next
+   incarnation carried out.  */
 static void
 play (guint32 seed, uint32_t *done, uint32_t *early)
 {
--- a/tests/unit/test_put_off.c
+++ b/tests/unit/test_put_off.c
@@ -1,5 +1,5 @@
-/* Tests of decisions whose records are put off: the store is silent between
-   a decision and its order.  */
+/* Tests of decisions whose records are delayed, as the store does not answer
+   between a decision and its order.  */
 
 #include <stdio.h>
 
@@ -9,8 +9,9 @@
 
 #define OUTAGE_TIME (7 * GP_SEC)
 
-/* A suspect is assigned alone to the only executor; its order leaves after
-   DELAY.  Where does work go that has come meanwhile?  */
+/* A suspect is assigned to the only executor, which is dedicated to it, and
+   its order leaves after DELAY.  Prints where a job that arrives meanwhile is
+   placed.  */
 static void
 put_off (gp_time_t delay)
 {
@@ -41,9 +42,9 @@
   jobs_site_finish (&site);
 }
 
-/* What a soak saw: a task that takes its executors down was started six times.
-   Its executor was kept for it from the decision on, not from the order, and
-   others began beside it when the store was back.  */
+/* Regression test: a task that takes its executors down was started six times.
+   Its executor was dedicated to it from the time of the decision, not of the
+   order, so that other runs began on it when the store had recovered.  */
 static void
 test_alone (void)
 {
@@ -53,8 +54,8 @@
   put_off (OUTAGE_TIME);
 }
 
-/* How long TASK took, as was learned of a run of 2 s, of which the first one
-   may have been waited for at its guard.  */
+/* Returns the duration learned for a task that ran 2 s; its start may have
+   been HELD back at the guard.  */
 static gp_time_t
 learned (bool held)
 {
@@ -77,8 +78,8 @@
   return took;
 }
 
-/* A run that waited at its guard for one that is alone began nobody knows
-   when.  */
+/* If a run was held back at its guard because of an isolated start, it is
+   unknown when it began.  */
 static void
 test_held (void)
 {
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -1,11 +1,11 @@
-/* Tests of queues that are under suspicion: scripted, with what becomes of
-   other work beside.
-
-   What users saw: one queue brought many tasks that take their executors down,
-   for ten seconds.  Each was given up after two executors, but each first
-   start took some thirty runs of other jobs with it, and large jobs and such
-   as last suffered for the whole day.  What showed it: `run.lost` of work that
-   had settled long before, beside suspects of one and the same queue each
+/* Tests of the quarantine of queues, with its effect on other work: a scripted
+   transcript.
+
+   Regression tests: one queue brought many tasks that take their executors
+   down, for ten seconds.  Each was given up after two executors, but its first
+   start took about thirty runs of other jobs down with it, and large and
+   long-running jobs suffered for the whole day.  The log showed `run.lost` for
+   work that had settled long before, with suspects of the same queue each
    time.  */
 
 #include <glib.h>
@@ -52,7 +52,7 @@
     }
 }
 
-/* QUEUE has shown that its tasks take executors down.  */
+/* Failures show that tasks of QUEUE take executors down.  */
 static void
 condemn (jobs_site_t *site, const char *queue)
 {
@@ -146,8 +146,8 @@
     }
 }
 
-/* An executor goes down as just COUNT tasks of one job have begun there, or
-   some time later; its queue is "bad".  */
+/* An executor fails when a task of queue "bad" had only JUST begun, or some
+   time after that; BESIDE: a task of another queue had begun as well.  */
 static void
 try_end (const char *what, bool just, bool beside)
 {
@@ -279,10 +279,10 @@
   gp_book_finish (&other);
 }
 
-/* What users saw: no job was said to wait, and six had waited for five
-   seconds. The cause: a job counted as begun as soon as its first run was
-   assigned, also to an executor whose guard had told that it was down; at the
-   leader, and at each entry that goes by the leader's records.  */
+/* Regression test: no job was reported as waiting, while six had waited for
+   five seconds.  A job counted as begun once its first run was assigned, even
+   to an executor that its guard had reported as down; both at the leader and
+   at each entry that reads the leader's records.  */
 static void
 test_pending (void)
 {
--- a/tests/unit/test_retry_after.c
+++ b/tests/unit/test_retry_after.c
@@ -1,6 +1,6 @@
-/* Tests of when callers that were refused are to come back: a transcript, and
-   an outage that many callers meet, of which those that are patient enough are
-   served, few in vain and not all at once.  */
+/* Tests of the delays told to refused callers: a transcript, and an outage
+   with many callers, in which all callers with a sufficient timeout are
+   served, with few useless tries, and not all at once.  */
 
 #include <glib.h>
 #include <stdbool.h>
@@ -43,11 +43,12 @@
 {
   unsigned served;
   unsigned tries;
-  unsigned most_at_once; /* in one second after the outage */
+  unsigned most_at_once; /* in any second after the outage */
 } outcome_t;
 
-/* CALLERS come in the first second of an outage that lasts for OUTAGE; each
-   comes back as told, or each second, until PATIENCE is over.  */
+/* CALLERS requests arrive in the first second of an outage of length OUTAGE.
+   Each caller tries again as told, or every second, until its timeout PATIENCE
+   is over.  */
 static outcome_t
 play (gp_time_t outage, gp_time_t patience, bool each_second)
 {
--- a/tests/unit/test_specs.c
+++ b/tests/unit/test_specs.c
@@ -1,5 +1,5 @@
-/* Tests of the specifications of jobs at guards, and of how a leader brings
-   them there.  */
+/* Tests of the job specifications at guards and of their distribution by a
+   leader.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -85,7 +85,7 @@
   gp_spec_store_finish (&store);
 }
 
-/* What is used stays when there is no room for all.  */
+/* A specification in use stays when others are dropped for lack of space.  */
 static void
 test_bound (void)
 {
@@ -128,8 +128,8 @@
   return name[i];
 }
 
-/* A job with a run on each of GUARDS workers: how often does it leave the
-   leader?  */
+/* How many copies does the leader send of a job with a run on each of GUARDS
+   workers?  */
 static void
 test_copies (void)
 {
@@ -180,9 +180,9 @@
   gp_spec_distribution_finish (&spread);
 }
 
-/* Runs go to guards that lose their connections, refuse each other and start
-   anew: each guard has the specification in the end, with no more than a
-   report each for what went wrong.  */
+/* Guards lose their connections, refuse to answer each other and restart.
+   Each guard must have the specification in the end, after no more than one
+   report per failure.  */
 static void
 play (guint32 seed)
 {
--- a/tests/unit/test_strays.c
+++ b/tests/unit/test_strays.c
@@ -1,5 +1,6 @@
-/* Tests of runs that are at work where nobody wants them, as the next life of
-   an executor was ordered late: their tasks wait for their ends.  */
+/* Tests of stray runs: the next incarnation of an executor has carried out an
+   order late, and a run that no job wants is at work.  Its task waits until
+   that ends.  */
 
 #include <stdio.h>
 
@@ -11,8 +12,7 @@
 #define JOB "00000000000000aa"
 #define TASK JOB ".0.0.0"
 
-/* The guard of EXECUTOR tells in its next report of RUN of TASK, or of none
-   (0).  */
+/* The guard of EXECUTOR reports RUN of TASK as stray, or no stray run (0).  */
 static void
 report (jobs_site_t *site, gp_job_executor_t *executor, uint32_t run)
 {
@@ -77,8 +77,8 @@
   jobs_site_finish (&site);
 }
 
-/* Nobody reports of the executor any more: what was told last holds until all
-   leases are over.  */
+/* No guard reports the executor any more: the last report holds until all
+   leases have expired.  */
 static void
 test_silent (void)
 {
@@ -99,8 +99,8 @@
   jobs_site_finish (&site);
 }
 
-/* The guard stops it with the word of the leader, not with the list after
-   that.  */
+/* The guard stops a stray run as soon as it has a sync of the leader, not only
+   after the next list.  */
 static void
 test_stopped_at_once (void)
 {
@@ -124,7 +124,8 @@
   gp_agent_finish (&agent);
 }
 
-/* What was listed before the lease ran out is not at work after.  */
+/* A run that was listed before the lease expired no longer counts as
+   running.  */
 static void
 test_lapsed (void)
 {
@@ -140,7 +141,7 @@
   gp_agent_finish (&agent);
 }
 
-/* Nor after the executor has ended.  */
+/* The same after the executor has ended.  */
 static void
 test_ended (void)
 {
