--- a/tests/unit/agent_messages.c
+++ b/tests/unit/agent_messages.c
@@ -29,7 +29,7 @@
 }
 
 void
-agent_hold_spec (gp_agent_t *agent, const char *task, gp_time_t now)
+agent_add_spec (gp_agent_t *agent, const char *task, gp_time_t now)
 {
   static const char bytes[] = "work";
   Gp__Jobs__Spec spec = GP__JOBS__SPEC__INIT;
@@ -44,7 +44,7 @@
 }
 
 Gp__Jobs__Executor *
-agent_life_new (const char *id, int64_t born_ms)
+agent_incarnation_new (const char *id, int64_t born_ms)
 {
   Gp__Jobs__Executor *executor = agent_executor_new (id);
 
@@ -53,8 +53,8 @@
 }
 
 void
-agent_sync_life (gp_agent_t *agent, const char *id, const char *task,
-                 int64_t born_ms, uint32_t run, gp_time_t after)
+agent_sync_incarnation (gp_agent_t *agent, const char *id, const char *task,
+                        int64_t born_ms, uint32_t run, gp_time_t after)
 {
   Gp__Jobs__Sync *sync = g_new (Gp__Jobs__Sync, 1);
 
@@ -76,7 +76,7 @@
 agent_sync_with (gp_agent_t *agent, const char *task, uint32_t run,
                  gp_time_t after)
 {
-  agent_sync_life (agent, agent->executor->id, task, 0, run, after);
+  agent_sync_incarnation (agent, agent->executor->id, task, 0, run, after);
 }
 
 void
--- a/tests/unit/agent_messages.h
+++ b/tests/unit/agent_messages.h
@@ -13,15 +13,16 @@
 Gp__Jobs__Start *agent_start_new (const char *task, uint32_t run);
 
 /* Adds the specification of the job of TASK to AGENT.  */
-void agent_hold_spec (gp_agent_t *agent, const char *task, gp_time_t now);
+void agent_add_spec (gp_agent_t *agent, const char *task, gp_time_t now);
 
 /* Returns the report of the incarnation of ID that was born at BORN_MS.  */
-Gp__Jobs__Executor *agent_life_new (const char *id, int64_t born_ms);
+Gp__Jobs__Executor *agent_incarnation_new (const char *id, int64_t born_ms);
 
 /* The leader syncs that incarnation: RUN of TASK belongs there, or no run (0).
    AFTER is the sending time of the last report that it takes into account.  */
-void agent_sync_life (gp_agent_t *agent, const char *id, const char *task,
-                      int64_t born_ms, uint32_t run, gp_time_t after);
+void agent_sync_incarnation (gp_agent_t *agent, const char *id,
+                             const char *task, int64_t born_ms, uint32_t run,
+                             gp_time_t after);
 
 /* The same for the current incarnation, from a leader that sends no birth
    time.  */
--- a/tests/unit/fake_executor.c
+++ b/tests/unit/fake_executor.c
@@ -161,8 +161,8 @@
 }
 
 gp_agent_result_t
-fake_executor_hold (fake_executor_t *fake, uint64_t confirmed,
-                    int64_t lease_ms, int64_t fence, gp_time_t now)
+fake_executor_renew (fake_executor_t *fake, uint64_t confirmed,
+                     int64_t lease_ms, int64_t fence, gp_time_t now)
 {
   fake_executor_advance (fake, now);
   if (!take_fence (fake, fence))
--- a/tests/unit/fake_executor.h
+++ b/tests/unit/fake_executor.h
@@ -47,9 +47,9 @@
 gp_agent_result_t fake_executor_stop (fake_executor_t *fake, const char *task,
                                       uint32_t run, int64_t fence,
                                       gp_time_t now);
-gp_agent_result_t fake_executor_hold (fake_executor_t *fake,
-                                      uint64_t confirmed, int64_t lease_ms,
-                                      int64_t fence, gp_time_t now);
+gp_agent_result_t fake_executor_renew (fake_executor_t *fake,
+                                       uint64_t confirmed, int64_t lease_ms,
+                                       int64_t fence, gp_time_t now);
 
 /* AGENT receives the executor's list, requested at SENT_AT.  */
 void fake_executor_list (const fake_executor_t *fake, gp_agent_t *agent,
--- a/tests/unit/late_world.c
+++ b/tests/unit/late_world.c
@@ -162,8 +162,8 @@
       return fake_executor_stop (&worker->fake, flight->name, flight->run,
                                  flight->fence, now);
     case GP_AGENT_CALL_NONE:
-      return fake_executor_hold (&worker->fake, flight->confirmed,
-                                 flight->lease_ms, flight->fence, now);
+      return fake_executor_renew (&worker->fake, flight->confirmed,
+                                  flight->lease_ms, flight->fence, now);
     case GP_AGENT_CALL_PACE:
       break;
     }
@@ -289,7 +289,7 @@
   int64_t fence = gp_agent_query_fence (&worker->agent);
 
   gp_agent_raise_fence_to (&worker->agent, fence);
-  while (fake_executor_hold (&worker->fake, 0, 0, fence, world->site.now)
+  while (fake_executor_renew (&worker->fake, 0, 0, fence, world->site.now)
          == GP_AGENT_FENCED)
     {
       gp_agent_fence_rejected (&worker->agent, fence);
--- a/tests/unit/late_world_leader.c
+++ b/tests/unit/late_world_leader.c
@@ -49,9 +49,9 @@
   worker->executor->dead = false;
   worker->synced_at = world->site.now;
   for (guint i = 0; i < starts->len; i++)
-    agent_hold_spec (&worker->agent,
-                     ((Gp__Jobs__Start *)g_ptr_array_index (starts, i))->task,
-                     world->site.now);
+    agent_add_spec (&worker->agent,
+                    ((Gp__Jobs__Start *)g_ptr_array_index (starts, i))->task,
+                    world->site.now);
   gp_agent_sync (&worker->agent, &sync);
   for (size_t i = 0; i < sync.n_starts; i++)
     gp__jobs__start__free_unpacked (sync.starts[i], NULL);
@@ -78,7 +78,7 @@
       || order->task->run != order->run || !gp_scheduler_wanted (order->task))
     return;
   start = start_of (order->task);
-  agent_hold_spec (&worker->agent, start->task, world->site.now);
+  agent_add_spec (&worker->agent, start->task, world->site.now);
   orders.executor = order->executor->id;
   orders.starts = &start;
   orders.n_starts = 1;
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -87,7 +87,7 @@
 begin (gp_agent_t *agent, gp_time_t now)
 {
   gp_agent_init (agent, 0, now);
-  agent_hold_spec (agent, TASK, now);
+  agent_add_spec (agent, TASK, now);
   gp_agent_set_executor (agent, agent_executor_new ("x1"), 5000, now);
   gp_agent_reported (agent, now);
   gp_agent_acknowledged (agent, now, 0, now);
@@ -191,7 +191,7 @@
 
   printf ("a lease counts for the executor that the report named\n");
   gp_agent_init (&agent, 0, now);
-  agent_hold_spec (&agent, TASK, now);
+  agent_add_spec (&agent, TASK, now);
   gp_agent_reported (&agent, now);
   gp_agent_set_executor (&agent, agent_executor_new ("x1"), 5000, now + 1);
   gp_agent_acknowledged (&agent, now, 0, now + 2);
@@ -214,7 +214,7 @@
   printf ("a guard that has just begun takes no lease of a lead that may be "
           "over\n");
   gp_agent_init (&agent, 0, now);
-  agent_hold_spec (&agent, TASK, now);
+  agent_add_spec (&agent, TASK, now);
   gp_agent_set_executor (&agent, agent_executor_new ("x1"), 5000, now);
   gp_agent_reported (&agent, now);
   gp_agent_acknowledged (&agent, now, 4 * GP_SEC, now);
@@ -396,7 +396,7 @@
   const gp_agent_row_t row = { TASK, 1, 100 };
 
   begin (&agent, now - older);
-  agent_hold_spec (&agent, OTHER, now);
+  agent_add_spec (&agent, OTHER, now);
   agent_sync_with (&agent, TASK, 1, 0);
   call (&agent, GP_AGENT_ACCEPTED, now - older);
   gp_agent_listed (&agent, &row, 1, NULL, 0, 5300, now - 2, now - 1);
@@ -488,7 +488,7 @@
 
   printf ("an executor's room shrinks: what has not begun is given back\n");
   gp_agent_init (&agent, 0, now);
-  agent_hold_spec (&agent, TASK, now);
+  agent_add_spec (&agent, TASK, now);
   gp_agent_set_executor (&agent, executor_of_cores ("x1", 8), 5000, now);
   gp_agent_reported (&agent, now);
   gp_agent_acknowledged (&agent, now, 0, now);
--- a/tests/unit/test_agent_random.c
+++ b/tests/unit/test_agent_random.c
@@ -85,8 +85,8 @@
       return fake_executor_stop (&world->fake, flight->name, flight->run,
                                  flight->fence, world->now);
     case GP_AGENT_CALL_NONE:
-      return fake_executor_hold (&world->fake, flight->confirmed,
-                                 flight->lease_ms, flight->fence, world->now);
+      return fake_executor_renew (&world->fake, flight->confirmed,
+                                  flight->lease_ms, flight->fence, world->now);
     case GP_AGENT_CALL_PACE:
       break;
     }
@@ -240,7 +240,7 @@
 {
   gp_agent_finish (&world->agent);
   gp_agent_init (&world->agent, 0, world->now);
-  agent_hold_spec (&world->agent, TASK, world->now);
+  agent_add_spec (&world->agent, TASK, world->now);
   world->listing = false;
   for (guint i = 0; i < world->flights->len; i++)
     {
@@ -266,7 +266,7 @@
   fake_executor_init (&world.fake);
   world.fake.slow_permille = g_rand_int_range (world.random, 0, 21);
   gp_agent_init (&world.agent, 0, world.now);
-  agent_hold_spec (&world.agent, TASK, world.now);
+  agent_add_spec (&world.agent, TASK, world.now);
   restart_guard (&world);
   for (int step = 0; step < STEPS; step++)
     {
--- a/tests/unit/test_alone.c
+++ b/tests/unit/test_alone.c
@@ -35,7 +35,7 @@
   orders.starts = &start;
   orders.n_starts = 1;
   gp_agent_order (&guard->agent, &orders);
-  agent_hold_spec (&guard->agent, task, guard->now);
+  agent_add_spec (&guard->agent, task, guard->now);
 }
 
 static void
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -90,7 +90,7 @@
 
   executor->draining = draining;
   gp_agent_init (agent, SPAN, now);
-  agent_hold_spec (agent, TASK, now);
+  agent_add_spec (agent, TASK, now);
   gp_agent_set_executor (agent, executor, 5000, now);
   gp_agent_reported (agent, now);
   gp_agent_acknowledged (agent, now, 0, now);
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -95,8 +95,8 @@
 {
   gp_agent_init (agent, 0, now);
   gp_agent_raise_fence_to (agent, 1000);
-  agent_hold_spec (agent, TASK, now);
-  gp_agent_set_executor (agent, agent_life_new (ID, 1), 5000, now);
+  agent_add_spec (agent, TASK, now);
+  gp_agent_set_executor (agent, agent_incarnation_new (ID, 1), 5000, now);
   gp_agent_reported (agent, now);
   gp_agent_acknowledged (agent, now, 0, now);
 }
@@ -134,15 +134,15 @@
 
   printf ("the next life's ends are its own\n");
   begin (&agent, now);
-  agent_sync_life (&agent, ID, TASK, 1, 0, 0);
+  agent_sync_incarnation (&agent, ID, TASK, 1, 0, 0);
   list_end (&agent, 57, 1, now);
   agent_confirm_ends (&agent, ID, 1, 57);
   show (&agent, "first life", now);
-  gp_agent_set_executor (&agent, agent_life_new (ID, 2), 70, now);
+  gp_agent_set_executor (&agent, agent_incarnation_new (ID, 2), 70, now);
   show (&agent, "next life", now);
-  agent_sync_life (&agent, ID, TASK, 1, 5, 0);
+  agent_sync_incarnation (&agent, ID, TASK, 1, 5, 0);
   show (&agent, "a sync of the first", now);
-  agent_sync_life (&agent, ID, TASK, 2, 0, 0);
+  agent_sync_incarnation (&agent, ID, TASK, 2, 0, 0);
   list_end (&agent, 1, 2, now);
   show (&agent, "end 1 is listed", now);
   agent_confirm_ends (&agent, ID, 1, 57);
@@ -177,10 +177,10 @@
 
   printf ("after the end of a connection a list finds out who is there\n");
   begin (&agent, now);
-  agent_sync_life (&agent, ID, TASK, 1, 0, 0);
+  agent_sync_incarnation (&agent, ID, TASK, 1, 0, 0);
   list_end (&agent, 57, 1, now);
   agent_confirm_ends (&agent, ID, 1, 57);
-  agent_sync_life (&agent, ID, TASK, 1, 2, 0);
+  agent_sync_incarnation (&agent, ID, TASK, 1, 2, 0);
   gp_agent_list_failed (&agent, GP_AGENT_DISCONNECTED, -1, now);
   show_doubt (&agent, "cut", now);
   gp_agent_list_failed (&agent, GP_AGENT_CONNECTION_REFUSED, -1, now);
--- a/tests/unit/test_lives_random.c
+++ b/tests/unit/test_lives_random.c
@@ -128,8 +128,8 @@
                                  flight->fence, world->now);
     case GP_AGENT_CALL_NONE:
       result
-          = fake_executor_hold (&world->fake, flight->confirmed,
-                                flight->lease_ms, flight->fence, world->now);
+          = fake_executor_renew (&world->fake, flight->confirmed,
+                                 flight->lease_ms, flight->fence, world->now);
       if (result == GP_AGENT_ACCEPTED)
         check_confirmed (world, flight);
       return result;
@@ -151,9 +151,9 @@
       || flight->life != world->agent.incarnation_number
       || flight->asked_born_ms != world->born_ms)
     return;
-  gp_agent_set_executor (&world->agent, agent_life_new (ID, world->born_ms),
-                         fake_executor_clock (&world->fake, world->now),
-                         world->now);
+  gp_agent_set_executor (
+      &world->agent, agent_incarnation_new (ID, world->born_ms),
+      fake_executor_clock (&world->fake, world->now), world->now);
   fake_executor_list (&world->fake, &world->agent, flight->sent_at,
                       world->now);
 }
@@ -322,8 +322,8 @@
     world->wanted++;
   else if (agent->is_synced && !lapsed)
     return;
-  agent_sync_life (agent, ID, TASK, world->known_born_ms, world->wanted,
-                   world->now);
+  agent_sync_incarnation (agent, ID, TASK, world->known_born_ms, world->wanted,
+                          world->now);
 }
 
 static void
@@ -362,7 +362,7 @@
   gp_agent_finish (&world->agent);
   gp_agent_init (&world->agent, 0, world->now);
   gp_agent_raise_fence_to (&world->agent, world->wall_ms);
-  agent_hold_spec (&world->agent, TASK, world->now);
+  agent_add_spec (&world->agent, TASK, world->now);
   world->listing = false;
   for (guint i = 0; i < world->flights->len; i++)
     {
--- a/tests/unit/test_strays.c
+++ b/tests/unit/test_strays.c
@@ -150,7 +150,7 @@
 
   gp_agent_init (&agent, 0, 0);
   gp_agent_set_executor (&agent, agent_executor_new ("x1"), 1000, 0);
-  agent_sync_life (&agent, "x1", TASK, 0, 1, 0);
+  agent_sync_incarnation (&agent, "x1", TASK, 0, 1, 0);
   gp_agent_listed (&agent, &row, 1, NULL, 0, 1000, 0, 0);
   CU_ASSERT (gp_agent_find_run (&agent, TASK, 1)->listed);
   gp_agent_executor_ended (&agent);
