--- a/tests/unit/test_agent_measure.c
+++ b/tests/unit/test_agent_measure.c
@@ -54,7 +54,7 @@
 
 /* The leader reports the headroom of the serving run without filling runs.  */
 static void
-teach (gp_agent_t *agent, int32_t headroom_permille, gp_time_t now)
+set_load (gp_agent_t *agent, int32_t headroom_permille, gp_time_t now)
 {
   gp_agent_set_load (agent, SERVING, headroom_permille, 0, now);
 }
@@ -94,22 +94,22 @@
 
   printf ("a busy run is slowed down, a light one is not\n");
   begin (&agent, now);
-  teach (&agent, 1600, now);
+  set_load (&agent, 1600, now);
   list (&agent, 30, 0, 0, now);
   show (&agent, "not at work yet");
   for (int i = 0; i < 4; i++)
     {
       now += STEP;
-      teach (&agent, 1600, now);
+      set_load (&agent, 1600, now);
       list (&agent, 45, CPU_MILLI, CPU_MILLI * 2 / 3, now);
     }
   show (&agent, "a is busy, b is not");
   now += STEP;
-  teach (&agent, 3500, now);
+  set_load (&agent, 3500, now);
   list (&agent, 20, CPU_MILLI, CPU_MILLI, now);
   show (&agent, "both are busy in a trough of the load");
   now += STEP;
-  teach (&agent, 1600, now);
+  set_load (&agent, 1600, now);
   list (&agent, 45, CPU_MILLI * 2 / 3, CPU_MILLI * 2 / 3, now);
   show (&agent, "neither is busy");
   gp_agent_finish (&agent);
@@ -125,7 +125,7 @@
   begin (&agent, now);
   for (int i = 0; i < 7; i++)
     {
-      teach (&agent, 1600, now);
+      set_load (&agent, 1600, now);
       list (&agent, 80, CPU_MILLI * 2 / 3, CPU_MILLI * 2 / 3, now);
       if (i == 2)
         show (&agent, "over for 0.5 s");
@@ -143,7 +143,7 @@
   gp_time_t now = 10 * GP_SEC;
   Gp__Jobs__End end = GP__JOBS__END__INIT;
   const gp_agent_row_t left = { SERVING, 1, 30 };
-  const gp_agent_ended_filling_t *gone;
+  const gp_agent_ended_filling_t *ended;
 
   begin (&agent, now);
   for (int i = 0; i < 4; i++)
@@ -154,10 +154,10 @@
   end.how = GP_END_DONE;
   gp_agent_listed (&agent, &left, 1, &end, 1, 5000 + now / GP_MSEC, now, now);
   CU_ASSERT_EQUAL_FATAL (agent.ended_fillings->len, 1);
-  gone = &g_array_index (agent.ended_fillings, gp_agent_ended_filling_t, 0);
-  CU_ASSERT (gp_agent_ended_filling_work (gone, now) > 0.9);
-  CU_ASSERT (gp_agent_ended_filling_work (gone, now + STEP) < 0.6);
-  CU_ASSERT_EQUAL (gp_agent_ended_filling_work (gone, now + 2 * STEP), 0.0);
+  ended = &g_array_index (agent.ended_fillings, gp_agent_ended_filling_t, 0);
+  CU_ASSERT (gp_agent_ended_filling_work (ended, now) > 0.9);
+  CU_ASSERT (gp_agent_ended_filling_work (ended, now + STEP) < 0.6);
+  CU_ASSERT_EQUAL (gp_agent_ended_filling_work (ended, now + 2 * STEP), 0.0);
   list (&agent, 30, 0, 0, now + 3 * STEP);
   CU_ASSERT_EQUAL (agent.ended_fillings->len, 0);
   gp_agent_finish (&agent);
--- a/tests/unit/test_agent_random.c
+++ b/tests/unit/test_agent_random.c
@@ -29,15 +29,15 @@
   gp_time_t sent_at;
   gp_time_t due;
   bool lost;
-  gp_time_t gives_up; /* the agent treats it as unanswered from then on */
-} flight_t;
+  gp_time_t times_out_at; /* the agent treats it as unanswered from then on */
+} pending_call_t;
 
 typedef struct
 {
   GRand *random;
   gp_agent_t agent;
   fake_executor_t fake;
-  GArray *flights;
+  GArray *pending;
   gp_time_t now;
   bool listing;
   uint32_t wanted;   /* the run that the leader wants, 0: none */
@@ -51,42 +51,47 @@
   return g_rand_double (world->random) < share;
 }
 
-static flight_t *
-take_off (world_t *world, gp_agent_call_kind_t kind)
+static pending_call_t *
+send_call (world_t *world, gp_agent_call_kind_t kind)
 {
-  flight_t flight
+  pending_call_t pending_call
       = { .kind = kind,
           .sent_at = world->now,
           .fence = world->agent.fence,
           .confirmed = world->agent.seen_ends,
           .due
           = world->now + g_rand_int_range (world->random, 1, 30) * GP_MSEC,
-          .gives_up = world->now + 300 * GP_MSEC };
+          .times_out_at = world->now + 300 * GP_MSEC };
 
   if (chance (world, 0.1))
     {
-      flight.lost = true;
+      pending_call.lost = true;
       if (chance (world, 0.7))
-        flight.due += g_rand_int_range (world->random, 2000, 12000) * GP_MSEC;
+        pending_call.due
+            += g_rand_int_range (world->random, 2000, 12000) * GP_MSEC;
     }
-  g_array_append_val (world->flights, flight);
-  return &g_array_index (world->flights, flight_t, world->flights->len - 1);
+  g_array_append_val (world->pending, pending_call);
+  return &g_array_index (world->pending, pending_call_t,
+                         world->pending->len - 1);
 }
 
 static gp_agent_result_t
-carry_out (world_t *world, const flight_t *flight)
+carry_out (world_t *world, const pending_call_t *pending_call)
 {
-  switch (flight->kind)
+  switch (pending_call->kind)
     {
     case GP_AGENT_CALL_START:
-      return fake_executor_start (&world->fake, flight->name, flight->run,
-                                  flight->lease_ms, flight->fence, world->now);
+      return fake_executor_start (&world->fake, pending_call->name,
+                                  pending_call->run, pending_call->lease_ms,
+                                  pending_call->fence, world->now);
     case GP_AGENT_CALL_STOP:
-      return fake_executor_stop (&world->fake, flight->name, flight->run,
-                                 flight->fence, world->now);
+      return fake_executor_stop (&world->fake, pending_call->name,
+                                 pending_call->run, pending_call->fence,
+                                 world->now);
     case GP_AGENT_CALL_NONE:
-      return fake_executor_renew (&world->fake, flight->confirmed,
-                                  flight->lease_ms, flight->fence, world->now);
+      return fake_executor_renew (&world->fake, pending_call->confirmed,
+                                  pending_call->lease_ms, pending_call->fence,
+                                  world->now);
     case GP_AGENT_CALL_PACE:
       break;
     }
@@ -94,56 +99,59 @@
 }
 
 static void
-answer (world_t *world, const flight_t *flight, gp_agent_result_t result)
+answer (world_t *world, const pending_call_t *pending_call,
+        gp_agent_result_t result)
 {
   int64_t clock = result == GP_AGENT_UNANSWERED
                       ? -1
                       : fake_executor_clock (&world->fake, world->now);
 
   if (result == GP_AGENT_FENCED)
-    gp_agent_fence_rejected (&world->agent, flight->fence);
-  if (flight->kind != GP_AGENT_CALL_NONE)
+    gp_agent_fence_rejected (&world->agent, pending_call->fence);
+  if (pending_call->kind != GP_AGENT_CALL_NONE)
     {
-      gp_agent_answered (&world->agent, flight->kind, flight->name,
-                         flight->run, 0, result, clock, world->now);
+      gp_agent_answered (&world->agent, pending_call->kind, pending_call->name,
+                         pending_call->run, 0, result, clock, world->now);
       return;
     }
   world->listing = false;
   if (result == GP_AGENT_ACCEPTED)
-    fake_executor_list (&world->fake, &world->agent, flight->sent_at,
+    fake_executor_list (&world->fake, &world->agent, pending_call->sent_at,
                         world->now);
   else
     gp_agent_list_failed (&world->agent, result, clock, world->now);
 }
 
 static void
-land (world_t *world)
+deliver_calls (world_t *world)
 {
-  for (guint i = world->flights->len; i-- > 0;)
+  for (guint i = world->pending->len; i-- > 0;)
     {
-      flight_t flight = g_array_index (world->flights, flight_t, i);
+      pending_call_t pending_call
+          = g_array_index (world->pending, pending_call_t, i);
       gp_agent_result_t result;
 
-      if (flight.lost && flight.gives_up != 0 && world->now >= flight.gives_up)
+      if (pending_call.lost && pending_call.times_out_at != 0
+          && world->now >= pending_call.times_out_at)
         {
-          answer (world, &flight, GP_AGENT_UNANSWERED);
-          g_array_index (world->flights, flight_t, i).gives_up = 0;
+          answer (world, &pending_call, GP_AGENT_UNANSWERED);
+          g_array_index (world->pending, pending_call_t, i).times_out_at = 0;
         }
-      if (world->now < flight.due)
+      if (world->now < pending_call.due)
         continue;
-      result = carry_out (world, &flight);
-      if (!flight.lost)
-        answer (world, &flight, result);
-      else if (flight.gives_up != 0)
+      result = carry_out (world, &pending_call);
+      if (!pending_call.lost)
+        answer (world, &pending_call, result);
+      else if (pending_call.times_out_at != 0)
         {
-          answer (world, &flight, GP_AGENT_UNANSWERED);
+          answer (world, &pending_call, GP_AGENT_UNANSWERED);
         }
-      g_array_remove_index (world->flights, i);
+      g_array_remove_index (world->pending, i);
     }
 }
 
 static void
-fly (world_t *world)
+make_calls (world_t *world)
 {
   gp_time_t again;
   gp_agent_call_t next;
@@ -151,23 +159,24 @@
   while ((next = gp_agent_next_call (&world->agent, world->now, &again)).kind
          != GP_AGENT_CALL_NONE)
     {
-      flight_t *flight = take_off (world, next.kind);
+      pending_call_t *pending_call = send_call (world, next.kind);
 
-      g_strlcpy (flight->name, next.run->name, sizeof flight->name);
-      flight->run = next.run->run;
-      flight->lease_ms = next.lease_ms;
+      g_strlcpy (pending_call->name, next.run->name,
+                 sizeof pending_call->name);
+      pending_call->run = next.run->run;
+      pending_call->lease_ms = next.lease_ms;
     }
   if (!world->listing && chance (world, 0.3))
     {
       world->listing = true;
-      take_off (world, GP_AGENT_CALL_NONE)->lease_ms
+      send_call (world, GP_AGENT_CALL_NONE)->lease_ms
           = gp_agent_list_lease (&world->agent, world->now);
     }
 }
 
 /* Does what the leader would do on a report made now.  */
 static void
-lead (world_t *world)
+act_as_leader (world_t *world)
 {
   gp_agent_t *agent = &world->agent;
   bool lapsed = gp_agent_lease_lapsed (agent, world->now);
@@ -206,7 +215,7 @@
 }
 
 static void
-take_absent (world_t *world)
+give_up_absent (world_t *world)
 {
   GHashTableIter iter;
   gpointer value;
@@ -242,12 +251,13 @@
   gp_agent_init (&world->agent, 0, world->now);
   agent_add_spec (&world->agent, TASK, world->now);
   world->listing = false;
-  for (guint i = 0; i < world->flights->len; i++)
+  for (guint i = 0; i < world->pending->len; i++)
     {
-      flight_t *flight = &g_array_index (world->flights, flight_t, i);
+      pending_call_t *pending_call
+          = &g_array_index (world->pending, pending_call_t, i);
 
-      flight->lost = true;
-      flight->gives_up = 0;
+      pending_call->lost = true;
+      pending_call->times_out_at = 0;
     }
   gp_agent_set_executor (&world->agent, agent_executor_new ("x1"),
                          fake_executor_clock (&world->fake, world->now),
@@ -258,10 +268,11 @@
 static uint32_t
 play (guint32 seed)
 {
-  world_t world = { .random = g_rand_new_with_seed (seed),
-                    .flights = g_array_new (FALSE, FALSE, sizeof (flight_t)),
-                    .now = 100 * GP_SEC };
-  gp_time_t cut_until = 0;
+  world_t world
+      = { .random = g_rand_new_with_seed (seed),
+          .pending = g_array_new (FALSE, FALSE, sizeof (pending_call_t)),
+          .now = 100 * GP_SEC };
+  gp_time_t leader_cut_until = 0;
 
   fake_executor_init (&world.fake);
   world.fake.slow_permille = g_rand_int_range (world.random, 0, 21);
@@ -273,23 +284,23 @@
       world.now += STEP;
       world.fake.work_time
           = g_rand_int_range (world.random, 100, 9000) * GP_MSEC;
-      land (&world);
+      deliver_calls (&world);
       check_world (&world);
-      take_absent (&world);
+      give_up_absent (&world);
       if (chance (&world, 0.002))
-        cut_until
+        leader_cut_until
             = world.now + g_rand_int_range (world.random, 500, 9000) * GP_MSEC;
-      if (world.now >= cut_until && chance (&world, 0.1))
-        lead (&world);
+      if (world.now >= leader_cut_until && chance (&world, 0.1))
+        act_as_leader (&world);
       if (chance (&world, 0.001))
         restart_guard (&world);
       if (chance (&world, 0.003))
         gp_agent_clear_sync (&world.agent);
-      fly (&world);
+      make_calls (&world);
     }
   gp_agent_finish (&world.agent);
   fake_executor_finish (&world.fake);
-  g_array_free (world.flights, TRUE);
+  g_array_free (world.pending, TRUE);
   g_rand_free (world.random);
   return world.done_runs;
 }
--- a/tests/unit/test_alone.c
+++ b/tests/unit/test_alone.c
@@ -58,13 +58,13 @@
 {
   gp_agent_row_t rows[] = { { running, 1, 100 }, { another, 1, 100 } };
   int64_t fence = guard->agent.fence;
-  gp_time_t asked_at = guard->now;
+  gp_time_t requested_at = guard->now;
   size_t count = (running != NULL) + (another != NULL);
 
   guard->now += 20 * GP_MSEC;
   gp_agent_fence_listed (&guard->agent, fence);
   gp_agent_listed (&guard->agent, rows, count, NULL, 0, guard->now / GP_MSEC,
-                   asked_at, guard->now);
+                   requested_at, guard->now);
 }
 
 static const char *
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -22,8 +22,8 @@
 /* The record at OFFSET of process INCARNATION on NODE was read, and all
    earlier ones.  */
 static void
-hear (gp_grants_t *grants, const char *node, uint64_t incarnation,
-      uint64_t offset, gp_time_t now)
+read_leadership (gp_grants_t *grants, const char *node, uint64_t incarnation,
+                 uint64_t offset, gp_time_t now)
 {
   Gp__Jobs__Leadership record = GP__JOBS__LEADERSHIP__INIT;
 
@@ -41,15 +41,15 @@
   printf ("the term of a leader ends by itself, or with its word\n");
   gp_grants_init (&grants);
   show (&grants, "nobody has led");
-  hear (&grants, "e1", 100, 0, GP_SEC);
+  read_leadership (&grants, "e1", 100, 0, GP_SEC);
   show (&grants, "e1 has led until 1 s");
-  hear (&grants, "e2", 200, 1, 3 * GP_SEC);
+  read_leadership (&grants, "e2", 200, 1, 3 * GP_SEC);
   show (&grants, "e2 until 3 s");
   gp_grants_leader_ended (&grants, "e2", 4 * GP_SEC);
   show (&grants, "e2 has resigned at 4 s: e1 counts on");
   gp_grants_process_announced (&grants, "e1", 101, 0, 5 * GP_SEC);
   show (&grants, "e1 has started again at 5 s");
-  hear (&grants, "e1", 101, 2, 6 * GP_SEC);
+  read_leadership (&grants, "e1", 101, 2, 6 * GP_SEC);
   show (&grants, "and has led until 6 s");
   gp_grants_finish (&grants);
 }
@@ -62,7 +62,7 @@
   printf ("announcements that say nothing of the last record\n");
   gp_grants_init (&grants);
   for (uint64_t offset = 0; offset <= 5; offset++)
-    hear (&grants, "e1", 100, offset, GP_SEC);
+    read_leadership (&grants, "e1", 100, offset, GP_SEC);
   gp_grants_process_announced (&grants, "e1", 99, 0, 2 * GP_SEC);
   show (&grants, "an earlier process");
   gp_grants_process_announced (&grants, "e1", 100, 0, 2 * GP_SEC);
@@ -73,7 +73,7 @@
   show (&grants, "another entry");
   gp_grants_process_announced (&grants, "e1", 100, 6, 2 * GP_SEC);
   show (&grants, "the end of this lead");
-  hear (&grants, "e2", 250, 6, 4 * GP_SEC);
+  read_leadership (&grants, "e2", 250, 6, 4 * GP_SEC);
   show (&grants, "a record of a process known to have ended");
   gp_grants_finish (&grants);
 }
@@ -87,7 +87,7 @@
 
   printf ("who has not read all relies on what a record tells\n");
   gp_grants_init (&writer);
-  hear (&writer, "e1", 100, 0, GP_SEC);
+  read_leadership (&writer, "e1", 100, 0, GP_SEC);
   record.node = (char *)"e2";
   record.incarnation = 200;
   gp_grants_add_formers (&writer, &record, 4 * GP_SEC);
@@ -121,9 +121,9 @@
 
   printf ("an old word of a leader that leads again does not end its term\n");
   gp_grants_init (&writer);
-  hear (&writer, "e1", 100, 0, GP_SEC);
+  read_leadership (&writer, "e1", 100, 0, GP_SEC);
   gp_grants_process_announced (&writer, "e1", 100, 1, GP_SEC);
-  hear (&writer, "e1", 100, 1, 2 * GP_SEC);
+  read_leadership (&writer, "e1", 100, 1, 2 * GP_SEC);
   record.node = (char *)"e2";
   record.incarnation = 200;
   gp_grants_add_formers (&writer, &record, 2 * GP_SEC);
@@ -149,7 +149,7 @@
 #define ENTRIES 3
 #define STEP (50 * GP_MSEC)
 #define STEPS 2000
-#define BEAT_TIME (250 * GP_MSEC)
+#define APPEND_INTERVAL (250 * GP_MSEC)
 #define SILENCE_TIME (900 * GP_MSEC)
 #define QUIET_TIME (1200 * GP_MSEC)
 
@@ -165,8 +165,8 @@
   uint64_t incarnation;
   gp_grants_t grants;
   char name[4];
-  guint read;  /* records read */
-  guint heard; /* announcements read */
+  guint records_read;       /* records read */
+  guint announcements_read; /* announcements read */
   bool leads;
   guint epoch;
   guint end; /* end of the log after its last record */
@@ -174,13 +174,13 @@
   gp_time_t heard_at;
   gp_time_t down_until; /* killed until then */
   gp_time_t frozen_until;
-  gp_time_t cut_until;    /* cut off from the store */
-  gp_time_t parted_until; /* cut off from the guard */
-  gp_time_t reported_at;  /* when the executor was last reported to this
-                             leader */
-  gp_time_t linked_at;    /* when its guard last reported to this leader */
-  gp_time_t obeyed_at;    /* when its guard first reported to this leader */
-  bool dead;              /* it has declared the executor dead */
+  gp_time_t store_cut_until; /* cut off from the store */
+  gp_time_t guard_cut_until; /* cut off from the guard */
+  gp_time_t reported_at;     /* when the executor was last reported to this
+                                leader */
+  gp_time_t linked_at;       /* when its guard last reported to this leader */
+  gp_time_t obeyed_at;       /* when its guard first reported to this leader */
+  bool dead;                 /* it has declared the executor dead */
 } entry_t;
 
 typedef struct
@@ -191,7 +191,7 @@
   GArray *announcements; /* announcement_t */
   entry_t entries[ENTRIES];
   gp_agent_t agent;
-  guint obeys; /* epoch of the leader that the guard obeys */
+  guint obeyed_epoch; /* epoch of the leader that the guard obeys */
   gp_time_t sent_at;
   gp_time_t guard_down_until;
   gp_time_t known_at; /* the guard learns of the executor then */
@@ -211,7 +211,7 @@
 }
 
 static gp_time_t
-later (world_t *world, int most_ms)
+random_time (world_t *world, int most_ms)
 {
   return world->now + g_rand_int_range (world->random, 100, most_ms) * GP_MSEC;
 }
@@ -246,7 +246,7 @@
 read_newest (world_t *world, entry_t *entry)
 {
   entry->heard_at = world->now;
-  entry->read = world->log->len;
+  entry->records_read = world->log->len;
   if (world->log->len > 0)
     read_record (world, entry, world->log->len - 1);
 }
@@ -259,18 +259,18 @@
   for (int i = 0; i < ENTRIES; i++)
     for (guint at = world->announcements->len; at-- > 0;)
       {
-        const announcement_t *word
+        const announcement_t *announcement
             = &g_array_index (world->announcements, announcement_t, at);
 
-        if (word->entry != i)
+        if (announcement->entry != i)
           continue;
         if (&world->entries[i] != entry)
           gp_grants_process_announced (&entry->grants, world->entries[i].name,
-                                       word->incarnation, word->ceased,
-                                       world->now);
+                                       announcement->incarnation,
+                                       announcement->ceased, world->now);
         break;
       }
-  entry->heard = world->announcements->len;
+  entry->announcements_read = world->announcements->len;
 }
 
 static void
@@ -298,34 +298,35 @@
   g_ptr_array_add (world->log, gp_message_pack (&record.base));
   gp_grants_free_formers (&record);
   entry->end = world->log->len;
-  entry->read = world->log->len;
+  entry->records_read = world->log->len;
   entry->confirmed_at = world->now;
 }
 
 static void
 read_log (world_t *world, entry_t *entry)
 {
-  for (; entry->read < world->log->len; entry->read++)
-    read_record (world, entry, entry->read);
+  for (; entry->records_read < world->log->len; entry->records_read++)
+    read_record (world, entry, entry->records_read);
 }
 
 static void
 read_announcements (world_t *world, entry_t *entry)
 {
-  for (; entry->heard < world->announcements->len; entry->heard++)
+  for (; entry->announcements_read < world->announcements->len;
+       entry->announcements_read++)
     {
-      const announcement_t *word = &g_array_index (
-          world->announcements, announcement_t, entry->heard);
+      const announcement_t *announcement = &g_array_index (
+          world->announcements, announcement_t, entry->announcements_read);
 
-      if (&world->entries[word->entry] != entry)
+      if (&world->entries[announcement->entry] != entry)
         gp_grants_process_announced (
-            &entry->grants, world->entries[word->entry].name,
-            word->incarnation, word->ceased, world->now);
+            &entry->grants, world->entries[announcement->entry].name,
+            announcement->incarnation, announcement->ceased, world->now);
     }
 }
 
 static void
-depose (world_t *world, entry_t *entry)
+step_down (world_t *world, entry_t *entry)
 {
   entry->leads = false;
   announce (world, entry, entry->end);
@@ -333,20 +334,20 @@
 }
 
 static void
-meet_store (world_t *world, entry_t *entry)
+use_store (world_t *world, entry_t *entry)
 {
   /* The topics are not read at the same pace.  */
   if (chance (world, 0.7))
     read_announcements (world, entry);
   if (entry->leads && entry->end != world->log->len)
-    depose (world, entry);
+    step_down (world, entry);
   else if (entry->leads && chance (world, 0.01))
     {
       write_record (world, entry, true);
       entry->leads = false;
-      entry->down_until = later (world, 3000);
+      entry->down_until = random_time (world, 3000);
     }
-  else if (entry->leads && world->now >= entry->confirmed_at + BEAT_TIME)
+  else if (entry->leads && world->now >= entry->confirmed_at + APPEND_INTERVAL)
     write_record (world, entry, false);
   else if (!entry->leads)
     {
@@ -366,14 +367,14 @@
 
 /* The guard reports to ENTRY, which acknowledges it.  */
 static void
-meet_guard (world_t *world, entry_t *entry)
+report_to_leader (world_t *world, entry_t *entry)
 {
   gp_agent_t *agent = &world->agent;
   gp_time_t age = world->now - entry->confirmed_at;
 
-  if (!entry->leads || entry->epoch < world->obeys)
+  if (!entry->leads || entry->epoch < world->obeyed_epoch)
     return;
-  world->obeys = entry->epoch;
+  world->obeyed_epoch = entry->epoch;
   world->sent_at = MAX (world->now, world->sent_at + 1);
   gp_agent_reported (agent, world->sent_at);
   entry->linked_at = world->now;
@@ -395,20 +396,20 @@
 }
 
 static void
-look_after_executor (world_t *world, entry_t *entry)
+check_executor (world_t *world, entry_t *entry)
 {
-  bool spoken_for = entry->reported_at > 0
-                    && entry->linked_at == entry->reported_at
-                    && world->now - entry->reported_at < QUIET_TIME;
+  bool is_reported = entry->reported_at > 0
+                     && entry->linked_at == entry->reported_at
+                     && world->now - entry->reported_at < QUIET_TIME;
   bool obeyed = entry->obeyed_at > 0;
   gp_time_t given = gp_grants_end_time (&entry->grants, obeyed);
 
   given = MAX (given, MAX (entry->obeyed_at, entry->reported_at));
-  if (!entry->leads || spoken_for || entry->dead
+  if (!entry->leads || is_reported || entry->dead
       || world->now <= gp_agent_lease_end (given))
     return;
   /* A leader decides only what it can record.  */
-  if (world->now < entry->cut_until || entry->end != world->log->len)
+  if (world->now < entry->store_cut_until || entry->end != world->log->len)
     return;
   entry->dead = true;
   CU_ASSERT_FATAL (world->lease_end < world->now);
@@ -427,12 +428,12 @@
       gp_grants_finish (&entry->grants);
       begin_entry (world, entry);
     }
-  if (world->now >= entry->parted_until
+  if (world->now >= entry->guard_cut_until
       && world->now >= world->guard_down_until && chance (world, 0.3))
-    meet_guard (world, entry);
-  if (world->now >= entry->cut_until)
-    meet_store (world, entry);
-  look_after_executor (world, entry);
+    report_to_leader (world, entry);
+  if (world->now >= entry->store_cut_until)
+    use_store (world, entry);
+  check_executor (world, entry);
 }
 
 static void
@@ -462,9 +463,10 @@
 static void
 restart_guard (world_t *world, int most_ms)
 {
-  world->guard_down_until = later (world, most_ms);
-  world->known_at = world->guard_down_until + later (world, 1500) - world->now;
-  world->obeys = 0;
+  world->guard_down_until = random_time (world, most_ms);
+  world->known_at
+      = world->guard_down_until + random_time (world, 1500) - world->now;
+  world->obeyed_epoch = 0;
   gp_agent_finish (&world->agent);
   gp_agent_init (&world->agent, 0, world->guard_down_until);
 }
@@ -473,7 +475,7 @@
    In some cases the guard restarts and no longer knows which leader it obeyed,
    or the other entries restart and have to learn which leaders there were.  */
 static void
-part (world_t *world)
+partition_guard (world_t *world)
 {
   bool restart = chance (world, 0.5);
 
@@ -481,34 +483,34 @@
     {
       entry_t *entry = &world->entries[i];
 
-      if (world->now < entry->cut_until)
+      if (world->now < entry->store_cut_until)
         continue;
-      entry->parted_until = world->now + 9 * GP_SEC;
+      entry->guard_cut_until = world->now + 9 * GP_SEC;
       if (restart)
-        entry->down_until = later (world, 600);
+        entry->down_until = random_time (world, 600);
     }
   if (chance (world, 0.5))
     restart_guard (world, 300);
 }
 
 static void
-disturb (world_t *world)
+inject_faults (world_t *world)
 {
   entry_t *entry
       = &world->entries[g_rand_int_range (world->random, 0, ENTRIES)];
 
   if (chance (world, 0.01))
-    entry->down_until = later (world, 3000);
+    entry->down_until = random_time (world, 3000);
   if (chance (world, 0.01))
-    entry->frozen_until = later (world, 12000);
+    entry->frozen_until = random_time (world, 12000);
   if (chance (world, 0.02))
-    entry->cut_until = later (world, 15000);
+    entry->store_cut_until = random_time (world, 15000);
   if (chance (world, 0.02))
-    entry->parted_until = later (world, 15000);
+    entry->guard_cut_until = random_time (world, 15000);
   if (chance (world, 0.015))
     restart_guard (world, chance (world, 0.3) ? 30000 : 2000);
   if (chance (world, 0.005))
-    part (world);
+    partition_guard (world);
 }
 
 static unsigned
@@ -531,7 +533,7 @@
   for (int step = 0; step < STEPS; step++)
     {
       world.now += STEP;
-      disturb (&world);
+      inject_faults (&world);
       run_guard (&world);
       for (int i = 0; i < ENTRIES; i++)
         run_entry (&world, &world.entries[(i + step) % ENTRIES]);
--- a/tests/unit/test_hand_in.c
+++ b/tests/unit/test_hand_in.c
@@ -14,7 +14,7 @@
 #include "runner.h"
 
 #define CALLERS 2000
-#define PATIENCE (3 * GP_SEC)
+#define TIMEOUT (3 * GP_SEC)
 #define BACK_AT (5 * GP_SEC)
 #define STORE_TIME (8 * GP_MSEC)
 /* A caller that can try again is refused after this time.  */
@@ -24,39 +24,38 @@
 static void
 test_transcript (void)
 {
-  static const gp_time_t patiences[]
+  static const gp_time_t timeouts[]
       = { 3 * GP_SEC,    1300 * GP_MSEC, 1200 * GP_MSEC,
           300 * GP_MSEC, 30 * GP_MSEC,   0 };
 
-  for (size_t i = 0; i < G_N_ELEMENTS (patiences); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (timeouts); i++)
     {
-      gp_time_t deadline = gp_write_request_deadline (GP_SEC, patiences[i]);
+      gp_time_t deadline = gp_write_request_deadline (GP_SEC, timeouts[i]);
 
       printf (
           "%d ms of patience: %d ms to answer in, refused after %d, %s, "
           "%s\n",
-          (int)(patiences[i] / GP_MSEC), (int)((deadline - GP_SEC) / GP_MSEC),
-          (int)((gp_write_request_refuse_at (GP_SEC, patiences[i]) - GP_SEC)
+          (int)(timeouts[i] / GP_MSEC), (int)((deadline - GP_SEC) / GP_MSEC),
+          (int)((gp_write_request_refuse_at (GP_SEC, timeouts[i]) - GP_SEC)
                 / GP_MSEC),
-          gp_write_request_can_retry (patiences[i]) ? "may return"
-                                                    : "last try",
+          gp_write_request_can_retry (timeouts[i]) ? "may return" : "last try",
           gp_write_request_is_in_time (deadline, STORE_TIME, GP_SEC)
               ? "tried"
               : "refused at once");
     }
 }
 
-/* Is a write request that arrives at NOW, with the remaining timeout PATIENCE,
+/* Is a write request that arrives at NOW, with the remaining timeout TIMEOUT,
    recorded and answered in time?  If not, it is refused at *UNTIL.  */
 static bool
-is_served (gp_time_t now, gp_time_t patience, gp_time_t *until)
+is_served (gp_time_t now, gp_time_t timeout, gp_time_t *until)
 {
-  gp_time_t deadline = gp_write_request_deadline (now, patience);
+  gp_time_t deadline = gp_write_request_deadline (now, timeout);
   gp_time_t begin = MAX (now, BACK_AT);
 
-  *until = gp_write_request_can_retry (patience)
+  *until = gp_write_request_can_retry (timeout)
                ? MIN (now + REFUSE_TIME, deadline)
-               : gp_write_request_refuse_at (now, patience);
+               : gp_write_request_refuse_at (now, timeout);
   return begin <= *until
          && gp_write_request_is_in_time (deadline, STORE_TIME, begin);
 }
@@ -64,9 +63,9 @@
 /* The previous rules: each request is refused soon, and a caller whose
    remaining timeout is shorter than the margin gets no answer in time.  */
 static bool
-was_served (gp_time_t now, gp_time_t patience, gp_time_t *until)
+was_served (gp_time_t now, gp_time_t timeout, gp_time_t *until)
 {
-  gp_time_t deadline = now + patience - MARGIN_BEFORE;
+  gp_time_t deadline = now + timeout - MARGIN_BEFORE;
   gp_time_t begin = MAX (now, BACK_AT);
 
   *until = MAX (MIN (now + REFUSE_TIME, deadline), now);
@@ -74,7 +73,8 @@
 }
 
 static unsigned
-play (bool (*serves) (gp_time_t now, gp_time_t patience, gp_time_t *until))
+play (bool (*is_served_by) (gp_time_t now, gp_time_t timeout,
+                            gp_time_t *until))
 {
   GRand *random = g_rand_new_with_seed (11);
   unsigned served = 0;
@@ -85,9 +85,9 @@
       gp_time_t now = begin;
       gp_time_t until;
 
-      while (now < begin + PATIENCE)
+      while (now < begin + TIMEOUT)
         {
-          if (serves (now, begin + PATIENCE - now, &until))
+          if (is_served_by (now, begin + TIMEOUT - now, &until))
             {
               served++;
               break;
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -155,7 +155,7 @@
 }
 
 static void
-show_doubt (gp_agent_t *agent, const char *what, gp_time_t now)
+show_uncertain (gp_agent_t *agent, const char *what, gp_time_t now)
 {
   gp_time_t again;
 
@@ -182,14 +182,14 @@
   agent_confirm_ends (&agent, ID, 1, 57);
   agent_sync_incarnation (&agent, ID, TASK, 1, 2, 0);
   gp_agent_list_failed (&agent, GP_AGENT_DISCONNECTED, -1, now);
-  show_doubt (&agent, "cut", now);
+  show_uncertain (&agent, "cut", now);
   gp_agent_list_failed (&agent, GP_AGENT_CONNECTION_REFUSED, -1, now);
-  show_doubt (&agent, "nobody there", now);
+  show_uncertain (&agent, "nobody there", now);
   gp_agent_answered (&agent, GP_AGENT_CALL_STOP, TASK, 9, 0, GP_AGENT_ACCEPTED,
                      6000, now);
-  show_doubt (&agent, "an order is answered", now);
+  show_uncertain (&agent, "an order is answered", now);
   gp_agent_listed (&agent, NULL, 0, NULL, 0, 6001, now, now);
-  show_doubt (&agent, "its list is answered", now);
+  show_uncertain (&agent, "its list is answered", now);
   gp_agent_finish (&agent);
 }
 
--- a/tests/unit/test_lives_random.c
+++ b/tests/unit/test_lives_random.c
@@ -21,31 +21,31 @@
 typedef struct
 {
   gp_agent_call_kind_t kind; /* GP_AGENT_CALL_NONE: a list */
-  bool asks;                 /* the list is an identity query of an unknown
+  bool is_query;             /* the list is an identity query of an unknown
                                 incarnation */
   int64_t asked_born_ms;     /* as reported by its heartbeat */
   uint32_t run;
-  uint64_t life; /* incarnation number of the agent */
+  uint64_t agent_incarnation; /* incarnation number of the agent */
   int64_t fence;
   int64_t lease_ms;
   uint64_t confirmed;
   gp_time_t sent_at;
   gp_time_t due;
-  bool lost;          /* its answer is lost */
-  bool told;          /* the agent knows that it is lost */
-  gp_time_t gives_up; /* the agent treats it as unanswered from then on */
-  unsigned real_life; /* the incarnation that existed when it was sent */
-} flight_t;
+  bool lost;              /* its answer is lost */
+  bool loss_known;        /* the agent knows that it is lost */
+  gp_time_t times_out_at; /* the agent treats it as unanswered from then on */
+  unsigned incarnation;   /* the incarnation that existed when it was sent */
+} pending_call_t;
 
 typedef struct
 {
   GRand *random;
   gp_agent_t agent;
   fake_executor_t fake;
-  unsigned real_life;
+  unsigned incarnation;
   int64_t born_ms; /* of the current incarnation */
-  gp_time_t dark_until;
-  GArray *flights;
+  gp_time_t unreachable_until;
+  GArray *pending;
   gp_time_t now;
   gp_time_t wall_ms; /* time of day, which may step back */
   bool listing;
@@ -56,10 +56,10 @@
   uint32_t given_up; /* runs up to this one must not run any more */
   uint64_t recorded; /* ends of the current incarnation that the leader has
                         recorded */
-  unsigned recorded_life;
+  unsigned recorded_incarnation;
   uint32_t done_runs;
-  uint32_t early_runs; /* number of times that a check saw a run that the next
-                          incarnation had carried out late */
+  uint32_t late_starts; /* number of times that a check saw a run that the next
+                           incarnation had carried out late */
 } world_t;
 
 static bool
@@ -68,26 +68,27 @@
   return g_rand_double (world->random) < share;
 }
 
-static flight_t *
-take_off (world_t *world, gp_agent_call_kind_t kind)
+static pending_call_t *
+send_call (world_t *world, gp_agent_call_kind_t kind)
 {
-  flight_t flight
+  pending_call_t pending_call
       = { .kind = kind,
-          .life = world->agent.incarnation_number,
-          .real_life = world->real_life,
+          .agent_incarnation = world->agent.incarnation_number,
+          .incarnation = world->incarnation,
           .sent_at = world->now,
           .fence = world->agent.fence,
           .due
           = world->now + g_rand_int_range (world->random, 1, 30) * GP_MSEC,
-          .gives_up = world->now + 300 * GP_MSEC };
+          .times_out_at = world->now + 300 * GP_MSEC };
 
   if (chance (world, 0.1))
     {
-      flight.lost = true;
-      flight.due += g_rand_int_range (world->random, 0, 12000) * GP_MSEC;
+      pending_call.lost = true;
+      pending_call.due += g_rand_int_range (world->random, 0, 12000) * GP_MSEC;
     }
-  g_array_append_val (world->flights, flight);
-  return &g_array_index (world->flights, flight_t, world->flights->len - 1);
+  g_array_append_val (world->pending, pending_call);
+  return &g_array_index (world->pending, pending_call_t,
+                         world->pending->len - 1);
 }
 
 /* Checks that the ends that the executor has dropped as confirmed were
@@ -95,7 +96,7 @@
    the previous incarnation and arrived before anyone could reach the current
    one.  */
 static void
-check_confirmed (const world_t *world, const flight_t *flight)
+check_confirmed (const world_t *world, const pending_call_t *pending_call)
 {
   guint left = world->fake.ends->len;
   uint64_t first
@@ -104,34 +105,35 @@
             : ((const Gp__Jobs__End *)g_ptr_array_index (world->fake.ends, 0))
                   ->number;
 
-  if (flight->confirmed == 0 || first == 1
-      || flight->fence <= world->fake.birth_fence)
+  if (pending_call->confirmed == 0 || first == 1
+      || pending_call->fence <= world->fake.birth_fence)
     return;
-  CU_ASSERT_FATAL (world->recorded_life == world->real_life);
+  CU_ASSERT_FATAL (world->recorded_incarnation == world->incarnation);
   CU_ASSERT_FATAL (first - 1 <= world->recorded);
 }
 
 static gp_agent_result_t
-carry_out (world_t *world, const flight_t *flight)
+carry_out (world_t *world, const pending_call_t *pending_call)
 {
   gp_agent_result_t result = GP_AGENT_ACCEPTED;
 
-  if (world->now < world->dark_until)
+  if (world->now < world->unreachable_until)
     return GP_AGENT_CONNECTION_REFUSED;
-  switch (flight->kind)
+  switch (pending_call->kind)
     {
     case GP_AGENT_CALL_START:
-      return fake_executor_start (&world->fake, TASK, flight->run,
-                                  flight->lease_ms, flight->fence, world->now);
+      return fake_executor_start (&world->fake, TASK, pending_call->run,
+                                  pending_call->lease_ms, pending_call->fence,
+                                  world->now);
     case GP_AGENT_CALL_STOP:
-      return fake_executor_stop (&world->fake, TASK, flight->run,
-                                 flight->fence, world->now);
+      return fake_executor_stop (&world->fake, TASK, pending_call->run,
+                                 pending_call->fence, world->now);
     case GP_AGENT_CALL_NONE:
-      result
-          = fake_executor_renew (&world->fake, flight->confirmed,
-                                 flight->lease_ms, flight->fence, world->now);
+      result = fake_executor_renew (&world->fake, pending_call->confirmed,
+                                    pending_call->lease_ms,
+                                    pending_call->fence, world->now);
       if (result == GP_AGENT_ACCEPTED)
-        check_confirmed (world, flight);
+        check_confirmed (world, pending_call);
       return result;
     case GP_AGENT_CALL_PACE:
       break;
@@ -141,49 +143,50 @@
 
 /* Handles the answer to an identity query, as in jobsd/guard_beats.c.  */
 static void
-answer_question (world_t *world, const flight_t *flight,
-                 gp_agent_result_t result)
+answer_query (world_t *world, const pending_call_t *pending_call,
+              gp_agent_result_t result)
 {
-  gp_agent_raise_fence_to (&world->agent, flight->fence);
+  gp_agent_raise_fence_to (&world->agent, pending_call->fence);
   if (result == GP_AGENT_FENCED)
-    gp_agent_fence_rejected (&world->agent, flight->fence);
+    gp_agent_fence_rejected (&world->agent, pending_call->fence);
   if (result != GP_AGENT_ACCEPTED
-      || flight->life != world->agent.incarnation_number
-      || flight->asked_born_ms != world->born_ms)
+      || pending_call->agent_incarnation != world->agent.incarnation_number
+      || pending_call->asked_born_ms != world->born_ms)
     return;
   gp_agent_set_executor (
       &world->agent, agent_incarnation_new (ID, world->born_ms),
       fake_executor_clock (&world->fake, world->now), world->now);
-  fake_executor_list (&world->fake, &world->agent, flight->sent_at,
+  fake_executor_list (&world->fake, &world->agent, pending_call->sent_at,
                       world->now);
 }
 
 static void
-answer (world_t *world, const flight_t *flight, gp_agent_result_t result)
+answer (world_t *world, const pending_call_t *pending_call,
+        gp_agent_result_t result)
 {
   int64_t clock = gp_agent_is_unanswered (result)
                       ? -1
                       : fake_executor_clock (&world->fake, world->now);
 
-  if (flight->asks)
+  if (pending_call->is_query)
     {
-      answer_question (world, flight, result);
+      answer_query (world, pending_call, result);
       return;
     }
-  if (flight->kind == GP_AGENT_CALL_NONE)
+  if (pending_call->kind == GP_AGENT_CALL_NONE)
     world->listing = false;
-  if (flight->life != world->agent.incarnation_number
+  if (pending_call->agent_incarnation != world->agent.incarnation_number
       || world->agent.executor == NULL)
     return;
   if (result == GP_AGENT_FENCED)
-    gp_agent_fence_rejected (&world->agent, flight->fence);
-  if (flight->kind != GP_AGENT_CALL_NONE)
-    gp_agent_answered (&world->agent, flight->kind, TASK, flight->run, 0,
-                       result, clock, world->now);
+    gp_agent_fence_rejected (&world->agent, pending_call->fence);
+  if (pending_call->kind != GP_AGENT_CALL_NONE)
+    gp_agent_answered (&world->agent, pending_call->kind, TASK,
+                       pending_call->run, 0, result, clock, world->now);
   else if (result != GP_AGENT_ACCEPTED)
     gp_agent_list_failed (&world->agent, result, clock, world->now);
   else if (world->agent.executor->born_ms == world->born_ms)
-    fake_executor_list (&world->fake, &world->agent, flight->sent_at,
+    fake_executor_list (&world->fake, &world->agent, pending_call->sent_at,
                         world->now);
   else
     gp_agent_list_failed (&world->agent, GP_AGENT_CONNECTION_REFUSED, -1,
@@ -191,74 +194,77 @@
 }
 
 static void
-land (world_t *world)
+deliver_calls (world_t *world)
 {
-  for (guint i = world->flights->len; i-- > 0;)
+  for (guint i = world->pending->len; i-- > 0;)
     {
-      flight_t flight = g_array_index (world->flights, flight_t, i);
+      pending_call_t pending_call
+          = g_array_index (world->pending, pending_call_t, i);
       gp_agent_result_t result;
 
-      if (flight.lost && !flight.told && world->now >= flight.gives_up)
+      if (pending_call.lost && !pending_call.loss_known
+          && world->now >= pending_call.times_out_at)
         {
-          flight.told = true;
-          g_array_index (world->flights, flight_t, i).told = true;
-          answer (world, &flight, GP_AGENT_UNANSWERED);
+          pending_call.loss_known = true;
+          g_array_index (world->pending, pending_call_t, i).loss_known = true;
+          answer (world, &pending_call, GP_AGENT_UNANSWERED);
         }
-      if (world->now < flight.due)
+      if (world->now < pending_call.due)
         continue;
-      g_array_remove_index (world->flights, i);
-      result = carry_out (world, &flight);
-      if (!flight.lost)
-        answer (world, &flight, result);
-      else if (!flight.told)
-        answer (world, &flight, GP_AGENT_UNANSWERED);
+      g_array_remove_index (world->pending, i);
+      result = carry_out (world, &pending_call);
+      if (!pending_call.lost)
+        answer (world, &pending_call, result);
+      else if (!pending_call.loss_known)
+        answer (world, &pending_call, GP_AGENT_UNANSWERED);
     }
 }
 
 static void
-fly (world_t *world)
+make_calls (world_t *world)
 {
   gp_time_t again;
   gp_agent_call_t next;
-  flight_t *flight;
+  pending_call_t *pending_call;
 
   while ((next = gp_agent_next_call (&world->agent, world->now, &again)).kind
          != GP_AGENT_CALL_NONE)
     {
-      flight = take_off (world, next.kind);
-      flight->run = next.run->run;
-      flight->lease_ms = next.lease_ms;
+      pending_call = send_call (world, next.kind);
+      pending_call->run = next.run->run;
+      pending_call->lease_ms = next.lease_ms;
     }
   if (world->listing || world->agent.executor == NULL || !chance (world, 0.5))
     return;
   world->listing = true;
-  flight = take_off (world, GP_AGENT_CALL_NONE);
-  flight->confirmed = gp_agent_list_confirmed (&world->agent, world->now);
-  flight->lease_ms = gp_agent_list_lease (&world->agent, world->now);
+  pending_call = send_call (world, GP_AGENT_CALL_NONE);
+  pending_call->confirmed
+      = gp_agent_list_confirmed (&world->agent, world->now);
+  pending_call->lease_ms = gp_agent_list_lease (&world->agent, world->now);
   if (!world->list_is_dead)
     return;
   world->list_is_dead = false;
-  flight->lost = true;
-  flight->due = GP_TIME_NEVER;
+  pending_call->lost = true;
+  pending_call->due = GP_TIME_NEVER;
 }
 
 /* Sends a heartbeat of the current incarnation, or of another one.  */
 static void
-beat (world_t *world)
+send_heartbeat (world_t *world)
 {
   int64_t born_ms
       = chance (world, 0.9)
             ? world->born_ms
             : world->born_ms + g_rand_int_range (world->random, -3, 4);
-  flight_t *flight;
+  pending_call_t *pending_call;
 
   if (gp_agent_is_incarnation (&world->agent, ID, born_ms))
     return;
-  flight = take_off (world, GP_AGENT_CALL_NONE);
-  flight->asks = true;
-  flight->due += g_rand_int_range (world->random, 0, 100) * GP_MSEC;
-  flight->fence = gp_agent_query_fence (&world->agent);
-  flight->asked_born_ms = born_ms;
+  pending_call = send_call (world, GP_AGENT_CALL_NONE);
+  pending_call->is_query = true;
+  pending_call->due += g_rand_int_range (world->random, 0, 100) * GP_MSEC;
+  pending_call->fence = gp_agent_query_fence (&world->agent);
+  pending_call->asked_born_ms = born_ms;
 }
 
 /* Does a report list RUN as running or ended?  */
@@ -277,7 +283,7 @@
 }
 
 static void
-take_ends (world_t *world)
+record_ends (world_t *world)
 {
   gp_agent_t *agent = &world->agent;
 
@@ -292,7 +298,7 @@
     }
   if (agent->executor->born_ms == world->born_ms)
     {
-      world->recorded_life = world->real_life;
+      world->recorded_incarnation = world->incarnation;
       world->recorded = MAX (agent->listed_ends, agent->seen_ends);
     }
   if (agent->ends->len > 0 && agent->is_synced)
@@ -301,7 +307,7 @@
 
 /* Does what the leader would do on a report made now.  */
 static void
-lead (world_t *world)
+act_as_leader (world_t *world)
 {
   gp_agent_t *agent = &world->agent;
   bool lapsed;
@@ -315,7 +321,7 @@
       && !is_carried (world, world->wanted))
     world->given_up = world->wanted;
   world->known_born_ms = agent->executor->born_ms;
-  take_ends (world);
+  record_ends (world);
   gp_agent_reported (agent, world->now);
   gp_agent_acknowledged (agent, world->now, 0, world->now);
   if (world->given_up == world->wanted)
@@ -327,7 +333,7 @@
 }
 
 static void
-take_absent (world_t *world)
+give_up_absent (world_t *world)
 {
   const gp_agent_run_t *run
       = gp_agent_find_run (&world->agent, TASK, world->wanted);
@@ -351,7 +357,7 @@
 
       CU_ASSERT_FATAL (run->early || run->run > world->given_up);
       others += !run->early;
-      world->early_runs += run->early;
+      world->late_starts += run->early;
     }
   CU_ASSERT_FATAL (others <= 1);
 }
@@ -364,22 +370,23 @@
   gp_agent_raise_fence_to (&world->agent, world->wall_ms);
   agent_add_spec (&world->agent, TASK, world->now);
   world->listing = false;
-  for (guint i = 0; i < world->flights->len; i++)
+  for (guint i = 0; i < world->pending->len; i++)
     {
-      flight_t *flight = &g_array_index (world->flights, flight_t, i);
+      pending_call_t *pending_call
+          = &g_array_index (world->pending, pending_call_t, i);
 
-      flight->lost = true;
-      flight->told = true;
+      pending_call->lost = true;
+      pending_call->loss_known = true;
     }
 }
 
 /* Loses the answers to all calls under way.  */
 static void
-lose_silently (world_t *world)
+lose_answers (world_t *world)
 {
   world->list_is_dead = !world->listing;
-  for (guint i = 0; i < world->flights->len; i++)
-    g_array_index (world->flights, flight_t, i).lost = true;
+  for (guint i = 0; i < world->pending->len; i++)
+    g_array_index (world->pending, pending_call_t, i).lost = true;
 }
 
 /* The executor restarts under its id.  Its connections are closed, or lost
@@ -396,38 +403,41 @@
   fake->slow_permille = slow_permille;
   fake->birth_fence = world->agent.fence;
   fake->clock_offset_ms = g_rand_int_range (world->random, 0, 10000) - 5000;
-  world->real_life++;
+  world->incarnation++;
   world->born_ms += g_rand_int_range (world->random, 0, 2) == 0 ? 1 : -7;
-  world->dark_until = world->now;
+  world->unreachable_until = world->now;
   if (chance (world, 0.5))
-    world->dark_until += g_rand_int_range (world->random, 1, 3000) * GP_MSEC;
+    world->unreachable_until
+        += g_rand_int_range (world->random, 1, 3000) * GP_MSEC;
   if (chance (world, 0.3))
     {
-      lose_silently (world);
+      lose_answers (world);
       return;
     }
-  for (guint i = 0; i < world->flights->len; i++)
+  for (guint i = 0; i < world->pending->len; i++)
     {
-      flight_t *flight = &g_array_index (world->flights, flight_t, i);
+      pending_call_t *pending_call
+          = &g_array_index (world->pending, pending_call_t, i);
 
-      if (!flight->told)
-        answer (world, flight, GP_AGENT_DISCONNECTED);
-      flight->lost = true;
-      flight->told = true;
+      if (!pending_call->loss_known)
+        answer (world, pending_call, GP_AGENT_DISCONNECTED);
+      pending_call->lost = true;
+      pending_call->loss_known = true;
     }
 }
 
 /* Adds to the numbers of runs that completed and of runs that the next
    incarnation carried out.  */
 static void
-play (guint32 seed, uint32_t *done, uint32_t *early)
+play (guint32 seed, uint32_t *done, uint32_t *late_starts)
 {
-  world_t world = { .random = g_rand_new_with_seed (seed),
-                    .flights = g_array_new (FALSE, FALSE, sizeof (flight_t)),
-                    .born_ms = 1000,
-                    .real_life = 1,
-                    .wanted = 1,
-                    .now = 100 * GP_SEC };
+  world_t world
+      = { .random = g_rand_new_with_seed (seed),
+          .pending = g_array_new (FALSE, FALSE, sizeof (pending_call_t)),
+          .born_ms = 1000,
+          .incarnation = 1,
+          .wanted = 1,
+          .now = 100 * GP_SEC };
 
   fake_executor_init (&world.fake);
   gp_agent_init (&world.agent, 0, world.now);
@@ -439,39 +449,39 @@
       world.wall_ms += STEP / GP_MSEC;
       world.fake.work_time
           = g_rand_int_range (world.random, 20, 2000) * GP_MSEC;
-      land (&world);
+      deliver_calls (&world);
       check_world (&world);
-      take_absent (&world);
+      give_up_absent (&world);
       if (chance (&world, 0.2))
-        lead (&world);
-      if (world.now >= world.dark_until && chance (&world, 0.1))
-        beat (&world);
+        act_as_leader (&world);
+      if (world.now >= world.unreachable_until && chance (&world, 0.1))
+        send_heartbeat (&world);
       if (chance (&world, 0.001))
         restart_guard (&world);
       if (chance (&world, 0.003))
         gp_agent_clear_sync (&world.agent);
-      if (world.now >= world.dark_until && chance (&world, 0.01))
+      if (world.now >= world.unreachable_until && chance (&world, 0.01))
         restart_executor (&world);
-      fly (&world);
+      make_calls (&world);
     }
   gp_agent_finish (&world.agent);
   fake_executor_finish (&world.fake);
-  g_array_free (world.flights, TRUE);
+  g_array_free (world.pending, TRUE);
   g_rand_free (world.random);
   *done += world.done_runs;
-  *early += world.early_runs;
+  *late_starts += world.late_starts;
 }
 
 static void
 test_random (void)
 {
   uint32_t done = 0;
-  uint32_t early = 0;
+  uint32_t late_starts = 0;
 
   for (guint32 seed = 1; seed <= 4000; seed++)
-    play (seed, &done, &early);
+    play (seed, &done, &late_starts);
   CU_ASSERT (done > 400);
-  CU_ASSERT (early > 0);
+  CU_ASSERT (late_starts > 0);
 }
 
 int
--- a/tests/unit/test_put_off.c
+++ b/tests/unit/test_put_off.c
@@ -13,11 +13,11 @@
    its order leaves after DELAY.  Prints where a job that arrives meanwhile is
    placed.  */
 static void
-put_off (gp_time_t delay)
+delay_order (gp_time_t delay)
 {
   jobs_site_t site;
   gp_job_t *suspect;
-  gp_job_t *beside;
+  gp_job_t *other;
   gp_time_t decided_at;
 
   jobs_site_init (&site);
@@ -31,14 +31,14 @@
   jobs_site_print_job (suspect);
   site.now += delay;
   gp_scheduler_ordered (&site.scheduler, decided_at, site.now);
-  beside = jobs_site_submit (&site, "00000000000000bb",
-                             jobs_site_submission (1, 1000));
+  other = jobs_site_submit (&site, "00000000000000bb",
+                            jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (other);
   site.now += GP_SUSPICION_SETTLE_TIME;
   gp_suspicion_clear (&suspect->tasks[0]);
   jobs_site_plan (&site);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (other);
   jobs_site_finish (&site);
 }
 
@@ -50,8 +50,8 @@
 {
   printf ("an executor is kept for a start that is alone until that has been "
           "ordered and has settled\n");
-  put_off (0);
-  put_off (OUTAGE_TIME);
+  delay_order (0);
+  delay_order (OUTAGE_TIME);
 }
 
 /* Returns the duration learned for a task that ran 2 s; its start may have
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -54,7 +54,7 @@
 
 /* Failures show that tasks of QUEUE take executors down.  */
 static void
-condemn (jobs_site_t *site, const char *queue)
+make_suspect (jobs_site_t *site, const char *queue)
 {
   for (int i = 0; i < GP_QUARANTINE_FAILURES; i++)
     gp_quarantine_record_failure (&site->scheduler.quarantine, &site->book,
@@ -139,7 +139,7 @@
       jobs_site_submit (&site, "00000000000000aa",
                         of_queue ("bad", tasks[i], 1000));
       jobs_site_plan (&site);
-      condemn (&site, "bad");
+      make_suspect (&site, "bad");
       g_snprintf (what, sizeof what, "%u of 64 cores", tasks[i]);
       show (&site, what);
       jobs_site_finish (&site);
@@ -147,9 +147,9 @@
 }
 
 /* An executor fails when a task of queue "bad" had only JUST begun, or some
-   time after that; BESIDE: a task of another queue had begun as well.  */
+   time after that; OTHER_JOB: a task of another queue had begun as well.  */
 static void
-try_end (const char *what, bool just, bool beside)
+fail_executor (const char *what, bool just, bool other_job)
 {
   jobs_site_t site;
   gp_job_t *jobs[2];
@@ -163,7 +163,7 @@
                               of_queue ("good", 1, 500));
   jobs_site_plan (&site);
   executor->suspects_reported = true;
-  for (int i = 0; i <= beside; i++)
+  for (int i = 0; i <= other_job; i++)
     {
       jobs[i]->tasks[0].suspect = true;
       jobs[i]->tasks[0].fresh = true;
@@ -181,9 +181,9 @@
 test_ends (void)
 {
   printf ("which ends speak against a queue that has one already\n");
-  try_end ("its job alone had just begun", true, false);
-  try_end ("only lately", false, false);
-  try_end ("another job had just begun as well", true, true);
+  fail_executor ("its job alone had just begun", true, false);
+  fail_executor ("only lately", false, false);
+  fail_executor ("another job had just begun as well", true, true);
 }
 
 static void
@@ -202,7 +202,7 @@
                            of_queue ("good", 6, 4000));
   jobs_site_plan (&site);
   jobs_site_print_job (good);
-  condemn (&site, "bad");
+  make_suspect (&site, "bad");
   bad = jobs_site_submit (&site, "00000000000000bb",
                           of_queue ("bad", 9, 1000));
   next = jobs_site_submit (&site, "00000000000000cc",
@@ -230,16 +230,16 @@
 {
   jobs_site_t site;
   gp_job_t *bad;
-  gp_job_executor_t *fallen;
+  gp_job_executor_t *failed;
 
   printf ("an executor that went down in quarantine is not replaced by one "
           "that has something to lose\n");
   begin (&site);
   jobs_site_submit (&site, "00000000000000aa", of_queue ("good", 12, 4000));
-  condemn (&site, "bad");
+  make_suspect (&site, "bad");
   jobs_site_plan (&site);
   show_quarantine (&site);
-  fallen = NULL;
+  failed = NULL;
   for (unsigned i = EXECUTORS; i >= 1; i--)
     {
       gp_job_executor_t *executor;
@@ -249,15 +249,15 @@
       executor = gp_book_executor (&site.book, id);
       executor->down = executor->quarantined;
       if (executor->down)
-        fallen = executor;
+        failed = executor;
     }
   bad = jobs_site_submit (&site, "00000000000000bb",
                           of_queue ("bad", 1, 1000));
   jobs_site_plan (&site);
   jobs_site_print_job (bad);
   printf ("but by the one that comes after it\n");
-  if (fallen != NULL)
-    jobs_site_dead (&site, fallen, GP_DEATH_REPLACED);
+  if (failed != NULL)
+    jobs_site_dead (&site, failed, GP_DEATH_REPLACED);
   jobs_site_executor (&site, "x9", 8);
   site.now += GP_SEC;
   jobs_site_plan (&site);
--- a/tests/unit/test_retry_after.c
+++ b/tests/unit/test_retry_after.c
@@ -10,13 +10,13 @@
 #include "runner.h"
 
 static void
-show (const char *what, gp_time_t away, gp_time_t time, gp_time_t patience,
-      uint32_t spread)
+show (const char *what, gp_time_t outage, gp_time_t time, gp_time_t timeout,
+      uint32_t jitter)
 {
-  const gp_retry_after_t refusal = { .store_outage = away,
+  const gp_retry_after_t refusal = { .store_outage = outage,
                                      .store_time = time,
-                                     .timeout = patience,
-                                     .jitter = spread };
+                                     .timeout = timeout,
+                                     .jitter = jitter };
 
   printf ("  %s: %u s\n", what, gp_retry_after_s (&refusal));
 }
@@ -47,10 +47,10 @@
 } outcome_t;
 
 /* CALLERS requests arrive in the first second of an outage of length OUTAGE.
-   Each caller tries again as told, or every second, until its timeout PATIENCE
+   Each caller tries again as told, or every second, until its TIMEOUT
    is over.  */
 static outcome_t
-play (gp_time_t outage, gp_time_t patience, bool each_second)
+play (gp_time_t outage, gp_time_t timeout, bool each_second)
 {
   GRand *random = g_rand_new_with_seed (5);
   unsigned at_once[600] = { 0 };
@@ -61,11 +61,11 @@
       gp_time_t begin = g_rand_int_range (random, 0, 1000) * GP_MSEC;
       gp_time_t now = begin;
 
-      for (; now <= begin + patience; outcome.tries++)
+      for (; now <= begin + timeout; outcome.tries++)
         {
           const gp_retry_after_t refusal = { .store_outage = now,
                                              .store_time = 4 * GP_MSEC,
-                                             .timeout = begin + patience - now,
+                                             .timeout = begin + timeout - now,
                                              .jitter = g_rand_int (random) };
 
           if (now >= outage)
@@ -87,19 +87,19 @@
 static void
 test_outage (void)
 {
-  outcome_t told = play (20 * GP_SEC, 60 * GP_SEC, false);
+  outcome_t guided = play (20 * GP_SEC, 60 * GP_SEC, false);
   outcome_t steady = play (20 * GP_SEC, 60 * GP_SEC, true);
   outcome_t hasty = play (2 * GP_SEC, 3 * GP_SEC, false);
 
   printf ("20 s away, 60 s of patience: %u of %d served in %u tries, at most "
           "%u in a second; each second: %u in %u, %u\n",
-          told.served, CALLERS, told.tries, told.most_at_once, steady.served,
-          steady.tries, steady.most_at_once);
+          guided.served, CALLERS, guided.tries, guided.most_at_once,
+          steady.served, steady.tries, steady.most_at_once);
   printf ("2 s away, 3 s of patience: %u served\n", hasty.served);
-  CU_ASSERT_EQUAL (told.served, CALLERS);
+  CU_ASSERT_EQUAL (guided.served, CALLERS);
   CU_ASSERT_EQUAL (hasty.served, CALLERS);
-  CU_ASSERT_TRUE (told.tries * 2 < steady.tries);
-  CU_ASSERT_TRUE (told.most_at_once * 2 < steady.most_at_once);
+  CU_ASSERT_TRUE (guided.tries * 2 < steady.tries);
+  CU_ASSERT_TRUE (guided.most_at_once * 2 < steady.most_at_once);
 }
 
 int
--- a/tests/unit/test_specs.c
+++ b/tests/unit/test_specs.c
@@ -133,51 +133,53 @@
 static void
 test_copies (void)
 {
-  gp_spec_distribution_t spread;
+  gp_spec_distribution_t distribution;
   const char *holder;
   int copies = 0;
 
-  gp_spec_distribution_init (&spread);
+  gp_spec_distribution_init (&distribution);
   for (int again = 0; again < 2; again++)
     for (int i = 0; i < GUARDS; i++)
-      copies += gp_spec_distribution_source (&spread, JOB, guard_name (i), 0,
-                                             &holder)
+      copies += gp_spec_distribution_source (&distribution, JOB,
+                                             guard_name (i), 0, &holder)
                 == GP_SPEC_FROM_LEADER;
   printf ("two runs on each of %d workers: %d copies from the leader\n",
           GUARDS, copies);
   CU_ASSERT_TRUE (copies <= 1 + GUARDS / GP_SPEC_DISTRIBUTION_FANOUT);
-  gp_spec_distribution_finish (&spread);
+  gp_spec_distribution_finish (&distribution);
 }
 
 static void
 test_lacking (void)
 {
-  gp_spec_distribution_t spread;
+  gp_spec_distribution_t distribution;
   const char *holder = NULL;
   gp_time_t now = GP_SEC;
 
-  gp_spec_distribution_init (&spread);
-  gp_spec_distribution_source (&spread, JOB, "w0", now, &holder);
-  CU_ASSERT_FALSE (gp_spec_distribution_is_missing (&spread, JOB, "w0", now));
-  CU_ASSERT_TRUE (
-      gp_spec_distribution_is_missing (&spread, JOB, "w0", now + GP_SEC));
+  gp_spec_distribution_init (&distribution);
+  gp_spec_distribution_source (&distribution, JOB, "w0", now, &holder);
+  CU_ASSERT_FALSE (
+      gp_spec_distribution_is_missing (&distribution, JOB, "w0", now));
+  CU_ASSERT_TRUE (gp_spec_distribution_is_missing (&distribution, JOB, "w0",
+                                                   now + GP_SEC));
   CU_ASSERT_EQUAL (
-      gp_spec_distribution_source (&spread, JOB, "w1", now, &holder),
+      gp_spec_distribution_source (&distribution, JOB, "w1", now, &holder),
       GP_SPEC_FROM_HOLDER);
   CU_ASSERT_STRING_EQUAL (holder, "w0");
-  CU_ASSERT_TRUE (gp_spec_distribution_is_missing (&spread, JOB, "w1", now));
-  gp_spec_distribution_remove_guard (&spread, "w1");
+  CU_ASSERT_TRUE (
+      gp_spec_distribution_is_missing (&distribution, JOB, "w1", now));
+  gp_spec_distribution_remove_guard (&distribution, "w1");
   CU_ASSERT_EQUAL (
-      gp_spec_distribution_source (&spread, JOB, "w2", now, &holder),
+      gp_spec_distribution_source (&distribution, JOB, "w2", now, &holder),
       GP_SPEC_FROM_LEADER);
   CU_ASSERT_EQUAL (
-      gp_spec_distribution_source (&spread, JOB, "w1", now, &holder),
+      gp_spec_distribution_source (&distribution, JOB, "w1", now, &holder),
       GP_SPEC_FROM_HOLDER);
-  gp_spec_distribution_remove_job (&spread, JOB);
+  gp_spec_distribution_remove_job (&distribution, JOB);
   CU_ASSERT_EQUAL (
-      gp_spec_distribution_source (&spread, JOB, "w1", now, &holder),
+      gp_spec_distribution_source (&distribution, JOB, "w1", now, &holder),
       GP_SPEC_FROM_LEADER);
-  gp_spec_distribution_finish (&spread);
+  gp_spec_distribution_finish (&distribution);
 }
 
 /* Guards lose their connections, refuse to answer each other and restart.
@@ -188,14 +190,14 @@
 {
   GRand *random = g_rand_new_with_seed (seed);
   gp_spec_store_t stores[GUARDS];
-  gp_spec_distribution_t spread;
+  gp_spec_distribution_t distribution;
   gp_time_t now = GP_SEC;
   Gp__Jobs__Spec here = spec_of (JOB, "work", NULL);
   Gp__Jobs__Spec there = spec_of (JOB, "work", HOLDER);
   int lacking = GUARDS;
 
   there.holder = HOLDER;
-  gp_spec_distribution_init (&spread);
+  gp_spec_distribution_init (&distribution);
   for (int i = 0; i < GUARDS; i++)
     gp_spec_store_init (&stores[i]);
   for (int round = 0; round < 20 && lacking > 0; round++)
@@ -210,12 +212,12 @@
 
           if (round < 4 && g_rand_int_range (random, 0, 10) == 0)
             {
-              gp_spec_distribution_remove_guard (&spread, name);
+              gp_spec_distribution_remove_guard (&distribution, name);
               gp_spec_store_finish (store);
               gp_spec_store_init (store);
             }
-          switch (
-              gp_spec_distribution_source (&spread, JOB, name, now, &holder))
+          switch (gp_spec_distribution_source (&distribution, JOB, name, now,
+                                               &holder))
             {
             case GP_SPEC_FROM_LEADER:
               gp_spec_store_add (store, &here, now);
@@ -228,7 +230,8 @@
             case GP_SPEC_KNOWN:
               gp_spec_store_expire (store, now + GP_SEC);
               if (gp_spec_store_is_missing (store, TASK)
-                  && gp_spec_distribution_is_missing (&spread, JOB, name, now))
+                  && gp_spec_distribution_is_missing (&distribution, JOB, name,
+                                                      now))
                 gp_spec_store_add (store, &here, now);
               break;
             }
@@ -238,7 +241,7 @@
   CU_ASSERT_EQUAL (lacking, 0);
   for (int i = 0; i < GUARDS; i++)
     gp_spec_store_finish (&stores[i]);
-  gp_spec_distribution_finish (&spread);
+  gp_spec_distribution_finish (&distribution);
   g_rand_free (random);
 }
 
