--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -438,8 +438,8 @@
     }
 }
 
-/* Removes the NULL entries of an array from which starts were taken over:
-   protobuf-c does not accept them when it frees the message.  */
+/* Removes the NULL entries that starts left in an array when they were taken
+   over: protobuf-c does not handle them when it frees the message.  */
 static void
 compact_starts (Gp__Jobs__Start **starts, size_t *count)
 {
--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -9,10 +9,10 @@
    - A run counts as absent only after a stop of it was confirmed, or its only
      start was refused, and a list requested after that does not show it: from
      then on the executor refuses to start it.
-   - The lease that calls carry ends LEASE_TIME after the sending of the last
-     report that the leader acknowledged, on a clock that may run slow by
-     GP_AGENT_CLOCK_SLOW_PERMILLE.  It is not extended while the executor does
-     not answer, so that its end becomes certain.
+   - The lease that calls carry ends GP_AGENT_LEASE_TIME after the sending of
+     the last report that the leader acknowledged, on a clock that may run slow
+     by GP_AGENT_CLOCK_SLOW_PERMILLE.  It is not extended while the executor
+     does not answer, so that its end becomes certain.
    - An acknowledgement counts only for the executor that its report named: an
      executor found later is not under a lease that the leader does not know
      of.  A guard that has just started accepts no acknowledgement from a
@@ -27,9 +27,9 @@
    - The fence only rises: with each incarnation of the executor that is found,
      each connection that ends, where the leader asks for it, and where an
      unanswered start must be invalidated, see jobs/agent_isolation.c.  Its
-   first value is the time of day, which puts it above the fences of earlier
-   guard processes.  If the time of day has stepped back, the fence is raised
-   in growing steps until the executor accepts it.
+     first value is the time of day, which puts it above the fences of earlier
+     guard processes.  If the time of day has stepped back, the fence is raised
+     in growing steps until the executor accepts it.
    - Ends, clock and lease belong to one incarnation.  After a connection has
      ended, another incarnation may answer the next list; such a list confirms
      no ends and extends no lease, and no order is sent before it is answered.
@@ -48,8 +48,8 @@
 #include "jobs/start_gate.h"
 
 /* Duration of an executor's lease.  It outlives a guard that is killed or
-   frozen for 4 s; work of a VM that is lost for good is placed anew within 6
-   s.  */
+   frozen for 4 s; work of a VM that is lost for good is placed anew within
+   6 s.  */
 #define GP_AGENT_LEASE_TIME (5 * GP_SEC)
 /* Assumed upper bound on how slow an executor's clock may run, in
    thousandths.  */
