--- a/src/jobs/quarantine.c
+++ b/src/jobs/quarantine.c
@@ -21,7 +21,7 @@
 void
 gp_quarantine_init (gp_quarantine_t *quarantine)
 {
-  quarantine->is_active = false;
+  quarantine->has_executors = false;
   quarantine->queues
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
@@ -200,9 +200,9 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (!quarantine->is_active)
+  if (!quarantine->has_executors)
     return;
-  quarantine->is_active = false;
+  quarantine->has_executors = false;
   g_hash_table_iter_init (&iter, book->executors);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     ((gp_job_executor_t *)value)->quarantined = false;
@@ -222,7 +222,7 @@
       clear_quarantine (quarantine, book);
       return;
     }
-  quarantine->is_active = true;
+  quarantine->has_executors = true;
   candidates = rate_executors (book, now, &down);
   wanted = MAX ((candidates->len + down) / GP_QUARANTINE_SHARE, 1);
   count = wanted > down ? wanted - down : 0;
--- a/src/jobs/quarantine.h
+++ b/src/jobs/quarantine.h
@@ -47,7 +47,7 @@
 {
   GHashTable *queues; /* name to the last failures that its tasks caused,
                          owned */
-  bool is_active;     /* there are executors in quarantine */
+  bool has_executors; /* there are executors in quarantine */
 } gp_quarantine_t;
 
 void gp_quarantine_init (gp_quarantine_t *quarantine);
