--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -1,4 +1,5 @@
-/* Decisions of the guard: what to tell the executor of its VM.  */
+/* Guard: the executor, its lease and fence, and the runs that the leader
+   wants.  */
 
 #include "jobs/agent_private.h"
 
@@ -8,20 +9,24 @@
 #include "base/log.h"
 #include "jobs/grants.h"
 
-/* Between tries of a call without an answer or with a passing refusal.  */
+/* Delay before a call is retried that had no answer or a temporary
+   refusal.  */
 #define RETRY_TIME (100 * GP_MSEC)
-/* Without an answer of the executor for so long, leases are not moved on:
-   the longest wait of a list and its timeout.  */
+/* Leases are not extended after this time without an answer of the executor:
+   the longest wait of a list request plus its timeout.  */
 #define SILENCE_TIME (1500 * GP_MSEC)
-/* Orders that are under way when an executor says that it leaves still come in
-   this time; a leader that takes over later may want what was never begun.  */
+/* Orders under way when an executor announces that it leaves still arrive
+   within this time; a leader that takes over later may order starts again that
+   were never made.  */
 #define DRAIN_START_TIME (GP_SEC)
-/* Milliseconds by which no answer falls behind another one.  */
-#define CLOCK_BEHIND_MS 5000
-/* A time of day that has stepped back by seconds is made up for in a few
-   tries; a month is more than any step.  */
-#define FENCE_LEAP_MS 1000
-#define FENCE_LEAP_MAX_MS (INT64_C (1) << 31)
+/* Answers that overtake each other differ by less than this, in
+   milliseconds.  */
+#define CLOCK_DISORDER_MS 5000
+/* Steps of the fence, in milliseconds: a time of day that stepped back by
+   seconds is made up for in a few tries.  The last step, a month, exceeds any
+   step of the clock.  */
+#define FENCE_STEP_MS 1000
+#define FENCE_STEP_MAX_MS (INT64_C (1) << 31)
 
 gp_time_t
 gp_agent_lease_end (gp_time_t sent_at)
@@ -31,7 +36,7 @@
          + GP_AGENT_LEASE_MARGIN;
 }
 
-/* Messages that the agent keeps are made with malloc, as protobuf-c does
+/* Messages that the agent keeps are allocated with malloc, as protobuf-c does
    when it unpacks without an allocator.  */
 
 static void
@@ -57,9 +62,9 @@
 }
 
 static void
-clear_gone (gpointer data)
+clear_ended_filling (gpointer data)
 {
-  g_free (((gp_agent_gone_t *)data)->image);
+  g_free (((gp_agent_ended_filling_t *)data)->image);
 }
 
 void
@@ -67,7 +72,7 @@
 {
   memset (agent, 0, sizeof *agent);
   agent->began_at = now;
-  agent->named_at = GP_TIME_NEVER;
+  agent->first_reported_at = GP_TIME_NEVER;
   agent->runs
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_run);
   agent->ends = g_ptr_array_new_with_free_func (free_end);
@@ -77,12 +82,13 @@
   agent->lease = INT64_MIN / 2;
   agent->retry_time = RETRY_TIME;
   gp_pacer_init (&agent->pacer);
-  agent->gone = g_array_new (FALSE, FALSE, sizeof (gp_agent_gone_t));
-  g_array_set_clear_func (agent->gone, clear_gone);
+  agent->ended_fillings
+      = g_array_new (FALSE, FALSE, sizeof (gp_agent_ended_filling_t));
+  g_array_set_clear_func (agent->ended_fillings, clear_ended_filling);
   agent->clock_ms = -1;
   agent->carried = g_ptr_array_new_with_free_func (free_task_run);
   agent->fence = 1;
-  agent->fence_leap = FENCE_LEAP_MS;
+  agent->fence_step = FENCE_STEP_MS;
 }
 
 static void
@@ -100,16 +106,16 @@
   agent->clock_is_behind = false;
   agent->fence_listed = 0;
   agent->stale_ends = 0;
-  agent->named_at = GP_TIME_NEVER;
+  agent->first_reported_at = GP_TIME_NEVER;
   agent->granted = INT64_MIN / 2;
   agent->lease = INT64_MIN / 2;
   agent->lapsed = false;
   agent->ended = false;
   agent->down_since = 0;
-  agent->is_cut = false;
-  agent->gone_from = 0;
+  agent->is_disconnected = false;
+  agent->earliest_end_at = 0;
   g_hash_table_remove_all (agent->runs);
-  g_array_set_size (agent->gone, 0);
+  g_array_set_size (agent->ended_fillings, 0);
   g_ptr_array_set_size (agent->ends, 0);
 }
 
@@ -123,15 +129,14 @@
   g_ptr_array_unref (agent->ends);
   g_ptr_array_unref (agent->carried);
   gp_pacer_finish (&agent->pacer);
-  g_array_unref (agent->gone);
+  g_array_unref (agent->ended_fillings);
 }
 
-/* Say once that the executor's clock is lower than it was: answers overtake
-   each other by less.  */
+/* Logs, once per incarnation, that the executor's clock has gone back.  */
 static void
-note_clock_behind (gp_agent_t *agent, int64_t clock_ms)
+log_clock_behind (gp_agent_t *agent, int64_t clock_ms)
 {
-  if (agent->clock_is_behind || agent->clock_ms - clock_ms < CLOCK_BEHIND_MS)
+  if (agent->clock_is_behind || agent->clock_ms - clock_ms < CLOCK_DISORDER_MS)
     return;
   agent->clock_is_behind = true;
   gp_log (GP_LOG_WARNING, "executor.clock_behind",
@@ -142,14 +147,14 @@
 }
 
 void
-gp_agent_take_clock (gp_agent_t *agent, int64_t clock_ms, gp_time_t now)
+gp_agent_update_clock (gp_agent_t *agent, int64_t clock_ms, gp_time_t now)
 {
   if (clock_ms < 0)
     return;
-  note_clock_behind (agent, clock_ms);
+  log_clock_behind (agent, clock_ms);
   agent->heard_at = now;
   agent->down_since = 0;
-  agent->gone_from = 0;
+  agent->earliest_end_at = 0;
   if (agent->clock_ms >= clock_ms)
     return;
   agent->clock_ms = clock_ms;
@@ -157,7 +162,7 @@
 }
 
 void
-gp_agent_begin_fence (gp_agent_t *agent, int64_t fence)
+gp_agent_raise_fence_to (gp_agent_t *agent, int64_t fence)
 {
   agent->fence = MAX (agent->fence, fence);
 }
@@ -168,27 +173,28 @@
   agent->fence++;
 }
 
-/* A call that was overtaken by one with a new fence tells nothing of that:
-   each leap that is made for nothing puts the fence ahead of the time of day,
-   at which the next process begins.  */
+/* FENCE is lower than the agent's if the call was overtaken by one with a new
+   fence; then nothing is to be done.  An unnecessary step would put the fence
+   ahead of the time of day, with which the next process begins.  */
 void
-gp_agent_fenced (gp_agent_t *agent, int64_t fence)
+gp_agent_fence_rejected (gp_agent_t *agent, int64_t fence)
 {
   if (fence < agent->fence)
     return;
-  agent->fence += agent->fence_leap;
-  agent->fence_leap = MIN (agent->fence_leap * 2, FENCE_LEAP_MAX_MS);
+  agent->fence += agent->fence_step;
+  agent->fence_step = MIN (agent->fence_step * 2, FENCE_STEP_MAX_MS);
 }
 
 int64_t
-gp_agent_ask_fence (gp_agent_t *agent)
+gp_agent_query_fence (gp_agent_t *agent)
 {
-  agent->fence_asked = MAX (agent->fence_asked, agent->fence) + 1;
-  return agent->fence_asked;
+  agent->query_fence = MAX (agent->query_fence, agent->fence) + 1;
+  return agent->query_fence;
 }
 
 bool
-gp_agent_is_life (const gp_agent_t *agent, const char *id, int64_t born_ms)
+gp_agent_is_incarnation (const gp_agent_t *agent, const char *id,
+                         int64_t born_ms)
 {
   return agent->executor != NULL && agent->executor->born_ms == born_ms
          && strcmp (agent->executor->id, id) == 0;
@@ -202,12 +208,12 @@
          || now->accelerators < before->accelerators;
 }
 
-/* The leader gave the runs that have not begun for the room that there was:
-   one that is tried again for seconds would begin where there is none, on an
-   executor that does not refuse it.  It gets them back and places them anew.
- */
+/* The leader placed the runs that have not begun on the resources that the
+   executor had.  If they were retried for seconds, they would begin where
+   these are missing, as the executor does not refuse them.  So they are
+   returned to the leader to be placed anew.  */
 static void
-give_back (gp_agent_t *agent)
+return_unstarted (gp_agent_t *agent)
 {
   GHashTableIter iter;
   gpointer value;
@@ -222,9 +228,10 @@
     }
 }
 
-/* Say what is begun anew where EXECUTOR is the next life of the one before. */
+/* Logs what is lost if EXECUTOR is the next incarnation of the current
+   executor.  */
 static void
-note_restart (const gp_agent_t *agent, const Gp__Jobs__Executor *executor)
+log_restart (const gp_agent_t *agent, const Gp__Jobs__Executor *executor)
 {
   const Gp__Jobs__Executor *before = agent->executor;
 
@@ -240,15 +247,16 @@
           GP_LOG_I ("clock_ms", agent->clock_ms));
 }
 
-/* Until when starts are made at EXECUTOR, of which a heartbeat has come.  One
-   that is met while it leaves may have said so long ago.  */
+/* Returns until when starts are made at EXECUTOR, which has just sent a
+   heartbeat.  An executor that is already leaving when it is found may have
+   announced that long ago.  */
 static gp_time_t
 starts_until (const gp_agent_t *agent, const Gp__Jobs__Executor *executor,
               gp_time_t now)
 {
   if (!executor->draining)
     return GP_TIME_NEVER;
-  if (!gp_agent_is_life (agent, executor->id, executor->born_ms))
+  if (!gp_agent_is_incarnation (agent, executor->id, executor->born_ms))
     return now;
   return agent->executor->draining ? agent->starts_until
                                    : now + DRAIN_START_TIME;
@@ -259,18 +267,18 @@
                        int64_t clock_ms, gp_time_t now)
 {
   agent->starts_until = starts_until (agent, executor, now);
-  if (gp_agent_is_life (agent, executor->id, executor->born_ms))
+  if (gp_agent_is_incarnation (agent, executor->id, executor->born_ms))
     {
       if (has_shrunk (agent->executor, executor))
-        give_back (agent);
+        return_unstarted (agent);
       gp__jobs__executor__free_unpacked (agent->executor, NULL);
     }
   else
     {
       gp_agent_keep_predecessor (agent, now);
-      note_restart (agent, executor);
+      log_restart (agent, executor);
       drop_executor (agent);
-      agent->life++;
+      agent->incarnation_number++;
       agent->known_since = now;
       gp_log (
           GP_LOG_INFO, "executor.known", GP_LOG_S ("executor", executor->id),
@@ -278,7 +286,7 @@
           GP_LOG_I ("clock_ms", clock_ms), GP_LOG_I ("fence", agent->fence));
     }
   agent->executor = executor;
-  gp_agent_take_clock (agent, clock_ms, now);
+  gp_agent_update_clock (agent, clock_ms, now);
 }
 
 void
@@ -287,7 +295,7 @@
   if (agent->executor == NULL || agent->ended)
     return;
   agent->ended = true;
-  gp_agent_forget_list (agent);
+  gp_agent_clear_list (agent);
   agent->is_synced = false;
   agent->synced = 0;
   gp_log (GP_LOG_INFO, "executor.ended",
@@ -295,11 +303,12 @@
           GP_LOG_I ("runs", g_hash_table_size (agent->runs)));
 }
 
-/* Note when the lease has run out; before anything moves it on.  */
+/* Records the expiry of the lease.  To be called before the lease is
+   extended.  */
 static void
 check_lapse (gp_agent_t *agent, gp_time_t now)
 {
-  /* A process before this one may have moved the lease until it ended.  */
+  /* An earlier guard process may have extended the lease until it ended.  */
   gp_time_t lease = MAX (agent->lease, agent->known_since);
 
   if (agent->executor == NULL || agent->lapsed || agent->ended
@@ -307,7 +316,7 @@
     return;
   agent->lapsed = true;
   agent->lapsed_at = now;
-  gp_agent_forget_list (agent);
+  gp_agent_clear_list (agent);
   agent->is_synced = false;
   agent->synced = 0;
   gp_log (GP_LOG_INFO, "lease.lapsed",
@@ -320,27 +329,27 @@
 void
 gp_agent_reported (gp_agent_t *agent, gp_time_t sent_at)
 {
-  if (agent->executor != NULL && agent->named_at == GP_TIME_NEVER)
-    agent->named_at = sent_at;
+  if (agent->executor != NULL && agent->first_reported_at == GP_TIME_NEVER)
+    agent->first_reported_at = sent_at;
 }
 
 void
 gp_agent_acknowledged (gp_agent_t *agent, gp_time_t sent_at,
                        gp_time_t lead_age, gp_time_t now)
 {
-  if (sent_at < agent->named_at
-      || !gp_grants_trusted (agent->began_at, lead_age, now))
+  if (sent_at < agent->first_reported_at
+      || !gp_grants_is_trusted (agent->began_at, lead_age, now))
     return;
   check_lapse (agent, now);
   agent->granted = MAX (agent->granted, sent_at);
 }
 
 void
-gp_agent_zone_told (gp_agent_t *agent, bool evacuated, gp_time_t known_at)
+gp_agent_set_evacuated (gp_agent_t *agent, bool evacuated, gp_time_t known_at)
 {
   bool before = agent->gate.evacuated;
 
-  gp_start_gate_told (&agent->gate, evacuated, known_at);
+  gp_start_gate_update (&agent->gate, evacuated, known_at);
   if (agent->gate.evacuated == before)
     return;
   gp_log (
@@ -349,7 +358,7 @@
       GP_LOG_I ("runs", g_hash_table_size (agent->runs)));
 }
 
-/* What the leader wants.  */
+/* The runs that the leader wants.  */
 
 gp_agent_run_t *
 gp_agent_find_run (const gp_agent_t *agent, const char *name, uint32_t number)
@@ -368,18 +377,18 @@
   g_strlcpy (run->name, name, sizeof run->name);
   run->run = number;
   run->phase = phase;
-  run->pace = GP_PACER_FULL;
-  run->pace_again = GP_TIME_NEVER;
-  run->busy = NAN;
+  run->pace = GP_PACER_FULL_SPEED;
+  run->pace_repeat_at = GP_TIME_NEVER;
+  run->busy_share = NAN;
   gp_headroom_init (&run->headroom);
-  run->over_since = GP_TIME_NEVER;
+  run->over_target_since = GP_TIME_NEVER;
   g_hash_table_replace (agent->runs, run->name, run);
   return run;
 }
 
-/* Has the executor already told the end of this run?  */
 bool
-gp_agent_has_ended (const gp_agent_t *agent, const char *name, uint32_t number)
+gp_agent_run_has_ended (const gp_agent_t *agent, const char *name,
+                        uint32_t number)
 {
   for (guint i = 0; i < agent->ends->len; i++)
     {
@@ -391,14 +400,14 @@
   return false;
 }
 
-/* Take START over from *PLACE.  */
+/* Takes ownership of *SLOT, if it is kept, and clears it.  */
 static void
-want_start (gp_agent_t *agent, Gp__Jobs__Start **place)
+add_start (gp_agent_t *agent, Gp__Jobs__Start **slot)
 {
-  Gp__Jobs__Start *start = *place;
+  Gp__Jobs__Start *start = *slot;
   gp_agent_run_t *run = g_hash_table_lookup (agent->runs, start->task);
 
-  if (gp_agent_has_ended (agent, start->task, start->run))
+  if (gp_agent_run_has_ended (agent, start->task, start->run))
     return;
   if (run != NULL && run->run > start->run)
     return;
@@ -407,8 +416,8 @@
   if (run->start == NULL)
     {
       run->start = start;
-      *place = NULL;
-      agent->plan_is_old = true;
+      *slot = NULL;
+      agent->plan_is_stale = true;
     }
 }
 
@@ -417,22 +426,22 @@
 {
   gp_agent_run_t *run = g_hash_table_lookup (agent->runs, name);
 
-  if (gp_agent_has_ended (agent, name, number)
+  if (gp_agent_run_has_ended (agent, name, number)
       || (run != NULL && run->run > number))
     return;
   if (run == NULL || run->run < number)
     run = add_run (agent, name, number, GP_RUN_STOPPING);
-  if (run->phase == GP_RUN_STARTING || run->phase == GP_RUN_PRESENT)
+  if (run->phase == GP_RUN_STARTING || run->phase == GP_RUN_STARTED)
     {
       run->phase = GP_RUN_STOPPING;
       run->retry_at = 0;
     }
 }
 
-/* A run that was taken out of an array leaves a hole, which protobuf-c does
-   not free: close it.  */
+/* Removes the NULL entries that starts left in an array when they were taken
+   over: protobuf-c does not handle them when it frees the message.  */
 static void
-close_holes (Gp__Jobs__Start **starts, size_t *count)
+compact_starts (Gp__Jobs__Start **starts, size_t *count)
 {
   size_t kept = 0;
 
@@ -452,8 +461,8 @@
   return false;
 }
 
-/* Stop what the leader does not want; what was absent and is not wanted is
-   on record.  */
+/* Stops the runs that the leader does not want.  An absent run that it does
+   not want has been recorded and is dropped.  */
 static void
 stop_unwanted (gp_agent_t *agent, const Gp__Jobs__Sync *sync)
 {
@@ -486,20 +495,20 @@
     }
 }
 
-/* Does the leader mean the life that is here?  One of the version before names
-   none.  */
+/* Does the leader mean the current incarnation?  A leader of the previous
+   version sends no birth time.  */
 static bool
-is_meant (const gp_agent_t *agent, const char *id, int64_t born_ms)
+is_addressed (const gp_agent_t *agent, const char *id, int64_t born_ms)
 {
   return agent->executor != NULL
-         && gp_agent_is_life (
+         && gp_agent_is_incarnation (
              agent, id, born_ms != 0 ? born_ms : agent->executor->born_ms);
 }
 
 void
 gp_agent_sync (gp_agent_t *agent, Gp__Jobs__Sync *sync)
 {
-  if (!is_meant (agent, sync->executor, sync->born_ms) || agent->ended
+  if (!is_addressed (agent, sync->executor, sync->born_ms) || agent->ended
       || (agent->lapsed && sync->after < agent->lapsed_at))
     return;
   if (agent->lapsed)
@@ -507,8 +516,8 @@
   agent->lapsed = false;
   stop_unwanted (agent, sync);
   for (size_t i = 0; i < sync->n_starts; i++)
-    want_start (agent, &sync->starts[i]);
-  close_holes (sync->starts, &sync->n_starts);
+    add_start (agent, &sync->starts[i]);
+  compact_starts (sync->starts, &sync->n_starts);
   gp_agent_stop_carried (agent);
   agent->synced = sync->number;
   agent->is_synced = true;
@@ -517,14 +526,14 @@
 }
 
 void
-gp_agent_unsync (gp_agent_t *agent)
+gp_agent_clear_sync (gp_agent_t *agent)
 {
   agent->is_synced = false;
   agent->synced = 0;
 }
 
 static void
-forget_absent (gp_agent_t *agent, const Gp__Jobs__TaskRun *what)
+drop_absent (gp_agent_t *agent, const Gp__Jobs__TaskRun *what)
 {
   const gp_agent_run_t *run = gp_agent_find_run (agent, what->task, what->run);
 
@@ -533,10 +542,10 @@
 }
 
 static void
-forget_ends (gp_agent_t *agent, uint64_t seen)
+drop_recorded_ends (gp_agent_t *agent, uint64_t seen)
 {
-  /* No more than this life has listed: a leader of the version before may mean
-     another one.  */
+  /* At most up to what this incarnation has listed: a leader of the previous
+     version may mean another one.  */
   agent->seen_ends = MAX (agent->seen_ends, MIN (seen, agent->listed_ends));
   while (agent->ends->len > 0)
     {
@@ -551,23 +560,23 @@
 void
 gp_agent_order (gp_agent_t *agent, Gp__Jobs__Orders *orders)
 {
-  if (!is_meant (agent, orders->executor, orders->born_ms)
+  if (!is_addressed (agent, orders->executor, orders->born_ms)
       || !agent->is_synced)
     return;
   for (size_t i = 0; i < orders->n_forget; i++)
-    forget_absent (agent, orders->forget[i]);
-  forget_ends (agent, orders->seen_ends);
+    drop_absent (agent, orders->forget[i]);
+  drop_recorded_ends (agent, orders->seen_ends);
   for (size_t i = 0; i < orders->n_starts; i++)
-    want_start (agent, &orders->starts[i]);
-  close_holes (orders->starts, &orders->n_starts);
+    add_start (agent, &orders->starts[i]);
+  compact_starts (orders->starts, &orders->n_starts);
   for (size_t i = 0; i < orders->n_stops; i++)
     gp_agent_want_stop (agent, orders->stops[i]->task, orders->stops[i]->run);
 }
 
 /* The lease.  */
 
-/* The lease point on the executor's clock, taken low: its clock may run
-   slow since it was read.  */
+/* The result is a lower bound: the executor's clock may have run slow since it
+   was read.  */
 int64_t
 gp_agent_lease_on_clock (const gp_agent_t *agent)
 {
@@ -579,16 +588,16 @@
 }
 
 bool
-gp_agent_answers (const gp_agent_t *agent, gp_time_t now)
+gp_agent_is_responsive (const gp_agent_t *agent, gp_time_t now)
 {
   return now - agent->heard_at < SILENCE_TIME;
 }
 
 void
-gp_agent_move_lease (gp_agent_t *agent, gp_time_t now)
+gp_agent_extend_lease (gp_agent_t *agent, gp_time_t now)
 {
   check_lapse (agent, now);
-  if (gp_agent_answers (agent, now))
+  if (gp_agent_is_responsive (agent, now))
     agent->lease = MAX (agent->lease, agent->granted);
 }
 
@@ -601,21 +610,21 @@
 uint64_t
 gp_agent_list_confirmed (const gp_agent_t *agent, gp_time_t now)
 {
-  return gp_agent_doubts_life (agent, now) ? 0 : agent->seen_ends;
+  return gp_agent_incarnation_is_uncertain (agent, now) ? 0 : agent->seen_ends;
 }
 
 int64_t
 gp_agent_list_lease (gp_agent_t *agent, gp_time_t now)
 {
-  gp_agent_move_lease (agent, now);
-  if (gp_agent_doubts_life (agent, now))
+  gp_agent_extend_lease (agent, now);
+  if (gp_agent_incarnation_is_uncertain (agent, now))
     return 0;
   return gp_agent_lease_is_open (agent, now) ? gp_agent_lease_on_clock (agent)
                                              : 0;
 }
 
 bool
-gp_agent_lapsed (gp_agent_t *agent, gp_time_t now)
+gp_agent_lease_lapsed (gp_agent_t *agent, gp_time_t now)
 {
   check_lapse (agent, now);
   return agent->lapsed;
--- a/src/jobs/agent_calls.c
+++ b/src/jobs/agent_calls.c
@@ -1,4 +1,4 @@
-/* The calls that an agent makes, and what their answers mean.  */
+/* Guard: the calls to the executor and the handling of their answers.  */
 
 #include "jobs/agent_private.h"
 
@@ -6,30 +6,30 @@
 
 #include "base/log.h"
 
-/* How long after a call went unanswered it may still be carried out: 12 s on
-   the sites known, and some more.  */
-#define LATE_TIME (13 * GP_SEC)
+/* How long after its failure an unanswered call may still be carried out.  The
+   longest delay on the known sites is 12 s.  */
+#define MAX_CALL_DELAY (13 * GP_SEC)
 #define PACE_REPEAT_TIME (GP_SEC)
 
 static const char *const call_names[] = { "none", "start", "stop", "pace" };
 static const char *const result_names[]
     = { "taken",   "fenced",   "too old",   "too late", "no room",
-        "refused", "replaced", "no answer", "cut",      "nobody there" };
+        "refused", "replaced", "no answer", "cut",      "connection refused" };
 
 static bool
 wants_pace (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now)
 {
-  return run->phase == GP_RUN_PRESENT && run->start != NULL
+  return run->phase == GP_RUN_STARTED && run->start != NULL
          && run->start->fills
          && (run->pace != gp_agent_wanted_pace (agent, run)
-             || now >= run->pace_again);
+             || now >= run->pace_repeat_at);
 }
 
 static bool
-can_start (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now)
+has_spec (gp_agent_t *agent, const gp_agent_run_t *run, gp_time_t now)
 {
   return run->start != NULL
-         && gp_spec_store_of_task (&agent->specs, run->name, now) != NULL;
+         && gp_spec_store_find_by_task (&agent->specs, run->name, now) != NULL;
 }
 
 static gp_agent_call_kind_t
@@ -38,11 +38,11 @@
   switch (run->phase)
     {
     case GP_RUN_STARTING:
-      return can_start (agent, run, now) ? GP_AGENT_CALL_START
-                                         : GP_AGENT_CALL_NONE;
+      return has_spec (agent, run, now) ? GP_AGENT_CALL_START
+                                        : GP_AGENT_CALL_NONE;
     case GP_RUN_STOPPING:
       return GP_AGENT_CALL_STOP;
-    case GP_RUN_PRESENT:
+    case GP_RUN_STARTED:
       return wants_pace (agent, run, now) ? GP_AGENT_CALL_PACE
                                           : GP_AGENT_CALL_NONE;
     case GP_RUN_STOPPED:
@@ -52,9 +52,10 @@
   return GP_AGENT_CALL_NONE;
 }
 
-/* Stops go first, as they make room; slowing down is next.  */
+/* Stops come first, as they release resources, then changes of pace, which
+   slow runs down.  */
 static int
-rank (gp_agent_call_kind_t kind)
+call_priority (gp_agent_call_kind_t kind)
 {
   switch (kind)
     {
@@ -70,35 +71,37 @@
   return 0;
 }
 
-/* A start that came before the leader's last word may be outdated: after a
-   pause it can still be read from a connection that the leader gave up.  */
+/* Only while synced: a start that arrived before the leader's latest sync may
+   be outdated.  After a pause of this process it can still be read from a
+   connection that the leader has given up.  */
 static bool
-may_start (const gp_agent_t *agent, gp_time_t now)
+may_send_starts (const gp_agent_t *agent, gp_time_t now)
 {
   return agent->is_synced && now < agent->starts_until
          && gp_agent_lease_is_open (agent, now)
          && gp_start_gate_is_open (&agent->gate, now);
 }
 
-/* Has the start of RUN to wait for those of others?  */
+/* Must the start of RUN be held back because of other runs?  */
 static bool
-is_held (gp_agent_t *agent, gp_agent_run_t *run, const gp_agent_run_t *alone,
-         gp_time_t now, gp_time_t *again_at)
+is_held (gp_agent_t *agent, gp_agent_run_t *run,
+         const gp_agent_run_t *isolated, gp_time_t now, gp_time_t *again_at)
 {
-  gp_agent_hold_t hold = gp_agent_hold_of (agent, run, alone, now, again_at);
+  gp_agent_hold_t hold
+      = gp_agent_find_hold (agent, run, isolated, now, again_at);
 
-  if (hold != GP_HOLD_NOT)
+  if (hold != GP_HOLD_NONE)
     gp_agent_note_hold (run, hold, now);
-  return hold != GP_HOLD_NOT;
+  return hold != GP_HOLD_NONE;
 }
 
-/* A start of RUN is made.  */
+/* Records that a start of RUN is sent.  */
 static void
 note_start (const gp_agent_t *agent, gp_agent_run_t *run, gp_time_t now)
 {
-  gp_agent_note_hold (run, GP_HOLD_NOT, now);
-  if (run->tried_at == 0)
-    run->tried_at = now;
+  gp_agent_note_hold (run, GP_HOLD_NONE, now);
+  if (run->first_start_at == 0)
+    run->first_start_at = now;
   if (run->sent_at == 0)
     run->sent_at = now;
   run->start_fence = agent->fence;
@@ -108,19 +111,20 @@
 gp_agent_next_call (gp_agent_t *agent, gp_time_t now, gp_time_t *again_at)
 {
   gp_agent_call_t best = { .kind = GP_AGENT_CALL_NONE };
-  const gp_agent_run_t *alone;
+  const gp_agent_run_t *isolated;
   GHashTableIter iter;
   gpointer value;
 
   *again_at = GP_TIME_NEVER;
-  /* Where another life may answer, a list finds out first.  */
+  /* While another incarnation may answer, nothing is sent before a list shows
+     which one it is.  */
   if (agent->executor == NULL || agent->ended || agent->clock_ms < 0
-      || gp_agent_doubts_life (agent, now))
+      || gp_agent_incarnation_is_uncertain (agent, now))
     return best;
-  gp_agent_move_lease (agent, now);
-  if (agent->plan_is_old)
+  gp_agent_extend_lease (agent, now);
+  if (agent->plan_is_stale)
     gp_agent_plan (agent, now);
-  alone = gp_agent_alone_run (agent);
+  isolated = gp_agent_isolated_run (agent);
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -130,12 +134,12 @@
       if (kind == GP_AGENT_CALL_NONE || run->in_flight)
         continue;
       if (kind == GP_AGENT_CALL_START
-          && (!may_start (agent, now)
-              || is_held (agent, run, alone, now, again_at)))
+          && (!may_send_starts (agent, now)
+              || is_held (agent, run, isolated, now, again_at)))
         continue;
       if (run->retry_at > now)
         *again_at = MIN (*again_at, run->retry_at);
-      else if (rank (kind) > rank (best.kind))
+      else if (call_priority (kind) > call_priority (best.kind))
         best = (gp_agent_call_t){ .kind = kind, .run = run };
     }
   if (best.run == NULL)
@@ -144,7 +148,8 @@
   best.lease_ms = gp_agent_lease_on_clock (agent);
   if (best.kind == GP_AGENT_CALL_START)
     {
-      best.spec = gp_spec_store_of_task (&agent->specs, best.run->name, now);
+      best.spec
+          = gp_spec_store_find_by_task (&agent->specs, best.run->name, now);
       note_start (agent, best.run, now);
     }
   if (best.kind == GP_AGENT_CALL_PACE)
@@ -152,7 +157,7 @@
   return best;
 }
 
-/* Add the job of TASK to JOBS, once.  */
+/* Adds the job of TASK to JOBS, unless it is in there.  */
 static void
 add_job_of (GPtrArray *jobs, const char *task)
 {
@@ -163,7 +168,7 @@
 }
 
 void
-gp_agent_lacking (const gp_agent_t *agent, GPtrArray *jobs)
+gp_agent_missing_specs (const gp_agent_t *agent, GPtrArray *jobs)
 {
   GHashTableIter iter;
   gpointer value;
@@ -174,7 +179,7 @@
       gp_agent_run_t *run = value;
 
       if (run->phase == GP_RUN_STARTING && run->start != NULL
-          && gp_spec_store_lacks (&agent->specs, run->name))
+          && gp_spec_store_is_missing (&agent->specs, run->name))
         add_job_of (jobs, run->name);
     }
 }
@@ -182,8 +187,8 @@
 bool
 gp_agent_is_unanswered (gp_agent_result_t result)
 {
-  return result == GP_AGENT_UNANSWERED || result == GP_AGENT_CUT
-         || result == GP_AGENT_NOBODY;
+  return result == GP_AGENT_UNANSWERED || result == GP_AGENT_DISCONNECTED
+         || result == GP_AGENT_CONNECTION_REFUSED;
 }
 
 static void
@@ -192,20 +197,21 @@
 {
   if (run->phase != GP_RUN_STARTING)
     {
-      run->doubtful = run->doubtful || gp_agent_is_unanswered (result);
+      run->start_uncertain
+          = run->start_uncertain || gp_agent_is_unanswered (result);
       return;
     }
   switch (result)
     {
-    case GP_AGENT_TAKEN:
-      run->phase = GP_RUN_PRESENT;
+    case GP_AGENT_ACCEPTED:
+      run->phase = GP_RUN_STARTED;
       run->confirmed_at = now;
       run->began_at = now;
       break;
     case GP_AGENT_UNANSWERED:
-    case GP_AGENT_CUT:
-    case GP_AGENT_NOBODY:
-      run->doubtful = true;
+    case GP_AGENT_DISCONNECTED:
+    case GP_AGENT_CONNECTION_REFUSED:
+      run->start_uncertain = true;
       break;
     case GP_AGENT_TOO_OLD:
     case GP_AGENT_NO_ROOM:
@@ -216,7 +222,7 @@
     case GP_AGENT_FENCED:
     case GP_AGENT_TOO_LATE:
     case GP_AGENT_REPLACED:
-      if (!run->doubtful)
+      if (!run->start_uncertain)
         run->sent_at = 0;
       break;
     }
@@ -228,30 +234,30 @@
 {
   if (run->phase != GP_RUN_STOPPING)
     return;
-  if (result == GP_AGENT_TAKEN || result == GP_AGENT_TOO_OLD
-      || (result == GP_AGENT_REFUSED && !run->doubtful && !run->listed))
+  if (result == GP_AGENT_ACCEPTED || result == GP_AGENT_TOO_OLD
+      || (result == GP_AGENT_REFUSED && !run->start_uncertain && !run->listed))
     {
       run->phase = GP_RUN_STOPPED;
       run->confirmed_at = now;
     }
 }
 
-/* A pace that went unanswered may take effect after newer ones: until that
-   is over, the one that is wanted is repeated.  */
+/* A pace call that went unanswered may take effect after newer ones, so the
+   wanted pace is repeated until that can no longer happen.  */
 static void
 pace_answered (gp_agent_run_t *run, gp_agent_result_t result, uint32_t percent,
                gp_time_t now)
 {
-  if (result == GP_AGENT_TAKEN)
+  if (result == GP_AGENT_ACCEPTED)
     {
       run->pace_before = run->pace;
       run->pace = percent;
       run->paced_at = now;
     }
   if (gp_agent_is_unanswered (result))
-    run->pace_sure_at = now + LATE_TIME;
-  run->pace_again
-      = now < run->pace_sure_at ? now + PACE_REPEAT_TIME : GP_TIME_NEVER;
+    run->pace_certain_at = now + MAX_CALL_DELAY;
+  run->pace_repeat_at
+      = now < run->pace_certain_at ? now + PACE_REPEAT_TIME : GP_TIME_NEVER;
 }
 
 void
@@ -262,10 +268,11 @@
   gp_agent_run_t *run = gp_agent_find_run (agent, name, number);
 
   gp_agent_note_failed (agent, result, now);
-  /* Once its side has ended a connection, only a list tells who answers.  */
-  if (result != GP_AGENT_REPLACED && !agent->is_cut)
-    gp_agent_take_clock (agent, clock_ms, now);
-  if (kind != GP_AGENT_CALL_PACE || result != GP_AGENT_TAKEN)
+  /* After the executor has closed a connection, only a list shows which
+     incarnation answers.  */
+  if (result != GP_AGENT_REPLACED && !agent->is_disconnected)
+    gp_agent_update_clock (agent, clock_ms, now);
+  if (kind != GP_AGENT_CALL_PACE || result != GP_AGENT_ACCEPTED)
     gp_log (GP_LOG_INFO, "order.answered", GP_LOG_S ("task", name),
             GP_LOG_I ("run", number), GP_LOG_S ("order", call_names[kind]),
             GP_LOG_S ("result", result_names[result]),
--- a/src/jobs/agent_list.c
+++ b/src/jobs/agent_list.c
@@ -1,5 +1,5 @@
-/* What an agent reads from its executor's list: ends, rows, measures, and
-   what is absent.  */
+/* Guard: handling of the executor's list: ends, runs, measurements, and runs
+   that are absent.  */
 
 #include "jobs/agent_private.h"
 
@@ -25,8 +25,8 @@
 }
 
 static bool
-take_ends (gp_agent_t *agent, const Gp__Jobs__End *ends, size_t count,
-           gp_time_t now)
+add_ends (gp_agent_t *agent, const Gp__Jobs__End *ends, size_t count,
+          gp_time_t now)
 {
   bool news = false;
 
@@ -43,7 +43,7 @@
       run = gp_agent_find_run (agent, ends[i].task, ends[i].run);
       if (run != NULL)
         {
-          gp_agent_note_gone (agent, run, now);
+          gp_agent_note_ended (agent, run, now);
           g_hash_table_remove (agent->runs, ends[i].task);
         }
       news = true;
@@ -52,7 +52,7 @@
 }
 
 void
-gp_agent_forget_list (gp_agent_t *agent)
+gp_agent_clear_list (gp_agent_t *agent)
 {
   GHashTableIter iter;
   gpointer value;
@@ -63,9 +63,9 @@
     ((gp_agent_run_t *)value)->listed = false;
 }
 
-/* ROW does not belong here by what the leader has said so far.  */
+/* ROW is not a run that the leader wants, as far as is known.  */
 static void
-carry (gp_agent_t *agent, const gp_agent_row_t *row)
+add_carried (gp_agent_t *agent, const gp_agent_row_t *row)
 {
   Gp__Jobs__TaskRun *run = g_new (Gp__Jobs__TaskRun, 1);
 
@@ -76,10 +76,10 @@
 }
 
 static void
-take_rows (gp_agent_t *agent, const gp_agent_row_t *rows, size_t count,
-           gp_time_t now)
+update_runs (gp_agent_t *agent, const gp_agent_row_t *rows, size_t count,
+             gp_time_t now)
 {
-  gp_agent_forget_list (agent);
+  gp_agent_clear_list (agent);
   for (size_t i = 0; i < count; i++)
     {
       gp_agent_run_t *run
@@ -87,12 +87,12 @@
 
       if (run == NULL)
         {
-          if (!gp_agent_has_ended (agent, rows[i].task, rows[i].run))
-            carry (agent, &rows[i]);
+          if (!gp_agent_run_has_ended (agent, rows[i].task, rows[i].run))
+            add_carried (agent, &rows[i]);
           continue;
         }
       run->listed = true;
-      run->unlisted = 0;
+      run->missed_lists = 0;
       run->listed_at = now;
       if (run->listed_since == 0)
         run->listed_since = now;
@@ -101,18 +101,18 @@
       run->measure = rows[i].measure;
       if (run->phase == GP_RUN_STARTING && run->start != NULL)
         {
-          run->phase = GP_RUN_PRESENT;
+          run->phase = GP_RUN_STARTED;
           run->confirmed_at = now;
         }
     }
 }
 
-/* Nothing more is started here for the reason WHY, so the leader gets back
-   what has not begun.  A guard that has just begun does not know what has:
-   that shows on the list.  The first list without a run may have been asked
-   for before the run was known, the second one was not.  */
+/* Returns the runs that have not begun to the leader, as nothing more is
+   started here because of WHY.  A guard that has just started learns from the
+   lists which runs have begun.  The first list that does not show a run may
+   have been requested before the run was known, the second was not.  */
 static void
-give_back_unlisted (gp_agent_t *agent, const char *why)
+return_unlisted (gp_agent_t *agent, const char *why)
 {
   GHashTableIter iter;
   gpointer value;
@@ -123,7 +123,7 @@
       gp_agent_run_t *run = value;
 
       if (run->phase != GP_RUN_STARTING || run->listed || run->in_flight
-          || ++run->unlisted < 2)
+          || ++run->missed_lists < 2)
         continue;
       gp_log (GP_LOG_INFO, "run.given_back", GP_LOG_S ("task", run->name),
               GP_LOG_I ("run", run->run), GP_LOG_S ("why", why));
@@ -131,8 +131,9 @@
     }
 }
 
-/* Runs that the list, asked for after their phase was sure, does not show.
-   Returns whether one became absent.  */
+/* Finds the runs that are missing in the list, which was requested at SENT_AT,
+   after their phase was confirmed.  Returns whether one of them became
+   absent.  */
 static bool
 find_absent (gp_agent_t *agent, gp_time_t sent_at)
 {
@@ -147,7 +148,7 @@
 
       if (run->listed || run->in_flight || run->confirmed_at >= sent_at)
         continue;
-      if (run->phase == GP_RUN_PRESENT)
+      if (run->phase == GP_RUN_STARTED)
         run->phase = GP_RUN_STOPPING;
       if (run->phase == GP_RUN_STOPPED)
         {
@@ -165,31 +166,32 @@
 {
   bool news;
 
-  agent->is_cut = false;
-  gp_agent_take_clock (agent, clock_ms, now);
-  news = take_ends (agent, ends, end_count, now);
-  take_rows (agent, rows, row_count, now);
-  gp_agent_void_starts (agent);
+  agent->is_disconnected = false;
+  gp_agent_update_clock (agent, clock_ms, now);
+  news = add_ends (agent, ends, end_count, now);
+  update_runs (agent, rows, row_count, now);
+  gp_agent_invalidate_starts (agent);
   if (agent->is_synced)
     gp_agent_stop_carried (agent);
   gp_agent_measure (agent, now);
   if (agent->gate.evacuated)
-    give_back_unlisted (agent, "zone evacuated");
+    return_unlisted (agent, "zone evacuated");
   else if (now >= agent->starts_until)
-    give_back_unlisted (agent, "executor leaves");
-  gp_agent_give_back_alone (agent, now);
+    return_unlisted (agent, "executor leaves");
+  gp_agent_return_isolated (agent, now);
   return find_absent (agent, sent_at) || news;
 }
 
 void
-gp_agent_list_refused (gp_agent_t *agent, gp_agent_result_t result,
-                       int64_t clock_ms, gp_time_t now)
+gp_agent_list_failed (gp_agent_t *agent, gp_agent_result_t result,
+                      int64_t clock_ms, gp_time_t now)
 {
   gp_agent_note_failed (agent, result, now);
-  /* The next one comes on another connection.  */
+  /* The next list is requested on a new connection.  */
   if (gp_agent_is_unanswered (result))
-    gp_agent_note_cut (agent);
-  /* A refusal does not tell which life it is of.  */
-  if (result != GP_AGENT_REPLACED && !gp_agent_doubts_life (agent, now))
-    gp_agent_take_clock (agent, clock_ms, now);
+    gp_agent_note_disconnect (agent);
+  /* A refusal does not tell which incarnation sent it.  */
+  if (result != GP_AGENT_REPLACED
+      && !gp_agent_incarnation_is_uncertain (agent, now))
+    gp_agent_update_clock (agent, clock_ms, now);
 }
--- a/src/jobs/agent_measure.c
+++ b/src/jobs/agent_measure.c
@@ -1,54 +1,60 @@
-/* What an agent learns from the measures of its executor's runs.
+/* Guard: evaluation of the measurements of the executor's runs.
 
-   The executor tells the tail latency of each run that serves, and the
-   processors that each filling run uses, both over the last half second.  A
-   filling run presses only while it is busy, which shows in the processors
-   that it uses (jobs/pressure.h).  So that cause and effect match, its work
-   is counted over the same half second: by the pace that it had in it, from
-   when it was first at work, and for a while after its end.  */
+   For each serving run the executor reports its tail latency, and for each
+   filling run the CPU that it uses, both over the last half second.  A filling
+   run affects serving runs only while it is busy, which shows in its use of
+   CPU (jobs/pressure.h).  For cause and effect to match, its work is counted
+   over the same half second: scaled by the pace that it had in that time, from
+   the time at which it was first at work, and for a while after its end.  */
 
 #include "jobs/agent_private.h"
 
 #include <math.h>
 
-/* Measures are of the time before them for so long.  */
-#define WINDOW (500 * GP_MSEC)
-/* Taken in twice as often, a rise shows a quarter of a second sooner.  */
-#define MEASURE_TIME (230 * GP_MSEC)
-/* A new run is seen at work so long after it began, in the mean.  */
-#define SEEN_AFTER (150 * GP_MSEC)
-/* A pace tells so long after it was taken.  */
-#define PACE_TIME (100 * GP_MSEC)
-/* A run that is not busy uses this share of what it may, a busy one all.  */
-#define LIGHT_SHARE (2.0 / 3.0)
-/* At a lower mean pace, of 1, the processors in use tell too little.  */
-#define PACE_LEAST 0.08
-/* A run counts as busy from this share of the window on: a phase lasts five
-   to nine seconds, so that it has just begun.  */
-#define BUSY_LEAST 0.3
-/* The plan has to hold from when a pace tells to when the next one does.  */
+/* Length of the window before a measurement over which it is taken.  */
+#define WINDOW_TIME (500 * GP_MSEC)
+/* Least time between evaluations.  Twice per window shows an increase a
+   quarter of a second earlier.  */
+#define MEASURE_INTERVAL (230 * GP_MSEC)
+/* Mean time from the beginning of a run to the first measurement that shows it
+   at work.  */
+#define DETECTION_DELAY (150 * GP_MSEC)
+/* Delay until a confirmed pace shows in the measurements.  */
+#define PACE_DELAY (100 * GP_MSEC)
+/* Share of its allowed CPU that a run uses while it is not busy; a busy run
+   uses all of it.  */
+#define IDLE_SHARE (2.0 / 3.0)
+/* Below this mean pace (1.0 is full speed) the CPU in use is too little to
+   tell whether a run is busy.  */
+#define MIN_PACE 0.08
+/* A run counts as busy from this share of the window on.  A busy phase lasts
+   five to nine seconds, so such a run has just entered one.  */
+#define MIN_BUSY_SHARE 0.3
+/* Time after now that a plan has to cover: from when its paces take effect to
+   when those of the next plan do.  */
 #define PLAN_FROM (100 * GP_MSEC)
 #define PLAN_UNTIL (450 * GP_MSEC)
-/* After so many seconds over the target all filling runs count as busy.  */
-#define DISTRUST_AFTER 1.2
-/* A serving run that has just started does not have its load yet.  */
-#define WARM_TIME (GP_SEC)
-/* A run with less headroom than this is believed itself rather than the plan;
-   what the plan did not foresee counts by this share.  */
-#define FEEDBACK_UNDER 1.3
+/* When a serving run was over its target for so many seconds, all filling runs
+   count as busy.  */
+#define ASSUME_BUSY_AFTER 1.2
+/* Until then a new serving run does not have its full load.  */
+#define WARM_UP_TIME (GP_SEC)
+/* Feedback for the plan: if the measured headroom is below FEEDBACK_BELOW,
+   what it lacks of the expected headroom counts by FEEDBACK_SHARE.  */
+#define FEEDBACK_BELOW 1.3
 #define FEEDBACK_SHARE 0.7
-/* What the leader says of a load is newer than what is measured here for so
-   long.  */
-#define TAUGHT_TIME (GP_SEC)
+/* How long the leader's estimate of a load takes precedence over local
+   measurements, as being more recent.  */
+#define LEADER_LOAD_TIME (GP_SEC)
 
-/* The share of the window at NOW that lies after SINCE.  */
+/* Returns the share of the window that ends at NOW that lies after SINCE.  */
 static double
 window_share (gp_time_t since, gp_time_t now)
 {
-  return CLAMP ((double)(now - since) / WINDOW, 0.0, 1.0);
+  return CLAMP ((double)(now - since) / WINDOW_TIME, 0.0, 1.0);
 }
 
-/* The pace that RUN had in the window, 0 to 1.  */
+/* Returns the mean pace of RUN in the window, from 0 to 1.  */
 static double
 mean_pace (const gp_agent_run_t *run, gp_time_t now)
 {
@@ -57,88 +63,92 @@
   double share = 1.0;
 
   if (run->paced_at != 0)
-    share = window_share (run->paced_at + PACE_TIME, now);
-  return (before + (after - before) * share) / GP_PACER_FULL;
+    share = window_share (run->paced_at + PACE_DELAY, now);
+  return (before + (after - before) * share) / GP_PACER_FULL_SPEED;
 }
 
-/* See for which share of the window RUN, which had PACE in it, was busy;
-   while its pace changes, what was seen before stands.  */
+/* Estimates the share of the window in which RUN, at the mean pace PACE, was
+   busy.  While its pace changes, the previous estimate is kept.  */
 static void
-see_busy (gp_agent_run_t *run, double pace, gp_time_t now)
+estimate_busy_share (gp_agent_run_t *run, double pace, gp_time_t now)
 {
   double full = run->start->cpu_milli;
   bool changes
-      = run->paced_at != 0 && now < run->paced_at + PACE_TIME + WINDOW;
+      = run->paced_at != 0 && now < run->paced_at + PACE_DELAY + WINDOW_TIME;
   double share;
 
-  if (run->measure == 0 || full == 0.0 || pace < PACE_LEAST)
+  if (run->measure == 0 || full == 0.0 || pace < MIN_PACE)
     return;
-  if (changes && !isnan (run->busy))
+  if (changes && !isnan (run->busy_share))
     return;
   share = (double)run->measure / full / pace;
-  run->busy = CLAMP ((share - LIGHT_SHARE) / (1.0 - LIGHT_SHARE), 0.0, 1.0);
+  run->busy_share
+      = CLAMP ((share - IDLE_SHARE) / (1.0 - IDLE_SHARE), 0.0, 1.0);
 }
 
 static void
-take_filling (gp_agent_run_t *run, gp_time_t now)
+measure_filling (gp_agent_run_t *run, gp_time_t now)
 {
   double pace = mean_pace (run, now);
 
-  if (run->measure > 0 && run->at_work_at == 0)
-    run->at_work_at = now - SEEN_AFTER;
-  see_busy (run, pace, now);
+  if (run->measure > 0 && run->active_since == 0)
+    run->active_since = now - DETECTION_DELAY;
+  estimate_busy_share (run, pace, now);
   run->work = 0.0;
-  if (run->at_work_at != 0)
-    run->work = pace * window_share (run->at_work_at, now)
-                * (isnan (run->busy) ? GP_PRESSURE_BUSY_SHARE : run->busy);
+  if (run->active_since != 0)
+    run->work = pace * window_share (run->active_since, now)
+                * (isnan (run->busy_share) ? GP_PRESSURE_BUSY_SHARE
+                                           : run->busy_share);
 }
 
 static unsigned int
-place_of (gp_agent_t *agent, const char *image)
+image_index (gp_agent_t *agent, const char *image)
 {
   return gp_pressure_image_index (&agent->pacer.pressure, image);
 }
 
 void
-gp_agent_note_gone (gp_agent_t *agent, const gp_agent_run_t *run,
-                    gp_time_t now)
+gp_agent_note_ended (gp_agent_t *agent, const gp_agent_run_t *run,
+                     gp_time_t now)
 {
-  gp_agent_gone_t gone;
+  gp_agent_ended_filling_t filling;
 
-  agent->plan_is_old = true;
+  agent->plan_is_stale = true;
   if (run->start == NULL || !run->start->fills)
     return;
-  gone = (gp_agent_gone_t){ .image = g_strdup (run->start->image),
-                            .work = run->work,
-                            .ended_at = now };
-  g_array_append_val (agent->gone, gone);
+  filling = (gp_agent_ended_filling_t){ .image = g_strdup (run->start->image),
+                                        .work = run->work,
+                                        .ended_at = now };
+  g_array_append_val (agent->ended_fillings, filling);
 }
 
 double
-gp_agent_gone_work (const gp_agent_gone_t *gone, gp_time_t now)
+gp_agent_ended_filling_work (const gp_agent_ended_filling_t *filling,
+                             gp_time_t now)
 {
-  return gone->work * (1.0 - window_share (gone->ended_at, now));
+  return filling->work * (1.0 - window_share (filling->ended_at, now));
 }
 
-/* Add to WORK what is left in the window of runs that have ended.  */
+/* Adds to WORK the work of ended runs that still lies in the window.  */
 static void
-add_gone (gp_agent_t *agent, gp_pressure_work_t *work, gp_time_t now)
+add_ended_fillings (gp_agent_t *agent, gp_pressure_work_t *work, gp_time_t now)
 {
-  for (guint i = agent->gone->len; i-- > 0;)
+  for (guint i = agent->ended_fillings->len; i-- > 0;)
     {
-      const gp_agent_gone_t *gone
-          = &g_array_index (agent->gone, gp_agent_gone_t, i);
+      const gp_agent_ended_filling_t *filling = &g_array_index (
+          agent->ended_fillings, gp_agent_ended_filling_t, i);
 
-      work->work[place_of (agent, gone->image)]
-          += gp_agent_gone_work (gone, now);
-      if (now - gone->ended_at >= WINDOW)
-        g_array_remove_index_fast (agent->gone, i);
+      work->work[image_index (agent, filling->image)]
+          += gp_agent_ended_filling_work (filling, now);
+      if (now - filling->ended_at >= WINDOW_TIME)
+        g_array_remove_index_fast (agent->ended_fillings, i);
     }
 }
 
-/* The busy work of the filling runs in the window at NOW.  */
+/* Returns the busy work of the filling runs in the window that ends at
+   NOW.  */
 static gp_pressure_work_t
-take_fillings (gp_agent_t *agent, gp_time_t now)
+measure_fillings (gp_agent_t *agent, gp_time_t now)
 {
   gp_pressure_work_t work = { { 0.0 } };
   GHashTableIter iter;
@@ -151,10 +161,10 @@
 
       if (!run->listed || run->start == NULL || !run->start->fills)
         continue;
-      take_filling (run, now);
-      work.work[place_of (agent, run->start->image)] += run->work;
+      measure_filling (run, now);
+      work.work[image_index (agent, run->start->image)] += run->work;
     }
-  add_gone (agent, &work, now);
+  add_ended_fillings (agent, &work, now);
   return work;
 }
 
@@ -166,103 +176,106 @@
 }
 
 bool
-gp_agent_is_telling (const gp_agent_run_t *run, gp_time_t now)
+gp_agent_shows_load (const gp_agent_run_t *run, gp_time_t now)
 {
-  return is_measured (run) && run->at_work_at != 0
-         && now - run->at_work_at >= WARM_TIME;
+  return is_measured (run) && run->active_since != 0
+         && now - run->active_since >= WARM_UP_TIME;
 }
 
 void
-gp_agent_teach_load (gp_agent_t *agent, const char *task,
-                     int32_t headroom_permille, int32_t slope_permille,
-                     gp_time_t now)
+gp_agent_set_load (gp_agent_t *agent, const char *task,
+                   int32_t headroom_permille, int32_t slope_permille,
+                   gp_time_t now)
 {
   gp_agent_run_t *run = g_hash_table_lookup (agent->runs, task);
 
   if (run == NULL)
     return;
-  run->taught_headroom = headroom_permille / 1000.0;
-  run->taught_slope = slope_permille / 1000.0;
-  run->taught_at = now;
+  run->leader_headroom = headroom_permille / 1000.0;
+  run->leader_slope = slope_permille / 1000.0;
+  run->leader_load_at = now;
 }
 
 static bool
-is_taught (const gp_agent_run_t *run, gp_time_t now)
+has_leader_load (const gp_agent_run_t *run, gp_time_t now)
 {
-  return run->taught_at != 0 && now - run->taught_at < TAUGHT_TIME;
+  return run->leader_load_at != 0
+         && now - run->leader_load_at < LEADER_LOAD_TIME;
 }
 
-/* The headroom of RUN at WHEN, soon after NOW, without filling work.  */
+/* Returns the expected headroom of RUN at WHEN, soon after NOW, without
+   filling runs.  */
 static double
 headroom_at (const gp_agent_run_t *run, gp_time_t now, gp_time_t when)
 {
-  if (!is_taught (run, now))
+  if (!has_leader_load (run, now))
     return gp_headroom_at (&run->headroom, when);
-  return run->taught_headroom
-         + run->taught_slope * (double)(when - run->taught_at) / GP_SEC;
+  return run->leader_headroom
+         + run->leader_slope * (double)(when - run->leader_load_at) / GP_SEC;
 }
 
-/* Note for how long RUN has been over its target.  */
+/* Records for how long RUN has been over its target.  */
 static void
-note_over (gp_agent_run_t *run, gp_time_t now)
+update_over_target (gp_agent_run_t *run, gp_time_t now)
 {
   bool over = run->measure > run->start->target_ms;
 
   if (!over)
-    run->over_since = GP_TIME_NEVER;
-  else if (run->over_since == GP_TIME_NEVER)
-    run->over_since = now;
-  run->over = over ? (double)(now - run->over_since) / GP_SEC : 0.0;
+    run->over_target_since = GP_TIME_NEVER;
+  else if (run->over_target_since == GP_TIME_NEVER)
+    run->over_target_since = now;
+  run->over_target_s
+      = over ? (double)(now - run->over_target_since) / GP_SEC : 0.0;
 }
 
-/* The headroom that RUN, measured with HEADROOM, lacks of what is expected
-   when TAKEN of it is taken; as far as it counts.  */
+/* Returns the weighted amount by which the measured HEADROOM of RUN falls
+   short of the expected one, when filling runs take TAKEN of it.  */
 static double
-missed_by (const gp_agent_run_t *run, double headroom, double taken,
-           gp_time_t now)
+deficit_of (const gp_agent_run_t *run, double headroom, double taken,
+            gp_time_t now)
 {
   double expected = headroom_at (run, now, now) - taken;
 
-  if (headroom >= FEEDBACK_UNDER)
+  if (headroom >= FEEDBACK_BELOW)
     return 0.0;
   return FEEDBACK_SHARE * fmax (0.0, expected - headroom);
 }
 
-/* Take in the measure of the serving RUN beside WORK.  Returns whether it
-   tells of its load.  */
+/* Evaluates the measurement of the serving RUN beside the filling WORK.
+   Returns whether it shows the run's load.  */
 static bool
-take_serving (gp_agent_t *agent, gp_agent_run_t *run,
-              const gp_pressure_work_t *work, gp_time_t now)
+measure_serving (gp_agent_t *agent, gp_agent_run_t *run,
+                 const gp_pressure_work_t *work, gp_time_t now)
 {
   gp_pressure_t *pressure = &agent->pacer.pressure;
   const char *image = run->start->image;
   double headroom
       = gp_headroom_of ((double)run->measure, run->start->target_ms);
 
-  if (run->at_work_at == 0)
-    run->at_work_at = now;
-  note_over (run, now);
-  run->missed = missed_by (run, headroom,
-                           gp_pressure_sum (pressure, image, work), now);
-  if (!gp_agent_is_telling (run, now))
+  if (run->active_since == 0)
+    run->active_since = now;
+  update_over_target (run, now);
+  run->headroom_deficit = deficit_of (
+      run, headroom, gp_pressure_sum (pressure, image, work), now);
+  if (!gp_agent_shows_load (run, now))
     return false;
   gp_pressure_learn (pressure, image, work, headroom, &run->headroom, now);
   return true;
 }
 
-/* Is RUN at work, or will it be as soon as its start is carried out?  */
+/* Is RUN at work, or will it be once its start is carried out?  */
 static bool
 will_work (const gp_agent_run_t *run)
 {
   return run->listed || run->phase == GP_RUN_STARTING
-         || run->phase == GP_RUN_PRESENT;
+         || run->phase == GP_RUN_STARTED;
 }
 
 static bool
 may_be_busy (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  return agent->distrusts_phases || isnan (run->busy)
-         || run->busy >= BUSY_LEAST;
+  return agent->assumes_busy || isnan (run->busy_share)
+         || run->busy_share >= MIN_BUSY_SHARE;
 }
 
 uint32_t
@@ -270,7 +283,7 @@
 {
   return may_be_busy (agent, run)
              ? gp_pacer_pace (&agent->pacer, run->start->image)
-             : GP_PACER_FULL;
+             : GP_PACER_FULL_SPEED;
 }
 
 static gp_pacer_serving_t
@@ -281,32 +294,30 @@
 
   return (gp_pacer_serving_t){ .image = run->start->image,
                                .headroom = MIN (from, until),
-                               .missed = run->missed,
-                               .over = run->over };
+                               .headroom_deficit = run->headroom_deficit,
+                               .over_target_s = run->over_target_s };
 }
 
-/* Does the plan look at the serving RUN?  At one whose load is known, and at
-   one that is over its target: the load of one that has just come is known
-   after a second only, and users bear four over the target.  */
+/* Does the plan consider the serving RUN?  Yes if its load is known or it is
+   over its target: the load of a new run is known only after a second, and
+   users tolerate four seconds over the target.  */
 static bool
-is_to_be_kept (const gp_agent_run_t *run, gp_time_t now)
+is_protected (const gp_agent_run_t *run, gp_time_t now)
 {
-  return gp_headroom_is_known (&run->headroom) || is_taught (run, now)
-         || run->over > 0.0;
+  return gp_headroom_is_known (&run->headroom) || has_leader_load (run, now)
+         || run->over_target_s > 0.0;
 }
 
-/* Let the pacer plan anew with the filling runs that there are now; those that
-   were not seen at work yet may be busy.  */
 void
 gp_agent_plan (gp_agent_t *agent, gp_time_t now)
 {
-  gp_pacer_serving_t servings[GP_PACER_SERVINGS];
+  gp_pacer_serving_t servings[GP_PACER_MAX_SERVINGS];
   size_t count = 0;
   gp_pressure_work_t busy = { { 0.0 } };
   GHashTableIter iter;
   gpointer value;
 
-  agent->plan_is_old = false;
+  agent->plan_is_stale = false;
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -315,9 +326,9 @@
       if (run->start == NULL || !will_work (run))
         continue;
       if (run->start->fills)
-        busy.work[place_of (agent, run->start->image)]
+        busy.work[image_index (agent, run->start->image)]
             += may_be_busy (agent, run);
-      else if (is_to_be_kept (run, now) && count < GP_PACER_SERVINGS)
+      else if (is_protected (run, now) && count < GP_PACER_MAX_SERVINGS)
         servings[count++] = plan_serving (run, now);
     }
   gp_pacer_update (&agent->pacer, servings, count, &busy);
@@ -330,12 +341,12 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (now - agent->measured_at < MEASURE_TIME)
+  if (now - agent->measured_at < MEASURE_INTERVAL)
     return;
   agent->measured_at = now;
-  agent->has_measures = false;
-  agent->distrusts_phases = false;
-  work = take_fillings (agent, now);
+  agent->has_measurements = false;
+  agent->assumes_busy = false;
+  work = measure_fillings (agent, now);
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -343,10 +354,10 @@
 
       if (!is_measured (run))
         continue;
-      if (take_serving (agent, run, &work, now))
-        agent->has_measures = true;
-      if (run->over > DISTRUST_AFTER)
-        agent->distrusts_phases = true;
+      if (measure_serving (agent, run, &work, now))
+        agent->has_measurements = true;
+      if (run->over_target_s > ASSUME_BUSY_AFTER)
+        agent->assumes_busy = true;
     }
   gp_agent_plan (agent, now);
 }
--- a/src/jobs/agent_suspects.c
+++ b/src/jobs/agent_suspects.c
@@ -1,4 +1,4 @@
-/* What an agent knows of the runs that may have taken its executor down; see
+/* Guard: which runs may have caused the failure of the executor; see
    jobs/suspicion.h.  */
 
 #include "jobs/agent_private.h"
@@ -6,12 +6,13 @@
 #include "base/log.h"
 #include "jobs/suspicion.h"
 
-/* Calls that get no answer fail for so long before the executor counts as
-   down: single ones are lost.  */
+/* How long calls must go unanswered before the executor counts as down: single
+   calls get lost.  */
 #define DOWN_TIME (300 * GP_MSEC)
 
-/* An executor that is up answers a list within this, whatever happens there: a
-   connection that ends later had been dead before.  */
+/* An executor that is up always answers a list within this time.  If a
+   connection closes later than that after the last answer, the executor had
+   failed before.  */
 #define ANSWER_TIME (300 * GP_MSEC)
 
 static bool
@@ -20,7 +21,7 @@
   return run->start != NULL && run->start->gang;
 }
 
-/* Has RUN been there for TIME when it was last listed?  */
+/* Had RUN been at work for TIME when it was last listed?  */
 static bool
 was_listed_for (const gp_agent_run_t *run, gp_time_t time)
 {
@@ -35,64 +36,65 @@
 
 /* Is it unknown whether the start of RUN has reached the executor?  */
 static bool
-is_unknown (const gp_agent_run_t *run)
+start_is_unconfirmed (const gp_agent_run_t *run)
 {
   return run->listed_since == 0 && run->began_at == 0;
 }
 
-/* May RUN have begun no longer than JUST_TIME before the executor went?  The
-   answer to a start that takes the executor down may be lost with it.  */
+/* May RUN have begun at most GP_SUSPICION_JUST_TIME before the executor ended?
+   The answer to a start that takes the executor down may be lost with it.  */
 static bool
-had_just_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
+may_have_just_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  gp_time_t earliest = is_unknown (run) ? run->sent_at : run->began_at;
+  gp_time_t earliest
+      = start_is_unconfirmed (run) ? run->sent_at : run->began_at;
 
-  return agent->gone_from != 0 && earliest != 0
+  return agent->earliest_end_at != 0 && earliest != 0
          && earliest <= agent->down_since
-         && agent->gone_from - earliest <= GP_SUSPICION_JUST_TIME;
+         && agent->earliest_end_at - earliest <= GP_SUSPICION_JUST_TIME;
 }
 
-/* For how many milliseconds RUN was at work when the executor was last known
-   to be up, 0: it is not known.  */
+/* Returns for how many milliseconds RUN was at work when the executor was last
+   known to be up, 0: not known.  */
 static uint32_t
 age_ms (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  gp_time_t up = MAX (agent->heard_at, agent->gone_from);
+  gp_time_t up = MAX (agent->heard_at, agent->earliest_end_at);
 
   return run->began_at != 0 && up > run->began_at
              ? (uint32_t)((up - run->began_at) / GP_MSEC)
              : 0;
 }
 
-/* Has nobody told whether RUN has begun, and when?  A start that was held up
-   may arrive at any time.  */
+/* Is it unknown whether and when RUN has begun?  A delayed start may arrive at
+   any time.  */
 static bool
 is_unanswered (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  return is_unknown (run) && !had_just_begun (agent, run);
+  return start_is_unconfirmed (run) && !may_have_just_begun (agent, run);
 }
 
 static bool
-has_just_begun_run (const gp_agent_t *agent)
+has_recent_start (const gp_agent_t *agent)
 {
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (had_just_begun (agent, value))
+    if (may_have_just_begun (agent, value))
       return true;
   return false;
 }
 
-/* Had RUN begun lately?  If some have begun just then, no others are meant.
-   One whose start was not answered for long may never have begun.  */
+/* Had RUN begun recently?  If some runs had only just begun, only those count.
+   A run whose start went unanswered for long may never have begun.  */
 static bool
 is_fresh (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  if (has_just_begun_run (agent))
-    return had_just_begun (agent, run);
-  return !is_unknown (run)
+  if (has_recent_start (agent))
+    return may_have_just_begun (agent, run);
+  return !start_is_unconfirmed (run)
          && agent->heard_at - run->began_at < GP_SUSPICION_FRESH_TIME;
 }
 
@@ -101,33 +103,34 @@
                            Gp__Jobs__TaskRun *row)
 {
   row->fresh = is_fresh (agent, run);
-  row->just = had_just_begun (agent, run);
+  row->just = may_have_just_begun (agent, run);
   row->age_ms = age_ms (agent, run);
   row->unanswered = is_unanswered (agent, run);
-  row->timed = agent->gone_from != 0;
+  row->timed = agent->earliest_end_at != 0;
   row->alone = run->start != NULL && run->start->alone;
 }
 
 bool
-gp_agent_doubts_life (const gp_agent_t *agent, gp_time_t now)
+gp_agent_incarnation_is_uncertain (const gp_agent_t *agent, gp_time_t now)
 {
-  return agent->is_cut || gp_agent_is_down (agent, now);
+  return agent->is_disconnected || gp_agent_is_down (agent, now);
 }
 
 bool
 gp_agent_is_down (const gp_agent_t *agent, gp_time_t now)
 {
-  return agent->gone_from != 0
+  return agent->earliest_end_at != 0
          || (agent->down_since != 0 && now - agent->down_since >= DOWN_TIME);
 }
 
-/* Can a start of RUN have reached the executor before it went down?  One that
-   left after a call had failed, with no answer since, has not: many are given
-   to an executor until the leader learns of its end, 3 s later.  */
+/* Could a start of RUN have reached the executor before it went down?  One
+   that was sent after a call had failed, with no answer since, could not.
+   There are many such starts, as the leader learns of the failure only 3 s
+   later.  */
 static bool
 may_have_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  if (!is_unknown (run))
+  if (!start_is_unconfirmed (run))
     return true;
   return run->sent_at != 0
          && (agent->down_since == 0 || run->sent_at <= agent->down_since);
@@ -140,35 +143,35 @@
 }
 
 bool
-gp_agent_tells_settled (gp_agent_run_t *run)
+gp_agent_report_settled (gp_agent_run_t *run)
 {
   bool asked = run->start != NULL && run->start->watched;
 
-  if (!asked || run->settled_told || !gp_agent_has_settled (run))
+  if (!asked || run->settled_reported || !gp_agent_has_settled (run))
     return false;
-  run->settled_told = true;
+  run->settled_reported = true;
   return true;
 }
 
-/* A call has failed at NOW: where it is the first one, the executor ended at
-   GONE_FROM at the earliest, or that is not known (0).  */
+/* A call failed at NOW.  If it is the first to fail, the executor ended at
+   GONE_FROM at the earliest; 0: not known.  */
 static void
-note_down (gp_agent_t *agent, gp_time_t gone_from, gp_time_t now)
+record_failure (gp_agent_t *agent, gp_time_t earliest_end_at, gp_time_t now)
 {
   if (agent->down_since != 0)
     return;
   agent->down_since = now;
-  agent->gone_from = gone_from;
+  agent->earliest_end_at = earliest_end_at;
 }
 
-/* What was ordered before must not be carried out by the next life, where that
-   is not known yet.  */
+/* Raises the fence: the next incarnation must not carry out orders that were
+   sent before it is known.  */
 void
-gp_agent_note_cut (gp_agent_t *agent)
+gp_agent_note_disconnect (gp_agent_t *agent)
 {
-  if (agent->is_cut)
+  if (agent->is_disconnected)
     return;
-  agent->is_cut = true;
+  agent->is_disconnected = true;
   gp_agent_raise_fence (agent);
 }
 
@@ -178,21 +181,21 @@
 {
   switch (result)
     {
-    case GP_AGENT_CUT:
-      gp_agent_note_cut (agent);
-      note_down (agent,
-                 now - agent->heard_at <= ANSWER_TIME ? now : agent->heard_at,
-                 now);
+    case GP_AGENT_DISCONNECTED:
+      gp_agent_note_disconnect (agent);
+      record_failure (
+          agent, now - agent->heard_at <= ANSWER_TIME ? now : agent->heard_at,
+          now);
       break;
-    case GP_AGENT_NOBODY:
-      gp_agent_note_cut (agent);
-      note_down (agent, agent->heard_at, now);
+    case GP_AGENT_CONNECTION_REFUSED:
+      gp_agent_note_disconnect (agent);
+      record_failure (agent, agent->heard_at, now);
       break;
     case GP_AGENT_UNANSWERED:
     case GP_AGENT_REPLACED:
-      note_down (agent, 0, now);
+      record_failure (agent, 0, now);
       break;
-    case GP_AGENT_TAKEN:
+    case GP_AGENT_ACCEPTED:
     case GP_AGENT_FENCED:
     case GP_AGENT_TOO_OLD:
     case GP_AGENT_TOO_LATE:
@@ -242,8 +245,8 @@
   agent->predecessor = NULL;
 }
 
-/* An executor without runs does not take the place of one whose runs the
-   leader may still wait for.  */
+/* An executor without runs does not replace an earlier predecessor, whose runs
+   the leader may still wait for.  */
 void
 gp_agent_keep_predecessor (gp_agent_t *agent, gp_time_t now)
 {
--- a/src/jobs/executor.c
+++ b/src/jobs/executor.c
@@ -1,11 +1,11 @@
-/* What the leading entry believes of an executor.  */
+/* The leading entry's view of an executor.  */
 
 #include "jobs/executor.h"
 
 #include <string.h>
 
-/* Of a serving run's processors, the share in thousandths that it leaves
-   unused in the mean; filling runs count on half of that.  */
+/* Share of the CPU reserved on an executor, in thousandths, that filling runs
+   may use beside serving runs, as these leave it unused on average.  */
 #define SERVING_UNUSED_PERMILLE 500
 
 gp_job_executor_t *
@@ -24,7 +24,7 @@
   while (gp_list_pop_front (&executor->tasks) != NULL)
     ;
   g_free (executor->id);
-  g_free (executor->past_name);
+  g_free (executor->previous_key);
   g_free (executor->service);
   g_strfreev (executor->labels);
   g_free (executor);
@@ -43,7 +43,8 @@
   return true;
 }
 
-/* Reports come a few times a second and seldom differ.  */
+/* Copies the labels only if they have changed: reports arrive a few times a
+   second and rarely differ.  */
 static void
 set_labels (gp_job_executor_t *executor, const Gp__Jobs__Executor *report)
 {
@@ -77,13 +78,13 @@
 reserve (gp_job_executor_t *executor, const Gp__Jobs__Step *step, int64_t sign)
 {
   if (step->fills)
-    executor->filling += sign * step->cpu_milli;
+    executor->filling_cpu += sign * step->cpu_milli;
   else
     executor->used.cpu_milli += sign * step->cpu_milli;
   if (step->long_running)
-    executor->lasting += sign * step->cpu_milli;
+    executor->long_running_cpu += sign * step->cpu_milli;
   if (step->target_ms > 0)
-    executor->serving += sign;
+    executor->serving_count += sign;
   executor->used.memory_mb += sign * step->memory_mb;
   executor->used.accelerators += sign * step->accelerators;
 }
@@ -104,13 +105,14 @@
   task->executor = NULL;
   executor->task_count--;
   reserve (executor, gp_task_step (task), -1);
-  gp_job_executor_end_keep (executor, task->job);
+  gp_job_executor_end_dedication (executor, task->job);
 }
 
 void
-gp_job_executor_end_keep (gp_job_executor_t *executor, const gp_job_t *job)
+gp_job_executor_end_dedication (gp_job_executor_t *executor,
+                                const gp_job_t *job)
 {
-  if (strcmp (executor->kept_for, job->id) != 0)
+  if (strcmp (executor->dedicated_to, job->id) != 0)
     return;
   GP_LIST_FOREACH (link, &executor->tasks)
   {
@@ -120,7 +122,7 @@
     if (task->job == job && task->alone && !task->settled)
       return;
   }
-  *executor->kept_for = '\0';
+  *executor->dedicated_to = '\0';
 }
 
 bool
@@ -133,13 +135,13 @@
 }
 
 int64_t
-gp_job_executor_left_over (const gp_job_executor_t *executor)
+gp_job_executor_spare_cpu (const gp_job_executor_t *executor)
 {
   int64_t unused = executor->capacity.cpu_milli - executor->used.cpu_milli;
 
-  return unused - executor->filling
+  return unused - executor->filling_cpu
          + executor->used.cpu_milli * SERVING_UNUSED_PERMILLE / 1000
-               * (executor->serving > 0);
+               * (executor->serving_count > 0);
 }
 
 bool
--- a/src/jobs/grants.c
+++ b/src/jobs/grants.c
@@ -1,4 +1,4 @@
-/* Until when leaders before this one may have given leases.  */
+/* Until when previous leaders may have granted leases.  */
 
 #include "jobs/grants.h"
 
@@ -6,19 +6,20 @@
 
 #include "jobs/agent.h"
 
-/* What GP_GRANTS_TERM_TIME after its beginning spares a guard relies on.  */
+/* A lease from a previous leader is over by the time a guard trusts every
+   leader, see gp_grants_is_trusted.  */
 G_STATIC_ASSERT (GP_AGENT_LEASE_TIME < GP_GRANTS_TERM_TIME);
 
-/* A leader that was heard of.  Kept for good: there are as many as entries. */
+/* A previous leader.  Kept for good: there are no more than entries.  */
 typedef struct
 {
   gp_list_t link;
   char *node; /* owned */
   uint64_t incarnation;
-  uint64_t announced; /* the newest process that is known there */
-  uint64_t offset;    /* of its last record */
-  gp_time_t until;    /* it may give leases until then ... */
-  gp_time_t fresh; /* ... and to guards that have started since until then */
+  uint64_t announced;    /* incarnation of the newest process known on NODE */
+  uint64_t offset;       /* offset of its last record */
+  gp_time_t until;       /* until when it may grant leases */
+  gp_time_t fresh_until; /* the same to guards that have started since */
 } gp_former_leader_t;
 
 void
@@ -73,47 +74,49 @@
 end_term (gp_former_leader_t *former, gp_time_t now)
 {
   former->until = MIN (former->until, now);
-  former->fresh = MIN (former->fresh, now);
+  former->fresh_until = MIN (former->fresh_until, now);
 }
 
 void
-gp_grants_unreadable (gp_grants_t *grants, gp_time_t now)
+gp_grants_leadership_unreadable (gp_grants_t *grants, gp_time_t now)
 {
   grants->gap = true;
-  grants->unread_until = now + GP_GRANTS_TERM_TIME;
-  grants->unread_fresh = now + GP_GRANTS_FRESH_TIME;
+  grants->unknown_until = now + GP_GRANTS_TERM_TIME;
+  grants->unknown_fresh_until = now + GP_GRANTS_FRESH_TIME;
 }
 
 void
-gp_grants_read (gp_grants_t *grants, uint64_t offset, gp_time_t now)
+gp_grants_record_read (gp_grants_t *grants, uint64_t offset, gp_time_t now)
 {
-  /* Records that are kept for good come in the order of their keys, without
-     those that they replace: NEXT then moves back and forth.  */
-  if (offset > MAX (grants->next, grants->told))
-    gp_grants_unreadable (grants, now);
+  /* Records that are kept for good are read in the order of their keys,
+     without those that they replaced, so that NEXT moves back and forth.  */
+  if (offset > MAX (grants->next, grants->leadership_next))
+    gp_grants_leadership_unreadable (grants, now);
   grants->next = offset + 1;
 }
 
 static void
-hear (gp_grants_t *grants, const char *node, uint64_t incarnation,
-      uint64_t offset, gp_time_t until, gp_time_t fresh, gp_time_t now)
+update_leader (gp_grants_t *grants, const char *node, uint64_t incarnation,
+               uint64_t offset, gp_time_t until, gp_time_t fresh_until,
+               gp_time_t now)
 {
   gp_former_leader_t *former = find_or_add (grants, node);
 
   former->incarnation = incarnation;
   former->offset = offset;
   former->until = until;
-  former->fresh = fresh;
-  /* The topics are read side by side: the process after it may be known
-     before its last record.  */
+  former->fresh_until = fresh_until;
+  /* The topics are read concurrently: the next process on NODE may be known
+     before the last record of this one is read.  */
   if (incarnation < former->announced)
     end_term (former, now);
 }
 
-/* Take over what RECORD tells, as leaders before it were missed.  */
+/* Replaces the state by that in RECORD, as earlier records of leaders were
+   missed.  */
 static void
-take_told (gp_grants_t *grants, const Gp__Jobs__Leadership *record,
-           gp_time_t now)
+replace_formers (gp_grants_t *grants, const Gp__Jobs__Leadership *record,
+                 gp_time_t now)
 {
   GP_LIST_FOREACH (link, &grants->formers)
   end_term (GP_CONTAINER_OF (link, gp_former_leader_t, link), now);
@@ -121,29 +124,31 @@
     {
       const Gp__Jobs__Former *former = record->formers[i];
 
-      hear (grants, former->node, former->incarnation, former->offset,
-            now + (gp_time_t)former->until_ms * GP_MSEC,
-            now + (gp_time_t)former->fresh_ms * GP_MSEC, now);
+      update_leader (grants, former->node, former->incarnation, former->offset,
+                     now + (gp_time_t)former->until_ms * GP_MSEC,
+                     now + (gp_time_t)former->fresh_ms * GP_MSEC, now);
     }
-  grants->unread_until = now + (gp_time_t)record->unread_ms * GP_MSEC;
-  grants->unread_fresh = now + (gp_time_t)record->unread_fresh_ms * GP_MSEC;
+  grants->unknown_until = now + (gp_time_t)record->unread_ms * GP_MSEC;
+  grants->unknown_fresh_until
+      = now + (gp_time_t)record->unread_fresh_ms * GP_MSEC;
   grants->gap = false;
 }
 
 void
-gp_grants_heard (gp_grants_t *grants, const Gp__Jobs__Leadership *record,
-                 uint64_t offset, gp_time_t now)
+gp_grants_leadership_read (gp_grants_t *grants,
+                           const Gp__Jobs__Leadership *record, uint64_t offset,
+                           gp_time_t now)
 {
   if (grants->gap && record->tells_formers)
-    take_told (grants, record, now);
-  grants->told = MAX (grants->told, offset + 1);
-  hear (grants, record->node, record->incarnation, offset,
-        now + GP_GRANTS_TERM_TIME, now + GP_GRANTS_FRESH_TIME, now);
+    replace_formers (grants, record, now);
+  grants->leadership_next = MAX (grants->leadership_next, offset + 1);
+  update_leader (grants, record->node, record->incarnation, offset,
+                 now + GP_GRANTS_TERM_TIME, now + GP_GRANTS_FRESH_TIME, now);
   if (record->resigned)
-    gp_grants_ended (grants, record->node, now);
+    gp_grants_leader_ended (grants, record->node, now);
 }
 
-/* Rounded up: a term must not be told too short.  */
+/* Rounded up: a remaining term must not be too short.  */
 static uint32_t
 milliseconds_left (gp_time_t until, gp_time_t now)
 {
@@ -151,8 +156,8 @@
 }
 
 void
-gp_grants_tell (const gp_grants_t *grants, Gp__Jobs__Leadership *record,
-                gp_time_t now)
+gp_grants_add_formers (const gp_grants_t *grants, Gp__Jobs__Leadership *record,
+                       gp_time_t now)
 {
   GPtrArray *formers = g_ptr_array_new ();
 
@@ -169,19 +174,20 @@
     former->node = known->node;
     former->incarnation = known->incarnation;
     former->until_ms = milliseconds_left (known->until, now);
-    former->fresh_ms = milliseconds_left (known->fresh, now);
+    former->fresh_ms = milliseconds_left (known->fresh_until, now);
     former->offset = known->offset;
     g_ptr_array_add (formers, former);
   }
   record->n_formers = formers->len;
   record->formers = (Gp__Jobs__Former **)g_ptr_array_free (formers, FALSE);
   record->tells_formers = true;
-  record->unread_ms = milliseconds_left (grants->unread_until, now);
-  record->unread_fresh_ms = milliseconds_left (grants->unread_fresh, now);
+  record->unread_ms = milliseconds_left (grants->unknown_until, now);
+  record->unread_fresh_ms
+      = milliseconds_left (grants->unknown_fresh_until, now);
 }
 
 void
-gp_grants_clear_told (Gp__Jobs__Leadership *record)
+gp_grants_free_formers (Gp__Jobs__Leadership *record)
 {
   for (size_t i = 0; i < record->n_formers; i++)
     g_free (record->formers[i]);
@@ -190,7 +196,7 @@
 }
 
 void
-gp_grants_ended (gp_grants_t *grants, const char *node, gp_time_t now)
+gp_grants_leader_ended (gp_grants_t *grants, const char *node, gp_time_t now)
 {
   gp_former_leader_t *former = find (grants, node);
 
@@ -199,8 +205,9 @@
 }
 
 void
-gp_grants_announced (gp_grants_t *grants, const char *node,
-                     uint64_t incarnation, uint64_t ceased, gp_time_t now)
+gp_grants_process_announced (gp_grants_t *grants, const char *node,
+                             uint64_t incarnation, uint64_t ceased,
+                             gp_time_t now)
 {
   gp_former_leader_t *former = find_or_add (grants, node);
 
@@ -212,22 +219,22 @@
 }
 
 gp_time_t
-gp_grants_end (const gp_grants_t *grants, bool obeyed)
+gp_grants_end_time (const gp_grants_t *grants, bool obeyed)
 {
-  gp_time_t end = obeyed ? grants->unread_fresh : grants->unread_until;
+  gp_time_t end = obeyed ? grants->unknown_fresh_until : grants->unknown_until;
 
   GP_LIST_FOREACH (link, &grants->formers)
   {
     const gp_former_leader_t *former
         = GP_CONTAINER_OF (link, gp_former_leader_t, link);
 
-    end = MAX (end, obeyed ? former->fresh : former->until);
+    end = MAX (end, obeyed ? former->fresh_until : former->until);
   }
   return end;
 }
 
 bool
-gp_grants_trusted (gp_time_t began_at, gp_time_t lead_age, gp_time_t now)
+gp_grants_is_trusted (gp_time_t began_at, gp_time_t lead_age, gp_time_t now)
 {
   return now >= began_at + GP_GRANTS_TERM_TIME
          || lead_age <= GP_GRANTS_FRESH_TIME;
--- a/src/jobs/placer.c
+++ b/src/jobs/placer.c
@@ -34,7 +34,7 @@
 is_usable (const gp_job_executor_t *executor, gp_time_t now)
 {
   return executor->reachable && !executor->draining && !executor->dead
-         && now >= executor->trusted_again && now >= executor->full_until;
+         && now >= executor->distrusted_until && now >= executor->full_until;
 }
 
 static bool
@@ -105,7 +105,7 @@
   int64_t reserved = executor->capacity.cpu_milli * RESERVED_PERMILLE / 1000;
 
   if (step->fills)
-    return gp_job_executor_left_over (executor)
+    return gp_job_executor_spare_cpu (executor)
                >= (int64_t)step->cpu_milli * FILL_PERMILLE / 1000
            || may_overcommit (executor, task, now);
   if (task->job->submission->priority == 0)
@@ -128,8 +128,8 @@
                         const gp_job_task_t *task, const Gp__Jobs__Step *step,
                         gp_time_t now)
 {
-  const gp_room_t *capacity = &executor->capacity;
-  const gp_room_t *used = &executor->used;
+  const gp_job_resources_t *capacity = &executor->capacity;
+  const gp_job_resources_t *used = &executor->used;
 
   return used->memory_mb + step->memory_mb <= capacity->memory_mb
          && used->accelerators + step->accelerators <= capacity->accelerators
@@ -200,7 +200,7 @@
   gp_job_executor_add (candidate->executor, task);
   if (gp_placer_needs_quarantine (pass, task))
     gp_suspicion_dedicate_until (candidate->executor, job,
-                                 pass->now + GP_QUARANTINE_KEEP_TIME);
+                                 pass->now + GP_QUARANTINE_DEDICATION_TIME);
   else if (gp_placer_needs_isolation (pass, task))
     gp_suspicion_dedicate (candidate->executor, task, pass->now);
   gp_suspicion_note_assigned (task, pass->now);
@@ -431,7 +431,7 @@
                             .placed = placed };
   GArray *jobs;
 
-  gp_quarantine_choose (quarantine, book, now);
+  gp_quarantine_choose_executors (quarantine, book, now);
   pass.candidates = find_candidates (book, now);
   if (pass.candidates->len == 0)
     gp_placer_note_all_unplaced (&pass, wall_ms);
--- a/src/jobs/placer_score.c
+++ b/src/jobs/placer_score.c
@@ -100,7 +100,7 @@
   unsigned int place = gp_pressure_image_index (pass->pressure, image);
   double sum = 0.0;
 
-  if (candidate->executor->serving == 0)
+  if (candidate->executor->serving_count == 0)
     return 0.0;
   count_fillings (pass, candidate);
   GP_LIST_FOREACH (link, &candidate->executor->tasks)
@@ -185,11 +185,11 @@
 
       if (expected > interference_limit (task->job, pass->now))
         return INT64_MIN;
-      points = gp_job_executor_left_over (executor) * 1000 / capacity
+      points = gp_job_executor_spare_cpu (executor) * 1000 / capacity
                - (int64_t)(expected * INTERFERENCE_POINTS);
     }
   else
-    points = (free - executor->filling / 2) * 1000 / capacity;
+    points = (free - executor->filling_cpu / 2) * 1000 / capacity;
   if (step->target_ms > 0)
     points += (int64_t)SAME_IMAGE_POINTS
               * count_same_image (executor, step->image);
--- a/src/jobs/placer_suspects.c
+++ b/src/jobs/placer_suspects.c
@@ -19,8 +19,8 @@
 static bool
 is_of_suspect_queue (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
-  return gp_quarantine_has (pass->quarantine, task->job->submission->queue,
-                            pass->now);
+  return gp_quarantine_is_suspect (pass->quarantine,
+                                   task->job->submission->queue, pass->now);
 }
 
 bool
@@ -43,7 +43,7 @@
 gp_placer_needs_quarantine (const gp_placer_pass_t *pass,
                             const gp_job_task_t *task)
 {
-  if (!gp_quarantine_is_on (pass->quarantine, pass->now))
+  if (!gp_quarantine_is_active (pass->quarantine, pass->now))
     return false;
   if (gp_placer_needs_isolation (pass, task))
     return !gp_suspicion_is_strong (task);
@@ -128,7 +128,7 @@
   gp_placer_candidate_t *best = choose_least_work_at_risk (pass, task, false);
 
   if (best == NULL && is_of_suspect_queue (pass, task))
-    gp_quarantine_note_waiting (pass->quarantine, task->job->submission->queue,
-                                pass->now);
+    gp_quarantine_record_waiting (pass->quarantine,
+                                  task->job->submission->queue, pass->now);
   return best;
 }
--- a/src/jobs/retry_after.c
+++ b/src/jobs/retry_after.c
@@ -1,26 +1,26 @@
-/* When a caller that was refused is to come back.  */
+/* When a refused caller should try again.  */
 
 #include "jobs/retry_after.h"
 
 #include <glib.h>
 
-/* A caller has to have so many tries within its patience.  */
-#define TRIES_LEAST 3
-/* An outage is expected to last no longer than this from now on.  */
-#define AWAY_MAX (30 * GP_SEC)
-/* The time that is waited is spread over so much of it, in thousandths.  */
-#define SPREAD_PERMILLE 500
+/* A caller must get this number of tries before it gives up.  */
+#define MIN_TRIES 3
+/* Upper bound on how much longer an outage is expected to last.  */
+#define MAX_OUTAGE (30 * GP_SEC)
+/* Random addition to the delay, up to this share of it, in thousandths.  */
+#define JITTER_PERMILLE 500
 
 unsigned
 gp_retry_after_s (const gp_retry_after_t *refusal)
 {
-  gp_time_t expected = MAX (refusal->store_away, refusal->store_time);
-  gp_time_t bearable = refusal->patience / TRIES_LEAST;
+  gp_time_t expected = MAX (refusal->store_outage, refusal->store_time);
+  gp_time_t max_wait = refusal->timeout / MIN_TRIES;
   gp_time_t wait;
 
-  expected = MIN (expected, AWAY_MAX);
+  expected = MIN (expected, MAX_OUTAGE);
   expected
-      += expected * SPREAD_PERMILLE / 1000 * (refusal->spread % 1000) / 1000;
-  wait = MIN (expected, bearable);
+      += expected * JITTER_PERMILLE / 1000 * (refusal->jitter % 1000) / 1000;
+  wait = MIN (expected, max_wait);
   return (unsigned)MAX (wait / GP_SEC, 1);
 }
--- a/src/jobs/scheduler.c
+++ b/src/jobs/scheduler.c
@@ -258,7 +258,7 @@
   for (uint32_t i = FAILURES_TO_DISTRUST;
        i < executor->failed_in_row && pause < DISTRUST_TIME_MAX; i++)
     pause *= 2;
-  executor->trusted_again = now + pause;
+  executor->distrusted_until = now + pause;
   gp_log (GP_LOG_INFO, "executor.distrusted",
           GP_LOG_S ("executor", executor->id),
           GP_LOG_I ("failed_in_row", executor->failed_in_row),
@@ -441,8 +441,8 @@
           GP_LOG_I ("estimate_ms", gp_task_step (task)->estimate_ms),
           GP_LOG_I ("run", task->run), GP_LOG_S ("executor", executor->id),
           GP_LOG_I ("used_cpu_milli", executor->used.cpu_milli),
-          GP_LOG_I ("filling_cpu_milli", executor->filling),
-          GP_LOG_I ("serving", executor->serving),
+          GP_LOG_I ("filling_cpu_milli", executor->filling_cpu),
+          GP_LOG_I ("serving", executor->serving_count),
           GP_LOG_I ("used_memory_mb", executor->used.memory_mb));
 }
 
--- a/src/jobs/scheduler_losses.c
+++ b/src/jobs/scheduler_losses.c
@@ -129,14 +129,14 @@
       GP_LOG_I ("suspect", suspicion != GP_SUSPICION_NONE),
       GP_LOG_I ("crashes", task->crashes),
       GP_LOG_I ("evidence", task->evidence),
-      GP_LOG_I ("told", executor->suspects_told),
+      GP_LOG_I ("told", executor->suspects_reported),
       GP_LOG_I ("fresh", task->fresh), GP_LOG_I ("just", task->just),
       GP_LOG_I ("unanswered", task->unanswered),
       GP_LOG_I ("alone", task->alone), GP_LOG_I ("age_ms", task->age_ms),
       GP_LOG_S ("suspects", suspects),
       GP_LOG_S ("beside", inconclusive_jobs != NULL ? inconclusive_jobs : ""),
       GP_LOG_I ("assigned_ms_ago", ms_ago (task->ordered_at, now)),
-      GP_LOG_I ("guard_gone_ms_ago", ms_ago (executor->cut_at, now)),
+      GP_LOG_I ("guard_gone_ms_ago", ms_ago (executor->disconnected_at, now)),
       GP_LOG_I ("reported_ms_ago", ms_ago (executor->reported_at, now)));
 }
 
@@ -264,7 +264,7 @@
 void
 gp_scheduler_clear_suspects (gp_job_executor_t *executor)
 {
-  executor->suspects_told = false;
+  executor->suspects_reported = false;
   GP_LIST_FOREACH (link, &executor->tasks)
   {
     gp_suspicion_discard_report (
@@ -277,7 +277,7 @@
                           gp_job_executor_t *executor)
 {
   executor->down = false;
-  executor->blamed = false;
+  executor->failure_counted = false;
   GP_LIST_FOREACH (link, &executor->tasks)
   {
     const gp_job_task_t *task
@@ -293,7 +293,7 @@
                             gp_job_executor_t *executor,
                             Gp__Jobs__TaskRun *const *runs, size_t count)
 {
-  executor->suspects_told = true;
+  executor->suspects_reported = true;
   for (size_t i = 0; i < count; i++)
     {
       gp_job_task_t *task = task_of_run (scheduler, executor, runs[i]);
@@ -361,11 +361,11 @@
 {
   const gp_job_t *job = crashing_job (executor);
 
-  if (job == NULL || executor->blamed)
+  if (job == NULL || executor->failure_counted)
     return;
-  executor->blamed = true;
-  gp_quarantine_note (&scheduler->quarantine, scheduler->book,
-                      job->submission->queue, now);
+  executor->failure_counted = true;
+  gp_quarantine_record_failure (&scheduler->quarantine, scheduler->book,
+                                job->submission->queue, now);
 }
 
 void
@@ -376,7 +376,7 @@
   const gp_job_t *sole_job = gp_suspicion_sole_job (executor);
   char *suspects = name_suspects (executor, NULL);
   bool crash = may_be_crash (executor, why);
-  bool in_outage = crash && !executor->suspects_told
+  bool in_outage = crash && !executor->suspects_reported
                    && lost_with_others (scheduler->book, executor, now);
   bool crasher_known = crash && crashing_job (executor) != NULL;
 
@@ -386,7 +386,7 @@
           GP_LOG_I ("runs", executor->task_count),
           GP_LOG_S ("why", death_name (why)));
   gp_counter_add (&dead_counts[why], 1);
-  executor->lost_at = executor->suspects_told ? 0 : now;
+  executor->lost_at = executor->suspects_reported ? 0 : now;
   executor->dead = true;
   executor->reachable = false;
   GP_LIST_FOREACH_SAFE (link, &executor->tasks)
@@ -402,6 +402,6 @@
                     crasher_known && task->job != sole_job);
     lose_run (scheduler, task, suspicion, suspects, now, wall_ms);
   }
-  executor->suspects_told = false;
+  executor->suspects_reported = false;
   g_free (suspects);
 }
--- a/src/jobs/suspicion.c
+++ b/src/jobs/suspicion.c
@@ -39,7 +39,7 @@
 static bool
 is_suspect (const gp_job_task_t *task)
 {
-  if (task->executor->suspects_told || task->settled)
+  if (task->executor->suspects_reported || task->settled)
     return gp_suspicion_may_have_just_started (task);
   if (task->alone)
     return true;
@@ -59,7 +59,7 @@
   task->evidence = 0;
   task->alone = false;
   if (task->executor != NULL)
-    gp_job_executor_end_keep (task->executor, task->job);
+    gp_job_executor_end_dedication (task->executor, task->job);
   return changed;
 }
 
@@ -88,10 +88,10 @@
 static bool
 guard_lost_after_order (const gp_job_task_t *task)
 {
-  gp_time_t cut_at = task->executor->cut_at;
+  gp_time_t disconnected_at = task->executor->disconnected_at;
 
-  return task->ordered_at != 0 && cut_at >= task->ordered_at
-         && cut_at - task->ordered_at <= GP_SUSPICION_JUST_TIME;
+  return task->ordered_at != 0 && disconnected_at >= task->ordered_at
+         && disconnected_at - task->ordered_at <= GP_SUSPICION_JUST_TIME;
 }
 
 /* Returns the evidence that the death of the executor adds against TASK, which
@@ -101,7 +101,7 @@
 {
   bool sole = sole_job == task->job;
 
-  if (task->alone && !task->executor->suspects_told)
+  if (task->alone && !task->executor->suspects_reported)
     return guard_lost_after_order (task) ? GP_SUSPICION_STRONG_EVIDENCE
                                          : GP_SUSPICION_WEAK_EVIDENCE;
   if (sole && (task->just || (task->fresh && task->alone && !task->timed)))
@@ -220,8 +220,8 @@
 static gp_time_t
 dedicated_until (const gp_job_executor_t *executor)
 {
-  if (executor->kept_until != 0)
-    return executor->kept_until;
+  if (executor->dedicated_until != 0)
+    return executor->dedicated_until;
   return executor->reported_since == 0
              ? GP_TIME_NEVER
              : executor->reported_since + GP_SUSPICION_SETTLE_TIME
@@ -231,7 +231,7 @@
 bool
 gp_suspicion_is_dedicated (const gp_job_executor_t *executor, gp_time_t now)
 {
-  return *executor->kept_for != '\0' && now < dedicated_until (executor);
+  return *executor->dedicated_to != '\0' && now < dedicated_until (executor);
 }
 
 bool
@@ -239,7 +239,7 @@
                               const gp_job_t *job, gp_time_t now)
 {
   return gp_suspicion_is_dedicated (executor, now)
-         && strcmp (executor->kept_for, job->id) == 0;
+         && strcmp (executor->dedicated_to, job->id) == 0;
 }
 
 bool
@@ -266,8 +266,8 @@
 set_dedication (gp_job_executor_t *executor, const gp_job_t *job,
                 gp_time_t until)
 {
-  g_strlcpy (executor->kept_for, job->id, sizeof executor->kept_for);
-  executor->kept_until = until;
+  g_strlcpy (executor->dedicated_to, job->id, sizeof executor->dedicated_to);
+  executor->dedicated_until = until;
 }
 
 void
@@ -291,10 +291,10 @@
 gp_suspicion_dedicate_until (gp_job_executor_t *executor, const gp_job_t *job,
                              gp_time_t until)
 {
-  bool dedicated = strcmp (executor->kept_for, job->id) == 0;
+  bool dedicated = strcmp (executor->dedicated_to, job->id) == 0;
 
   set_dedication (executor, job,
-                  dedicated ? MAX (until, executor->kept_until) : until);
+                  dedicated ? MAX (until, executor->dedicated_until) : until);
 }
 
 int64_t
@@ -392,8 +392,8 @@
   if (executor->assigned_at >= decided_at)
     executor->assigned_at = now;
   /* The dedication period started at the time of the decision.  */
-  if (executor->kept_until > decided_at)
-    executor->kept_until += now - decided_at;
+  if (executor->dedicated_until > decided_at)
+    executor->dedicated_until += now - decided_at;
   GP_LIST_FOREACH (link, &executor->tasks)
   {
     gp_job_task_t *task = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
--- a/src/jobs/urgency.c
+++ b/src/jobs/urgency.c
@@ -69,10 +69,11 @@
         g_array_append_val (services, added);
       service = find_service (services, executor->service);
       service->capacity[KIND_RESERVED]
-          += (double)(executor->capacity.cpu_milli - executor->lasting);
+          += (double)(executor->capacity.cpu_milli
+                      - executor->long_running_cpu);
       service->capacity[KIND_FILLING]
-          += (double)(executor->filling
-                      + MAX (gp_job_executor_left_over (executor), 0));
+          += (double)(executor->filling_cpu
+                      + MAX (gp_job_executor_spare_cpu (executor), 0));
     }
   return services;
 }
--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -128,10 +128,10 @@
   else
     gp_histogram_add (&order_time, now_of (guard) - order->sent_at);
   gp_counter_add (&fenced_count, result == GP_AGENT_FENCED);
-  if (order->incarnation == guard->agent.life)
+  if (order->incarnation == guard->agent.incarnation_number)
     {
       if (result == GP_AGENT_FENCED)
-        gp_agent_fenced (&guard->agent, order->fence);
+        gp_agent_fence_rejected (&guard->agent, order->fence);
       gp_agent_answered (&guard->agent, order->kind, order->name, order->run,
                          order->percent, result, clock_ms, now_of (guard));
     }
@@ -156,7 +156,7 @@
 
   order->guard = guard;
   order->kind = call->kind;
-  order->incarnation = agent->life;
+  order->incarnation = agent->incarnation_number;
   order->fence = agent->fence;
   g_strlcpy (order->name, call->run->name, sizeof order->name);
   order->run = call->run->run;
@@ -265,7 +265,7 @@
     gp_peer_close (guard->leader, true);
   guard->leader = peer;
   guard->epoch = lead->epoch;
-  gp_agent_unsync (&guard->agent);
+  gp_agent_clear_sync (&guard->agent);
   gp_guard_reset_sent_state (guard);
   gp_log (GP_LOG_INFO, "leader.known", GP_LOG_S ("leader", lead->node),
           GP_LOG_I ("epoch", lead->epoch));
@@ -290,9 +290,9 @@
                              : GP_GRANTS_TERM_TIME,
                          now_of (guard));
   if (message->zone_age_ms > 0)
-    gp_agent_zone_told (&guard->agent, message->evacuated,
-                        message->sent_at
-                            - (gp_time_t)message->zone_age_ms * GP_MSEC);
+    gp_agent_set_evacuated (&guard->agent, message->evacuated,
+                            message->sent_at
+                                - (gp_time_t)message->zone_age_ms * GP_MSEC);
   if (guard->agent.ended && message->sent_at > guard->ended_at)
     guard->end_acknowledged = true;
   gp_guard_stop_if_done (guard);
@@ -402,7 +402,7 @@
   gp_counter_register (&unanswered_count);
   gp_counter_register (&fenced_count);
   gp_guard_register_heartbeats ();
-  gp_agent_register_alone ();
+  gp_agent_register_counters ();
   gp_guard_register_reports ();
   gp_histogram_register (&order_time);
   gp_histogram_register (&record_time);
@@ -458,7 +458,7 @@
   gp_traffic_reporter_init (&guard->traffic, &guard->loop);
   gp_refusals_init (&guard->refusals);
   gp_agent_init (&guard->agent, zone_validity (settings), now_of (guard));
-  gp_agent_begin_fence (&guard->agent, gp_time_wall_ms ());
+  gp_agent_raise_fence_to (&guard->agent, gp_time_wall_ms ());
   gp_deferred_init (&guard->call_round, on_calls);
   gp_timer_init (&guard->report_timer, &guard->loop, on_report_due, guard);
   gp_timer_init (&guard->retry_timer, &guard->loop, on_calls_due, guard);
--- a/src/jobsd/guard_deregistration.c
+++ b/src/jobsd/guard_deregistration.c
@@ -45,9 +45,10 @@
   gp_deregistration_t *deregistration = &guard->deregistration;
   gp_time_t now = gp_loop_now (&guard->loop);
 
-  if (deregistration->incarnation != guard->agent.life)
+  if (deregistration->incarnation != guard->agent.incarnation_number)
     end_deregistration (deregistration);
-  else if (result == GP_AGENT_NOBODY || result == GP_AGENT_REPLACED)
+  else if (result == GP_AGENT_CONNECTION_REFUSED
+           || result == GP_AGENT_REPLACED)
     {
       end_deregistration (deregistration);
       gp_agent_executor_ended (&guard->agent);
@@ -138,7 +139,7 @@
     return;
   g_free (deregistration->executor);
   deregistration->executor = g_strdup (id);
-  deregistration->incarnation = guard->agent.life;
+  deregistration->incarnation = guard->agent.incarnation_number;
   deregistration->until = gp_loop_now (&guard->loop) + DEREGISTRATION_TIMEOUT;
   check_presence (guard);
 }
--- a/src/jobsd/guard_heartbeats.c
+++ b/src/jobsd/guard_heartbeats.c
@@ -61,8 +61,8 @@
 static bool
 is_current (const gp_job_guard_t *guard, const gp_heartbeat_t *heartbeat)
 {
-  return gp_agent_is_life (&guard->agent, heartbeat->executor->id,
-                           heartbeat->executor->born_ms);
+  return gp_agent_is_incarnation (&guard->agent, heartbeat->executor->id,
+                                  heartbeat->executor->born_ms);
 }
 
 /* Process a heartbeat of the current incarnation.  */
@@ -117,11 +117,12 @@
 rejection_reason (const identification_t *identification,
                   const gp_runtime_list_t *list)
 {
-  if (identification->incarnation != identification->guard->agent.life)
+  if (identification->incarnation
+      != identification->guard->agent.incarnation_number)
     return "another incarnation was accepted in the meantime";
   if (list->result == GP_AGENT_REPLACED)
     return "another executor answers at its address";
-  if (list->result != GP_AGENT_TAKEN)
+  if (list->result != GP_AGENT_ACCEPTED)
     return "the executor does not answer";
   if (list->born_ms != identification->heartbeat.executor->born_ms)
     return "another incarnation of it answers at its address";
@@ -138,11 +139,11 @@
   gp_heartbeat_t *heartbeat = &identification->heartbeat;
   const char *reason = rejection_reason (identification, list);
 
-  gp_agent_begin_fence (&guard->agent, identification->fence);
+  gp_agent_raise_fence_to (&guard->agent, identification->fence);
   if (list->result == GP_AGENT_FENCED
       && identification->attempts < IDENTIFY_ATTEMPTS_MAX)
     {
-      gp_agent_fenced (&guard->agent, identification->fence);
+      gp_agent_fence_rejected (&guard->agent, identification->fence);
       send_identify (identification);
       return;
     }
@@ -170,7 +171,7 @@
           .born_ms = executor->born_ms,
           .deadline = gp_loop_now (&guard->loop) + GP_GUARD_ORDER_TIMEOUT };
 
-  identification->fence = gp_agent_ask_fence (&guard->agent);
+  identification->fence = gp_agent_query_fence (&guard->agent);
   order.fence = identification->fence;
   identification->attempts++;
   gp_platform_runtime_identify (guard->runtime, &order, on_identified,
@@ -193,7 +194,7 @@
   identification = g_new0 (identification_t, 1);
   identification->guard = guard;
   identification->heartbeat = *heartbeat;
-  identification->incarnation = guard->agent.life;
+  identification->incarnation = guard->agent.incarnation_number;
   heartbeat->executor = NULL;
   send_identify (identification);
   return 200;
--- a/src/jobsd/guard_list.c
+++ b/src/jobsd/guard_list.c
@@ -64,7 +64,8 @@
 static bool
 was_disconnected_recently (const gp_agent_t *agent, gp_time_t now)
 {
-  return agent->is_cut && now - agent->down_since < LIST_DISCONNECTED_PERIOD;
+  return agent->is_disconnected
+         && now - agent->down_since < LIST_DISCONNECTED_PERIOD;
 }
 
 /* What LIST means for the current incarnation.  If another one sends it, the
@@ -73,13 +74,14 @@
 list_result (const gp_agent_t *agent, const gp_runtime_list_t *list,
              gp_time_t now)
 {
-  if (list->result != GP_AGENT_TAKEN)
+  if (list->result != GP_AGENT_ACCEPTED)
     return list->result;
   if (list->born_ms == GP_BORN_UNREADABLE)
-    return gp_agent_doubts_life (agent, now) ? GP_AGENT_UNANSWERED
-                                             : GP_AGENT_TAKEN;
-  return list->born_ms == agent->executor->born_ms ? GP_AGENT_TAKEN
-                                                   : GP_AGENT_NOBODY;
+    return gp_agent_incarnation_is_uncertain (agent, now) ? GP_AGENT_UNANSWERED
+                                                          : GP_AGENT_ACCEPTED;
+  return list->born_ms == agent->executor->born_ms
+             ? GP_AGENT_ACCEPTED
+             : GP_AGENT_CONNECTION_REFUSED;
 }
 
 /* Returns the time to wait until the next call.  */
@@ -88,7 +90,7 @@
 {
   gp_agent_result_t result = list_result (&guard->agent, list, now_of (guard));
 
-  if (result == GP_AGENT_TAKEN)
+  if (result == GP_AGENT_ACCEPTED)
     {
       gp_guard_apply_list (guard, list, guard->listed_fence);
       return LIST_SPACING;
@@ -99,10 +101,10 @@
             GP_LOG_I ("born_ms", list->born_ms),
             GP_LOG_I ("born_known_ms", guard->agent.executor->born_ms));
   if (result == GP_AGENT_FENCED)
-    gp_agent_fenced (&guard->agent, guard->listed_fence);
-  gp_agent_list_refused (&guard->agent, result,
-                         result == list->result ? list->clock_ms : -1,
-                         now_of (guard));
+    gp_agent_fence_rejected (&guard->agent, guard->listed_fence);
+  gp_agent_list_failed (&guard->agent, result,
+                        result == list->result ? list->clock_ms : -1,
+                        now_of (guard));
   return was_disconnected_recently (&guard->agent, now_of (guard))
              ? LIST_RETRY_DISCONNECTED_DELAY
              : LIST_RETRY_DELAY;
@@ -118,7 +120,7 @@
   guard->list_open = false;
   if (guard->agent.executor == NULL)
     return;
-  if (guard->listed_incarnation == guard->agent.life)
+  if (guard->listed_incarnation == guard->agent.incarnation_number)
     pause = apply_answer (guard, list);
   if (gp_agent_is_down (&guard->agent, now) != guard->sent.down)
     gp_guard_send_report (guard);
@@ -134,9 +136,9 @@
 static gp_time_t
 list_wait (const gp_agent_t *agent, gp_time_t now)
 {
-  if (gp_agent_doubts_life (agent, now))
+  if (gp_agent_incarnation_is_uncertain (agent, now))
     return 0;
-  return gp_agent_keeps_alone (agent) ? LIST_WAIT_ISOLATED : LIST_WAIT;
+  return gp_agent_has_isolated_run (agent) ? LIST_WAIT_ISOLATED : LIST_WAIT;
 }
 
 void
@@ -156,7 +158,7 @@
   order.executor = agent->executor->id;
   order.born_ms = agent->executor->born_ms;
   guard->list_open = true;
-  guard->listed_incarnation = agent->life;
+  guard->listed_incarnation = agent->incarnation_number;
   guard->listed_fence = agent->fence;
   gp_platform_runtime_list (
       guard->runtime, &order, gp_agent_list_confirmed (agent, now),
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -108,7 +108,7 @@
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      if (gp_agent_tells_settled (value))
+      if (gp_agent_report_settled (value))
         add_run (settled, value);
       if ((report->lapsed || report->down)
           && gp_agent_is_suspect (agent, value))
@@ -124,16 +124,17 @@
 static void
 add_ended_work (const gp_agent_t *agent, GArray *fillings)
 {
-  for (guint i = 0; i < agent->gone->len; i++)
+  for (guint i = 0; i < agent->ended_fillings->len; i++)
     {
-      const gp_agent_gone_t *gone
-          = &g_array_index (agent->gone, gp_agent_gone_t, i);
+      const gp_agent_ended_filling_t *gone = &g_array_index (
+          agent->ended_fillings, gp_agent_ended_filling_t, i);
       Gp__Jobs__Filling filling = GP__JOBS__FILLING__INIT;
 
       filling.image = gone->image;
-      filling.pace_percent = GP_PACER_FULL;
+      filling.pace_percent = GP_PACER_FULL_SPEED;
       filling.work_permille
-          = (uint32_t)(gp_agent_gone_work (gone, agent->measured_at) * 1000.0);
+          = (uint32_t)(gp_agent_ended_filling_work (gone, agent->measured_at)
+                       * 1000.0);
       g_array_append_val (fillings, filling);
     }
 }
@@ -147,9 +148,9 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (!agent->has_measures)
+  if (!agent->has_measurements)
     return;
-  agent->has_measures = false;
+  agent->has_measurements = false;
   g_ptr_array_set_size (guard->sent.servings, 0);
   guard->sent.servings_at = report->sent_at;
   g_hash_table_iter_init (&iter, agent->runs);
@@ -168,7 +169,7 @@
           filling.work_permille = (uint32_t)(run->work * 1000.0);
           g_array_append_val (fillings, filling);
         }
-      else if (gp_agent_is_telling (run, agent->measured_at))
+      else if (gp_agent_shows_load (run, agent->measured_at))
         {
           serving.task = (char *)run->name;
           serving.ratio_permille
@@ -228,7 +229,7 @@
   sent->servings_at = 0;
   g_hash_table_iter_init (&iter, guard->agent.runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    ((gp_agent_run_t *)value)->settled_told = false;
+    ((gp_agent_run_t *)value)->settled_reported = false;
 }
 
 void
@@ -268,9 +269,8 @@
     return;
   for (size_t i = 0; i < message->n_headrooms; i++)
     if (message->headrooms[i] != 0)
-      gp_agent_teach_load (&guard->agent,
-                           g_ptr_array_index (sent->servings, i),
-                           message->headrooms[i], message->slopes[i], now);
+      gp_agent_set_load (&guard->agent, g_ptr_array_index (sent->servings, i),
+                         message->headrooms[i], message->slopes[i], now);
 }
 
 void
@@ -314,16 +314,16 @@
     }
   else
     report.predecessor = agent->predecessor;
-  report.lapsed = gp_agent_lapsed (agent, now);
-  report.answers = gp_agent_answers (agent, now);
+  report.lapsed = gp_agent_lease_lapsed (agent, now);
+  report.answers = gp_agent_is_responsive (agent, now);
   report.down = gp_agent_is_down (agent, now);
-  report.keeps_alone = gp_agent_keeps_alone (agent);
+  report.keeps_alone = gp_agent_has_isolated_run (agent);
   guard->sent.down = report.down;
   report.ended = agent->ended;
   report.synced = agent->synced;
   report.ends = (Gp__Jobs__End **)agent->ends->pdata;
   report.n_ends = agent->ends->len;
-  gp_agent_lacking (agent, lacking);
+  gp_agent_missing_specs (agent, lacking);
   report.lacking = (char **)lacking->pdata;
   report.n_lacking = lacking->len;
   report_runs (agent, &report, absent);
--- a/src/jobsd/guard_specs.c
+++ b/src/jobsd/guard_specs.c
@@ -180,7 +180,7 @@
     return;
   if (frame->message_case == GP__JOBS__FRAME__MESSAGE_SPEC)
     {
-      if (gp_spec_store_take (specs->store, frame->spec, now))
+      if (gp_spec_store_receive (specs->store, frame->spec, now))
         specs->on_change (false, specs->data);
       else
         report_failure (specs, holder->address, "the guard does not hold it");
@@ -198,7 +198,7 @@
   if (holder == NULL)
     return;
   specs = holder->specs;
-  if (gp_spec_store_lost (specs->store, holder->address))
+  if (gp_spec_store_drop_holder (specs->store, holder->address))
     report_failure (specs, holder->address,
                     reason != NULL ? reason->message
                                    : "closed by this process");
@@ -234,7 +234,7 @@
                                   holder, &error);
   if (holder->peer == NULL)
     {
-      if (gp_spec_store_lost (specs->store, address))
+      if (gp_spec_store_drop_holder (specs->store, address))
         report_failure (specs, address, error->message);
       g_error_free (error);
       free_holder (holder);
@@ -267,7 +267,7 @@
                             size_t count)
 {
   for (size_t i = 0; i < count; i++)
-    if (gp_spec_store_tell (specs->store, offered[i], now_of (specs)))
+    if (gp_spec_store_add (specs->store, offered[i], now_of (specs)))
       send_request (specs, offered[i]);
   answer_requests (specs);
   arm (specs);
--- a/src/jobsd/jobs_api.c
+++ b/src/jobsd/jobs_api.c
@@ -14,7 +14,7 @@
 #include "base/counters.h"
 #include "base/histogram.h"
 #include "base/log.h"
-#include "jobs/hand_in.h"
+#include "jobs/write_request.h"
 #include "jobs/records.h"
 #include "jobsd/job_answers.h"
 #include "platform/json.h"
@@ -98,7 +98,7 @@
   gp_retry_after_t refusal = { .store_time = api->latency };
 
   if (api->failing_since != 0)
-    refusal.store_away = gp_loop_now (api->loop) - api->failing_since;
+    refusal.store_outage = gp_loop_now (api->loop) - api->failing_since;
   gp_job_refuse (exchange, why, refusal);
 }
 
@@ -303,7 +303,7 @@
     const uint8_t *data = g_bytes_get_data (change->value, &size);
 
     if (!change->outcome_unknown
-        && !gp_hand_in_is_in_time (change->deadline, store_time, now))
+        && !gp_write_request_is_in_time (change->deadline, store_time, now))
       {
         give_up (change, "the store would answer too late");
         continue;
@@ -366,7 +366,7 @@
 {
   gp_time_t now = gp_loop_now (api->loop);
   gp_time_t caller_timeout = gp_job_caller_timeout (exchange);
-  bool may_retry = gp_hand_in_may_return (caller_timeout);
+  bool may_retry = gp_write_request_can_retry (caller_timeout);
   change_t *change;
 
   if (api->failures >= FAILURES_TO_REFUSE && api->call != NULL && may_retry)
@@ -381,8 +381,8 @@
   change->is_cancel = is_cancel;
   change->may_retry = may_retry;
   change->since = now;
-  change->deadline = gp_hand_in_deadline (now, caller_timeout);
-  change->refuse_at = gp_hand_in_refuse_at (now, caller_timeout);
+  change->deadline = gp_write_request_deadline (now, caller_timeout);
+  change->refuse_at = gp_write_request_refuse_at (now, caller_timeout);
   g_snprintf (change->key, sizeof change->key, "%s%s",
               is_cancel ? GP_CANCEL_PREFIX : "", id);
   change->value = value;
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -117,13 +117,14 @@
   leader->role = GP_LEADER_LEADING;
   leader->epoch = epoch;
   /* A leadership of this node that was lost renews no more leases.  */
-  gp_grants_ended (&leader->grants, leader->node, now_of (leader));
+  gp_grants_leader_ended (&leader->grants, leader->node, now_of (leader));
   gp_log (GP_LOG_INFO, "lead.taken", GP_LOG_I ("epoch", epoch),
           GP_LOG_I ("jobs", g_hash_table_size (leader->book->jobs)),
-          GP_LOG_I (
-              "foreign_leases_ms",
-              MAX (gp_grants_end (&leader->grants, false) - now_of (leader), 0)
-                  / GP_MSEC));
+          GP_LOG_I ("foreign_leases_ms",
+                    MAX (gp_grants_end_time (&leader->grants, false)
+                             - now_of (leader),
+                         0)
+                        / GP_MSEC));
   take_over_jobs (leader);
   gp_leader_dial_all (leader);
 }
@@ -194,8 +195,8 @@
 gp_leader_announced (gp_leader_t *leader, const char *node,
                      uint64_t incarnation, uint64_t ceased)
 {
-  gp_grants_announced (&leader->grants, node, incarnation, ceased,
-                       now_of (leader));
+  gp_grants_process_announced (&leader->grants, node, incarnation, ceased,
+                               now_of (leader));
 }
 
 static void
@@ -212,9 +213,11 @@
   leader->resigned = leadership->resigned || (here && !own);
   if (!own)
     leader->book_reset = false;
-  gp_grants_heard (&leader->grants, leadership, offset, now_of (leader));
+  gp_grants_leadership_read (&leader->grants, leadership, offset,
+                             now_of (leader));
   if (leader->resigned)
-    gp_grants_ended (&leader->grants, leadership->node, now_of (leader));
+    gp_grants_leader_ended (&leader->grants, leadership->node,
+                            now_of (leader));
 }
 
 /* The leader's record cannot be read, so there may be a leader: it is
@@ -223,7 +226,7 @@
 static void
 on_leadership_refused (gp_leader_t *leader)
 {
-  gp_grants_unreadable (&leader->grants, now_of (leader));
+  gp_grants_leadership_unreadable (&leader->grants, now_of (leader));
   if (!leader->leader_known)
     note_record_read (leader);
   leader->leader_known = true;
@@ -315,7 +318,7 @@
   gp_record_t decoded;
   GError *error = NULL;
 
-  gp_grants_read (&leader->grants, record->offset, now_of (leader));
+  gp_grants_record_read (&leader->grants, record->offset, now_of (leader));
   /* The key was deleted.  */
   if (record->value_size == 0)
     return;
@@ -388,8 +391,8 @@
   leader->data = data;
   gp_grants_init (&leader->grants);
   /* Earlier processes on this node have ended.  */
-  gp_grants_announced (&leader->grants, node, leader->incarnation, 0,
-                       gp_loop_now (loop));
+  gp_grants_process_announced (&leader->grants, node, leader->incarnation, 0,
+                               gp_loop_now (loop));
   gp_pressure_init (&leader->pressure);
   leader->fillings = g_ptr_array_new_with_free_func (g_free);
   gp_scheduler_init (&leader->scheduler, book, &leader->pressure);
@@ -399,7 +402,7 @@
   leader->disputed
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   gp_refusals_init (&leader->refusals);
-  gp_spec_spread_init (&leader->specs);
+  gp_spec_distribution_init (&leader->specs);
   leader->new_places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                               (GDestroyNotify)g_bytes_unref);
   leader->frames = g_ptr_array_new ();
@@ -420,7 +423,7 @@
   g_hash_table_destroy (leader->places);
   g_hash_table_destroy (leader->disputed);
   gp_refusals_finish (&leader->refusals);
-  gp_spec_spread_finish (&leader->specs);
+  gp_spec_distribution_finish (&leader->specs);
   g_hash_table_destroy (leader->new_places);
   g_ptr_array_unref (leader->frames);
   g_ptr_array_unref (leader->progress_drops);
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -22,7 +22,7 @@
 
 #include "jobs/grants.h"
 #include "jobs/scheduler.h"
-#include "jobs/spec_spread.h"
+#include "jobs/spec_distribution.h"
 #include "jobsd/feed.h"
 #include "jobsd/frame_io.h"
 #include "jobsd/operator_feed.h"
@@ -85,7 +85,7 @@
   GHashTable *disputed; /* ids, owned, of executors that records place on two
                            VMs: until a guard reports such an executor, its
                            place is not taken as proof of a replacement */
-  gp_spec_spread_t specs;    /* which guards hold which specifications */
+  gp_spec_distribution_t specs; /* which guards hold which specifications */
   GPtrArray *progress_drops; /* ids, owned, of jobs whose progress records are
                                 to be deleted */
   GHashTable *new_places;    /* key to place record, owned, not written yet */
@@ -148,7 +148,7 @@
    announced.  */
 bool gp_leader_raise_incarnation (gp_leader_t *leader, uint64_t incarnation);
 
-/* The entry on NODE has announced itself, see gp_grants_announced.  */
+/* The entry on NODE has announced itself, see gp_grants_process_announced.  */
 void gp_leader_announced (gp_leader_t *leader, const char *node,
                           uint64_t incarnation, uint64_t ceased);
 
--- a/src/jobsd/leader_append.c
+++ b/src/jobsd/leader_append.c
@@ -55,9 +55,9 @@
   record.incarnation = leader->incarnation;
   record.resigned = resigned;
   record.beat = ++leader->heartbeat_number;
-  gp_grants_tell (&leader->grants, &record, now_of (leader));
+  gp_grants_add_formers (&leader->grants, &record, now_of (leader));
   value = gp_message_pack (&record.base);
-  gp_grants_clear_told (&record);
+  gp_grants_free_formers (&record);
   gp_leader_add_record (leader, GP_LEADER_KEY, value);
   g_bytes_unref (value);
 }
@@ -103,7 +103,7 @@
       gp_leader_add_record (leader, job->id, bytes);
       g_array_append_val (leader->batch_states, state);
       if (gp_job_ended (job))
-        gp_spec_spread_forget_job (&leader->specs, job->id);
+        gp_spec_distribution_remove_job (&leader->specs, job->id);
       g_bytes_unref (bytes);
     }
 }
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -227,7 +227,7 @@
     declare_dead (leader, executor, GP_DEATH_LEFT);
   if (report->keeps_alone)
     gp_suspicion_extend_dedication (executor, now);
-  if (executor->suspects_told)
+  if (executor->suspects_reported)
     gp_scheduler_clear_suspects (executor);
   if ((report->lapsed || report->down) && !executor->dead)
     gp_scheduler_note_suspects (&leader->scheduler, executor, report->suspects,
@@ -248,7 +248,7 @@
   executor->down = report->down;
   link->silent = report->ended || (report->lapsed && !report->answers);
   executor->reported_at = now;
-  executor->cut_at = 0;
+  executor->disconnected_at = 0;
   if (executor->reported_since == 0)
     executor->reported_since = now;
   executor->reachable = !report->lapsed && !report->ended && !link->needs_sync
@@ -281,8 +281,9 @@
   gp_leader_t *leader = link->leader;
 
   for (size_t i = 0; i < report->n_lacking; i++)
-    if (gp_spec_spread_lacks (&leader->specs, report->lacking[i], link->node,
-                              gp_loop_now (leader->loop)))
+    if (gp_spec_distribution_is_missing (&leader->specs, report->lacking[i],
+                                         link->node,
+                                         gp_loop_now (leader->loop)))
       g_ptr_array_add (link->missing_specs, g_strdup (report->lacking[i]));
 }
 
@@ -359,7 +360,7 @@
   link->peer = NULL;
   link->needs_sync = true;
   link->fillings_sent = 0;
-  gp_spec_spread_forget_guard (&link->leader->specs, link->node);
+  gp_spec_distribution_remove_guard (&link->leader->specs, link->node);
   g_ptr_array_set_size (link->missing_specs, 0);
   if (link->executor != NULL)
     link->executor->reachable = false;
@@ -373,7 +374,7 @@
   if (link == NULL || link->peer != peer)
     return;
   if (link->executor != NULL)
-    link->executor->cut_at = gp_loop_now (link->leader->loop);
+    link->executor->disconnected_at = gp_loop_now (link->leader->loop);
   mark_down (link,
              reason != NULL ? reason->message : "closed by this process");
   gp_timer_arm (&link->redial,
@@ -472,7 +473,7 @@
   gpointer value;
 
   gp_leader_discard_frames (leader);
-  gp_spec_spread_reset (&leader->specs);
+  gp_spec_distribution_reset (&leader->specs);
   g_hash_table_iter_init (&iter, leader->links);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -543,7 +544,7 @@
             const gp_job_executor_t *executor)
 {
   bool obeyed = link != NULL && link->first_report_at > 0;
-  gp_time_t given = gp_grants_end (&leader->grants, obeyed);
+  gp_time_t given = gp_grants_end_time (&leader->grants, obeyed);
 
   if (obeyed)
     given = MAX (given, link->first_report_at);
@@ -568,23 +569,25 @@
   gp_time_t now = gp_loop_now (leader->loop);
   gp_time_t end = leases_end (leader, link, executor);
 
-  if (executor->unspoken_since == 0)
-    executor->unspoken_since = now;
-  if (executor->awaited || now - executor->unspoken_since < REPORT_TIMEOUT)
+  if (executor->unreported_since == 0)
+    executor->unreported_since = now;
+  if (executor->wait_logged
+      || now - executor->unreported_since < REPORT_TIMEOUT)
     return;
-  executor->awaited = true;
-  gp_log (GP_LOG_INFO, "executor.awaited", GP_LOG_S ("executor", executor->id),
-          GP_LOG_S ("guard", node), GP_LOG_I ("runs", executor->task_count),
-          GP_LOG_I ("for_ms", (end - now) / GP_MSEC),
-          GP_LOG_I ("reported_ms_ago",
-                    executor->reported_at > 0
-                        ? (now - executor->reported_at) / GP_MSEC
-                        : -1),
-          GP_LOG_I ("former_leaders_ms",
-                    (gp_grants_end (&leader->grants,
-                                    link != NULL && link->first_report_at > 0)
-                     - now)
-                        / GP_MSEC));
+  executor->wait_logged = true;
+  gp_log (
+      GP_LOG_INFO, "executor.awaited", GP_LOG_S ("executor", executor->id),
+      GP_LOG_S ("guard", node), GP_LOG_I ("runs", executor->task_count),
+      GP_LOG_I ("for_ms", (end - now) / GP_MSEC),
+      GP_LOG_I ("reported_ms_ago",
+                executor->reported_at > 0
+                    ? (now - executor->reported_at) / GP_MSEC
+                    : -1),
+      GP_LOG_I ("former_leaders_ms",
+                (gp_grants_end_time (&leader->grants,
+                                     link != NULL && link->first_report_at > 0)
+                 - now)
+                    / GP_MSEC));
 }
 
 static void
@@ -602,8 +605,8 @@
     return;
   if (is_reported (link, executor))
     {
-      executor->unspoken_since = 0;
-      executor->awaited = false;
+      executor->unreported_since = 0;
+      executor->wait_logged = false;
       return;
     }
   log_awaited (leader, link, executor, node);
--- a/tests/unit/late_world.c
+++ b/tests/unit/late_world.c
@@ -54,7 +54,7 @@
 start_guard (late_world_t *world, late_worker_t *worker)
 {
   gp_agent_init (&worker->agent, 0, world->site.now);
-  gp_agent_begin_fence (&worker->agent, world->site.now / GP_MSEC * 1000);
+  gp_agent_raise_fence_to (&worker->agent, world->site.now / GP_MSEC * 1000);
   worker->connected = false;
   worker->listing = false;
 }
@@ -73,7 +73,7 @@
     }
   if (worker->executor != NULL)
     {
-      worker->executor->cut_at = world->site.now;
+      worker->executor->disconnected_at = world->site.now;
       worker->executor->reachable = false;
     }
   worker->wants_sync = true;
@@ -103,7 +103,8 @@
   worker->listing = false;
   g_array_set_size (worker->calls, 0);
   if (late_worker_has_guard (world, worker))
-    gp_agent_list_refused (&worker->agent, GP_AGENT_CUT, -1, world->site.now);
+    gp_agent_list_failed (&worker->agent, GP_AGENT_DISCONNECTED, -1,
+                          world->site.now);
   if ((world->faults & LATE_GUARDS) && late_random_chance (world->random, 0.5))
     kill_guard (world, worker);
   if (world->faults & LATE_STARTS)
@@ -155,19 +156,19 @@
       result = fake_executor_start (&worker->fake, call->name, call->run,
                                     call->lease_ms, call->fence, now);
       keep_long_running_runs (worker);
-      if (result == GP_AGENT_TAKEN && !running)
+      if (result == GP_AGENT_ACCEPTED && !running)
         record_start (world, worker, call->name, call->run);
       return result;
     case GP_AGENT_CALL_STOP:
       return fake_executor_stop (&worker->fake, call->name, call->run,
                                  call->fence, now);
     case GP_AGENT_CALL_NONE:
-      return fake_executor_hold (&worker->fake, call->confirmed,
-                                 call->lease_ms, call->fence, now);
+      return fake_executor_renew (&worker->fake, call->confirmed,
+                                  call->lease_ms, call->fence, now);
     case GP_AGENT_CALL_PACE:
       break;
     }
-  return GP_AGENT_TAKEN;
+  return GP_AGENT_ACCEPTED;
 }
 
 /* Calls.  */
@@ -216,7 +217,7 @@
   if (!late_worker_has_guard (world, worker) || !worker->connected)
     return;
   if (result == GP_AGENT_FENCED)
-    gp_agent_fenced (&worker->agent, call->fence);
+    gp_agent_fence_rejected (&worker->agent, call->fence);
   if (call->kind != GP_AGENT_CALL_NONE)
     {
       gp_agent_answered (&worker->agent, call->kind, call->name, call->run, 0,
@@ -224,10 +225,10 @@
       return;
     }
   worker->listing = false;
-  if (result == GP_AGENT_TAKEN)
+  if (result == GP_AGENT_ACCEPTED)
     process_list (world, worker, call->sent_at, call->fence);
   else
-    gp_agent_list_refused (&worker->agent, result, clock, now);
+    gp_agent_list_failed (&worker->agent, result, clock, now);
 }
 
 static void
@@ -276,7 +277,7 @@
   call = send_call (world, worker, GP_AGENT_CALL_NONE);
   call->confirmed = gp_agent_list_confirmed (&worker->agent, world->site.now);
   call->lease_ms = gp_agent_list_lease (&worker->agent, world->site.now);
-  if (gp_agent_keeps_alone (&worker->agent))
+  if (gp_agent_has_isolated_run (&worker->agent))
     call->due = MIN (call->due, world->site.now + 50 * GP_MSEC);
 }
 
@@ -284,15 +285,15 @@
 static void
 connect_guard (late_world_t *world, late_worker_t *worker)
 {
-  int64_t fence = gp_agent_ask_fence (&worker->agent);
+  int64_t fence = gp_agent_query_fence (&worker->agent);
 
-  gp_agent_begin_fence (&worker->agent, fence);
-  while (fake_executor_hold (&worker->fake, 0, 0, fence, world->site.now)
+  gp_agent_raise_fence_to (&worker->agent, fence);
+  while (fake_executor_renew (&worker->fake, 0, 0, fence, world->site.now)
          == GP_AGENT_FENCED)
     {
-      gp_agent_fenced (&worker->agent, fence);
-      fence = gp_agent_ask_fence (&worker->agent);
-      gp_agent_begin_fence (&worker->agent, fence);
+      gp_agent_fence_rejected (&worker->agent, fence);
+      fence = gp_agent_query_fence (&worker->agent);
+      gp_agent_raise_fence_to (&worker->agent, fence);
     }
   gp_agent_set_executor (&worker->agent, agent_executor_new (worker->id),
                          fake_executor_clock (&worker->fake, world->site.now),
--- a/tests/unit/late_world_leader.c
+++ b/tests/unit/late_world_leader.c
@@ -48,9 +48,9 @@
   worker->executor->dead = false;
   worker->synced_at = world->site.now;
   for (guint i = 0; i < starts->len; i++)
-    agent_hold_spec (&worker->agent,
-                     ((Gp__Jobs__Start *)g_ptr_array_index (starts, i))->task,
-                     world->site.now);
+    agent_add_spec (&worker->agent,
+                    ((Gp__Jobs__Start *)g_ptr_array_index (starts, i))->task,
+                    world->site.now);
   gp_agent_sync (&worker->agent, &sync);
   for (size_t i = 0; i < sync.n_starts; i++)
     gp__jobs__start__free_unpacked (sync.starts[i], NULL);
@@ -78,7 +78,7 @@
       || !gp_scheduler_expects_run (order->task))
     return;
   start = new_start (order->task);
-  agent_hold_spec (&worker->agent, start->task, world->site.now);
+  agent_add_spec (&worker->agent, start->task, world->site.now);
   orders.executor = order->executor->id;
   orders.starts = &start;
   orders.n_starts = 1;
@@ -207,7 +207,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  worker->executor->suspects_told = true;
+  worker->executor->suspects_reported = true;
   g_hash_table_iter_init (&iter, worker->agent.runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -244,7 +244,7 @@
       if (run->phase == GP_RUN_ABSENT)
         gp_scheduler_run_absent (scheduler, worker->executor, &row,
                                  world->site.now);
-      if (gp_agent_tells_settled (run))
+      if (gp_agent_report_settled (run))
         gp_scheduler_note_settled (scheduler, worker->executor, &rows, 1);
     }
 }
@@ -279,7 +279,7 @@
 {
   gp_agent_t *agent = &worker->agent;
   gp_time_t now = world->site.now;
-  bool lapsed = gp_agent_lapsed (agent, now);
+  bool lapsed = gp_agent_lease_lapsed (agent, now);
   bool down = gp_agent_is_down (agent, now);
   gp_job_executor_t *executor;
 
@@ -298,23 +298,24 @@
                             g_ptr_array_index (agent->ends, i), now,
                             now / GP_MSEC);
   report_runs (world, worker);
-  if (gp_agent_keeps_alone (agent))
+  if (gp_agent_has_isolated_run (agent))
     gp_suspicion_extend_dedication (executor, now);
-  if (executor->suspects_told)
+  if (executor->suspects_reported)
     gp_scheduler_clear_suspects (executor);
   if ((lapsed || down) && !executor->dead)
     report_suspects (world, worker);
   if (lapsed && !executor->dead)
     jobs_site_executor_dead (&world->site, executor,
-                             gp_agent_answers (agent, now) ? GP_DEATH_LAPSED
-                                                           : GP_DEATH_UNHEARD);
+                             gp_agent_is_responsive (agent, now)
+                                 ? GP_DEATH_LAPSED
+                                 : GP_DEATH_UNHEARD);
   if (executor->dead
       || (agent->synced != worker->sync
           && now - worker->synced_at > RESYNC_TIME))
     worker->wants_sync = true;
   executor->down = down;
   executor->reported_at = now;
-  executor->cut_at = 0;
+  executor->disconnected_at = 0;
   if (executor->reported_since == 0)
     executor->reported_since = now;
   executor->reachable
@@ -375,10 +376,10 @@
       worker->wants_sync = true;
       g_strlcpy (worker->executor_id, worker->recorded_id,
                  sizeof worker->executor_id);
-      gp_agent_unsync (&worker->agent);
+      gp_agent_clear_sync (&worker->agent);
       for (gpointer at = g_hash_table_get_values (worker->agent.runs);
            at != NULL; at = g_list_delete_link (at, at))
-        ((gp_agent_run_t *)((GList *)at)->data)->settled_told = false;
+        ((gp_agent_run_t *)((GList *)at)->data)->settled_reported = false;
       worker->report_at = now + 100 * GP_MSEC;
     }
 }
--- a/tests/unit/test_agent_measure.c
+++ b/tests/unit/test_agent_measure.c
@@ -1,6 +1,6 @@
-/* Tests of what a guard makes of its executor's measures: a busy filling run
-   is slowed down, one in a light phase is not, and a run that stays over its
-   target makes it doubt the phases.  */
+/* Tests of the agent's evaluation of measurements: a busy filling run is
+   slowed down and one in a light phase is not, until a serving run stays over
+   its target, which shows that the phases are not what they seem.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -52,14 +52,15 @@
                    gp_pressure_image_index (&agent->pacer.pressure, "f"), 0.9);
 }
 
-/* The leader says that the serving run has HEADROOM without filling work.  */
+/* The leader reports the headroom of the serving run without filling runs.  */
 static void
-teach (gp_agent_t *agent, int32_t headroom_permille, gp_time_t now)
+set_load (gp_agent_t *agent, int32_t headroom_permille, gp_time_t now)
 {
-  gp_agent_teach_load (agent, SERVING, headroom_permille, 0, now);
+  gp_agent_set_load (agent, SERVING, headroom_permille, 0, now);
 }
 
-/* The executor lists a tail of TAIL_MS and what A and B use.  */
+/* The executor lists a tail latency of TAIL_MS and the CPU that A and B
+   use.  */
 static void
 list (gp_agent_t *agent, int64_t tail_ms, int64_t a, int64_t b, gp_time_t now)
 {
@@ -93,22 +94,22 @@
 
   printf ("a busy run is slowed down, a light one is not\n");
   begin (&agent, now);
-  teach (&agent, 1600, now);
+  set_load (&agent, 1600, now);
   list (&agent, 30, 0, 0, now);
   show (&agent, "not at work yet");
   for (int i = 0; i < 4; i++)
     {
       now += STEP;
-      teach (&agent, 1600, now);
+      set_load (&agent, 1600, now);
       list (&agent, 45, CPU_MILLI, CPU_MILLI * 2 / 3, now);
     }
   show (&agent, "a is busy, b is not");
   now += STEP;
-  teach (&agent, 3500, now);
+  set_load (&agent, 3500, now);
   list (&agent, 20, CPU_MILLI, CPU_MILLI, now);
   show (&agent, "both are busy in a trough of the load");
   now += STEP;
-  teach (&agent, 1600, now);
+  set_load (&agent, 1600, now);
   list (&agent, 45, CPU_MILLI * 2 / 3, CPU_MILLI * 2 / 3, now);
   show (&agent, "neither is busy");
   gp_agent_finish (&agent);
@@ -124,7 +125,7 @@
   begin (&agent, now);
   for (int i = 0; i < 7; i++)
     {
-      teach (&agent, 1600, now);
+      set_load (&agent, 1600, now);
       list (&agent, 80, CPU_MILLI * 2 / 3, CPU_MILLI * 2 / 3, now);
       if (i == 2)
         show (&agent, "over for 0.5 s");
@@ -134,7 +135,7 @@
   gp_agent_finish (&agent);
 }
 
-/* What has ended presses in the measures for half a second more.  */
+/* A run that has ended affects the measurements for another half second.  */
 static void
 test_gone (void)
 {
@@ -142,7 +143,7 @@
   gp_time_t now = 10 * GP_SEC;
   Gp__Jobs__End end = GP__JOBS__END__INIT;
   const gp_agent_row_t left = { SERVING, 1, 30 };
-  const gp_agent_gone_t *gone;
+  const gp_agent_ended_filling_t *ended;
 
   begin (&agent, now);
   for (int i = 0; i < 4; i++)
@@ -152,20 +153,19 @@
   end.run = 1;
   end.how = GP_END_DONE;
   gp_agent_listed (&agent, &left, 1, &end, 1, 5000 + now / GP_MSEC, now, now);
-  CU_ASSERT_EQUAL_FATAL (agent.gone->len, 1);
-  gone = &g_array_index (agent.gone, gp_agent_gone_t, 0);
-  CU_ASSERT (gp_agent_gone_work (gone, now) > 0.9);
-  CU_ASSERT (gp_agent_gone_work (gone, now + STEP) < 0.6);
-  CU_ASSERT_EQUAL (gp_agent_gone_work (gone, now + 2 * STEP), 0.0);
+  CU_ASSERT_EQUAL_FATAL (agent.ended_fillings->len, 1);
+  ended = &g_array_index (agent.ended_fillings, gp_agent_ended_filling_t, 0);
+  CU_ASSERT (gp_agent_ended_filling_work (ended, now) > 0.9);
+  CU_ASSERT (gp_agent_ended_filling_work (ended, now + STEP) < 0.6);
+  CU_ASSERT_EQUAL (gp_agent_ended_filling_work (ended, now + 2 * STEP), 0.0);
   list (&agent, 30, 0, 0, now + 3 * STEP);
-  CU_ASSERT_EQUAL (agent.gone->len, 0);
+  CU_ASSERT_EQUAL (agent.ended_fillings->len, 0);
   gp_agent_finish (&agent);
 }
 
-/* A serving run that has just started tells nothing of its load.  */
-/* What users saw: a run that lasts was over its target for four seconds by
-   what worked beside it, from its start on.  The cause: its load was known
-   only a second later, and the plan passed it over until then.  */
+/* Regression test: a long-running run was over its target for its first four
+   seconds because of filling runs.  Its load was known only after a second,
+   and the plan did not consider it until then.  */
 static void
 test_unknown_load (void)
 {
@@ -183,6 +183,8 @@
   gp_agent_finish (&agent);
 }
 
+/* The measurements of a serving run that has just started do not show its
+   load.  */
 static void
 test_warm (void)
 {
@@ -193,10 +195,10 @@
   for (int i = 0; i < 4; i++, now += STEP)
     {
       list (&agent, 10, 0, 0, now);
-      CU_ASSERT_FALSE (agent.has_measures);
+      CU_ASSERT_FALSE (agent.has_measurements);
     }
   list (&agent, 30, 0, 0, now);
-  CU_ASSERT_TRUE (agent.has_measures);
+  CU_ASSERT_TRUE (agent.has_measurements);
   gp_agent_finish (&agent);
 }
 
--- a/tests/unit/test_alone.c
+++ b/tests/unit/test_alone.c
@@ -1,9 +1,9 @@
-/* Tests of starts that are to be alone, at a guard: what begins beside them.
+/* Tests of isolated starts at a guard, and of what begins beside them.
 
-   What users saw: a task that takes its executors down was started six times
-   and more.  Its starts were alone by the leader's word, and their ends told
-   nothing: a start of another job, made before and not answered, might have
-   begun at any time.  */
+   Regression tests: a task that takes its executors down was started six times
+   and more.  The leader had isolated its starts, but the failures proved
+   nothing: an earlier, unanswered start of another job might have begun at any
+   time.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -23,7 +23,7 @@
   gp_time_t now;
 } guard_t;
 
-/* The leader orders a start of TASK, which is to be ALONE or not.  */
+/* The leader orders a start of TASK, isolated if ALONE.  */
 static void
 order (guard_t *guard, const char *task, bool alone)
 {
@@ -35,7 +35,7 @@
   orders.starts = &start;
   orders.n_starts = 1;
   gp_agent_order (&guard->agent, &orders);
-  agent_hold_spec (&guard->agent, task, guard->now);
+  agent_add_spec (&guard->agent, task, guard->now);
 }
 
 static void
@@ -43,7 +43,7 @@
 {
   guard->now = 10 * GP_SEC;
   gp_agent_init (&guard->agent, 0, guard->now);
-  gp_agent_begin_fence (&guard->agent, 100);
+  gp_agent_raise_fence_to (&guard->agent, 100);
   gp_agent_set_executor (&guard->agent, agent_executor_new ("x1"), 5000,
                          guard->now);
   gp_agent_reported (&guard->agent, guard->now);
@@ -51,20 +51,20 @@
   agent_sync_with (&guard->agent, OTHER, 0, 0);
 }
 
-/* The executor's list, asked for with the fence that there is, shows RUNNING
-   and ANOTHER (NULL: nothing) 20 ms later.  */
+/* The executor's list, requested with the current fence, arrives 20 ms later
+   and shows RUNNING and ANOTHER (NULL: nothing).  */
 static void
 list (guard_t *guard, const char *running, const char *another)
 {
   gp_agent_row_t rows[] = { { running, 1, 100 }, { another, 1, 100 } };
   int64_t fence = guard->agent.fence;
-  gp_time_t asked_at = guard->now;
+  gp_time_t requested_at = guard->now;
   size_t count = (running != NULL) + (another != NULL);
 
   guard->now += 20 * GP_MSEC;
   gp_agent_fence_listed (&guard->agent, fence);
   gp_agent_listed (&guard->agent, rows, count, NULL, 0, guard->now / GP_MSEC,
-                   asked_at, guard->now);
+                   requested_at, guard->now);
 }
 
 static const char *
@@ -75,7 +75,7 @@
   return strcmp (task, SIBLING) == 0 ? "sibling" : "other";
 }
 
-/* Print the calls that are made now; each comes to RESULT.  */
+/* Makes and prints all calls that are due, each with the outcome RESULT.  */
 static void
 call (guard_t *guard, gp_agent_result_t result)
 {
@@ -92,9 +92,9 @@
       g_strlcpy (name, next.run->name, sizeof name);
       printf (" %s %s,", next.kind == GP_AGENT_CALL_START ? "start" : "stop",
               short_name (name));
-      gp_agent_answered (&guard->agent, next.kind, name, 1, 0, result,
-                         result == GP_AGENT_TAKEN ? guard->now / GP_MSEC : -1,
-                         guard->now);
+      gp_agent_answered (
+          &guard->agent, next.kind, name, 1, 0, result,
+          result == GP_AGENT_ACCEPTED ? guard->now / GP_MSEC : -1, guard->now);
     }
   printf (" fence %ld", (long)guard->agent.fence);
   if (again_at != GP_TIME_NEVER)
@@ -119,7 +119,7 @@
           row.unanswered ? "may have begun" : "", row.alone ? ", alone" : "");
 }
 
-/* A start of OTHER is not answered, and SUSPECT is ordered behind it.  */
+/* A start of OTHER goes unanswered, and SUSPECT is ordered after it.  */
 static void
 leave_unanswered (guard_t *guard)
 {
@@ -129,10 +129,11 @@
   call (guard, GP_AGENT_UNANSWERED);
   order (guard, SUSPECT, true);
   guard->now += 150 * GP_MSEC;
-  call (guard, GP_AGENT_TAKEN);
+  call (guard, GP_AGENT_ACCEPTED);
 }
 
-/* What the soak and the scripts of late orders saw.  */
+/* Regression test: soak runs and the scripts of late orders found this
+   case.  */
 static void
 test_unanswered_beside (void)
 {
@@ -141,18 +142,18 @@
   printf ("a start that was not answered is void before a suspect begins\n");
   leave_unanswered (&guard);
   list (&guard, NULL, NULL);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   guard.now += 10 * GP_MSEC;
-  gp_agent_list_refused (&guard.agent, GP_AGENT_CUT, -1, guard.now);
+  gp_agent_list_failed (&guard.agent, GP_AGENT_DISCONNECTED, -1, guard.now);
   show_suspect (&guard, SUSPECT);
   show_suspect (&guard, OTHER);
   gp_agent_finish (&guard.agent);
   printf ("it was carried out before: the suspect waits until it has begun\n");
   leave_unanswered (&guard);
   list (&guard, OTHER, NULL);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   guard.now += GP_SUSPICION_START_WINDOW;
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   gp_agent_finish (&guard.agent);
 }
 
@@ -167,14 +168,14 @@
   order (&guard, SUSPECT, true);
   order (&guard, SIBLING, false);
   order (&guard, OTHER, false);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   list (&guard, SUSPECT, SIBLING);
-  printf ("  keeps alone: %d\n", gp_agent_keeps_alone (&guard.agent));
+  printf ("  keeps alone: %d\n", gp_agent_has_isolated_run (&guard.agent));
   guard.now += GP_SUSPICION_SETTLE_TIME;
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   list (&guard, SUSPECT, SIBLING);
-  call (&guard, GP_AGENT_TAKEN);
-  printf ("  keeps alone: %d\n", gp_agent_keeps_alone (&guard.agent));
+  call (&guard, GP_AGENT_ACCEPTED);
+  printf ("  keeps alone: %d\n", gp_agent_has_isolated_run (&guard.agent));
   gp_agent_finish (&guard.agent);
 }
 
@@ -186,13 +187,14 @@
   printf ("a guard that has just begun knows nothing before the first list\n");
   begin (&guard);
   order (&guard, SUSPECT, true);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   list (&guard, NULL, NULL);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   gp_agent_finish (&guard.agent);
 }
 
-/* Its own starts: each is void before the next one.  */
+/* The suspect's own start goes unanswered: each one is invalidated before the
+   next is made.  */
 static void
 test_unanswered (void)
 {
@@ -213,9 +215,9 @@
   printf ("it can't be begun: the leader gets it back, others go on\n");
   guard.now += GP_SUSPICION_DEDICATE_TIME;
   list (&guard, NULL, NULL);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   list (&guard, NULL, NULL);
-  call (&guard, GP_AGENT_TAKEN);
+  call (&guard, GP_AGENT_ACCEPTED);
   gp_agent_finish (&guard.agent);
 }
 
--- a/tests/unit/test_filling_load.c
+++ b/tests/unit/test_filling_load.c
@@ -203,7 +203,8 @@
   gp_headroom_t *load = &site->loads[place->image];
   gp_pressure_work_t work = work_done (place);
   gp_pressure_work_t busy = { { 0.0 } };
-  gp_pacer_serving_t serving = { .image = image, .over = place->over_target };
+  gp_pacer_serving_t serving
+      = { .image = image, .over_target_s = place->over_target };
 
   gp_pressure_learn (&site->pacer.pressure, image, &work, place->headroom,
                      load, now);
@@ -217,10 +218,10 @@
     {
       const char *filling = filling_images[place->filling[i].image];
 
-      place->filling[i].pace
-          = place->filling[i].busy
-                ? gp_pacer_pace (&site->pacer, filling) / (double)GP_PACER_FULL
-                : 1.0;
+      place->filling[i].pace = place->filling[i].busy
+                                   ? gp_pacer_pace (&site->pacer, filling)
+                                         / (double)GP_PACER_FULL_SPEED
+                                   : 1.0;
     }
 }
 
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -1,6 +1,6 @@
-/* Tests of what leases may be left: a scripted transcript, and random runs of
-   leaders that are killed, frozen, cut off and restarted with the guard of an
-   executor that is so as well.  */
+/* Tests of the terms of previous leaders: a scripted transcript, and random
+   runs in which the leaders and the guard of an executor are killed, frozen,
+   cut off and restarted.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -15,22 +15,22 @@
 show (const gp_grants_t *grants, const char *when)
 {
   printf ("  %s: %d ms, for a guard that obeyed %d ms\n", when,
-          (int)(gp_grants_end (grants, false) / GP_MSEC),
-          (int)(gp_grants_end (grants, true) / GP_MSEC));
+          (int)(gp_grants_end_time (grants, false) / GP_MSEC),
+          (int)(gp_grants_end_time (grants, true) / GP_MSEC));
 }
 
-/* The record at OFFSET of process INCARNATION on NODE was read, and all before
-   it.  */
+/* The record at OFFSET of process INCARNATION on NODE was read, and all
+   earlier ones.  */
 static void
-hear (gp_grants_t *grants, const char *node, uint64_t incarnation,
-      uint64_t offset, gp_time_t now)
+read_leadership (gp_grants_t *grants, const char *node, uint64_t incarnation,
+                 uint64_t offset, gp_time_t now)
 {
   Gp__Jobs__Leadership record = GP__JOBS__LEADERSHIP__INIT;
 
   record.node = (char *)node;
   record.incarnation = incarnation;
-  gp_grants_read (grants, offset, now);
-  gp_grants_heard (grants, &record, offset, now);
+  gp_grants_record_read (grants, offset, now);
+  gp_grants_leadership_read (grants, &record, offset, now);
 }
 
 static void
@@ -41,15 +41,15 @@
   printf ("the term of a leader ends by itself, or with its word\n");
   gp_grants_init (&grants);
   show (&grants, "nobody has led");
-  hear (&grants, "e1", 100, 0, GP_SEC);
+  read_leadership (&grants, "e1", 100, 0, GP_SEC);
   show (&grants, "e1 has led until 1 s");
-  hear (&grants, "e2", 200, 1, 3 * GP_SEC);
+  read_leadership (&grants, "e2", 200, 1, 3 * GP_SEC);
   show (&grants, "e2 until 3 s");
-  gp_grants_ended (&grants, "e2", 4 * GP_SEC);
+  gp_grants_leader_ended (&grants, "e2", 4 * GP_SEC);
   show (&grants, "e2 has resigned at 4 s: e1 counts on");
-  gp_grants_announced (&grants, "e1", 101, 0, 5 * GP_SEC);
+  gp_grants_process_announced (&grants, "e1", 101, 0, 5 * GP_SEC);
   show (&grants, "e1 has started again at 5 s");
-  hear (&grants, "e1", 101, 2, 6 * GP_SEC);
+  read_leadership (&grants, "e1", 101, 2, 6 * GP_SEC);
   show (&grants, "and has led until 6 s");
   gp_grants_finish (&grants);
 }
@@ -62,18 +62,18 @@
   printf ("announcements that say nothing of the last record\n");
   gp_grants_init (&grants);
   for (uint64_t offset = 0; offset <= 5; offset++)
-    hear (&grants, "e1", 100, offset, GP_SEC);
-  gp_grants_announced (&grants, "e1", 99, 0, 2 * GP_SEC);
+    read_leadership (&grants, "e1", 100, offset, GP_SEC);
+  gp_grants_process_announced (&grants, "e1", 99, 0, 2 * GP_SEC);
   show (&grants, "an earlier process");
-  gp_grants_announced (&grants, "e1", 100, 0, 2 * GP_SEC);
+  gp_grants_process_announced (&grants, "e1", 100, 0, 2 * GP_SEC);
   show (&grants, "its own start");
-  gp_grants_announced (&grants, "e1", 100, 5, 2 * GP_SEC);
+  gp_grants_process_announced (&grants, "e1", 100, 5, 2 * GP_SEC);
   show (&grants, "the end of an earlier lead");
-  gp_grants_announced (&grants, "e2", 300, 9, 2 * GP_SEC);
+  gp_grants_process_announced (&grants, "e2", 300, 9, 2 * GP_SEC);
   show (&grants, "another entry");
-  gp_grants_announced (&grants, "e1", 100, 6, 2 * GP_SEC);
+  gp_grants_process_announced (&grants, "e1", 100, 6, 2 * GP_SEC);
   show (&grants, "the end of this lead");
-  hear (&grants, "e2", 250, 6, 4 * GP_SEC);
+  read_leadership (&grants, "e2", 250, 6, 4 * GP_SEC);
   show (&grants, "a record of a process known to have ended");
   gp_grants_finish (&grants);
 }
@@ -87,26 +87,26 @@
 
   printf ("who has not read all relies on what a record tells\n");
   gp_grants_init (&writer);
-  hear (&writer, "e1", 100, 0, GP_SEC);
+  read_leadership (&writer, "e1", 100, 0, GP_SEC);
   record.node = (char *)"e2";
   record.incarnation = 200;
-  gp_grants_tell (&writer, &record, 4 * GP_SEC);
+  gp_grants_add_formers (&writer, &record, 4 * GP_SEC);
   gp_grants_init (&reader);
-  gp_grants_read (&reader, 7, 5 * GP_SEC);
+  gp_grants_record_read (&reader, 7, 5 * GP_SEC);
   show (&reader, "a record out of the middle, read at 5 s");
-  gp_grants_read (&reader, 9, 5 * GP_SEC);
-  gp_grants_heard (&reader, &record, 9, 5 * GP_SEC);
-  gp_grants_ended (&reader, "e2", 5 * GP_SEC);
+  gp_grants_record_read (&reader, 9, 5 * GP_SEC);
+  gp_grants_leadership_read (&reader, &record, 9, 5 * GP_SEC);
+  gp_grants_leader_ended (&reader, "e2", 5 * GP_SEC);
   show (&reader, "e2 tells that e1 had 5 s left, and resigns");
-  gp_grants_read (&reader, 3, 6 * GP_SEC);
-  gp_grants_read (&reader, 10, 6 * GP_SEC);
+  gp_grants_record_read (&reader, 3, 6 * GP_SEC);
+  gp_grants_record_read (&reader, 10, 6 * GP_SEC);
   show (&reader, "older ones, and the next, change nothing");
-  gp_grants_read (&reader, 12, 7 * GP_SEC);
+  gp_grants_record_read (&reader, 12, 7 * GP_SEC);
   show (&reader, "a gap at 7 s");
-  gp_grants_clear_told (&record);
+  gp_grants_free_formers (&record);
   record.tells_formers = false;
-  gp_grants_heard (&reader, &record, 13, 7 * GP_SEC);
-  gp_grants_ended (&reader, "e2", 7 * GP_SEC);
+  gp_grants_leadership_read (&reader, &record, 13, 7 * GP_SEC);
+  gp_grants_leader_ended (&reader, "e2", 7 * GP_SEC);
   show (&reader, "a record that does not tell leaves it");
   gp_grants_finish (&reader);
   gp_grants_finish (&writer);
@@ -121,35 +121,35 @@
 
   printf ("an old word of a leader that leads again does not end its term\n");
   gp_grants_init (&writer);
-  hear (&writer, "e1", 100, 0, GP_SEC);
-  gp_grants_announced (&writer, "e1", 100, 1, GP_SEC);
-  hear (&writer, "e1", 100, 1, 2 * GP_SEC);
+  read_leadership (&writer, "e1", 100, 0, GP_SEC);
+  gp_grants_process_announced (&writer, "e1", 100, 1, GP_SEC);
+  read_leadership (&writer, "e1", 100, 1, 2 * GP_SEC);
   record.node = (char *)"e2";
   record.incarnation = 200;
-  gp_grants_tell (&writer, &record, 2 * GP_SEC);
+  gp_grants_add_formers (&writer, &record, 2 * GP_SEC);
   gp_grants_init (&reader);
-  gp_grants_read (&reader, 5, 2 * GP_SEC);
-  gp_grants_heard (&reader, &record, 5, 2 * GP_SEC);
-  gp_grants_ended (&reader, "e2", 2 * GP_SEC);
+  gp_grants_record_read (&reader, 5, 2 * GP_SEC);
+  gp_grants_leadership_read (&reader, &record, 5, 2 * GP_SEC);
+  gp_grants_leader_ended (&reader, "e2", 2 * GP_SEC);
   show (&reader, "told of by the next leader");
-  gp_grants_announced (&reader, "e1", 100, 1, 2 * GP_SEC);
+  gp_grants_process_announced (&reader, "e1", 100, 1, 2 * GP_SEC);
   show (&reader, "its word on the lead before that");
-  gp_grants_announced (&reader, "e1", 100, 2, 2 * GP_SEC);
+  gp_grants_process_announced (&reader, "e1", 100, 2, 2 * GP_SEC);
   show (&reader, "its word on this lead");
-  gp_grants_clear_told (&record);
+  gp_grants_free_formers (&record);
   gp_grants_finish (&reader);
   gp_grants_finish (&writer);
 }
 
-/* Random runs.  The log and the announcements are arrays; entries read them
-   when they reach the store.  A leader that takes the executor for dead has to
-   be right: its lease is over, and no leader of an earlier epoch moves it on
-   again.  */
+/* Random runs.  The log and the announcements are arrays, which the entries
+   read when they can reach the store.  When a leader declares the executor
+   dead, its lease must have expired, and no leader of an earlier epoch may
+   extend it afterwards.  */
 
 #define ENTRIES 3
 #define STEP (50 * GP_MSEC)
 #define STEPS 2000
-#define BEAT_TIME (250 * GP_MSEC)
+#define APPEND_INTERVAL (250 * GP_MSEC)
 #define SILENCE_TIME (900 * GP_MSEC)
 #define QUIET_TIME (1200 * GP_MSEC)
 
@@ -165,39 +165,42 @@
   uint64_t incarnation;
   gp_grants_t grants;
   char name[4];
-  guint read;  /* records */
-  guint heard; /* announcements */
+  guint records_read;       /* records read */
+  guint announcements_read; /* announcements read */
   bool leads;
   guint epoch;
-  guint end; /* of the log, as far as it wrote it */
+  guint end; /* end of the log after its last record */
   gp_time_t confirmed_at;
   gp_time_t heard_at;
-  gp_time_t down_until; /* killed */
+  gp_time_t down_until; /* killed until then */
   gp_time_t frozen_until;
-  gp_time_t cut_until;    /* from the store */
-  gp_time_t parted_until; /* from the guard */
-  gp_time_t reported_at;  /* this leader has heard of the executor */
-  gp_time_t linked_at;    /* ... and of its guard */
-  gp_time_t obeyed_at;    /* ... and of that for the first time */
-  bool dead;              /* it takes the executor for dead */
+  gp_time_t store_cut_until; /* cut off from the store */
+  gp_time_t guard_cut_until; /* cut off from the guard */
+  gp_time_t reported_at;     /* when the executor was last reported to this
+                                leader */
+  gp_time_t linked_at;       /* when its guard last reported to this leader */
+  gp_time_t obeyed_at;       /* when its guard first reported to this leader */
+  bool dead;                 /* it has declared the executor dead */
 } entry_t;
 
 typedef struct
 {
   GRand *random;
   gp_time_t now;
-  GPtrArray *log;        /* GBytes, owned: records of leaders */
+  GPtrArray *log;        /* GBytes, owned: the leaders' records */
   GArray *announcements; /* announcement_t */
   entry_t entries[ENTRIES];
   gp_agent_t agent;
-  guint obeys; /* epoch */
+  guint obeyed_epoch; /* epoch of the leader that the guard obeys */
   gp_time_t sent_at;
   gp_time_t guard_down_until;
-  gp_time_t known_at; /* the guard meets the executor then */
+  gp_time_t known_at; /* the guard learns of the executor then */
   gp_time_t lease_end;
-  guint dead_epoch; /* the executor is dead for this leader */
+  guint dead_epoch; /* epoch of the leader that has declared the executor dead,
+                       0: none */
   unsigned deaths;
-  gp_time_t waited; /* by the longest wait for a death */
+  gp_time_t waited; /* longest time from the failure of the executor to its
+                       being declared dead */
   uint64_t incarnations;
 } world_t;
 
@@ -208,7 +211,7 @@
 }
 
 static gp_time_t
-later (world_t *world, int most_ms)
+random_time (world_t *world, int most_ms)
 {
   return world->now + g_rand_int_range (world->random, 100, most_ms) * GP_MSEC;
 }
@@ -232,41 +235,42 @@
   Gp__Jobs__Leadership *record
       = gp__jobs__leadership__unpack (NULL, size, bytes);
 
-  gp_grants_read (&entry->grants, offset, world->now);
-  gp_grants_heard (&entry->grants, record, offset, world->now);
+  gp_grants_record_read (&entry->grants, offset, world->now);
+  gp_grants_leadership_read (&entry->grants, record, offset, world->now);
   entry->heard_at = record->resigned ? 0 : world->now;
   gp__jobs__leadership__free_unpacked (record, NULL);
 }
 
-/* Of what was written before, only the newest record is kept.  */
+/* Of the earlier records only the newest is kept.  */
 static void
 read_newest (world_t *world, entry_t *entry)
 {
   entry->heard_at = world->now;
-  entry->read = world->log->len;
+  entry->records_read = world->log->len;
   if (world->log->len > 0)
     read_record (world, entry, world->log->len - 1);
 }
 
-/* Of the announcements, too, only the newest of each entry is kept; it may be
-   older than the records.  */
+/* Of the announcements, only the newest of each entry is kept; it may be older
+   than the records.  */
 static void
 read_newest_announcements (world_t *world, entry_t *entry)
 {
   for (int i = 0; i < ENTRIES; i++)
     for (guint at = world->announcements->len; at-- > 0;)
       {
-        const announcement_t *word
+        const announcement_t *announcement
             = &g_array_index (world->announcements, announcement_t, at);
 
-        if (word->entry != i)
+        if (announcement->entry != i)
           continue;
         if (&world->entries[i] != entry)
-          gp_grants_announced (&entry->grants, world->entries[i].name,
-                               word->incarnation, word->ceased, world->now);
+          gp_grants_process_announced (&entry->grants, world->entries[i].name,
+                                       announcement->incarnation,
+                                       announcement->ceased, world->now);
         break;
       }
-  entry->heard = world->announcements->len;
+  entry->announcements_read = world->announcements->len;
 }
 
 static void
@@ -274,8 +278,8 @@
 {
   entry->incarnation = ++world->incarnations;
   gp_grants_init (&entry->grants);
-  gp_grants_announced (&entry->grants, entry->name, entry->incarnation, 0,
-                       world->now);
+  gp_grants_process_announced (&entry->grants, entry->name, entry->incarnation,
+                               0, world->now);
   entry->leads = false;
   read_newest (world, entry);
   read_newest_announcements (world, entry);
@@ -290,37 +294,39 @@
   record.node = entry->name;
   record.incarnation = entry->incarnation;
   record.resigned = resigned;
-  gp_grants_tell (&entry->grants, &record, world->now);
+  gp_grants_add_formers (&entry->grants, &record, world->now);
   g_ptr_array_add (world->log, gp_message_pack (&record.base));
-  gp_grants_clear_told (&record);
+  gp_grants_free_formers (&record);
   entry->end = world->log->len;
-  entry->read = world->log->len;
+  entry->records_read = world->log->len;
   entry->confirmed_at = world->now;
 }
 
 static void
 read_log (world_t *world, entry_t *entry)
 {
-  for (; entry->read < world->log->len; entry->read++)
-    read_record (world, entry, entry->read);
+  for (; entry->records_read < world->log->len; entry->records_read++)
+    read_record (world, entry, entry->records_read);
 }
 
 static void
 read_announcements (world_t *world, entry_t *entry)
 {
-  for (; entry->heard < world->announcements->len; entry->heard++)
+  for (; entry->announcements_read < world->announcements->len;
+       entry->announcements_read++)
     {
-      const announcement_t *word = &g_array_index (
-          world->announcements, announcement_t, entry->heard);
+      const announcement_t *announcement = &g_array_index (
+          world->announcements, announcement_t, entry->announcements_read);
 
-      if (&world->entries[word->entry] != entry)
-        gp_grants_announced (&entry->grants, world->entries[word->entry].name,
-                             word->incarnation, word->ceased, world->now);
+      if (&world->entries[announcement->entry] != entry)
+        gp_grants_process_announced (
+            &entry->grants, world->entries[announcement->entry].name,
+            announcement->incarnation, announcement->ceased, world->now);
     }
 }
 
 static void
-depose (world_t *world, entry_t *entry)
+step_down (world_t *world, entry_t *entry)
 {
   entry->leads = false;
   announce (world, entry, entry->end);
@@ -328,20 +334,20 @@
 }
 
 static void
-meet_store (world_t *world, entry_t *entry)
+use_store (world_t *world, entry_t *entry)
 {
-  /* The topics are not read in step.  */
+  /* The topics are not read at the same pace.  */
   if (chance (world, 0.7))
     read_announcements (world, entry);
   if (entry->leads && entry->end != world->log->len)
-    depose (world, entry);
+    step_down (world, entry);
   else if (entry->leads && chance (world, 0.01))
     {
       write_record (world, entry, true);
       entry->leads = false;
-      entry->down_until = later (world, 3000);
+      entry->down_until = random_time (world, 3000);
     }
-  else if (entry->leads && world->now >= entry->confirmed_at + BEAT_TIME)
+  else if (entry->leads && world->now >= entry->confirmed_at + APPEND_INTERVAL)
     write_record (world, entry, false);
   else if (!entry->leads)
     {
@@ -354,21 +360,21 @@
       entry->reported_at = 0;
       entry->linked_at = 0;
       entry->obeyed_at = 0;
-      gp_grants_ended (&entry->grants, entry->name, world->now);
+      gp_grants_leader_ended (&entry->grants, entry->name, world->now);
       entry->dead = false;
     }
 }
 
-/* The guard reports to ENTRY and is acknowledged.  */
+/* The guard reports to ENTRY, which acknowledges it.  */
 static void
-meet_guard (world_t *world, entry_t *entry)
+report_to_leader (world_t *world, entry_t *entry)
 {
   gp_agent_t *agent = &world->agent;
   gp_time_t age = world->now - entry->confirmed_at;
 
-  if (!entry->leads || entry->epoch < world->obeys)
+  if (!entry->leads || entry->epoch < world->obeyed_epoch)
     return;
-  world->obeys = entry->epoch;
+  world->obeyed_epoch = entry->epoch;
   world->sent_at = MAX (world->now, world->sent_at + 1);
   gp_agent_reported (agent, world->sent_at);
   entry->linked_at = world->now;
@@ -390,20 +396,20 @@
 }
 
 static void
-look_after_executor (world_t *world, entry_t *entry)
+check_executor (world_t *world, entry_t *entry)
 {
-  bool spoken_for = entry->reported_at > 0
-                    && entry->linked_at == entry->reported_at
-                    && world->now - entry->reported_at < QUIET_TIME;
+  bool is_reported = entry->reported_at > 0
+                     && entry->linked_at == entry->reported_at
+                     && world->now - entry->reported_at < QUIET_TIME;
   bool obeyed = entry->obeyed_at > 0;
-  gp_time_t given = gp_grants_end (&entry->grants, obeyed);
+  gp_time_t given = gp_grants_end_time (&entry->grants, obeyed);
 
   given = MAX (given, MAX (entry->obeyed_at, entry->reported_at));
-  if (!entry->leads || spoken_for || entry->dead
+  if (!entry->leads || is_reported || entry->dead
       || world->now <= gp_agent_lease_end (given))
     return;
-  /* It decides only what it can write down.  */
-  if (world->now < entry->cut_until || entry->end != world->log->len)
+  /* A leader decides only what it can record.  */
+  if (world->now < entry->store_cut_until || entry->end != world->log->len)
     return;
   entry->dead = true;
   CU_ASSERT_FATAL (world->lease_end < world->now);
@@ -422,12 +428,12 @@
       gp_grants_finish (&entry->grants);
       begin_entry (world, entry);
     }
-  if (world->now >= entry->parted_until
+  if (world->now >= entry->guard_cut_until
       && world->now >= world->guard_down_until && chance (world, 0.3))
-    meet_guard (world, entry);
-  if (world->now >= entry->cut_until)
-    meet_store (world, entry);
-  look_after_executor (world, entry);
+    report_to_leader (world, entry);
+  if (world->now >= entry->store_cut_until)
+    use_store (world, entry);
+  check_executor (world, entry);
 }
 
 static void
@@ -441,14 +447,14 @@
     gp_agent_set_executor (agent, agent_executor_new ("x1"), 5000, world->now);
   if (agent->executor == NULL)
     return;
-  /* The executor answers all the time: the worst case.  */
+  /* The executor answers at any time, which is the worst case.  */
   agent->heard_at = world->now;
   if (gp_agent_list_lease (agent, world->now) > 0)
     world->lease_end = MAX (world->lease_end,
                             agent->lease + GP_AGENT_LEASE_TIME * 1000 / 980);
-  if (gp_agent_lapsed (agent, world->now))
+  if (gp_agent_lease_lapsed (agent, world->now))
     {
-      /* As after a sync that takes the lapse into account.  */
+      /* As after a sync that takes the expiry into account.  */
       agent->lapsed = false;
       agent->lease = agent->granted;
     }
@@ -457,18 +463,19 @@
 static void
 restart_guard (world_t *world, int most_ms)
 {
-  world->guard_down_until = later (world, most_ms);
-  world->known_at = world->guard_down_until + later (world, 1500) - world->now;
-  world->obeys = 0;
+  world->guard_down_until = random_time (world, most_ms);
+  world->known_at
+      = world->guard_down_until + random_time (world, 1500) - world->now;
+  world->obeyed_epoch = 0;
   gp_agent_finish (&world->agent);
   gp_agent_init (&world->agent, 0, world->guard_down_until);
 }
 
-/* The guard reaches a former leader only, which the store has been cut off
-   from; by turns it starts anew, and has forgotten whom it obeyed, and the
-   other entries do, and have to learn who has led.  */
+/* The guard reaches only a previous leader, which is cut off from the store.
+   In some cases the guard restarts and no longer knows which leader it obeyed,
+   or the other entries restart and have to learn which leaders there were.  */
 static void
-part (world_t *world)
+partition_guard (world_t *world)
 {
   bool restart = chance (world, 0.5);
 
@@ -476,34 +483,34 @@
     {
       entry_t *entry = &world->entries[i];
 
-      if (world->now < entry->cut_until)
+      if (world->now < entry->store_cut_until)
         continue;
-      entry->parted_until = world->now + 9 * GP_SEC;
+      entry->guard_cut_until = world->now + 9 * GP_SEC;
       if (restart)
-        entry->down_until = later (world, 600);
+        entry->down_until = random_time (world, 600);
     }
   if (chance (world, 0.5))
     restart_guard (world, 300);
 }
 
 static void
-disturb (world_t *world)
+inject_faults (world_t *world)
 {
   entry_t *entry
       = &world->entries[g_rand_int_range (world->random, 0, ENTRIES)];
 
   if (chance (world, 0.01))
-    entry->down_until = later (world, 3000);
+    entry->down_until = random_time (world, 3000);
   if (chance (world, 0.01))
-    entry->frozen_until = later (world, 12000);
+    entry->frozen_until = random_time (world, 12000);
   if (chance (world, 0.02))
-    entry->cut_until = later (world, 15000);
+    entry->store_cut_until = random_time (world, 15000);
   if (chance (world, 0.02))
-    entry->parted_until = later (world, 15000);
+    entry->guard_cut_until = random_time (world, 15000);
   if (chance (world, 0.015))
     restart_guard (world, chance (world, 0.3) ? 30000 : 2000);
   if (chance (world, 0.005))
-    part (world);
+    partition_guard (world);
 }
 
 static unsigned
@@ -526,7 +533,7 @@
   for (int step = 0; step < STEPS; step++)
     {
       world.now += STEP;
-      disturb (&world);
+      inject_faults (&world);
       run_guard (&world);
       for (int i = 0; i < ENTRIES; i++)
         run_entry (&world, &world.entries[(i + step) % ENTRIES]);
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -1,5 +1,5 @@
-/* Tests of executors that start again under the id that they had: what is
-   decoded of their lives, and what a guard and a leader begin anew.  */
+/* Tests of executors that restart under the same id: decoding of their
+   incarnations, and what a guard and a leader reset.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -16,7 +16,7 @@
 #define TASK "00000000000000aa.0.0.0"
 #define ID "x1"
 
-/* What is decoded.  */
+/* Decoding.  */
 
 static const char *const borns[] = {
   "",
@@ -49,7 +49,7 @@
   gp_heartbeat_finish (&beat);
 }
 
-/* A list that is asked of a life born at ASKED_MS.  */
+/* Prints a list that was requested from the incarnation born at ASKED_MS.  */
 static void
 print_list (const char *born, int64_t asked_ms)
 {
@@ -96,9 +96,9 @@
 begin (gp_agent_t *agent, gp_time_t now)
 {
   gp_agent_init (agent, 0, now);
-  gp_agent_begin_fence (agent, 1000);
-  agent_hold_spec (agent, TASK, now);
-  gp_agent_set_executor (agent, agent_life_new (ID, 1), 5000, now);
+  gp_agent_raise_fence_to (agent, 1000);
+  agent_add_spec (agent, TASK, now);
+  gp_agent_set_executor (agent, agent_incarnation_new (ID, 1), 5000, now);
   gp_agent_reported (agent, now);
   gp_agent_acknowledged (agent, now, 0, now);
 }
@@ -126,8 +126,8 @@
       agent->is_synced);
 }
 
-/* What users saw: a task ran again after its end was noted, as the end's
-   number was one that the life before had used.  */
+/* Regression test: a task ran again after its end was noted, as the number of
+   the end had been used by the previous incarnation.  */
 static void
 test_ends_of_next_life (void)
 {
@@ -136,15 +136,15 @@
 
   printf ("the next life's ends are its own\n");
   begin (&agent, now);
-  agent_sync_life (&agent, ID, TASK, 1, 0, 0);
+  agent_sync_incarnation (&agent, ID, TASK, 1, 0, 0);
   list_end (&agent, 57, 1, now);
   agent_confirm_ends (&agent, ID, 1, 57);
   show (&agent, "first life", now);
-  gp_agent_set_executor (&agent, agent_life_new (ID, 2), 70, now);
+  gp_agent_set_executor (&agent, agent_incarnation_new (ID, 2), 70, now);
   show (&agent, "next life", now);
-  agent_sync_life (&agent, ID, TASK, 1, 5, 0);
+  agent_sync_incarnation (&agent, ID, TASK, 1, 5, 0);
   show (&agent, "a sync of the first", now);
-  agent_sync_life (&agent, ID, TASK, 2, 0, 0);
+  agent_sync_incarnation (&agent, ID, TASK, 2, 0, 0);
   list_end (&agent, 1, 2, now);
   show (&agent, "end 1 is listed", now);
   agent_confirm_ends (&agent, ID, 1, 57);
@@ -157,7 +157,7 @@
 }
 
 static void
-show_doubt (gp_agent_t *agent, const char *what, gp_time_t now)
+show_uncertain (gp_agent_t *agent, const char *what, gp_time_t now)
 {
   gp_time_t again;
 
@@ -169,8 +169,8 @@
           gp_agent_list_lease (agent, now) > 0, agent->fence);
 }
 
-/* Ends, leases and orders of a life must not reach the next one before that is
-   known.  */
+/* Confirmed ends, leases and orders of an incarnation must not reach the next
+   one before it is known.  */
 static void
 test_doubt (void)
 {
@@ -179,19 +179,19 @@
 
   printf ("after the end of a connection a list finds out who is there\n");
   begin (&agent, now);
-  agent_sync_life (&agent, ID, TASK, 1, 0, 0);
+  agent_sync_incarnation (&agent, ID, TASK, 1, 0, 0);
   list_end (&agent, 57, 1, now);
   agent_confirm_ends (&agent, ID, 1, 57);
-  agent_sync_life (&agent, ID, TASK, 1, 2, 0);
-  gp_agent_list_refused (&agent, GP_AGENT_CUT, -1, now);
-  show_doubt (&agent, "cut", now);
-  gp_agent_list_refused (&agent, GP_AGENT_NOBODY, -1, now);
-  show_doubt (&agent, "nobody there", now);
-  gp_agent_answered (&agent, GP_AGENT_CALL_STOP, TASK, 9, 0, GP_AGENT_TAKEN,
+  agent_sync_incarnation (&agent, ID, TASK, 1, 2, 0);
+  gp_agent_list_failed (&agent, GP_AGENT_DISCONNECTED, -1, now);
+  show_uncertain (&agent, "cut", now);
+  gp_agent_list_failed (&agent, GP_AGENT_CONNECTION_REFUSED, -1, now);
+  show_uncertain (&agent, "nobody there", now);
+  gp_agent_answered (&agent, GP_AGENT_CALL_STOP, TASK, 9, 0, GP_AGENT_ACCEPTED,
                      6000, now);
-  show_doubt (&agent, "an order is answered", now);
+  show_uncertain (&agent, "an order is answered", now);
   gp_agent_listed (&agent, NULL, 0, NULL, 0, 6001, now, now);
-  show_doubt (&agent, "its list is answered", now);
+  show_uncertain (&agent, "its list is answered", now);
   gp_agent_finish (&agent);
 }
 
@@ -240,9 +240,9 @@
   jobs_site_finish (&site);
 }
 
-/* What a soak saw: a start of the life before was carried out by the next one
-   while its task waited to run again; its end was noted, and the task run once
-   more.  */
+/* Regression test: the next incarnation carried out a start of the previous
+   one while the task waited to run again; its end was noted, and the task ran
+   once more.  */
 static void
 test_done_late (void)
 {
--- a/tests/unit/test_put_off.c
+++ b/tests/unit/test_put_off.c
@@ -1,5 +1,5 @@
-/* Tests of decisions whose records are put off: the store is silent between
-   a decision and its order.  */
+/* Tests of decisions whose records are delayed, as the store does not answer
+   between a decision and its order.  */
 
 #include <stdio.h>
 
@@ -9,14 +9,15 @@
 
 #define OUTAGE_TIME (7 * GP_SEC)
 
-/* A suspect is assigned alone to the only executor; its order leaves after
-   DELAY.  Where does work go that has come meanwhile?  */
+/* A suspect is assigned to the only executor, which is dedicated to it, and
+   its order leaves after DELAY.  Prints where a job that arrives meanwhile is
+   placed.  */
 static void
-put_off (gp_time_t delay)
+delay_order (gp_time_t delay)
 {
   jobs_site_t site;
   gp_job_t *suspect;
-  gp_job_t *beside;
+  gp_job_t *other;
   gp_time_t decided_at;
 
   jobs_site_init (&site);
@@ -30,31 +31,31 @@
   jobs_site_print_job (suspect);
   site.now += delay;
   gp_scheduler_orders_delayed (&site.scheduler, decided_at, site.now);
-  beside = jobs_site_submit (&site, "00000000000000bb",
-                             jobs_site_submission (1, 1000));
+  other = jobs_site_submit (&site, "00000000000000bb",
+                            jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (other);
   site.now += GP_SUSPICION_SETTLE_TIME;
   gp_suspicion_clear (&suspect->tasks[0]);
   jobs_site_plan (&site);
-  jobs_site_print_job (beside);
+  jobs_site_print_job (other);
   jobs_site_finish (&site);
 }
 
-/* What a soak saw: a task that takes its executors down was started six times.
-   Its executor was kept for it from the decision on, not from the order, and
-   others began beside it when the store was back.  */
+/* Regression test: a task that takes its executors down was started six times.
+   Its executor was dedicated to it from the time of the decision, not of the
+   order, so that other runs began on it when the store had recovered.  */
 static void
 test_alone (void)
 {
   printf ("an executor is kept for a start that is alone until that has been "
           "ordered and has settled\n");
-  put_off (0);
-  put_off (OUTAGE_TIME);
+  delay_order (0);
+  delay_order (OUTAGE_TIME);
 }
 
-/* How long TASK took, as was learned of a run of 2 s, of which the first one
-   may have been waited for at its guard.  */
+/* Returns the duration learned for a task that ran 2 s; its start may have
+   been HELD back at the guard.  */
 static gp_time_t
 learned (bool held)
 {
@@ -77,8 +78,8 @@
   return took;
 }
 
-/* A run that waited at its guard for one that is alone began nobody knows
-   when.  */
+/* If a run was held back at its guard because of an isolated start, it is
+   unknown when it began.  */
 static void
 test_held (void)
 {
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -1,11 +1,11 @@
-/* Tests of queues that are under suspicion: scripted, with what becomes of
-   other work beside.
-
-   What users saw: one queue brought many tasks that take their executors down,
-   for ten seconds.  Each was given up after two executors, but each first
-   start took some thirty runs of other jobs with it, and large jobs and such
-   as last suffered for the whole day.  What showed it: `run.lost` of work that
-   had settled long before, beside suspects of one and the same queue each
+/* Tests of the quarantine of queues, with its effect on other work: a scripted
+   transcript.
+
+   Regression tests: one queue brought many tasks that take their executors
+   down, for ten seconds.  Each was given up after two executors, but its first
+   start took about thirty runs of other jobs down with it, and large and
+   long-running jobs suffered for the whole day.  The log showed `run.lost` for
+   work that had settled long before, with suspects of the same queue each
    time.  */
 
 #include <glib.h>
@@ -52,13 +52,13 @@
     }
 }
 
-/* QUEUE has shown that its tasks take executors down.  */
+/* Failures show that tasks of QUEUE take executors down.  */
 static void
-condemn (jobs_site_t *site, const char *queue)
+make_suspect (jobs_site_t *site, const char *queue)
 {
-  for (int i = 0; i < GP_QUARANTINE_ENDS; i++)
-    gp_quarantine_note (&site->scheduler.quarantine, &site->book, queue,
-                        site->now);
+  for (int i = 0; i < GP_QUARANTINE_FAILURES; i++)
+    gp_quarantine_record_failure (&site->scheduler.quarantine, &site->book,
+                                  queue, site->now);
 }
 
 static void
@@ -84,7 +84,7 @@
   const gp_quarantine_t *quarantine = &site->scheduler.quarantine;
 
   printf ("  %s: %d\n", what,
-          gp_quarantine_has (quarantine, "bad", site->now));
+          gp_quarantine_is_suspect (quarantine, "bad", site->now));
 }
 
 static void
@@ -95,31 +95,31 @@
 
   printf ("which queue is under suspicion\n");
   jobs_site_init (&site);
-  gp_quarantine_note (quarantine, &site.book, "bad", site.now);
+  gp_quarantine_record_failure (quarantine, &site.book, "bad", site.now);
   show (&site, "after one end");
-  site.now += GP_QUARANTINE_FRESH_TIME + 1;
-  gp_quarantine_note (quarantine, &site.book, "bad", site.now);
+  site.now += GP_QUARANTINE_SUSPICION_TIME + 1;
+  gp_quarantine_record_failure (quarantine, &site.book, "bad", site.now);
   show (&site, "another one too late");
-  site.now += GP_QUARANTINE_FRESH_TIME;
-  gp_quarantine_note (quarantine, &site.book, "bad", site.now);
+  site.now += GP_QUARANTINE_SUSPICION_TIME;
+  gp_quarantine_record_failure (quarantine, &site.book, "bad", site.now);
   show (&site, "and one in time");
   printf ("  another queue: %d\n",
-          gp_quarantine_has (quarantine, "good", site.now));
-  site.now += GP_QUARANTINE_FRESH_TIME;
+          gp_quarantine_is_suspect (quarantine, "good", site.now));
+  site.now += GP_QUARANTINE_SUSPICION_TIME;
   show (&site, "as long as the last end is fresh");
-  gp_quarantine_note_waiting (quarantine, "bad", site.now);
-  site.now += GP_QUARANTINE_FRESH_TIME;
+  gp_quarantine_record_waiting (quarantine, "bad", site.now);
+  site.now += GP_QUARANTINE_SUSPICION_TIME;
   show (&site, "or since a task of it waited");
   site.now += 1;
   show (&site, "no longer");
   printf ("but not for ever\n");
-  gp_quarantine_note (quarantine, &site.book, "bad", site.now);
-  gp_quarantine_note (quarantine, &site.book, "bad", site.now);
+  gp_quarantine_record_failure (quarantine, &site.book, "bad", site.now);
+  gp_quarantine_record_failure (quarantine, &site.book, "bad", site.now);
   for (int i = 0; i < 4; i++)
     {
-      site.now += GP_QUARANTINE_FRESH_TIME;
+      site.now += GP_QUARANTINE_SUSPICION_TIME;
       show (&site, "ten seconds more, and one waits");
-      gp_quarantine_note_waiting (quarantine, "bad", site.now);
+      gp_quarantine_record_waiting (quarantine, "bad", site.now);
     }
   jobs_site_finish (&site);
 }
@@ -139,17 +139,17 @@
       jobs_site_submit (&site, "00000000000000aa",
                         of_queue ("bad", tasks[i], 1000));
       jobs_site_plan (&site);
-      condemn (&site, "bad");
+      make_suspect (&site, "bad");
       g_snprintf (what, sizeof what, "%u of 64 cores", tasks[i]);
       show (&site, what);
       jobs_site_finish (&site);
     }
 }
 
-/* An executor goes down as just COUNT tasks of one job have begun there, or
-   some time later; its queue is "bad".  */
+/* An executor fails when a task of queue "bad" had only JUST begun, or some
+   time after that; OTHER_JOB: a task of another queue had begun as well.  */
 static void
-try_end (const char *what, bool just, bool beside)
+fail_executor (const char *what, bool just, bool other_job)
 {
   jobs_site_t site;
   gp_job_t *jobs[2];
@@ -162,14 +162,15 @@
   jobs[1] = jobs_site_submit (&site, "00000000000000bb",
                               of_queue ("good", 1, 500));
   jobs_site_plan (&site);
-  executor->suspects_told = true;
-  for (int i = 0; i <= beside; i++)
+  executor->suspects_reported = true;
+  for (int i = 0; i <= other_job; i++)
     {
       jobs[i]->tasks[0].suspect = true;
       jobs[i]->tasks[0].fresh = true;
       jobs[i]->tasks[0].just = just;
     }
-  gp_quarantine_note (&site.scheduler.quarantine, &site.book, "bad", site.now);
+  gp_quarantine_record_failure (&site.scheduler.quarantine, &site.book, "bad",
+                                site.now);
   gp_scheduler_executor_down (&site.scheduler, executor, site.now);
   gp_scheduler_executor_down (&site.scheduler, executor, site.now);
   show (&site, what);
@@ -180,9 +181,9 @@
 test_ends (void)
 {
   printf ("which ends speak against a queue that has one already\n");
-  try_end ("its job alone had just begun", true, false);
-  try_end ("only lately", false, false);
-  try_end ("another job had just begun as well", true, true);
+  fail_executor ("its job alone had just begun", true, false);
+  fail_executor ("only lately", false, false);
+  fail_executor ("another job had just begun as well", true, true);
 }
 
 static void
@@ -201,7 +202,7 @@
                            of_queue ("good", 6, 4000));
   jobs_site_plan (&site);
   jobs_site_print_job (good);
-  condemn (&site, "bad");
+  make_suspect (&site, "bad");
   bad = jobs_site_submit (&site, "00000000000000bb",
                           of_queue ("bad", 9, 1000));
   next = jobs_site_submit (&site, "00000000000000cc",
@@ -210,14 +211,14 @@
   show_quarantine (&site);
   jobs_site_print_job (bad);
   jobs_site_print_job (next);
-  site.now += GP_QUARANTINE_KEEP_TIME;
+  site.now += GP_QUARANTINE_DEDICATION_TIME;
   jobs_site_plan (&site);
   jobs_site_print_job (next);
   printf ("other work goes elsewhere, if it finds a place\n");
   good = jobs_site_submit (&site, "00000000000000dd",
                            of_queue ("good", 7, 4000));
   fills = jobs_site_submit (&site, "00000000000000ee", filling ("good", 8));
-  site.now += GP_QUARANTINE_KEEP_TIME;
+  site.now += GP_QUARANTINE_DEDICATION_TIME;
   jobs_site_plan (&site);
   jobs_site_print_job (good);
   jobs_site_print_job (fills);
@@ -229,16 +230,16 @@
 {
   jobs_site_t site;
   gp_job_t *bad;
-  gp_job_executor_t *fallen;
+  gp_job_executor_t *failed;
 
   printf ("an executor that went down in quarantine is not replaced by one "
           "that has something to lose\n");
   begin (&site);
   jobs_site_submit (&site, "00000000000000aa", of_queue ("good", 12, 4000));
-  condemn (&site, "bad");
+  make_suspect (&site, "bad");
   jobs_site_plan (&site);
   show_quarantine (&site);
-  fallen = NULL;
+  failed = NULL;
   for (unsigned i = EXECUTORS; i >= 1; i--)
     {
       gp_job_executor_t *executor;
@@ -248,15 +249,15 @@
       executor = gp_book_executor (&site.book, id);
       executor->down = executor->quarantined;
       if (executor->down)
-        fallen = executor;
+        failed = executor;
     }
   bad = jobs_site_submit (&site, "00000000000000bb",
                           of_queue ("bad", 1, 1000));
   jobs_site_plan (&site);
   jobs_site_print_job (bad);
   printf ("but by the one that comes after it\n");
-  if (fallen != NULL)
-    jobs_site_executor_dead (&site, fallen, GP_DEATH_REPLACED);
+  if (failed != NULL)
+    jobs_site_executor_dead (&site, failed, GP_DEATH_REPLACED);
   jobs_site_executor (&site, "x9", 8);
   site.now += GP_SEC;
   jobs_site_plan (&site);
@@ -278,10 +279,10 @@
   gp_book_finish (&other);
 }
 
-/* What users saw: no job was said to wait, and six had waited for five
-   seconds. The cause: a job counted as begun as soon as its first run was
-   assigned, also to an executor whose guard had told that it was down; at the
-   leader, and at each entry that goes by the leader's records.  */
+/* Regression test: no job was reported as waiting, while six had waited for
+   five seconds.  A job counted as begun once its first run was assigned, even
+   to an executor that its guard had reported as down; both at the leader and
+   at each entry that reads the leader's records.  */
 static void
 test_pending (void)
 {
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -62,7 +62,7 @@
 {
   gp_job_executor_t *executor = gp_book_executor (&site->book, id);
 
-  if (!executor->suspects_told)
+  if (!executor->suspects_reported)
     GP_LIST_FOREACH (link, &executor->tasks)
   report_suspect (site, GP_CONTAINER_OF (link, gp_job_task_t, on_executor),
                   STARTED_JUST_NOW);
@@ -473,7 +473,7 @@
   job = jobs_site_submit (&site, JOB_A, jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
   job->tasks[0].alone = true;
-  job->tasks[0].executor->cut_at = site.now + after;
+  job->tasks[0].executor->disconnected_at = site.now + after;
   site.now += 3 * GP_SEC;
   jobs_site_executor_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
   printf ("  %ld ms after its order: evidence %u\n", (long)(after / GP_MSEC),
