--- a/src/daemon/execution.c
+++ b/src/daemon/execution.c
@@ -1,14 +1,14 @@
-/* Requests at a guard.
+/* Request execution at a guard: from the entry's message to the upstream.
 
-   States of an execution, besides those of admission:
+   States of an execution, in addition to those of admission:
 
-     gathering   the body is not whole, admission does not know it
-     queued      submitted
+     gathering   the body is incomplete; not submitted to admission yet
+     queued      submitted to admission
      running     the call to the upstream is open
-     unanswered  running, but the verdict was given at the deadline
+     unanswered  running, but the verdict was sent at the deadline
 
-   An execution is freed when admission is done with it and the call is
-   over.  SET is NULL once nobody is to be answered.  */
+   An execution is freed once admission has released it and the call has
+   ended.  Its set is NULL once no entry waits for an answer.  */
 
 #include "daemon/execution_private.h"
 
@@ -37,8 +37,8 @@
 
 static void take_actions (gp_executor_t *executor);
 
-/* A VM whose upstream takes no connections is no candidate, until a probe is
-   answered.  */
+/* Connecting to the upstream failed: entries must not choose this guard until
+   a probe is answered.  */
 static void
 set_down (gp_executor_t *executor)
 {
@@ -204,8 +204,9 @@
   check_drained (executor);
 }
 
-/* The time of EXECUTION has come: an answer in parts that made progress
-   goes on, of others the entry is told.  The slot stays taken.  */
+/* EXECUTION has reached its wake_at.  If its answer is being streamed and has
+   made progress within the stall timeout, reschedule it; otherwise report
+   the expiry to the entry.  The slot stays occupied.  */
 static void
 expire (gp_execution_t *execution, gp_time_t now)
 {
@@ -327,7 +328,7 @@
   executor->on_drained = on_drained;
   executor->data = data;
   gp_admission_leave (&executor->admission, gp_loop_now (executor->loop));
-  /* The timer carries the actions out, outside this call.  */
+  /* Let the timer process the actions, outside of this call.  */
   gp_timer_arm (&executor->timer, gp_loop_now (executor->loop));
 }
 
@@ -361,7 +362,8 @@
   return to + size + 1;
 }
 
-/* An execution with what it keeps of REQUEST in the same block.  */
+/* Allocate an execution and its copies of REQUEST's strings, headers and body
+   as one block.  */
 static gp_execution_t *
 execution_alloc (const Gp__Wire__Request *request)
 {
@@ -427,7 +429,7 @@
   take_actions (executor);
 }
 
-/* Add bytes of the body; submit once it is whole.  */
+/* Append DATA to the body; submit the execution once the body is complete. */
 static void
 append_body (gp_execution_t *execution, const ProtobufCBinaryData *data)
 {
@@ -491,7 +493,7 @@
     take_actions (executor);
   else if (execution->head_sent)
     gp_execution_detach (
-        execution); /* the caller left in the middle of its answer */
+        execution); /* the caller left while its answer was streamed */
 }
 
 void
@@ -531,7 +533,7 @@
   gp_list_init (&set->blocked);
 }
 
-/* The entry is gone: give up what has not started.  */
+/* The session to the entry has closed: drop EXECUTION unless it runs.  */
 static void
 abandon (gp_execution_t *execution)
 {
--- a/src/daemon/execution.h
+++ b/src/daemon/execution.h
@@ -1,21 +1,24 @@
-/* Requests at a guard: from an entry's message to the upstream and back.
+/* Request execution at a guard: from an entry's message to the upstream and
+   back.
 
-   An execution holds one request from its first frame to its verdict.  The
-   order of decisions is that of coordination/admission.h: a request is
-   refused, and then has not run, or it starts, once.  Verdicts:
+   An execution represents one request from its first frame to its verdict.
+   The order of decisions is that of coordination/admission.h: a request is
+   either refused without having run, or started exactly once.  Verdicts:
 
-     NOT_RUN  refused by admission, or no byte of it reached the upstream
-     RAN      the upstream answered; the answer is sent whole or in parts
-     UNKNOWN  bytes of it were sent, no answer came
+     NOT_RUN  refused by admission, or no byte of the request was sent
+     RAN      the upstream answered; the answer is sent in one frame or in
+              parts
+     UNKNOWN  bytes of the request were sent, but no answer arrived
 
-   The deadline of a request governs the time to the head of its answer (one
-   of up to GP_PART_SIZE counts as head); after that a part must go on to
-   the entry, or be taken by it, once in every stall timeout.
+   A request's deadline limits the time until the head of its answer; an
+   answer of at most GP_PART_SIZE bytes must be complete by then.  After the
+   head, a part must be sent to the entry, or acknowledged by it with credit,
+   at least once per stall timeout.
 
-   An answer that ends early after its head was passed on is Broken, never a
-   clean end.  A slot stays taken until the upstream has ended the request,
-   also when the entry was told UNKNOWN at the deadline before, since only
-   the upstream knows when it stops working on it.  */
+   An answer that ends early after its head was forwarded is reported as
+   Broken, never as a normal end.  A slot stays occupied until the upstream
+   has finished the request, even if UNKNOWN was reported at the deadline:
+   only the upstream knows when it stops working on the request.  */
 
 #ifndef GP_DAEMON_EXECUTION_H
 #define GP_DAEMON_EXECUTION_H
@@ -27,7 +30,8 @@
 #include "transport/http.h"
 #include "transport/probe.h"
 
-/* Bytes of an answer that may be under way to an entry for one request.  */
+/* Limit of answer bytes sent to an entry and not yet credited by it, for one
+   request.  */
 #define GP_ANSWER_WINDOW ((int64_t)256 * 1024)
 
 /* The largest part of a body in one frame.  */
@@ -42,16 +46,16 @@
   gp_admission_t admission;
   GHashTable *teams; /* name -> gp_request_quota_t */
   GHashTable *kinds; /* name -> gp_admission_kind_t */
-  gp_heap_t started; /* executions that the entry awaits, by wake_at */
+  gp_heap_t started; /* executions that the entry waits for, by wake_at */
   gp_time_t stall_timeout;
   gp_timer_t timer;
   gp_probe_t probe;
-  bool down; /* the upstream takes no connections */
+  bool down; /* the upstream accepts no connections */
   void (*on_turn) (void *data);
   void *turn_data;
   size_t buffered; /* bytes of request bodies held */
   size_t max_buffered;
-  size_t open; /* executions that are not freed */
+  size_t open; /* executions not freed yet */
   void (*on_drained) (void *data);
   void *data;
 } gp_executor_t;
@@ -71,27 +75,28 @@
                        GError **error);
 void gp_executor_finish (gp_executor_t *executor);
 
-/* ON_TURN is called when the upstream goes down or comes up, never from
-   inside a call of this module.  It is down at first.  */
+/* Start probing the upstream, which counts as down until a probe is answered.
+   ON_TURN is called whenever it goes down or comes up, never from inside a
+   call of this module.  */
 void gp_executor_watch (gp_executor_t *executor, void (*on_turn) (void *data),
                         void *data);
 
-/* Refuse new and waiting requests; ON_DRAINED is called once nothing runs,
-   never from inside this call.  */
+/* Refuse new and queued requests; ON_DRAINED is called once no execution is
+   left, never from inside this call.  */
 void gp_executor_leave (gp_executor_t *executor,
                         void (*on_drained) (void *data), void *data);
 
-/* The load to report to entries.  */
+/* Fill in the load to report to entries.  */
 void gp_executor_load (const gp_executor_t *executor, Gp__Wire__Load *load);
 
 void gp_execution_set_init (gp_execution_set_t *set, gp_executor_t *executor,
                             gp_session_t *session);
 
-/* The session is closed: what has not started is given up, what runs goes
-   on without anybody to answer to.  */
+/* The session has closed: drop the executions that have not started; those
+   running continue, and their answers are discarded.  */
 void gp_execution_set_finish (gp_execution_set_t *set);
 
-/* Messages of the session; one that fits nothing is ignored.  */
+/* Handle the session's messages; one for an unknown request id is ignored. */
 void gp_execution_set_request (gp_execution_set_t *set,
                                const Gp__Wire__Request *request);
 void gp_execution_set_part (gp_execution_set_t *set,
@@ -100,7 +105,7 @@
 void gp_execution_set_credit (gp_execution_set_t *set,
                               const Gp__Wire__Credit *credit);
 
-/* The session's backlog has drained.  */
+/* The session's send backlog has drained: resume paused executions.  */
 void gp_execution_set_drain (gp_execution_set_t *set);
 
 #endif
--- a/src/daemon/execution_answer.c
+++ b/src/daemon/execution_answer.c
@@ -1,4 +1,4 @@
-/* From the upstream's answer to the entry.  */
+/* Request execution at a guard: from the upstream's answer to the entry.  */
 
 #include "daemon/execution_private.h"
 
@@ -16,7 +16,7 @@
 static gp_counter_t answers_broken
     = GP_COUNTER ("guard_answers_broken_total", "Answers that ended early.");
 
-/* Answers.  */
+/* Verdicts.  */
 
 void
 gp_executor_load (const gp_executor_t *executor, Gp__Wire__Load *load)
@@ -49,7 +49,6 @@
   gp_session_send (set->session, &envelope);
 }
 
-/* Forget the entry: what comes now from the upstream is dropped.  */
 void
 gp_execution_detach (gp_execution_t *execution)
 {
@@ -143,8 +142,8 @@
   return text;
 }
 
-/* Keep the head until the body is whole, so that a small answer is one
-   frame.  */
+/* Buffer the head until the body is complete, so that a small answer is sent
+   as one frame.  */
 static void
 hold_head (gp_execution_t *execution, const gp_http_header_t *headers,
            size_t count)
@@ -164,8 +163,8 @@
   execution->held = held;
 }
 
-/* What is beyond the length that the upstream gave is no part of the
-   answer.  */
+/* Append BYTES to the buffered body.  Bytes beyond the announced content
+   length do not belong to the answer.  */
 static void
 hold_body (gp_execution_held_t *held, const void *bytes, size_t size)
 {
@@ -180,7 +179,8 @@
   execution->progress_at = gp_loop_now (execution->executor->loop);
 }
 
-/* The deadline was for the head; from here on progress counts.  */
+/* The head has arrived before the deadline; from here on the stall timeout
+   applies.  */
 static void
 begin_streaming (gp_execution_t *execution)
 {
@@ -199,7 +199,7 @@
                        gp_admission_next_deadline (&executor->admission)));
 }
 
-/* The head of an answer with the bytes of BODY, the last ones with LAST.  */
+/* Send the head of an answer with BODY, which ends the answer if LAST.  */
 static void
 send_head (const gp_execution_t *execution, const gp_http_header_t *headers,
            size_t count, ProtobufCBinaryData body, bool last)
--- a/src/daemon/execution_limits.c
+++ b/src/daemon/execution_limits.c
@@ -1,4 +1,4 @@
-/* Limits of teams and kinds at a guard.  */
+/* Request limits of teams and kinds at a guard.  */
 
 #include "daemon/execution_limits.h"
 
@@ -114,6 +114,6 @@
     configure_service (executor, service);
   configure_teams (executor, document,
                    service != NULL ? service->executors : 1);
-  /* The timer carries out what may start now.  */
+  /* Let the timer start requests that the new limits admit.  */
   gp_timer_arm (&executor->timer, gp_loop_now (executor->loop));
 }
--- a/src/daemon/execution_limits.h
+++ b/src/daemon/execution_limits.h
@@ -1,4 +1,5 @@
-/* Limits of teams and kinds at a guard, as the document has them.  */
+/* Request limits of teams and kinds at a guard, from the configuration
+   document.  */
 
 #ifndef GP_DAEMON_EXECUTION_LIMITS_H
 #define GP_DAEMON_EXECUTION_LIMITS_H
@@ -6,20 +7,21 @@
 #include "daemon/execution.h"
 #include "state/document.h"
 
-/* Requests that wait by default, for each slot.  */
+/* Default queue length per slot.  */
 #define GP_EXECUTOR_QUEUE_PER_SLOT 16
 
-/* The limits of a team or kind; one that the document does not name is
-   without limits.  */
+/* Find the limits of a team or kind; a name that the document does not
+   contain has no limits.  */
 gp_request_quota_t *gp_executor_find_team (gp_executor_t *executor,
                                            const char *name);
 gp_admission_kind_t *gp_executor_find_kind (gp_executor_t *executor,
                                             const char *name);
 
-/* Take the limits of DOCUMENT: the queue of the service, the kinds' expected
-   times, and what kinds and teams may have running.  A bound of the whole
-   site is shared evenly by the executors that the document expects.  What a
-   new document does not name any more is without limits again.  */
+/* Apply the limits of DOCUMENT: the service's queue length, the kinds'
+   expected service times, and the concurrency limits of kinds and teams.  A
+   limit for the whole site is divided evenly among the number of executors
+   that the document declares.  Names that a new document no longer contains
+   have no limits again.  */
 void gp_executor_configure (gp_executor_t *executor,
                             const gp_document_t *document);
 
--- a/src/daemon/guard.c
+++ b/src/daemon/guard.c
@@ -1,4 +1,4 @@
-/* The guard: sessions, announcements, heartbeats, stop.  */
+/* The guard: sessions, announcements, heartbeats, shutdown.  */
 
 #include "daemon/guard.h"
 
@@ -10,8 +10,9 @@
 #include "daemon/execution_limits.h"
 
 #define HEARTBEAT_JITTER 0.1
-/* On a worker the lease sets the pace, and the timer only steps in while
-   there is none to renew.  */
+/* On a worker each lease renewal sends a heartbeat, which rearms the timer.
+   The longer interval lets the timer fire only while there is no lease to
+   renew.  */
 #define WORKER_HEARTBEAT_FACTOR 1.5
 #define CLOSE_GRACE (200 * GP_MSEC)
 #define LEAVE_TIME (10 * GP_SEC)
@@ -136,8 +137,8 @@
 {
   gp_guard_t *guard = data;
 
-  /* Noted before the announcement leaves: what that causes comes after it on
-     the time line.  */
+  /* Recorded before the announcement is sent, so that events caused by the
+     announcement come later in the timeline.  */
   gp_program_note (&guard->timeline, GP_TIMELINE_PEER_UP, session->process);
   gp_uplinks_on_ready (&guard->uplinks, session);
   gp_counter_add (&entries_connected, 1);
@@ -247,14 +248,14 @@
   }
 }
 
-/* The upstream has gone or is back.  */
+/* The upstream went down or came up.  */
 static void
 on_turn (void *data)
 {
   announce_all (data);
 }
 
-/* Stop.  */
+/* Shutdown.  */
 
 static void
 on_sessions_closed (gp_timer_t *timer, void *data)
@@ -299,7 +300,7 @@
                      on_part_drained, guard);
 }
 
-/* The worker's lease goes on under a new incarnation.  */
+/* The lease has a new incarnation, or the worker has changed.  */
 static void
 on_runner_renewed (void *data)
 {
@@ -311,7 +312,8 @@
 {
   gp_guard_t *guard = data;
 
-  /* Once drained the timer of the heartbeats ends the process.  */
+  /* Once everything has drained, the heartbeat timer is used to stop the
+     event loop and must not be rearmed.  */
   if (!guard->leaving || guard->draining > 0)
     send_heartbeats (guard);
 }
--- a/src/daemon/guard.h
+++ b/src/daemon/guard.h
@@ -1,8 +1,10 @@
-/* The guard: the process beside an upstream or on a worker.
+/* The guard: the process that runs on a VM beside an upstream or a worker
+   runtime.
 
-   It keeps a session to each entry of its region, announces what it guards,
-   reports load by heartbeats and carries out what entries send.  It is the
-   only authority over the VM's slots, connections and resources.  */
+   It keeps sessions to the entries of its region (see daemon/uplinks.h),
+   announces its upstream and its worker capacity, reports load in heartbeats
+   and executes the requests and tasks that entries send.  It alone decides
+   about the VM's slots, connections and resources.  */
 
 #ifndef GP_DAEMON_GUARD_H
 #define GP_DAEMON_GUARD_H
@@ -30,7 +32,7 @@
   gp_configuration_t *configuration;
   gp_timeline_t timeline;
   gp_timeline_event_t *events;
-  unsigned draining; /* parts that have not drained yet */
+  unsigned draining; /* components (executor, runner) still draining */
   gp_timer_t heartbeat;
   uint64_t heartbeat_sequence;
   bool leaving;
@@ -39,8 +41,8 @@
 bool gp_guard_init (gp_guard_t *guard, const gp_settings_t *settings,
                     GError **error);
 
-/* Run until a signal has been followed to the end: announce LEAVING, refuse
-   what is new, finish what runs.  */
+/* Run until a stop signal arrives and the shutdown that it starts is
+   complete: announce LEAVING, refuse new work, finish running work.  */
 void gp_guard_run (gp_guard_t *guard);
 void gp_guard_finish (gp_guard_t *guard);
 
