--- a/src/daemon/execution.c
+++ b/src/daemon/execution.c
@@ -35,37 +35,37 @@
 static gp_counter_t requests_queued
     = GP_GAUGE ("guard_requests_queued", "Requests that wait for a slot.");
 
-static void take_actions (gp_executor_t *executor);
+static void process_admission_actions (gp_executor_t *executor);
 
 /* Connecting to the upstream failed: entries must not choose this guard until
    a probe is answered.  */
 static void
-set_down (gp_executor_t *executor)
+mark_upstream_down (gp_executor_t *executor)
 {
   if (executor->down)
     return;
   gp_log (GP_LOG_WARNING, "upstream.down");
   executor->down = true;
   gp_probe_start (&executor->probe);
-  executor->on_turn (executor->turn_data);
+  executor->on_availability_change (executor->availability_data);
 }
 
 static void
-on_upstream_answers (void *data)
+on_probe_answered (void *data)
 {
   gp_executor_t *executor = data;
 
   gp_log (GP_LOG_INFO, "upstream.up");
   executor->down = false;
-  executor->on_turn (executor->turn_data);
+  executor->on_availability_change (executor->availability_data);
 }
 
 void
-gp_executor_watch (gp_executor_t *executor, void (*on_turn) (void *data),
-                   void *data)
+gp_executor_watch (gp_executor_t *executor,
+                   void (*on_availability_change) (void *data), void *data)
 {
-  executor->on_turn = on_turn;
-  executor->turn_data = data;
+  executor->on_availability_change = on_availability_change;
+  executor->availability_data = data;
   executor->down = true;
   gp_probe_start (&executor->probe);
 }
@@ -79,7 +79,7 @@
 
   execution->call = NULL;
   if (g_error_matches (error, GP_TRANSPORT_ERROR, GP_TRANSPORT_ERROR_CONNECT))
-    set_down (executor);
+    mark_upstream_down (executor);
   gp_admission_finish (
       &executor->admission, &execution->admission,
       error == NULL ? GP_ADMISSION_ANSWERED : GP_ADMISSION_FAILED, false, now);
@@ -89,7 +89,7 @@
   else
     gp_execution_fail (execution, sent);
   gp_execution_free (execution);
-  take_actions (executor);
+  process_admission_actions (executor);
 }
 
 static const gp_http_call_callbacks_t call_callbacks = {
@@ -123,7 +123,7 @@
 }
 
 static Gp__Wire__Reason
-wire_reason (gp_admission_reason_t reason)
+reason_to_wire (gp_admission_reason_t reason)
 {
   switch (reason)
     {
@@ -146,9 +146,9 @@
 {
   const gp_admission_request_t *request = &execution->admission;
 
-  gp_execution_give_verdict (execution, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                             wire_reason (request->reason),
-                             request->retry_at - now);
+  gp_execution_report_verdict (execution, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                               reason_to_wire (request->reason),
+                               request->retry_at - now);
   gp_execution_free (execution);
 }
 
@@ -176,7 +176,7 @@
 }
 
 static void
-take_actions (gp_executor_t *executor)
+process_admission_actions (gp_executor_t *executor)
 {
   gp_time_t now = gp_loop_now (executor->loop);
   gp_time_t deadline;
@@ -214,10 +214,10 @@
   gp_time_t stalled_at = execution->progress_at + executor->stall_timeout;
 
   if (!execution->head_sent)
-    gp_execution_give_verdict (execution, GP__WIRE__VERDICT__VERDICT_UNKNOWN,
-                               GP__WIRE__REASON__REASON_DEADLINE, 0);
+    gp_execution_report_verdict (execution, GP__WIRE__VERDICT__VERDICT_UNKNOWN,
+                                 GP__WIRE__REASON__REASON_DEADLINE, 0);
   else if (stalled_at <= now)
-    gp_execution_give_broken (execution, GP__WIRE__REASON__REASON_DEADLINE);
+    gp_execution_report_broken (execution, GP__WIRE__REASON__REASON_DEADLINE);
   else
     {
       gp_heap_remove (&executor->started, &execution->started);
@@ -251,7 +251,7 @@
   (void)timer;
   gp_admission_advance (&executor->admission, now);
   expire_started (executor, now);
-  take_actions (executor);
+  process_admission_actions (executor);
 }
 
 static bool
@@ -285,7 +285,7 @@
   gp_admission_options_t limits
       = { .slots = upstream->slots,
           .connections = upstream->connections,
-          .max_queued = upstream->slots * GP_EXECUTOR_QUEUE_PER_SLOT,
+          .max_queued = upstream->slots * GP_EXECUTOR_MAX_QUEUED_PER_SLOT,
           .critical_reserve = upstream->slots > 1 ? 1 : 0,
           .batch_share = 1,
           .reserve_duration = RESERVE_DURATION };
@@ -306,8 +306,8 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   gp_heap_init (&executor->started, started_before);
   gp_timer_init (&executor->timer, loop, on_timer, executor);
-  gp_probe_init (&executor->probe, loop, upstream->address,
-                 on_upstream_answers, executor);
+  gp_probe_init (&executor->probe, loop, upstream->address, on_probe_answered,
+                 executor);
   return true;
 }
 
@@ -410,8 +410,9 @@
   execution->admission.deadline = now + (gp_time_t)request->remaining_us;
   if (request->remaining_target_us > 0)
     execution->admission.due = now + (gp_time_t)request->remaining_target_us;
-  execution->admission.team = gp_executor_find_team (executor, request->team);
-  execution->admission.kind = gp_executor_find_kind (executor, request->kind);
+  execution->admission.team = gp_executor_team_quota (executor, request->team);
+  execution->admission.kind
+      = gp_executor_kind_limits (executor, request->kind);
   executor->buffered += request->body_size;
   executor->open++;
   g_hash_table_insert (set->by_id, &execution->id, execution);
@@ -426,7 +427,7 @@
   execution->submitted = true;
   gp_admission_submit (&executor->admission, &execution->admission,
                        gp_loop_now (executor->loop));
-  take_actions (executor);
+  process_admission_actions (executor);
 }
 
 /* Append DATA to the body; submit the execution once the body is complete. */
@@ -435,8 +436,9 @@
 {
   if (execution->body_received + data->len > execution->body_size)
     {
-      gp_execution_give_verdict (execution, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                                 GP__WIRE__REASON__REASON_TOO_LARGE, 0);
+      gp_execution_report_verdict (execution,
+                                   GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                                   GP__WIRE__REASON__REASON_TOO_LARGE, 0);
       gp_execution_free (execution);
       return;
     }
@@ -484,13 +486,14 @@
     return;
   if (!execution->submitted)
     {
-      gp_execution_give_verdict (execution, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                                 GP__WIRE__REASON__REASON_CANCELLED, 0);
+      gp_execution_report_verdict (execution,
+                                   GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                                   GP__WIRE__REASON__REASON_CANCELLED, 0);
       gp_execution_free (execution);
     }
   else if (gp_admission_cancel (&executor->admission, &execution->admission,
                                 gp_loop_now (executor->loop)))
-    take_actions (executor);
+    process_admission_actions (executor);
   else if (execution->head_sent)
     gp_execution_detach (
         execution); /* the caller left while its answer was streamed */
@@ -556,5 +559,5 @@
     abandon (pos->data);
   g_list_free (executions);
   g_hash_table_unref (set->by_id);
-  take_actions (set->executor);
+  process_admission_actions (set->executor);
 }
--- a/src/daemon/execution.h
+++ b/src/daemon/execution.h
@@ -51,8 +51,8 @@
   gp_timer_t timer;
   gp_probe_t probe;
   bool down; /* the upstream accepts no connections */
-  void (*on_turn) (void *data);
-  void *turn_data;
+  void (*on_availability_change) (void *data);
+  void *availability_data;
   size_t buffered; /* bytes of request bodies held */
   size_t max_buffered;
   size_t open; /* executions not freed yet */
@@ -76,9 +76,10 @@
 void gp_executor_finish (gp_executor_t *executor);
 
 /* Start probing the upstream, which counts as down until a probe is answered.
-   ON_TURN is called whenever it goes down or comes up, never from inside a
-   call of this module.  */
-void gp_executor_watch (gp_executor_t *executor, void (*on_turn) (void *data),
+   ON_AVAILABILITY_CHANGE is called whenever it goes down or comes up, never
+   from inside a call of this module.  */
+void gp_executor_watch (gp_executor_t *executor,
+                        void (*on_availability_change) (void *data),
                         void *data);
 
 /* Refuse new and queued requests; ON_DRAINED is called once no execution is
--- a/src/daemon/execution_answer.c
+++ b/src/daemon/execution_answer.c
@@ -72,9 +72,9 @@
 }
 
 void
-gp_execution_give_verdict (gp_execution_t *execution,
-                           Gp__Wire__Verdict verdict, Gp__Wire__Reason reason,
-                           gp_time_t retry_after)
+gp_execution_report_verdict (gp_execution_t *execution,
+                             Gp__Wire__Verdict verdict,
+                             Gp__Wire__Reason reason, gp_time_t retry_after)
 {
   if (verdict == GP__WIRE__VERDICT__VERDICT_UNKNOWN)
     gp_counter_add (&requests_unknown, 1);
@@ -85,7 +85,7 @@
 }
 
 void
-gp_execution_give_broken (gp_execution_t *execution, Gp__Wire__Reason reason)
+gp_execution_report_broken (gp_execution_t *execution, Gp__Wire__Reason reason)
 {
   Gp__Wire__Broken broken = GP__WIRE__BROKEN__INIT;
   Gp__Wire__Envelope envelope = GP_ENVELOPE (BROKEN, broken, &broken);
@@ -105,7 +105,7 @@
 
   gp_execution_detach (execution);
   executor->buffered -= execution->body_size;
-  g_free (execution->held);
+  g_free (execution->buffered_answer);
   g_free (execution);
   executor->open--;
 }
@@ -145,32 +145,32 @@
 /* Buffer the head until the body is complete, so that a small answer is sent
    as one frame.  */
 static void
-hold_head (gp_execution_t *execution, const gp_http_header_t *headers,
-           size_t count)
+buffer_head (gp_execution_t *execution, const gp_http_header_t *headers,
+             size_t count)
 {
   size_t max_size = (size_t)execution->content_length;
-  size_t fixed_size = sizeof (gp_execution_held_t) + count * sizeof *headers;
-  gp_execution_held_t *held = g_malloc (
+  size_t fixed_size = sizeof (gp_buffered_answer_t) + count * sizeof *headers;
+  gp_buffered_answer_t *answer = g_malloc (
       fixed_size + gp_execution_text_size (headers, count) + max_size);
 
-  held->headers = (gp_http_header_t *)(held + 1);
-  held->count = count;
-  held->size = 0;
-  held->max_size = max_size;
-  memcpy (held->headers, headers, count * sizeof *headers);
-  held->body = (uint8_t *)gp_execution_copy_texts (held->headers, count,
-                                                   (char *)held + fixed_size);
-  execution->held = held;
+  answer->headers = (gp_http_header_t *)(answer + 1);
+  answer->count = count;
+  answer->size = 0;
+  answer->max_size = max_size;
+  memcpy (answer->headers, headers, count * sizeof *headers);
+  answer->body = (uint8_t *)gp_execution_copy_texts (
+      answer->headers, count, (char *)answer + fixed_size);
+  execution->buffered_answer = answer;
 }
 
 /* Append BYTES to the buffered body.  Bytes beyond the announced content
    length do not belong to the answer.  */
 static void
-hold_body (gp_execution_held_t *held, const void *bytes, size_t size)
+buffer_body (gp_buffered_answer_t *answer, const void *bytes, size_t size)
 {
-  size = MIN (size, held->max_size - held->size);
-  memcpy (held->body + held->size, bytes, size);
-  held->size += size;
+  size = MIN (size, answer->max_size - answer->size);
+  memcpy (answer->body + answer->size, bytes, size);
+  answer->size += size;
 }
 
 static void
@@ -251,7 +251,7 @@
   if (execution->content_length >= 0
       && execution->content_length <= (int64_t)GP_PART_SIZE)
     {
-      hold_head (execution, headers, count);
+      buffer_head (execution, headers, count);
       return;
     }
   begin_streaming (execution);
@@ -310,7 +310,7 @@
     return true;
   if (!execution->head_sent)
     {
-      hold_body (execution->held, bytes, size);
+      buffer_body (execution->buffered_answer, bytes, size);
       return true;
     }
   send_parts (execution, bytes, size);
@@ -319,12 +319,12 @@
 }
 
 static void
-send_held (const gp_execution_t *execution)
+send_buffered_answer (const gp_execution_t *execution)
 {
-  const gp_execution_held_t *held = execution->held;
-  ProtobufCBinaryData body = { held->size, held->body };
+  const gp_buffered_answer_t *answer = execution->buffered_answer;
+  ProtobufCBinaryData body = { answer->size, answer->body };
 
-  send_head (execution, held->headers, held->count, body, true);
+  send_head (execution, answer->headers, answer->count, body, true);
 }
 
 void
@@ -336,7 +336,7 @@
   if (execution->head_sent)
     send_part (execution, NULL, 0, true);
   else
-    send_held (execution);
+    send_buffered_answer (execution);
   gp_execution_detach (execution);
 }
 
@@ -344,13 +344,13 @@
 gp_execution_fail (gp_execution_t *execution, bool sent)
 {
   if (execution->head_sent)
-    gp_execution_give_broken (execution, GP__WIRE__REASON__REASON_UPSTREAM);
+    gp_execution_report_broken (execution, GP__WIRE__REASON__REASON_UPSTREAM);
   else if (sent)
-    gp_execution_give_verdict (execution, GP__WIRE__VERDICT__VERDICT_UNKNOWN,
-                               GP__WIRE__REASON__REASON_UPSTREAM, 0);
+    gp_execution_report_verdict (execution, GP__WIRE__VERDICT__VERDICT_UNKNOWN,
+                                 GP__WIRE__REASON__REASON_UPSTREAM, 0);
   else
-    gp_execution_give_verdict (execution, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                               GP__WIRE__REASON__REASON_CONNECT, 0);
+    gp_execution_report_verdict (execution, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                                 GP__WIRE__REASON__REASON_CONNECT, 0);
 }
 
 void
--- a/src/daemon/execution_limits.c
+++ b/src/daemon/execution_limits.c
@@ -5,7 +5,7 @@
 #define DECLARED_SERVICE_TIME (5 * GP_MSEC)
 
 gp_request_quota_t *
-gp_executor_find_team (gp_executor_t *executor, const char *name)
+gp_executor_team_quota (gp_executor_t *executor, const char *name)
 {
   gp_request_quota_t *team = g_hash_table_lookup (executor->teams, name);
 
@@ -18,7 +18,7 @@
 }
 
 gp_admission_kind_t *
-gp_executor_find_kind (gp_executor_t *executor, const char *name)
+gp_executor_kind_limits (gp_executor_t *executor, const char *name)
 {
   gp_admission_kind_t *kind = g_hash_table_lookup (executor->kinds, name);
 
@@ -68,7 +68,8 @@
 configure_kind (gp_executor_t *executor, const gp_document_kind_t *declared,
                 uint32_t executors)
 {
-  gp_admission_kind_t *kind = gp_executor_find_kind (executor, declared->name);
+  gp_admission_kind_t *kind
+      = gp_executor_kind_limits (executor, declared->name);
 
   set_limits (executor, &kind->quota,
               share (declared->limits.concurrent, executors));
@@ -98,7 +99,7 @@
     {
       const gp_document_team_t *team = &document->teams[i];
 
-      set_limits (executor, gp_executor_find_team (executor, team->name),
+      set_limits (executor, gp_executor_team_quota (executor, team->name),
                   share (team->requests.concurrent, executors));
     }
 }
--- a/src/daemon/execution_limits.h
+++ b/src/daemon/execution_limits.h
@@ -8,14 +8,14 @@
 #include "state/document.h"
 
 /* Default queue length per slot.  */
-#define GP_EXECUTOR_QUEUE_PER_SLOT 16
+#define GP_EXECUTOR_MAX_QUEUED_PER_SLOT 16
 
 /* Find the limits of a team or kind; a name that the document does not
    contain has no limits.  */
-gp_request_quota_t *gp_executor_find_team (gp_executor_t *executor,
-                                           const char *name);
-gp_admission_kind_t *gp_executor_find_kind (gp_executor_t *executor,
+gp_request_quota_t *gp_executor_team_quota (gp_executor_t *executor,
                                             const char *name);
+gp_admission_kind_t *gp_executor_kind_limits (gp_executor_t *executor,
+                                              const char *name);
 
 /* Apply the limits of DOCUMENT: the service's queue length, the kinds'
    expected service times, and the concurrency limits of kinds and teams.  A
--- a/src/daemon/execution_private.h
+++ b/src/daemon/execution_private.h
@@ -16,7 +16,7 @@
   uint8_t *body;
   size_t size;
   size_t max_size;
-} gp_execution_held_t;
+} gp_buffered_answer_t;
 
 typedef struct
 {
@@ -43,9 +43,10 @@
   gp_time_t progress_at; /* last progress of a streamed answer */
   int status;
   int64_t content_length;
-  uint32_t latency_us;       /* mean of its kind when the head arrived */
-  gp_execution_held_t *held; /* a small answer until complete, or NULL */
-  int64_t window;            /* answer bytes that may still be sent */
+  uint32_t latency_us; /* mean of its kind when the head arrived */
+  /* A small answer until it is complete, or NULL.  */
+  gp_buffered_answer_t *buffered_answer;
+  int64_t window; /* answer bytes that may still be sent */
 } gp_execution_t;
 
 /* Total size in bytes of the names and values of HEADERS.  */
@@ -64,12 +65,12 @@
 
 /* Report the verdict, or a broken answer, to the entry and detach the
    execution from it.  */
-void gp_execution_give_verdict (gp_execution_t *execution,
-                                Gp__Wire__Verdict verdict,
-                                Gp__Wire__Reason reason,
-                                gp_time_t retry_after);
-void gp_execution_give_broken (gp_execution_t *execution,
-                               Gp__Wire__Reason reason);
+void gp_execution_report_verdict (gp_execution_t *execution,
+                                  Gp__Wire__Verdict verdict,
+                                  Gp__Wire__Reason reason,
+                                  gp_time_t retry_after);
+void gp_execution_report_broken (gp_execution_t *execution,
+                                 Gp__Wire__Reason reason);
 
 /* Detach EXECUTION from the entry: what the upstream still sends is
    discarded.  */
--- a/src/daemon/guard.c
+++ b/src/daemon/guard.c
@@ -250,7 +250,7 @@
 
 /* The upstream went down or came up.  */
 static void
-on_turn (void *data)
+on_upstream_change (void *data)
 {
   announce_all (data);
 }
@@ -267,11 +267,11 @@
 }
 
 static void
-on_part_drained (void *data)
+on_component_drained (void *data)
 {
   gp_guard_t *guard = data;
 
-  if (--guard->draining > 0)
+  if (--guard->components_draining > 0)
     return;
   gp_log (GP_LOG_INFO, "guard.drained");
   gp_session_host_close (&guard->host);
@@ -292,12 +292,12 @@
                    guard->settings->name);
   gp_uplinks_stop (&guard->uplinks);
   announce_all (guard);
-  guard->draining = has_upstream (guard) + (guard->runner != NULL);
+  guard->components_draining = has_upstream (guard) + (guard->runner != NULL);
   if (has_upstream (guard))
-    gp_executor_leave (&guard->executor, on_part_drained, guard);
+    gp_executor_leave (&guard->executor, on_component_drained, guard);
   if (guard->runner != NULL)
     gp_runner_leave (guard->runner, gp_loop_now (&guard->loop) + LEAVE_TIME,
-                     on_part_drained, guard);
+                     on_component_drained, guard);
 }
 
 /* The lease has a new incarnation, or the worker has changed.  */
@@ -314,7 +314,7 @@
 
   /* Once everything has drained, the heartbeat timer is used to stop the
      event loop and must not be rearmed.  */
-  if (!guard->leaving || guard->draining > 0)
+  if (!guard->leaving || guard->components_draining > 0)
     send_heartbeats (guard);
 }
 
@@ -337,7 +337,7 @@
 }
 
 static bool
-start_parts (gp_guard_t *guard, GError **error)
+start_components (gp_guard_t *guard, GError **error)
 {
   const gp_settings_t *settings = guard->settings;
   const gp_runner_callbacks_t callbacks
@@ -390,7 +390,7 @@
   gp_counter_register (&heartbeats_sent);
   gp_session_host_init (&guard->host, &guard->loop, guard->tls, &self,
                         &session_callbacks, guard);
-  if (!start_parts (guard, error))
+  if (!start_components (guard, error))
     return false;
   if (settings->guard->peers != NULL
       && !gp_session_host_listen (&guard->host, settings->guard->peers, error))
@@ -398,7 +398,7 @@
   gp_timer_init (&guard->heartbeat, &guard->loop, on_heartbeat, guard);
   arm_heartbeat (guard);
   if (has_upstream (guard))
-    gp_executor_watch (&guard->executor, on_turn, guard);
+    gp_executor_watch (&guard->executor, on_upstream_change, guard);
   gp_uplinks_init (&guard->uplinks, &guard->host, settings, guard->rand);
   gp_loop_on_signal (&guard->loop, on_stop, guard);
   return true;
--- a/src/daemon/guard.h
+++ b/src/daemon/guard.h
@@ -32,7 +32,8 @@
   gp_configuration_t *configuration;
   gp_timeline_t timeline;
   gp_timeline_event_t *events;
-  unsigned draining; /* components (executor, runner) still draining */
+  unsigned
+      components_draining; /* components (executor, runner) still draining */
   gp_timer_t heartbeat;
   uint64_t heartbeat_sequence;
   bool leaving;
--- a/tests/unit/test_execution_limits.c
+++ b/tests/unit/test_execution_limits.c
@@ -48,8 +48,8 @@
   gp_loop_init (&loop, NULL);
   CU_ASSERT_FATAL (
       gp_executor_init (&executor, &loop, &upstream, 1, GP_SEC, NULL));
-  kind = gp_executor_find_kind (&executor, "k");
-  team = gp_executor_find_team (&executor, "t");
+  kind = gp_executor_kind_limits (&executor, "k");
+  team = gp_executor_team_quota (&executor, "t");
   CU_ASSERT (kind->quota.max_running == GP_ADMISSION_UNLIMITED);
   configure (&executor, limited);
   CU_ASSERT (executor.admission.options.max_queued == 5);
--- a/tests/unit/test_runner.c
+++ b/tests/unit/test_runner.c
@@ -490,7 +490,7 @@
 static bool
 is_drained (const task_site_t *s)
 {
-  return s->leaving && s->guard.draining == 0;
+  return s->leaving && s->guard.components_draining == 0;
 }
 
 /* The guard leaves: it refuses, evicts, and waits for the
