--- a/src/daemon/runner.c
+++ b/src/daemon/runner.c
@@ -1,11 +1,11 @@
-/* The runner: its lease and its messages.  */
+/* The runner: lease and messages.  */
 
 #include "daemon/runner_private.h"
 
 #include "base/counters.h"
 #include "base/log.h"
 
-/* Tasks whose epochs are remembered; see coordination/epoch_table.h.  */
+/* Size of the epoch table; see coordination/epoch_table.h.  */
 #define MAX_EPOCHS 8192
 
 static gp_counter_t lapses_total = GP_COUNTER (
@@ -13,7 +13,7 @@
 static gp_counter_t incarnations_total = GP_COUNTER (
     "runner_incarnations_total", "Incarnations of the lease begun.");
 
-/* Helpers for all parts.  */
+/* Shared helpers.  */
 
 void
 gp_runner_note (gp_runner_t *runner, gp_timeline_kind_t kind,
@@ -79,8 +79,8 @@
 
 static void on_renewal (const gp_runtime_answer_t *answer, void *data);
 
-/* Tell the runtime the deadline; while a call is under way only the last
-   deadline counts.  */
+/* Send the lease deadline to the runtime.  While a call is in progress, only
+   the latest deadline is kept and sent afterwards.  */
 static void
 tell_deadline (gp_runner_t *runner, gp_time_t deadline)
 {
@@ -192,7 +192,7 @@
   arm_lease (runner);
 }
 
-/* Whether there is a lease to look at.  */
+/* Whether the lease holder has been initialized and is in use.  */
 static bool
 has_begun (const gp_runner_t *runner)
 {
@@ -255,7 +255,8 @@
                            .accelerators = settings->accelerators };
 }
 
-/* What the settings give to tasks, as far as the runtime has it.  */
+/* The resources for tasks: those of the settings, limited to what the runtime
+   has.  */
 static gp_resources_t
 total_resources (const gp_runner_t *runner)
 {
@@ -303,7 +304,7 @@
                              runner->info.deadline, now);
 }
 
-/* Leaving.  */
+/* Shutdown.  */
 
 static void
 on_leave_timer (gp_timer_t *timer, void *data)
@@ -455,7 +456,7 @@
     }
 }
 
-/* Beginning and end.  */
+/* Initialization and finalization.  */
 
 static void
 init_timers (gp_runner_t *runner)
@@ -515,7 +516,7 @@
   g_free (GP_CONTAINER_OF (closer, gp_runner_t, closer));
 }
 
-/* The memory goes with the loop, which still closes the timers.  */
+/* The memory is freed by the loop once it has closed the timers.  */
 void
 gp_runner_free (gp_runner_t *runner)
 {
--- a/src/daemon/runner_private.h
+++ b/src/daemon/runner_private.h
@@ -1,15 +1,17 @@
-/* What the parts of the runner share: runner.c (the guard's side, lease),
-   runner_runtime.c (finding, claiming and following the runtime),
-   runner_tasks.c (starting, stopping, what the runtime says),
-   runner_reports.c (reports and ends), runner_usage.c (measurements).
+/* Declarations shared by the files of the runner: runner.c (interface to the
+   guard, lease), runner_runtime.c (attaching to the runtime and reading its
+   events), runner_tasks.c (starting and stopping tasks, their state in the
+   runtime), runner_reports.c (reports and ends), runner_usage.c (usage
+   measurements).
 
    Invariants:
 
    - Every call from outside first checks the lease (gp_runner_check).
-   - A task is in TASKS, by (task, epoch), from the Start that was accepted or
-     refused, or from its adoption, until its end is acknowledged and the
-     runtime has forgotten it.
-   - Its reservation is held until the runtime has said that it is gone.  */
+   - A task is in the table of tasks, by (task, epoch), from the Start that was
+     accepted or refused, or from its adoption, until its end is acknowledged
+     and the runtime has removed it.
+   - Its reservation is held until the runtime reports that it has ended or
+     no longer lists it.  */
 
 #ifndef GP_DAEMON_RUNNER_PRIVATE_H
 #define GP_DAEMON_RUNNER_PRIVATE_H
@@ -22,16 +24,16 @@
 typedef enum
 {
   GP_RUNNER_STARTING,  /* finding and claiming the runtime */
-  GP_RUNNER_SERVING,   /* its tasks are known */
-  GP_RUNNER_STOPPING,  /* every task, for the next incarnation */
+  GP_RUNNER_SERVING,   /* the tasks of the runtime are known */
+  GP_RUNNER_STOPPING,  /* stopping all tasks before the next incarnation */
   GP_RUNNER_SUPERSEDED /* another guard has claimed the runtime */
 } gp_runner_phase_t;
 
 typedef enum
 {
-  GP_RUNNER_TASK_STARTING, /* the runtime has not answered for good */
+  GP_RUNNER_TASK_STARTING, /* no definite answer from the runtime yet */
   GP_RUNNER_TASK_RUNNING,
-  GP_RUNNER_TASK_ENDED /* to be acknowledged */
+  GP_RUNNER_TASK_ENDED /* waiting for the acknowledgement */
 } gp_runner_task_phase_t;
 
 typedef struct
@@ -45,26 +47,26 @@
   gp_runner_key_t key;
   gp_capacity_task_t reservation;
   gp_runner_task_phase_t phase;
-  /* To start it with.  */
+  /* Start.  */
   char *kind;
   char *payload;
-  char *checkpoint; /* then the last one taken, or NULL */
-  bool maybe_sent;  /* a start may have reached the runtime */
-  bool start_due;   /* ask again */
-  /* To stop it; NULL: not asked for.  */
-  const char *stop_verb;
+  char *checkpoint; /* to start from, later the last one taken; or NULL */
+  bool maybe_sent;  /* a start call may have reached the runtime */
+  bool start_due;   /* the start call must be repeated */
+  /* Stop.  */
+  const char *stop_verb; /* NULL while no stop is requested */
   Gp__Wire__Reason stop_reason;
-  bool stop_due; /* ask, or ask again */
-  /* To report.  */
-  uint64_t number; /* of the report that is not acknowledged, or 0 */
+  bool stop_due; /* the stop call must be sent or repeated */
+  /* Reports.  */
+  uint64_t number; /* of the unacknowledged report, or 0 */
   Gp__Wire__TaskState end;
   Gp__Wire__Reason reason;
   char *result;
   uint64_t run_time_us;
   gp_resources_t free;
-  bool in_runtime; /* which is to forget it */
+  bool in_runtime; /* the runtime lists it and must be told to remove it */
   bool acknowledged;
-  bool forget_due; /* ask, or ask again */
+  bool forget_due; /* the call to remove it must be repeated */
 } gp_runner_task_t;
 
 struct gp_runner
@@ -82,17 +84,17 @@
   gp_epoch_table_t epochs;
   gp_lease_holder_t holder;
   bool wants_vouch;
-  bool renewing;           /* a call is under way */
-  gp_time_t renew_pending; /* the deadline to tell after it, or 0 */
+  bool renewing;           /* a renewal call is in progress */
+  gp_time_t renew_pending; /* deadline to send after that call, or 0 */
   gp_timer_t lease_timer;
 
   /* Runtime.  */
   gp_runtime_info_t info;
   uint64_t predecessor;
-  bool up;             /* it answered last */
-  bool asking;         /* a step is under way */
-  bool ask_again;      /* and is to be begun anew */
-  bool awaiting;       /* a call for events is under way */
+  bool up;             /* the last call was answered */
+  bool asking;         /* a step of the attach sequence is in progress */
+  bool ask_again;      /* restart the sequence after that step */
+  bool awaiting;       /* a call for events is in progress */
   uint64_t next_event; /* sequence of the last event seen */
   gp_time_t attached_at;
   gp_timer_t retry_timer;
@@ -121,21 +123,21 @@
 
 /* runner.c  */
 
-/* Check the lease; to be called first on any wake-up.  */
+/* Check the lease.  Every entry point calls this first.  */
 void gp_runner_check (gp_runner_t *runner);
-/* Carry out ACTIONS and plan the next check.  */
+/* Apply ACTIONS of the lease holder and schedule the next check.  */
 void gp_runner_act (gp_runner_t *runner, gp_lease_holder_actions_t *actions);
-/* Announce, with the inventory, on all sessions.  */
+/* Announce the guard on all sessions and send the inventory to entries.  */
 void gp_runner_announce (gp_runner_t *runner);
 void gp_runner_broadcast (gp_runner_t *runner,
                           const Gp__Wire__Envelope *envelope);
-/* The runtime answered that HOLDER has claimed it.  */
+/* The runtime reported that it is claimed by HOLDER.  */
 void gp_runner_on_claimed (gp_runner_t *runner, uint64_t holder);
-/* The runtime is known: begin to hold a lease.  */
+/* The runtime's state is known: initialize the capacity and the lease.  */
 void gp_runner_begin (gp_runner_t *runner);
-/* The runtime may have another size after a restart.  */
+/* Update the capacity, which may have changed with a runtime restart.  */
 void gp_runner_resize (gp_runner_t *runner);
-/* When it leaves: whether it is done.  */
+/* While shutting down: schedule on_drained if no task is left.  */
 void gp_runner_check_drained (gp_runner_t *runner);
 Gp__Wire__Resources gp_runner_wire_resources (const gp_resources_t *resources);
 void gp_runner_note (gp_runner_t *runner, gp_timeline_kind_t kind,
@@ -143,8 +145,8 @@
 
 /* runner_runtime.c  */
 
-/* Find the runtime: claim it and read its tasks, or, while serving, see
-   whether it is the same.  */
+/* Start the attach sequence: claim the runtime and list its tasks or, while
+   serving, check whether the runtime has restarted.  */
 void gp_runner_find_runtime (gp_runner_t *runner);
 void gp_runner_on_retry (gp_timer_t *timer, void *data);
 
@@ -156,56 +158,58 @@
 void gp_runner_start_task (gp_runner_t *runner, gp_session_t *session,
                            const Gp__Wire__Start *start);
 void gp_runner_stop_task (gp_runner_t *runner, const Gp__Wire__Stop *stop);
-/* Ask the runtime to end TASK.  */
+/* Request the runtime to end TASK.  */
 void gp_runner_evict (gp_runner_t *runner, gp_runner_task_t *task,
                       const char *verb, Gp__Wire__Reason reason);
-/* What the runtime lists at the start.  */
+/* Add a task that the runtime lists when the runner attaches.  */
 void gp_runner_adopt (gp_runner_t *runner, const gp_runtime_task_t *listed);
-/* What the runtime says of a task, in an event or a list.  */
+/* Handle the state of a task from an event or a task list.  */
 void gp_runner_hear (gp_runner_t *runner, const gp_runtime_task_t *heard);
-/* TASK needs no room any more.  */
+/* Release the capacity reserved for TASK.  */
 void gp_runner_release (gp_runner_t *runner, const gp_runner_task_t *task);
-/* Free TASK.  */
+/* Remove TASK from the table and free it.  */
 void gp_runner_remove_task (gp_runner_t *runner, gp_runner_task_t *task);
-/* Do again what has not been answered.  */
+/* Repeat calls and reports that have not been answered.  */
 void gp_runner_repeat (gp_runner_t *runner);
 
 /* runner_reports.c  */
 
 void gp_runner_reports_init (void);
-/* Tell all entries what there is to say of TASK.  */
+/* Report the current state of TASK to all entries.  */
 void gp_runner_report (gp_runner_t *runner, const gp_runner_task_t *task);
 void gp_runner_report_again (gp_runner_t *runner,
                              const gp_runner_task_t *task);
-/* The same of something new, to be acknowledged.  */
+/* Report new state under a new number; resent until acknowledged.  */
 void gp_runner_report_new (gp_runner_t *runner, gp_runner_task_t *task);
-/* A copy of the Start of TASK has come: say what became of it.  */
+/* Answer a duplicate of the Start of TASK with the task's state.  */
 void gp_runner_answer_start (gp_session_t *session,
                              const gp_runner_task_t *task);
 void gp_runner_send_inventory (gp_runner_t *runner, gp_session_t *session);
 void gp_runner_take_checkpoint (gp_runner_task_t *task,
                                 const char *checkpoint);
-/* Take note of the end that the runtime tells, and with end_task tell it.  */
+/* Record the end that the runtime reports; end_task also reports it to the
+   entries.  */
 void gp_runner_take_end (gp_runner_t *runner, gp_runner_task_t *task,
                          const gp_runtime_task_t *heard);
 void gp_runner_end_task (gp_runner_t *runner, gp_runner_task_t *task,
                          const gp_runtime_task_t *heard);
-/* TASK is gone without a word.  */
+/* TASK has disappeared without a reported end.  */
 void gp_runner_lose (gp_runner_t *runner, gp_runner_task_t *task);
-/* TASK never runs under its epoch.  */
+/* Refuse TASK: it will never run under its epoch.  */
 void gp_runner_refuse (gp_runner_t *runner, gp_runner_task_t *task,
                        Gp__Wire__Reason reason);
 void gp_runner_acknowledge (gp_runner_t *runner,
                             const Gp__Wire__TaskReportAck *ack);
-/* All epochs of the task ID below EPOCH have ended on the log.  */
+/* All epochs of the task ID below EPOCH have ended in the log: treat their
+   ends as acknowledged.  */
 void gp_runner_settle_older (gp_runner_t *runner, uint64_t id, uint64_t epoch);
-/* Let the runtime forget TASK.  */
+/* Tell the runtime to remove TASK.  */
 void gp_runner_forget_task (gp_runner_t *runner, gp_runner_task_t *task);
 
 /* runner_usage.c  */
 
 void gp_runner_measure (gp_runner_t *runner);
-/* Do what the capacity has decided.  */
+/* Apply the throttles and evictions that the capacity has decided.  */
 void gp_runner_relieve (gp_runner_t *runner);
 
 #endif
--- a/src/daemon/runner_reports.c
+++ b/src/daemon/runner_reports.c
@@ -1,5 +1,5 @@
-/* What the runner tells of its tasks, and their ends: from the runtime's word
-   or a refusal to the acknowledgement.  */
+/* Task reports of the runner, and ends of tasks from the runtime's report or
+   a refusal to the acknowledgement.  */
 
 #include "daemon/runner_private.h"
 
@@ -24,7 +24,7 @@
 
 /* Reports.  */
 
-/* A report with what it points to.  */
+/* A report and the messages that it points to.  */
 typedef struct
 {
   Gp__Wire__TaskReport message;
@@ -56,7 +56,7 @@
   message->free = &report->free;
 }
 
-/* What there is to say of TASK now.  */
+/* Fill REPORT with the current state of TASK.  */
 static void
 fill_report (report_t *report, const gp_runner_task_t *task)
 {
@@ -98,7 +98,6 @@
   gp_runner_report (runner, task);
 }
 
-/* Tell all entries something new of TASK, to be acknowledged.  */
 void
 gp_runner_report_new (gp_runner_t *runner, gp_runner_task_t *task)
 {
@@ -106,7 +105,6 @@
   gp_runner_report (runner, task);
 }
 
-/* A copy of Start has come: say again what became of it.  */
 void
 gp_runner_answer_start (gp_session_t *session, const gp_runner_task_t *task)
 {
@@ -156,7 +154,7 @@
   g_free (reports);
 }
 
-/* The end.  */
+/* Ends.  */
 
 static void
 on_forgotten (const gp_runtime_answer_t *answer, void *data)
@@ -185,7 +183,7 @@
                      on_forgotten);
 }
 
-/* The end of TASK is on the log.  */
+/* The end of TASK is in the log: remove the task, from the runtime first.  */
 static void
 settle (gp_runner_t *runner, gp_runner_task_t *task)
 {
@@ -221,7 +219,6 @@
   task->checkpoint = g_strdup (checkpoint);
 }
 
-/* Take note of the end that the runtime tells.  */
 void
 gp_runner_take_end (gp_runner_t *runner, gp_runner_task_t *task,
                     const gp_runtime_task_t *heard)
@@ -280,7 +277,6 @@
     task->number = 0;
 }
 
-/* All epochs of the task below EPOCH have ended on the log.  */
 void
 gp_runner_settle_older (gp_runner_t *runner, uint64_t id, uint64_t epoch)
 {
--- a/src/daemon/runner_runtime.c
+++ b/src/daemon/runner_runtime.c
@@ -1,10 +1,11 @@
-/* The runner and its runtime: finding, claiming, following.
+/* The runner and its runtime: attaching and reading events.
 
-   To find the runtime means, one call after the other: ask for its holder,
-   claim it, ask again (after the claim nobody else moves its deadline), and
-   read its tasks.  While serving it only means to see that it is the same
-   one.  At most one call of this chain is under way; a step that fails is
-   tried again by beginning anew.  */
+   The attach sequence consists of these calls, one after another: get the
+   runtime's state with its holder, claim the runtime, get its state again
+   (after the claim nobody else can change its deadline), and list its tasks.
+   While serving, the sequence only checks that the runtime has not restarted.
+   At most one call of the sequence is in progress; if a step fails, the
+   sequence is restarted from the beginning.  */
 
 #include "daemon/runner_private.h"
 
@@ -103,9 +104,9 @@
   gp_runner_find_runtime (runner);
 }
 
-/* The chain of calls.  */
+/* The attach sequence.  */
 
-/* A step was answered: whether to go on with the next one.  */
+/* A step has completed.  Returns whether to continue with the next one.  */
 static bool
 step_done (gp_runner_t *runner, const gp_runtime_answer_t *answer)
 {
@@ -114,7 +115,7 @@
   if (answer->claimed != 0 && runner->phase != GP_RUNNER_STARTING)
     gp_runner_on_claimed (runner, answer->claimed);
   if (runner->asking || runner->phase == GP_RUNNER_SUPERSEDED)
-    return false; /* begun anew by the check, or given up */
+    return false; /* restarted by the check, or abandoned */
   if (runner->ask_again)
     {
       runner->ask_again = false;
@@ -137,7 +138,8 @@
   await_events (runner);
 }
 
-/* The listed tasks at the start of this process.  */
+/* Attached for the first time in this process: take over the listed tasks and
+   start to hold a lease.  */
 static void
 adopt_tasks (gp_runner_t *runner, const json_t *list)
 {
@@ -194,7 +196,7 @@
     }
 }
 
-/* Cancel what still runs; the number of these.  */
+/* Cancel the listed tasks that still run.  Returns their number.  */
 static unsigned
 cancel_listed (gp_runner_t *runner, const json_t *list)
 {
@@ -293,7 +295,8 @@
   gp_runtime_ask_info (&runner->runtime, on_claimed_info);
 }
 
-/* While serving: the runtime has been out of reach.  */
+/* While serving, after the runtime was unreachable: check whether it has
+   restarted.  */
 static void
 compare_boot (gp_runner_t *runner, const gp_runtime_info_t *info)
 {
--- a/src/daemon/runner_tasks.c
+++ b/src/daemon/runner_tasks.c
@@ -1,4 +1,4 @@
-/* The runner's tasks: from a Start to the acknowledged end.  */
+/* The runner's tasks: table, starting, stopping, state from the runtime.  */
 
 #include "daemon/runner_private.h"
 
@@ -19,7 +19,7 @@
 
 static void on_started (const gp_runtime_answer_t *answer, void *data);
 
-/* The table.  */
+/* The table of tasks.  */
 
 static guint
 key_hash (gconstpointer key)
@@ -112,7 +112,7 @@
           .deadline = runner->holder.deadline };
 
   if (!gp_lease_holder_held (&runner->holder))
-    return; /* about to be stopped */
+    return; /* without a lease all tasks are stopped soon */
   task->start_due = false;
   gp_runtime_start (&runner->runtime, &start, on_started);
 }
@@ -127,8 +127,9 @@
   gp_runner_report (runner, task);
 }
 
-/* The runtime has another epoch of the task, which has ended on the log, or
-   this one.  */
+/* The runtime answered that it already has the task: under this epoch, so it
+   runs, or under an older one that has ended in the log and can be
+   removed.  */
 static void
 on_present (gp_runner_t *runner, gp_runner_task_t *task,
             const gp_runtime_answer_t *answer)
@@ -156,7 +157,8 @@
   return strcmp (error, "present") == 0;
 }
 
-/* The start may or may not have been taken: ask again until it is known.  */
+/* Whether it is unknown if the runtime started the task; then the start call
+   is repeated until it is known.  */
 static bool
 is_unknown (const gp_runner_task_t *task, const gp_runtime_answer_t *answer)
 {
@@ -178,8 +180,8 @@
     gp_runner_refuse (runner, task, GP__WIRE__REASON__REASON_UPSTREAM);
 }
 
-/* The task that the runtime's ANSWER is about, or NULL; the lease and the
-   claim come first.  */
+/* Check the lease and the claim, then find the task that the runtime's ANSWER
+   is about.  Returns NULL if there is none.  */
 static gp_runner_task_t *
 answered_task (gp_runner_t *runner, const gp_runtime_answer_t *answer)
 {
@@ -328,7 +330,8 @@
   send_stop (runner, task);
 }
 
-/* The epoch is not known here: see to it that it never runs.  */
+/* The task is not in the table.  If its epoch is new, refuse it, so that a
+   Start that arrives later does not run it.  */
 static void
 refuse_unknown (gp_runner_t *runner, const Gp__Wire__Stop *stop)
 {
@@ -383,7 +386,7 @@
     }
 }
 
-/* What the runtime says.  */
+/* State from the runtime.  */
 
 static void
 hear_checkpoint (gp_runner_t *runner, gp_runner_task_t *task,
@@ -410,7 +413,7 @@
     set_running (runner, task);
 }
 
-/* Nothing is sent: the inventory follows.  */
+/* No report is sent, since an inventory follows.  */
 void
 gp_runner_adopt (gp_runner_t *runner, const gp_runtime_task_t *listed)
 {
@@ -428,13 +431,13 @@
   task->reservation.eviction_cost = COST_BATCH;
   gp_runner_take_checkpoint (task, listed->checkpoint);
   if (task->checkpoint != NULL)
-    task->number = ++runner->last_report; /* maybe not on the log yet */
+    task->number = ++runner->last_report; /* may not be in the log yet */
   gp_epoch_table_set_running (&runner->epochs, listed->task, listed->epoch);
   gp_capacity_adopt (&runner->capacity, &task->reservation, gp_time_now ());
   gp_counter_add (&tasks_running, 1);
 }
 
-/* Again.  */
+/* Repetition.  */
 
 static void
 repeat_task (gp_runner_t *runner, gp_runner_task_t *task)
--- a/src/daemon/runner_usage.c
+++ b/src/daemon/runner_usage.c
@@ -1,5 +1,5 @@
-/* The runner's measurements: to the entries, and to the capacity, which
-   raises, throttles or evicts.  */
+/* Usage measurements of the runner: sent to the entries and passed to the
+   capacity, which raises reservations, throttles or evicts.  */
 
 #include "daemon/runner_private.h"
 
@@ -50,7 +50,7 @@
     carry_out (runner, &action);
 }
 
-/* One measurement as a message.  */
+/* A measurement as a message, with the arrays that it points to.  */
 typedef struct
 {
   Gp__Wire__Usage message;
@@ -119,8 +119,9 @@
   g_free (usage->pointers);
 }
 
-/* Whether a measurement that ends at UNTIL has not been taken yet.  The two
-   points are known from answers, so they may be off by a little.  */
+/* Whether the measurement that ends at UNTIL has not been processed yet.  The
+   end times are computed from the times of answers and therefore inexact,
+   hence the tolerance of half a span.  */
 static bool
 is_news (const gp_runner_t *runner, gp_time_t until, gp_time_t span)
 {
--- a/src/daemon/runtime.c
+++ b/src/daemon/runtime.c
@@ -1,3 +1,5 @@
+/* Client for the worker runtime: calls and parsing of answers.  */
+
 #include "daemon/runtime.h"
 
 #include <inttypes.h>
@@ -124,7 +126,7 @@
   return call;
 }
 
-/* Send CALL; BODY, which may be NULL, is taken.  */
+/* Send CALL with BODY, which may be NULL and is consumed.  */
 static void
 send_call (call_t *call, gp_http_client_t *client, const char *method,
            json_t *body, gp_time_t timeout)
@@ -220,8 +222,8 @@
   return call;
 }
 
-/* TEXT as a JSON string; what is no text becomes null, which the runtime
-   turns down.  */
+/* TEXT as a JSON string.  Invalid UTF-8 becomes null, which the runtime
+   rejects.  */
 static json_t *
 text_or_null (const char *text)
 {
--- a/src/daemon/runtime.h
+++ b/src/daemon/runtime.h
@@ -1,10 +1,10 @@
-/* The worker runtime of this VM, over HTTP and JSON on loopback.
+/* Client for the worker runtime of this VM, over HTTP and JSON on loopback.
 
-   One object makes the calls of docs/internals/task-protocol.md and reads
-   their answers; it decides nothing.  Calls go over one connection in the
-   order in which they were made, so that a claim stands before what is
-   called after it; only events are awaited on a connection of their own.
-   Each call that changes something names the holder set last.  */
+   It makes the calls of docs/internals/task-protocol.md and parses their
+   answers; it makes no decisions.  Calls are sent over one connection in the
+   order in which they are made, so that a claim takes effect before the calls
+   after it; only the wait for events uses a connection of its own.  Each call
+   that changes state carries the current value of the holder field.  */
 
 #ifndef GP_DAEMON_RUNTIME_H
 #define GP_DAEMON_RUNTIME_H
@@ -23,20 +23,20 @@
   gp_http_client_t *calls;
   gp_http_client_t *events;
   uint64_t holder;
-  void *data;  /* passed to what is called */
-  bool closed; /* nothing is called any more */
+  void *data;  /* passed to callbacks */
+  bool closed; /* no callback is called any more */
 } gp_runtime_t;
 
 typedef struct
 {
   uint64_t boot;
-  uint64_t holder;    /* the greatest that claimed it, or 0 */
-  gp_time_t deadline; /* until when tasks may run */
+  uint64_t holder;    /* the greatest holder that claimed it, or 0 */
+  gp_time_t deadline; /* time until which tasks may run */
   uint64_t events;    /* sequence of the last event */
   gp_resources_t capacity;
 } gp_runtime_info_t;
 
-/* A task as it is listed, or in an event; the strings are the answer's.  */
+/* A task from a list or an event; the strings belong to the answer.  */
 typedef struct
 {
   uint64_t task;
@@ -45,10 +45,10 @@
   const char *result;
   const char *checkpoint;
   uint64_t run_time_us;
-  gp_resources_t resources; /* declared; in a usage: used */
+  gp_resources_t resources; /* declared; in a usage list: used */
 } gp_runtime_task_t;
 
-/* What a task is started with.  */
+/* Arguments of a start call.  */
 typedef struct
 {
   uint64_t task;
@@ -62,12 +62,12 @@
 
 typedef struct
 {
-  int status;         /* 0: no whole answer has come */
+  int status;         /* 0 without a complete answer */
   bool sent;          /* the call may have reached the runtime */
-  json_t *body;       /* NULL: none, or not JSON */
-  uint64_t task;      /* that the call was about, or 0 */
-  uint64_t epoch;     /* likewise */
-  uint64_t claimed;   /* refused: the greater holder, or 0 */
+  json_t *body;       /* NULL if there is none or it is not JSON */
+  uint64_t task;      /* task of the call, or 0 */
+  uint64_t epoch;     /* epoch of the call, or 0 */
+  uint64_t claimed;   /* greater holder that made the call fail, or 0 */
   gp_time_t asked_at; /* when the call was made */
 } gp_runtime_answer_t;
 
@@ -78,10 +78,10 @@
 bool gp_runtime_init (gp_runtime_t *runtime, gp_loop_t *loop,
                       const char *address, void *data, GError **error);
 
-/* Give up all calls without telling.  */
+/* Abort all calls without calling back.  */
 void gp_runtime_finish (gp_runtime_t *runtime);
 
-/* The calls; DONE is never called from inside and may be NULL.  */
+/* The calls.  DONE may be NULL and is never called from inside.  */
 void gp_runtime_ask_info (gp_runtime_t *runtime, gp_runtime_done_t done);
 void gp_runtime_claim (gp_runtime_t *runtime, gp_runtime_done_t done);
 void gp_runtime_ask_tasks (gp_runtime_t *runtime, gp_runtime_done_t done);
@@ -98,11 +98,11 @@
                               gp_runtime_done_t done);
 void gp_runtime_ask_usage (gp_runtime_t *runtime, gp_runtime_done_t done);
 
-/* Reading of bodies; false: not what was agreed.  */
+/* Parse bodies.  Return false if the format is wrong.  */
 bool gp_runtime_read_info (const json_t *body, gp_runtime_info_t *info);
 bool gp_runtime_read_task (const json_t *item, gp_runtime_task_t *task);
 
-/* Whether ANSWER is a 2xx.  */
+/* Whether the status of ANSWER is 2xx.  */
 static inline bool
 gp_runtime_done_well (const gp_runtime_answer_t *answer)
 {
