--- a/src/daemon/guard.c
+++ b/src/daemon/guard.c
@@ -302,13 +302,13 @@
 
 /* The lease has a new incarnation, or the worker has changed.  */
 static void
-on_runner_renewed (void *data)
+on_runner_announcement_changed (void *data)
 {
   announce_all (data);
 }
 
 static void
-on_runner_heartbeat (void *data)
+on_runner_heartbeat_due (void *data)
 {
   gp_guard_t *guard = data;
 
@@ -341,8 +341,8 @@
 {
   const gp_settings_t *settings = guard->settings;
   const gp_runner_callbacks_t callbacks
-      = { .on_renewed = on_runner_renewed,
-          .on_heartbeat = on_runner_heartbeat,
+      = { .on_announcement_changed = on_runner_announcement_changed,
+          .on_heartbeat_due = on_runner_heartbeat_due,
           .data = guard };
 
   guard->events = g_new0 (gp_timeline_event_t, GP_GUARD_TIMELINE_SIZE);
--- a/src/daemon/runner.c
+++ b/src/daemon/runner.c
@@ -16,8 +16,8 @@
 /* Shared helpers.  */
 
 void
-gp_runner_note (gp_runner_t *runner, gp_timeline_kind_t kind,
-                const gp_runner_key_t *key, const char *text)
+gp_runner_record_event (gp_runner_t *runner, gp_timeline_kind_t kind,
+                        const gp_runner_key_t *key, const char *text)
 {
   gp_timeline_subject_t subject = { .vm = runner->settings->name };
 
@@ -52,7 +52,7 @@
 void
 gp_runner_announce (gp_runner_t *runner)
 {
-  runner->callbacks.on_renewed (runner->callbacks.data);
+  runner->callbacks.on_announcement_changed (runner->callbacks.data);
   GP_LIST_FOREACH (pos, &runner->host->sessions)
   {
     gp_session_t *session = GP_CONTAINER_OF (pos, gp_session_t, link);
@@ -71,7 +71,7 @@
   gp_log (GP_LOG_ERROR, "runner.superseded", GP_LOG_I ("holder", holder));
   runner->phase = GP_RUNNER_SUPERSEDED;
   gp_timer_disarm (&runner->lease_timer);
-  runner->callbacks.on_renewed (runner->callbacks.data);
+  runner->callbacks.on_announcement_changed (runner->callbacks.data);
   gp_runner_check_drained (runner);
 }
 
@@ -82,15 +82,15 @@
 /* Send the lease deadline to the runtime.  While a call is in progress, only
    the latest deadline is kept and sent afterwards.  */
 static void
-tell_deadline (gp_runner_t *runner, gp_time_t deadline)
+send_deadline (gp_runner_t *runner, gp_time_t deadline)
 {
-  if (runner->renewing)
+  if (runner->renewal_in_progress)
     {
-      runner->renew_pending = deadline;
+      runner->queued_deadline = deadline;
       return;
     }
-  runner->renewing = true;
-  runner->renew_pending = 0;
+  runner->renewal_in_progress = true;
+  runner->queued_deadline = 0;
   gp_runtime_renew (&runner->runtime, deadline, on_renewal);
 }
 
@@ -99,12 +99,12 @@
 {
   gp_runner_t *runner = data;
 
-  runner->renewing = false;
-  gp_runner_check (runner);
-  if (answer->claimed != 0)
-    gp_runner_on_claimed (runner, answer->claimed);
-  if (runner->renew_pending != 0 && gp_lease_holder_held (&runner->holder))
-    tell_deadline (runner, runner->renew_pending);
+  runner->renewal_in_progress = false;
+  gp_runner_check_lease (runner);
+  if (answer->claimed_by != 0)
+    gp_runner_on_claimed (runner, answer->claimed_by);
+  if (runner->queued_deadline != 0 && gp_lease_holder_held (&runner->holder))
+    send_deadline (runner, runner->queued_deadline);
 }
 
 static void
@@ -115,25 +115,25 @@
   gp_log (GP_LOG_WARNING, "lease.ended", GP_LOG_S ("state", state),
           GP_LOG_I ("next", claim));
   gp_counter_add (&lapses_total, 1);
-  gp_runner_note (runner,
-                  runner->holder.state == GP_LEASE_FENCED
-                      ? GP_TIMELINE_FENCE
-                      : GP_TIMELINE_LEASE_LAPSED,
-                  NULL, state);
+  gp_runner_record_event (runner,
+                          runner->holder.state == GP_LEASE_FENCED
+                              ? GP_TIMELINE_FENCE
+                              : GP_TIMELINE_LEASE_LAPSED,
+                          NULL, state);
   runner->phase = GP_RUNNER_STOPPING;
   runner->runtime.holder = claim;
-  runner->renew_pending = 0;
-  gp_runner_find_runtime (runner);
+  runner->queued_deadline = 0;
+  gp_runner_attach (runner);
 }
 
 static void
-on_recycle_claim (const gp_runtime_answer_t *answer, void *data)
+on_incarnation_claimed (const gp_runtime_answer_t *answer, void *data)
 {
   gp_runner_t *runner = data;
 
-  gp_runner_check (runner);
-  if (answer->claimed != 0)
-    gp_runner_on_claimed (runner, answer->claimed);
+  gp_runner_check_lease (runner);
+  if (answer->claimed_by != 0)
+    gp_runner_on_claimed (runner, answer->claimed_by);
 }
 
 static void
@@ -142,7 +142,7 @@
 {
   runner->runtime.holder = incarnation;
   if (inherits != 0)
-    gp_runtime_claim (&runner->runtime, on_recycle_claim);
+    gp_runtime_claim (&runner->runtime, on_incarnation_claimed);
   gp_counter_add (&incarnations_total, 1);
   gp_log (GP_LOG_INFO, "lease.incarnation",
           GP_LOG_I ("incarnation", incarnation),
@@ -151,16 +151,17 @@
 }
 
 static void
-act_on (gp_runner_t *runner, const gp_lease_holder_action_t *action)
+apply_lease_action (gp_runner_t *runner,
+                    const gp_lease_holder_action_t *action)
 {
   switch (action->kind)
     {
     case GP_LEASE_HOLDER_RENEW:
       runner->wants_vouch = action->u.renew.wants_vouch;
-      runner->callbacks.on_heartbeat (runner->callbacks.data);
+      runner->callbacks.on_heartbeat_due (runner->callbacks.data);
       break;
     case GP_LEASE_HOLDER_SET_DEADLINE:
-      tell_deadline (runner, action->u.deadline);
+      send_deadline (runner, action->u.deadline);
       break;
     case GP_LEASE_HOLDER_STOP_ALL:
       stop_all (runner, action->u.claim);
@@ -173,7 +174,7 @@
 }
 
 static void
-arm_lease (gp_runner_t *runner)
+arm_lease_timer (gp_runner_t *runner)
 {
   gp_time_t due = gp_lease_holder_due (&runner->holder);
 
@@ -184,17 +185,18 @@
 }
 
 void
-gp_runner_act (gp_runner_t *runner, gp_lease_holder_actions_t *actions)
+gp_runner_apply_lease_actions (gp_runner_t *runner,
+                               gp_lease_holder_actions_t *actions)
 {
   for (unsigned i = 0; i < actions->count; i++)
-    act_on (runner, &actions->items[i]);
+    apply_lease_action (runner, &actions->items[i]);
   actions->count = 0;
-  arm_lease (runner);
+  arm_lease_timer (runner);
 }
 
 /* Whether the lease holder has been initialized and is in use.  */
 static bool
-has_begun (const gp_runner_t *runner)
+has_lease_holder (const gp_runner_t *runner)
 {
   switch (runner->phase)
     {
@@ -209,21 +211,21 @@
 }
 
 void
-gp_runner_check (gp_runner_t *runner)
+gp_runner_check_lease (gp_runner_t *runner)
 {
   gp_lease_holder_actions_t actions = { 0 };
 
-  if (!has_begun (runner))
+  if (!has_lease_holder (runner))
     return;
   gp_lease_holder_check (&runner->holder, gp_time_now (), &actions);
-  gp_runner_act (runner, &actions);
+  gp_runner_apply_lease_actions (runner, &actions);
 }
 
 static void
 on_lease_timer (gp_timer_t *timer, void *data)
 {
   (void)timer;
-  gp_runner_check (data);
+  gp_runner_check_lease (data);
 }
 
 static void
@@ -231,8 +233,8 @@
 {
   gp_runner_t *runner = data;
 
-  gp_runner_check (runner);
-  gp_runner_repeat (runner);
+  gp_runner_check_lease (runner);
+  gp_runner_repeat_unanswered (runner);
   gp_timer_arm (timer, gp_time_now () + runner->timing.heartbeat);
 }
 
@@ -242,8 +244,8 @@
   gp_runner_t *runner = data;
   gp_time_t period = runner->settings->timings.usage_ms * GP_MSEC;
 
-  gp_runner_check (runner);
-  gp_runner_measure (runner);
+  gp_runner_check_lease (runner);
+  gp_runner_measure_usage (runner);
   gp_timer_arm (timer, gp_time_now () + period);
 }
 
@@ -281,7 +283,7 @@
 }
 
 void
-gp_runner_resize (gp_runner_t *runner)
+gp_runner_update_capacity (gp_runner_t *runner)
 {
   gp_resources_t total = total_resources (runner);
   gp_resources_t service = service_resources (runner);
@@ -290,7 +292,7 @@
 }
 
 void
-gp_runner_begin (gp_runner_t *runner)
+gp_runner_begin_lease (gp_runner_t *runner)
 {
   gp_time_t now = gp_time_now ();
   gp_resources_t total = total_resources (runner);
@@ -335,14 +337,15 @@
   GHashTableIter iter;
   void *value;
 
-  gp_runner_check (runner);
+  gp_runner_check_lease (runner);
   runner->leaving = true;
   runner->on_drained = on_drained;
   runner->drained_data = data;
   gp_timer_arm (&runner->leave_timer, deadline);
   g_hash_table_iter_init (&iter, runner->tasks);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    gp_runner_evict (runner, value, "stop", GP__WIRE__REASON__REASON_LEAVING);
+    gp_runner_evict_task (runner, value, "stop",
+                          GP__WIRE__REASON__REASON_LEAVING);
   gp_runner_check_drained (runner);
 }
 
@@ -365,11 +368,11 @@
   gp_resources_t capacity = runner->capacity.total;
 
   announce->capacity = NULL;
-  if (!has_begun (runner))
+  if (!has_lease_holder (runner))
     return;
   gp_resources_subtract (&capacity, &runner->capacity.service);
-  runner->announced = gp_runner_wire_resources (&capacity);
-  announce->capacity = &runner->announced;
+  runner->announced_capacity = gp_runner_wire_resources (&capacity);
+  announce->capacity = &runner->announced_capacity;
   announce->runtime_incarnation = runner->info.boot;
   announce->lease_incarnation = runner->holder.incarnation;
   announce->inherits = runner->holder.inherits;
@@ -378,8 +381,8 @@
 void
 gp_runner_on_ready (gp_runner_t *runner, gp_session_t *session)
 {
-  gp_runner_check (runner);
-  if (has_begun (runner) && is_entry (session))
+  gp_runner_check_lease (runner);
+  if (has_lease_holder (runner) && is_entry (session))
     gp_runner_send_inventory (runner, session);
 }
 
@@ -389,12 +392,13 @@
   const gp_lease_holder_t *holder = &runner->holder;
   gp_resources_t free = { 0 };
 
-  if (!has_begun (runner))
+  if (!has_lease_holder (runner))
     return;
-  if (runner->phase == GP_RUNNER_SERVING && runner->up && !runner->leaving)
+  if (runner->phase == GP_RUNNER_SERVING && runner->runtime_up
+      && !runner->leaving)
     free = gp_capacity_headroom (&runner->capacity);
-  runner->free = gp_runner_wire_resources (&free);
-  heartbeat->free = &runner->free;
+  runner->heartbeat_free = gp_runner_wire_resources (&free);
+  heartbeat->free = &runner->heartbeat_free;
   heartbeat->sequence = holder->sequence;
   heartbeat->lease_incarnation = holder->incarnation;
   heartbeat->inherits = holder->inherits;
@@ -425,17 +429,18 @@
     {
       gp_log (GP_LOG_INFO, "lease.held",
               GP_LOG_I ("incarnation", runner->holder.incarnation));
-      gp_runner_note (runner, GP_TIMELINE_LEASE_RENEWED, NULL, "first");
+      gp_runner_record_event (runner, GP_TIMELINE_LEASE_RENEWED, NULL,
+                              "first");
     }
-  gp_runner_act (runner, &actions);
+  gp_runner_apply_lease_actions (runner, &actions);
 }
 
 void
 gp_runner_on_message (gp_runner_t *runner, gp_session_t *session,
                       const Gp__Wire__Envelope *envelope)
 {
-  gp_runner_check (runner);
-  if (!has_begun (runner) || !is_entry (session))
+  gp_runner_check_lease (runner);
+  if (!has_lease_holder (runner) || !is_entry (session))
     return;
   switch (envelope->message_case)
     {
--- a/src/daemon/runner.h
+++ b/src/daemon/runner.h
@@ -22,9 +22,9 @@
   /* Announce the guard again on all sessions (see gp_runner_fill_announce):
      the worker has changed, or the incarnation of the lease, which may be
      greater than the guard's own.  */
-  void (*on_renewed) (void *data);
+  void (*on_announcement_changed) (void *data);
   /* Send a heartbeat on all sessions, to renew the lease.  */
-  void (*on_heartbeat) (void *data);
+  void (*on_heartbeat_due) (void *data);
   void *data;
 } gp_runner_callbacks_t;
 
--- a/src/daemon/runner_private.h
+++ b/src/daemon/runner_private.h
@@ -6,7 +6,7 @@
 
    Invariants:
 
-   - Every call from outside first checks the lease (gp_runner_check).
+   - Every call from outside first checks the lease (gp_runner_check_lease).
    - A task is in the table of tasks, by (task, epoch), from the Start that was
      accepted or refused, or from its adoption, until its end is acknowledged
      and the runtime has removed it.
@@ -50,17 +50,17 @@
   /* Start.  */
   char *kind;
   char *payload;
-  char *checkpoint; /* to start from, later the last one taken; or NULL */
-  bool maybe_sent;  /* a start call may have reached the runtime */
-  bool start_due;   /* the start call must be repeated */
+  char *checkpoint;      /* to start from, later the last one taken; or NULL */
+  bool start_maybe_sent; /* a start call may have reached the runtime */
+  bool start_due;        /* the start call must be repeated */
   /* Stop.  */
   const char *stop_verb; /* NULL while no stop is requested */
   Gp__Wire__Reason stop_reason;
   bool stop_due; /* the stop call must be sent or repeated */
   /* Reports.  */
-  uint64_t number; /* of the unacknowledged report, or 0 */
-  Gp__Wire__TaskState end;
-  Gp__Wire__Reason reason;
+  uint64_t report_number; /* of the unacknowledged report, or 0 */
+  Gp__Wire__TaskState end_state;
+  Gp__Wire__Reason end_reason;
   char *result;
   uint64_t run_time_us;
   gp_resources_t free;
@@ -84,25 +84,25 @@
   gp_epoch_table_t epochs;
   gp_lease_holder_t holder;
   bool wants_vouch;
-  bool renewing;           /* a renewal call is in progress */
-  gp_time_t renew_pending; /* deadline to send after that call, or 0 */
+  bool renewal_in_progress;
+  gp_time_t queued_deadline; /* to send after that renewal, or 0 */
   gp_timer_t lease_timer;
 
   /* Runtime.  */
   gp_runtime_info_t info;
   uint64_t predecessor;
-  bool up;             /* the last call was answered */
-  bool asking;         /* a step of the attach sequence is in progress */
-  bool ask_again;      /* restart the sequence after that step */
-  bool awaiting;       /* a call for events is in progress */
-  uint64_t next_event; /* sequence of the last event seen */
+  bool runtime_up;        /* the last call was answered */
+  bool step_in_progress;  /* a step of the attach sequence is in progress */
+  bool restart_requested; /* restart the sequence after that step */
+  bool awaiting_events;   /* a call for events is in progress */
+  uint64_t next_event;    /* sequence of the last event seen */
   gp_time_t attached_at;
   gp_timer_t retry_timer;
 
   /* Tasks.  */
   GHashTable *tasks; /* gp_runner_key_t -> gp_runner_task_t */
   gp_capacity_t capacity;
-  uint64_t last_report;
+  uint64_t last_report_number;
   gp_timer_t repeat_timer;
 
   /* Measurements.  */
@@ -117,16 +117,17 @@
   void *drained_data;
 
   gp_closer_t closer;
-  Gp__Wire__Resources announced;
-  Gp__Wire__Resources free;
+  Gp__Wire__Resources announced_capacity;
+  Gp__Wire__Resources heartbeat_free;
 };
 
 /* runner.c  */
 
 /* Check the lease.  Every entry point calls this first.  */
-void gp_runner_check (gp_runner_t *runner);
+void gp_runner_check_lease (gp_runner_t *runner);
 /* Apply ACTIONS of the lease holder and schedule the next check.  */
-void gp_runner_act (gp_runner_t *runner, gp_lease_holder_actions_t *actions);
+void gp_runner_apply_lease_actions (gp_runner_t *runner,
+                                    gp_lease_holder_actions_t *actions);
 /* Announce the guard on all sessions and send the inventory to entries.  */
 void gp_runner_announce (gp_runner_t *runner);
 void gp_runner_broadcast (gp_runner_t *runner,
@@ -134,82 +135,85 @@
 /* The runtime reported that it is claimed by HOLDER.  */
 void gp_runner_on_claimed (gp_runner_t *runner, uint64_t holder);
 /* The runtime's state is known: initialize the capacity and the lease.  */
-void gp_runner_begin (gp_runner_t *runner);
+void gp_runner_begin_lease (gp_runner_t *runner);
 /* Update the capacity, which may have changed with a runtime restart.  */
-void gp_runner_resize (gp_runner_t *runner);
+void gp_runner_update_capacity (gp_runner_t *runner);
 /* While shutting down: schedule on_drained if no task is left.  */
 void gp_runner_check_drained (gp_runner_t *runner);
 Gp__Wire__Resources gp_runner_wire_resources (const gp_resources_t *resources);
-void gp_runner_note (gp_runner_t *runner, gp_timeline_kind_t kind,
-                     const gp_runner_key_t *key, const char *text);
+void gp_runner_record_event (gp_runner_t *runner, gp_timeline_kind_t kind,
+                             const gp_runner_key_t *key, const char *text);
 
 /* runner_runtime.c  */
 
 /* Start the attach sequence: claim the runtime and list its tasks or, while
    serving, check whether the runtime has restarted.  */
-void gp_runner_find_runtime (gp_runner_t *runner);
+void gp_runner_attach (gp_runner_t *runner);
 void gp_runner_on_retry (gp_timer_t *timer, void *data);
 
 /* runner_tasks.c  */
 
 void gp_runner_tasks_init (gp_runner_t *runner);
-gp_runner_task_t *gp_runner_find (const gp_runner_t *runner, uint64_t task,
-                                  uint64_t epoch);
+gp_runner_task_t *gp_runner_find_task (const gp_runner_t *runner,
+                                       uint64_t task, uint64_t epoch);
 void gp_runner_start_task (gp_runner_t *runner, gp_session_t *session,
                            const Gp__Wire__Start *start);
 void gp_runner_stop_task (gp_runner_t *runner, const Gp__Wire__Stop *stop);
 /* Request the runtime to end TASK.  */
-void gp_runner_evict (gp_runner_t *runner, gp_runner_task_t *task,
-                      const char *verb, Gp__Wire__Reason reason);
+void gp_runner_evict_task (gp_runner_t *runner, gp_runner_task_t *task,
+                           const char *verb, Gp__Wire__Reason reason);
 /* Add a task that the runtime lists when the runner attaches.  */
-void gp_runner_adopt (gp_runner_t *runner, const gp_runtime_task_t *listed);
+void gp_runner_adopt_task (gp_runner_t *runner,
+                           const gp_runtime_task_t *listed);
 /* Handle the state of a task from an event or a task list.  */
-void gp_runner_hear (gp_runner_t *runner, const gp_runtime_task_t *heard);
+void gp_runner_update_task (gp_runner_t *runner,
+                            const gp_runtime_task_t *reported);
 /* Release the capacity reserved for TASK.  */
-void gp_runner_release (gp_runner_t *runner, const gp_runner_task_t *task);
+void gp_runner_release_capacity (gp_runner_t *runner,
+                                 const gp_runner_task_t *task);
 /* Remove TASK from the table and free it.  */
 void gp_runner_remove_task (gp_runner_t *runner, gp_runner_task_t *task);
 /* Repeat calls and reports that have not been answered.  */
-void gp_runner_repeat (gp_runner_t *runner);
+void gp_runner_repeat_unanswered (gp_runner_t *runner);
 
 /* runner_reports.c  */
 
 void gp_runner_reports_init (void);
 /* Report the current state of TASK to all entries.  */
 void gp_runner_report (gp_runner_t *runner, const gp_runner_task_t *task);
-void gp_runner_report_again (gp_runner_t *runner,
-                             const gp_runner_task_t *task);
+void gp_runner_resend_report (gp_runner_t *runner,
+                              const gp_runner_task_t *task);
 /* Report new state under a new number; resent until acknowledged.  */
 void gp_runner_report_new (gp_runner_t *runner, gp_runner_task_t *task);
 /* Answer a duplicate of the Start of TASK with the task's state.  */
-void gp_runner_answer_start (gp_session_t *session,
-                             const gp_runner_task_t *task);
+void gp_runner_answer_duplicate_start (gp_session_t *session,
+                                       const gp_runner_task_t *task);
 void gp_runner_send_inventory (gp_runner_t *runner, gp_session_t *session);
-void gp_runner_take_checkpoint (gp_runner_task_t *task,
-                                const char *checkpoint);
+void gp_runner_set_checkpoint (gp_runner_task_t *task, const char *checkpoint);
 /* Record the end that the runtime reports; end_task also reports it to the
    entries.  */
-void gp_runner_take_end (gp_runner_t *runner, gp_runner_task_t *task,
-                         const gp_runtime_task_t *heard);
+void gp_runner_record_end (gp_runner_t *runner, gp_runner_task_t *task,
+                           const gp_runtime_task_t *reported);
 void gp_runner_end_task (gp_runner_t *runner, gp_runner_task_t *task,
-                         const gp_runtime_task_t *heard);
+                         const gp_runtime_task_t *reported);
 /* TASK has disappeared without a reported end.  */
-void gp_runner_lose (gp_runner_t *runner, gp_runner_task_t *task);
+void gp_runner_set_task_lost (gp_runner_t *runner, gp_runner_task_t *task);
 /* Refuse TASK: it will never run under its epoch.  */
-void gp_runner_refuse (gp_runner_t *runner, gp_runner_task_t *task,
-                       Gp__Wire__Reason reason);
+void gp_runner_refuse_task (gp_runner_t *runner, gp_runner_task_t *task,
+                            Gp__Wire__Reason reason);
 void gp_runner_acknowledge (gp_runner_t *runner,
                             const Gp__Wire__TaskReportAck *ack);
 /* All epochs of the task ID below EPOCH have ended in the log: treat their
    ends as acknowledged.  */
-void gp_runner_settle_older (gp_runner_t *runner, uint64_t id, uint64_t epoch);
+void gp_runner_acknowledge_older (gp_runner_t *runner, uint64_t id,
+                                  uint64_t epoch);
 /* Tell the runtime to remove TASK.  */
 void gp_runner_forget_task (gp_runner_t *runner, gp_runner_task_t *task);
 
 /* runner_usage.c  */
 
-void gp_runner_measure (gp_runner_t *runner);
+void gp_runner_measure_usage (gp_runner_t *runner);
 /* Apply the throttles and evictions that the capacity has decided.  */
-void gp_runner_relieve (gp_runner_t *runner);
+void gp_runner_apply_capacity_actions (gp_runner_t *runner);
 
 #endif
--- a/src/daemon/runner_reports.c
+++ b/src/daemon/runner_reports.c
@@ -33,7 +33,7 @@
 } report_t;
 
 static ProtobufCBinaryData
-wire_text (char *text)
+text_to_wire (char *text)
 {
   if (text == NULL)
     return (ProtobufCBinaryData){ 0 };
@@ -45,12 +45,12 @@
 {
   Gp__Wire__TaskReport *message = &report->message;
 
-  message->state = task->end;
-  message->reason = task->reason;
-  message->result = wire_text (task->result);
+  message->state = task->end_state;
+  message->reason = task->end_reason;
+  message->result = text_to_wire (task->result);
   message->run_time_us = task->run_time_us;
-  message->number = task->number;
-  if (task->reason != GP__WIRE__REASON__REASON_CAPACITY)
+  message->number = task->report_number;
+  if (task->end_reason != GP__WIRE__REASON__REASON_CAPACITY)
     return;
   report->free = gp_runner_wire_resources (&task->free);
   message->free = &report->free;
@@ -67,17 +67,17 @@
   message->epoch = task->key.epoch;
   report->used = gp_runner_wire_resources (&task->reservation.observed);
   message->used = &report->used;
-  message->checkpoint = wire_text (task->checkpoint);
+  message->checkpoint = text_to_wire (task->checkpoint);
   if (task->phase == GP_RUNNER_TASK_ENDED)
     {
       fill_end (report, task);
       return;
     }
   message->state = GP__WIRE__TASK_STATE__TASK_STATE_RUNNING;
-  if (task->number == 0)
+  if (task->report_number == 0)
     return;
   message->state = GP__WIRE__TASK_STATE__TASK_STATE_CHECKPOINTED;
-  message->number = task->number;
+  message->number = task->report_number;
 }
 
 void
@@ -92,7 +92,7 @@
 }
 
 void
-gp_runner_report_again (gp_runner_t *runner, const gp_runner_task_t *task)
+gp_runner_resend_report (gp_runner_t *runner, const gp_runner_task_t *task)
 {
   gp_counter_add (&repeats_total, 1);
   gp_runner_report (runner, task);
@@ -101,12 +101,13 @@
 void
 gp_runner_report_new (gp_runner_t *runner, gp_runner_task_t *task)
 {
-  task->number = ++runner->last_report;
+  task->report_number = ++runner->last_report_number;
   gp_runner_report (runner, task);
 }
 
 void
-gp_runner_answer_start (gp_session_t *session, const gp_runner_task_t *task)
+gp_runner_answer_duplicate_start (gp_session_t *session,
+                                  const gp_runner_task_t *task)
 {
   report_t report;
   Gp__Wire__Envelope envelope
@@ -161,15 +162,15 @@
 {
   gp_runner_t *runner = data;
   gp_runner_task_t *task
-      = gp_runner_find (runner, answer->task, answer->epoch);
+      = gp_runner_find_task (runner, answer->task, answer->epoch);
 
-  gp_runner_check (runner);
-  if (answer->claimed != 0)
-    gp_runner_on_claimed (runner, answer->claimed);
+  gp_runner_check_lease (runner);
+  if (answer->claimed_by != 0)
+    gp_runner_on_claimed (runner, answer->claimed_by);
   if (task == NULL)
     return;
-  if (gp_runtime_done_well (answer) || answer->status == 404
-      || (answer->status == 409 && answer->claimed == 0))
+  if (gp_runtime_answer_ok (answer) || answer->status == 404
+      || (answer->status == 409 && answer->claimed_by == 0))
     gp_runner_remove_task (runner, task);
   else
     task->forget_due = true;
@@ -185,7 +186,7 @@
 
 /* The end of TASK is in the log: remove the task, from the runtime first.  */
 static void
-settle (gp_runner_t *runner, gp_runner_task_t *task)
+remove_acknowledged (gp_runner_t *runner, gp_runner_task_t *task)
 {
   if (task->acknowledged)
     return;
@@ -202,16 +203,16 @@
 {
   const gp_runner_key_t *key = &task->key;
 
-  gp_runner_release (runner, task);
+  gp_runner_release_capacity (runner, task);
   gp_epoch_table_set_ended (&runner->epochs, key->task, key->epoch);
   task->phase = GP_RUNNER_TASK_ENDED;
-  task->end = end;
+  task->end_state = end;
   task->start_due = false;
   task->stop_due = false;
 }
 
 void
-gp_runner_take_checkpoint (gp_runner_task_t *task, const char *checkpoint)
+gp_runner_set_checkpoint (gp_runner_task_t *task, const char *checkpoint)
 {
   if (*checkpoint == '\0')
     return;
@@ -220,65 +221,68 @@
 }
 
 void
-gp_runner_take_end (gp_runner_t *runner, gp_runner_task_t *task,
-                    const gp_runtime_task_t *heard)
+gp_runner_record_end (gp_runner_t *runner, gp_runner_task_t *task,
+                      const gp_runtime_task_t *reported)
 {
-  set_ended (runner, task, heard->state);
+  set_ended (runner, task, reported->state);
   task->in_runtime = true;
-  task->result = g_strdup (heard->result);
-  task->run_time_us = heard->run_time_us;
-  gp_runner_take_checkpoint (task, heard->checkpoint);
-  if (heard->state == GP__WIRE__TASK_STATE__TASK_STATE_STOPPED)
-    task->reason = task->stop_reason;
+  task->result = g_strdup (reported->result);
+  task->run_time_us = reported->run_time_us;
+  gp_runner_set_checkpoint (task, reported->checkpoint);
+  if (reported->state == GP__WIRE__TASK_STATE__TASK_STATE_STOPPED)
+    task->end_reason = task->stop_reason;
 }
 
 void
 gp_runner_end_task (gp_runner_t *runner, gp_runner_task_t *task,
-                    const gp_runtime_task_t *heard)
+                    const gp_runtime_task_t *reported)
 {
-  gp_runner_take_end (runner, task, heard);
+  gp_runner_record_end (runner, task, reported);
   gp_counter_add (&ends_total, 1);
-  gp_runner_note (runner, GP_TIMELINE_TASK_ENDED, &task->key, heard->result);
+  gp_runner_record_event (runner, GP_TIMELINE_TASK_ENDED, &task->key,
+                          reported->result);
   gp_runner_report_new (runner, task);
-  gp_runner_relieve (runner);
+  gp_runner_apply_capacity_actions (runner);
 }
 
 void
-gp_runner_lose (gp_runner_t *runner, gp_runner_task_t *task)
+gp_runner_set_task_lost (gp_runner_t *runner, gp_runner_task_t *task)
 {
   set_ended (runner, task, GP__WIRE__TASK_STATE__TASK_STATE_LOST);
   gp_counter_add (&ends_total, 1);
-  gp_runner_note (runner, GP_TIMELINE_TASK_ENDED, &task->key, "lost");
+  gp_runner_record_event (runner, GP_TIMELINE_TASK_ENDED, &task->key, "lost");
   gp_runner_report_new (runner, task);
 }
 
 void
-gp_runner_refuse (gp_runner_t *runner, gp_runner_task_t *task,
-                  Gp__Wire__Reason reason)
+gp_runner_refuse_task (gp_runner_t *runner, gp_runner_task_t *task,
+                       Gp__Wire__Reason reason)
 {
   set_ended (runner, task, GP__WIRE__TASK_STATE__TASK_STATE_REFUSED);
-  task->reason = reason;
+  task->end_reason = reason;
   gp_counter_add (&refused_total, 1);
   if (reason == GP__WIRE__REASON__REASON_CAPACITY)
-    gp_runner_note (runner, GP_TIMELINE_CAPACITY_REFUSED, &task->key, NULL);
+    gp_runner_record_event (runner, GP_TIMELINE_CAPACITY_REFUSED, &task->key,
+                            NULL);
   gp_runner_report_new (runner, task);
 }
 
 void
 gp_runner_acknowledge (gp_runner_t *runner, const Gp__Wire__TaskReportAck *ack)
 {
-  gp_runner_task_t *task = gp_runner_find (runner, ack->task, ack->epoch);
+  gp_runner_task_t *task = gp_runner_find_task (runner, ack->task, ack->epoch);
 
-  if (task == NULL || task->number == 0 || ack->number != task->number)
+  if (task == NULL || task->report_number == 0
+      || ack->number != task->report_number)
     return;
   if (task->phase == GP_RUNNER_TASK_ENDED)
-    settle (runner, task);
+    remove_acknowledged (runner, task);
   else
-    task->number = 0;
+    task->report_number = 0;
 }
 
 void
-gp_runner_settle_older (gp_runner_t *runner, uint64_t id, uint64_t epoch)
+gp_runner_acknowledge_older (gp_runner_t *runner, uint64_t id, uint64_t epoch)
 {
   g_autoptr (GPtrArray) older = g_ptr_array_new ();
   GHashTableIter iter;
@@ -294,5 +298,5 @@
         g_ptr_array_add (older, value);
     }
   for (guint i = 0; i < older->len; i++)
-    settle (runner, older->pdata[i]);
+    remove_acknowledged (runner, older->pdata[i]);
 }
--- a/src/daemon/runner_runtime.c
+++ b/src/daemon/runner_runtime.c
@@ -28,35 +28,35 @@
   gp_runner_t *runner = data;
 
   (void)timer;
-  gp_runner_check (runner);
-  gp_runner_find_runtime (runner);
+  gp_runner_check_lease (runner);
+  gp_runner_attach (runner);
 }
 
 static void
 await_events (gp_runner_t *runner)
 {
-  if (runner->awaiting)
+  if (runner->awaiting_events)
     return;
-  runner->awaiting = true;
+  runner->awaiting_events = true;
   gp_runtime_await_events (&runner->runtime, runner->next_event, on_events);
 }
 
 static void
-set_up (gp_runner_t *runner, bool up)
+set_runtime_up (gp_runner_t *runner, bool up)
 {
-  if (runner->up == up)
+  if (runner->runtime_up == up)
     return;
-  runner->up = up;
+  runner->runtime_up = up;
   gp_log (up ? GP_LOG_INFO : GP_LOG_WARNING,
           up ? "runtime.up" : "runtime.down");
   if (up)
-    gp_runner_repeat (runner);
+    gp_runner_repeat_unanswered (runner);
 }
 
 /* Events.  */
 
 static void
-hear_events (gp_runner_t *runner, const json_t *list)
+process_events (gp_runner_t *runner, const json_t *list)
 {
   gp_runtime_task_t event;
   const json_t *item;
@@ -65,23 +65,23 @@
   json_array_foreach (list, i, item)
   {
     if (gp_runtime_read_task (item, &event))
-      gp_runner_hear (runner, &event);
+      gp_runner_update_task (runner, &event);
   }
 }
 
 static bool
-take_events (gp_runner_t *runner, const gp_runtime_answer_t *answer)
+handle_events (gp_runner_t *runner, const gp_runtime_answer_t *answer)
 {
   json_int_t next;
   json_t *list;
 
-  if (!gp_runtime_done_well (answer)
+  if (!gp_runtime_answer_ok (answer)
       || json_unpack (answer->body, "{s:I,s:o}", "next", &next, "events",
                       &list)
              != 0)
     return false;
-  hear_events (runner, list);
-  if (answer->asked_at >= runner->attached_at)
+  process_events (runner, list);
+  if (answer->called_at >= runner->attached_at)
     runner->next_event = (uint64_t)next;
   return true;
 }
@@ -91,50 +91,50 @@
 {
   gp_runner_t *runner = data;
 
-  runner->awaiting = false;
-  gp_runner_check (runner);
+  runner->awaiting_events = false;
+  gp_runner_check_lease (runner);
   if (runner->phase != GP_RUNNER_SERVING)
     return;
-  if (take_events (runner, answer))
+  if (handle_events (runner, answer))
     {
       await_events (runner);
       return;
     }
-  set_up (runner, false);
-  gp_runner_find_runtime (runner);
+  set_runtime_up (runner, false);
+  gp_runner_attach (runner);
 }
 
 /* The attach sequence.  */
 
 /* A step has completed.  Returns whether to continue with the next one.  */
 static bool
-step_done (gp_runner_t *runner, const gp_runtime_answer_t *answer)
+finish_step (gp_runner_t *runner, const gp_runtime_answer_t *answer)
 {
-  runner->asking = false;
-  gp_runner_check (runner);
-  if (answer->claimed != 0 && runner->phase != GP_RUNNER_STARTING)
-    gp_runner_on_claimed (runner, answer->claimed);
-  if (runner->asking || runner->phase == GP_RUNNER_SUPERSEDED)
+  runner->step_in_progress = false;
+  gp_runner_check_lease (runner);
+  if (answer->claimed_by != 0 && runner->phase != GP_RUNNER_STARTING)
+    gp_runner_on_claimed (runner, answer->claimed_by);
+  if (runner->step_in_progress || runner->phase == GP_RUNNER_SUPERSEDED)
     return false; /* restarted by the check, or abandoned */
-  if (runner->ask_again)
+  if (runner->restart_requested)
     {
-      runner->ask_again = false;
-      gp_runner_find_runtime (runner);
+      runner->restart_requested = false;
+      gp_runner_attach (runner);
       return false;
     }
-  if (gp_runtime_done_well (answer))
+  if (gp_runtime_answer_ok (answer))
     return true;
   if (runner->phase == GP_RUNNER_SERVING)
-    set_up (runner, false);
+    set_runtime_up (runner, false);
   retry_later (runner);
   return false;
 }
 
 static void
-serve (gp_runner_t *runner)
+begin_serving (gp_runner_t *runner)
 {
   runner->phase = GP_RUNNER_SERVING;
-  set_up (runner, true);
+  set_runtime_up (runner, true);
   await_events (runner);
 }
 
@@ -147,20 +147,20 @@
   const json_t *item;
   size_t i;
 
-  gp_runner_begin (runner);
+  gp_runner_begin_lease (runner);
   json_array_foreach (list, i, item)
   {
     if (gp_runtime_read_task (item, &task))
-      gp_runner_adopt (runner, &task);
+      gp_runner_adopt_task (runner, &task);
   }
   gp_log (GP_LOG_INFO, "runner.attached",
           GP_LOG_I ("incarnation", runner->holder.incarnation),
           GP_LOG_I ("inherits", runner->holder.inherits),
           GP_LOG_I ("tasks", g_hash_table_size (runner->tasks)));
-  serve (runner);
+  begin_serving (runner);
   gp_runner_announce (runner);
-  gp_runner_relieve (runner);
-  gp_runner_check (runner);
+  gp_runner_apply_capacity_actions (runner);
+  gp_runner_check_lease (runner);
 }
 
 /* Whether the list names (TASK, EPOCH).  */
@@ -181,7 +181,7 @@
 }
 
 static void
-lose_unlisted (gp_runner_t *runner, const json_t *list)
+set_unlisted_lost (gp_runner_t *runner, const json_t *list)
 {
   GHashTableIter iter;
   void *value;
@@ -192,7 +192,7 @@
       gp_runner_task_t *task = value;
 
       if (task->phase != GP_RUNNER_TASK_ENDED && !is_listed (list, &task->key))
-        gp_runner_lose (runner, task);
+        gp_runner_set_task_lost (runner, task);
     }
 }
 
@@ -216,26 +216,26 @@
         running++;
       }
     else
-      gp_runner_hear (runner, &task);
+      gp_runner_update_task (runner, &task);
   }
   return running;
 }
 
 static void
-confirm_stop (gp_runner_t *runner, const json_t *list)
+check_all_stopped (gp_runner_t *runner, const json_t *list)
 {
   gp_lease_holder_actions_t actions = { 0 };
 
-  lose_unlisted (runner, list);
+  set_unlisted_lost (runner, list);
   if (cancel_listed (runner, list) > 0)
     {
       retry_later (runner);
       return;
     }
-  gp_runner_resize (runner);
-  serve (runner);
+  gp_runner_update_capacity (runner);
+  begin_serving (runner);
   gp_lease_holder_stopped (&runner->holder, gp_time_now (), &actions);
-  gp_runner_act (runner, &actions);
+  gp_runner_apply_lease_actions (runner, &actions);
 }
 
 static void
@@ -244,7 +244,7 @@
   gp_runner_t *runner = data;
   json_t *list;
 
-  if (!step_done (runner, answer))
+  if (!finish_step (runner, answer))
     return;
   if (json_unpack (answer->body, "{s:o}", "tasks", &list) != 0)
     {
@@ -257,7 +257,7 @@
       adopt_tasks (runner, list);
       break;
     case GP_RUNNER_STOPPING:
-      confirm_stop (runner, list);
+      check_all_stopped (runner, list);
       break;
     case GP_RUNNER_SERVING:
     case GP_RUNNER_SUPERSEDED:
@@ -270,7 +270,7 @@
 {
   gp_runner_t *runner = data;
 
-  if (!step_done (runner, answer))
+  if (!finish_step (runner, answer))
     return;
   if (!gp_runtime_read_info (answer->body, &runner->info)
       || runner->info.holder != runner->runtime.holder)
@@ -278,10 +278,10 @@
       retry_later (runner);
       return;
     }
-  runner->next_event = runner->info.events;
+  runner->next_event = runner->info.last_event;
   runner->attached_at = gp_time_now ();
-  runner->asking = true;
-  gp_runtime_ask_tasks (&runner->runtime, on_tasks);
+  runner->step_in_progress = true;
+  gp_runtime_list_tasks (&runner->runtime, on_tasks);
 }
 
 static void
@@ -289,27 +289,27 @@
 {
   gp_runner_t *runner = data;
 
-  if (!step_done (runner, answer))
+  if (!finish_step (runner, answer))
     return;
-  runner->asking = true;
-  gp_runtime_ask_info (&runner->runtime, on_claimed_info);
+  runner->step_in_progress = true;
+  gp_runtime_get_info (&runner->runtime, on_claimed_info);
 }
 
 /* While serving, after the runtime was unreachable: check whether it has
    restarted.  */
 static void
-compare_boot (gp_runner_t *runner, const gp_runtime_info_t *info)
+check_restarted (gp_runner_t *runner, const gp_runtime_info_t *info)
 {
   gp_lease_holder_actions_t actions = { 0 };
 
   if (info->boot == runner->info.boot)
     {
-      serve (runner);
+      begin_serving (runner);
       return;
     }
   gp_log (GP_LOG_WARNING, "runtime.restarted");
   gp_lease_holder_give_up (&runner->holder, &actions);
-  gp_runner_act (runner, &actions);
+  gp_runner_apply_lease_actions (runner, &actions);
 }
 
 static void
@@ -321,7 +321,7 @@
     runner->predecessor = info->holder;
   if (info->holder > runtime->holder && runner->phase == GP_RUNNER_STARTING)
     runtime->holder = info->holder + 1;
-  runner->asking = true;
+  runner->step_in_progress = true;
   gp_runtime_claim (runtime, on_claim);
 }
 
@@ -331,27 +331,27 @@
   gp_runner_t *runner = data;
   gp_runtime_info_t info;
 
-  if (!step_done (runner, answer))
+  if (!finish_step (runner, answer))
     return;
   if (!gp_runtime_read_info (answer->body, &info))
     retry_later (runner);
   else if (runner->phase == GP_RUNNER_SERVING)
-    compare_boot (runner, &info);
+    check_restarted (runner, &info);
   else
     claim (runner, &info);
 }
 
 void
-gp_runner_find_runtime (gp_runner_t *runner)
+gp_runner_attach (gp_runner_t *runner)
 {
   if (runner->phase == GP_RUNNER_SUPERSEDED)
     return;
-  if (runner->asking)
+  if (runner->step_in_progress)
     {
-      runner->ask_again = true;
+      runner->restart_requested = true;
       return;
     }
   gp_timer_disarm (&runner->retry_timer);
-  runner->asking = true;
-  gp_runtime_ask_info (&runner->runtime, on_info);
+  runner->step_in_progress = true;
+  gp_runtime_get_info (&runner->runtime, on_info);
 }
--- a/src/daemon/runner_tasks.c
+++ b/src/daemon/runner_tasks.c
@@ -62,7 +62,7 @@
 }
 
 gp_runner_task_t *
-gp_runner_find (const gp_runner_t *runner, uint64_t task, uint64_t epoch)
+gp_runner_find_task (const gp_runner_t *runner, uint64_t task, uint64_t epoch)
 {
   const gp_runner_key_t key = { .task = task, .epoch = epoch };
 
@@ -82,7 +82,7 @@
 }
 
 void
-gp_runner_release (gp_runner_t *runner, const gp_runner_task_t *task)
+gp_runner_release_capacity (gp_runner_t *runner, const gp_runner_task_t *task)
 {
   if (gp_capacity_release (&runner->capacity, task->key.task, task->key.epoch,
                            gp_time_now ())
@@ -123,7 +123,7 @@
   task->phase = GP_RUNNER_TASK_RUNNING;
   task->in_runtime = true;
   gp_counter_add (&starts_total, 1);
-  gp_runner_note (runner, GP_TIMELINE_TASK_STARTED, &task->key, NULL);
+  gp_runner_record_event (runner, GP_TIMELINE_TASK_STARTED, &task->key, NULL);
   gp_runner_report (runner, task);
 }
 
@@ -131,8 +131,8 @@
    runs, or under an older one that has ended in the log and can be
    removed.  */
 static void
-on_present (gp_runner_t *runner, gp_runner_task_t *task,
-            const gp_runtime_answer_t *answer)
+on_already_present (gp_runner_t *runner, gp_runner_task_t *task,
+                    const gp_runtime_answer_t *answer)
 {
   json_int_t epoch = 0;
 
@@ -160,9 +160,10 @@
 /* Whether it is unknown if the runtime started the task; then the start call
    is repeated until it is known.  */
 static bool
-is_unknown (const gp_runner_task_t *task, const gp_runtime_answer_t *answer)
+start_is_uncertain (const gp_runner_task_t *task,
+                    const gp_runtime_answer_t *answer)
 {
-  return task->maybe_sent || answer->claimed != 0
+  return task->start_maybe_sent || answer->claimed_by != 0
          || (answer->status == 0 && answer->sent);
 }
 
@@ -171,13 +172,13 @@
                 const gp_runtime_answer_t *answer)
 {
   if (answer->status == 0 && answer->sent)
-    task->maybe_sent = true;
-  if (is_unknown (task, answer))
+    task->start_maybe_sent = true;
+  if (start_is_uncertain (task, answer))
     task->start_due = true;
   else if (answer->status == 0)
-    gp_runner_refuse (runner, task, GP__WIRE__REASON__REASON_CONNECT);
+    gp_runner_refuse_task (runner, task, GP__WIRE__REASON__REASON_CONNECT);
   else
-    gp_runner_refuse (runner, task, GP__WIRE__REASON__REASON_UPSTREAM);
+    gp_runner_refuse_task (runner, task, GP__WIRE__REASON__REASON_UPSTREAM);
 }
 
 /* Check the lease and the claim, then find the task that the runtime's ANSWER
@@ -185,10 +186,10 @@
 static gp_runner_task_t *
 answered_task (gp_runner_t *runner, const gp_runtime_answer_t *answer)
 {
-  gp_runner_check (runner);
-  if (answer->claimed != 0)
-    gp_runner_on_claimed (runner, answer->claimed);
-  return gp_runner_find (runner, answer->task, answer->epoch);
+  gp_runner_check_lease (runner);
+  if (answer->claimed_by != 0)
+    gp_runner_on_claimed (runner, answer->claimed_by);
+  return gp_runner_find_task (runner, answer->task, answer->epoch);
 }
 
 static void
@@ -200,16 +201,16 @@
   task = answered_task (runner, answer);
   if (task == NULL || task->phase != GP_RUNNER_TASK_STARTING)
     return;
-  if (gp_runtime_done_well (answer))
+  if (gp_runtime_answer_ok (answer))
     set_running (runner, task);
   else if (is_present (answer))
-    on_present (runner, task, answer);
+    on_already_present (runner, task, answer);
   else
     on_not_started (runner, task, answer);
 }
 
 static char *
-text_of (const ProtobufCBinaryData *data)
+copy_text (const ProtobufCBinaryData *data)
 {
   return g_strndup ((const char *)data->data, data->len);
 }
@@ -225,14 +226,14 @@
 }
 
 static gp_runner_task_t *
-add_started (gp_runner_t *runner, const Gp__Wire__Start *start)
+add_from_start (gp_runner_t *runner, const Gp__Wire__Start *start)
 {
   gp_runner_task_t *task = add_task (runner, start->task, start->epoch);
 
   task->kind = g_strdup (start->kind);
   task->payload = g_strdup (start->payload);
   if (start->checkpoint.len > 0)
-    task->checkpoint = text_of (&start->checkpoint);
+    task->checkpoint = copy_text (&start->checkpoint);
   task->reservation.reserved = resources_of (start->resources);
   task->reservation.eviction_cost
       = start->work_class == GP__WIRE__WORK_CLASS__WORK_CLASS_WATCHER
@@ -242,20 +243,20 @@
 }
 
 static void
-admit (gp_runner_t *runner, const Gp__Wire__Start *start)
+reserve_and_start (gp_runner_t *runner, const Gp__Wire__Start *start)
 {
-  gp_runner_task_t *task = add_started (runner, start);
+  gp_runner_task_t *task = add_from_start (runner, start);
 
   if (runner->leaving)
     {
-      gp_runner_refuse (runner, task, GP__WIRE__REASON__REASON_LEAVING);
+      gp_runner_refuse_task (runner, task, GP__WIRE__REASON__REASON_LEAVING);
       return;
     }
   if (gp_capacity_reserve (&runner->capacity, &task->reservation,
                            gp_time_now (), &task->free)
       != GP_CAPACITY_RESERVED)
     {
-      gp_runner_refuse (runner, task, GP__WIRE__REASON__REASON_CAPACITY);
+      gp_runner_refuse_task (runner, task, GP__WIRE__REASON__REASON_CAPACITY);
       return;
     }
   gp_counter_add (&tasks_running, 1);
@@ -268,28 +269,28 @@
 {
   gp_lease_holder_actions_t actions = { 0 };
   const gp_runner_task_t *known
-      = gp_runner_find (runner, start->task, start->epoch);
+      = gp_runner_find_task (runner, start->task, start->epoch);
   gp_epoch_status_t status;
   gp_start_verdict_t verdict;
 
   if (known != NULL)
     {
-      gp_runner_answer_start (session, known);
+      gp_runner_answer_duplicate_start (session, known);
       return;
     }
-  gp_runner_settle_older (runner, start->task, start->epoch);
+  gp_runner_acknowledge_older (runner, start->task, start->epoch);
   status = gp_epoch_table_status (&runner->epochs, start->task, start->epoch);
   verdict = gp_lease_holder_start (&runner->holder, start->task, start->epoch,
                                    start->guard_incarnation, gp_time_now (),
                                    &actions);
   if (verdict == GP_START_ACCEPTED)
-    admit (runner, start);
+    reserve_and_start (runner, start);
   else if (verdict == GP_START_REFUSED && status != GP_EPOCH_ENDED)
-    gp_runner_refuse (runner, add_started (runner, start),
-                      GP__WIRE__REASON__REASON_FENCED);
+    gp_runner_refuse_task (runner, add_from_start (runner, start),
+                           GP__WIRE__REASON__REASON_FENCED);
   if (gp_epoch_table_full (&runner->epochs))
     gp_lease_holder_recycle (&runner->holder, gp_time_now (), &actions);
-  gp_runner_act (runner, &actions);
+  gp_runner_apply_lease_actions (runner, &actions);
 }
 
 /* Stopping.  */
@@ -303,7 +304,7 @@
   task = answered_task (runner, answer);
   if (task == NULL || task->phase == GP_RUNNER_TASK_ENDED)
     return;
-  task->stop_due = !gp_runtime_done_well (answer);
+  task->stop_due = !gp_runtime_answer_ok (answer);
 }
 
 static void
@@ -315,8 +316,8 @@
 }
 
 void
-gp_runner_evict (gp_runner_t *runner, gp_runner_task_t *task, const char *verb,
-                 Gp__Wire__Reason reason)
+gp_runner_evict_task (gp_runner_t *runner, gp_runner_task_t *task,
+                      const char *verb, Gp__Wire__Reason reason)
 {
   if (task->phase == GP_RUNNER_TASK_ENDED)
     return;
@@ -326,7 +327,7 @@
       task->stop_reason = reason;
     }
   gp_capacity_set_stopping (&task->reservation);
-  gp_runner_note (runner, GP_TIMELINE_TASK_EVICTED, &task->key, verb);
+  gp_runner_record_event (runner, GP_TIMELINE_TASK_EVICTED, &task->key, verb);
   send_stop (runner, task);
 }
 
@@ -337,15 +338,15 @@
 {
   if (gp_epoch_table_status (&runner->epochs, stop->task, stop->epoch)
       == GP_EPOCH_NEW)
-    gp_runner_refuse (runner, add_task (runner, stop->task, stop->epoch),
-                      GP__WIRE__REASON__REASON_CANCELLED);
+    gp_runner_refuse_task (runner, add_task (runner, stop->task, stop->epoch),
+                           GP__WIRE__REASON__REASON_CANCELLED);
 }
 
 static void
 command_task (gp_runner_t *runner, const Gp__Wire__Stop *stop,
               const char *verb)
 {
-  if (gp_runner_find (runner, stop->task, stop->epoch) != NULL)
+  if (gp_runner_find_task (runner, stop->task, stop->epoch) != NULL)
     gp_runtime_command (&runner->runtime, stop->task, stop->epoch, verb, NULL);
 }
 
@@ -353,12 +354,14 @@
 end_by_message (gp_runner_t *runner, const Gp__Wire__Stop *stop,
                 const char *verb)
 {
-  gp_runner_task_t *task = gp_runner_find (runner, stop->task, stop->epoch);
+  gp_runner_task_t *task
+      = gp_runner_find_task (runner, stop->task, stop->epoch);
 
   if (task == NULL)
     refuse_unknown (runner, stop);
   else if (task->phase != GP_RUNNER_TASK_ENDED)
-    gp_runner_evict (runner, task, verb, GP__WIRE__REASON__REASON_CANCELLED);
+    gp_runner_evict_task (runner, task, verb,
+                          GP__WIRE__REASON__REASON_CANCELLED);
   else if (!task->acknowledged)
     gp_runner_report (runner, task);
 }
@@ -389,49 +392,52 @@
 /* State from the runtime.  */
 
 static void
-hear_checkpoint (gp_runner_t *runner, gp_runner_task_t *task,
-                 const char *checkpoint)
+record_checkpoint (gp_runner_t *runner, gp_runner_task_t *task,
+                   const char *checkpoint)
 {
-  gp_runner_take_checkpoint (task, checkpoint);
+  gp_runner_set_checkpoint (task, checkpoint);
   gp_counter_add (&checkpoints_total, 1);
-  gp_runner_note (runner, GP_TIMELINE_TASK_CHECKPOINTED, &task->key, NULL);
+  gp_runner_record_event (runner, GP_TIMELINE_TASK_CHECKPOINTED, &task->key,
+                          NULL);
   gp_runner_report_new (runner, task);
 }
 
 void
-gp_runner_hear (gp_runner_t *runner, const gp_runtime_task_t *heard)
+gp_runner_update_task (gp_runner_t *runner, const gp_runtime_task_t *reported)
 {
-  gp_runner_task_t *task = gp_runner_find (runner, heard->task, heard->epoch);
+  gp_runner_task_t *task
+      = gp_runner_find_task (runner, reported->task, reported->epoch);
 
   if (task == NULL || task->phase == GP_RUNNER_TASK_ENDED)
     return;
-  if (heard->state == GP__WIRE__TASK_STATE__TASK_STATE_CHECKPOINTED)
-    hear_checkpoint (runner, task, heard->checkpoint);
-  else if (heard->state != GP__WIRE__TASK_STATE__TASK_STATE_RUNNING)
-    gp_runner_end_task (runner, task, heard);
+  if (reported->state == GP__WIRE__TASK_STATE__TASK_STATE_CHECKPOINTED)
+    record_checkpoint (runner, task, reported->checkpoint);
+  else if (reported->state != GP__WIRE__TASK_STATE__TASK_STATE_RUNNING)
+    gp_runner_end_task (runner, task, reported);
   else if (task->phase == GP_RUNNER_TASK_STARTING)
     set_running (runner, task);
 }
 
 /* No report is sent, since an inventory follows.  */
 void
-gp_runner_adopt (gp_runner_t *runner, const gp_runtime_task_t *listed)
+gp_runner_adopt_task (gp_runner_t *runner, const gp_runtime_task_t *listed)
 {
   gp_runner_task_t *task = add_task (runner, listed->task, listed->epoch);
 
   task->in_runtime = true;
   if (listed->state != GP__WIRE__TASK_STATE__TASK_STATE_RUNNING)
     {
-      gp_runner_take_end (runner, task, listed);
-      task->number = ++runner->last_report;
+      gp_runner_record_end (runner, task, listed);
+      task->report_number = ++runner->last_report_number;
       return;
     }
   task->phase = GP_RUNNER_TASK_RUNNING;
   task->reservation.reserved = listed->resources;
   task->reservation.eviction_cost = COST_BATCH;
-  gp_runner_take_checkpoint (task, listed->checkpoint);
+  gp_runner_set_checkpoint (task, listed->checkpoint);
   if (task->checkpoint != NULL)
-    task->number = ++runner->last_report; /* may not be in the log yet */
+    task->report_number
+        = ++runner->last_report_number; /* may not be in the log yet */
   gp_epoch_table_set_running (&runner->epochs, listed->task, listed->epoch);
   gp_capacity_adopt (&runner->capacity, &task->reservation, gp_time_now ());
   gp_counter_add (&tasks_running, 1);
@@ -442,19 +448,19 @@
 static void
 repeat_task (gp_runner_t *runner, gp_runner_task_t *task)
 {
-  if (runner->up && task->start_due)
+  if (runner->runtime_up && task->start_due)
     send_start (runner, task);
-  if (runner->up && task->stop_due)
+  if (runner->runtime_up && task->stop_due)
     send_stop (runner, task);
-  if (runner->up && task->forget_due)
+  if (runner->runtime_up && task->forget_due)
     gp_runner_forget_task (runner, task);
-  if (task->number == 0 || task->acknowledged)
+  if (task->report_number == 0 || task->acknowledged)
     return;
-  gp_runner_report_again (runner, task);
+  gp_runner_resend_report (runner, task);
 }
 
 void
-gp_runner_repeat (gp_runner_t *runner)
+gp_runner_repeat_unanswered (gp_runner_t *runner)
 {
   GHashTableIter iter;
   void *value;
--- a/src/daemon/runner_usage.c
+++ b/src/daemon/runner_usage.c
@@ -11,10 +11,10 @@
     = GP_COUNTER ("runner_evictions_total", "Tasks evicted by the guard.");
 
 static void
-carry_out (gp_runner_t *runner, const gp_capacity_action_t *action)
+apply_action (gp_runner_t *runner, const gp_capacity_action_t *action)
 {
   gp_runner_task_t *task
-      = gp_runner_find (runner, action->task, action->epoch);
+      = gp_runner_find_task (runner, action->task, action->epoch);
 
   if (task == NULL)
     return;
@@ -22,7 +22,8 @@
     {
     case GP_CAPACITY_THROTTLE:
       gp_counter_add (&throttles_total, 1);
-      gp_runner_note (runner, GP_TIMELINE_TASK_THROTTLED, &task->key, NULL);
+      gp_runner_record_event (runner, GP_TIMELINE_TASK_THROTTLED, &task->key,
+                              NULL);
       gp_runtime_command (&runner->runtime, action->task, action->epoch,
                           "throttle", NULL);
       break;
@@ -32,8 +33,8 @@
       break;
     case GP_CAPACITY_EVICT:
       gp_counter_add (&evictions_total, 1);
-      gp_runner_evict (runner, task, "stop",
-                       GP__WIRE__REASON__REASON_CAPACITY);
+      gp_runner_evict_task (runner, task, "stop",
+                            GP__WIRE__REASON__REASON_CAPACITY);
       break;
     case GP_CAPACITY_NONE:
     case GP_CAPACITY_RAISE:
@@ -42,12 +43,12 @@
 }
 
 void
-gp_runner_relieve (gp_runner_t *runner)
+gp_runner_apply_capacity_actions (gp_runner_t *runner)
 {
   gp_capacity_action_t action;
 
   while (gp_capacity_next_action (&runner->capacity, &action))
-    carry_out (runner, &action);
+    apply_action (runner, &action);
 }
 
 /* A measurement as a message, with the arrays that it points to.  */
@@ -85,8 +86,8 @@
 }
 
 static void
-take_tasks (gp_runner_t *runner, const json_t *list, usage_t *usage,
-            gp_time_t span_start)
+process_tasks (gp_runner_t *runner, const json_t *list, usage_t *usage,
+               gp_time_t span_start)
 {
   gp_time_t now = gp_time_now ();
   gp_runtime_task_t task;
@@ -104,15 +105,16 @@
 }
 
 static void
-take_usage (gp_runner_t *runner, const json_t *list, usage_t *usage,
-            gp_time_t until)
+process_usage (gp_runner_t *runner, const json_t *list, usage_t *usage,
+               gp_time_t until)
 {
   size_t count = json_array_size (list);
 
   usage->tasks = g_new (Gp__Wire__TaskUsage, count);
   usage->used = g_new (Gp__Wire__Resources, count);
   usage->pointers = g_new (Gp__Wire__TaskUsage *, count);
-  take_tasks (runner, list, usage, until - (gp_time_t)usage->message.span_us);
+  process_tasks (runner, list, usage,
+                 until - (gp_time_t)usage->message.span_us);
   send_usage (runner, usage);
   g_free (usage->tasks);
   g_free (usage->used);
@@ -123,7 +125,7 @@
    end times are computed from the times of answers and therefore inexact,
    hence the tolerance of half a span.  */
 static bool
-is_news (const gp_runner_t *runner, gp_time_t until, gp_time_t span)
+is_new_measurement (const gp_runner_t *runner, gp_time_t until, gp_time_t span)
 {
   return span > 0 && until > runner->measured_until + span / 2;
 }
@@ -139,29 +141,30 @@
   json_t *list;
 
   runner->measuring = false;
-  gp_runner_check (runner);
-  if (runner->phase != GP_RUNNER_SERVING || !gp_runtime_done_well (answer)
+  gp_runner_check_lease (runner);
+  if (runner->phase != GP_RUNNER_SERVING || !gp_runtime_answer_ok (answer)
       || json_unpack (answer->body, "{s:I,s:I,s?I,s:o}", "age_us", &age,
                       "span_us", &span, "service_p99_us", &p99, "tasks", &list)
              != 0
-      || !is_news (runner, answer->asked_at - age, span))
+      || !is_new_measurement (runner, answer->called_at - age, span))
     return;
-  runner->measured_until = answer->asked_at - age;
+  runner->measured_until = answer->called_at - age;
   usage.message.age_us
-      = (uint64_t)MAX (gp_time_now () - answer->asked_at, 0) + (uint64_t)age;
+      = (uint64_t)MAX (gp_time_now () - answer->called_at, 0) + (uint64_t)age;
   usage.message.span_us = (uint64_t)span;
   usage.message.service_p99_us = (uint32_t)p99;
-  take_usage (runner, list, &usage, runner->measured_until);
-  gp_runner_relieve (runner);
+  process_usage (runner, list, &usage, runner->measured_until);
+  gp_runner_apply_capacity_actions (runner);
 }
 
 void
-gp_runner_measure (gp_runner_t *runner)
+gp_runner_measure_usage (gp_runner_t *runner)
 {
-  if (runner->phase != GP_RUNNER_SERVING || !runner->up || runner->measuring)
+  if (runner->phase != GP_RUNNER_SERVING || !runner->runtime_up
+      || runner->measuring)
     return;
   gp_counter_register (&throttles_total);
   gp_counter_register (&evictions_total);
   runner->measuring = true;
-  gp_runtime_ask_usage (&runner->runtime, on_usage);
+  gp_runtime_get_usage (&runner->runtime, on_usage);
 }
--- a/src/daemon/runtime.c
+++ b/src/daemon/runtime.c
@@ -88,7 +88,7 @@
     return;
   json_unpack (answer->body, "{s:s,s?I}", "error", &text, "holder", &holder);
   if (strcmp (text, "claimed") == 0)
-    answer->claimed = (uint64_t)holder;
+    answer->claimed_by = (uint64_t)holder;
 }
 
 static void
@@ -122,7 +122,7 @@
   call->done = done;
   call->path = path;
   call->received = g_string_new (NULL);
-  call->answer.asked_at = gp_time_now ();
+  call->answer.called_at = gp_time_now ();
   return call;
 }
 
@@ -139,7 +139,7 @@
           .path = call->path,
           .headers = headers,
           .header_count = body != NULL ? G_N_ELEMENTS (headers) : 0,
-          .deadline = call->answer.asked_at + timeout };
+          .deadline = call->answer.called_at + timeout };
 
   if (body != NULL)
     {
@@ -152,7 +152,7 @@
 }
 
 static void
-ask (gp_runtime_t *runtime, const char *path, gp_runtime_done_t done)
+send_get (gp_runtime_t *runtime, const char *path, gp_runtime_done_t done)
 {
   call_t *call = call_new (runtime, done, g_strdup (path));
 
@@ -160,21 +160,21 @@
 }
 
 void
-gp_runtime_ask_info (gp_runtime_t *runtime, gp_runtime_done_t done)
+gp_runtime_get_info (gp_runtime_t *runtime, gp_runtime_done_t done)
 {
-  ask (runtime, "/v1/runtime", done);
+  send_get (runtime, "/v1/runtime", done);
 }
 
 void
-gp_runtime_ask_tasks (gp_runtime_t *runtime, gp_runtime_done_t done)
+gp_runtime_list_tasks (gp_runtime_t *runtime, gp_runtime_done_t done)
 {
-  ask (runtime, "/v1/tasks", done);
+  send_get (runtime, "/v1/tasks", done);
 }
 
 void
-gp_runtime_ask_usage (gp_runtime_t *runtime, gp_runtime_done_t done)
+gp_runtime_get_usage (gp_runtime_t *runtime, gp_runtime_done_t done)
 {
-  ask (runtime, "/v1/usage", done);
+  send_get (runtime, "/v1/usage", done);
 }
 
 void
@@ -325,7 +325,7 @@
     return false;
   info->holder = (uint64_t)holder;
   info->deadline = deadline;
-  info->events = (uint64_t)events;
+  info->last_event = (uint64_t)events;
   info->capacity = read_resources (body);
   return read_hex (boot, &info->boot);
 }
--- a/src/daemon/runtime.h
+++ b/src/daemon/runtime.h
@@ -30,9 +30,9 @@
 typedef struct
 {
   uint64_t boot;
-  uint64_t holder;    /* the greatest holder that claimed it, or 0 */
-  gp_time_t deadline; /* time until which tasks may run */
-  uint64_t events;    /* sequence of the last event */
+  uint64_t holder;     /* the greatest holder that claimed it, or 0 */
+  gp_time_t deadline;  /* time until which tasks may run */
+  uint64_t last_event; /* sequence of the last event */
   gp_resources_t capacity;
 } gp_runtime_info_t;
 
@@ -62,13 +62,13 @@
 
 typedef struct
 {
-  int status;         /* 0 without a complete answer */
-  bool sent;          /* the call may have reached the runtime */
-  json_t *body;       /* NULL if there is none or it is not JSON */
-  uint64_t task;      /* task of the call, or 0 */
-  uint64_t epoch;     /* epoch of the call, or 0 */
-  uint64_t claimed;   /* greater holder that made the call fail, or 0 */
-  gp_time_t asked_at; /* when the call was made */
+  int status;          /* 0 without a complete answer */
+  bool sent;           /* the call may have reached the runtime */
+  json_t *body;        /* NULL if there is none or it is not JSON */
+  uint64_t task;       /* task of the call, or 0 */
+  uint64_t epoch;      /* epoch of the call, or 0 */
+  uint64_t claimed_by; /* greater holder that made the call fail, or 0 */
+  gp_time_t called_at; /* when the call was made */
 } gp_runtime_answer_t;
 
 typedef void (*gp_runtime_done_t) (const gp_runtime_answer_t *answer,
@@ -82,9 +82,9 @@
 void gp_runtime_finish (gp_runtime_t *runtime);
 
 /* The calls.  DONE may be NULL and is never called from inside.  */
-void gp_runtime_ask_info (gp_runtime_t *runtime, gp_runtime_done_t done);
+void gp_runtime_get_info (gp_runtime_t *runtime, gp_runtime_done_t done);
 void gp_runtime_claim (gp_runtime_t *runtime, gp_runtime_done_t done);
-void gp_runtime_ask_tasks (gp_runtime_t *runtime, gp_runtime_done_t done);
+void gp_runtime_list_tasks (gp_runtime_t *runtime, gp_runtime_done_t done);
 void gp_runtime_start (gp_runtime_t *runtime, const gp_runtime_start_t *start,
                        gp_runtime_done_t done);
 void gp_runtime_renew (gp_runtime_t *runtime, gp_time_t deadline,
@@ -96,7 +96,7 @@
                         gp_runtime_done_t done);
 void gp_runtime_await_events (gp_runtime_t *runtime, uint64_t after,
                               gp_runtime_done_t done);
-void gp_runtime_ask_usage (gp_runtime_t *runtime, gp_runtime_done_t done);
+void gp_runtime_get_usage (gp_runtime_t *runtime, gp_runtime_done_t done);
 
 /* Parse bodies.  Return false if the format is wrong.  */
 bool gp_runtime_read_info (const json_t *body, gp_runtime_info_t *info);
@@ -104,7 +104,7 @@
 
 /* Whether the status of ANSWER is 2xx.  */
 static inline bool
-gp_runtime_done_well (const gp_runtime_answer_t *answer)
+gp_runtime_answer_ok (const gp_runtime_answer_t *answer)
 {
   return answer->status >= 200 && answer->status < 300;
 }
--- a/tests/unit/test_runner.c
+++ b/tests/unit/test_runner.c
@@ -206,7 +206,7 @@
   task_site_start (&site, 7, 2, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 2, STATE (RUNNING), 1));
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "running");
-  CU_ASSERT_PTR_NULL (gp_runner_find (site.guard.runner, 7, 1));
+  CU_ASSERT_PTR_NULL (gp_runner_find_task (site.guard.runner, 7, 1));
   end ();
 }
 
