--- a/src/daemon/store.c
+++ b/src/daemon/store.c
@@ -1,10 +1,10 @@
 /* The store: proposals.
 
-   A proposal has its result when the writer says so; its DONE is called at
-   the end of that phase of the loop, so a subscriber sees a change before
-   the proposer its verdict, and nobody is called from inside of his own
-   call.  New proposals are refused while the state is not ready or reads
-   fail, since a verdict is known by reading only.  */
+   The writer decides the result of a proposal; done is called later, at the
+   end of that phase of the event loop.  So subscribers see a change before
+   the proposer gets its verdict, and done is never called from inside a call
+   of the proposer.  New proposals are refused while the state is not ready or
+   reads fail, since a verdict becomes known only by reading.  */
 
 #include "daemon/store.h"
 
@@ -12,7 +12,8 @@
 #include "base/log.h"
 #include "daemon/store_private.h"
 
-/* A lost connection alone does not make the log unavailable.  */
+/* Consecutive failed reads that make the log unavailable; a single lost
+   connection does not.  */
 #define READ_FAILURES_MAX 2
 
 typedef struct
@@ -123,7 +124,7 @@
   gp_proposal_t *proposal = gp_idpool_get (&store->proposals, token);
 
   if (proposal == NULL)
-    return; /* of a snapshot */
+    return; /* a record of a snapshot */
   proposal->entry = NULL;
   proposal->decided = true;
   proposal->result = result;
@@ -206,7 +207,7 @@
   gp_store_pump (data);
 }
 
-/* Life.  */
+/* Initialization and finalization.  */
 
 static void
 register_counters (void)
--- a/src/daemon/store_private.h
+++ b/src/daemon/store_private.h
@@ -1,5 +1,5 @@
-/* Inside of the store: shared by its proposals (store.c), its reading of the
-   log (store_read.c) and its snapshots (store_snapshot.c).  */
+/* Declarations shared by the files of the store: proposals (store.c), reading
+   of the log (store_read.c) and snapshots (store_snapshot.c).  */
 
 #ifndef GP_DAEMON_STORE_PRIVATE_H
 #define GP_DAEMON_STORE_PRIVATE_H
@@ -23,20 +23,20 @@
   void *data;
 };
 
-/* What a store follows, and its gauges, which the second store of a process
-   must not share.  */
+/* The stream that a store reads, and its gauges, which two stores of one
+   process must not share.  */
 typedef struct
 {
   const char *address;
   const char *stream;
-  uint32_t streams; /* like it, on the same log service */
+  uint32_t streams; /* number of such streams on the same log service */
   gp_counter_t *ready;
   gp_counter_t *available;
 } gp_store_source_t;
 
 struct gp_store
 {
-  gp_store_source_t source; /* text of the settings */
+  gp_store_source_t source; /* its strings belong to the settings */
   gp_loop_t *loop;
   gp_timeline_t *timeline;
   char *name;
@@ -48,47 +48,47 @@
   gp_snapshot_t snapshot;
   gp_list_t subscribers;
   gp_idpool_t proposals;    /* token -> gp_proposal_t */
-  gp_list_t decided;        /* of gp_proposal_t, their DONE is due */
-  gp_deferred_t deliver;    /* calls their DONE */
-  gp_timer_t timer;         /* of the writer and of the snapshot's pace */
-  gp_timer_t copy_timer;    /* next rows of a snapshot */
+  gp_list_t decided;        /* of gp_proposal_t whose done is due */
+  gp_deferred_t deliver;    /* calls done of the decided proposals */
+  gp_timer_t timer;         /* for the writer and the next snapshot record */
+  gp_timer_t copy_timer;    /* for the next rows of a snapshot */
   gp_closer_t closer;       /* frees the memory after the timers */
   gp_time_t append_timeout; /* duration */
   gp_time_t read_at;        /* when the last complete read was sent */
-  unsigned read_failures;   /* in a row */
-  uint64_t restarts;        /* of the follower, as told to subscribers */
-  uint64_t snapshot_as_of;  /* of the newest known, plus one */
-  bool up;                  /* as told by the timeline */
+  unsigned read_failures;   /* consecutive */
+  uint64_t restarts;        /* of the follower, reported to subscribers */
+  uint64_t snapshot_as_of;  /* as_of of the newest known snapshot, plus 1 */
+  bool up;                  /* as recorded in the timeline */
   bool closing;
 };
 
-/* Start following; store_read.c.  */
+/* Open the stream and start reading; store_read.c.  */
 bool gp_store_open_stream (gp_store_t *store, const gp_settings_t *settings,
                            GError **error);
 
-/* A change of the fold while it applies a batch.  */
+/* Callback of the fold for each change while it applies a batch.  */
 void gp_store_on_change (const gp_fold_change_t *change, void *data);
 
-/* Read on from where the follower needs it.  */
+/* Make the stream read from the offset that the follower needs.  */
 void gp_store_follow (gp_store_t *store);
 
-/* Take what the writer wants done.  Due at once after each call that may
-   decide a record, since its entry is gone then.  */
+/* Process the writer's actions.  Must be called right after each call that
+   may decide a record, since the record's writer entry is freed by it.  */
 void gp_store_take_actions (gp_store_t *store);
 
-/* Do what is due, and set the timer.  */
+/* Write what is due and rearm the timer.  */
 void gp_store_pump (gp_store_t *store);
 
-/* Append to the timeline, if there is one.  */
+/* Record an event in the timeline, if there is one.  */
 void gp_store_note (gp_store_t *store, gp_timeline_kind_t kind);
 
-/* Note a change between up and down.  */
+/* Update the gauge, and log a change between up and down.  */
 void gp_store_note_health (gp_store_t *store);
 
-/* Begin a snapshot if it is due.  */
+/* Start a snapshot if one is due.  */
 void gp_store_check_snapshot (gp_store_t *store);
 
-/* Queue the snapshot's next record if it is time.  */
+/* Queue the snapshot's next record if it is due.  */
 void gp_store_write_snapshot (gp_store_t *store);
 
 void gp_store_on_copy_timer (gp_timer_t *timer, void *data);
--- a/src/daemon/store_read.c
+++ b/src/daemon/store_read.c
@@ -1,9 +1,9 @@
-/* Reading of the store: replies of the log into the follower, changes of the
-   state out to subscribers.
+/* The store: reading of the log.  Replies of the log go to the follower,
+   changes of the state to the subscribers.
 
-   The follower says from where it wants to read.  The stream goes on by
-   itself after each reply; where the follower wants another offset (it has
-   changed its phase, or started again) the stream is told to follow anew.  */
+   The follower determines the offset to read from.  After each reply the
+   stream continues by itself; if the follower needs another offset, because
+   it has changed its phase or restarted, the stream is repositioned.  */
 
 #include "base/counters.h"
 #include "base/log.h"
@@ -68,8 +68,8 @@
   }
 }
 
-/* Batches up to the sequence in the state are on the log, also those that
-   were not read one by one.  */
+/* Batches up to the writer's sequence in the state are in the log, including
+   those that came with a snapshot and were not read individually.  */
 static void
 skip_own (gp_store_t *store)
 {
@@ -125,7 +125,7 @@
   gp_stream_unfollow (store->stream);
 }
 
-/* Give the follower one reply and tell what has come of it.  */
+/* Pass a reply to the follower and notify the subscribers of its effects.  */
 static void
 take_reply (gp_store_t *store, const gp_follower_reply_t *reply)
 {
@@ -158,8 +158,9 @@
   return records;
 }
 
-/* The more entries write to the log, the rarer this one does.  The streams
-   of other regions are taken to have as many.  */
+/* Pass the number of active writers to the writer, which appends less often
+   the more there are.  The streams of other regions are assumed to have as
+   many.  */
 static void
 count_writers (gp_store_t *store)
 {
@@ -197,7 +198,7 @@
   store->read_failures = 0;
   if (store->snapshot.copying)
     {
-      gp_stream_unfollow (store->stream); /* read again after the copy */
+      gp_stream_unfollow (store->stream); /* reading resumes after the copy */
       return;
     }
   gp_writer_set_wall (&store->writer,
@@ -207,7 +208,7 @@
   gp_store_pump (store);
 }
 
-/* Records were lost, or the stream has begun anew.  */
+/* Records were lost to retention, or the stream was recreated.  */
 static void
 on_gap (uint64_t from, uint64_t first_offset, void *data)
 {
--- a/src/daemon/store_snapshot.c
+++ b/src/daemon/store_snapshot.c
@@ -1,7 +1,8 @@
-/* Snapshots of the store.
+/* The store: snapshots.
 
-   While the state is copied, some rows in each turn of the loop, the fold is
-   held: reading of the log pauses for that long and starts again after.  */
+   The state is copied over several iterations of the event loop, some rows in
+   each.  Meanwhile the fold must not change: reading of the log pauses and
+   resumes after the copy.  */
 
 #include "base/counters.h"
 #include "daemon/store_private.h"
