--- a/src/daemon/store.c
+++ b/src/daemon/store.c
@@ -54,7 +54,7 @@
 }
 
 void
-gp_store_note (gp_store_t *store, gp_timeline_kind_t kind)
+gp_store_record_event (gp_store_t *store, gp_timeline_kind_t kind)
 {
   const gp_timeline_subject_t none = { 0 };
 
@@ -63,7 +63,7 @@
 }
 
 void
-gp_store_note_health (gp_store_t *store)
+gp_store_update_health (gp_store_t *store)
 {
   bool up = gp_store_ready (store) && available (store);
 
@@ -74,7 +74,8 @@
   gp_log (up ? GP_LOG_INFO : GP_LOG_WARNING, up ? "log.up" : "log.down",
           GP_LOG_S ("stream", store->source.stream),
           GP_LOG_I ("offset", store->follower.from));
-  gp_store_note (store, up ? GP_TIMELINE_LOG_UP : GP_TIMELINE_LOG_DOWN);
+  gp_store_record_event (store,
+                         up ? GP_TIMELINE_LOG_UP : GP_TIMELINE_LOG_DOWN);
 }
 
 /* Appends.  */
@@ -97,7 +98,7 @@
   g_bytes_unref (append->bytes);
   g_free (append);
   if (!store->closing)
-    gp_store_pump (store);
+    gp_store_process (store);
 }
 
 static void
@@ -118,8 +119,8 @@
 /* Results.  */
 
 static void
-decide (gp_store_t *store, uint64_t token, gp_proposal_result_t result,
-        gp_fold_verdict_t verdict)
+set_result (gp_store_t *store, uint64_t token, gp_proposal_result_t result,
+            gp_fold_verdict_t verdict)
 {
   gp_proposal_t *proposal = gp_idpool_get (&store->proposals, token);
 
@@ -153,7 +154,7 @@
 }
 
 void
-gp_store_take_actions (gp_store_t *store)
+gp_store_process_actions (gp_store_t *store)
 {
   gp_writer_action_t action;
 
@@ -164,16 +165,16 @@
         start_append (store, action.u.append.sequence, action.u.append.bytes);
         break;
       case GP_WRITER_VERDICT:
-        decide (store, action.u.verdict.token, GP_PROPOSAL_DECIDED,
-                action.u.verdict.verdict);
+        set_result (store, action.u.verdict.token, GP_PROPOSAL_DECIDED,
+                    action.u.verdict.verdict);
         break;
       case GP_WRITER_EXPIRED:
-        decide (store, action.u.expired.token, GP_PROPOSAL_EXPIRED,
-                GP_FOLD_ACCEPTED);
+        set_result (store, action.u.expired.token, GP_PROPOSAL_EXPIRED,
+                    GP_FOLD_ACCEPTED);
         break;
       case GP_WRITER_UNREAD:
-        decide (store, action.u.unread.token, GP_PROPOSAL_UNREAD,
-                GP_FOLD_ACCEPTED);
+        set_result (store, action.u.unread.token, GP_PROPOSAL_UNREAD,
+                    GP_FOLD_ACCEPTED);
         break;
       }
 }
@@ -192,19 +193,19 @@
 }
 
 void
-gp_store_pump (gp_store_t *store)
+gp_store_process (gp_store_t *store)
 {
   gp_store_write_snapshot (store);
   gp_writer_step (&store->writer, gp_loop_now (store->loop));
-  gp_store_take_actions (store);
-  gp_store_note_health (store);
+  gp_store_process_actions (store);
+  gp_store_update_health (store);
   arm_timer (store);
 }
 
 static void
 on_timer (gp_timer_t *timer, void *data)
 {
-  gp_store_pump (data);
+  gp_store_process (data);
 }
 
 /* Initialization and finalization.  */
@@ -237,9 +238,9 @@
 }
 
 static gp_store_t *
-open_source (gp_loop_t *loop, const gp_settings_t *settings,
-             const gp_store_source_t *source, uint64_t incarnation,
-             GRand *rand, gp_timeline_t *timeline, GError **error)
+open_store (gp_loop_t *loop, const gp_settings_t *settings,
+            const gp_store_source_t *source, uint64_t incarnation, GRand *rand,
+            gp_timeline_t *timeline, GError **error)
 {
   gp_store_t *store = g_new0 (gp_store_t, 1);
 
@@ -276,12 +277,12 @@
   const gp_store_source_t source
       = { .address = settings->platform_log->address,
           .stream = settings->platform_log->stream,
-          .streams = MAX (gp_settings_region_count (settings), 1),
+          .stream_count = MAX (gp_settings_region_count (settings), 1),
           .ready = &is_ready,
           .available = &is_available };
 
-  return open_source (loop, settings, &source, incarnation, rand, timeline,
-                      error);
+  return open_store (loop, settings, &source, incarnation, rand, timeline,
+                     error);
 }
 
 gp_store_t *
@@ -292,12 +293,12 @@
   const gp_store_source_t source
       = { .address = gp_settings_config_address (settings->platform_log),
           .stream = gp_settings_config_stream (settings->platform_log),
-          .streams = 1,
+          .stream_count = 1,
           .ready = &config_is_ready,
           .available = &config_is_available };
 
-  return open_source (loop, settings, &source, incarnation, rand, timeline,
-                      error);
+  return open_store (loop, settings, &source, incarnation, rand, timeline,
+                     error);
 }
 
 static void
@@ -307,12 +308,12 @@
 }
 
 static void
-no_close (gp_closer_t *closer)
+on_loop_close (gp_closer_t *closer)
 {
 }
 
 static void
-dispose (gp_closer_t *closer)
+on_loop_dispose (gp_closer_t *closer)
 {
   g_free (GP_CONTAINER_OF (closer, gp_store_t, closer));
 }
@@ -333,7 +334,7 @@
   gp_timer_finish (&store->timer);
   gp_timer_finish (&store->copy_timer);
   g_free (store->name);
-  gp_closer_add (&store->closer, store->loop, no_close, dispose);
+  gp_closer_add (&store->closer, store->loop, on_loop_close, on_loop_dispose);
 }
 
 void
@@ -400,7 +401,7 @@
   gp_counter_add (&proposals, 1);
   if (proposal != NULL)
     *proposal = new;
-  gp_store_take_actions (store);
+  gp_store_process_actions (store);
   arm_timer (store);
   return result;
 }
--- a/src/daemon/store_private.h
+++ b/src/daemon/store_private.h
@@ -29,7 +29,7 @@
 {
   const char *address;
   const char *stream;
-  uint32_t streams; /* number of such streams on the same log service */
+  uint32_t stream_count; /* number of such streams on the same log service */
   gp_counter_t *ready;
   gp_counter_t *available;
 } gp_store_source_t;
@@ -74,16 +74,16 @@
 
 /* Process the writer's actions.  Must be called right after each call that
    may decide a record, since the record's writer entry is freed by it.  */
-void gp_store_take_actions (gp_store_t *store);
+void gp_store_process_actions (gp_store_t *store);
 
 /* Write what is due and rearm the timer.  */
-void gp_store_pump (gp_store_t *store);
+void gp_store_process (gp_store_t *store);
 
 /* Record an event in the timeline, if there is one.  */
-void gp_store_note (gp_store_t *store, gp_timeline_kind_t kind);
+void gp_store_record_event (gp_store_t *store, gp_timeline_kind_t kind);
 
 /* Update the gauge, and log a change between up and down.  */
-void gp_store_note_health (gp_store_t *store);
+void gp_store_update_health (gp_store_t *store);
 
 /* Start a snapshot if one is due.  */
 void gp_store_check_snapshot (gp_store_t *store);
--- a/src/daemon/store_read.c
+++ b/src/daemon/store_read.c
@@ -32,7 +32,7 @@
       gp_writer_observe (&store->writer, change->u.own.sequence,
                          change->u.own.verdicts, change->u.own.count,
                          gp_loop_now (store->loop));
-      gp_store_take_actions (store);
+      gp_store_process_actions (store);
     }
   if (store->follower.phase != GP_FOLLOWER_READY)
     return;
@@ -47,7 +47,7 @@
 }
 
 static void
-tell_gap (gp_store_t *store)
+notify_gap (gp_store_t *store)
 {
   if (store->follower.restarts == store->restarts)
     return;
@@ -57,7 +57,7 @@
   store->snapshot_as_of = 0;
   gp_log (GP_LOG_WARNING, "log.gap",
           GP_LOG_I ("first", store->follower.first_offset));
-  gp_store_note (store, GP_TIMELINE_LOG_GAP);
+  gp_store_record_event (store, GP_TIMELINE_LOG_GAP);
   GP_LIST_FOREACH_SAFE (pos, &store->subscribers)
   {
     gp_store_subscriber_t *subscriber
@@ -71,7 +71,7 @@
 /* Batches up to the writer's sequence in the state are in the log, including
    those that came with a snapshot and were not read individually.  */
 static void
-skip_own (gp_store_t *store)
+skip_own_batches (gp_store_t *store)
 {
   const gp_fold_writer_t *own
       = gp_fold_writer (&store->follower.fold, store->name);
@@ -79,15 +79,15 @@
 
   gp_writer_skip (&store->writer, is_own ? own->sequence : 0,
                   gp_loop_now (store->loop));
-  gp_store_take_actions (store);
+  gp_store_process_actions (store);
 }
 
 static void
-tell_rebuilt (gp_store_t *store)
+notify_rebuilt (gp_store_t *store)
 {
   if (!gp_follower_take_rebuilt (&store->follower))
     return;
-  skip_own (store);
+  skip_own_batches (store);
   gp_log (GP_LOG_INFO, "log.state-built",
           GP_LOG_I ("offset", store->follower.fold.next_offset));
   GP_LIST_FOREACH_SAFE (pos, &store->subscribers)
@@ -101,7 +101,7 @@
 }
 
 static void
-tell_read (gp_store_t *store, gp_time_t sent_at)
+notify_read (gp_store_t *store, gp_time_t sent_at)
 {
   store->read_at = sent_at;
   GP_LIST_FOREACH_SAFE (pos, &store->subscribers)
@@ -115,7 +115,7 @@
 }
 
 static void
-tell_stopped (gp_store_t *store, gp_follower_phase_t before)
+check_stopped (gp_store_t *store, gp_follower_phase_t before)
 {
   if (store->follower.phase != GP_FOLLOWER_STOPPED
       || before == GP_FOLLOWER_STOPPED)
@@ -127,14 +127,14 @@
 
 /* Pass a reply to the follower and notify the subscribers of its effects.  */
 static void
-take_reply (gp_store_t *store, const gp_follower_reply_t *reply)
+handle_reply (gp_store_t *store, const gp_follower_reply_t *reply)
 {
   gp_follower_phase_t before = store->follower.phase;
 
   gp_follower_read (&store->follower, reply);
-  tell_gap (store);
-  tell_rebuilt (store);
-  tell_stopped (store, before);
+  notify_gap (store);
+  notify_rebuilt (store);
+  check_stopped (store, before);
   gp_counter_set (store->source.ready, gp_store_ready (store));
 }
 
@@ -168,7 +168,7 @@
                                              &store->follower.fold,
                                              gp_loop_now (store->loop));
 
-  gp_writer_set_writers (&store->writer, count * store->source.streams);
+  gp_writer_set_writers (&store->writer, count * store->source.stream_count);
 }
 
 static void
@@ -181,11 +181,11 @@
                                 .count = read->count };
 
   gp_counter_add (&records_applied, (int64_t)read->count);
-  take_reply (store, &reply);
+  handle_reply (store, &reply);
   g_free (records);
   count_writers (store);
   if (read->complete && gp_follower_caught_up (&store->follower))
-    tell_read (store, read->sent_at);
+    notify_read (store, read->sent_at);
   if (gp_follower_from (&store->follower) != read->from + read->count)
     gp_store_follow (store);
 }
@@ -205,7 +205,7 @@
                       gp_time_wall () - gp_loop_now (store->loop));
   apply_read (store, read);
   gp_store_check_snapshot (store);
-  gp_store_pump (store);
+  gp_store_process (store);
 }
 
 /* Records were lost to retention, or the stream was recreated.  */
@@ -218,9 +218,9 @@
 
   gp_snapshot_abandon (&store->snapshot);
   gp_timer_disarm (&store->copy_timer);
-  take_reply (store, &reply);
+  handle_reply (store, &reply);
   gp_store_follow (store);
-  gp_store_pump (store);
+  gp_store_process (store);
 }
 
 static void
@@ -230,7 +230,7 @@
 
   gp_counter_add (&read_errors, 1);
   store->read_failures++;
-  gp_store_note_health (store);
+  gp_store_update_health (store);
 }
 
 static const gp_stream_callbacks_t callbacks = { on_read, on_gap, on_error };
--- a/src/daemon/store_snapshot.c
+++ b/src/daemon/store_snapshot.c
@@ -21,11 +21,11 @@
       return;
     }
   gp_store_follow (store);
-  gp_store_pump (store);
+  gp_store_process (store);
 }
 
 static void
-note_completed (gp_store_t *store)
+check_completed (gp_store_t *store)
 {
   const gp_catalog_entry_t *newest = store->follower.catalog.newest;
 
@@ -41,7 +41,7 @@
 {
   gp_follower_t *follower = &store->follower;
 
-  note_completed (store);
+  check_completed (store);
   if (!gp_follower_caught_up (follower) || follower->fold.next_offset == 0
       || !gp_snapshot_due (&store->snapshot, &follower->fold,
                            &follower->catalog, follower->first_offset))
