--- a/src/daemon/configuration.c
+++ b/src/daemon/configuration.c
@@ -1,15 +1,16 @@
-/* The configuration that a process holds, and its way between processes.
+/* The configuration that a process holds, and its distribution.
 
-   A process that learns that a peer has a lower revision offers its own;
-   one that learns of a higher revision asks one peer for it and gets a
-   delta, or the whole when the delta cannot be made or does not fit.  What
-   it gets it offers on.  Every process, a guard too, holds the whole: after
-   a total replacement of the entries the guards are all that is left of a
-   revision while the log is out.
+   A process offers its revision to a peer that has a lower one.  A process
+   that learns of a higher revision requests it from one peer and receives a
+   delta, or all items if the delta cannot be made or does not apply.  An
+   entry then offers the new revision to its other peers.  Every process,
+   including a guard, holds the full configuration: if all entries are
+   replaced while the log is out, only the guards still have the revision.
 
-   An entry takes revisions from the log in the same way, as an update from
-   what it holds to what the fold holds.  As a lower revision is refused at
-   every step, the two ways need no order between them.  */
+   An entry applies revisions from the log in the same way, as an update from
+   the revision that it holds to that of the fold.  Because lower revisions
+   are refused at every step, updates from peers and from the log may arrive
+   in any order.  */
 
 #include <string.h>
 
@@ -17,7 +18,7 @@
 #include "base/log.h"
 #include "daemon/configuration_private.h"
 
-/* A peer that has not answered an ask for so long is passed over.  */
+/* A peer that has not answered a request within this time is skipped.  */
 #define ASK_TIMEOUT (2 * GP_SEC)
 
 static gp_counter_t revision_held
@@ -49,7 +50,7 @@
                       gp_time_wall ());
 }
 
-/* What is held.  */
+/* The configuration held.  */
 
 static gboolean
 add_item (void *key, void *value, void *data)
@@ -76,7 +77,7 @@
   g_free (document);
 }
 
-/* The document of the items that are held, or NULL.  */
+/* Load a document from the items of CONFIG.  Returns NULL if that fails.  */
 static gp_document_t *
 load_document (const gp_config_t *config)
 {
@@ -92,8 +93,8 @@
   return NULL;
 }
 
-/* Put the items that are held in force.  The document before stays valid
-   until CHANGED has returned.  */
+/* Put the items held in force.  The previous document stays valid until the
+   changed callback has returned.  */
 static void
 enforce (gp_configuration_t *configuration)
 {
@@ -151,7 +152,7 @@
   configuration->packed = NULL;
 }
 
-/* An update of CONFIG for a holder of revision HAVE.  */
+/* Make an update to CONFIG for a process that holds revision HAVE.  */
 static Gp__Wire__ConfigUpdate *
 make_update (const gp_config_t *config, uint64_t have)
 {
@@ -162,7 +163,7 @@
   return gp__wire__config_update__unpack (NULL, size, data);
 }
 
-/* Most peers ask from the same revision, so the last one is kept.  */
+/* The last update is cached, since most peers hold the same revision.  */
 static void
 send_update (gp_configuration_t *configuration, gp_session_t *session,
              uint64_t have)
@@ -199,8 +200,8 @@
   }
 }
 
-/* The peer has REVISION, which is higher: ask, unless another peer has been
-   asked a moment ago.  */
+/* The peer has a higher revision: request an update, unless one has been
+   requested within ASK_TIMEOUT and has not arrived.  */
 static void
 want (gp_configuration_t *configuration, gp_session_t *session)
 {
@@ -326,7 +327,7 @@
   follow_fold (data);
 }
 
-/* Life.  */
+/* Initialization and finalization.  */
 
 static void
 register_counters (void)
--- a/src/daemon/configuration_private.h
+++ b/src/daemon/configuration_private.h
@@ -1,4 +1,4 @@
-/* Inside of the configuration: shared by what a process holds and hands on
+/* Declarations shared by holding and distributing the configuration
    (configuration.c) and by publishing (configuration_publish.c).  */
 
 #ifndef GP_DAEMON_CONFIGURATION_PRIVATE_H
@@ -14,22 +14,22 @@
   gp_configuration_changed_t changed;
   void *data;
   gp_config_t config;
-  gp_document_t *document; /* of CONFIG, NULL before the first */
+  gp_document_t *document; /* of the config, NULL before the first one */
   gp_store_subscriber_t subscriber;
-  const gp_session_t *asked; /* whose update is awaited, or NULL */
+  const gp_session_t *asked; /* session whose update is awaited, or NULL */
   gp_time_t asked_at;
   Gp__Wire__ConfigUpdate *packed; /* the update sent last, or NULL */
-  uint64_t packed_from;
-  gp_list_t publications; /* of those that have not been answered */
-  gp_timer_t timer;       /* of their deadlines */
-  gp_closer_t closer;     /* frees the memory after the timer */
+  uint64_t packed_from;           /* the revision that it is based on */
+  gp_list_t publications;         /* publications not answered yet */
+  gp_timer_t timer;               /* for their deadlines */
+  gp_closer_t closer;             /* frees the memory after the timer */
 };
 
-/* Append to the timeline: what happened to REVISION.  */
+/* Record an event about REVISION in the timeline, if there is one.  */
 void gp_configuration_note (gp_configuration_t *configuration,
                             gp_timeline_kind_t kind, uint64_t revision);
 
-/* The items of CONFIG as a document has them.  */
+/* The items of CONFIG in the form of a document's items.  */
 GPtrArray *gp_configuration_list (const gp_config_t *config);
 
 void gp_configuration_init_publications (gp_configuration_t *configuration);
--- a/src/daemon/configuration_publish.c
+++ b/src/daemon/configuration_publish.c
@@ -1,11 +1,13 @@
 /* Publishing of a document.
 
    A document is checked, split into items and proposed as the successor of
-   the revision that its author saw.  The log's order decides between two
-   authors; the loser is told who came first.
+   the revision that its author based it on.  If two authors publish on the
+   same base, the order in the log decides, and the loser is answered with the
+   winner's revision and author.
 
-   The answer of an earlier try may have been lost: publishing once more what
-   the author already published on that base is answered as accepted.  */
+   Since the answer to an earlier attempt may have been lost, publishing again
+   what the same author has already published on that base is answered as
+   accepted.  */
 
 #include <string.h>
 
@@ -22,7 +24,7 @@
   GPtrArray *issues; /* warnings */
   gp_time_t deadline;
   gp_proposal_t *proposal;
-  gp_publish_done_t done; /* NULL once it was answered */
+  gp_publish_done_t done; /* NULL once called */
   void *data;
 } publication_t;
 
@@ -32,7 +34,7 @@
   return &gp_store_fold (configuration->store)->config;
 }
 
-/* Whether the revision after the base is this publication itself.  */
+/* Whether the current revision follows the base and is this publication.  */
 static bool
 is_published (const publication_t *publication)
 {
@@ -80,7 +82,8 @@
           GP_LOG_S ("author", publication->author));
 }
 
-/* Answer once; the publication stays while its record is on its way.  */
+/* Answer, unless that has been done already.  The publication is not freed,
+   since its record may still be undecided.  */
 static void
 answer (publication_t *publication, gp_publish_result_t result)
 {
@@ -128,10 +131,10 @@
   else if (verdict == GP_FOLD_VOID_BASE)
     answer (publication, GP_PUBLISH_CONFLICT);
   else
-    invalidate (publication, "the log takes no such document");
+    invalidate (publication, "the log rejected the document");
 }
 
-/* What the state says when the verdict was not read.  */
+/* The record is in the log but its verdict was not read: check the state.  */
 static void
 on_unread (publication_t *publication)
 {
@@ -209,7 +212,7 @@
   gp_timer_finish (&configuration->timer);
 }
 
-/* Records of ITEMS, whose bytes they point into.  */
+/* Make record messages that point to the bytes of ITEMS.  */
 static Gp__Record__ConfigItem **
 record_items (const GPtrArray *items)
 {
@@ -260,7 +263,7 @@
   return result;
 }
 
-/* Propose what turns the base into ITEMS.  */
+/* Propose the difference between the current revision and ITEMS.  */
 static void
 publish_items (publication_t *publication, const GPtrArray *items,
                const char *text, size_t size, const char *comment)
@@ -301,8 +304,8 @@
   gp_config_digest_items (list, items->len, publication->digest);
 }
 
-/* What only a process can tell of DOCUMENT: that it is this site's, and that
-   its time zone is known here.  */
+/* Check what cannot be checked without a process: that DOCUMENT belongs to
+   this site, and that its time zone is known here.  */
 static bool
 fits_process (publication_t *publication, const gp_document_t *document)
 {
--- a/src/daemon/view.c
+++ b/src/daemon/view.c
@@ -1,4 +1,4 @@
-/* Views for operators between processes.  */
+/* Views: timelines and counters of processes, for operators.  */
 
 #include "daemon/view.h"
 
@@ -22,7 +22,7 @@
   void *data;
 };
 
-/* An operator who waits for a view.  */
+/* An operator's HTTP request that waits for a view.  */
 typedef struct
 {
   gp_http_exchange_t *exchange;
@@ -30,13 +30,13 @@
   Gp__Wire__ViewKind kind;
 } reader_t;
 
-/* Another entry that waits for one.  */
+/* A request that is forwarded for another entry.  */
 typedef struct
 {
   gp_list_t link;
   gp_session_t *from;
   gp_view_t *view;
-  uint64_t id; /* that the other entry gave */
+  uint64_t id; /* of the other entry's request */
 } forward_t;
 
 static gp_counter_t asked = GP_COUNTER (
@@ -44,7 +44,7 @@
 static gp_counter_t lost = GP_COUNTER (
     "views_lost_total", "Views that another process did not give in time.");
 
-/* Questions.  */
+/* Requests.  */
 
 void
 gp_view_cancel (gp_view_t *view)
@@ -219,10 +219,11 @@
       return;
     }
   g_free (reader);
-  gp_operators_fail (exchange, 503, "the process cannot be asked now");
+  gp_operators_fail (exchange, 503,
+                     "no request can be sent to the process now");
 }
 
-/* Other entries.  */
+/* Forwarding for other entries.  */
 
 static void
 send_missing (gp_session_t *session, uint64_t id)
@@ -242,7 +243,8 @@
   g_free (forward);
 }
 
-/* One that is late is late for the asker as well, who notices by itself.  */
+/* A view that did not arrive is answered as missing.  After a timeout the
+   requesting entry has normally timed out as well and ignores the answer.  */
 static void
 on_forward_view (gp_view_result_t result, const Gp__Wire__View *view,
                  void *data)
