--- a/src/daemon/configuration.c
+++ b/src/daemon/configuration.c
@@ -19,7 +19,7 @@
 #include "daemon/configuration_private.h"
 
 /* A peer that has not answered a request within this time is skipped.  */
-#define ASK_TIMEOUT (2 * GP_SEC)
+#define UPDATE_TIMEOUT (2 * GP_SEC)
 
 static gp_counter_t revision_held
     = GP_GAUGE ("config_revision", "Revision in force here.");
@@ -37,8 +37,8 @@
     "config_updates_refused_total", "Updates of peers that did not apply.");
 
 void
-gp_configuration_note (gp_configuration_t *configuration,
-                       gp_timeline_kind_t kind, uint64_t revision)
+gp_configuration_record_event (gp_configuration_t *configuration,
+                               gp_timeline_kind_t kind, uint64_t revision)
 {
   const gp_timeline_subject_t none = { 0 };
   char text[GP_TIMELINE_TEXT_SIZE];
@@ -60,7 +60,7 @@
 }
 
 GPtrArray *
-gp_configuration_list (const gp_config_t *config)
+gp_configuration_list_items (const gp_config_t *config)
 {
   GPtrArray *items = gp_document_items_new ();
 
@@ -82,7 +82,7 @@
 load_document (const gp_config_t *config)
 {
   gp_document_t *document = g_new0 (gp_document_t, 1);
-  g_autoptr (GPtrArray) items = gp_configuration_list (config);
+  g_autoptr (GPtrArray) items = gp_configuration_list_items (config);
   g_autoptr (GPtrArray) issues = gp_issues_new ();
 
   if (gp_document_load_items (document, items, issues))
@@ -96,7 +96,7 @@
 /* Put the items held in force.  The previous document stays valid until the
    changed callback has returned.  */
 static void
-enforce (gp_configuration_t *configuration)
+put_in_force (gp_configuration_t *configuration)
 {
   gp_config_t *config = &configuration->config;
   gp_document_t *before = configuration->document;
@@ -107,8 +107,8 @@
   if (document == NULL)
     return;
   configuration->document = document;
-  gp_configuration_note (configuration, GP_TIMELINE_CONFIG_IN_FORCE,
-                         config->revision);
+  gp_configuration_record_event (configuration, GP_TIMELINE_CONFIG_IN_FORCE,
+                                 config->revision);
   configuration->changed (document, config->revision, configuration->data);
   free_document (before);
 }
@@ -132,24 +132,25 @@
 }
 
 static void
-send_ask (gp_configuration_t *configuration, gp_session_t *session,
-          uint64_t have)
+send_request (gp_configuration_t *configuration, gp_session_t *session,
+              uint64_t have)
 {
   Gp__Wire__ConfigAsk ask = GP__WIRE__CONFIG_ASK__INIT;
   Gp__Wire__Envelope envelope = GP_ENVELOPE (CONFIG_ASK, config_ask, &ask);
 
-  configuration->asked = session;
-  configuration->asked_at = gp_loop_now (configuration->host->loop);
+  configuration->requested_from = session;
+  configuration->requested_at = gp_loop_now (configuration->host->loop);
   ask.have_revision = have;
   gp_session_send (session, &envelope);
 }
 
 static void
-forget_packed (gp_configuration_t *configuration)
+discard_cached_update (gp_configuration_t *configuration)
 {
-  if (configuration->packed != NULL)
-    gp__wire__config_update__free_unpacked (configuration->packed, NULL);
-  configuration->packed = NULL;
+  if (configuration->cached_update != NULL)
+    gp__wire__config_update__free_unpacked (configuration->cached_update,
+                                            NULL);
+  configuration->cached_update = NULL;
 }
 
 /* Make an update to CONFIG for a process that holds revision HAVE.  */
@@ -173,15 +174,15 @@
 
   if (config->revision <= have)
     return;
-  if (configuration->packed == NULL
-      || configuration->packed->revision != config->revision
-      || configuration->packed_from != have)
+  if (configuration->cached_update == NULL
+      || configuration->cached_update->revision != config->revision
+      || configuration->cached_update_base != have)
     {
-      forget_packed (configuration);
-      configuration->packed = make_update (config, have);
-      configuration->packed_from = have;
+      discard_cached_update (configuration);
+      configuration->cached_update = make_update (config, have);
+      configuration->cached_update_base = have;
     }
-  envelope.config_update = configuration->packed;
+  envelope.config_update = configuration->cached_update;
   gp_counter_add (&updates_sent, 1);
   gp_counter_add (&update_bytes,
                   (int64_t)gp__wire__envelope__get_packed_size (&envelope));
@@ -189,28 +190,28 @@
 }
 
 static void
-offer_to_all (gp_configuration_t *configuration, const gp_session_t *but)
+offer_to_all (gp_configuration_t *configuration, const gp_session_t *except)
 {
   GP_LIST_FOREACH_SAFE (pos, &configuration->host->sessions)
   {
     gp_session_t *session = GP_CONTAINER_OF (pos, gp_session_t, link);
 
-    if (session->ready && session != but)
+    if (session->ready && session != except)
       send_offer (configuration, session);
   }
 }
 
 /* The peer has a higher revision: request an update, unless one has been
-   requested within ASK_TIMEOUT and has not arrived.  */
+   requested within UPDATE_TIMEOUT and has not arrived.  */
 static void
-want (gp_configuration_t *configuration, gp_session_t *session)
+request_update (gp_configuration_t *configuration, gp_session_t *session)
 {
   gp_time_t now = gp_loop_now (configuration->host->loop);
 
-  if (configuration->asked != NULL
-      && now < configuration->asked_at + ASK_TIMEOUT)
+  if (configuration->requested_from != NULL
+      && now < configuration->requested_at + UPDATE_TIMEOUT)
     return;
-  send_ask (configuration, session, configuration->config.revision);
+  send_request (configuration, session, configuration->config.revision);
 }
 
 void
@@ -218,7 +219,7 @@
                                    gp_session_t *session, uint64_t revision)
 {
   if (revision > configuration->config.revision)
-    want (configuration, session);
+    request_update (configuration, session);
   else if (revision < configuration->config.revision)
     send_offer (configuration, session);
 }
@@ -227,13 +228,13 @@
 on_update (gp_configuration_t *configuration, gp_session_t *session,
            const Gp__Wire__ConfigUpdate *update)
 {
-  if (configuration->asked == session)
-    configuration->asked = NULL;
+  if (configuration->requested_from == session)
+    configuration->requested_from = NULL;
   switch (gp_config_apply_wire (&configuration->config, update))
     {
     case GP_CONFIG_APPLIED:
       gp_counter_add (&updates_taken, 1);
-      enforce (configuration);
+      put_in_force (configuration);
       if (configuration->store != NULL)
         offer_to_all (configuration, session);
       break;
@@ -244,7 +245,7 @@
     case GP_CONFIG_DIGEST:
       gp_counter_add (&updates_refused, 1);
       if (update->base_revision != 0)
-        send_ask (configuration, session, 0);
+        send_request (configuration, session, 0);
       break;
     }
 }
@@ -258,7 +259,7 @@
     {
     case GP__WIRE__ENVELOPE__MESSAGE_CONFIG_OFFER:
       if (envelope->config_offer->revision > configuration->config.revision)
-        want (configuration, session);
+        request_update (configuration, session);
       break;
     case GP__WIRE__ENVELOPE__MESSAGE_CONFIG_ASK:
       send_update (configuration, session,
@@ -287,14 +288,14 @@
 gp_configuration_on_closed (gp_configuration_t *configuration,
                             gp_session_t *session)
 {
-  if (configuration->asked == session)
-    configuration->asked = NULL;
+  if (configuration->requested_from == session)
+    configuration->requested_from = NULL;
 }
 
 /* The log.  */
 
 static void
-follow_fold (gp_configuration_t *configuration)
+apply_fold (gp_configuration_t *configuration)
 {
   const gp_config_t *fold = &gp_store_fold (configuration->store)->config;
   Gp__Wire__ConfigUpdate *update;
@@ -310,7 +311,7 @@
       gp_config_apply_wire (&configuration->config, update);
     }
   gp__wire__config_update__free_unpacked (update, NULL);
-  enforce (configuration);
+  put_in_force (configuration);
   offer_to_all (configuration, NULL);
 }
 
@@ -318,13 +319,13 @@
 on_change (const gp_fold_change_t *change, void *data)
 {
   if (change->kind == GP_FOLD_CONFIG_CHANGED)
-    follow_fold (data);
+    apply_fold (data);
 }
 
 static void
 on_rebuilt (void *data)
 {
-  follow_fold (data);
+  apply_fold (data);
 }
 
 /* Initialization and finalization.  */
@@ -365,12 +366,12 @@
 }
 
 static void
-no_close (gp_closer_t *closer)
+on_loop_close (gp_closer_t *closer)
 {
 }
 
 static void
-dispose (gp_closer_t *closer)
+on_loop_dispose (gp_closer_t *closer)
 {
   g_free (GP_CONTAINER_OF (closer, gp_configuration_t, closer));
 }
@@ -379,13 +380,13 @@
 gp_configuration_free (gp_configuration_t *configuration)
 {
   gp_configuration_finish_publications (configuration);
-  forget_packed (configuration);
+  discard_cached_update (configuration);
   free_document (configuration->document);
   gp_config_finish (&configuration->config);
   if (configuration->store != NULL)
     gp_list_remove (&configuration->subscriber.link);
-  gp_closer_add (&configuration->closer, configuration->host->loop, no_close,
-                 dispose);
+  gp_closer_add (&configuration->closer, configuration->host->loop,
+                 on_loop_close, on_loop_dispose);
 }
 
 uint64_t
--- a/src/daemon/configuration_private.h
+++ b/src/daemon/configuration_private.h
@@ -16,21 +16,23 @@
   gp_config_t config;
   gp_document_t *document; /* of the config, NULL before the first one */
   gp_store_subscriber_t subscriber;
-  const gp_session_t *asked; /* session whose update is awaited, or NULL */
-  gp_time_t asked_at;
-  Gp__Wire__ConfigUpdate *packed; /* the update sent last, or NULL */
-  uint64_t packed_from;           /* the revision that it is based on */
-  gp_list_t publications;         /* publications not answered yet */
-  gp_timer_t timer;               /* for their deadlines */
-  gp_closer_t closer;             /* frees the memory after the timer */
+  /* The session whose update is awaited, or NULL.  */
+  const gp_session_t *requested_from;
+  gp_time_t requested_at;
+  Gp__Wire__ConfigUpdate *cached_update; /* the update sent last, or NULL */
+  uint64_t cached_update_base;           /* the revision that it is based on */
+  gp_list_t publications;                /* publications not answered yet */
+  gp_timer_t timer;                      /* for their deadlines */
+  gp_closer_t closer;                    /* frees the memory after the timer */
 };
 
 /* Record an event about REVISION in the timeline, if there is one.  */
-void gp_configuration_note (gp_configuration_t *configuration,
-                            gp_timeline_kind_t kind, uint64_t revision);
+void gp_configuration_record_event (gp_configuration_t *configuration,
+                                    gp_timeline_kind_t kind,
+                                    uint64_t revision);
 
 /* The items of CONFIG in the form of a document's items.  */
-GPtrArray *gp_configuration_list (const gp_config_t *config);
+GPtrArray *gp_configuration_list_items (const gp_config_t *config);
 
 void gp_configuration_init_publications (gp_configuration_t *configuration);
 void gp_configuration_finish_publications (gp_configuration_t *configuration);
--- a/src/daemon/configuration_publish.c
+++ b/src/daemon/configuration_publish.c
@@ -67,15 +67,15 @@
 }
 
 static void
-note (publication_t *publication, const gp_publish_answer_t *answer)
+record_outcome (publication_t *publication, const gp_publish_answer_t *answer)
 {
   gp_configuration_t *configuration = publication->configuration;
   bool accepted = answer->result == GP_PUBLISH_ACCEPTED;
 
-  gp_configuration_note (configuration,
-                         accepted ? GP_TIMELINE_CONFIG_ACCEPTED
-                                  : GP_TIMELINE_CONFIG_REFUSED,
-                         publication->base + 1);
+  gp_configuration_record_event (configuration,
+                                 accepted ? GP_TIMELINE_CONFIG_ACCEPTED
+                                          : GP_TIMELINE_CONFIG_REFUSED,
+                                 publication->base + 1);
   gp_log (GP_LOG_INFO,
           accepted ? "configuration.accepted" : "configuration.refused",
           GP_LOG_I ("revision", publication->base + 1),
@@ -88,7 +88,7 @@
 answer (publication_t *publication, gp_publish_result_t result)
 {
   gp_configuration_t *configuration = publication->configuration;
-  gp_publish_answer_t told
+  gp_publish_answer_t reply
       = { .result = result, .issues = publication->issues };
   gp_publish_done_t done = publication->done;
 
@@ -98,21 +98,21 @@
   gp_list_remove (&publication->link);
   arm_timer (configuration);
   if (result == GP_PUBLISH_ACCEPTED)
-    told.revision = publication->base + 1;
+    reply.revision = publication->base + 1;
   else if (result == GP_PUBLISH_CONFLICT)
     {
       const gp_config_t *config = fold_config (configuration);
       const gp_config_change_t *newest = gp_config_newest (config);
 
-      told.revision = config->revision;
-      told.author = newest != NULL ? newest->author : "";
+      reply.revision = config->revision;
+      reply.author = newest != NULL ? newest->author : "";
     }
-  note (publication, &told);
-  done (&told, publication->data);
+  record_outcome (publication, &reply);
+  done (&reply, publication->data);
 }
 
 static void
-invalidate (publication_t *publication, const char *message)
+answer_invalid (publication_t *publication, const char *message)
 {
   gp_issue_t issue = { .severity = GP_ISSUE_ERROR,
                        .path = (char *)"",
@@ -131,7 +131,7 @@
   else if (verdict == GP_FOLD_VOID_BASE)
     answer (publication, GP_PUBLISH_CONFLICT);
   else
-    invalidate (publication, "the log rejected the document");
+    answer_invalid (publication, "the log rejected the document");
 }
 
 /* The record is in the log but its verdict was not read: check the state.  */
@@ -269,7 +269,7 @@
                const char *text, size_t size, const char *comment)
 {
   const gp_config_t *config = fold_config (publication->configuration);
-  g_autoptr (GPtrArray) base = gp_configuration_list (config);
+  g_autoptr (GPtrArray) base = gp_configuration_list_items (config);
   g_autoptr (GPtrArray) delta = gp_document_items_diff (base, items);
 
   switch (propose (publication, delta, text, size, comment))
@@ -278,7 +278,7 @@
       arm_timer (publication->configuration);
       return;
     case GP_WRITER_TOO_LARGE:
-      invalidate (publication, "the document is too large");
+      answer_invalid (publication, "the document is too large");
       break;
     case GP_WRITER_UNAVAILABLE:
     case GP_WRITER_FULL:
@@ -290,7 +290,7 @@
 }
 
 static void
-end_at_once (publication_t *publication, gp_publish_result_t result)
+answer_and_free (publication_t *publication, gp_publish_result_t result)
 {
   answer (publication, result);
   free_publication (publication);
@@ -307,7 +307,7 @@
 /* Check what cannot be checked without a process: that DOCUMENT belongs to
    this site, and that its time zone is known here.  */
 static bool
-fits_process (publication_t *publication, const gp_document_t *document)
+check_site (publication_t *publication, const gp_document_t *document)
 {
   const char *site = publication->configuration->host->self.site;
   g_autoptr (GTimeZone) zone = gp_document_time_zone (document);
@@ -350,19 +350,19 @@
   gp_list_push_back (&configuration->publications, &publication->link);
   if (!gp_document_load (&document, text, size, publication->issues))
     {
-      end_at_once (publication, GP_PUBLISH_INVALID);
+      answer_and_free (publication, GP_PUBLISH_INVALID);
       return;
     }
   set_digest (publication, document.items);
-  if (!fits_process (publication, &document))
-    end_at_once (publication, GP_PUBLISH_INVALID);
+  if (!check_site (publication, &document))
+    answer_and_free (publication, GP_PUBLISH_INVALID);
   else if (configuration->store == NULL
            || !gp_store_ready (configuration->store))
-    end_at_once (publication, GP_PUBLISH_UNAVAILABLE);
+    answer_and_free (publication, GP_PUBLISH_UNAVAILABLE);
   else if (is_published (publication))
-    end_at_once (publication, GP_PUBLISH_ACCEPTED);
+    answer_and_free (publication, GP_PUBLISH_ACCEPTED);
   else if (base != fold_config (configuration)->revision)
-    end_at_once (publication, GP_PUBLISH_CONFLICT);
+    answer_and_free (publication, GP_PUBLISH_CONFLICT);
   else
     publish_items (publication, document.items, text, size, comment);
   gp_document_finish (&document);
--- a/src/daemon/laggards.c
+++ b/src/daemon/laggards.c
@@ -60,7 +60,7 @@
   json_t *behind = NULL;
 
   question->view = NULL;
-  if (result == GP_VIEW_COME && !view->missing)
+  if (result == GP_VIEW_RECEIVED && !view->missing)
     behind
         = json_loadb ((const char *)view->text.data, view->text.len, 0, NULL);
   if (json_is_object (behind))
@@ -80,8 +80,8 @@
   ask.since = laggards->revision;
   question->laggards = laggards;
   question->entry = g_strdup (session->process);
-  question->view = gp_views_ask (&entry->views, session, &ask, ASK_TIMEOUT,
-                                 on_view, question);
+  question->view = gp_views_request (&entry->views, session, &ask, ASK_TIMEOUT,
+                                     on_view, question);
   laggards->open += question->view != NULL;
   g_ptr_array_add (laggards->questions, question);
 }
--- a/src/daemon/operators_timeline.c
+++ b/src/daemon/operators_timeline.c
@@ -25,7 +25,7 @@
 static gp_session_t *
 find_way (gp_entry_t *entry, const char *process, Gp__Wire__ViewAsk *ask)
 {
-  gp_session_t *session = gp_views_session (&entry->views, process);
+  gp_session_t *session = gp_views_find_session (&entry->views, process);
   const gp_member_t *member
       = gp_members_find (&entry->routes.members, process);
   const char *reporter = NULL;
@@ -35,7 +35,8 @@
   if (member != NULL)
     reporter = gp_member_reporter (member);
   ask->process = (char *)process;
-  return reporter == NULL ? NULL : gp_views_session (&entry->views, reporter);
+  return reporter == NULL ? NULL
+                          : gp_views_find_session (&entry->views, reporter);
 }
 
 static void
--- a/src/daemon/view.c
+++ b/src/daemon/view.c
@@ -28,7 +28,7 @@
   gp_http_exchange_t *exchange;
   gp_view_t *view;
   Gp__Wire__ViewKind kind;
-} reader_t;
+} waiter_t;
 
 /* A request that is forwarded for another entry.  */
 typedef struct
@@ -55,13 +55,13 @@
 }
 
 static void
-end_view (gp_view_t *view, gp_view_result_t result,
-          const Gp__Wire__View *message)
+finish_view (gp_view_t *view, gp_view_result_t result,
+             const Gp__Wire__View *message)
 {
   gp_view_done_t done = view->done;
   void *data = view->data;
 
-  if (result != GP_VIEW_COME)
+  if (result != GP_VIEW_RECEIVED)
     gp_counter_add (&lost, 1);
   gp_view_cancel (view);
   done (result, message, data);
@@ -84,7 +84,7 @@
 }
 
 static gboolean
-is_late (gpointer key, gpointer value, gpointer now)
+has_timed_out (gpointer key, gpointer value, gpointer now)
 {
   const gp_view_t *view = value;
 
@@ -100,13 +100,13 @@
   gp_view_t *view;
 
   (void)timer;
-  while ((view = g_hash_table_find (views->open, is_late, &now)) != NULL)
-    end_view (view, GP_VIEW_LATE, NULL);
+  while ((view = g_hash_table_find (views->open, has_timed_out, &now)) != NULL)
+    finish_view (view, GP_VIEW_TIMED_OUT, NULL);
   arm_timer (views);
 }
 
 gp_session_t *
-gp_views_session (const gp_views_t *views, const char *process)
+gp_views_find_session (const gp_views_t *views, const char *process)
 {
   GP_LIST_FOREACH (pos, &views->host->sessions)
   {
@@ -120,8 +120,9 @@
 }
 
 gp_view_t *
-gp_views_ask (gp_views_t *views, gp_session_t *session, Gp__Wire__ViewAsk *ask,
-              gp_time_t timeout, gp_view_done_t done, void *data)
+gp_views_request (gp_views_t *views, gp_session_t *session,
+                  Gp__Wire__ViewAsk *ask, gp_time_t timeout,
+                  gp_view_done_t done, void *data)
 {
   Gp__Wire__Envelope envelope = GP_ENVELOPE (VIEW_ASK, view_ask, ask);
   gp_view_t *view;
@@ -152,73 +153,73 @@
   gp_view_t *view = g_hash_table_lookup (views->open, &id);
 
   if (view != NULL && view->session == session)
-    end_view (view, GP_VIEW_COME, message);
+    finish_view (view, GP_VIEW_RECEIVED, message);
 }
 
 /* Operators.  */
 
 static void
-answer_reader (const reader_t *reader, const Gp__Wire__View *view)
+answer_waiter (const waiter_t *waiter, const Gp__Wire__View *view)
 {
-  bool lines = reader->kind == GP__WIRE__VIEW_KIND__VIEW_KIND_TIMELINE;
+  bool lines = waiter->kind == GP__WIRE__VIEW_KIND__VIEW_KIND_TIMELINE;
 
   if (view->missing)
-    gp_operators_fail (reader->exchange, 404,
+    gp_operators_fail (waiter->exchange, 404,
                        "no entry has a connection to such a process");
   else
-    gp_operators_answer_text (reader->exchange, 200,
+    gp_operators_answer_text (waiter->exchange, 200,
                               lines ? TYPE_LINES : TYPE_TEXT,
                               (const char *)view->text.data, view->text.len);
 }
 
 static void
-on_reader_view (gp_view_result_t result, const Gp__Wire__View *view,
+on_waiter_view (gp_view_result_t result, const Gp__Wire__View *view,
                 void *data)
 {
-  reader_t *reader = data;
+  waiter_t *waiter = data;
 
   switch (result)
     {
-    case GP_VIEW_COME:
-      answer_reader (reader, view);
+    case GP_VIEW_RECEIVED:
+      answer_waiter (waiter, view);
       break;
-    case GP_VIEW_LATE:
-      gp_operators_fail (reader->exchange, 504,
+    case GP_VIEW_TIMED_OUT:
+      gp_operators_fail (waiter->exchange, 504,
                          "the process did not answer in time");
       break;
-    case GP_VIEW_LOST:
-      gp_operators_fail (reader->exchange, 502,
+    case GP_VIEW_DISCONNECTED:
+      gp_operators_fail (waiter->exchange, 502,
                          "the connection to the process was lost");
       break;
     }
-  g_free (reader);
+  g_free (waiter);
 }
 
 static void
-on_reader_gone (void *data)
+on_waiter_gone (void *data)
 {
-  reader_t *reader = data;
+  waiter_t *waiter = data;
 
-  gp_view_cancel (reader->view);
-  g_free (reader);
+  gp_view_cancel (waiter->view);
+  g_free (waiter);
 }
 
 void
 gp_views_answer (gp_views_t *views, gp_http_exchange_t *exchange,
                  gp_session_t *session, Gp__Wire__ViewAsk *ask)
 {
-  reader_t *reader = g_new0 (reader_t, 1);
+  waiter_t *waiter = g_new0 (waiter_t, 1);
 
-  reader->exchange = exchange;
-  reader->kind = ask->kind;
-  reader->view = gp_views_ask (views, session, ask, VIEW_TIMEOUT,
-                               on_reader_view, reader);
-  if (reader->view != NULL)
+  waiter->exchange = exchange;
+  waiter->kind = ask->kind;
+  waiter->view = gp_views_request (views, session, ask, VIEW_TIMEOUT,
+                                   on_waiter_view, waiter);
+  if (waiter->view != NULL)
     {
-      gp_http_exchange_watch (exchange, on_reader_gone, NULL, reader);
+      gp_http_exchange_watch (exchange, on_waiter_gone, NULL, waiter);
       return;
     }
-  g_free (reader);
+  g_free (waiter);
   gp_operators_fail (exchange, 503,
                      "no request can be sent to the process now");
 }
@@ -255,13 +256,13 @@
 
   switch (result)
     {
-    case GP_VIEW_COME:
+    case GP_VIEW_RECEIVED:
       back = *view;
       back.id = forward->id;
       gp_session_send (forward->from, &envelope);
       break;
-    case GP_VIEW_LATE:
-    case GP_VIEW_LOST:
+    case GP_VIEW_TIMED_OUT:
+    case GP_VIEW_DISCONNECTED:
       send_missing (forward->from, forward->id);
       break;
     }
@@ -272,8 +273,8 @@
 gp_views_forward (gp_views_t *views, gp_session_t *from,
                   const Gp__Wire__ViewAsk *ask)
 {
-  gp_session_t *session = gp_views_session (views, ask->process);
-  Gp__Wire__ViewAsk onward = *ask;
+  gp_session_t *session = gp_views_find_session (views, ask->process);
+  Gp__Wire__ViewAsk forwarded = *ask;
   forward_t *forward;
 
   if (session == NULL)
@@ -281,13 +282,13 @@
       send_missing (from, ask->id);
       return;
     }
-  onward.process = "";
+  forwarded.process = "";
   forward = g_new0 (forward_t, 1);
   forward->from = from;
   forward->id = ask->id;
   gp_list_push_back (&views->forwards, &forward->link);
-  forward->view = gp_views_ask (views, session, &onward, VIEW_TIMEOUT,
-                                on_forward_view, forward);
+  forward->view = gp_views_request (views, session, &forwarded, VIEW_TIMEOUT,
+                                    on_forward_view, forward);
   if (forward->view != NULL)
     return;
   send_missing (from, ask->id);
@@ -321,7 +322,7 @@
   }
   while ((view = g_hash_table_find (views->open, is_of_session, session))
          != NULL)
-    end_view (view, GP_VIEW_LOST, NULL);
+    finish_view (view, GP_VIEW_DISCONNECTED, NULL);
 }
 
 static gboolean
@@ -349,7 +350,7 @@
   gp_view_t *view;
 
   while ((view = g_hash_table_find (views->open, is_any, NULL)) != NULL)
-    end_view (view, GP_VIEW_LOST, NULL);
+    finish_view (view, GP_VIEW_DISCONNECTED, NULL);
   gp_timer_finish (&views->timer);
 }
 
--- a/src/daemon/view.h
+++ b/src/daemon/view.h
@@ -21,9 +21,9 @@
 
 typedef enum
 {
-  GP_VIEW_COME, /* received */
-  GP_VIEW_LATE, /* timed out */
-  GP_VIEW_LOST  /* its session closed */
+  GP_VIEW_RECEIVED,    /* received */
+  GP_VIEW_TIMED_OUT,   /* timed out */
+  GP_VIEW_DISCONNECTED /* its session closed */
 } gp_view_result_t;
 
 /* Called with the result of a request; VIEW is NULL unless it was
@@ -49,14 +49,15 @@
 void gp_views_finish (gp_views_t *views);
 
 /* The ready session to PROCESS, or NULL.  */
-gp_session_t *gp_views_session (const gp_views_t *views, const char *process);
+gp_session_t *gp_views_find_session (const gp_views_t *views,
+                                     const char *process);
 
 /* Send ASK, whose id is set here, over SESSION.  DONE is called once, within
    TIMEOUT and never from inside this call, unless the request is cancelled.
    Returns NULL if the request cannot be sent now.  */
-gp_view_t *gp_views_ask (gp_views_t *views, gp_session_t *session,
-                         Gp__Wire__ViewAsk *ask, gp_time_t timeout,
-                         gp_view_done_t done, void *data);
+gp_view_t *gp_views_request (gp_views_t *views, gp_session_t *session,
+                             Gp__Wire__ViewAsk *ask, gp_time_t timeout,
+                             gp_view_done_t done, void *data);
 void gp_view_cancel (gp_view_t *view);
 
 /* Request the view over SESSION and answer EXCHANGE with the result.  */
--- a/tests/unit/test_views.c
+++ b/tests/unit/test_views.c
@@ -168,14 +168,14 @@
      seen_t *seen)
 {
   Gp__Wire__ViewAsk message = GP__WIRE__VIEW_ASK__INIT;
-  gp_session_t *session = gp_views_session (&from->views, over);
+  gp_session_t *session = gp_views_find_session (&from->views, over);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (session);
   message.kind = GP__WIRE__VIEW_KIND__VIEW_KIND_TIMELINE;
   message.max = 10;
   message.process = (char *)process;
-  return gp_views_ask (&from->views, session, &message, timeout, on_view,
-                       seen);
+  return gp_views_request (&from->views, session, &message, timeout, on_view,
+                           seen);
 }
 
 /* Through an entry in between, as well as from it; a process that it does
@@ -189,7 +189,7 @@
   seen_t missing = { 0 };
 
   world_init (world);
-  CU_ASSERT_PTR_NULL (gp_views_session (&world->a.views, "g"));
+  CU_ASSERT_PTR_NULL (gp_views_find_session (&world->a.views, "g"));
   ask (&world->a, "b", "", TIMEOUT, &direct);
   ask (&world->a, "b", "g", TIMEOUT, &forwarded);
   ask (&world->a, "b", "nobody", TIMEOUT, &missing);
@@ -229,11 +229,11 @@
   ask (&world->a, "b", "", SHORT, &late);
   ask (&world->a, "b", "", TIMEOUT, &lost);
   run_until_count (&world->loop, &late.calls, 1);
-  CU_ASSERT_EQUAL (late.result, GP_VIEW_LATE);
+  CU_ASSERT_EQUAL (late.result, GP_VIEW_TIMED_OUT);
   CU_ASSERT_EQUAL (lost.calls, 0);
   gp_session_host_close (&world->b.host);
   run_until_count (&world->loop, &lost.calls, 1);
-  CU_ASSERT_EQUAL (lost.result, GP_VIEW_LOST);
+  CU_ASSERT_EQUAL (lost.result, GP_VIEW_DISCONNECTED);
   CU_ASSERT_EQUAL (cancelled.calls, 0);
   world_finish (world);
   g_free (world);
@@ -254,7 +254,7 @@
     run_turns (&world->loop, 1);
   gp_session_host_close (&world->a.host);
   run_until_count (&world->loop, &seen.calls, 1);
-  CU_ASSERT_EQUAL (seen.result, GP_VIEW_LOST);
+  CU_ASSERT_EQUAL (seen.result, GP_VIEW_DISCONNECTED);
   for (int i = 0; i < 1000 && world->b.ready > 1; i++)
     run_turns (&world->loop, 1);
   gone = gp_list_empty (&world->b.views.forwards);
