--- a/src/daemon/console.c
+++ b/src/daemon/console.c
@@ -1,4 +1,4 @@
-/* The console's files.  */
+/* The console: embedded files.  */
 
 #include "daemon/console.h"
 
@@ -6,7 +6,7 @@
 
 #include "daemon/text.h"
 
-/* Put a file between two symbols.  */
+/* Embed a file between two symbols.  */
 #define ASSET(name, file)                                                     \
   __asm__(".section .rodata\n"                                                \
           ".global gp_console_" #name "_start\n"                              \
@@ -55,8 +55,8 @@
     gp_console_schema_end },
 };
 
-/* Only files of this origin run or are shown, and nothing else may be
-   reached or may frame the page.  */
+/* Scripts, styles and requests of this origin only, images as data URLs only;
+   no other page may frame this one.  */
 static const char policy[]
     = "default-src 'none'; script-src 'self'; style-src 'self'; "
       "connect-src 'self'; img-src data:; base-uri 'none'; form-action "
--- a/src/daemon/console.h
+++ b/src/daemon/console.h
@@ -1,4 +1,5 @@
-/* The console: a page for operators, made of files kept in the program.  */
+/* The console: a web page for operators, from files embedded in the
+   program.  */
 
 #ifndef GP_DAEMON_CONSOLE_H
 #define GP_DAEMON_CONSOLE_H
@@ -7,9 +8,9 @@
 
 #include "transport/http.h"
 
-/* Answer when PATH belongs to the console.  The page itself holds nothing of
-   the site, so it needs no token; what it shows comes from the paths that
-   do.  */
+/* Answer a GET request if PATH belongs to the console; returns whether it
+   does.  The page itself contains no data of the site and needs no token;
+   the data that it shows comes from paths that do.  */
 bool gp_console_answer (gp_http_exchange_t *exchange, gp_http_text_t path);
 
 #endif
--- a/src/daemon/operators.c
+++ b/src/daemon/operators.c
@@ -1,4 +1,4 @@
-/* HTTP to operators: sign-in, routes and what their handlers share.  */
+/* HTTP API for operators: sign-in, routing and helpers for handlers.  */
 
 #include "daemon/operators.h"
 
@@ -15,11 +15,11 @@
 #define BEARER "Bearer "
 #define JSON_TYPE "application/json"
 
-/* Failed sign-ins that one address may make at once, and per second.  */
+/* Failed sign-ins allowed per address: burst, and rate per second.  */
 #define FAILURES_BURST 10
 #define FAILURES_PER_S 0.5
-/* Addresses that are remembered; beyond it those that have not failed of
-   late are forgotten.  */
+/* Limit of addresses with a limiter of their own.  When it is reached, those
+   whose limiter has refilled are removed.  */
 #define SENDERS_MAX 1024
 
 static gp_counter_t requests = GP_COUNTER (
@@ -72,7 +72,8 @@
 
 /* Queries and bodies.  */
 
-/* Cut the part of TEXT up to MARK off its front.  */
+/* Remove the part of TEXT up to MARK, with MARK, and return it without
+   MARK.  */
 static gp_http_text_t
 take_until (gp_http_text_t *text, char mark)
 {
@@ -145,8 +146,8 @@
 
 /* Sign-in.  */
 
-/* The digests are compared, so the time tells neither where the token
-   differs nor how long it is.  */
+/* Compare digests in constant time, so that the time reveals neither where
+   the tokens differ nor their length.  */
 static bool
 is_token (const char *token, gp_http_text_t given)
 {
@@ -182,13 +183,15 @@
   return gp_limiter_ready_at (value, FAILURES_BURST, *now) <= *now;
 }
 
-/* The limiter of the sender, or NULL while it has not failed.  */
+/* The limiter of the sender, or NULL if it has no recent failures.  */
 static gp_limiter_t *
 find_sender (gp_entry_t *entry, const char *address)
 {
   return g_hash_table_lookup (entry->operators_state.senders, address);
 }
 
+/* Add a limiter for the sender.  Once the table is full, all further senders
+   share the limiter of the empty address.  */
 static gp_limiter_t *
 add_sender (gp_entry_t *entry, const char *address, gp_time_t now)
 {
@@ -219,7 +222,7 @@
   gp_operators_fail (exchange, 401, "a valid bearer token is required");
 }
 
-/* Answered whatever the token is, or guessing would go on.  */
+/* Refuse without checking the token; otherwise guessing could continue.  */
 static void
 refuse_limited (gp_http_exchange_t *exchange, gp_time_t wait)
 {
@@ -238,7 +241,8 @@
                            body, strlen (body));
 }
 
-/* Whether the request may go on; else it has been answered.  */
+/* Check the sender's limit and token.  Returns false after answering the
+   request if it is refused.  */
 static bool
 let_in (gp_entry_t *entry, gp_http_exchange_t *exchange)
 {
@@ -283,7 +287,8 @@
   return false;
 }
 
-/* Find the route; PATH_KNOWN tells whether the path has another method.  */
+/* Find the route of a request.  PATH_KNOWN is set if the path has routes, but
+   none for METHOD.  */
 static const gp_operators_route_t *
 find_route (gp_http_text_t method, gp_http_text_t path,
             gp_operators_request_t *request, bool *path_known)
@@ -317,9 +322,9 @@
   if (route != NULL)
     route->handle (&request);
   else if (path_known)
-    gp_operators_fail (exchange, 405, "the path does not take this method");
+    gp_operators_fail (exchange, 405, "method not allowed for this path");
   else
-    gp_operators_fail (exchange, 404, "there is no such path");
+    gp_operators_fail (exchange, 404, "path not found");
 }
 
 void
--- a/src/daemon/operators.h
+++ b/src/daemon/operators.h
@@ -1,9 +1,8 @@
-/* HTTP to operators: tables of routes behind a bearer token.
+/* HTTP API for operators: tables of routes, protected by a bearer token.
 
-   Each part of the daemon that operators see has a table of its own in a
-   file operators_PART.c; operators.c lists the tables.  A handler answers
-   its exchange, at once or later; one that answers later must watch the
-   exchange (see transport/http.h).  */
+   Each subject has its own table in a file operators_SUBJECT.c; operators.c
+   lists the tables.  A handler answers its exchange, immediately or later;
+   one that answers later must watch the exchange (see transport/http.h).  */
 
 #ifndef GP_DAEMON_OPERATORS_H
 #define GP_DAEMON_OPERATORS_H
@@ -15,24 +14,24 @@
 
 typedef struct gp_entry gp_entry_t;
 
-/* One request that has been let in.  */
+/* An authenticated request.  */
 typedef struct
 {
   gp_entry_t *entry;
   gp_http_exchange_t *exchange;
-  gp_http_text_t tail;  /* of a route with a prefix: what follows it */
+  gp_http_text_t tail;  /* the path after the prefix of a prefix route */
   gp_http_text_t query; /* without the question mark; may be empty */
 } gp_operators_request_t;
 
 typedef enum
 {
   GP_OPERATORS_EXACT,
-  GP_OPERATORS_PREFIX /* PATH ends with a slash, and something follows */
+  GP_OPERATORS_PREFIX /* PATH ends with a slash and must not be the whole */
 } gp_operators_match_t;
 
 typedef struct
 {
-  const char *method; /* NULL: the end of a table */
+  const char *method; /* NULL at the end of a table */
   const char *path;
   gp_operators_match_t match;
   void (*handle) (const gp_operators_request_t *request);
@@ -44,7 +43,7 @@
 extern const gp_operators_route_t gp_operators_config_routes[];
 extern const gp_operators_route_t gp_operators_tasks_routes[];
 
-/* Failed sign-ins by address of the sender.  */
+/* Rate limits of failed sign-ins, by address of the sender.  */
 typedef struct
 {
   GHashTable *senders; /* address -> gp_limiter_t */
@@ -53,16 +52,16 @@
 void gp_operators_init (gp_operators_t *operators);
 void gp_operators_finish (gp_operators_t *operators);
 
-/* An operator's request; DATA is the gp_entry_t.  */
+/* Handle an HTTP request; DATA is the gp_entry_t.  */
 void gp_operators_on_request (gp_http_exchange_t *exchange, void *data);
 
-/* Helpers of handlers.  */
+/* Helpers for handlers.  */
 
-/* Answer with JSON, which is freed.  */
+/* Answer with JSON, which is consumed.  */
 void gp_operators_answer (gp_http_exchange_t *exchange, int status,
                           json_t *json);
 
-/* Answer with TYPE as content type.  */
+/* Answer with TEXT of the content type TYPE.  */
 void gp_operators_answer_text (gp_http_exchange_t *exchange, int status,
                                const char *type, const char *text,
                                size_t size);
@@ -71,18 +70,18 @@
 void gp_operators_fail (gp_http_exchange_t *exchange, int status,
                         const char *message);
 
-/* The value of NAME in the query, with escapes undone, or NULL; owned by the
-   caller.  */
+/* The unescaped value of NAME in the query, or NULL; owned by the caller.  */
 char *gp_operators_query (const gp_operators_request_t *request,
                           const char *name);
 
-/* The same as a number from 0; FALLBACK when it is absent.  False when it is
-   no such number.  */
+/* Read the value of NAME in the query as an unsigned number, FALLBACK if it is
+   absent.  Returns false if it is not such a number.  */
 bool gp_operators_query_number (const gp_operators_request_t *request,
                                 const char *name, uint64_t fallback,
                                 uint64_t *number);
 
-/* The body as a JSON object owned by the caller, or NULL after a 400.  */
+/* Parse the body as a JSON object, owned by the caller.  Returns NULL after
+   answering 400 if it is not one.  */
 json_t *gp_operators_body (const gp_operators_request_t *request);
 
 #endif
--- a/src/daemon/operators_check.c
+++ b/src/daemon/operators_check.c
@@ -1,15 +1,15 @@
-/* Operators: the check of a document that is not published.
+/* Operators: checking a document without publishing it.
 
-   With "tree" the answer also has the document as JSON and the place of each
-   of its values, so that forms need no YAML parser of their own and can
-   change a value where it stands.  */
+   With "tree" the answer also contains the document as JSON and the position
+   of each of its values, so that forms need no YAML parser of their own and
+   can change a value in place.  */
 
 #include <string.h>
 
 #include "daemon/entry.h"
 #include "state/document.h"
 
-/* Numbers that JavaScript holds exactly.  */
+/* The largest integers that JavaScript represents exactly.  */
 #define NUMBER_MAX ((guint64)1 << 53)
 
 typedef struct
@@ -36,7 +36,7 @@
   return json_string (node->value);
 }
 
-/* The value of CHILD, whose path is that of its parent and SUFFIX.  */
+/* The value of CHILD, whose path is the path of its parent plus SUFFIX.  */
 static json_t *
 child_value (tree_t *tree, const gp_yaml_node_t *child, const char *suffix)
 {
@@ -100,7 +100,7 @@
   return json_null ();
 }
 
-/* Add the document as JSON, unless it is no YAML at all.  */
+/* Add the document as JSON, unless it is not valid YAML.  */
 static void
 add_tree (json_t *answer, const char *text, size_t size)
 {
--- a/src/daemon/operators_config.c
+++ b/src/daemon/operators_config.c
@@ -1,4 +1,4 @@
-/* HTTP to operators about the configuration.  */
+/* Operators: reading and publishing the configuration.  */
 
 #include <string.h>
 
@@ -8,10 +8,10 @@
 #define PUBLISH_TIMEOUT (10 * GP_SEC)
 #define PUBLISH_TIMEOUT_MAX (60 * GP_SEC)
 
-/* A publication whose operator waits.  */
+/* An operator's request that waits for a publication.  */
 typedef struct
 {
-  gp_http_exchange_t *exchange; /* NULL once the operator left */
+  gp_http_exchange_t *exchange; /* NULL once the connection is closed */
 } waiting_t;
 
 /* Reading.  */
@@ -22,8 +22,8 @@
   return &gp_store_fold (entry->config_store)->config;
 }
 
-/* The document of the revision in force: as it was written if the log told
-   it here, else from its items.  */
+/* The document of the revision in force: its original text if this entry has
+   read that revision from the log, else formatted from its items.  */
 static json_t *
 document_json (const gp_entry_t *entry)
 {
@@ -46,7 +46,7 @@
   return json_stringn (bytes != NULL ? bytes : "", size);
 }
 
-/* The digest of the items, so that two processes can be compared.  */
+/* The digest of the items, for comparing two processes.  */
 static json_t *
 digest_json (const gp_config_t *config)
 {
@@ -166,7 +166,8 @@
       break;
     case GP_PUBLISH_UNKNOWN:
       gp_operators_fail (exchange, 504,
-                         "the document may yet be accepted; read it again");
+                         "the document may still be accepted; read the "
+                         "configuration again");
       break;
     }
 }
--- a/src/daemon/operators_status.c
+++ b/src/daemon/operators_status.c
@@ -1,11 +1,11 @@
-/* Operators: what the site does, as this entry sees it.  */
+/* Operators: the status of the site as seen by this entry.  */
 
 #include <string.h>
 
 #include "daemon/entry.h"
 #include "daemon/laggards.h"
 
-/* Descriptions.  */
+/* JSON helpers.  */
 
 static void
 set_id (json_t *object, const char *key, uint64_t id)
@@ -113,7 +113,7 @@
   return object;
 }
 
-/* All entries of the settings, so that one that never came is seen too.  */
+/* All entries of the settings, including those that never connected.  */
 static json_t *
 describe_entries (const gp_entry_t *entry)
 {
@@ -152,7 +152,8 @@
   return "unknown";
 }
 
-/* By the guard's own word here, or by that of an entry that hears it.  */
+/* Set the guard's revision as it reported it here or, without a session, as
+   the entry that receives its heartbeats reported it.  */
 static void
 set_guard_revision (json_t *object, const gp_process_t *process,
                     const gp_member_t *member, const gp_laggards_t *laggards)
@@ -230,7 +231,7 @@
   return object;
 }
 
-/* Members by name, so that the order is the same each time.  */
+/* Sort members by name, for a stable order.  */
 static int
 compare_members (gconstpointer a, gconstpointer b)
 {
@@ -275,7 +276,8 @@
   g_ptr_array_unref (members);
 }
 
-/* The names over which tasks are spread (see coordination/rendezvous.h).  */
+/* The names of the entries among which tasks are distributed (see
+   coordination/rendezvous.h).  */
 static json_t *
 describe_owners (const json_t *entries)
 {
@@ -293,7 +295,7 @@
   return owners;
 }
 
-/* Names of zones in which nothing is started.  */
+/* The names of the evacuated zones, in which nothing is started.  */
 static json_t *
 describe_evacuated (const gp_entry_t *entry)
 {
@@ -330,7 +332,7 @@
   return status;
 }
 
-/* An operator who waits for the word of the other entries.  */
+/* An operator's request that waits for the answers of other entries.  */
 typedef struct
 {
   gp_entry_t *entry;
--- a/src/daemon/operators_tasks.c
+++ b/src/daemon/operators_tasks.c
@@ -18,11 +18,11 @@
   STATUS_UNKNOWN = 504
 } status_t;
 
-/* A request that is answered when the log has decided.  */
+/* A request that waits for the decision of the log.  */
 typedef struct
 {
-  gp_http_exchange_t *exchange; /* NULL once it has gone */
-  int accepted;                 /* status of success */
+  gp_http_exchange_t *exchange; /* NULL once the connection is closed */
+  int accepted;                 /* HTTP status for success */
 } waiting_t;
 
 static void
@@ -80,7 +80,8 @@
   g_free (waiting);
 }
 
-/* The id at the end of the path; false after a 404.  */
+/* Read the id at the end of the path.  Returns false after answering 404 if
+   it is invalid.  */
 static bool
 read_id (const gp_operators_request_t *request, uint64_t *id)
 {
@@ -97,7 +98,7 @@
   return good;
 }
 
-/* Answer with JSON, or 404 when it is NULL.  */
+/* Answer with JSON, or with 404 if it is NULL.  */
 static void
 answer_view (const gp_operators_request_t *request, json_t *json)
 {
--- a/src/daemon/operators_timeline.c
+++ b/src/daemon/operators_timeline.c
@@ -1,5 +1,5 @@
-/* Operators: time lines and counters, of this entry or of any process that
-   it has a session to.  */
+/* Operators: timelines and counters, of this entry or of any process that an
+   entry has a session to.  */
 
 #include <string.h>
 
@@ -20,8 +20,9 @@
   g_string_free (text, TRUE);
 }
 
-/* The session over which PROCESS can be asked: its own, or that of an entry
-   that hears it, which ASK then tells; NULL when there is none.  */
+/* The session over which a view of PROCESS can be requested: that to PROCESS,
+   or that to an entry which receives its heartbeats; then ASK is set to be
+   forwarded.  Returns NULL if there is none.  */
 static gp_session_t *
 find_way (gp_entry_t *entry, const char *process, Gp__Wire__ViewAsk *ask)
 {
--- a/src/daemon/processes.c
+++ b/src/daemon/processes.c
@@ -1,8 +1,8 @@
-/* The processes that an entry has met over sessions.  */
+/* The processes that an entry has or had sessions with.  */
 
 #include "daemon/processes.h"
 
-/* A process without a session is forgotten after this long.  */
+/* A process is removed after being without a session for this long.  */
 #define FORGET_AFTER_US ((int64_t)3600 * 1000000)
 
 static void
--- a/src/daemon/program.c
+++ b/src/daemon/program.c
@@ -1,5 +1,5 @@
-/* Command line of the daemons (--config, --check, --version) and their
-   life.  */
+/* Main program of the daemons: command line (--config, --check, --version),
+   settings, process lifecycle.  */
 
 #include "daemon/program.h"
 
--- a/src/daemon/text.c
+++ b/src/daemon/text.c
@@ -1,4 +1,4 @@
-/* Headers between HTTP and the wire.  */
+/* Conversion of headers between HTTP and wire messages.  */
 
 #include "daemon/text.h"
 
--- a/src/daemon/text.h
+++ b/src/daemon/text.h
@@ -1,4 +1,4 @@
-/* Headers between HTTP and the wire.  */
+/* Conversion of headers between HTTP and wire messages.  */
 
 #ifndef GP_DAEMON_TEXT_H
 #define GP_DAEMON_TEXT_H
@@ -8,10 +8,11 @@
 #include "transport/http.h"
 #include "wire.pb-c.h"
 
-/* As many as the HTTP library lets through.  */
+/* The number of headers that the HTTP library accepts.  */
 #define GP_HEADERS_MAX 100
 
-/* Wire headers on memory of the caller, pointing into their source.  */
+/* Wire headers, allocated by the caller; their names and values point into
+   the HTTP headers.  */
 typedef struct
 {
   size_t count;
@@ -19,16 +20,16 @@
   Gp__Wire__Header *pointers[GP_HEADERS_MAX];
 } gp_wire_headers_t;
 
-/* Whether a header concerns one connection only and must not be passed
-   on.  */
+/* Whether a header concerns a single connection and must not be forwarded.  */
 bool gp_header_is_hop_by_hop (const char *name, size_t size);
 
-/* Make wire headers of COUNT HTTP headers without the hop-by-hop ones; what
-   is beyond GP_HEADERS_MAX is left out.  */
+/* Convert COUNT HTTP headers, without the hop-by-hop ones; headers beyond
+   GP_HEADERS_MAX are omitted.  */
 void gp_wire_headers_from_http (gp_wire_headers_t *wire,
                                 const gp_http_header_t *headers, size_t count);
 
-/* Make HTTP headers of wire headers; the number that fits MAX.  */
+/* Convert COUNT wire headers, without the hop-by-hop ones, into at most MAX
+   HTTP headers.  Returns their number.  */
 size_t gp_http_headers_from_wire (gp_http_header_t *headers, size_t max,
                                   Gp__Wire__Header *const *wire, size_t count);
 
--- a/src/daemon/uplinks.c
+++ b/src/daemon/uplinks.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* Failures in a row after which an entry's place goes to another: within a
-   second, see gp_dialer_backoff.  */
+/* Consecutive failures to connect after which a home is replaced.  With
+   gp_dialer_backoff they take less than a second.  */
 #define LOST_AFTER 4
 
 static bool
@@ -43,7 +43,7 @@
   return false;
 }
 
-/* Mark the homes among the entries that are not lost.  */
+/* Choose the homes among the reachable entries and mark them.  */
 static void
 choose_homes (gp_uplinks_t *uplinks)
 {
