--- a/programs/galenapier-entry.c
+++ b/programs/galenapier-entry.c
@@ -26,7 +26,7 @@
 {
   static gp_entry_t entry;
   const gp_program_t program = { .name = "galenapier-entry",
-                                 .wants_entry = true,
+                                 .needs_entry_section = true,
                                  .init = init,
                                  .run = run,
                                  .finish = finish,
--- a/programs/galenapier-guard.c
+++ b/programs/galenapier-guard.c
@@ -26,7 +26,7 @@
 {
   static gp_guard_t guard;
   const gp_program_t program = { .name = "galenapier-guard",
-                                 .wants_entry = false,
+                                 .needs_entry_section = false,
                                  .init = init,
                                  .run = run,
                                  .finish = finish,
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -53,8 +53,9 @@
 
   if (session->owner != NULL)
     gp_dialer_on_ready (session->owner);
-  gp_processes_opened (&entry->processes, session, gp_time_wall ());
-  gp_program_note (&entry->timeline, GP_TIMELINE_PEER_UP, session->process);
+  gp_processes_session_opened (&entry->processes, session, gp_time_wall ());
+  gp_program_record_event (&entry->timeline, GP_TIMELINE_PEER_UP,
+                           session->process);
   if (session->role == GP__WIRE__ROLE__ROLE_ENTRY)
     send_state (entry, session);
   gp_log (GP_LOG_INFO, "session.open", GP_LOG_S ("peer", session->process),
@@ -99,9 +100,9 @@
       on_announce (entry, session, envelope->announce);
       break;
     case GP__WIRE__ENVELOPE__MESSAGE_HEARTBEAT:
-      gp_processes_revision (&entry->processes, session,
-                             envelope->heartbeat->config_revision,
-                             gp_time_wall ());
+      gp_processes_set_revision (&entry->processes, session,
+                                 envelope->heartbeat->config_revision,
+                                 gp_time_wall ());
       gp_routes_heartbeat (&entry->routes, session, envelope->heartbeat);
       break;
     case GP__WIRE__ENVELOPE__MESSAGE_ANSWER:
@@ -114,8 +115,8 @@
       gp_relays_on_broken (&entry->relays, session, envelope->broken);
       break;
     case GP__WIRE__ENVELOPE__MESSAGE_PROCESS_STATE:
-      gp_processes_state (&entry->processes, session, envelope->process_state,
-                          gp_time_wall ());
+      gp_processes_set_state (&entry->processes, session,
+                              envelope->process_state, gp_time_wall ());
       break;
     case GP__WIRE__ENVELOPE__MESSAGE_VIEW_ASK:
       on_view_ask (entry, session, envelope->view_ask);
@@ -153,8 +154,9 @@
     return;
   gp_log (GP_LOG_INFO, "session.closed", GP_LOG_S ("peer", session->process),
           GP_LOG_S ("reason", reason != NULL ? reason->message : "left"));
-  gp_processes_closed (&entry->processes, session, gp_time_wall ());
-  gp_program_note (&entry->timeline, GP_TIMELINE_PEER_DOWN, session->process);
+  gp_processes_session_closed (&entry->processes, session, gp_time_wall ());
+  gp_program_record_event (&entry->timeline, GP_TIMELINE_PEER_DOWN,
+                           session->process);
   gp_views_on_closed (&entry->views, session);
   gp_news_on_closed (&entry->news, session);
   if (session->object != NULL)
@@ -237,8 +239,8 @@
     return;
   entry->leaving = true;
   gp_log (GP_LOG_INFO, "entry.leaving");
-  gp_program_note (&entry->timeline, GP_TIMELINE_PROCESS_STOP,
-                   entry->settings->name);
+  gp_program_record_event (&entry->timeline, GP_TIMELINE_PROCESS_STOP,
+                           entry->settings->name);
   tell_state (entry);
   gp_http_server_retire (entry->callers);
   gp_timer_arm (&entry->stop_timer,
@@ -417,8 +419,8 @@
   gp_timeline_init (&entry->timeline, settings->name, entry->incarnation,
                     entry->events, GP_ENTRY_TIMELINE_SIZE);
   entry->host.timeline = &entry->timeline;
-  gp_program_note (&entry->timeline, GP_TIMELINE_PROCESS_START,
-                   entry->settings->name);
+  gp_program_record_event (&entry->timeline, GP_TIMELINE_PROCESS_START,
+                           entry->settings->name);
   gp_processes_init (&entry->processes);
   gp_views_init (&entry->views, &entry->host);
   gp_operators_init (&entry->operators_state);
--- a/src/daemon/guard.c
+++ b/src/daemon/guard.c
@@ -139,7 +139,8 @@
 
   /* Recorded before the announcement is sent, so that events caused by the
      announcement come later in the timeline.  */
-  gp_program_note (&guard->timeline, GP_TIMELINE_PEER_UP, session->process);
+  gp_program_record_event (&guard->timeline, GP_TIMELINE_PEER_UP,
+                           session->process);
   gp_uplinks_on_ready (&guard->uplinks, session);
   gp_counter_add (&entries_connected, 1);
   gp_log (GP_LOG_INFO, "session.open", GP_LOG_S ("entry", session->process));
@@ -214,8 +215,8 @@
   if (ready)
     {
       gp_counter_add (&entries_connected, -1);
-      gp_program_note (&guard->timeline, GP_TIMELINE_PEER_DOWN,
-                       session->process);
+      gp_program_record_event (&guard->timeline, GP_TIMELINE_PEER_DOWN,
+                               session->process);
       gp_log (GP_LOG_INFO, "session.closed",
               GP_LOG_S ("entry", session->process),
               GP_LOG_S ("reason", reason != NULL ? reason->message : "left"));
@@ -288,8 +289,8 @@
     return;
   guard->leaving = true;
   gp_log (GP_LOG_INFO, "guard.leaving");
-  gp_program_note (&guard->timeline, GP_TIMELINE_PROCESS_STOP,
-                   guard->settings->name);
+  gp_program_record_event (&guard->timeline, GP_TIMELINE_PROCESS_STOP,
+                           guard->settings->name);
   gp_uplinks_stop (&guard->uplinks);
   announce_all (guard);
   guard->components_draining = has_upstream (guard) + (guard->runner != NULL);
@@ -349,8 +350,8 @@
   gp_timeline_init (&guard->timeline, settings->name, guard->incarnation,
                     guard->events, GP_GUARD_TIMELINE_SIZE);
   guard->host.timeline = &guard->timeline;
-  gp_program_note (&guard->timeline, GP_TIMELINE_PROCESS_START,
-                   guard->settings->name);
+  gp_program_record_event (&guard->timeline, GP_TIMELINE_PROCESS_START,
+                           guard->settings->name);
   guard->configuration = gp_configuration_new (
       &guard->host, NULL, &guard->timeline, on_configuration, guard);
   if (has_upstream (guard)
--- a/src/daemon/operators.c
+++ b/src/daemon/operators.c
@@ -53,7 +53,8 @@
 }
 
 void
-gp_operators_answer (gp_http_exchange_t *exchange, int status, json_t *json)
+gp_operators_answer_json (gp_http_exchange_t *exchange, int status,
+                          json_t *json)
 {
   char *text = json_dumps (json, JSON_COMPACT);
 
@@ -63,11 +64,11 @@
 }
 
 void
-gp_operators_fail (gp_http_exchange_t *exchange, int status,
-                   const char *message)
+gp_operators_answer_error (gp_http_exchange_t *exchange, int status,
+                           const char *message)
 {
-  gp_operators_answer (exchange, status,
-                       json_pack ("{s:s}", "message", message));
+  gp_operators_answer_json (exchange, status,
+                            json_pack ("{s:s}", "message", message));
 }
 
 /* Queries and bodies.  */
@@ -75,7 +76,7 @@
 /* Remove the part of TEXT up to MARK, with MARK, and return it without
    MARK.  */
 static gp_http_text_t
-take_until (gp_http_text_t *text, char mark)
+split_off_until (gp_http_text_t *text, char mark)
 {
   const char *end = memchr (text->base, mark, text->size);
   gp_http_text_t part = *text;
@@ -92,14 +93,15 @@
 }
 
 char *
-gp_operators_query (const gp_operators_request_t *request, const char *name)
+gp_operators_query_string (const gp_operators_request_t *request,
+                           const char *name)
 {
   gp_http_text_t rest = request->query;
 
   while (rest.size > 0)
     {
-      gp_http_text_t value = take_until (&rest, '&');
-      gp_http_text_t key = take_until (&value, '=');
+      gp_http_text_t value = split_off_until (&rest, '&');
+      gp_http_text_t key = split_off_until (&value, '=');
 
       if (gp_http_text_equal (key, name))
         return g_uri_unescape_segment (value.base, value.base + value.size,
@@ -113,7 +115,7 @@
                            const char *name, uint64_t fallback,
                            uint64_t *number)
 {
-  char *text = gp_operators_query (request, name);
+  char *text = gp_operators_query_string (request, name);
   guint64 parsed = fallback;
   bool good
       = text == NULL
@@ -125,7 +127,7 @@
 }
 
 json_t *
-gp_operators_body (const gp_operators_request_t *request)
+gp_operators_parse_body (const gp_operators_request_t *request)
 {
   gp_http_text_t body = gp_http_exchange_body (request->exchange);
   json_error_t error;
@@ -138,7 +140,7 @@
   message = g_strdup_printf ("the body must be a JSON object%s%s",
                              json == NULL ? ": " : "",
                              json == NULL ? error.text : "");
-  gp_operators_fail (request->exchange, 400, message);
+  gp_operators_answer_error (request->exchange, 400, message);
   g_free (message);
   json_decref (json);
   return NULL;
@@ -175,7 +177,7 @@
 }
 
 static gboolean
-is_full (gpointer key, gpointer value, gpointer data)
+has_refilled (gpointer key, gpointer value, gpointer data)
 {
   const gp_time_t *now = data;
 
@@ -199,7 +201,7 @@
   gp_limiter_t *limiter;
 
   if (g_hash_table_size (senders) >= SENDERS_MAX)
-    g_hash_table_foreach_remove (senders, is_full, &now);
+    g_hash_table_foreach_remove (senders, has_refilled, &now);
   if (g_hash_table_size (senders) >= SENDERS_MAX)
     return g_hash_table_lookup (senders, "");
   limiter = g_new (gp_limiter_t, 1);
@@ -209,8 +211,9 @@
 }
 
 static void
-refuse_failure (gp_entry_t *entry, gp_http_exchange_t *exchange,
-                gp_limiter_t *limiter, const char *address, gp_time_t now)
+refuse_unauthenticated (gp_entry_t *entry, gp_http_exchange_t *exchange,
+                        gp_limiter_t *limiter, const char *address,
+                        gp_time_t now)
 {
   if (limiter == NULL)
     limiter = add_sender (entry, address, now);
@@ -219,7 +222,8 @@
   if (gp_limiter_ready_at (limiter, 1, now) > now)
     gp_log (GP_LOG_WARNING, "operators.sign-in-limited",
             GP_LOG_S ("address", address));
-  gp_operators_fail (exchange, 401, "a valid bearer token is required");
+  gp_operators_answer_error (exchange, 401,
+                             "a valid bearer token is required");
 }
 
 /* Refuse without checking the token; otherwise guessing could continue.  */
@@ -244,7 +248,7 @@
 /* Check the sender's limit and token.  Returns false after answering the
    request if it is refused.  */
 static bool
-let_in (gp_entry_t *entry, gp_http_exchange_t *exchange)
+authenticate (gp_entry_t *entry, gp_http_exchange_t *exchange)
 {
   char address[GP_HTTP_ADDRESS_SIZE];
   gp_time_t now = gp_loop_now (&entry->loop);
@@ -261,7 +265,7 @@
     }
   if (is_authorized (entry, exchange))
     return true;
-  refuse_failure (entry, exchange, limiter, address, now);
+  refuse_unauthenticated (entry, exchange, limiter, address, now);
   return false;
 }
 
@@ -322,9 +326,10 @@
   if (route != NULL)
     route->handle (&request);
   else if (path_known)
-    gp_operators_fail (exchange, 405, "method not allowed for this path");
+    gp_operators_answer_error (exchange, 405,
+                               "method not allowed for this path");
   else
-    gp_operators_fail (exchange, 404, "path not found");
+    gp_operators_answer_error (exchange, 404, "path not found");
 }
 
 void
@@ -332,23 +337,23 @@
 {
   gp_entry_t *entry = data;
   gp_http_text_t query = gp_http_exchange_path (exchange);
-  gp_http_text_t path = take_until (&query, '?');
+  gp_http_text_t path = split_off_until (&query, '?');
 
   if (gp_console_answer (exchange, path))
     return;
-  if (let_in (entry, exchange))
+  if (authenticate (entry, exchange))
     route_request (entry, exchange, path, query);
 }
 
 void
 gp_operators_init (gp_operators_t *operators)
 {
-  gp_limiter_t *rest = g_new (gp_limiter_t, 1);
+  gp_limiter_t *shared = g_new (gp_limiter_t, 1);
 
   operators->senders
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  gp_limiter_init (rest, FAILURES_PER_S, FAILURES_BURST);
-  g_hash_table_insert (operators->senders, g_strdup (""), rest);
+  gp_limiter_init (shared, FAILURES_PER_S, FAILURES_BURST);
+  g_hash_table_insert (operators->senders, g_strdup (""), shared);
   gp_counter_register (&requests);
   gp_counter_register (&failures);
   gp_counter_register (&limited);
--- a/src/daemon/operators.h
+++ b/src/daemon/operators.h
@@ -58,8 +58,8 @@
 /* Helpers for handlers.  */
 
 /* Answer with JSON, which is consumed.  */
-void gp_operators_answer (gp_http_exchange_t *exchange, int status,
-                          json_t *json);
+void gp_operators_answer_json (gp_http_exchange_t *exchange, int status,
+                               json_t *json);
 
 /* Answer with TEXT of the content type TYPE.  */
 void gp_operators_answer_text (gp_http_exchange_t *exchange, int status,
@@ -67,12 +67,12 @@
                                size_t size);
 
 /* Answer {"message": MESSAGE}.  */
-void gp_operators_fail (gp_http_exchange_t *exchange, int status,
-                        const char *message);
+void gp_operators_answer_error (gp_http_exchange_t *exchange, int status,
+                                const char *message);
 
 /* The unescaped value of NAME in the query, or NULL; owned by the caller.  */
-char *gp_operators_query (const gp_operators_request_t *request,
-                          const char *name);
+char *gp_operators_query_string (const gp_operators_request_t *request,
+                                 const char *name);
 
 /* Read the value of NAME in the query as an unsigned number, FALLBACK if it is
    absent.  Returns false if it is not such a number.  */
@@ -82,6 +82,6 @@
 
 /* Parse the body as a JSON object, owned by the caller.  Returns NULL after
    answering 400 if it is not one.  */
-json_t *gp_operators_body (const gp_operators_request_t *request);
+json_t *gp_operators_parse_body (const gp_operators_request_t *request);
 
 #endif
--- a/src/daemon/operators_check.c
+++ b/src/daemon/operators_check.c
@@ -132,22 +132,22 @@
 
   if (json_is_true (json_object_get (body, "tree")))
     add_tree (answer, text, size);
-  gp_operators_answer (request->exchange, 200, answer);
+  gp_operators_answer_json (request->exchange, 200, answer);
   g_ptr_array_unref (issues);
 }
 
 static void
 check (const gp_operators_request_t *request)
 {
-  json_t *body = gp_operators_body (request);
+  json_t *body = gp_operators_parse_body (request);
 
   if (body == NULL)
     return;
   if (json_is_string (json_object_get (body, "document")))
     answer_check (request, body);
   else
-    gp_operators_fail (request->exchange, 400,
-                       "`document' must be the text of the document");
+    gp_operators_answer_error (request->exchange, 400,
+                               "`document' must be the text of the document");
   json_decref (body);
 }
 
--- a/src/daemon/operators_config.c
+++ b/src/daemon/operators_config.c
@@ -12,7 +12,7 @@
 typedef struct
 {
   gp_http_exchange_t *exchange; /* NULL once the connection is closed */
-} waiting_t;
+} waiter_t;
 
 /* Reading.  */
 
@@ -95,7 +95,7 @@
       json_object_set_new (body, "changed_us",
                            json_integer (newest->changed_us));
     }
-  gp_operators_answer (request->exchange, 200, body);
+  gp_operators_answer_json (request->exchange, 200, body);
 }
 
 static void
@@ -106,8 +106,8 @@
 
   for (GList *at = config->history.tail; at != NULL; at = at->prev)
     json_array_append_new (list, change_json (at->data));
-  gp_operators_answer (request->exchange, 200,
-                       json_pack ("{s:o}", "revisions", list));
+  gp_operators_answer_json (request->exchange, 200,
+                            json_pack ("{s:o}", "revisions", list));
 }
 
 /* Publishing.  */
@@ -115,9 +115,9 @@
 static void
 on_gone (void *data)
 {
-  waiting_t *waiting = data;
+  waiter_t *waiter = data;
 
-  waiting->exchange = NULL;
+  waiter->exchange = NULL;
 }
 
 static void
@@ -128,46 +128,47 @@
       "revision %" G_GUINT64_FORMAT " of %s came first", answer->revision,
       answer->author[0] != '\0' ? answer->author : "nobody");
 
-  gp_operators_answer (exchange, 409,
-                       json_pack ("{s:I, s:s, s:s}", "revision",
-                                  (json_int_t)answer->revision, "author",
-                                  answer->author, "message", message));
+  gp_operators_answer_json (exchange, 409,
+                            json_pack ("{s:I, s:s, s:s}", "revision",
+                                       (json_int_t)answer->revision, "author",
+                                       answer->author, "message", message));
 }
 
 static void
 on_published (const gp_publish_answer_t *answer, void *data)
 {
-  waiting_t *waiting = data;
-  gp_http_exchange_t *exchange = waiting->exchange;
+  waiter_t *waiter = data;
+  gp_http_exchange_t *exchange = waiter->exchange;
 
-  g_free (waiting);
+  g_free (waiter);
   if (exchange == NULL)
     return;
   switch (answer->result)
     {
     case GP_PUBLISH_ACCEPTED:
-      gp_operators_answer (exchange, 201,
-                           json_pack ("{s:I, s:o}", "revision",
-                                      (json_int_t)answer->revision, "issues",
-                                      gp_issues_json (answer->issues)));
+      gp_operators_answer_json (
+          exchange, 201,
+          json_pack ("{s:I, s:o}", "revision", (json_int_t)answer->revision,
+                     "issues", gp_issues_json (answer->issues)));
       break;
     case GP_PUBLISH_INVALID:
-      gp_operators_answer (exchange, 422,
-                           json_pack ("{s:s, s:o}", "message",
-                                      "the document is not valid", "issues",
-                                      gp_issues_json (answer->issues)));
+      gp_operators_answer_json (
+          exchange, 422,
+          json_pack ("{s:s, s:o}", "message", "the document is not valid",
+                     "issues", gp_issues_json (answer->issues)));
       break;
     case GP_PUBLISH_CONFLICT:
       answer_conflict (exchange, answer);
       break;
     case GP_PUBLISH_UNAVAILABLE:
-      gp_operators_fail (exchange, 503,
-                         "the log takes nothing now; nothing was published");
+      gp_operators_answer_error (
+          exchange, 503, "the log takes nothing now; nothing was published");
       break;
     case GP_PUBLISH_UNKNOWN:
-      gp_operators_fail (exchange, 504,
-                         "the document may still be accepted; read the "
-                         "configuration again");
+      gp_operators_answer_error (
+          exchange, 504,
+          "the document may still be accepted; read the "
+          "configuration again");
       break;
     }
 }
@@ -189,7 +190,7 @@
 {
   gp_entry_t *entry = request->entry;
   gp_http_exchange_t *exchange = request->exchange;
-  json_t *body = gp_operators_body (request);
+  json_t *body = gp_operators_parse_body (request);
   const char *text;
   const char *author = "";
   const char *comment = "";
@@ -203,16 +204,17 @@
           == 0
       && base >= 0)
     {
-      waiting_t *waiting = g_new0 (waiting_t, 1);
+      waiter_t *waiter = g_new0 (waiter_t, 1);
 
-      waiting->exchange = exchange;
-      gp_http_exchange_watch (exchange, on_gone, NULL, waiting);
+      waiter->exchange = exchange;
+      gp_http_exchange_watch (exchange, on_gone, NULL, waiter);
       gp_configuration_publish (
           entry->configuration, (uint64_t)base, author, comment, text, size,
-          publish_deadline (entry, exchange), on_published, waiting);
+          publish_deadline (entry, exchange), on_published, waiter);
     }
   else
-    gp_operators_fail (exchange, 400, "base and document are required");
+    gp_operators_answer_error (exchange, 400,
+                               "base and document are required");
   json_decref (body);
 }
 
--- a/src/daemon/operators_status.c
+++ b/src/daemon/operators_status.c
@@ -297,7 +297,7 @@
 
 /* The names of the evacuated zones, in which nothing is started.  */
 static json_t *
-describe_evacuated (const gp_entry_t *entry)
+describe_evacuated_zones (const gp_entry_t *entry)
 {
   const gp_document_t *document
       = gp_configuration_document (entry->configuration);
@@ -326,7 +326,8 @@
                          describe_log (entry, entry->config_store));
   json_object_set_new (status, "owners", describe_owners (entries));
   json_object_set_new (status, "entries", entries);
-  json_object_set_new (status, "evacuated_zones", describe_evacuated (entry));
+  json_object_set_new (status, "evacuated_zones",
+                       describe_evacuated_zones (entry));
   set_members (status, entry, laggards);
   json_object_set_new (status, "tasks", gp_tasks_status (entry->tasks));
   return status;
@@ -338,40 +339,40 @@
   gp_entry_t *entry;
   gp_http_exchange_t *exchange;
   gp_laggards_t *laggards;
-} reader_t;
+} waiter_t;
 
 static void
 on_laggards (const gp_laggards_t *laggards, void *data)
 {
-  reader_t *reader = data;
+  waiter_t *waiter = data;
 
-  gp_operators_answer (reader->exchange, 200,
-                       describe_status (reader->entry, laggards));
-  g_free (reader);
+  gp_operators_answer_json (waiter->exchange, 200,
+                            describe_status (waiter->entry, laggards));
+  g_free (waiter);
 }
 
 static void
 on_gone (void *data)
 {
-  reader_t *reader = data;
+  waiter_t *waiter = data;
 
-  gp_laggards_cancel (reader->laggards);
-  g_free (reader);
+  gp_laggards_cancel (waiter->laggards);
+  g_free (waiter);
 }
 
 static void
 answer_status (const gp_operators_request_t *request)
 {
-  reader_t *reader = g_new0 (reader_t, 1);
+  waiter_t *waiter = g_new0 (waiter_t, 1);
   gp_laggards_t *laggards;
 
-  reader->entry = request->entry;
-  reader->exchange = request->exchange;
-  laggards = gp_laggards_ask (request->entry, on_laggards, reader);
+  waiter->entry = request->entry;
+  waiter->exchange = request->exchange;
+  laggards = gp_laggards_ask (request->entry, on_laggards, waiter);
   if (laggards == NULL)
     return;
-  reader->laggards = laggards;
-  gp_http_exchange_watch (request->exchange, on_gone, NULL, reader);
+  waiter->laggards = laggards;
+  gp_http_exchange_watch (request->exchange, on_gone, NULL, waiter);
 }
 
 const gp_operators_route_t gp_operators_status_routes[] = {
--- a/src/daemon/operators_tasks.c
+++ b/src/daemon/operators_tasks.c
@@ -23,33 +23,33 @@
 {
   gp_http_exchange_t *exchange; /* NULL once the connection is closed */
   int accepted;                 /* HTTP status for success */
-} waiting_t;
+} waiter_t;
 
 static void
 on_gone (void *data)
 {
-  waiting_t *waiting = data;
+  waiter_t *waiter = data;
 
-  waiting->exchange = NULL;
+  waiter->exchange = NULL;
 }
 
-static waiting_t *
-wait_for (const gp_operators_request_t *request, int accepted)
+static waiter_t *
+add_waiter (const gp_operators_request_t *request, int accepted)
 {
-  waiting_t *waiting = g_new (waiting_t, 1);
+  waiter_t *waiter = g_new (waiter_t, 1);
 
-  *waiting = (waiting_t){ request->exchange, accepted };
-  gp_http_exchange_watch (request->exchange, on_gone, NULL, waiting);
-  return waiting;
+  *waiter = (waiter_t){ request->exchange, accepted };
+  gp_http_exchange_watch (request->exchange, on_gone, NULL, waiter);
+  return waiter;
 }
 
 static int
-status_of (const waiting_t *waiting, gp_tasks_result_t result)
+status_of (const waiter_t *waiter, gp_tasks_result_t result)
 {
   switch (result)
     {
     case GP_TASKS_ACCEPTED:
-      return waiting->accepted;
+      return waiter->accepted;
     case GP_TASKS_REFUSED:
       return STATUS_INVALID;
     case GP_TASKS_UNAVAILABLE:
@@ -63,7 +63,7 @@
 static void
 on_done (const gp_tasks_answer_t *answer, void *data)
 {
-  waiting_t *waiting = data;
+  waiter_t *waiter = data;
   json_t *ids = json_array ();
   json_t *json = json_pack ("{s:o}", "jobs", ids);
 
@@ -72,12 +72,12 @@
         ids, json_sprintf ("%0*" PRIx64, ID_DIGITS, answer->ids[i]));
   if (answer->message != NULL)
     json_object_set_new (json, "message", json_string (answer->message));
-  if (waiting->exchange != NULL)
-    gp_operators_answer (waiting->exchange,
-                         status_of (waiting, answer->result), json);
+  if (waiter->exchange != NULL)
+    gp_operators_answer_json (waiter->exchange,
+                              status_of (waiter, answer->result), json);
   else
     json_decref (json);
-  g_free (waiting);
+  g_free (waiter);
 }
 
 /* Read the id at the end of the path.  Returns false after answering 404 if
@@ -94,7 +94,8 @@
   g_free (text);
   *id = value;
   if (!good)
-    gp_operators_fail (request->exchange, STATUS_NOT_FOUND, "no such task");
+    gp_operators_answer_error (request->exchange, STATUS_NOT_FOUND,
+                               "no such task");
   return good;
 }
 
@@ -103,26 +104,27 @@
 answer_view (const gp_operators_request_t *request, json_t *json)
 {
   if (json != NULL)
-    gp_operators_answer (request->exchange, STATUS_OK, json);
+    gp_operators_answer_json (request->exchange, STATUS_OK, json);
   else
-    gp_operators_fail (request->exchange, STATUS_NOT_FOUND, "no such task");
+    gp_operators_answer_error (request->exchange, STATUS_NOT_FOUND,
+                               "no such task");
 }
 
 static void
 answer_list (const gp_operators_request_t *request, const char *name,
              Gp__Wire__WorkClass work_class)
 {
-  char *state = gp_operators_query (request, "state");
-  char *team = gp_operators_query (request, "team");
-  char *kind = gp_operators_query (request, "kind");
+  char *state = gp_operators_query_string (request, "state");
+  char *team = gp_operators_query_string (request, "team");
+  char *kind = gp_operators_query_string (request, "kind");
   gp_tasks_filter_t filter = {
     .work_class = work_class, .state = state, .team = team, .kind = kind
   };
   json_t *list
       = gp_tasks_list_filtered (request->entry->tasks, &filter, LIST_MAX);
 
-  gp_operators_answer (request->exchange, STATUS_OK,
-                       json_pack ("{s:o}", name, list));
+  gp_operators_answer_json (request->exchange, STATUS_OK,
+                            json_pack ("{s:o}", name, list));
   g_free (state);
   g_free (team);
   g_free (kind);
@@ -168,15 +170,17 @@
     return;
   if (gp_store_ready (entry->store)
       && gp_fold_task (gp_store_fold (entry->store), id) == NULL)
-    gp_operators_fail (request->exchange, STATUS_NOT_FOUND, "no such task");
+    gp_operators_answer_error (request->exchange, STATUS_NOT_FOUND,
+                               "no such task");
   else
-    gp_tasks_cancel (entry->tasks, id, on_done, wait_for (request, STATUS_OK));
+    gp_tasks_cancel (entry->tasks, id, on_done,
+                     add_waiter (request, STATUS_OK));
 }
 
 static void
 submit_jobs (const gp_operators_request_t *request)
 {
-  json_t *body = gp_operators_body (request);
+  json_t *body = gp_operators_parse_body (request);
   gp_tasks_submission_t submission = { .count = 1 };
   gp_http_text_t key
       = gp_http_exchange_header (request->exchange, "idempotency-key");
@@ -190,15 +194,16 @@
                       "count", &count, "payload", &submission.payload)
           != 0
       || count < 1 || count > UINT32_MAX)
-    gp_operators_fail (request->exchange, STATUS_INVALID,
-                       count < 1 ? "count must be at least 1" : error.text);
+    gp_operators_answer_error (request->exchange, STATUS_INVALID,
+                               count < 1 ? "count must be at least 1"
+                                         : error.text);
   else
     {
       submission.count = (uint32_t)count;
       submission.key = key.base;
       submission.key_size = key.size;
       gp_tasks_submit (request->entry->tasks, &submission, on_done,
-                       wait_for (request, STATUS_CREATED));
+                       add_waiter (request, STATUS_CREATED));
     }
   json_decref (body);
 }
--- a/src/daemon/operators_timeline.c
+++ b/src/daemon/operators_timeline.c
@@ -24,7 +24,8 @@
    or that to an entry which receives its heartbeats; then ASK is set to be
    forwarded.  Returns NULL if there is none.  */
 static gp_session_t *
-find_way (gp_entry_t *entry, const char *process, Gp__Wire__ViewAsk *ask)
+find_view_session (gp_entry_t *entry, const char *process,
+                   Gp__Wire__ViewAsk *ask)
 {
   gp_session_t *session = gp_views_find_session (&entry->views, process);
   const gp_member_t *member
@@ -41,17 +42,17 @@
 }
 
 static void
-ask_other (const gp_operators_request_t *request, const char *process,
-           Gp__Wire__ViewAsk *ask)
+request_view (const gp_operators_request_t *request, const char *process,
+              Gp__Wire__ViewAsk *ask)
 {
   gp_entry_t *entry = request->entry;
-  gp_session_t *session = find_way (entry, process, ask);
+  gp_session_t *session = find_view_session (entry, process, ask);
 
   if (session != NULL)
     gp_views_answer (&entry->views, request->exchange, session, ask);
   else
-    gp_operators_fail (request->exchange, 404,
-                       "no entry has a connection to such a process");
+    gp_operators_answer_error (request->exchange, 404,
+                               "no entry has a connection to such a process");
 }
 
 static void
@@ -59,12 +60,12 @@
              const char *type)
 {
   gp_entry_t *entry = request->entry;
-  char *process = gp_operators_query (request, "process");
+  char *process = gp_operators_query_string (request, "process");
 
   if (process == NULL || strcmp (process, entry->settings->name) == 0)
     answer_own (request, ask, type);
   else
-    ask_other (request, process, ask);
+    request_view (request, process, ask);
   g_free (process);
 }
 
@@ -78,8 +79,8 @@
   if (!gp_operators_query_number (request, "since", 0, &ask.since)
       || !gp_operators_query_number (request, "max", GP_VIEW_EVENTS_MAX, &max))
     {
-      gp_operators_fail (request->exchange, 400,
-                         "`since' and `max' must be numbers");
+      gp_operators_answer_error (request->exchange, 400,
+                                 "`since' and `max' must be numbers");
       return;
     }
   ask.max = (uint32_t)MIN (max, GP_VIEW_EVENTS_MAX);
--- a/src/daemon/processes.c
+++ b/src/daemon/processes.c
@@ -3,7 +3,7 @@
 #include "daemon/processes.h"
 
 /* A process is removed after being without a session for this long.  */
-#define FORGET_AFTER_US ((int64_t)3600 * 1000000)
+#define EXPIRY_US ((int64_t)3600 * 1000000)
 
 static void
 process_free (gpointer data)
@@ -16,17 +16,17 @@
 }
 
 static gboolean
-is_forgotten (gpointer key, gpointer value, gpointer data)
+has_expired (gpointer key, gpointer value, gpointer data)
 {
   const gp_process_t *process = value;
   const int64_t *wall = data;
 
   (void)key;
-  return process->sessions == 0 && process->since_us + FORGET_AFTER_US < *wall;
+  return process->sessions == 0 && process->since_us + EXPIRY_US < *wall;
 }
 
 static gp_process_t *
-find_of_session (gp_processes_t *processes, const gp_session_t *session)
+find_by_session (gp_processes_t *processes, const gp_session_t *session)
 {
   gp_process_t *process
       = g_hash_table_lookup (processes->by_name, session->process);
@@ -37,8 +37,8 @@
 }
 
 void
-gp_processes_opened (gp_processes_t *processes, const gp_session_t *session,
-                     int64_t wall)
+gp_processes_session_opened (gp_processes_t *processes,
+                             const gp_session_t *session, int64_t wall)
 {
   gp_process_t *process
       = g_hash_table_lookup (processes->by_name, session->process);
@@ -47,7 +47,7 @@
     return;
   if (process == NULL || process->incarnation < session->incarnation)
     {
-      g_hash_table_foreach_remove (processes->by_name, is_forgotten, &wall);
+      g_hash_table_foreach_remove (processes->by_name, has_expired, &wall);
       process = g_new0 (gp_process_t, 1);
       process->name = g_strdup (session->process);
       process->zone = g_strdup (session->zone);
@@ -61,20 +61,21 @@
 }
 
 void
-gp_processes_closed (gp_processes_t *processes, const gp_session_t *session,
-                     int64_t wall)
+gp_processes_session_closed (gp_processes_t *processes,
+                             const gp_session_t *session, int64_t wall)
 {
-  gp_process_t *process = find_of_session (processes, session);
+  gp_process_t *process = find_by_session (processes, session);
 
   if (process != NULL && --process->sessions == 0)
     process->since_us = wall;
 }
 
 void
-gp_processes_revision (gp_processes_t *processes, const gp_session_t *session,
-                       uint64_t revision, int64_t wall)
+gp_processes_set_revision (gp_processes_t *processes,
+                           const gp_session_t *session, uint64_t revision,
+                           int64_t wall)
 {
-  gp_process_t *process = find_of_session (processes, session);
+  gp_process_t *process = find_by_session (processes, session);
 
   if (process == NULL || process->config_revision == revision)
     return;
@@ -83,15 +84,15 @@
 }
 
 void
-gp_processes_state (gp_processes_t *processes, const gp_session_t *session,
-                    const Gp__Wire__ProcessState *state, int64_t wall)
+gp_processes_set_state (gp_processes_t *processes, const gp_session_t *session,
+                        const Gp__Wire__ProcessState *state, int64_t wall)
 {
-  gp_process_t *process = find_of_session (processes, session);
+  gp_process_t *process = find_by_session (processes, session);
 
   if (process == NULL)
     return;
   process->state = state->state;
-  gp_processes_revision (processes, session, state->config_revision, wall);
+  gp_processes_set_revision (processes, session, state->config_revision, wall);
 }
 
 const gp_process_t *
--- a/src/daemon/processes.h
+++ b/src/daemon/processes.h
@@ -28,20 +28,21 @@
 void gp_processes_finish (gp_processes_t *processes);
 
 /* A session is ready, or has closed.  WALL is the wall clock.  */
-void gp_processes_opened (gp_processes_t *processes,
-                          const gp_session_t *session, int64_t wall);
-void gp_processes_closed (gp_processes_t *processes,
-                          const gp_session_t *session, int64_t wall);
+void gp_processes_session_opened (gp_processes_t *processes,
+                                  const gp_session_t *session, int64_t wall);
+void gp_processes_session_closed (gp_processes_t *processes,
+                                  const gp_session_t *session, int64_t wall);
 
 /* The process at the other end reported which revision is in force there.  */
-void gp_processes_revision (gp_processes_t *processes,
-                            const gp_session_t *session, uint64_t revision,
-                            int64_t wall);
+void gp_processes_set_revision (gp_processes_t *processes,
+                                const gp_session_t *session, uint64_t revision,
+                                int64_t wall);
 
 /* The process at the other end reported its state.  */
-void gp_processes_state (gp_processes_t *processes,
-                         const gp_session_t *session,
-                         const Gp__Wire__ProcessState *state, int64_t wall);
+void gp_processes_set_state (gp_processes_t *processes,
+                             const gp_session_t *session,
+                             const Gp__Wire__ProcessState *state,
+                             int64_t wall);
 
 /* The process NAME, or NULL if there was no session to it.  */
 const gp_process_t *gp_processes_find (const gp_processes_t *processes,
--- a/src/daemon/program.c
+++ b/src/daemon/program.c
@@ -24,7 +24,7 @@
 } options_t;
 
 static bool
-parse (int *argc, char ***argv, options_t *options, GError **error)
+parse_options (int *argc, char ***argv, options_t *options, GError **error)
 {
   GOptionEntry entries[] = {
     { "config", 'c', 0, G_OPTION_ARG_FILENAME, &options->config,
@@ -52,25 +52,25 @@
 
 static bool
 check_section (const gp_settings_t *settings, const char *config,
-               bool wants_entry, GError **error)
+               bool needs_entry_section, GError **error)
 {
-  if (wants_entry ? settings->entry != NULL : settings->guard != NULL)
+  if (needs_entry_section ? settings->entry != NULL : settings->guard != NULL)
     return true;
   g_set_error (error, G_OPTION_ERROR, G_OPTION_ERROR_BAD_VALUE,
                "%s: has no `%s' section", config,
-               wants_entry ? "entry" : "guard");
+               needs_entry_section ? "entry" : "guard");
   return false;
 }
 
 static result_t
-load (const gp_program_t *program, int *argc, char ***argv,
-      gp_settings_t *settings)
+load_settings (const gp_program_t *program, int *argc, char ***argv,
+               gp_settings_t *settings)
 {
   options_t options = { NULL, FALSE, FALSE };
   GError *error = NULL;
   result_t result = RESULT_ERROR;
 
-  if (!parse (argc, argv, &options, &error))
+  if (!parse_options (argc, argv, &options, &error))
     goto out;
   if (options.version)
     {
@@ -80,7 +80,8 @@
     }
   if (!gp_settings_load (settings, options.config, &error))
     goto out;
-  if (!check_section (settings, options.config, program->wants_entry, &error))
+  if (!check_section (settings, options.config, program->needs_entry_section,
+                      &error))
     {
       gp_settings_finish (settings);
       goto out;
@@ -123,7 +124,7 @@
   gp_settings_t settings;
   int status;
 
-  switch (load (program, &argc, &argv, &settings))
+  switch (load_settings (program, &argc, &argv, &settings))
     {
     case RESULT_RUN:
       break;
@@ -151,8 +152,8 @@
 }
 
 void
-gp_program_note (gp_timeline_t *timeline, gp_timeline_kind_t kind,
-                 const char *vm)
+gp_program_record_event (gp_timeline_t *timeline, gp_timeline_kind_t kind,
+                         const char *vm)
 {
   const gp_timeline_subject_t subject = { .vm = vm };
 
--- a/src/daemon/program.h
+++ b/src/daemon/program.h
@@ -14,7 +14,7 @@
 typedef struct
 {
   const char *name;
-  bool wants_entry; /* needs the settings' `entry' section, else `guard' */
+  bool needs_entry_section; /* else it needs the `guard' section */
   bool (*init) (void *state, const gp_settings_t *settings, GError **error);
   void (*run) (void *state);
   void (*finish) (void *state);
@@ -32,7 +32,7 @@
                           GError **error);
 
 /* Record an event about the process VM in the timeline.  */
-void gp_program_note (gp_timeline_t *timeline, gp_timeline_kind_t kind,
-                      const char *vm);
+void gp_program_record_event (gp_timeline_t *timeline, gp_timeline_kind_t kind,
+                              const char *vm);
 
 #endif
--- a/src/daemon/uplinks.c
+++ b/src/daemon/uplinks.c
@@ -6,12 +6,12 @@
 
 /* Consecutive failures to connect after which a home is replaced.  With
    gp_dialer_backoff they take less than a second.  */
-#define LOST_AFTER 4
+#define MAX_DIAL_FAILURES 4
 
 static bool
-is_lost (const gp_uplink_t *link)
+is_unreachable (const gp_uplink_t *link)
 {
-  return link->dialer.failures >= LOST_AFTER;
+  return link->dialer.failures >= MAX_DIAL_FAILURES;
 }
 
 static bool
@@ -49,7 +49,7 @@
 {
   const gp_settings_t *settings = uplinks->settings;
   gp_home_t *entries = g_new0 (gp_home_t, uplinks->count + 1);
-  size_t *places = g_new0 (size_t, uplinks->count + 1);
+  size_t *indexes = g_new0 (size_t, uplinks->count + 1);
   size_t chosen[GP_HOMES_MAX];
   size_t n_entries = 0;
   size_t n_chosen;
@@ -57,21 +57,21 @@
   for (size_t i = 0; i < uplinks->count; i++)
     {
       uplinks->links[i].home = false;
-      if (is_lost (&uplinks->links[i]))
+      if (is_unreachable (&uplinks->links[i]))
         continue;
-      places[n_entries] = i;
+      indexes[n_entries] = i;
       entries[n_entries++] = uplinks->links[i].entry;
     }
   n_chosen = gp_homes_choose (settings->name, settings->region, settings->zone,
                               entries, n_entries, chosen);
   for (size_t i = 0; i < n_chosen; i++)
-    uplinks->links[places[chosen[i]]].home = true;
-  g_free (places);
+    uplinks->links[indexes[chosen[i]]].home = true;
+  g_free (indexes);
   g_free (entries);
 }
 
 static void
-update (gp_uplinks_t *uplinks)
+update_homes (gp_uplinks_t *uplinks)
 {
   if (uplinks->stopped || all_are_homes (uplinks))
     return;
@@ -80,7 +80,7 @@
     {
       gp_uplink_t *link = &uplinks->links[i];
 
-      if (link->home || is_lost (link))
+      if (link->home || is_unreachable (link))
         {
           if (!has_session (uplinks, link))
             gp_dialer_resume (&link->dialer);
@@ -108,7 +108,7 @@
   if (link == NULL)
     return;
   link->dialer.failures = 0;
-  update (uplinks);
+  update_homes (uplinks);
 }
 
 void
@@ -116,7 +116,7 @@
 {
   if (session->owner != NULL)
     gp_dialer_on_close (session->owner);
-  update (uplinks);
+  update_homes (uplinks);
 }
 
 void
@@ -137,7 +137,7 @@
       link->home = true;
       gp_dialer_init (&link->dialer, host, entry->peers, rand);
     }
-  update (uplinks);
+  update_homes (uplinks);
 }
 
 void
--- a/src/daemon/view.c
+++ b/src/daemon/view.c
@@ -164,8 +164,8 @@
   bool lines = waiter->kind == GP__WIRE__VIEW_KIND__VIEW_KIND_TIMELINE;
 
   if (view->missing)
-    gp_operators_fail (waiter->exchange, 404,
-                       "no entry has a connection to such a process");
+    gp_operators_answer_error (waiter->exchange, 404,
+                               "no entry has a connection to such a process");
   else
     gp_operators_answer_text (waiter->exchange, 200,
                               lines ? TYPE_LINES : TYPE_TEXT,
@@ -184,12 +184,12 @@
       answer_waiter (waiter, view);
       break;
     case GP_VIEW_TIMED_OUT:
-      gp_operators_fail (waiter->exchange, 504,
-                         "the process did not answer in time");
+      gp_operators_answer_error (waiter->exchange, 504,
+                                 "the process did not answer in time");
       break;
     case GP_VIEW_DISCONNECTED:
-      gp_operators_fail (waiter->exchange, 502,
-                         "the connection to the process was lost");
+      gp_operators_answer_error (waiter->exchange, 502,
+                                 "the connection to the process was lost");
       break;
     }
   g_free (waiter);
@@ -220,8 +220,8 @@
       return;
     }
   g_free (waiter);
-  gp_operators_fail (exchange, 503,
-                     "no request can be sent to the process now");
+  gp_operators_answer_error (exchange, 503,
+                             "no request can be sent to the process now");
 }
 
 /* Forwarding for other entries.  */
--- a/tests/unit/test_processes.c
+++ b/tests/unit/test_processes.c
@@ -25,16 +25,16 @@
   const gp_process_t *process;
 
   gp_processes_init (&processes);
-  gp_processes_opened (&processes, &session, 100);
-  gp_processes_revision (&processes, &session, 7, 200);
-  gp_processes_revision (&processes, &session, 7, 300);
+  gp_processes_session_opened (&processes, &session, 100);
+  gp_processes_set_revision (&processes, &session, 7, 200);
+  gp_processes_set_revision (&processes, &session, 7, 300);
   process = gp_processes_find (&processes, "g");
   CU_ASSERT_EQUAL (process->config_revision, 7);
   CU_ASSERT_EQUAL (process->config_since_us, 200);
-  gp_processes_closed (&processes, &session, 400);
+  gp_processes_session_closed (&processes, &session, 400);
   CU_ASSERT_EQUAL (process->sessions, 0);
   CU_ASSERT_EQUAL (process->since_us, 400);
-  gp_processes_opened (&processes, &session, 500);
+  gp_processes_session_opened (&processes, &session, 500);
   process = gp_processes_find (&processes, "g");
   CU_ASSERT_EQUAL (process->sessions, 1);
   CU_ASSERT_EQUAL (process->config_revision, 7);
@@ -51,12 +51,12 @@
   const gp_process_t *process;
 
   gp_processes_init (&processes);
-  gp_processes_opened (&processes, &old, 100);
-  gp_processes_revision (&processes, &old, 9, 100);
-  gp_processes_opened (&processes, &new, 200);
-  gp_processes_closed (&processes, &old, 300);
-  gp_processes_revision (&processes, &old, 8, 300);
-  gp_processes_opened (&processes, &old, 300);
+  gp_processes_session_opened (&processes, &old, 100);
+  gp_processes_set_revision (&processes, &old, 9, 100);
+  gp_processes_session_opened (&processes, &new, 200);
+  gp_processes_session_closed (&processes, &old, 300);
+  gp_processes_set_revision (&processes, &old, 8, 300);
+  gp_processes_session_opened (&processes, &old, 300);
   process = gp_processes_find (&processes, "g");
   CU_ASSERT_EQUAL (process->incarnation, 2);
   CU_ASSERT_EQUAL (process->sessions, 1);
@@ -74,9 +74,9 @@
   const gp_process_t *process;
 
   gp_processes_init (&processes);
-  gp_processes_opened (&processes, &session, 100);
-  gp_processes_opened (&processes, &session, 200);
-  gp_processes_closed (&processes, &session, 300);
+  gp_processes_session_opened (&processes, &session, 100);
+  gp_processes_session_opened (&processes, &session, 200);
+  gp_processes_session_closed (&processes, &session, 300);
   process = gp_processes_find (&processes, "g");
   CU_ASSERT_EQUAL (process->sessions, 1);
   CU_ASSERT_EQUAL (process->since_us, 100);
@@ -92,10 +92,10 @@
   const gp_process_t *process;
 
   gp_processes_init (&processes);
-  gp_processes_opened (&processes, &session, 100);
+  gp_processes_session_opened (&processes, &session, 100);
   state.state = GP__WIRE__MEMBER_STATE__MEMBER_STATE_LEAVING;
   state.config_revision = 3;
-  gp_processes_state (&processes, &session, &state, 200);
+  gp_processes_set_state (&processes, &session, &state, 200);
   process = gp_processes_find (&processes, "e");
   CU_ASSERT_EQUAL (process->state,
                    GP__WIRE__MEMBER_STATE__MEMBER_STATE_LEAVING);
@@ -113,10 +113,10 @@
   gp_session_t new = session_of ("new", 1);
 
   gp_processes_init (&processes);
-  gp_processes_opened (&processes, &gone, 0);
-  gp_processes_opened (&processes, &kept, 0);
-  gp_processes_closed (&processes, &gone, 1);
-  gp_processes_opened (&processes, &new, HOUR_US + 2);
+  gp_processes_session_opened (&processes, &gone, 0);
+  gp_processes_session_opened (&processes, &kept, 0);
+  gp_processes_session_closed (&processes, &gone, 1);
+  gp_processes_session_opened (&processes, &new, HOUR_US + 2);
   CU_ASSERT_PTR_NULL (gp_processes_find (&processes, "gone"));
   CU_ASSERT_PTR_NOT_NULL (gp_processes_find (&processes, "kept"));
   CU_ASSERT_PTR_NOT_NULL (gp_processes_find (&processes, "new"));
