--- a/tests/unit/fake_runtime.c
+++ b/tests/unit/fake_runtime.c
@@ -1,3 +1,5 @@
+/* A fake worker runtime for tests of the guard.  */
+
 #include "fake_runtime.h"
 
 #include <inttypes.h>
--- a/tests/unit/fake_runtime.h
+++ b/tests/unit/fake_runtime.h
@@ -1,5 +1,5 @@
-/* A worker runtime whose tasks do what the test says, on the loop of the
-   guard under test.  */
+/* A fake worker runtime, whose tasks are controlled by the test.  It runs on
+   the event loop of the guard under test.  */
 
 #ifndef GP_TESTS_FAKE_RUNTIME_H
 #define GP_TESTS_FAKE_RUNTIME_H
@@ -15,20 +15,20 @@
   uint64_t holder;
   gp_time_t deadline;
   json_t *tasks;               /* id -> listed task */
-  json_t *events;              /* all of this boot */
-  json_t *usage;               /* what GET /v1/usage lists */
-  gp_http_exchange_t *waiting; /* for an event after WAITING_AFTER */
+  json_t *events;              /* all events since the last boot */
+  json_t *usage;               /* tasks in the answer to GET /v1/usage */
+  gp_http_exchange_t *waiting; /* call for events after waiting_after */
   json_int_t waiting_after;
   /* Faults.  */
-  bool hang_stop;   /* stop and cancel are accepted and not done */
-  bool silent;      /* no call is answered or has an effect */
-  int mute_starts;  /* this many starts take effect without an answer */
-  int refuse_start; /* status of the answer to a start, 0: it starts */
-  /* What was called.  */
+  bool hang_stop;   /* stop and cancel are accepted without effect */
+  bool silent;      /* calls are not answered and have no effect */
+  int mute_starts;  /* number of starts that take effect unanswered */
+  int refuse_start; /* status that answers starts, or 0 to accept them */
+  /* Counts of calls.  */
   int starts;
   int claims;
   int renewals;
-  int refused; /* calls of a lesser holder */
+  int refused; /* calls of a holder lower than the current one */
   int throttles;
   int forgotten;
 } fake_runtime_t;
@@ -36,16 +36,16 @@
 void fake_runtime_init (fake_runtime_t *runtime, gp_loop_t *loop, int port);
 void fake_runtime_finish (fake_runtime_t *runtime);
 
-/* As after another guard's work: (TASK, EPOCH) is listed in STATE.  */
+/* List (TASK, EPOCH) in STATE, as if another guard had started it.  */
 void fake_runtime_put (fake_runtime_t *runtime, uint64_t task, uint64_t epoch,
                        const char *state, uint32_t millicores);
 
-/* (TASK) of the runtime has come into STATE, which is an event.  */
+/* Change the state of TASK to STATE and add the event.  */
 void fake_runtime_set (fake_runtime_t *runtime, uint64_t task,
                        const char *state, const char *result,
                        const char *checkpoint);
 
-/* Another boot, without tasks.  */
+/* Restart the runtime under another boot id, without tasks.  */
 void fake_runtime_reboot (fake_runtime_t *runtime);
 
 /* The state of TASK, or NULL.  */
--- a/tests/unit/test_execution_limits.c
+++ b/tests/unit/test_execution_limits.c
@@ -1,4 +1,4 @@
-/* Tests of the limits that a guard takes from the document.  */
+/* Tests of the request limits that a guard applies from the document.  */
 
 #include <string.h>
 
@@ -53,9 +53,10 @@
   CU_ASSERT (kind->quota.max_running == GP_ADMISSION_UNLIMITED);
   configure (&executor, limited);
   CU_ASSERT (executor.admission.options.max_queued == 5);
-  CU_ASSERT (kind->quota.max_running == 1); /* of 2 for 3 executors */
+  CU_ASSERT (kind->quota.max_running
+             == 1); /* share of 2 among 3 executors, at least 1 */
   CU_ASSERT (kind->service_time.mean == 70 * GP_MSEC);
-  CU_ASSERT (team->max_running == 4); /* of 10 for 3, rounded up */
+  CU_ASSERT (team->max_running == 4); /* share of 10 among 3, rounded up */
   configure (&executor, unlimited);
   CU_ASSERT (executor.admission.options.max_queued == 64);
   CU_ASSERT (kind->quota.max_running == GP_ADMISSION_UNLIMITED);
--- a/tests/unit/test_processes.c
+++ b/tests/unit/test_processes.c
@@ -1,4 +1,4 @@
-/* Processes that an entry has met.  */
+/* Tests of the table of processes that an entry has or had sessions with.  */
 
 #include <CUnit/CUnit.h>
 
@@ -41,7 +41,7 @@
   gp_processes_finish (&processes);
 }
 
-/* What is late from an older incarnation changes nothing.  */
+/* Late calls for sessions of an older incarnation change nothing.  */
 static void
 test_older_incarnation (void)
 {
@@ -65,7 +65,8 @@
   gp_processes_finish (&processes);
 }
 
-/* Both sides connected: the end of one session is not the end.  */
+/* Both sides have connected: after one of the two sessions has closed, the
+   process still counts as connected.  */
 static void
 test_two_sessions (void)
 {
@@ -103,7 +104,7 @@
   gp_processes_finish (&processes);
 }
 
-/* Names that do not come back are forgotten.  */
+/* Processes that do not return are removed.  */
 static void
 test_forgotten (void)
 {
--- a/tests/unit/test_runner.c
+++ b/tests/unit/test_runner.c
@@ -1,7 +1,7 @@
-/* The guard's tasks: the real guard between a fake entry and a fake runtime.
+/* Tests of the runner: a real guard between a fake entry and a fake runtime.
 
-   Every step waits for what it expects, and what must not happen is checked
-   after something later has happened on the same connection.  */
+   Every step waits for its expected effect.  That something does not happen is
+   checked after a later event on the same connection.  */
 
 #include "daemon/runner_private.h"
 #include "runner.h"
@@ -44,7 +44,7 @@
   return json_object_size (s->runtime.tasks) == 0;
 }
 
-/* Run one task to its end, to see that all works.  */
+/* Run one task to its end, to check that the guard works normally.  */
 static void
 run_one (uint64_t task)
 {
@@ -56,7 +56,8 @@
       task_site_await (&site, task, 1, STATE (SUCCEEDED), 1));
 }
 
-/* An end is repeated until it is acknowledged; then the runtime forgets.  */
+/* An end is resent until it is acknowledged; then the task is removed from the
+   runtime.  */
 static void
 test_end (void)
 {
@@ -82,8 +83,8 @@
   end ();
 }
 
-/* The acknowledgement of an older checkpoint does not stand for the last
-   one.  */
+/* The acknowledgement of an older checkpoint does not acknowledge the newest
+   one, which is resent.  */
 static void
 test_checkpoint_ack (void)
 {
@@ -122,7 +123,8 @@
   fake_runtime_set (&site.runtime, 7, "failed", "", "");
   task_site_await (&site, 7, 1, STATE (FAILED), 1);
   CU_ASSERT_TRUE (task_site_until (&site, is_idle));
-  /* A copy that comes after all is neither started nor refused.  */
+  /* A duplicate that arrives after the end was acknowledged is neither started
+     nor refused.  */
   task_site_start (&site, 7, 1, site.lease, 1000);
   run_one (8);
   CU_ASSERT_EQUAL (site.runtime.starts, 2);
@@ -141,7 +143,8 @@
   end ();
 }
 
-/* 4,000 of 5,000 are for tasks; what has ended leaves its room.  */
+/* Of 5,000 millicores, 4,000 are for tasks; an ended task releases its
+   share.  */
 static void
 test_capacity (void)
 {
@@ -162,7 +165,8 @@
   end ();
 }
 
-/* The answer to a start is lost: it is asked for again, and runs once.  */
+/* The answer to a start call is lost: the call is repeated, and the task is
+   started once.  */
 static void
 test_start_unanswered (void)
 {
@@ -186,14 +190,14 @@
   told = task_site_await (&site, 7, 1, STATE (REFUSED), 1);
   CU_ASSERT_EQUAL (told->reason, REASON (UPSTREAM));
   site.runtime.refuse_start = 0;
-  /* The next epoch has the room.  */
+  /* The refused task has released its capacity for the next epoch.  */
   task_site_start (&site, 7, 2, site.lease, 4000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 2, STATE (RUNNING), 1));
   end ();
 }
 
-/* The end of the last epoch is on the log, but not acknowledged here: the
-   next one says so.  */
+/* The end of an epoch is in the log, but the guard has not received the
+   acknowledgement: a Start of the next epoch implies it.  */
 static void
 test_next_epoch (void)
 {
@@ -224,7 +228,7 @@
   CU_ASSERT_STRING_EQUAL (told->text, "/taken at the stop");
   CU_ASSERT_EQUAL (told->reason, REASON (CANCELLED));
   CU_ASSERT_EQUAL (site.runtime.throttles, 1);
-  /* A stop that overtakes its start.  */
+  /* A Stop that arrives before its Start.  */
   task_site_stop (&site, 8, 1, MODE (CANCEL));
   told = task_site_await (&site, 8, 1, STATE (REFUSED), 1);
   CU_ASSERT_EQUAL (told->reason, REASON (CANCELLED));
@@ -234,7 +238,8 @@
   end ();
 }
 
-/* After the end of its lease the guard stops all, and goes on.  */
+/* After the end of its lease the guard stops all tasks and continues under a
+   new incarnation; Starts for the old one are ignored.  */
 static void
 check_stopped (void)
 {
@@ -289,7 +294,7 @@
   return s->runtime.holder > old_lease;
 }
 
-/* A task that does not stop holds up the new incarnation.  */
+/* The new incarnation does not begin while a task has not stopped.  */
 static void
 test_fence_hangs (void)
 {
@@ -308,7 +313,8 @@
   end ();
 }
 
-/* A Start that waits while the guard is paused past its lease.  */
+/* A Start that is handled only after the guard was paused past the end of its
+   lease is refused.  */
 static void
 test_pause (void)
 {
@@ -334,7 +340,8 @@
   end ();
 }
 
-/* A guard starts beside a runtime with tasks of its predecessor.  */
+/* A guard starts with a runtime that has tasks of its predecessor: it inherits
+   them, and their capacity stays reserved.  */
 static void
 test_adopt (void)
 {
@@ -369,7 +376,8 @@
   end ();
 }
 
-/* The predecessor had a greater incarnation (the wall clock stepped back).  */
+/* The predecessor had a greater incarnation, because the wall clock has been
+   set back: the guard takes the next greater one.  */
 static void
 test_greater_predecessor (void)
 {
@@ -413,7 +421,8 @@
   return s->free == 0;
 }
 
-/* The runtime is out of reach for a while; no end is missed.  */
+/* The runtime is unreachable for a while; an end that happens meanwhile is
+   reported afterwards.  */
 static void
 test_runtime_silent (void)
 {
@@ -431,7 +440,7 @@
   end ();
 }
 
-/* The table of epochs is full: a new incarnation that keeps its tasks.  */
+/* The epoch table is full: a new incarnation begins and keeps the tasks.  */
 static void
 test_recycle (void)
 {
@@ -465,7 +474,8 @@
   task_site_finish (&site);
 }
 
-/* Over its reservation, and no room: throttled first, then evicted.  */
+/* A task uses more than its reservation and there is no free capacity: it is
+   throttled first, then evicted.  */
 static void
 test_usage (void)
 {
@@ -493,8 +503,8 @@
   return s->leaving && s->guard.components_draining == 0;
 }
 
-/* The guard leaves: it refuses, evicts, and waits for the
-   acknowledgement.  */
+/* The guard shuts down: it refuses new tasks, evicts running ones, and waits
+   for the acknowledgement of their ends.  */
 static void
 test_leave (void)
 {
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -1,5 +1,5 @@
-/* Tests of the store against a small log in memory: the fates of proposals,
-   the order of change and verdict, an outage and a gap.  */
+/* Tests of the store against a log in memory: results of proposals, the order
+   of changes and verdicts, an outage, a gap.  */
 
 #include <stdlib.h>
 #include <string.h>
@@ -25,10 +25,10 @@
   gp_http_server_t *server;
   GPtrArray *records; /* of GBytes */
   uint64_t first_offset;
-  gp_http_exchange_t *poll; /* a read that waits */
+  gp_http_exchange_t *poll; /* a read that waits for records */
   bool down;
-  bool lose_ack;
-  /* The store and what it told.  */
+  bool lose_ack; /* of the next append */
+  /* The store and counts of its notifications.  */
   gp_store_t *store;
   gp_store_subscriber_t subscriber;
   int reads;
@@ -43,7 +43,7 @@
   int done;
   gp_proposal_result_t result;
   gp_fold_verdict_t verdict;
-  int keys_before; /* changes seen when it was done */
+  int keys_before; /* changes notified before the proposal was done */
 } fate_t;
 
 /* The log.  */
@@ -148,7 +148,7 @@
     take_read (fixture, exchange);
 }
 
-/* What the store tells.  */
+/* Notifications of the store.  */
 
 static void
 on_change (const gp_fold_change_t *change, void *data)
@@ -294,7 +294,8 @@
   teardown (&fixture);
 }
 
-/* What is withdrawn or expires before it is sent is never on the log.  */
+/* A proposal that is withdrawn or expires before it is sent is never written
+   to the log.  */
 static void
 test_not_sent (void)
 {
@@ -322,8 +323,8 @@
   teardown (&fixture);
 }
 
-/* A lost acknowledgement makes the record twice on the log, and once in the
-   state.  */
+/* After a lost acknowledgement the record is in the log twice, but is applied
+   to the state once.  */
 static void
 test_lost_acknowledgement (void)
 {
@@ -351,8 +352,8 @@
   return health.available;
 }
 
-/* While the log is down nothing new is taken; what was sent is decided when
-   it is up.  */
+/* While the log is down new proposals are refused; a proposal that was already
+   sent is decided once the log is up.  */
 static void
 test_outage (void)
 {
@@ -388,8 +389,8 @@
   teardown (&fixture);
 }
 
-/* Records lost to retention, and no snapshot: the state is given up and the
-   store is not ready, whatever is proposed.  */
+/* Records are lost to retention and there is no snapshot: the state is
+   discarded and the store is not ready; proposals are refused.  */
 static void
 test_gap (void)
 {
--- a/tests/unit/test_views.c
+++ b/tests/unit/test_views.c
@@ -1,5 +1,5 @@
-/* Views between processes: three hosts in one loop, entry A, entry B and
-   guard G; A has no session to G.  */
+/* Tests of views between processes: three session hosts on one event loop,
+   entry A, entry B and guard G.  A has no session to G.  */
 
 #include <CUnit/CUnit.h>
 #include <string.h>
@@ -19,7 +19,7 @@
   gp_timeline_event_t events[4];
   const char *name;
   int ready;
-  bool silent; /* answers nothing */
+  bool silent; /* does not answer requests */
 } process_t;
 
 typedef struct
@@ -178,8 +178,8 @@
                            seen);
 }
 
-/* Through an entry in between, as well as from it; a process that it does
-   not know either is told as missing.  */
+/* Views of entry B and, forwarded by it, of guard G.  A process that B has no
+   session to is reported as missing.  */
 static void
 test_forward (void)
 {
@@ -206,8 +206,9 @@
   g_free (world);
 }
 
-/* Nothing comes in time, or the session ends; one that is cancelled is never
-   told; many in a row leave nothing behind.  */
+/* A request that times out, one whose session closes, and a cancelled one,
+   whose callback is never called.  Many requests in a row, which must leave
+   nothing allocated.  */
 static void
 test_ends (void)
 {
@@ -239,7 +240,7 @@
   g_free (world);
 }
 
-/* The asker goes away while its question is passed on.  */
+/* The requesting entry disconnects while its request is being forwarded.  */
 static void
 test_asker_gone (void)
 {
