--- a/tests/unit/fake_runtime.c
+++ b/tests/unit/fake_runtime.c
@@ -40,7 +40,7 @@
 /* Events.  */
 
 static void
-on_waiting_gone (void *data)
+on_waiting_closed (void *data)
 {
   fake_runtime_t *runtime = data;
 
@@ -48,8 +48,8 @@
 }
 
 static void
-give_events (fake_runtime_t *runtime, gp_http_exchange_t *exchange,
-             json_int_t after)
+answer_events (fake_runtime_t *runtime, gp_http_exchange_t *exchange,
+               json_int_t after)
 {
   json_t *list = json_array ();
   size_t count = json_array_size (runtime->events);
@@ -68,7 +68,7 @@
   json_array_append_new (runtime->events, event);
   runtime->waiting = NULL;
   if (waiting != NULL)
-    give_events (runtime, waiting, runtime->waiting_after);
+    answer_events (runtime, waiting, runtime->waiting_after);
 }
 
 static void
@@ -77,17 +77,18 @@
 {
   if ((size_t)after < json_array_size (runtime->events))
     {
-      give_events (runtime, exchange, after);
+      answer_events (runtime, exchange, after);
       return;
     }
   runtime->waiting = exchange;
   runtime->waiting_after = after;
-  gp_http_exchange_watch (exchange, on_waiting_gone, NULL, runtime);
+  gp_http_exchange_watch (exchange, on_waiting_closed, NULL, runtime);
 }
 
 void
-fake_runtime_set (fake_runtime_t *runtime, uint64_t task, const char *state,
-                  const char *result, const char *checkpoint)
+fake_runtime_set_state (fake_runtime_t *runtime, uint64_t task,
+                        const char *state, const char *result,
+                        const char *checkpoint)
 {
   json_t *listed = json_object_get (runtime->tasks, id_text (task));
   json_t *event;
@@ -102,8 +103,8 @@
 }
 
 void
-fake_runtime_put (fake_runtime_t *runtime, uint64_t task, uint64_t epoch,
-                  const char *state, uint32_t millicores)
+fake_runtime_add_task (fake_runtime_t *runtime, uint64_t task, uint64_t epoch,
+                       const char *state, uint32_t millicores)
 {
   json_t *listed = json_pack (
       "{s:s,s:I,s:s,s:s,s:s,s:I,s:i}", "task", id_text (task), "epoch",
@@ -147,10 +148,10 @@
                        json_object_get (present, "epoch")));
   else
     {
-      fake_runtime_put (runtime, g_ascii_strtoull (id, NULL, 16),
-                        (uint64_t)epoch, "running", (uint32_t)millicores);
+      fake_runtime_add_task (runtime, g_ascii_strtoull (id, NULL, 16),
+                             (uint64_t)epoch, "running", (uint32_t)millicores);
       runtime->starts++;
-      if (runtime->mute_starts-- > 0)
+      if (runtime->unanswered_starts-- > 0)
         gp_http_exchange_abort (exchange);
       else
         answer (exchange, 201, NULL);
@@ -172,8 +173,9 @@
   runtime->throttles += strcmp (verb, "throttle") == 0;
   answer (exchange, 202, NULL);
   if (ends && !runtime->hang_stop)
-    fake_runtime_set (runtime, task, "stopped", "",
-                      strcmp (verb, "stop") == 0 ? "taken at the stop" : "");
+    fake_runtime_set_state (runtime, task, "stopped", "",
+                            strcmp (verb, "stop") == 0 ? "taken at the stop"
+                                                       : "");
 }
 
 static void
@@ -267,7 +269,7 @@
   char id[17];
   long long caller = 0;
 
-  if (runtime->silent)
+  if (runtime->unreachable)
     gp_http_exchange_abort (exchange);
   else if (*method.base == 'G')
     on_get (runtime, exchange, target);
@@ -282,7 +284,7 @@
 }
 
 static void
-begin_boot (fake_runtime_t *runtime)
+init_boot (fake_runtime_t *runtime)
 {
   runtime->boot++;
   runtime->holder = 0;
@@ -302,20 +304,20 @@
                                              .data = runtime };
 
   *runtime = (fake_runtime_t){ .boot = 0x70 };
-  begin_boot (runtime);
+  init_boot (runtime);
   runtime->usage = json_array ();
   runtime->server = gp_http_server_new (loop, &options, NULL);
   g_assert (runtime->server != NULL);
 }
 
 void
-fake_runtime_reboot (fake_runtime_t *runtime)
+fake_runtime_restart (fake_runtime_t *runtime)
 {
   gp_http_exchange_t *waiting = runtime->waiting;
 
   json_decref (runtime->tasks);
   json_decref (runtime->events);
-  begin_boot (runtime);
+  init_boot (runtime);
   runtime->waiting = NULL;
   if (waiting != NULL)
     gp_http_exchange_abort (waiting);
--- a/tests/unit/fake_runtime.h
+++ b/tests/unit/fake_runtime.h
@@ -20,10 +20,10 @@
   gp_http_exchange_t *waiting; /* call for events after waiting_after */
   json_int_t waiting_after;
   /* Faults.  */
-  bool hang_stop;   /* stop and cancel are accepted without effect */
-  bool silent;      /* calls are not answered and have no effect */
-  int mute_starts;  /* number of starts that take effect unanswered */
-  int refuse_start; /* status that answers starts, or 0 to accept them */
+  bool hang_stop;        /* stop and cancel are accepted without effect */
+  bool unreachable;      /* calls are not answered and have no effect */
+  int unanswered_starts; /* number of starts that take effect unanswered */
+  int refuse_start;      /* status that answers starts, or 0 to accept them */
   /* Counts of calls.  */
   int starts;
   int claims;
@@ -37,16 +37,17 @@
 void fake_runtime_finish (fake_runtime_t *runtime);
 
 /* List (TASK, EPOCH) in STATE, as if another guard had started it.  */
-void fake_runtime_put (fake_runtime_t *runtime, uint64_t task, uint64_t epoch,
-                       const char *state, uint32_t millicores);
+void fake_runtime_add_task (fake_runtime_t *runtime, uint64_t task,
+                            uint64_t epoch, const char *state,
+                            uint32_t millicores);
 
 /* Change the state of TASK to STATE and add the event.  */
-void fake_runtime_set (fake_runtime_t *runtime, uint64_t task,
-                       const char *state, const char *result,
-                       const char *checkpoint);
+void fake_runtime_set_state (fake_runtime_t *runtime, uint64_t task,
+                             const char *state, const char *result,
+                             const char *checkpoint);
 
 /* Restart the runtime under another boot id, without tasks.  */
-void fake_runtime_reboot (fake_runtime_t *runtime);
+void fake_runtime_restart (fake_runtime_t *runtime);
 
 /* The state of TASK, or NULL.  */
 const char *fake_runtime_state (const fake_runtime_t *runtime, uint64_t task);
--- a/tests/unit/test_runner.c
+++ b/tests/unit/test_runner.c
@@ -39,19 +39,19 @@
 }
 
 static bool
-is_idle (const task_site_t *s)
+has_no_tasks (const task_site_t *s)
 {
   return json_object_size (s->runtime.tasks) == 0;
 }
 
 /* Run one task to its end, to check that the guard works normally.  */
 static void
-run_one (uint64_t task)
+run_to_end (uint64_t task)
 {
   task_site_start (&site, task, 1, site.lease, 1);
   CU_ASSERT_PTR_NOT_NULL (
       task_site_await (&site, task, 1, STATE (RUNNING), 1));
-  fake_runtime_set (&site.runtime, task, "succeeded", "", "");
+  fake_runtime_set_state (&site.runtime, task, "succeeded", "", "");
   CU_ASSERT_PTR_NOT_NULL (
       task_site_await (&site, task, 1, STATE (SUCCEEDED), 1));
 }
@@ -70,15 +70,15 @@
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (RUNNING), 1));
-  fake_runtime_set (&site.runtime, 7, "checkpointed", "", "half");
+  fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "half");
   told = task_site_await (&site, 7, 1, STATE (CHECKPOINTED), 2);
   CU_ASSERT_STRING_EQUAL (told->text, "/half");
-  fake_runtime_set (&site.runtime, 7, "succeeded", "good", "half");
+  fake_runtime_set_state (&site.runtime, 7, "succeeded", "good", "half");
   told = task_site_await (&site, 7, 1, STATE (SUCCEEDED), 3);
   CU_ASSERT_STRING_EQUAL (told->text, "good/half");
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "succeeded");
   task_site_ack (&site, told);
-  CU_ASSERT_TRUE (task_site_until (&site, is_idle));
+  CU_ASSERT_TRUE (task_site_until (&site, has_no_tasks));
   CU_ASSERT_EQUAL (site.runtime.forgotten, 1);
   end ();
 }
@@ -95,16 +95,16 @@
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
-  fake_runtime_set (&site.runtime, 7, "checkpointed", "", "one");
+  fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "one");
   older = *task_site_await (&site, 7, 1, STATE (CHECKPOINTED), 1);
-  fake_runtime_set (&site.runtime, 7, "checkpointed", "", "two");
+  fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "two");
   do
     told = task_site_await (&site, 7, 1, STATE (CHECKPOINTED),
                             task_site_count (&site, 7, 1, STATE (CHECKPOINTED))
                                 + 1);
   while (told->number == older.number);
   task_site_ack (&site, &older);
-  run_one (8);
+  run_to_end (8);
   told = task_site_await (&site, 7, 1, STATE (CHECKPOINTED),
                           task_site_count (&site, 7, 1, STATE (CHECKPOINTED))
                               + 1);
@@ -120,13 +120,13 @@
   task_site_start (&site, 7, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (RUNNING), 2));
   CU_ASSERT_EQUAL (site.runtime.starts, 1);
-  fake_runtime_set (&site.runtime, 7, "failed", "", "");
+  fake_runtime_set_state (&site.runtime, 7, "failed", "", "");
   task_site_await (&site, 7, 1, STATE (FAILED), 1);
-  CU_ASSERT_TRUE (task_site_until (&site, is_idle));
+  CU_ASSERT_TRUE (task_site_until (&site, has_no_tasks));
   /* A duplicate that arrives after the end was acknowledged is neither started
      nor refused.  */
   task_site_start (&site, 7, 1, site.lease, 1000);
-  run_one (8);
+  run_to_end (8);
   CU_ASSERT_EQUAL (site.runtime.starts, 2);
   CU_ASSERT_EQUAL (task_site_count (&site, 7, 1, STATE (REFUSED)), 0);
   end ();
@@ -137,7 +137,7 @@
 {
   begin ();
   task_site_start (&site, 7, 1, site.lease - 1, 1000);
-  run_one (8);
+  run_to_end (8);
   CU_ASSERT_EQUAL (site.runtime.starts, 1);
   CU_ASSERT_EQUAL (task_site_count (&site, 7, 1, STATE (REFUSED)), 0);
   end ();
@@ -158,7 +158,7 @@
   CU_ASSERT_EQUAL (told->free_millicores, 1000);
   task_site_start (&site, 3, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 3, 1, STATE (RUNNING), 1));
-  fake_runtime_set (&site.runtime, 1, "succeeded", "", "");
+  fake_runtime_set_state (&site.runtime, 1, "succeeded", "", "");
   task_site_await (&site, 1, 1, STATE (SUCCEEDED), 1);
   task_site_start (&site, 2, 2, site.lease, 1500);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 2, 2, STATE (RUNNING), 1));
@@ -171,7 +171,7 @@
 test_start_unanswered (void)
 {
   begin ();
-  site.runtime.mute_starts = 1;
+  site.runtime.unanswered_starts = 1;
   task_site_start (&site, 7, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (RUNNING), 1));
   CU_ASSERT_EQUAL (site.runtime.starts, 1);
@@ -205,7 +205,7 @@
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
-  fake_runtime_set (&site.runtime, 7, "stopped", "", "");
+  fake_runtime_set_state (&site.runtime, 7, "stopped", "", "");
   task_site_await (&site, 7, 1, STATE (STOPPED), 1);
   task_site_start (&site, 7, 2, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 2, STATE (RUNNING), 1));
@@ -233,7 +233,7 @@
   told = task_site_await (&site, 8, 1, STATE (REFUSED), 1);
   CU_ASSERT_EQUAL (told->reason, REASON (CANCELLED));
   task_site_start (&site, 8, 1, site.lease, 1000);
-  run_one (9);
+  run_to_end (9);
   CU_ASSERT_EQUAL (task_site_count (&site, 8, 1, STATE (RUNNING)), 0);
   end ();
 }
@@ -256,12 +256,12 @@
   site.runtime.renewals = 0;
   CU_ASSERT_TRUE (task_site_ready (&site));
   task_site_start (&site, 9, 1, old_lease, 1000);
-  run_one (10);
+  run_to_end (10);
   CU_ASSERT_EQUAL (task_site_count (&site, 9, 1, STATE (REFUSED)), 0);
 }
 
 static void
-run_unacknowledged (void)
+start_unacknowledged (void)
 {
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 4000);
@@ -272,7 +272,7 @@
 test_lapse (void)
 {
   begin ();
-  run_unacknowledged ();
+  start_unacknowledged ();
   site.grant = 0;
   check_stopped ();
   end ();
@@ -282,7 +282,7 @@
 test_fence (void)
 {
   begin ();
-  run_unacknowledged ();
+  start_unacknowledged ();
   site.fenced = true;
   check_stopped ();
   end ();
@@ -299,7 +299,7 @@
 test_fence_hangs (void)
 {
   begin ();
-  run_unacknowledged ();
+  start_unacknowledged ();
   site.runtime.hang_stop = true;
   site.fenced = true;
   CU_ASSERT_TRUE (task_site_until (&site, has_claimed_again));
@@ -308,7 +308,7 @@
   CU_ASSERT_EQUAL (task_site_await (&site, 8, 1, STATE (REFUSED), 1)->reason,
                    REASON (FENCED));
   CU_ASSERT_EQUAL (site.lease, old_lease);
-  fake_runtime_set (&site.runtime, 7, "stopped", "", "");
+  fake_runtime_set_state (&site.runtime, 7, "stopped", "", "");
   check_stopped ();
   end ();
 }
@@ -323,7 +323,7 @@
   gp_runner_t *runner;
 
   begin ();
-  run_unacknowledged ();
+  start_unacknowledged ();
   runner = site.guard.runner;
   start.task = 8;
   start.epoch = 1;
@@ -350,9 +350,9 @@
   site.grant = 0;
   site.runtime.holder = 5;
   site.runtime.deadline = gp_time_now () + 60 * GP_SEC;
-  fake_runtime_put (&site.runtime, 1, 4, "running", 3000);
-  fake_runtime_set (&site.runtime, 1, "checkpointed", "", "half");
-  fake_runtime_put (&site.runtime, 2, 6, "succeeded", 1000);
+  fake_runtime_add_task (&site.runtime, 1, 4, "running", 3000);
+  fake_runtime_set_state (&site.runtime, 1, "checkpointed", "", "half");
+  fake_runtime_add_task (&site.runtime, 2, 6, "succeeded", 1000);
   site.runtime.renewals = 1;
   CU_ASSERT_TRUE (task_site_ready (&site));
   CU_ASSERT_EQUAL (site.inherits, 5);
@@ -370,7 +370,7 @@
   CU_ASSERT_STRING_EQUAL (
       task_site_await (&site, 1, 4, STATE (CHECKPOINTED), 1)->text, "/half");
   task_site_ack (&site, task_site_await (&site, 2, 6, STATE (SUCCEEDED), 1));
-  fake_runtime_set (&site.runtime, 1, "failed", "", "");
+  fake_runtime_set_state (&site.runtime, 1, "failed", "", "");
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 1, 4, STATE (FAILED), 1));
   CU_ASSERT_PTR_NULL (fake_runtime_state (&site.runtime, 2));
   end ();
@@ -387,7 +387,7 @@
   site.runtime.holder = greater;
   CU_ASSERT_TRUE (task_site_ready (&site));
   CU_ASSERT_EQUAL (site.lease, greater + 1);
-  run_one (1);
+  run_to_end (1);
   end ();
 }
 
@@ -397,10 +397,10 @@
   const told_t *listed;
 
   begin ();
-  run_unacknowledged ();
-  fake_runtime_set (&site.runtime, 7, "checkpointed", "", "half");
+  start_unacknowledged ();
+  fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "half");
   task_site_await (&site, 7, 1, STATE (CHECKPOINTED), 1);
-  fake_runtime_reboot (&site.runtime);
+  fake_runtime_restart (&site.runtime);
   CU_ASSERT_TRUE (task_site_until (&site, has_new_lease));
   CU_ASSERT_EQUAL (site.boot, site.runtime.boot);
   listed = task_site_listed (&site, 7, 1);
@@ -411,7 +411,7 @@
   CU_ASSERT_STRING_EQUAL (listed->text, "/half");
   site.runtime.renewals = 0;
   CU_ASSERT_TRUE (task_site_ready (&site));
-  run_one (8);
+  run_to_end (8);
   end ();
 }
 
@@ -429,12 +429,12 @@
   begin ();
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
-  site.runtime.silent = true;
+  site.runtime.unreachable = true;
   gp_http_exchange_abort (site.runtime.waiting);
   site.runtime.waiting = NULL;
   CU_ASSERT_TRUE (task_site_until (&site, is_down));
-  fake_runtime_set (&site.runtime, 7, "succeeded", "", "");
-  site.runtime.silent = false;
+  fake_runtime_set_state (&site.runtime, 7, "succeeded", "", "");
+  site.runtime.unreachable = false;
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (SUCCEEDED), 1));
   CU_ASSERT_EQUAL (site.lease, old_lease);
   end ();
@@ -448,13 +448,13 @@
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
   site.guard.runner->epochs.max_tasks = 3;
-  run_one (1);
-  run_one (2);
+  run_to_end (1);
+  run_to_end (2);
   CU_ASSERT_TRUE (task_site_until (&site, has_new_lease));
   CU_ASSERT_EQUAL (site.inherits, old_lease);
   CU_ASSERT_EQUAL (task_site_listed (&site, 7, 1)->state, STATE (RUNNING));
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "running");
-  run_one (3);
+  run_to_end (3);
   end ();
 }
 
@@ -524,7 +524,7 @@
   CU_ASSERT_FALSE (is_drained (&site));
   site.acks = true;
   CU_ASSERT_TRUE (task_site_until (&site, is_drained));
-  CU_ASSERT_TRUE (is_idle (&site));
+  CU_ASSERT_TRUE (has_no_tasks (&site));
   end ();
 }
 
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -43,13 +43,13 @@
   int done;
   gp_proposal_result_t result;
   gp_fold_verdict_t verdict;
-  int keys_before; /* changes notified before the proposal was done */
-} fate_t;
+  int keys_opened_before; /* changes notified before the proposal was done */
+} outcome_t;
 
 /* The log.  */
 
 static uint64_t
-parameter (gp_http_exchange_t *exchange, const char *name)
+query_number (gp_http_exchange_t *exchange, const char *name)
 {
   gp_http_text_t path = gp_http_exchange_path (exchange);
   g_autofree char *text = g_strndup (path.base, path.size);
@@ -61,7 +61,7 @@
 static void
 answer_read (fixture_t *fixture, gp_http_exchange_t *exchange)
 {
-  uint64_t from = parameter (exchange, "from");
+  uint64_t from = query_number (exchange, "from");
   Gp__Log__ReadReply reply = GP__LOG__READ_REPLY__INIT;
   Gp__Log__Record records[READ_MAX];
   Gp__Log__Record *pointers[READ_MAX];
@@ -96,10 +96,10 @@
 }
 
 static void
-take_read (fixture_t *fixture, gp_http_exchange_t *exchange)
+handle_read (fixture_t *fixture, gp_http_exchange_t *exchange)
 {
-  if (parameter (exchange, "from") != fixture->records->len
-      || parameter (exchange, "wait_ms") == 0)
+  if (query_number (exchange, "from") != fixture->records->len
+      || query_number (exchange, "wait_ms") == 0)
     {
       answer_read (fixture, exchange);
       return;
@@ -118,7 +118,7 @@
 }
 
 static void
-take_append (fixture_t *fixture, gp_http_exchange_t *exchange)
+handle_append (fixture_t *fixture, gp_http_exchange_t *exchange)
 {
   gp_http_text_t body = gp_http_exchange_body (exchange);
   Gp__Log__AppendReply reply = GP__LOG__APPEND_REPLY__INIT;
@@ -143,9 +143,9 @@
   if (fixture->down)
     gp_http_exchange_answer (exchange, 503, NULL, 0, NULL, 0);
   else if (gp_http_exchange_method (exchange).base[0] == 'P')
-    take_append (fixture, exchange);
+    handle_append (fixture, exchange);
   else
-    take_read (fixture, exchange);
+    handle_read (fixture, exchange);
 }
 
 /* Notifications of the store.  */
@@ -179,12 +179,12 @@
 static void
 on_done (gp_proposal_result_t result, gp_fold_verdict_t verdict, void *data)
 {
-  fate_t *fate = data;
+  outcome_t *outcome = data;
 
-  fate->done++;
-  fate->result = result;
-  fate->verdict = verdict;
-  fate->keys_before = fate->fixture->keys_opened;
+  outcome->done++;
+  outcome->result = result;
+  outcome->verdict = verdict;
+  outcome->keys_opened_before = outcome->fixture->keys_opened;
 }
 
 static void
@@ -247,19 +247,19 @@
 
 static gp_writer_result_t
 propose (fixture_t *fixture, const char *key, gp_writer_priority_t priority,
-         gp_time_t duration, fate_t *fate, gp_proposal_t **proposal)
+         gp_time_t duration, outcome_t *outcome, gp_proposal_t **proposal)
 {
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
   Gp__Record__Intent intent = GP__RECORD__INTENT__INIT;
 
-  *fate = (fate_t){ .fixture = fixture };
+  *outcome = (outcome_t){ .fixture = fixture };
   intent.key.data = (uint8_t *)key;
   intent.key.len = GP_FOLD_KEY_SIZE;
   record.record_case = GP__RECORD__RECORD__RECORD_INTENT;
   record.intent = &intent;
   return gp_store_propose (fixture->store, &record, priority,
                            gp_loop_now (&fixture->loop) + duration, on_done,
-                           fate, proposal);
+                           outcome, proposal);
 }
 
 /* Tests.  */
@@ -268,8 +268,8 @@
 test_decided (void)
 {
   fixture_t fixture;
-  fate_t first;
-  fate_t second;
+  outcome_t first;
+  outcome_t second;
 
   setup (&fixture);
   CU_ASSERT (propose (&fixture, "aaaaaaaaaaaaaaaa", GP_WRITER_URGENT, FAR,
@@ -285,7 +285,8 @@
              == GP_WRITER_QUEUED);
   CU_ASSERT (run_until_count (&fixture.loop, &second.done, 1));
   CU_ASSERT (first.done == 1 && first.result == GP_PROPOSAL_DECIDED);
-  CU_ASSERT (first.verdict == GP_FOLD_ACCEPTED && first.keys_before == 1);
+  CU_ASSERT (first.verdict == GP_FOLD_ACCEPTED
+             && first.keys_opened_before == 1);
   CU_ASSERT (second.verdict == GP_FOLD_VOID_KEY_TAKEN);
   CU_ASSERT (fixture.records->len == 1);
   CU_ASSERT (
@@ -300,9 +301,9 @@
 test_not_sent (void)
 {
   fixture_t fixture;
-  fate_t withdrawn;
-  fate_t expired;
-  fate_t late;
+  outcome_t withdrawn;
+  outcome_t expired;
+  outcome_t late;
   gp_proposal_t *proposal;
 
   setup_ready (&fixture);
@@ -329,14 +330,15 @@
 test_lost_acknowledgement (void)
 {
   fixture_t fixture;
-  fate_t fate;
-  fate_t next;
+  outcome_t outcome;
+  outcome_t next;
 
   setup_ready (&fixture);
   fixture.lose_ack = true;
-  propose (&fixture, "aaaaaaaaaaaaaaaa", GP_WRITER_URGENT, FAR, &fate, NULL);
-  CU_ASSERT (run_until_count (&fixture.loop, &fate.done, 1));
-  CU_ASSERT (fate.verdict == GP_FOLD_ACCEPTED);
+  propose (&fixture, "aaaaaaaaaaaaaaaa", GP_WRITER_URGENT, FAR, &outcome,
+           NULL);
+  CU_ASSERT (run_until_count (&fixture.loop, &outcome.done, 1));
+  CU_ASSERT (outcome.verdict == GP_FOLD_ACCEPTED);
   propose (&fixture, "bbbbbbbbbbbbbbbb", GP_WRITER_URGENT, FAR, &next, NULL);
   CU_ASSERT (run_until_count (&fixture.loop, &next.done, 1));
   CU_ASSERT (next.verdict == GP_FOLD_ACCEPTED && fixture.keys_opened == 2);
@@ -358,9 +360,9 @@
 test_outage (void)
 {
   fixture_t fixture;
-  fate_t sent;
-  fate_t refused;
-  fate_t after;
+  outcome_t sent;
+  outcome_t refused;
+  outcome_t after;
   gp_time_t end;
 
   setup_ready (&fixture);
@@ -395,11 +397,12 @@
 test_gap (void)
 {
   fixture_t fixture;
-  fate_t fate;
+  outcome_t outcome;
 
   setup_ready (&fixture);
-  propose (&fixture, "aaaaaaaaaaaaaaaa", GP_WRITER_URGENT, FAR, &fate, NULL);
-  CU_ASSERT (run_until_count (&fixture.loop, &fate.done, 1));
+  propose (&fixture, "aaaaaaaaaaaaaaaa", GP_WRITER_URGENT, FAR, &outcome,
+           NULL);
+  CU_ASSERT (run_until_count (&fixture.loop, &outcome.done, 1));
   for (int i = 0; i < 3; i++)
     g_ptr_array_add (fixture.records, g_bytes_new_static ("x", 1));
   fixture.first_offset = 3;
@@ -407,7 +410,7 @@
   CU_ASSERT (run_until_count (&fixture.loop, &fixture.gaps, 1));
   CU_ASSERT_FALSE (gp_store_ready (fixture.store));
   CU_ASSERT (propose (&fixture, "bbbbbbbbbbbbbbbb", GP_WRITER_URGENT, FAR,
-                      &fate, NULL)
+                      &outcome, NULL)
              == GP_WRITER_UNAVAILABLE);
   CU_ASSERT (fixture.rebuilt == 1);
   teardown (&fixture);
--- a/tests/unit/test_views.c
+++ b/tests/unit/test_views.c
@@ -36,7 +36,7 @@
   bool missing;
   gp_view_result_t result;
   char *text;
-} seen_t;
+} outcome_t;
 
 static void
 on_ready (gp_session_t *session, void *data)
@@ -153,19 +153,19 @@
 static void
 on_view (gp_view_result_t result, const Gp__Wire__View *view, void *data)
 {
-  seen_t *seen = data;
+  outcome_t *outcome = data;
 
-  seen->calls++;
-  seen->result = result;
+  outcome->calls++;
+  outcome->result = result;
   if (view == NULL)
     return;
-  seen->missing = view->missing;
-  seen->text = g_strndup ((const char *)view->text.data, view->text.len);
+  outcome->missing = view->missing;
+  outcome->text = g_strndup ((const char *)view->text.data, view->text.len);
 }
 
 static gp_view_t *
-ask (process_t *from, const char *over, const char *process, gp_time_t timeout,
-     seen_t *seen)
+request_view (process_t *from, const char *over, const char *process,
+              gp_time_t timeout, outcome_t *outcome)
 {
   Gp__Wire__ViewAsk message = GP__WIRE__VIEW_ASK__INIT;
   gp_session_t *session = gp_views_find_session (&from->views, over);
@@ -175,7 +175,7 @@
   message.max = 10;
   message.process = (char *)process;
   return gp_views_request (&from->views, session, &message, timeout, on_view,
-                           seen);
+                           outcome);
 }
 
 /* Views of entry B and, forwarded by it, of guard G.  A process that B has no
@@ -184,15 +184,15 @@
 test_forward (void)
 {
   world_t *world = g_new0 (world_t, 1);
-  seen_t direct = { 0 };
-  seen_t forwarded = { 0 };
-  seen_t missing = { 0 };
+  outcome_t direct = { 0 };
+  outcome_t forwarded = { 0 };
+  outcome_t missing = { 0 };
 
   world_init (world);
   CU_ASSERT_PTR_NULL (gp_views_find_session (&world->a.views, "g"));
-  ask (&world->a, "b", "", TIMEOUT, &direct);
-  ask (&world->a, "b", "g", TIMEOUT, &forwarded);
-  ask (&world->a, "b", "nobody", TIMEOUT, &missing);
+  request_view (&world->a, "b", "", TIMEOUT, &direct);
+  request_view (&world->a, "b", "g", TIMEOUT, &forwarded);
+  request_view (&world->a, "b", "nobody", TIMEOUT, &missing);
   run_until_count (&world->loop, &direct.calls, 1);
   run_until_count (&world->loop, &forwarded.calls, 1);
   run_until_count (&world->loop, &missing.calls, 1);
@@ -213,22 +213,22 @@
 test_ends (void)
 {
   world_t *world = g_new0 (world_t, 1);
-  seen_t late = { 0 };
-  seen_t cancelled = { 0 };
-  seen_t lost = { 0 };
-  seen_t many = { 0 };
+  outcome_t late = { 0 };
+  outcome_t cancelled = { 0 };
+  outcome_t lost = { 0 };
+  outcome_t many = { 0 };
 
   world_init (world);
   for (int i = 0; i < 100; i++)
     {
-      ask (&world->a, "b", "", TIMEOUT, &many);
+      request_view (&world->a, "b", "", TIMEOUT, &many);
       run_until_count (&world->loop, &many.calls, i + 1);
       g_free (many.text);
     }
   world->b.silent = true;
-  gp_view_cancel (ask (&world->a, "b", "", SHORT, &cancelled));
-  ask (&world->a, "b", "", SHORT, &late);
-  ask (&world->a, "b", "", TIMEOUT, &lost);
+  gp_view_cancel (request_view (&world->a, "b", "", SHORT, &cancelled));
+  request_view (&world->a, "b", "", SHORT, &late);
+  request_view (&world->a, "b", "", TIMEOUT, &lost);
   run_until_count (&world->loop, &late.calls, 1);
   CU_ASSERT_EQUAL (late.result, GP_VIEW_TIMED_OUT);
   CU_ASSERT_EQUAL (lost.calls, 0);
@@ -242,20 +242,20 @@
 
 /* The requesting entry disconnects while its request is being forwarded.  */
 static void
-test_asker_gone (void)
+test_requester_gone (void)
 {
   world_t *world = g_new0 (world_t, 1);
-  seen_t seen = { 0 };
+  outcome_t outcome = { 0 };
   bool gone;
 
   world_init (world);
   world->g.silent = true;
-  ask (&world->a, "b", "g", TIMEOUT, &seen);
+  request_view (&world->a, "b", "g", TIMEOUT, &outcome);
   while (gp_list_empty (&world->b.views.forwards))
     run_turns (&world->loop, 1);
   gp_session_host_close (&world->a.host);
-  run_until_count (&world->loop, &seen.calls, 1);
-  CU_ASSERT_EQUAL (seen.result, GP_VIEW_DISCONNECTED);
+  run_until_count (&world->loop, &outcome.calls, 1);
+  CU_ASSERT_EQUAL (outcome.result, GP_VIEW_DISCONNECTED);
   for (int i = 0; i < 1000 && world->b.ready > 1; i++)
     run_turns (&world->loop, 1);
   gone = gp_list_empty (&world->b.views.forwards);
@@ -269,7 +269,7 @@
 {
   CU_TestInfo tests[] = { { "forward", test_forward },
                           { "ends", test_ends },
-                          { "asker gone", test_asker_gone },
+                          { "asker gone", test_requester_gone },
                           CU_TEST_INFO_NULL };
 
   return runner_main ("views", tests);
