--- a/src/daemon/execution.h
+++ b/src/daemon/execution.h
@@ -11,9 +11,9 @@
      UNKNOWN  bytes of the request were sent, but no answer arrived
 
    A request's deadline limits the time until the head of its answer; an
-   answer of at most GP_PART_SIZE bytes must be complete by then.  After the
-   head, a part must be sent to the entry, or acknowledged by it with credit,
-   at least once per stall timeout.
+   answer with a declared length of at most GP_PART_SIZE must be complete by
+   then.  After the head, a part must be sent to the entry, or acknowledged by
+   it with credit, at least once per stall timeout.
 
    An answer that ends early after its head was forwarded is reported as
    Broken, never as a normal end.  A slot stays occupied until the upstream
--- a/src/daemon/operators.h
+++ b/src/daemon/operators.h
@@ -26,7 +26,7 @@
 typedef enum
 {
   GP_OPERATORS_EXACT,
-  GP_OPERATORS_PREFIX /* PATH ends with a slash and must not be the whole */
+  GP_OPERATORS_PREFIX /* longer paths that start with PATH, which ends in / */
 } gp_operators_match_t;
 
 typedef struct
--- a/src/daemon/runner.c
+++ b/src/daemon/runner.c
@@ -5,7 +5,8 @@
 #include "base/counters.h"
 #include "base/log.h"
 
-/* Size of the epoch table; see coordination/epoch_table.h.  */
+/* Limit of tasks whose epochs are remembered; see
+   coordination/epoch_table.h.  */
 #define MAX_EPOCHS 8192
 
 static gp_counter_t lapses_total = GP_COUNTER (
--- a/src/daemon/runner_tasks.c
+++ b/src/daemon/runner_tasks.c
@@ -128,7 +128,7 @@
 }
 
 /* The runtime answered that it already has the task: under this epoch, so it
-   runs, or under an older one that has ended in the log and can be
+   runs, or under another one that has ended in the log and can be
    removed.  */
 static void
 on_already_present (gp_runner_t *runner, gp_runner_task_t *task,
