--- a/src/daemon/execution.c
+++ b/src/daemon/execution.c
@@ -255,7 +255,7 @@
 }
 
 static bool
-started_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
+wakes_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
 {
   const gp_execution_t *x = GP_CONTAINER_OF (a, gp_execution_t, started);
   const gp_execution_t *y = GP_CONTAINER_OF (b, gp_execution_t, started);
@@ -304,7 +304,7 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   executor->kinds
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  gp_heap_init (&executor->started, started_before);
+  gp_heap_init (&executor->started, wakes_before);
   gp_timer_init (&executor->timer, loop, on_timer, executor);
   gp_probe_init (&executor->probe, loop, upstream->address, on_probe_answered,
                  executor);
--- a/src/daemon/operators_tasks.c
+++ b/src/daemon/operators_tasks.c
@@ -44,7 +44,7 @@
 }
 
 static int
-status_of (const waiter_t *waiter, gp_tasks_result_t result)
+http_status (const waiter_t *waiter, gp_tasks_result_t result)
 {
   switch (result)
     {
@@ -74,7 +74,7 @@
     json_object_set_new (json, "message", json_string (answer->message));
   if (waiter->exchange != NULL)
     gp_operators_answer_json (waiter->exchange,
-                              status_of (waiter, answer->result), json);
+                              http_status (waiter, answer->result), json);
   else
     json_decref (json);
   g_free (waiter);
--- a/src/daemon/view.c
+++ b/src/daemon/view.c
@@ -39,9 +39,9 @@
   uint64_t id; /* of the other entry's request */
 } forward_t;
 
-static gp_counter_t asked = GP_COUNTER (
+static gp_counter_t views_requested = GP_COUNTER (
     "views_asked_total", "Views asked of other processes for operators.");
-static gp_counter_t lost = GP_COUNTER (
+static gp_counter_t views_lost = GP_COUNTER (
     "views_lost_total", "Views that another process did not give in time.");
 
 /* Requests.  */
@@ -62,7 +62,7 @@
   void *data = view->data;
 
   if (result != GP_VIEW_RECEIVED)
-    gp_counter_add (&lost, 1);
+    gp_counter_add (&views_lost, 1);
   gp_view_cancel (view);
   done (result, message, data);
 }
@@ -141,7 +141,7 @@
   view->deadline = gp_loop_now (views->host->loop) + timeout;
   g_hash_table_insert (views->open, &view->id, view);
   arm_timer (views);
-  gp_counter_add (&asked, 1);
+  gp_counter_add (&views_requested, 1);
   return view;
 }
 
@@ -340,8 +340,8 @@
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   gp_timer_init (&views->timer, host->loop, on_timer, views);
   gp_list_init (&views->forwards);
-  gp_counter_register (&asked);
-  gp_counter_register (&lost);
+  gp_counter_register (&views_requested);
+  gp_counter_register (&views_lost);
 }
 
 void
--- a/tests/unit/test_runner.c
+++ b/tests/unit/test_runner.c
@@ -17,7 +17,7 @@
 static uint64_t old_lease;
 
 static void
-begin (void)
+setup (void)
 {
   task_site_init (&site);
   CU_ASSERT_TRUE (task_site_ready (&site));
@@ -25,7 +25,7 @@
 }
 
 static void
-end (void)
+teardown (void)
 {
   CU_ASSERT_EQUAL (site.runtime.refused, 0);
   task_site_finish (&site);
@@ -63,7 +63,7 @@
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   CU_ASSERT_EQUAL (site.capacity, 4000);
   CU_ASSERT_EQUAL (site.boot, site.runtime.boot);
   CU_ASSERT_EQUAL (site.inventory->len, 0);
@@ -80,7 +80,7 @@
   task_site_ack (&site, told);
   CU_ASSERT_TRUE (task_site_until (&site, has_no_tasks));
   CU_ASSERT_EQUAL (site.runtime.forgotten, 1);
-  end ();
+  teardown ();
 }
 
 /* The acknowledgement of an older checkpoint does not acknowledge the newest
@@ -91,7 +91,7 @@
   const told_t *told;
   told_t older;
 
-  begin ();
+  setup ();
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
@@ -109,13 +109,13 @@
                           task_site_count (&site, 7, 1, STATE (CHECKPOINTED))
                               + 1);
   CU_ASSERT_STRING_EQUAL (told->text, "/two");
-  end ();
+  teardown ();
 }
 
 static void
 test_duplicate (void)
 {
-  begin ();
+  setup ();
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_start (&site, 7, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (RUNNING), 2));
@@ -129,18 +129,18 @@
   run_to_end (8);
   CU_ASSERT_EQUAL (site.runtime.starts, 2);
   CU_ASSERT_EQUAL (task_site_count (&site, 7, 1, STATE (REFUSED)), 0);
-  end ();
+  teardown ();
 }
 
 static void
 test_stale (void)
 {
-  begin ();
+  setup ();
   task_site_start (&site, 7, 1, site.lease - 1, 1000);
   run_to_end (8);
   CU_ASSERT_EQUAL (site.runtime.starts, 1);
   CU_ASSERT_EQUAL (task_site_count (&site, 7, 1, STATE (REFUSED)), 0);
-  end ();
+  teardown ();
 }
 
 /* Of 5,000 millicores, 4,000 are for tasks; an ended task releases its
@@ -150,7 +150,7 @@
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   task_site_start (&site, 1, 1, site.lease, 3000);
   task_site_start (&site, 2, 1, site.lease, 1500);
   told = task_site_await (&site, 2, 1, STATE (REFUSED), 1);
@@ -162,7 +162,7 @@
   task_site_await (&site, 1, 1, STATE (SUCCEEDED), 1);
   task_site_start (&site, 2, 2, site.lease, 1500);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 2, 2, STATE (RUNNING), 1));
-  end ();
+  teardown ();
 }
 
 /* The answer to a start call is lost: the call is repeated, and the task is
@@ -170,13 +170,13 @@
 static void
 test_start_unanswered (void)
 {
-  begin ();
+  setup ();
   site.runtime.unanswered_starts = 1;
   task_site_start (&site, 7, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (RUNNING), 1));
   CU_ASSERT_EQUAL (site.runtime.starts, 1);
   CU_ASSERT_EQUAL (task_site_count (&site, 7, 1, STATE (REFUSED)), 0);
-  end ();
+  teardown ();
 }
 
 static void
@@ -184,7 +184,7 @@
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   site.runtime.refuse_start = 500;
   task_site_start (&site, 7, 1, site.lease, 1000);
   told = task_site_await (&site, 7, 1, STATE (REFUSED), 1);
@@ -193,7 +193,7 @@
   /* The refused task has released its capacity for the next epoch.  */
   task_site_start (&site, 7, 2, site.lease, 4000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 2, STATE (RUNNING), 1));
-  end ();
+  teardown ();
 }
 
 /* The end of an epoch is in the log, but the guard has not received the
@@ -201,7 +201,7 @@
 static void
 test_next_epoch (void)
 {
-  begin ();
+  setup ();
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
@@ -211,7 +211,7 @@
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 2, STATE (RUNNING), 1));
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "running");
   CU_ASSERT_PTR_NULL (gp_runner_find_task (site.guard.runner, 7, 1));
-  end ();
+  teardown ();
 }
 
 static void
@@ -219,7 +219,7 @@
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
   task_site_stop (&site, 7, 1, MODE (THROTTLE));
@@ -235,7 +235,7 @@
   task_site_start (&site, 8, 1, site.lease, 1000);
   run_to_end (9);
   CU_ASSERT_EQUAL (task_site_count (&site, 8, 1, STATE (RUNNING)), 0);
-  end ();
+  teardown ();
 }
 
 /* After the end of its lease the guard stops all tasks and continues under a
@@ -271,21 +271,21 @@
 static void
 test_lapse (void)
 {
-  begin ();
+  setup ();
   start_unacknowledged ();
   site.grant = 0;
   check_stopped ();
-  end ();
+  teardown ();
 }
 
 static void
 test_fence (void)
 {
-  begin ();
+  setup ();
   start_unacknowledged ();
   site.fenced = true;
   check_stopped ();
-  end ();
+  teardown ();
 }
 
 static bool
@@ -298,7 +298,7 @@
 static void
 test_fence_hangs (void)
 {
-  begin ();
+  setup ();
   start_unacknowledged ();
   site.runtime.hang_stop = true;
   site.fenced = true;
@@ -310,7 +310,7 @@
   CU_ASSERT_EQUAL (site.lease, old_lease);
   fake_runtime_set_state (&site.runtime, 7, "stopped", "", "");
   check_stopped ();
-  end ();
+  teardown ();
 }
 
 /* A Start that is handled only after the guard was paused past the end of its
@@ -322,7 +322,7 @@
   Gp__Wire__Envelope envelope = GP_ENVELOPE (START, start, &start);
   gp_runner_t *runner;
 
-  begin ();
+  setup ();
   start_unacknowledged ();
   runner = site.guard.runner;
   start.task = 8;
@@ -337,7 +337,7 @@
                    REASON (FENCED));
   CU_ASSERT_EQUAL (site.runtime.starts, 1);
   check_stopped ();
-  end ();
+  teardown ();
 }
 
 /* A guard starts with a runtime that has tasks of its predecessor: it inherits
@@ -373,7 +373,7 @@
   fake_runtime_set_state (&site.runtime, 1, "failed", "", "");
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 1, 4, STATE (FAILED), 1));
   CU_ASSERT_PTR_NULL (fake_runtime_state (&site.runtime, 2));
-  end ();
+  teardown ();
 }
 
 /* The predecessor had a greater incarnation, because the wall clock has been
@@ -388,7 +388,7 @@
   CU_ASSERT_TRUE (task_site_ready (&site));
   CU_ASSERT_EQUAL (site.lease, greater + 1);
   run_to_end (1);
-  end ();
+  teardown ();
 }
 
 static void
@@ -396,7 +396,7 @@
 {
   const told_t *listed;
 
-  begin ();
+  setup ();
   start_unacknowledged ();
   fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "half");
   task_site_await (&site, 7, 1, STATE (CHECKPOINTED), 1);
@@ -412,7 +412,7 @@
   site.runtime.renewals = 0;
   CU_ASSERT_TRUE (task_site_ready (&site));
   run_to_end (8);
-  end ();
+  teardown ();
 }
 
 static bool
@@ -426,7 +426,7 @@
 static void
 test_runtime_silent (void)
 {
-  begin ();
+  setup ();
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
   site.runtime.unreachable = true;
@@ -437,14 +437,14 @@
   site.runtime.unreachable = false;
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (SUCCEEDED), 1));
   CU_ASSERT_EQUAL (site.lease, old_lease);
-  end ();
+  teardown ();
 }
 
 /* The epoch table is full: a new incarnation begins and keeps the tasks.  */
 static void
 test_recycle (void)
 {
-  begin ();
+  setup ();
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
   site.guard.runner->epochs.max_tasks = 3;
@@ -455,7 +455,7 @@
   CU_ASSERT_EQUAL (task_site_listed (&site, 7, 1)->state, STATE (RUNNING));
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "running");
   run_to_end (3);
-  end ();
+  teardown ();
 }
 
 static bool
@@ -467,7 +467,7 @@
 static void
 test_superseded (void)
 {
-  begin ();
+  setup ();
   site.runtime.holder = old_lease + 1000;
   CU_ASSERT_TRUE (task_site_until (&site, is_withdrawn));
   CU_ASSERT_EQUAL (site.runtime.holder, old_lease + 1000);
@@ -481,7 +481,7 @@
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   task_site_start (&site, 1, 1, site.lease, 2000);
   task_site_start (&site, 2, 1, site.lease, 2000);
   task_site_await (&site, 2, 1, STATE (RUNNING), 1);
@@ -494,7 +494,7 @@
   CU_ASSERT_EQUAL (site.runtime.throttles, 1);
   CU_ASSERT_TRUE (site.usages > 0);
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 2), "running");
-  end ();
+  teardown ();
 }
 
 static bool
@@ -510,7 +510,7 @@
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
@@ -525,7 +525,7 @@
   site.acks = true;
   CU_ASSERT_TRUE (task_site_until (&site, is_drained));
   CU_ASSERT_TRUE (has_no_tasks (&site));
-  end ();
+  teardown ();
 }
 
 static CU_TestInfo tests[] = {
