--- a/src/daemon/guard.c
+++ b/src/daemon/guard.c
@@ -1,4 +1,4 @@
-/* The guard: sessions, announcements, heartbeats, stop.  */
+/* The guard: sessions, announcements, heartbeats, shutdown.  */
 
 #include "daemon/guard.h"
 
@@ -10,8 +10,9 @@
 #include "daemon/execution_limits.h"
 
 #define HEARTBEAT_JITTER 0.1
-/* On a worker the lease sets the pace, and the timer only steps in while
-   there is none to renew.  */
+/* On a worker each lease renewal sends a heartbeat, which rearms the timer.
+   The longer interval lets the timer fire only while there is no lease to
+   renew.  */
 #define WORKER_HEARTBEAT_FACTOR 1.5
 #define CLOSE_GRACE (200 * GP_MSEC)
 #define LEAVE_TIME (10 * GP_SEC)
@@ -136,9 +137,10 @@
 {
   gp_guard_t *guard = data;
 
-  /* Noted before the announcement leaves: what that causes comes after it on
-     the time line.  */
-  gp_program_note (&guard->timeline, GP_TIMELINE_PEER_UP, session->process);
+  /* Recorded before the announcement is sent, so that events caused by the
+     announcement come later in the timeline.  */
+  gp_program_record_event (&guard->timeline, GP_TIMELINE_PEER_UP,
+                           session->process);
   gp_uplinks_on_ready (&guard->uplinks, session);
   gp_counter_add (&entries_connected, 1);
   gp_log (GP_LOG_INFO, "session.open", GP_LOG_S ("entry", session->process));
@@ -213,8 +215,8 @@
   if (ready)
     {
       gp_counter_add (&entries_connected, -1);
-      gp_program_note (&guard->timeline, GP_TIMELINE_PEER_DOWN,
-                       session->process);
+      gp_program_record_event (&guard->timeline, GP_TIMELINE_PEER_DOWN,
+                               session->process);
       gp_log (GP_LOG_INFO, "session.closed",
               GP_LOG_S ("entry", session->process),
               GP_LOG_S ("reason", reason != NULL ? reason->message : "left"));
@@ -247,14 +249,14 @@
   }
 }
 
-/* The upstream has gone or is back.  */
+/* The upstream went down or came up.  */
 static void
-on_turn (void *data)
+on_upstream_change (void *data)
 {
   announce_all (data);
 }
 
-/* Stop.  */
+/* Shutdown.  */
 
 static void
 on_sessions_closed (gp_timer_t *timer, void *data)
@@ -266,11 +268,11 @@
 }
 
 static void
-on_part_drained (void *data)
+on_component_drained (void *data)
 {
   gp_guard_t *guard = data;
 
-  if (--guard->draining > 0)
+  if (--guard->components_draining > 0)
     return;
   gp_log (GP_LOG_INFO, "guard.drained");
   gp_session_host_close (&guard->host);
@@ -287,32 +289,33 @@
     return;
   guard->leaving = true;
   gp_log (GP_LOG_INFO, "guard.leaving");
-  gp_program_note (&guard->timeline, GP_TIMELINE_PROCESS_STOP,
-                   guard->settings->name);
+  gp_program_record_event (&guard->timeline, GP_TIMELINE_PROCESS_STOP,
+                           guard->settings->name);
   gp_uplinks_stop (&guard->uplinks);
   announce_all (guard);
-  guard->draining = has_upstream (guard) + (guard->runner != NULL);
+  guard->components_draining = has_upstream (guard) + (guard->runner != NULL);
   if (has_upstream (guard))
-    gp_executor_leave (&guard->executor, on_part_drained, guard);
+    gp_executor_leave (&guard->executor, on_component_drained, guard);
   if (guard->runner != NULL)
     gp_runner_leave (guard->runner, gp_loop_now (&guard->loop) + LEAVE_TIME,
-                     on_part_drained, guard);
+                     on_component_drained, guard);
 }
 
-/* The worker's lease goes on under a new incarnation.  */
+/* The lease has a new incarnation, or the worker has changed.  */
 static void
-on_runner_renewed (void *data)
+on_runner_announcement_changed (void *data)
 {
   announce_all (data);
 }
 
 static void
-on_runner_heartbeat (void *data)
+on_runner_heartbeat_due (void *data)
 {
   gp_guard_t *guard = data;
 
-  /* Once drained the timer of the heartbeats ends the process.  */
-  if (!guard->leaving || guard->draining > 0)
+  /* Once everything has drained, the heartbeat timer is used to stop the
+     event loop and must not be rearmed.  */
+  if (!guard->leaving || guard->components_draining > 0)
     send_heartbeats (guard);
 }
 
@@ -335,20 +338,20 @@
 }
 
 static bool
-start_parts (gp_guard_t *guard, GError **error)
+start_components (gp_guard_t *guard, GError **error)
 {
   const gp_settings_t *settings = guard->settings;
   const gp_runner_callbacks_t callbacks
-      = { .on_renewed = on_runner_renewed,
-          .on_heartbeat = on_runner_heartbeat,
+      = { .on_announcement_changed = on_runner_announcement_changed,
+          .on_heartbeat_due = on_runner_heartbeat_due,
           .data = guard };
 
   guard->events = g_new0 (gp_timeline_event_t, GP_GUARD_TIMELINE_SIZE);
   gp_timeline_init (&guard->timeline, settings->name, guard->incarnation,
                     guard->events, GP_GUARD_TIMELINE_SIZE);
   guard->host.timeline = &guard->timeline;
-  gp_program_note (&guard->timeline, GP_TIMELINE_PROCESS_START,
-                   guard->settings->name);
+  gp_program_record_event (&guard->timeline, GP_TIMELINE_PROCESS_START,
+                           guard->settings->name);
   guard->configuration = gp_configuration_new (
       &guard->host, NULL, &guard->timeline, on_configuration, guard);
   if (has_upstream (guard)
@@ -388,7 +391,7 @@
   gp_counter_register (&heartbeats_sent);
   gp_session_host_init (&guard->host, &guard->loop, guard->tls, &self,
                         &session_callbacks, guard);
-  if (!start_parts (guard, error))
+  if (!start_components (guard, error))
     return false;
   if (settings->guard->peers != NULL
       && !gp_session_host_listen (&guard->host, settings->guard->peers, error))
@@ -396,7 +399,7 @@
   gp_timer_init (&guard->heartbeat, &guard->loop, on_heartbeat, guard);
   arm_heartbeat (guard);
   if (has_upstream (guard))
-    gp_executor_watch (&guard->executor, on_turn, guard);
+    gp_executor_watch (&guard->executor, on_upstream_change, guard);
   gp_uplinks_init (&guard->uplinks, &guard->host, settings, guard->rand);
   gp_loop_on_signal (&guard->loop, on_stop, guard);
   return true;
--- a/src/daemon/operators.c
+++ b/src/daemon/operators.c
@@ -1,4 +1,4 @@
-/* HTTP to operators: sign-in, routes and what their handlers share.  */
+/* HTTP API for operators: sign-in, routing and helpers for handlers.  */
 
 #include "daemon/operators.h"
 
@@ -15,11 +15,11 @@
 #define BEARER "Bearer "
 #define JSON_TYPE "application/json"
 
-/* Failed sign-ins that one address may make at once, and per second.  */
+/* Failed sign-ins allowed per address: burst, and rate per second.  */
 #define FAILURES_BURST 10
 #define FAILURES_PER_S 0.5
-/* Addresses that are remembered; beyond it those that have not failed of
-   late are forgotten.  */
+/* Limit of addresses with a limiter of their own.  When it is reached, those
+   whose limiter has refilled are removed.  */
 #define SENDERS_MAX 1024
 
 static gp_counter_t requests = GP_COUNTER (
@@ -53,7 +53,8 @@
 }
 
 void
-gp_operators_answer (gp_http_exchange_t *exchange, int status, json_t *json)
+gp_operators_answer_json (gp_http_exchange_t *exchange, int status,
+                          json_t *json)
 {
   char *text = json_dumps (json, JSON_COMPACT);
 
@@ -63,18 +64,19 @@
 }
 
 void
-gp_operators_fail (gp_http_exchange_t *exchange, int status,
-                   const char *message)
+gp_operators_answer_error (gp_http_exchange_t *exchange, int status,
+                           const char *message)
 {
-  gp_operators_answer (exchange, status,
-                       json_pack ("{s:s}", "message", message));
+  gp_operators_answer_json (exchange, status,
+                            json_pack ("{s:s}", "message", message));
 }
 
 /* Queries and bodies.  */
 
-/* Cut the part of TEXT up to MARK off its front.  */
+/* Remove the part of TEXT up to MARK, with MARK, and return it without
+   MARK.  */
 static gp_http_text_t
-take_until (gp_http_text_t *text, char mark)
+split_off_until (gp_http_text_t *text, char mark)
 {
   const char *end = memchr (text->base, mark, text->size);
   gp_http_text_t part = *text;
@@ -91,14 +93,15 @@
 }
 
 char *
-gp_operators_query (const gp_operators_request_t *request, const char *name)
+gp_operators_query_string (const gp_operators_request_t *request,
+                           const char *name)
 {
   gp_http_text_t rest = request->query;
 
   while (rest.size > 0)
     {
-      gp_http_text_t value = take_until (&rest, '&');
-      gp_http_text_t key = take_until (&value, '=');
+      gp_http_text_t value = split_off_until (&rest, '&');
+      gp_http_text_t key = split_off_until (&value, '=');
 
       if (gp_http_text_equal (key, name))
         return g_uri_unescape_segment (value.base, value.base + value.size,
@@ -112,7 +115,7 @@
                            const char *name, uint64_t fallback,
                            uint64_t *number)
 {
-  char *text = gp_operators_query (request, name);
+  char *text = gp_operators_query_string (request, name);
   guint64 parsed = fallback;
   bool good
       = text == NULL
@@ -124,7 +127,7 @@
 }
 
 json_t *
-gp_operators_body (const gp_operators_request_t *request)
+gp_operators_parse_body (const gp_operators_request_t *request)
 {
   gp_http_text_t body = gp_http_exchange_body (request->exchange);
   json_error_t error;
@@ -137,7 +140,7 @@
   message = g_strdup_printf ("the body must be a JSON object%s%s",
                              json == NULL ? ": " : "",
                              json == NULL ? error.text : "");
-  gp_operators_fail (request->exchange, 400, message);
+  gp_operators_answer_error (request->exchange, 400, message);
   g_free (message);
   json_decref (json);
   return NULL;
@@ -145,8 +148,8 @@
 
 /* Sign-in.  */
 
-/* The digests are compared, so the time tells neither where the token
-   differs nor how long it is.  */
+/* Compare digests in constant time, so that the time reveals neither where
+   the tokens differ nor their length.  */
 static bool
 is_token (const char *token, gp_http_text_t given)
 {
@@ -174,7 +177,7 @@
 }
 
 static gboolean
-is_full (gpointer key, gpointer value, gpointer data)
+has_refilled (gpointer key, gpointer value, gpointer data)
 {
   const gp_time_t *now = data;
 
@@ -182,13 +185,15 @@
   return gp_limiter_ready_at (value, FAILURES_BURST, *now) <= *now;
 }
 
-/* The limiter of the sender, or NULL while it has not failed.  */
+/* The limiter of the sender, or NULL if it has no recent failures.  */
 static gp_limiter_t *
 find_sender (gp_entry_t *entry, const char *address)
 {
   return g_hash_table_lookup (entry->operators_state.senders, address);
 }
 
+/* Add a limiter for the sender.  Once the table is full, all further senders
+   share the limiter of the empty address.  */
 static gp_limiter_t *
 add_sender (gp_entry_t *entry, const char *address, gp_time_t now)
 {
@@ -196,7 +201,7 @@
   gp_limiter_t *limiter;
 
   if (g_hash_table_size (senders) >= SENDERS_MAX)
-    g_hash_table_foreach_remove (senders, is_full, &now);
+    g_hash_table_foreach_remove (senders, has_refilled, &now);
   if (g_hash_table_size (senders) >= SENDERS_MAX)
     return g_hash_table_lookup (senders, "");
   limiter = g_new (gp_limiter_t, 1);
@@ -206,8 +211,9 @@
 }
 
 static void
-refuse_failure (gp_entry_t *entry, gp_http_exchange_t *exchange,
-                gp_limiter_t *limiter, const char *address, gp_time_t now)
+refuse_unauthenticated (gp_entry_t *entry, gp_http_exchange_t *exchange,
+                        gp_limiter_t *limiter, const char *address,
+                        gp_time_t now)
 {
   if (limiter == NULL)
     limiter = add_sender (entry, address, now);
@@ -216,10 +222,11 @@
   if (gp_limiter_ready_at (limiter, 1, now) > now)
     gp_log (GP_LOG_WARNING, "operators.sign-in-limited",
             GP_LOG_S ("address", address));
-  gp_operators_fail (exchange, 401, "a valid bearer token is required");
+  gp_operators_answer_error (exchange, 401,
+                             "a valid bearer token is required");
 }
 
-/* Answered whatever the token is, or guessing would go on.  */
+/* Refuse without checking the token; otherwise guessing could continue.  */
 static void
 refuse_limited (gp_http_exchange_t *exchange, gp_time_t wait)
 {
@@ -238,9 +245,10 @@
                            body, strlen (body));
 }
 
-/* Whether the request may go on; else it has been answered.  */
+/* Check the sender's limit and token.  Returns false after answering the
+   request if it is refused.  */
 static bool
-let_in (gp_entry_t *entry, gp_http_exchange_t *exchange)
+authenticate (gp_entry_t *entry, gp_http_exchange_t *exchange)
 {
   char address[GP_HTTP_ADDRESS_SIZE];
   gp_time_t now = gp_loop_now (&entry->loop);
@@ -257,7 +265,7 @@
     }
   if (is_authorized (entry, exchange))
     return true;
-  refuse_failure (entry, exchange, limiter, address, now);
+  refuse_unauthenticated (entry, exchange, limiter, address, now);
   return false;
 }
 
@@ -283,7 +291,8 @@
   return false;
 }
 
-/* Find the route; PATH_KNOWN tells whether the path has another method.  */
+/* Find the route of a request.  PATH_KNOWN is set if the path has routes, but
+   none for METHOD.  */
 static const gp_operators_route_t *
 find_route (gp_http_text_t method, gp_http_text_t path,
             gp_operators_request_t *request, bool *path_known)
@@ -317,9 +326,10 @@
   if (route != NULL)
     route->handle (&request);
   else if (path_known)
-    gp_operators_fail (exchange, 405, "the path does not take this method");
+    gp_operators_answer_error (exchange, 405,
+                               "the path does not take this method");
   else
-    gp_operators_fail (exchange, 404, "there is no such path");
+    gp_operators_answer_error (exchange, 404, "there is no such path");
 }
 
 void
@@ -327,23 +337,23 @@
 {
   gp_entry_t *entry = data;
   gp_http_text_t query = gp_http_exchange_path (exchange);
-  gp_http_text_t path = take_until (&query, '?');
+  gp_http_text_t path = split_off_until (&query, '?');
 
   if (gp_console_answer (exchange, path))
     return;
-  if (let_in (entry, exchange))
+  if (authenticate (entry, exchange))
     route_request (entry, exchange, path, query);
 }
 
 void
 gp_operators_init (gp_operators_t *operators)
 {
-  gp_limiter_t *rest = g_new (gp_limiter_t, 1);
+  gp_limiter_t *shared = g_new (gp_limiter_t, 1);
 
   operators->senders
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  gp_limiter_init (rest, FAILURES_PER_S, FAILURES_BURST);
-  g_hash_table_insert (operators->senders, g_strdup (""), rest);
+  gp_limiter_init (shared, FAILURES_PER_S, FAILURES_BURST);
+  g_hash_table_insert (operators->senders, g_strdup (""), shared);
   gp_counter_register (&requests);
   gp_counter_register (&failures);
   gp_counter_register (&limited);
--- a/src/daemon/operators_status.c
+++ b/src/daemon/operators_status.c
@@ -1,11 +1,11 @@
-/* Operators: what the site does, as this entry sees it.  */
+/* Operators: the status of the site as seen by this entry.  */
 
 #include <string.h>
 
 #include "daemon/entry.h"
 #include "daemon/laggards.h"
 
-/* Descriptions.  */
+/* JSON helpers.  */
 
 static void
 set_id (json_t *object, const char *key, uint64_t id)
@@ -113,7 +113,7 @@
   return object;
 }
 
-/* All entries of the settings, so that one that never came is seen too.  */
+/* All entries of the settings, including those that never connected.  */
 static json_t *
 describe_entries (const gp_entry_t *entry)
 {
@@ -152,7 +152,8 @@
   return "unknown";
 }
 
-/* By the guard's own word here, or by that of an entry that hears it.  */
+/* Set the guard's revision as it reported it here or, without a session, as
+   the entry that receives its heartbeats reported it.  */
 static void
 set_guard_revision (json_t *object, const gp_process_t *process,
                     const gp_member_t *member, const gp_laggards_t *laggards)
@@ -230,7 +231,7 @@
   return object;
 }
 
-/* Members by name, so that the order is the same each time.  */
+/* Sort members by name, for a stable order.  */
 static int
 compare_members (gconstpointer a, gconstpointer b)
 {
@@ -275,7 +276,8 @@
   g_ptr_array_unref (members);
 }
 
-/* The names over which tasks are spread (see coordination/rendezvous.h).  */
+/* The names of the entries among which tasks are distributed (see
+   coordination/rendezvous.h).  */
 static json_t *
 describe_owners (const json_t *entries)
 {
@@ -293,9 +295,9 @@
   return owners;
 }
 
-/* Names of zones in which nothing is started.  */
+/* The names of the evacuated zones, in which nothing is started.  */
 static json_t *
-describe_evacuated (const gp_entry_t *entry)
+describe_evacuated_zones (const gp_entry_t *entry)
 {
   const gp_document_t *document
       = gp_configuration_document (entry->configuration);
@@ -324,52 +326,53 @@
                          describe_log (entry, entry->config_store));
   json_object_set_new (status, "owners", describe_owners (entries));
   json_object_set_new (status, "entries", entries);
-  json_object_set_new (status, "evacuated_zones", describe_evacuated (entry));
+  json_object_set_new (status, "evacuated_zones",
+                       describe_evacuated_zones (entry));
   set_members (status, entry, laggards);
   json_object_set_new (status, "tasks", gp_tasks_status (entry->tasks));
   return status;
 }
 
-/* An operator who waits for the word of the other entries.  */
+/* An operator's request that waits for the answers of other entries.  */
 typedef struct
 {
   gp_entry_t *entry;
   gp_http_exchange_t *exchange;
   gp_laggards_t *laggards;
-} reader_t;
+} waiter_t;
 
 static void
 on_laggards (const gp_laggards_t *laggards, void *data)
 {
-  reader_t *reader = data;
+  waiter_t *waiter = data;
 
-  gp_operators_answer (reader->exchange, 200,
-                       describe_status (reader->entry, laggards));
-  g_free (reader);
+  gp_operators_answer_json (waiter->exchange, 200,
+                            describe_status (waiter->entry, laggards));
+  g_free (waiter);
 }
 
 static void
 on_gone (void *data)
 {
-  reader_t *reader = data;
+  waiter_t *waiter = data;
 
-  gp_laggards_cancel (reader->laggards);
-  g_free (reader);
+  gp_laggards_cancel (waiter->laggards);
+  g_free (waiter);
 }
 
 static void
 answer_status (const gp_operators_request_t *request)
 {
-  reader_t *reader = g_new0 (reader_t, 1);
+  waiter_t *waiter = g_new0 (waiter_t, 1);
   gp_laggards_t *laggards;
 
-  reader->entry = request->entry;
-  reader->exchange = request->exchange;
-  laggards = gp_laggards_ask (request->entry, on_laggards, reader);
+  waiter->entry = request->entry;
+  waiter->exchange = request->exchange;
+  laggards = gp_laggards_ask (request->entry, on_laggards, waiter);
   if (laggards == NULL)
     return;
-  reader->laggards = laggards;
-  gp_http_exchange_watch (request->exchange, on_gone, NULL, reader);
+  waiter->laggards = laggards;
+  gp_http_exchange_watch (request->exchange, on_gone, NULL, waiter);
 }
 
 const gp_operators_route_t gp_operators_status_routes[] = {
--- a/tests/unit/test_runner.c
+++ b/tests/unit/test_runner.c
@@ -1,7 +1,7 @@
-/* The guard's tasks: the real guard between a fake entry and a fake runtime.
+/* Tests of the runner: a real guard between a fake entry and a fake runtime.
 
-   Every step waits for what it expects, and what must not happen is checked
-   after something later has happened on the same connection.  */
+   Every step waits for its expected effect.  That something does not happen is
+   checked after a later event on the same connection.  */
 
 #include "daemon/runner_private.h"
 #include "runner.h"
@@ -17,7 +17,7 @@
 static uint64_t old_lease;
 
 static void
-begin (void)
+setup (void)
 {
   task_site_init (&site);
   CU_ASSERT_TRUE (task_site_ready (&site));
@@ -25,7 +25,7 @@
 }
 
 static void
-end (void)
+teardown (void)
 {
   CU_ASSERT_EQUAL (site.runtime.refused, 0);
   task_site_finish (&site);
@@ -39,115 +39,118 @@
 }
 
 static bool
-is_idle (const task_site_t *s)
+has_no_tasks (const task_site_t *s)
 {
   return json_object_size (s->runtime.tasks) == 0;
 }
 
-/* Run one task to its end, to see that all works.  */
+/* Run one task to its end, to check that the guard works normally.  */
 static void
-run_one (uint64_t task)
+run_to_end (uint64_t task)
 {
   task_site_start (&site, task, 1, site.lease, 1);
   CU_ASSERT_PTR_NOT_NULL (
       task_site_await (&site, task, 1, STATE (RUNNING), 1));
-  fake_runtime_set (&site.runtime, task, "succeeded", "", "");
+  fake_runtime_set_state (&site.runtime, task, "succeeded", "", "");
   CU_ASSERT_PTR_NOT_NULL (
       task_site_await (&site, task, 1, STATE (SUCCEEDED), 1));
 }
 
-/* An end is repeated until it is acknowledged; then the runtime forgets.  */
+/* An end is resent until it is acknowledged; then the task is removed from the
+   runtime.  */
 static void
 test_end (void)
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   CU_ASSERT_EQUAL (site.capacity, 4000);
   CU_ASSERT_EQUAL (site.boot, site.runtime.boot);
   CU_ASSERT_EQUAL (site.inventory->len, 0);
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (RUNNING), 1));
-  fake_runtime_set (&site.runtime, 7, "checkpointed", "", "half");
+  fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "half");
   told = task_site_await (&site, 7, 1, STATE (CHECKPOINTED), 2);
   CU_ASSERT_STRING_EQUAL (told->text, "/half");
-  fake_runtime_set (&site.runtime, 7, "succeeded", "good", "half");
+  fake_runtime_set_state (&site.runtime, 7, "succeeded", "good", "half");
   told = task_site_await (&site, 7, 1, STATE (SUCCEEDED), 3);
   CU_ASSERT_STRING_EQUAL (told->text, "good/half");
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "succeeded");
   task_site_ack (&site, told);
-  CU_ASSERT_TRUE (task_site_until (&site, is_idle));
+  CU_ASSERT_TRUE (task_site_until (&site, has_no_tasks));
   CU_ASSERT_EQUAL (site.runtime.forgotten, 1);
-  end ();
+  teardown ();
 }
 
-/* The acknowledgement of an older checkpoint does not stand for the last
-   one.  */
+/* The acknowledgement of an older checkpoint does not acknowledge the newest
+   one, which is resent.  */
 static void
 test_checkpoint_ack (void)
 {
   const told_t *told;
   told_t older;
 
-  begin ();
+  setup ();
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
-  fake_runtime_set (&site.runtime, 7, "checkpointed", "", "one");
+  fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "one");
   older = *task_site_await (&site, 7, 1, STATE (CHECKPOINTED), 1);
-  fake_runtime_set (&site.runtime, 7, "checkpointed", "", "two");
+  fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "two");
   do
     told = task_site_await (&site, 7, 1, STATE (CHECKPOINTED),
                             task_site_count (&site, 7, 1, STATE (CHECKPOINTED))
                                 + 1);
   while (told->number == older.number);
   task_site_ack (&site, &older);
-  run_one (8);
+  run_to_end (8);
   told = task_site_await (&site, 7, 1, STATE (CHECKPOINTED),
                           task_site_count (&site, 7, 1, STATE (CHECKPOINTED))
                               + 1);
   CU_ASSERT_STRING_EQUAL (told->text, "/two");
-  end ();
+  teardown ();
 }
 
 static void
 test_duplicate (void)
 {
-  begin ();
+  setup ();
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_start (&site, 7, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (RUNNING), 2));
   CU_ASSERT_EQUAL (site.runtime.starts, 1);
-  fake_runtime_set (&site.runtime, 7, "failed", "", "");
+  fake_runtime_set_state (&site.runtime, 7, "failed", "", "");
   task_site_await (&site, 7, 1, STATE (FAILED), 1);
-  CU_ASSERT_TRUE (task_site_until (&site, is_idle));
-  /* A copy that comes after all is neither started nor refused.  */
+  CU_ASSERT_TRUE (task_site_until (&site, has_no_tasks));
+  /* A duplicate that arrives after the end was acknowledged is neither started
+     nor refused.  */
   task_site_start (&site, 7, 1, site.lease, 1000);
-  run_one (8);
+  run_to_end (8);
   CU_ASSERT_EQUAL (site.runtime.starts, 2);
   CU_ASSERT_EQUAL (task_site_count (&site, 7, 1, STATE (REFUSED)), 0);
-  end ();
+  teardown ();
 }
 
 static void
 test_stale (void)
 {
-  begin ();
+  setup ();
   task_site_start (&site, 7, 1, site.lease - 1, 1000);
-  run_one (8);
+  run_to_end (8);
   CU_ASSERT_EQUAL (site.runtime.starts, 1);
   CU_ASSERT_EQUAL (task_site_count (&site, 7, 1, STATE (REFUSED)), 0);
-  end ();
+  teardown ();
 }
 
-/* 4,000 of 5,000 are for tasks; what has ended leaves its room.  */
+/* Of 5,000 millicores, 4,000 are for tasks; an ended task releases its
+   share.  */
 static void
 test_capacity (void)
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   task_site_start (&site, 1, 1, site.lease, 3000);
   task_site_start (&site, 2, 1, site.lease, 1500);
   told = task_site_await (&site, 2, 1, STATE (REFUSED), 1);
@@ -155,24 +158,25 @@
   CU_ASSERT_EQUAL (told->free_millicores, 1000);
   task_site_start (&site, 3, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 3, 1, STATE (RUNNING), 1));
-  fake_runtime_set (&site.runtime, 1, "succeeded", "", "");
+  fake_runtime_set_state (&site.runtime, 1, "succeeded", "", "");
   task_site_await (&site, 1, 1, STATE (SUCCEEDED), 1);
   task_site_start (&site, 2, 2, site.lease, 1500);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 2, 2, STATE (RUNNING), 1));
-  end ();
+  teardown ();
 }
 
-/* The answer to a start is lost: it is asked for again, and runs once.  */
+/* The answer to a start call is lost: the call is repeated, and the task is
+   started once.  */
 static void
 test_start_unanswered (void)
 {
-  begin ();
-  site.runtime.mute_starts = 1;
+  setup ();
+  site.runtime.unanswered_starts = 1;
   task_site_start (&site, 7, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (RUNNING), 1));
   CU_ASSERT_EQUAL (site.runtime.starts, 1);
   CU_ASSERT_EQUAL (task_site_count (&site, 7, 1, STATE (REFUSED)), 0);
-  end ();
+  teardown ();
 }
 
 static void
@@ -180,34 +184,34 @@
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   site.runtime.refuse_start = 500;
   task_site_start (&site, 7, 1, site.lease, 1000);
   told = task_site_await (&site, 7, 1, STATE (REFUSED), 1);
   CU_ASSERT_EQUAL (told->reason, REASON (UPSTREAM));
   site.runtime.refuse_start = 0;
-  /* The next epoch has the room.  */
+  /* The refused task has released its capacity for the next epoch.  */
   task_site_start (&site, 7, 2, site.lease, 4000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 2, STATE (RUNNING), 1));
-  end ();
+  teardown ();
 }
 
-/* The end of the last epoch is on the log, but not acknowledged here: the
-   next one says so.  */
+/* The end of an epoch is in the log, but the guard has not received the
+   acknowledgement: a Start of the next epoch implies it.  */
 static void
 test_next_epoch (void)
 {
-  begin ();
+  setup ();
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
-  fake_runtime_set (&site.runtime, 7, "stopped", "", "");
+  fake_runtime_set_state (&site.runtime, 7, "stopped", "", "");
   task_site_await (&site, 7, 1, STATE (STOPPED), 1);
   task_site_start (&site, 7, 2, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 2, STATE (RUNNING), 1));
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "running");
-  CU_ASSERT_PTR_NULL (gp_runner_find (site.guard.runner, 7, 1));
-  end ();
+  CU_ASSERT_PTR_NULL (gp_runner_find_task (site.guard.runner, 7, 1));
+  teardown ();
 }
 
 static void
@@ -215,7 +219,7 @@
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
   task_site_stop (&site, 7, 1, MODE (THROTTLE));
@@ -224,17 +228,18 @@
   CU_ASSERT_STRING_EQUAL (told->text, "/taken at the stop");
   CU_ASSERT_EQUAL (told->reason, REASON (CANCELLED));
   CU_ASSERT_EQUAL (site.runtime.throttles, 1);
-  /* A stop that overtakes its start.  */
+  /* A Stop that arrives before its Start.  */
   task_site_stop (&site, 8, 1, MODE (CANCEL));
   told = task_site_await (&site, 8, 1, STATE (REFUSED), 1);
   CU_ASSERT_EQUAL (told->reason, REASON (CANCELLED));
   task_site_start (&site, 8, 1, site.lease, 1000);
-  run_one (9);
+  run_to_end (9);
   CU_ASSERT_EQUAL (task_site_count (&site, 8, 1, STATE (RUNNING)), 0);
-  end ();
+  teardown ();
 }
 
-/* After the end of its lease the guard stops all, and goes on.  */
+/* After the end of its lease the guard stops all tasks and continues under a
+   new incarnation; Starts for the old one are ignored.  */
 static void
 check_stopped (void)
 {
@@ -251,12 +256,12 @@
   site.runtime.renewals = 0;
   CU_ASSERT_TRUE (task_site_ready (&site));
   task_site_start (&site, 9, 1, old_lease, 1000);
-  run_one (10);
+  run_to_end (10);
   CU_ASSERT_EQUAL (task_site_count (&site, 9, 1, STATE (REFUSED)), 0);
 }
 
 static void
-run_unacknowledged (void)
+start_unacknowledged (void)
 {
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 4000);
@@ -266,21 +271,21 @@
 static void
 test_lapse (void)
 {
-  begin ();
-  run_unacknowledged ();
+  setup ();
+  start_unacknowledged ();
   site.grant = 0;
   check_stopped ();
-  end ();
+  teardown ();
 }
 
 static void
 test_fence (void)
 {
-  begin ();
-  run_unacknowledged ();
+  setup ();
+  start_unacknowledged ();
   site.fenced = true;
   check_stopped ();
-  end ();
+  teardown ();
 }
 
 static bool
@@ -289,12 +294,12 @@
   return s->runtime.holder > old_lease;
 }
 
-/* A task that does not stop holds up the new incarnation.  */
+/* The new incarnation does not begin while a task has not stopped.  */
 static void
 test_fence_hangs (void)
 {
-  begin ();
-  run_unacknowledged ();
+  setup ();
+  start_unacknowledged ();
   site.runtime.hang_stop = true;
   site.fenced = true;
   CU_ASSERT_TRUE (task_site_until (&site, has_claimed_again));
@@ -303,12 +308,13 @@
   CU_ASSERT_EQUAL (task_site_await (&site, 8, 1, STATE (REFUSED), 1)->reason,
                    REASON (FENCED));
   CU_ASSERT_EQUAL (site.lease, old_lease);
-  fake_runtime_set (&site.runtime, 7, "stopped", "", "");
+  fake_runtime_set_state (&site.runtime, 7, "stopped", "", "");
   check_stopped ();
-  end ();
+  teardown ();
 }
 
-/* A Start that waits while the guard is paused past its lease.  */
+/* A Start that is handled only after the guard was paused past the end of its
+   lease is refused.  */
 static void
 test_pause (void)
 {
@@ -316,8 +322,8 @@
   Gp__Wire__Envelope envelope = GP_ENVELOPE (START, start, &start);
   gp_runner_t *runner;
 
-  begin ();
-  run_unacknowledged ();
+  setup ();
+  start_unacknowledged ();
   runner = site.guard.runner;
   start.task = 8;
   start.epoch = 1;
@@ -331,10 +337,11 @@
                    REASON (FENCED));
   CU_ASSERT_EQUAL (site.runtime.starts, 1);
   check_stopped ();
-  end ();
+  teardown ();
 }
 
-/* A guard starts beside a runtime with tasks of its predecessor.  */
+/* A guard starts with a runtime that has tasks of its predecessor: it inherits
+   them, and their capacity stays reserved.  */
 static void
 test_adopt (void)
 {
@@ -343,9 +350,9 @@
   site.grant = 0;
   site.runtime.holder = 5;
   site.runtime.deadline = gp_time_now () + 60 * GP_SEC;
-  fake_runtime_put (&site.runtime, 1, 4, "running", 3000);
-  fake_runtime_set (&site.runtime, 1, "checkpointed", "", "half");
-  fake_runtime_put (&site.runtime, 2, 6, "succeeded", 1000);
+  fake_runtime_add_task (&site.runtime, 1, 4, "running", 3000);
+  fake_runtime_set_state (&site.runtime, 1, "checkpointed", "", "half");
+  fake_runtime_add_task (&site.runtime, 2, 6, "succeeded", 1000);
   site.runtime.renewals = 1;
   CU_ASSERT_TRUE (task_site_ready (&site));
   CU_ASSERT_EQUAL (site.inherits, 5);
@@ -363,13 +370,14 @@
   CU_ASSERT_STRING_EQUAL (
       task_site_await (&site, 1, 4, STATE (CHECKPOINTED), 1)->text, "/half");
   task_site_ack (&site, task_site_await (&site, 2, 6, STATE (SUCCEEDED), 1));
-  fake_runtime_set (&site.runtime, 1, "failed", "", "");
+  fake_runtime_set_state (&site.runtime, 1, "failed", "", "");
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 1, 4, STATE (FAILED), 1));
   CU_ASSERT_PTR_NULL (fake_runtime_state (&site.runtime, 2));
-  end ();
+  teardown ();
 }
 
-/* The predecessor had a greater incarnation (the wall clock stepped back).  */
+/* The predecessor had a greater incarnation, because the wall clock has been
+   set back: the guard takes the next greater one.  */
 static void
 test_greater_predecessor (void)
 {
@@ -379,8 +387,8 @@
   site.runtime.holder = greater;
   CU_ASSERT_TRUE (task_site_ready (&site));
   CU_ASSERT_EQUAL (site.lease, greater + 1);
-  run_one (1);
-  end ();
+  run_to_end (1);
+  teardown ();
 }
 
 static void
@@ -388,11 +396,11 @@
 {
   const told_t *listed;
 
-  begin ();
-  run_unacknowledged ();
-  fake_runtime_set (&site.runtime, 7, "checkpointed", "", "half");
+  setup ();
+  start_unacknowledged ();
+  fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "half");
   task_site_await (&site, 7, 1, STATE (CHECKPOINTED), 1);
-  fake_runtime_reboot (&site.runtime);
+  fake_runtime_restart (&site.runtime);
   CU_ASSERT_TRUE (task_site_until (&site, has_new_lease));
   CU_ASSERT_EQUAL (site.boot, site.runtime.boot);
   listed = task_site_listed (&site, 7, 1);
@@ -403,8 +411,8 @@
   CU_ASSERT_STRING_EQUAL (listed->text, "/half");
   site.runtime.renewals = 0;
   CU_ASSERT_TRUE (task_site_ready (&site));
-  run_one (8);
-  end ();
+  run_to_end (8);
+  teardown ();
 }
 
 static bool
@@ -413,40 +421,41 @@
   return s->free == 0;
 }
 
-/* The runtime is out of reach for a while; no end is missed.  */
+/* The runtime is unreachable for a while; an end that happens meanwhile is
+   reported afterwards.  */
 static void
 test_runtime_silent (void)
 {
-  begin ();
+  setup ();
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
-  site.runtime.silent = true;
+  site.runtime.unreachable = true;
   gp_http_exchange_abort (site.runtime.waiting);
   site.runtime.waiting = NULL;
   CU_ASSERT_TRUE (task_site_until (&site, is_down));
-  fake_runtime_set (&site.runtime, 7, "succeeded", "", "");
-  site.runtime.silent = false;
+  fake_runtime_set_state (&site.runtime, 7, "succeeded", "", "");
+  site.runtime.unreachable = false;
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (SUCCEEDED), 1));
   CU_ASSERT_EQUAL (site.lease, old_lease);
-  end ();
+  teardown ();
 }
 
-/* The table of epochs is full: a new incarnation that keeps its tasks.  */
+/* The epoch table is full: a new incarnation begins and keeps the tasks.  */
 static void
 test_recycle (void)
 {
-  begin ();
+  setup ();
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
   site.guard.runner->epochs.max_tasks = 3;
-  run_one (1);
-  run_one (2);
+  run_to_end (1);
+  run_to_end (2);
   CU_ASSERT_TRUE (task_site_until (&site, has_new_lease));
   CU_ASSERT_EQUAL (site.inherits, old_lease);
   CU_ASSERT_EQUAL (task_site_listed (&site, 7, 1)->state, STATE (RUNNING));
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "running");
-  run_one (3);
-  end ();
+  run_to_end (3);
+  teardown ();
 }
 
 static bool
@@ -458,20 +467,21 @@
 static void
 test_superseded (void)
 {
-  begin ();
+  setup ();
   site.runtime.holder = old_lease + 1000;
   CU_ASSERT_TRUE (task_site_until (&site, is_withdrawn));
   CU_ASSERT_EQUAL (site.runtime.holder, old_lease + 1000);
   task_site_finish (&site);
 }
 
-/* Over its reservation, and no room: throttled first, then evicted.  */
+/* A task uses more than its reservation and there is no free capacity: it is
+   throttled first, then evicted.  */
 static void
 test_usage (void)
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   task_site_start (&site, 1, 1, site.lease, 2000);
   task_site_start (&site, 2, 1, site.lease, 2000);
   task_site_await (&site, 2, 1, STATE (RUNNING), 1);
@@ -484,23 +494,23 @@
   CU_ASSERT_EQUAL (site.runtime.throttles, 1);
   CU_ASSERT_TRUE (site.usages > 0);
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 2), "running");
-  end ();
+  teardown ();
 }
 
 static bool
 is_drained (const task_site_t *s)
 {
-  return s->leaving && s->guard.draining == 0;
+  return s->leaving && s->guard.components_draining == 0;
 }
 
-/* The guard leaves: it refuses, evicts, and waits for the
-   acknowledgement.  */
+/* The guard shuts down: it refuses new tasks, evicts running ones, and waits
+   for the acknowledgement of their ends.  */
 static void
 test_leave (void)
 {
   const told_t *told;
 
-  begin ();
+  setup ();
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
@@ -514,8 +524,8 @@
   CU_ASSERT_FALSE (is_drained (&site));
   site.acks = true;
   CU_ASSERT_TRUE (task_site_until (&site, is_drained));
-  CU_ASSERT_TRUE (is_idle (&site));
-  end ();
+  CU_ASSERT_TRUE (has_no_tasks (&site));
+  teardown ();
 }
 
 static CU_TestInfo tests[] = {
