--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -1,4 +1,4 @@
-/* The entry: listeners, sessions, stop.  */
+/* The entry process: listeners, session callbacks and graceful shutdown.  */
 
 #include "daemon/entry.h"
 
@@ -13,7 +13,8 @@
 
 #define CLOSE_GRACE (200 * GP_MSEC)
 
-/* Guards look for a lost entry at least every two seconds.  */
+/* Guards try to reconnect to a lost entry at least every two seconds, so by
+   then every guard has had a chance to connect.  */
 #define OPENING_TIME (2500 * GP_MSEC)
 #define OPENING_PAUSE (100 * GP_MSEC)
 #define READY_PATH "/-/ready"
@@ -33,7 +34,7 @@
   gp_session_send (session, &envelope);
 }
 
-/* Tell the other entries what changed here.  */
+/* Sends the state of this process to all other entries.  */
 static void
 tell_state (gp_entry_t *entry)
 {
@@ -194,7 +195,7 @@
     gp_relays_on_request (exchange, &entry->relays);
 }
 
-/* Stop.  */
+/* Shutdown.  */
 
 static void
 on_peers_closed (gp_timer_t *timer, void *data)
@@ -261,9 +262,9 @@
   };
 }
 
-/* Listen for callers, once: when upstreams were found and no more for a
-   moment, or when every guard has had the time to find this entry.  An entry
-   that took requests before would refuse what others can serve.  */
+/* Starts accepting callers, once: when no new upstream has appeared for
+   OPENING_PAUSE, or at OPENING_TIME after the start.  If it accepted requests
+   earlier, the entry would refuse some that other entries could serve.  */
 static void
 open_to_callers (gp_entry_t *entry)
 {
@@ -326,7 +327,7 @@
   gp_tasks_set_document (entry->tasks, document, revision);
 }
 
-/* Whether the state of a member is an event of its own.  */
+/* Maps the state of a member to a timeline event; false if it has none.  */
 static bool
 is_event (gp_member_state_t state, gp_timeline_kind_t *kind)
 {
@@ -378,8 +379,8 @@
   gp_relays_on_silent (&entry->relays, target);
 }
 
-/* Each pair of entries has one session, opened by the first in the
-   settings.  */
+/* Each pair of entries shares one session, opened by the one that comes first
+   in the settings.  */
 static void
 start_dialers (gp_entry_t *entry)
 {
@@ -443,8 +444,8 @@
   return true;
 }
 
-/* The place of this entry among those of the settings, which all processes
-   list alike.  */
+/* The index of this entry in the settings; all processes list the entries in
+   the same order.  */
 static uint32_t
 own_place (const gp_settings_t *settings)
 {
--- a/src/daemon/entry.h
+++ b/src/daemon/entry.h
@@ -1,5 +1,5 @@
-/* The entry: HTTP to callers and operators, sessions to guards and other
-   entries.  */
+/* The entry process: an HTTP server for callers and for operators, and
+   sessions with guards and other entries.  */
 
 #ifndef GP_DAEMON_ENTRY_H
 #define GP_DAEMON_ENTRY_H
@@ -33,34 +33,38 @@
   gp_news_t news;
   gp_downlinks_t downlinks;
   gp_relays_t relays;
-  gp_store_t *store;        /* of the region */
-  gp_store_t *config_store; /* the same, unless the regions share another */
+  gp_store_t *store;        /* the region's log */
+  gp_store_t *config_store; /* same as STORE unless regions share a log for
+                               the configuration */
   gp_keys_t *keys;
   gp_tasks_t *tasks;
   gp_configuration_t *configuration;
   gp_timeline_t timeline;
   gp_timeline_event_t *events;
-  gp_dialer_t *dialers; /* to the entries after this one in the settings */
+  gp_dialer_t *dialers; /* to the entries listed after this one in the
+                           settings */
   size_t dialer_count;
   gp_http_server_t *callers;
   gp_http_server_t *operators;
   gp_operators_t operators_state;
   gp_views_t views;
   gp_processes_t processes;
-  int64_t started_us; /* wall clock, as the next */
-  int64_t config_since_us;
+  int64_t started_us;      /* wall clock */
+  int64_t config_since_us; /* wall clock; when the configuration in force
+                              took effect */
   gp_timer_t stop_timer;
   gp_timer_t opening_timer;
-  gp_time_t open_at; /* to callers, at the latest */
+  gp_time_t open_at; /* latest time to start accepting callers */
   bool leaving;
-  bool open; /* to callers */
+  bool open; /* accepts callers */
 };
 
 bool gp_entry_init (gp_entry_t *entry, const gp_settings_t *settings,
                     GError **error);
 
-/* Run until a signal has been followed to the end: fail readiness, serve on
-   until the balancer has gone, finish what is open.  */
+/* Runs the event loop until a stop signal has been handled completely: the
+   readiness check fails, requests are still served until the load balancer
+   has had time to notice, and open requests are finished.  */
 void gp_entry_run (gp_entry_t *entry);
 void gp_entry_finish (gp_entry_t *entry);
 
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -1,10 +1,11 @@
 /* Relaying of callers' requests.
 
-   A relay is WAITING for the verdict of its current try, then STREAMING
-   when the answer comes in parts, and is freed when the caller has its
-   answer or has left.  While it waits its deadline is that of the request
-   plus a grace, since the guard speaks first; while it streams, the
-   deadline moves with every part that the caller takes.  */
+   A relay is WAITING for the verdict of its current attempt, then STREAMING
+   if the answer comes in parts, and is freed when the caller has its answer
+   or has left.  While it waits, its timeout is the deadline of the request
+   plus a grace, so that the guard can report the missed deadline first;
+   while it streams, the timeout moves with every part that the caller
+   takes.  */
 
 #include "daemon/relay_private.h"
 
@@ -14,7 +15,8 @@
 
 #define ANSWER_GRACE (250 * GP_MSEC)
 
-/* Callers that hang up are looked for in this interval, so many at once.  */
+/* How often to check for callers that have hung up, and how many relays are
+   checked each time.  */
 #define SWEEP_INTERVAL (100 * GP_MSEC)
 #define SWEEP_COUNT 256
 
@@ -32,7 +34,7 @@
 static gp_counter_t relays_open
     = GP_GAUGE ("entry_requests_open", "Requests in progress.");
 
-/* Life of a relay.  */
+/* Lifecycle of a relay.  */
 
 static bool
 wakes_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
@@ -63,7 +65,7 @@
     arm_timer (relay->relays);
 }
 
-/* End the current try: late messages for it find nothing.  */
+/* Ends the current attempt; later messages for its handle are ignored.  */
 static void
 end_try (gp_relay_t *relay)
 {
@@ -96,7 +98,7 @@
   arm_timer (relays);
 }
 
-/* Tries.  */
+/* Attempts.  */
 
 static void
 fill_capacity (const gp_relay_t *relay, gp_retry_input_t *input)
@@ -109,7 +111,8 @@
   input->interval_us = latency / (gp_time_t)MAX (router->total_slots, 1);
 }
 
-/* The current try has ended with VERDICT; go on or answer.  */
+/* Handles the end of the current attempt with VERDICT: dispatches the request
+   again or answers the caller.  */
 static void
 decide (gp_relay_t *relay, Gp__Wire__Verdict verdict, Gp__Wire__Reason reason)
 {
@@ -238,7 +241,8 @@
   return relay;
 }
 
-/* No upstream of service NAME was ever seen here.  */
+/* Refuses a request for service NAME, of which this entry has never seen an
+   upstream.  */
 static void
 refuse_unknown (const gp_relays_t *relays, gp_http_exchange_t *exchange,
                 const char *name)
@@ -307,7 +311,7 @@
   return relay;
 }
 
-/* Failures that tell of a faulty executor, not of a busy one.  */
+/* Whether ANSWER is a failure of a faulty executor, not of a busy one.  */
 static bool
 is_fault (const Gp__Wire__Answer *answer)
 {
@@ -394,8 +398,8 @@
   }
 }
 
-/* What the loss of the guard says of a request: a body that was not sent
-   whole was never submitted.  */
+/* The verdict on a request whose guard was lost: a guard does not submit a
+   request before it has the whole body.  */
 static Gp__Wire__Verdict
 verdict_of_loss (const gp_relay_t *relay)
 {
@@ -425,7 +429,7 @@
   }
 }
 
-/* An answer that has begun may go on, and who has no caller any more can
+/* Streaming answers may still continue, and a relay whose caller has left can
    wait for a late verdict.  */
 void
 gp_relays_on_silent (gp_relays_t *relays, gp_target_t *target)
@@ -443,11 +447,12 @@
   }
 }
 
-/* Callers that hang up.  */
+/* Callers that have hung up.  */
 
-/* Cancel the try of RELAY if its caller has closed its side.  What has not
-   started is given up by the guard, whose verdict then ends the relay; the
-   answer of what has started goes to a caller that may still read.  */
+/* Cancels the attempt of RELAY if its caller has closed its side of the
+   connection.  If the request has not started, the guard drops it and its
+   verdict ends the relay.  If it has started, its answer is still sent, as
+   the caller may have closed only its sending side.  */
 static void
 check_caller (gp_relay_t *relay)
 {
@@ -493,7 +498,8 @@
                    GP__WIRE__REASON__REASON_DEADLINE, -1);
 }
 
-/* The first relay whose time has come, taken out of the heap, or NULL.  */
+/* Removes the first relay whose timeout has passed from the heap; NULL if
+   there is none.  */
 static gp_relay_t *
 take_expired (gp_relays_t *relays, gp_time_t now)
 {
--- a/src/daemon/relay.h
+++ b/src/daemon/relay.h
@@ -1,9 +1,10 @@
-/* Relaying of callers' requests: HTTP on one side, a guard on the other.
+/* Relays requests between callers (HTTP) and guards (sessions).
 
-   A relay carries one request through its tries.  Each try has a handle of
-   its own, so an answer of an earlier try finds nothing.  What the caller
-   is told follows from the verdicts (see coordination/retry.h); a request
-   that is given up gets its final answer at once.  */
+   A relay represents one request and its attempts.  Each attempt has its own
+   handle, so an answer to an earlier attempt is ignored.  The answer to the
+   caller follows from the verdicts of the attempts (see
+   coordination/retry.h); a request that is not retried is answered at
+   once.  */
 
 #ifndef GP_DAEMON_RELAY_H
 #define GP_DAEMON_RELAY_H
@@ -22,33 +23,35 @@
   gp_routes_t *routes;
   GRand *rand;
   const gp_document_t *document; /* NULL before the first configuration */
-  gp_keys_t *keys;               /* NULL: keys of callers are not heeded */
-  gp_idpool_t tries;             /* handle -> gp_relay_t */
-  gp_heap_t deadlines;
+  gp_keys_t *keys;               /* NULL: idempotency keys are ignored */
+  gp_idpool_t tries;             /* handle of an attempt -> gp_relay_t */
+  gp_heap_t deadlines;           /* by gp_relay_t.wake_at */
   gp_timer_t timer;
   gp_limits_t limits;
   gp_timeline_t *timeline; /* may be NULL */
-  gp_list_t waiting;       /* relays without an answer, to ask their callers */
+  gp_list_t waiting;       /* relays without an answer, whose callers are
+                              checked for having hung up */
   gp_timer_t sweep_timer;
   uint64_t next_id;
   size_t open;
   size_t max_open;
   GString *line;           /* method and path of the request being sent */
-  gp_time_t stall_timeout; /* without progress of an answer in parts */
+  gp_time_t stall_timeout; /* for a streamed answer that makes no progress */
 } gp_relays_t;
 
 void gp_relays_init (gp_relays_t *relays, gp_loop_t *loop, gp_routes_t *routes,
                      GRand *rand, size_t max_open, gp_time_t stall_timeout);
 void gp_relays_finish (gp_relays_t *relays);
 
-/* The configuration in force; DOCUMENT stays valid until the next call.  */
+/* Sets the configuration in force; DOCUMENT must stay valid until the next
+   call.  */
 void gp_relays_set_document (gp_relays_t *relays,
                              const gp_document_t *document);
 
-/* A caller's request; DATA is the gp_relays_t.  */
+/* Handles a caller's request; DATA is the gp_relays_t.  */
 void gp_relays_on_request (gp_http_exchange_t *exchange, void *data);
 
-/* Messages of a guard's session.  */
+/* Handle messages received from a guard.  */
 void gp_relays_on_answer (gp_relays_t *relays, gp_session_t *session,
                           const Gp__Wire__Answer *answer);
 void gp_relays_on_part (gp_relays_t *relays, gp_session_t *session,
@@ -56,12 +59,14 @@
 void gp_relays_on_broken (gp_relays_t *relays, gp_session_t *session,
                           const Gp__Wire__Broken *broken);
 
-/* The session of TARGET can take more; a session with a target is closed.  */
+/* Called when the session of TARGET can take more data, and when a session
+   that has a target was closed.  */
 void gp_relays_on_drain (gp_relays_t *relays, gp_target_t *target);
 void gp_relays_on_closed (gp_relays_t *relays, gp_session_t *session);
 
-/* TARGET is not heard any more, though its session is open.  What waits for
-   it is ended: tried elsewhere, or answered at once.  */
+/* Called when TARGET has become suspect (no heartbeats) although its session
+   is open.  Attempts that wait for it are ended: the request is retried on
+   another target, or answered at once.  */
 void gp_relays_on_silent (gp_relays_t *relays, gp_target_t *target);
 
 #endif
--- a/src/daemon/relay_answer.c
+++ b/src/daemon/relay_answer.c
@@ -1,9 +1,9 @@
-/* Answers of relays to their callers.
+/* Sends answers to callers.
 
-   An answer that comes whole is passed on at once.  A longer one is passed
-   on in parts, the next when the caller has taken the one before, and the
-   guard is given credit for what was taken: an entry holds a window of each
-   answer and no more, however slow its reader.  */
+   An answer that arrives in one message is forwarded at once.  A longer one
+   is forwarded in parts, each after the caller has taken the one before, and
+   the guard gets credit for the bytes that were taken.  So an entry buffers
+   at most one window of each answer, however slow its reader is.  */
 
 #include "daemon/relay_private.h"
 
@@ -40,7 +40,8 @@
     }
 }
 
-/* "queue-full" of REASON_QUEUE_FULL.  */
+/* Writes the external name of REASON, such as "queue-full" for
+   REASON_QUEUE_FULL.  */
 static void
 reason_name (Gp__Wire__Reason reason, char *name, size_t size)
 {
@@ -100,8 +101,6 @@
   return text;
 }
 
-/* Answer EXCHANGE with a failure.  RETRY_AFTER is a duration, negative: no
-   hint is given.  */
 void
 gp_relay_refuse (gp_http_exchange_t *exchange, Gp__Wire__Verdict verdict,
                  Gp__Wire__Reason reason, gp_time_t retry_after)
@@ -185,7 +184,7 @@
   gp_relay_free (relay);
 }
 
-/* Answers in parts.  */
+/* Streamed answers.  */
 
 static void
 note_progress (gp_relay_t *relay)
@@ -237,7 +236,7 @@
 
   if (relay->exchange == NULL)
     {
-      gp_relay_send_cancel (relay); /* that it ran is all that is wanted */
+      gp_relay_send_cancel (relay); /* the body has no reader */
       gp_relay_free (relay);
       return;
     }
@@ -251,7 +250,6 @@
   gp_relay_send_next (relay);
 }
 
-/* The caller sees that the answer is cut short.  */
 void
 gp_relay_cut (gp_relay_t *relay)
 {
--- a/src/daemon/relay_keyed.c
+++ b/src/daemon/relay_keyed.c
@@ -1,4 +1,4 @@
-/* Relays under a key of their caller's; see daemon/keys.h.  */
+/* Relays of requests with an idempotency key; see daemon/keys.h.  */
 
 #include "daemon/relay_private.h"
 
@@ -6,7 +6,7 @@
 
 #define LOG_RETRY (1 * GP_SEC)
 
-/* What is known of a relay that ends without a verdict.  */
+/* The verdict on a relay that ends without one from its guard.  */
 static Gp__Wire__Verdict
 verdict_so_far (const gp_relay_t *relay)
 {
@@ -59,7 +59,7 @@
                    GP__WIRE__REASON__REASON_LOG, LOG_RETRY);
 }
 
-/* Ask for the right to run a request under KEY.  */
+/* Asks whether the request may run under KEY; on_decided gets the result.  */
 static void
 begin (gp_relay_t *relay, gp_http_text_t key)
 {
--- a/src/daemon/relay_policy.c
+++ b/src/daemon/relay_policy.c
@@ -1,4 +1,5 @@
-/* What a caller's request asks for, and what the document says of it.  */
+/* Service, deadline, team and kind of a caller's request, from the request
+   itself and from the document.  */
 
 #include "daemon/relay_private.h"
 
@@ -9,8 +10,8 @@
 #define DEFAULT_TIMEOUT (30 * GP_SEC)
 #define MAX_TIMEOUT (600 * GP_SEC)
 
-/* Path and headers of a request, in bytes; far more would be let through by
-   the HTTP library.  */
+/* Limit of path and headers of a request in bytes; the limit of the HTTP
+   library is far higher.  */
 #define MAX_HEAD_SIZE ((size_t)32 * 1024)
 
 bool
@@ -68,7 +69,8 @@
   return CLAMP (timeout, GP_MSEC, MAX_TIMEOUT);
 }
 
-/* The value of a header, cut to what TO takes, or "".  */
+/* Copies the value of a header to TO, truncated if need be; "" if there is no
+   such header.  */
 static void
 copy_header (const gp_relay_t *relay, const char *name,
              char to[GP_RELAY_NAME_SIZE])
@@ -81,7 +83,7 @@
   to[size] = '\0';
 }
 
-/* The duration in which the answer is wanted, or 0.  */
+/* The time within which an answer is wanted, or 0 if there is no target.  */
 static gp_time_t
 latency_target (const gp_document_service_t *service,
                 const gp_document_kind_t *kind)
--- a/src/daemon/relay_send.c
+++ b/src/daemon/relay_send.c
@@ -1,4 +1,4 @@
-/* Messages of relays to guards.  */
+/* Sends the relay's messages to guards.  */
 
 #include "daemon/relay_private.h"
 
@@ -27,7 +27,7 @@
   gp_session_send (relay->session, &envelope);
 }
 
-/* Send what the session takes of the request's body.  */
+/* Sends as much of the request's body as the session takes.  */
 void
 gp_relay_send_body (gp_relay_t *relay)
 {
@@ -58,7 +58,7 @@
   return GP__WIRE__WORK_CLASS__WORK_CLASS_LATENCY_CRITICAL;
 }
 
-/* The path behind the service's name.  */
+/* The path after the service's name.  */
 gp_http_text_t
 gp_relay_path (const gp_relay_t *relay)
 {
@@ -70,7 +70,8 @@
   return (gp_http_text_t){ path.base + skip, path.size - skip };
 }
 
-/* Method and path as strings, until the next request is sent.  */
+/* Sets method and path of REQUEST as strings, which are valid until the next
+   request is sent.  */
 static void
 copy_line (const gp_relay_t *relay, Gp__Wire__Request *request)
 {
