--- a/src/daemon/kept_answer.c
+++ b/src/daemon/kept_answer.c
@@ -1,4 +1,4 @@
-/* An answer that is kept to be replayed.  */
+/* Implementation of daemon/kept_answer.h.  */
 
 #include "daemon/kept_answer.h"
 
--- a/src/daemon/kept_answer.h
+++ b/src/daemon/kept_answer.h
@@ -1,8 +1,8 @@
-/* An answer that is kept to be replayed: its head, then its parts, then both
-   packed for the log.
+/* An answer kept for replay: first its head, then its parts; finally both are
+   packed into one message for the log.
 
-   One that does not fit GP_FOLD_ANSWER_MAX with its headers is dropped, and
-   only its status is kept.  */
+   An answer that exceeds GP_FOLD_ANSWER_MAX including its headers is dropped,
+   and only its status is kept.  */
 
 #ifndef GP_DAEMON_KEPT_ANSWER_H
 #define GP_DAEMON_KEPT_ANSWER_H
@@ -12,25 +12,25 @@
 
 #include "wire.pb-c.h"
 
-/* Empty when it is all zeros.  */
+/* Initialized with zeros.  */
 typedef struct
 {
-  Gp__Wire__Answer *head; /* NULL: nothing is kept */
+  Gp__Wire__Answer *head; /* NULL: nothing kept, or dropped */
   GByteArray *body;
   uint32_t status;
-  GByteArray *packed; /* a gp.wire.Answer, NULL: not packed or dropped */
+  GByteArray *packed; /* a gp.wire.Answer; NULL: not packed or dropped */
 } gp_kept_answer_t;
 
-/* Keep the head of ANSWER and its first part; once.  */
+/* Keeps the head of ANSWER and its first part; to be called once.  */
 void gp_kept_answer_head (gp_kept_answer_t *kept,
                           const Gp__Wire__Answer *answer);
 void gp_kept_answer_part (gp_kept_answer_t *kept, const void *bytes,
                           size_t size);
 
-/* What was kept is not the whole answer.  */
+/* Drops what was kept, which is incomplete or too large.  */
 void gp_kept_answer_drop (gp_kept_answer_t *kept);
 
-/* Pack what was kept, if anything was and if it fits.  */
+/* Packs the kept answer if there is one and it fits.  */
 void gp_kept_answer_pack (gp_kept_answer_t *kept);
 
 void gp_kept_answer_finish (gp_kept_answer_t *kept);
--- a/src/daemon/keys.c
+++ b/src/daemon/keys.c
@@ -1,11 +1,13 @@
 /* Keyed requests at an entry.
 
-   A keyed request is DECIDING until its verdict, RUNNING when this entry may
-   dispatch it, and ENDED while its Outcome is on its way to the log.  An
-   Outcome that the log refuses for now is proposed again until it is taken.
-   All of this entry's keys that are RUNNING, ENDED or have an Intent on its
-   way stand in ACTIVE, one of a key: so an Intent that was not read back one
-   by one is known to be this request's if the state names this entry.  */
+   A keyed request is DECIDING until its verdict, RUNNING while this entry may
+   dispatch it, and ENDED while its Outcome is being written to the log.  An
+   Outcome that the log refuses for now is proposed again until it is
+   accepted.  All of this entry's requests that are RUNNING, ENDED or have a
+   proposed Intent are in ACTIVE, at most one for each key.  So if this entry
+   did not read its Intent back as a single record, for example because it
+   read a snapshot, the Intent was accepted if the state of the key names
+   this entry as its owner.  */
 
 #include "daemon/keys.h"
 
@@ -15,7 +17,8 @@
 #include "daemon/kept_answer.h"
 
 #define OUTCOME_RETRY (200 * GP_MSEC)
-/* A peer that has not connected by then is not there.  */
+/* An entry that has not connected by this time after the start is taken to be
+   dead.  */
 #define PEERS_GRACE (2 * GP_SEC)
 
 typedef enum
@@ -27,7 +30,7 @@
 
 struct gp_keyed
 {
-  uint8_t key[GP_FOLD_KEY_SIZE]; /* first: key of ACTIVE */
+  uint8_t key[GP_FOLD_KEY_SIZE]; /* must be first: hash key of ACTIVE */
   gp_list_t link;                /* in gp_keys_t.unwritten */
   gp_keys_t *keys;
   keyed_state_t state;
@@ -39,7 +42,7 @@
   gp_deferred_t deferred;  /* calls DECIDED */
   bool settled;            /* VERDICT is set */
   gp_keys_verdict_t verdict;
-  gp_keys_decided_t decided; /* NULL: nobody waits */
+  gp_keys_decided_t decided; /* NULL once called or abandoned */
   void *data;
   Gp__Wire__Verdict outcome;
   gp_kept_answer_t kept;
@@ -54,7 +57,7 @@
   GHashTable *active;  /* set of gp_keyed_t */
   gp_list_t unwritten; /* of gp_keyed_t: outcomes that the log refused */
   gp_timer_t timer;    /* proposes them again */
-  gp_closer_t closer;  /* frees the memory after the timer */
+  gp_closer_t closer;  /* frees the memory after the timer is closed */
 };
 
 static gp_counter_t intents
@@ -87,7 +90,7 @@
   return memcmp (a, b, GP_FOLD_KEY_SIZE) == 0;
 }
 
-/* Life of a keyed request.  */
+/* Lifecycle of a keyed request.  */
 
 static void
 set_active (gp_keyed_t *keyed)
@@ -168,7 +171,7 @@
                            NULL);
 }
 
-/* Propose the outcome of an ended request, now or later.  */
+/* Proposes the outcome of an ended request, now or after OUTCOME_RETRY.  */
 static void
 write_outcome (gp_keyed_t *keyed)
 {
@@ -216,8 +219,8 @@
   gp_kept_answer_head (&keyed->kept, answer);
 }
 
-/* Nobody waits for the decision any more.  An Intent that is or may come on
-   the log is followed by its Outcome all the same.  */
+/* Abandons the decision.  If the Intent is in the log or may still get there,
+   the request stays until its Outcome has been written.  */
 static void
 give_up (gp_keyed_t *keyed)
 {
@@ -278,7 +281,8 @@
          && strcmp (key->owner, keys->host->self.process) == 0;
 }
 
-/* Whether the entry that opened KEY still runs, as far as is known here.  */
+/* Whether the entry that opened KEY is still alive, as far as this entry
+   knows.  */
 static bool
 owner_alive (const gp_keys_t *keys, const gp_fold_key_t *key)
 {
@@ -321,8 +325,8 @@
     }
 }
 
-/* The answer to be replayed: of the log, or of a request of this entry whose
-   outcome is not on the log yet.  */
+/* Sets the answer to be replayed, either from the log or from a request of
+   this entry whose outcome is not in the log yet.  */
 static void
 fill_replay (const gp_keyed_t *keyed, gp_keys_decision_t *decision)
 {
@@ -382,7 +386,8 @@
   gp_deferred_schedule (&keyed->deferred, keyed->keys->host->loop);
 }
 
-/* Another intent came first, or this one was not read one by one.  */
+/* Decides by the state of the key, after another Intent came first or this
+   one was not read back as a single record.  */
 static void
 decide_by_state (gp_keyed_t *keyed)
 {
@@ -391,7 +396,7 @@
   const gp_fold_key_t *key = gp_fold_key (fold, keyed->key);
 
   if (key == NULL)
-    decide (keyed, GP_KEYS_BUSY); /* released meanwhile: try again */
+    decide (keyed, GP_KEYS_BUSY); /* released meanwhile: may be retried */
   else if (is_own (keys, key) && key->request == keyed->request
            && key->state == GP__RECORD__KEY_STATE__KEY_STATE_OPEN)
     decide (keyed, GP_KEYS_RUN);
@@ -455,7 +460,7 @@
     }
 }
 
-/* A try while this entry has the key already.  */
+/* Decides on KEYED while OTHER, a request of this entry, has the key.  */
 static gp_keys_verdict_t
 decide_beside (const gp_keyed_t *keyed, const gp_keyed_t *other)
 {
@@ -468,7 +473,7 @@
     case GP__WIRE__VERDICT__VERDICT_RAN:
       return GP_KEYS_REPLAY;
     case GP__WIRE__VERDICT__VERDICT_NOT_RUN:
-      return GP_KEYS_BUSY; /* until the log has released the key */
+      return GP_KEYS_BUSY; /* until the outcome in the log releases the key */
     default:
       return GP_KEYS_UNKNOWN;
     }
@@ -522,7 +527,7 @@
   return keyed;
 }
 
-/* Life.  */
+/* Initialization.  */
 
 gp_keys_t *
 gp_keys_new (gp_session_host_t *host, gp_store_t *store,
--- a/src/daemon/keys_answer.c
+++ b/src/daemon/keys_answer.c
@@ -1,4 +1,4 @@
-/* Answers to a key that was seen before.  */
+/* Answers to requests whose idempotency key was used before.  */
 
 #include <jansson.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 #define EXTRA_HEADERS 4
 #define BUSY_RETRY_S 1
 
-/* What the earlier try was answered.  */
+/* Sends the answer of the earlier request again.  */
 static void
 replay (gp_http_exchange_t *exchange, const gp_keys_decision_t *decision)
 {
--- a/src/daemon/keys_identity.c
+++ b/src/daemon/keys_identity.c
@@ -1,4 +1,5 @@
-/* What a key and a keyed request are known by.  */
+/* Hashes that identify an idempotency key and the request it was sent
+   with.  */
 
 #include <string.h>
 #include <xxhash.h>
--- a/src/daemon/routes.c
+++ b/src/daemon/routes.c
@@ -1,4 +1,5 @@
-/* Services and their upstreams at an entry.  */
+/* Services, their targets, and the routing changes that follow from the
+   membership.  */
 
 #include "daemon/routes.h"
 
@@ -9,7 +10,7 @@
 
 #define TICK (100 * GP_MSEC)
 
-/* A tick that comes so long after the last one is late.  */
+/* A tick is late if more time than this has passed since the last one.  */
 #define LATE (5 * TICK)
 
 static gp_counter_t members_serving
@@ -49,7 +50,7 @@
   return g_hash_table_lookup (routes->services, name);
 }
 
-/* What an operator sees of a target.  */
+/* Adds an event about TARGET to the timeline.  */
 static void
 note (const gp_routes_t *routes, gp_timeline_kind_t kind,
       const gp_target_t *target, const char *text)
@@ -79,7 +80,8 @@
   return target;
 }
 
-/* Requests of the time before may be under way.  */
+/* Adds TARGET to its router.  Requests sent while it was routed earlier may
+   still be in progress; the router has to count them again.  */
 static void
 add_route (gp_routes_t *routes, gp_target_t *target)
 {
@@ -113,7 +115,7 @@
           GP_LOG_S ("service", target->service->name));
 }
 
-/* A target lives while its member is known or requests are under way.  */
+/* Frees TARGET unless it has a member, a session or requests in progress.  */
 static void
 target_release (gp_target_t *target)
 {
@@ -176,8 +178,8 @@
     }
 }
 
-/* Tell of the targets that became suspect, when none of them is routed any
-   more.  */
+/* Calls on_silent for the targets that became suspect, after all of them have
+   been removed from their routers: a retry must not pick one of them.  */
 static void
 tell_silent (gp_routes_t *routes)
 {
@@ -268,8 +270,10 @@
   session->object = target;
 }
 
-/* A guard that this entry connected to heartbeats to others, its homes: what
-   it says here opens the way to it, but is no promise to be heard again.  */
+/* Records an announcement in the membership.  A guard that this entry
+   connected to sends its heartbeats to other entries, its homes: its
+   announcement shows that it can be reached, but this entry must not expect
+   heartbeats from it.  */
 static gp_members_result_t
 take_announcement (gp_routes_t *routes, const gp_session_t *session,
                    const gp_announcement_t *a)
@@ -454,8 +458,9 @@
     apply (routes, health->data, action);
 }
 
-/* Whether to judge the silence of others.  A process that was itself held
-   up first reads what has come meanwhile.  */
+/* Whether members without heartbeats may be declared suspect.  After a late
+   tick this process was itself blocked: it skips one tick to read the
+   messages that have arrived meanwhile.  */
 static bool
 may_judge (gp_routes_t *routes, gp_time_t now)
 {
@@ -505,7 +510,7 @@
   gp_timer_arm (&routes->timer, routes->ticked_at + TICK);
 }
 
-/* The targets of members that are still known.  */
+/* Frees the targets of all members.  */
 static void
 free_targets (gp_routes_t *routes)
 {
--- a/src/daemon/routes.h
+++ b/src/daemon/routes.h
@@ -1,8 +1,9 @@
-/* Services and their upstreams at an entry: membership turned into routing.
+/* Services and their upstreams at an entry: keeps the routers in line with
+   the membership.
 
-   A target is a guard with an upstream, as this entry reaches it.  It is a
-   candidate of its service's router while membership says that work may be
-   sent to it.  */
+   A target is a guard with an upstream that this entry may send requests to.
+   It is a candidate of its service's router while the membership table says
+   that work may be sent to it and its zone is not evacuated.  */
 
 #ifndef GP_DAEMON_ROUTES_H
 #define GP_DAEMON_ROUTES_H
@@ -15,7 +16,7 @@
 #include "protocol/session.h"
 #include "state/document.h"
 
-/* What the router, outlier detection and retries keep of one service.  */
+/* Router, outlier detection and retry state of one service.  */
 typedef struct
 {
   char *name;
@@ -27,11 +28,11 @@
 typedef struct
 {
   gp_service_t *service;
-  gp_member_t *member; /* NULL once it was forgotten */
+  gp_member_t *member; /* NULL once the member is gone */
   gp_session_t *session;
   gp_candidate_t candidate;
   gp_health_t health;
-  gp_list_t relays; /* requests under way, see daemon/relay.c */
+  gp_list_t relays; /* requests in progress, see daemon/relay.c */
   gp_list_t silent; /* in routes->silent, or empty */
   bool routed;      /* in the service's router */
 } gp_target_t;
@@ -44,14 +45,18 @@
   gp_members_t members;
   GHashTable *services;  /* name -> gp_service_t */
   GHashTable *evacuated; /* names of zones, owned, that get no requests */
-  gp_list_t silent;      /* targets that became suspect, not yet told */
+  gp_list_t silent;      /* targets that became suspect and for which
+                            on_silent was not called yet */
   gp_timer_t timer;
   gp_time_t ticked_at;
-  bool was_late;                                       /* at the last tick */
-  gp_timeline_t *timeline;                             /* may be NULL */
-  void (*on_change) (gp_member_t *member, void *data); /* may be NULL */
-  void (*on_route) (void *data); /* a target was routed; may be NULL */
-  void (*on_silent) (gp_target_t *target, void *data); /* may be NULL */
+  bool was_late;           /* whether the last tick was late */
+  gp_timeline_t *timeline; /* may be NULL */
+  /* A member changed; may be NULL.  */
+  void (*on_change) (gp_member_t *member, void *data);
+  /* A target was added to its router; may be NULL.  */
+  void (*on_route) (void *data);
+  /* A target became suspect; may be NULL.  */
+  void (*on_silent) (gp_target_t *target, void *data);
   void *data;
 } gp_routes_t;
 
@@ -59,41 +64,43 @@
                      const char *zone, const gp_members_settings_t *settings);
 void gp_routes_finish (gp_routes_t *routes);
 
-/* Upstreams in the COUNT ZONES get no more requests, the others do; those that
-   are under way go on.  */
+/* Sets the evacuated zones: upstreams in them get no new requests.  Requests
+   in progress continue.  */
 void gp_routes_evacuate (gp_routes_t *routes, const gp_document_zone_t *zones,
                          uint32_t count);
 
-/* The service NAME, or NULL when no upstream ever announced it.  */
+/* Finds the service NAME; NULL if no upstream ever announced it.  */
 gp_service_t *gp_routes_find (gp_routes_t *routes, const char *name);
 
-/* A guard announced itself over SESSION.  False: an older incarnation; the
-   session should be closed.  When both sides connected at once there are two
-   sessions; the first is used, the second takes its place when it closes.  */
+/* Handles the announcement of a guard over SESSION.  Returns false if the
+   guard's incarnation is outdated; the session should be closed then.  When
+   both sides connected at the same time there are two sessions: the first is
+   used, and the second replaces it when it closes.  */
 bool gp_routes_announce (gp_routes_t *routes, gp_session_t *session,
                          const Gp__Wire__Announce *announce);
 
-/* A heartbeat came over SESSION.  */
+/* Handles a guard's heartbeat over SESSION.  */
 void gp_routes_heartbeat (gp_routes_t *routes, gp_session_t *session,
                           const Gp__Wire__Heartbeat *heartbeat);
 
-/* The session of a guard is closed; its target takes nothing any more.  The
-   relays under way must have been ended before.  */
+/* Handles the end of a guard's session; its target gets no more requests
+   unless there is another session.  The relays on the session must have been
+   ended before.  */
 void gp_routes_closed (gp_routes_t *routes, gp_session_t *session);
 
-/* A report of load came with an answer of TARGET.  */
+/* Records the load that TARGET reported with an answer.  */
 void gp_routes_report (gp_routes_t *routes, gp_target_t *target,
                        const Gp__Wire__Load *load);
 
-/* The result of a request at TARGET, for outlier detection.  */
+/* Records the result of a request at TARGET for outlier detection.  */
 void gp_routes_record (gp_routes_t *routes, gp_target_t *target, bool success,
                        gp_time_t duration);
 
-/* A request was sent to TARGET, or its exchange ended.  */
+/* Record that a request was sent to TARGET, and that it has ended.  */
 void gp_routes_sent (gp_routes_t *routes, gp_target_t *target);
 void gp_routes_done (gp_routes_t *routes, gp_target_t *target);
 
-/* Carry out what changed in the membership.  */
+/* Applies pending changes of the membership to the routers.  */
 void gp_routes_settle (gp_routes_t *routes);
 
 #endif
