--- a/src/daemon/tasks.c
+++ b/src/daemon/tasks.c
@@ -1,4 +1,5 @@
-/* Tasks at an entry: wiring, responsibility and time.  */
+/* Tasks at an entry: initialization, message dispatch, responsibility and
+   periodic work.  */
 
 #include "daemon/tasks_private.h"
 
@@ -64,8 +65,8 @@
   g_free (team);
 }
 
-/* Take the region's share of the team's limits from the document; without
-   any it has none.  */
+/* Sets the team's quota and task limit to the region's share of those in the
+   document.  A team that the document does not declare is unlimited.  */
 static void
 team_limit (gp_tasks_t *tasks, gp_tasks_team_t *team)
 {
@@ -109,7 +110,8 @@
 
 /* Responsibility.  */
 
-/* Another entry of this region, which acts on the same tasks.  */
+/* Whether SESSION is with another entry of this region, which acts on the same
+   tasks.  */
 static bool
 is_live_entry (const gp_tasks_t *tasks, const gp_session_t *session)
 {
@@ -160,7 +162,8 @@
   }
 }
 
-/* Who acts on what, after entries came or went.  */
+/* Recomputes what this entry is responsible for, after entries connected or
+   disconnected.  */
 static void
 assign (gp_tasks_t *tasks)
 {
@@ -243,7 +246,7 @@
   gp_lease_grantor_gap (&tasks->grantor, gp_tasks_now (tasks));
 }
 
-/* Time.  */
+/* Periodic work.  */
 
 static void
 look_at_due (gp_tasks_t *tasks, gp_time_t now)
@@ -323,7 +326,7 @@
   gp_list_push_back (&tasks->due, &task->due_link);
 }
 
-/* The interface.  */
+/* Initialization and message dispatch.  */
 
 static void
 register_counters (void)
@@ -490,7 +493,8 @@
   const char *name = member->announcement.name;
   gp_tasks_guard_t *guard = gp_tasks_find_guard (tasks, name);
 
-  /* It is told before the guard's own announcement comes here.  */
+  /* The member change may come before the guard's announcement is handled
+     by gp_tasks_on_announce.  */
   if (guard == NULL && member->announcement.millicores > 0
       && member->state != GP_MEMBER_GONE)
     guard = gp_tasks_guard (tasks, name);
--- a/src/daemon/tasks_guard.c
+++ b/src/daemon/tasks_guard.c
@@ -1,4 +1,4 @@
-/* Guards with a worker, and their place in the fleet.  */
+/* Guards with a worker, and the state of the workers in the fleet.  */
 
 #include "daemon/tasks_private.h"
 
@@ -54,7 +54,8 @@
   return GP_CONTAINER_OF (worker, gp_tasks_guard_t, worker);
 }
 
-/* A small number for NAME, from 0, the same for the life of the process.  */
+/* Returns the number of NAME, counted from 0, which does not change while the
+   process runs.  */
 static uint32_t
 number_of (GHashTable *table, const char *name)
 {
@@ -84,7 +85,8 @@
   memset (&suspects->workers[index], 0, sizeof *suspects->workers);
 }
 
-/* Add the worker of GUARD to the fleet, with what is placed there.  */
+/* Adds the worker of GUARD to the fleet, including the reservations of the
+   tasks placed on it.  */
 static void
 attach (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
 {
@@ -121,7 +123,7 @@
   guard->added = false;
 }
 
-/* A zone that no guard has told of has no number yet.  */
+/* Zones that no guard has announced have no number yet and are skipped.  */
 void
 gp_tasks_close_zones (gp_tasks_t *tasks)
 {
@@ -250,7 +252,8 @@
   gp_tasks_place_soon (tasks);
 }
 
-/* A guard that is gone from the log and from here.  */
+/* Whether GUARD can be freed: it is gone from the log and the membership, and
+   nothing refers to it.  */
 static bool
 is_forgotten (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
 {
@@ -260,7 +263,7 @@
          && gp_fold_guard (gp_store_fold (tasks->store), guard->name) == NULL;
 }
 
-/* Looks.  */
+/* Periodic checks.  */
 
 static bool
 looked_at_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
@@ -292,7 +295,7 @@
     set_look (tasks, guard, at);
 }
 
-/* When time alone may next change the state of GUARD.  */
+/* The next time at which the state of GUARD may change without an event.  */
 static gp_time_t
 next_look (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
            gp_time_t now)
@@ -314,7 +317,7 @@
   return MAX (at, now + 1);
 }
 
-/* Let the time of GUARD pass; it may be freed.  */
+/* Applies timeouts to GUARD, which may be freed.  */
 static void
 look (gp_tasks_t *tasks, gp_tasks_guard_t *guard, gp_time_t now)
 {
--- a/src/daemon/tasks_interfere.c
+++ b/src/daemon/tasks_interfere.c
@@ -1,7 +1,8 @@
-/* What tasks do to the services beside them: learning and remedies.
+/* Interference of tasks with the services on the same VM: estimates and
+   remedies.
 
-   Every entry learns from the usage that guards report; the one responsible
-   for the guard acts on it.  */
+   Every entry updates its estimates from the usage that guards report; only
+   the entry responsible for the guard applies remedies.  */
 
 #include "daemon/tasks_private.h"
 
@@ -11,7 +12,7 @@
 
 #define RESIDENTS_MAX 256
 #define SECONDS_PER_HOUR 3600.0
-#define RATE_LEAST 0.001 /* an hour; a limiter wants more than none */
+#define RATE_LEAST 0.001 /* per hour; the limiter needs a positive rate */
 
 static gp_counter_t throttles
     = GP_COUNTER ("entry_throttles_total", "Tasks throttled for a service.");
@@ -45,7 +46,7 @@
     }
 }
 
-/* The latency target of the service beside GUARD, or 0.  */
+/* The latency target in microseconds of the service that GUARD runs, or 0.  */
 static double
 target_us (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
 {
@@ -145,7 +146,7 @@
   return settings;
 }
 
-/* This entry's part of the site's evictions in an hour.  */
+/* This entry's share of the site's hourly evictions.  */
 static uint32_t
 evictions_of (const gp_tasks_t *tasks, uint32_t of_site)
 {
@@ -166,7 +167,8 @@
 {
   uint32_t hourly
       = evictions_of (tasks, tasks->document->interference.evictions_per_hour);
-  /* Half at once and half as the hour passes keeps any hour within it.  */
+  /* Half as a burst and half at a constant rate, so that no period of one
+     hour exceeds the limit.  */
   uint32_t burst = MAX (1, hourly / 2);
   double rate = MAX (hourly - burst, RATE_LEAST) / SECONDS_PER_HOUR;
 
@@ -178,7 +180,8 @@
                           gp_tasks_now (tasks));
 }
 
-/* Whether a service at RATIO of its target, and the site, allow ACTION.  */
+/* Whether ACTION is allowed, given that the service's latency is RATIO times
+   its target, and the site's limit on evictions.  */
 static bool
 is_allowed (gp_tasks_t *tasks, gp_remedy_action_t action, double ratio)
 {
--- a/src/daemon/tasks_lease.c
+++ b/src/daemon/tasks_lease.c
@@ -1,9 +1,10 @@
-/* Leases at an entry: coordination/lease_grantor.h bound to the log and to
+/* Leases at an entry: connects coordination/lease_grantor.h to the log and
    the sessions.
 
-   A record that the grantor asks for is kept with its guard and proposed
-   until it, or one that makes it void, is read.  The entry that is
-   responsible for the guard proposes at once, the others after a period.  */
+   A record that the grantor requests is noted at its guard and proposed
+   repeatedly until it, or a record that makes it void, is read from the log.
+   The entry responsible for the guard proposes at once, the others after
+   due_period.  */
 
 #include "daemon/tasks_private.h"
 
@@ -43,7 +44,7 @@
       const gp_settings_member_t *entry = &settings->entries[i];
 
       if (strcmp (entry->region, settings->region) != 0)
-        continue; /* it acts on no guard of this region's stream */
+        continue; /* entries of other regions use other logs */
       tasks->entry_set += XXH3_64bits (entry->name, strlen (entry->name));
       if (strcmp (entry->name, settings->name) != 0
           && tasks->n_others < GP_LEASE_GRANTOR_MAX_ENTRIES)
@@ -64,7 +65,7 @@
   gp_lease_grantor_finish (&tasks->grantor);
 }
 
-/* Records that are wanted.  */
+/* Requested records.  */
 
 static void
 want (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
@@ -105,7 +106,8 @@
       guard->proposing = false;
       guard->propose_at = gp_tasks_now (tasks) + PROPOSE_AGAIN;
     }
-  /* A void record is not wanted any more: what voided it was read.  */
+  /* A void record need not be proposed again: the record that made it void
+     was read before.  */
   if (guard != NULL && result == GP_PROPOSAL_DECIDED
       && verdict != GP_FOLD_ACCEPTED)
     {
@@ -308,7 +310,7 @@
   g_free (listed);
 }
 
-/* Heartbeats and time.  */
+/* Heartbeats and periodic work.  */
 
 static void
 carry_out (gp_tasks_t *tasks, const gp_lease_grantor_actions_t *actions)
@@ -324,7 +326,8 @@
     }
 }
 
-/* Other entries hear the guards that this one does not.  */
+/* Tells the grantor that GUARD is alive if only other entries receive its
+   heartbeats.  */
 static void
 hear_by_others (gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
 {
@@ -422,7 +425,7 @@
     gp_tasks_guard_settle (tasks, guard);
 }
 
-/* The log.  */
+/* Changes read from the log.  */
 
 static void
 on_adopted (gp_tasks_t *tasks, const gp_fold_guard_t *state)
--- a/src/daemon/tasks_mirror.c
+++ b/src/daemon/tasks_mirror.c
@@ -1,4 +1,5 @@
-/* The mirror of the fold's tasks: changes of the log carried over.  */
+/* The mirror of the fold's tasks: applies the changes that come from the
+   log.  */
 
 #include "daemon/tasks_private.h"
 
@@ -76,7 +77,7 @@
                   state->kind);
 }
 
-/* The last epoch of TASK ended on GUARD.  */
+/* Records for suspicion that the last epoch of TASK ended on GUARD.  */
 static void
 note_outcome (gp_tasks_t *tasks, gp_tasks_task_t *task,
               const gp_fold_task_t *state, gp_tasks_guard_t *guard)
@@ -152,7 +153,7 @@
                   of == NULL ? NULL : of->name,
                   state->cancelled ? "cancelled" : "ended");
   on_epoch_over (tasks, task, state, of);
-  /* One that was granted has been counted off when it was cancelled.  */
+  /* A task that was granted when it was cancelled was subtracted then.  */
   if (!state->cancelled || of == NULL)
     count_watcher (tasks, task, -1);
   gp_placement_drop_hold (&tasks->placement, &task->ask);
@@ -246,7 +247,6 @@
   gp_tasks_place_soon (tasks);
 }
 
-/* Drop the mirror; what the fleet holds of it goes with it.  */
 void
 gp_tasks_forget_all (gp_tasks_t *tasks)
 {
--- a/src/daemon/tasks_park.c
+++ b/src/daemon/tasks_park.c
@@ -1,8 +1,10 @@
-/* Tasks that can't run: too large for every worker, or failing everywhere.  */
+/* Tasks that cannot run: too large for every worker, or failing
+   everywhere.  */
 
 #include "daemon/tasks_private.h"
 
-/* Guards that are there have come by then.  */
+/* Time after the start by which all running guards should have
+   connected.  */
 #define FLEET_COMES_IN (60 * GP_SEC)
 
 typedef struct
@@ -35,8 +37,8 @@
     return true;
   if (tasks->document != NULL && tasks->document->workers_count > 0)
     return fits_document (tasks->document, demand);
-  /* Without a list of workers in the document the fleet must have had the
-     time to come in.  */
+  /* Without a list of workers in the document, the answer is only known after
+     all guards have had time to connect.  */
   return tasks->fleet.shapes->len == 0
          || gp_tasks_now (tasks) < tasks->started_at + FLEET_COMES_IN;
 }
--- a/src/daemon/tasks_place.c
+++ b/src/daemon/tasks_place.c
@@ -1,11 +1,11 @@
-/* From the queue to a granted and started task.
+/* Placement, grants and starts of queued tasks.
 
-   The queue holds the pending tasks of the teams that this entry places.  A
-   chosen worker is reserved and a Grant proposed; what follows comes from the
-   log.  The Start is sent when the grant is read, and again until the guard
-   answers, by whichever entry is responsible then: a guard tells copies
-   apart.  A grant that is over the team's quota in log order is not started;
-   its guard is told to end it as refused.  */
+   The queue holds the pending tasks of the teams that this entry places.  For
+   a chosen worker, resources are reserved and a Grant is proposed; everything
+   else follows from the log.  The Start is sent when the grant is read, and
+   repeated until the guard answers, by whichever entry is responsible at that
+   time; guards ignore duplicates.  A grant that exceeds the team's quota in
+   log order is not started: its guard gets a Stop and ends it as refused.  */
 
 #include "daemon/tasks_private.h"
 
@@ -15,23 +15,24 @@
 
 #define PLACED_PER_TURN 256
 #define HOLD_TIME (60 * GP_SEC)
-/* After so many tasks in a row without room the rest stay in their order
-   until there is more room, or this long.  */
+/* After this many tasks in a row that could not be placed, the rest stay
+   queued until resources come free, but at most for FULL_TIME.  */
 #define MISSES_PER_TURN 32
 #define FULL_TIME (500 * GP_MSEC)
-/* Room that comes free again and again is looked at this often.  */
+/* Minimum time between two reactions to resources that came free.  */
 #define ROOM_PERIOD (5 * GP_MSEC)
 #define ZONES_LEAST 16
 #define WORKERS_LEAST 64
-/* A batch task with more time to spare than this may wait for a worker where
-   it does no harm.  */
+/* A batch task with more laxity than this waits for a worker where its
+   expected interference is at most HARM_WITH_LAXITY.  */
 #define LAXITY_TO_WAIT (60 * GP_SEC)
 #define HARM_WITH_LAXITY 0.02
-/* A mass loss is that many epochs in one second; starts are paced then.  */
+/* If this many epochs are lost within one second, the rate of starts is
+   limited.  */
 #define LOST_TO_PACE 300
 #define PACE_RATE 1300.0
 #define PACE_BURST 200.0
-/* Entries that are not responsible act after so many periods.  */
+/* Entries that are not responsible act after this many due_periods.  */
 #define PATIENCE_OF_OTHERS 5
 
 typedef struct
@@ -166,7 +167,7 @@
 
 /* Placement.  */
 
-/* The largest worker, by each component.  */
+/* The maximum capacity of any worker, separately for each resource.  */
 static gp_resources_t
 largest (const gp_tasks_t *tasks)
 {
@@ -208,7 +209,8 @@
     hold_worker (tasks, task, now + HOLD_TIME);
 }
 
-/* The grant did not come about: wait for another.  */
+/* Releases the worker and queues TASK again after its grant was not
+   accepted.  */
 static void
 give_back (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
@@ -228,7 +230,8 @@
 
   if (!accepted)
     gp_counter_add (&grants_void, 1);
-  /* An accepted grant was seen as a change before this.  */
+  /* An accepted grant has changed the stage in gp_tasks_granted before this
+     call.  */
   if (task != NULL && task->stage == GP_TASKS_PROPOSED
       && task->epoch == granting->epoch)
     give_back (tasks, task);
@@ -276,7 +279,8 @@
     ask->avoided[i] = task->failures.workers[i];
 }
 
-/* A worker was found: reserve it and propose the grant.  */
+/* Proposes the grant of TASK on WORKER and reserves its resources; false if
+   the log accepts no records.  */
 static bool
 choose_worker (gp_tasks_t *tasks, gp_tasks_task_t *task, gp_worker_t *worker,
                const gp_fold_task_t *state)
@@ -307,8 +311,8 @@
   return true;
 }
 
-/* Try to place TASK, which was taken from the queue; false when the log takes
-   nothing.  */
+/* Tries to place TASK, which was taken from the queue; false if the log
+   accepts no records.  */
 static bool
 place_one (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
@@ -358,7 +362,8 @@
   return true;
 }
 
-/* Pace the starts after a mass loss until the queue is empty.  */
+/* Limits the rate of starts after the loss of LOST_TO_PACE epochs within one
+   second, until the queue is empty.  */
 static void
 set_pace (gp_tasks_t *tasks, gp_time_t now)
 {
@@ -436,7 +441,7 @@
   gp_timer_arm (&tasks->timer, MIN (wake, tasks->tick_at));
 }
 
-/* Grants that were read.  */
+/* Grants read from the log.  */
 
 void
 gp_tasks_granted (gp_tasks_t *tasks, gp_tasks_task_t *task,
@@ -504,8 +509,9 @@
   g_free (payload);
 }
 
-/* Whether this entry is to act on TASK now: the responsible one and the one
-   that was granted it at once, another when nothing has come of that.  */
+/* Whether this entry may send messages about TASK now.  The responsible entry
+   and the one that proposed the grant do so at once, the others when the task
+   still waits after PATIENCE_OF_OTHERS periods.  */
 static bool
 acts_on (const gp_tasks_t *tasks, const gp_tasks_task_t *task)
 {
@@ -529,8 +535,8 @@
   gp_tasks_set_due (tasks, task);
   if (task->guard->session == NULL || !acts_on (tasks, task))
     return;
-  /* Only the guard knows whether another entry, with an older
-     configuration, has started what is over its quota here.  */
+  /* Another entry with an older configuration, in which the task is within
+     the quota, may have started it: only the guard knows.  */
   if (state->cancelled)
     gp_tasks_stop (tasks, task, GP__WIRE__STOP_MODE__STOP_MODE_CANCEL);
   else if (task->over_quota)
--- a/src/daemon/tasks_private.h
+++ b/src/daemon/tasks_private.h
@@ -1,21 +1,21 @@
-/* What the parts of daemon/tasks.h share.
+/* Declarations shared by the source files behind daemon/tasks.h.
 
-   tasks.c           wiring, responsibility, time
-   tasks_mirror.c    the mirror of the fold's tasks
+   tasks.c           initialization, responsibility, periodic work
+   tasks_mirror.c    mirror of the fold's tasks
    tasks_place.c     queue, placement, grants and starts
-   tasks_park.c      tasks that can't run
+   tasks_park.c      tasks that cannot run
    tasks_report.c    reports of guards, ends, checkpoints, stops
    tasks_lease.c     heartbeats, vouches, adoptions and fences
    tasks_guard.c     guards and their workers in the fleet
-   tasks_watch.c     watchers at their declared counts
-   tasks_interfere.c usage, learning, remedies
+   tasks_watch.c     watchers and their declared counts
+   tasks_interfere.c usage reports, interference estimates and remedies
    tasks_submit.c    submissions and cancellations
    tasks_view.c      views for operators
 
-   A gp_tasks_task_t mirrors each task of the fold that has not ended, with
-   what this entry knows beside the fold.  Quotas are charged by declared
-   sizes in log order, so that all entries agree.  The fleet is charged by
-   what this entry reserves, which may be a learned size.  */
+   A gp_tasks_task_t mirrors each task of the fold that has not ended and adds
+   state that only this entry has.  Quotas are charged with declared sizes in
+   log order, so that all entries agree.  The fleet is charged with what this
+   entry reserves, which may be an estimated size.  */
 
 #ifndef GP_DAEMON_TASKS_PRIVATE_H
 #define GP_DAEMON_TASKS_PRIVATE_H
@@ -36,28 +36,28 @@
 #include "coordination/suspects.h"
 #include "daemon/tasks.h"
 
-/* How long a proposal may wait to be sent.  */
+/* How long a proposal may be queued before it is sent.  */
 #define GP_TASKS_PROPOSAL_TIME (5 * GP_SEC)
 
 typedef enum
 {
-  GP_TASKS_IDLE,     /* parked, or another entry places it */
-  GP_TASKS_QUEUED,   /* this entry places it */
-  GP_TASKS_PROPOSED, /* a grant is on its way to the log */
+  GP_TASKS_IDLE,     /* parked, or placed by another entry */
+  GP_TASKS_QUEUED,   /* placed by this entry */
+  GP_TASKS_PROPOSED, /* a grant was proposed and not read back yet */
   GP_TASKS_GRANTED
 } gp_tasks_stage_t;
 
-/* A batch job or watcher by its name.  */
+/* A batch job or watcher of the document, identified by its name.  */
 typedef struct
 {
   char *name;
   uint16_t index;
   gp_estimate_t estimate;
-  /* Of a watcher: */
-  uint32_t live;     /* neither ended nor cancelled */
-  uint32_t proposed; /* submissions on their way to the log */
-  uint64_t salt;     /* of ids, after one was taken */
-  int64_t seed_us;   /* when the last was submitted, log time */
+  /* For watchers only: */
+  uint32_t live;     /* tasks neither ended nor cancelled */
+  uint32_t proposed; /* submissions proposed and not read back yet */
+  uint64_t salt;     /* of new ids; changes when an id exists already */
+  int64_t seed_us;   /* when the last task was submitted, log time */
 } gp_tasks_kind_t;
 
 typedef struct
@@ -66,30 +66,31 @@
   uint32_t index;
   bool mine; /* this entry places its tasks */
   uint32_t max_tasks;
-  uint32_t running; /* granted or proposed here */
+  uint32_t running; /* tasks granted, or with a grant proposed here */
 } gp_tasks_team_t;
 
 /* A guard with a worker.  */
 typedef struct
 {
   char *name;
-  gp_session_t *session;     /* announced, or NULL */
+  gp_session_t *session;     /* over which it was announced, or NULL */
   const gp_member_t *member; /* NULL: gone */
   uint64_t incarnation;      /* of its lease, as announced last */
   uint64_t inherits;
   bool mine;    /* this entry proposes its fences and adoptions first */
-  bool leaving; /* it said so */
+  bool leaving; /* as announced */
   bool added;   /* its worker is in the fleet */
   gp_worker_t worker;
   uint32_t slots;        /* of its upstream */
-  gp_time_t heard;       /* last heartbeat, 0: never */
-  gp_time_t lease_until; /* as far as this entry renewed it */
+  gp_time_t heard;       /* last heartbeat; 0: never */
+  gp_time_t lease_until; /* end of the lease as renewed by this entry */
   gp_list_t placed;      /* of gp_tasks_task_t */
   gp_residency_t residency;
   gp_remedy_t remedy;
-  uint64_t inventory_of; /* incarnation of the inventory, 0: none */
+  uint64_t inventory_of; /* incarnation of the inventory; 0: none */
   GArray *inventory;     /* of gp_tasks_epoch_t */
-  /* Records to be proposed until they are read: incarnations, 0: none.  */
+  /* Incarnations for which a record has to be proposed until it is read back;
+     0: none.  */
   uint64_t adopt;
   uint64_t fence;
   uint64_t fence_done;
@@ -98,7 +99,7 @@
   bool proposing;
   gp_list_t wanted_link; /* in gp_tasks_t.wanted */
   gp_heap_node_t look;   /* in gp_tasks_t.looks */
-  gp_time_t look_at;     /* its order there */
+  gp_time_t look_at;     /* sort key in gp_tasks_t.looks */
 } gp_tasks_guard_t;
 
 typedef struct
@@ -116,25 +117,25 @@
   gp_suspects_task_t failures;
   gp_tasks_kind_t *kind;
   gp_tasks_team_t *team;
-  gp_tasks_guard_t *guard; /* where it is placed, or NULL */
+  gp_tasks_guard_t *guard; /* on whose worker it is placed, or NULL */
   gp_list_t placed_link;   /* in the guard's list */
   gp_list_t due_link;      /* in gp_tasks_t.due */
   gp_time_t due_at;
   uint64_t epoch; /* proposed or granted */
-  bool counted;   /* in the running tasks of its team */
-  bool confirmed; /* the fleet's reservation is in the guard's report */
-  bool running;   /* the guard said so */
+  bool counted;   /* in gp_tasks_team_t.running */
+  bool confirmed; /* the guard's report includes its reservation */
+  bool running;   /* as reported by the guard */
   bool over_quota;
   bool throttled;
-  bool ending;        /* an End of this epoch is on its way */
-  bool checkpointing; /* likewise a Checkpoint */
-  bool parking;       /* likewise a Park */
-  bool cancelling;    /* likewise a Cancel of a watcher */
-  gp_resources_t peak;
-  gp_time_t waits_since; /* for a start or a stop */
-  gp_time_t reported_at; /* first copy of the report of its end, 0: none */
-  gp_time_t saved_at;    /* last checkpoint, or start */
-  gp_placement_outcome_t outcome; /* of the last choice */
+  bool ending;           /* an End of this epoch was proposed */
+  bool checkpointing;    /* a Checkpoint was proposed */
+  bool parking;          /* a Park was proposed */
+  bool cancelling;       /* a Cancel of a watcher was proposed */
+  gp_resources_t peak;   /* highest reported usage in this epoch */
+  gp_time_t waits_since; /* when it began to wait for a start or a stop */
+  gp_time_t reported_at; /* when its end was first reported; 0: not yet */
+  gp_time_t saved_at;    /* last checkpoint, or the grant */
+  gp_placement_outcome_t outcome; /* of the last placement attempt */
   gp_placement_cost_t cost;
 } gp_tasks_task_t;
 
@@ -148,25 +149,25 @@
   gp_timeline_t *timeline;
   GRand *rand;
   uint64_t incarnation;
-  const gp_document_t *document; /* NULL before the first */
-  uint64_t revision;             /* of it */
+  const gp_document_t *document; /* NULL before the first configuration */
+  uint64_t revision;             /* of DOCUMENT */
   gp_store_subscriber_t subscriber;
   gp_timer_t timer;
-  gp_deferred_t deferred; /* places what waits */
+  gp_deferred_t deferred; /* places queued tasks */
   gp_time_t tick_at;
   gp_time_t started_at;
 
-  GHashTable *tasks;  /* set of gp_tasks_task_t */
-  GHashTable *guards; /* name -> gp_tasks_guard_t */
-  gp_heap_t looks;    /* of all of them, by the time of their next look */
-  gp_list_t wanted;   /* those with a record that may be wanted */
-  GHashTable *kinds;  /* name -> gp_tasks_kind_t */
-  GHashTable *teams;  /* name -> gp_tasks_team_t */
-  GHashTable *places; /* zone and rack names -> number from 1 */
-  GHashTable *racks;
-  GHashTable *services;
-  uint64_t zones;     /* in use, a bit each */
-  uint64_t evacuated; /* of these, those in which nothing is started */
+  GHashTable *tasks;    /* set of gp_tasks_task_t */
+  GHashTable *guards;   /* name -> gp_tasks_guard_t */
+  gp_heap_t looks;      /* all guards by the time of their next check */
+  gp_list_t wanted;     /* guards for which a record may have to be proposed */
+  GHashTable *kinds;    /* name -> gp_tasks_kind_t */
+  GHashTable *teams;    /* name -> gp_tasks_team_t */
+  GHashTable *places;   /* zone names -> number from 1 */
+  GHashTable *racks;    /* "ZONE/RACK" -> number from 1 */
+  GHashTable *services; /* service names -> number from 1 */
+  uint64_t zones;       /* bit set of the zones in use */
+  uint64_t evacuated;   /* bit set of the zones in which nothing is started */
   uint32_t n_zones;
 
   gp_pending_t pending;
@@ -178,27 +179,27 @@
   gp_suspects_t suspects;
   gp_limiter_t evictions;
   bool may_evict;
-  gp_list_t due; /* of gp_tasks_task_t: to be looked at again, by time */
+  gp_list_t due; /* of gp_tasks_task_t: to be checked again, by time */
   gp_time_t due_period;
-  uint32_t lost;        /* epochs, since lost_since */
-  gp_time_t lost_since; /* of the count */
-  bool paced;
-  uint64_t released;    /* changes when quota or a task comes free */
-  uint64_t full_growth; /* of the fleet and RELEASED, when nothing fitted */
-  gp_time_t full_until;
-  gp_time_t room_at; /* when more room is next looked at */
+  uint32_t lost;        /* epochs lost since LOST_SINCE */
+  gp_time_t lost_since; /* start of the count of LOST */
+  bool paced;           /* the rate of starts is limited */
+  uint64_t released;    /* changes when a task ends or enters the queue */
+  uint64_t full_growth; /* fleet.growth + RELEASED when last taken note of */
+  gp_time_t full_until; /* when to try again although nothing changed */
+  gp_time_t room_at;    /* earliest time to react to freed capacity */
 
   gp_lease_grantor_t grantor;
   const gp_settings_member_t *others[GP_LEASE_GRANTOR_MAX_ENTRIES];
   unsigned n_others;
   uint64_t entry_set;
 
-  uint64_t live_entries; /* digest of the other entries thought alive */
+  uint64_t live_entries; /* digest of the other entries with a session */
   GPtrArray *entries;    /* their names */
   uint64_t next_id;
   GPtrArray *submitting; /* of gp_tasks_submitting_t */
-  bool watchers_changed; /* counts are to be compared again */
-  bool shapes_changed;   /* what was too large may fit now */
+  bool watchers_changed; /* their counts have to be compared again */
+  bool shapes_changed;   /* tasks that were too large may fit now */
   uint64_t shapes_growth;
 };
 
@@ -214,14 +215,15 @@
 gp_tasks_kind_t *gp_tasks_kind (gp_tasks_t *tasks, const char *name);
 gp_tasks_team_t *gp_tasks_team (gp_tasks_t *tasks, const char *name);
 
-/* Whether this entry is the one that acts first on NAME of SCOPE.  */
+/* Whether this entry is the one responsible for NAME of SCOPE ("team",
+   "guard" or "watcher"), so that it acts first.  */
 bool gp_tasks_is_mine (const gp_tasks_t *tasks, const char *scope,
                        const char *name);
 
-/* Look at TASK again after the usual period.  */
+/* Schedules the next check of TASK after due_period.  */
 void gp_tasks_set_due (gp_tasks_t *tasks, gp_tasks_task_t *task);
 
-/* Propose RECORD; false when the store took nothing.  */
+/* Proposes RECORD; false if the store did not accept the proposal.  */
 bool gp_tasks_propose (gp_tasks_t *tasks, const Gp__Record__Record *record,
                        gp_writer_priority_t priority, gp_proposal_done_t done,
                        void *data);
@@ -229,16 +231,17 @@
 void gp_tasks_event (gp_tasks_t *tasks, gp_timeline_kind_t kind, uint64_t task,
                      uint64_t epoch, const char *vm, const char *text);
 
-/* A short name of the state of a task.  */
+/* The short name of the state of a task.  */
 const char *gp_tasks_state_name (const gp_tasks_t *tasks,
                                  const gp_fold_task_t *state);
 
 /* tasks_mirror.c */
 
-/* For the store: DATA is the gp_tasks_t.  */
+/* Callbacks for the store; DATA is the gp_tasks_t.  */
 void gp_tasks_on_change (const gp_fold_change_t *change, void *data);
 void gp_tasks_on_rebuilt (void *data);
-/* Drop the mirror; what the fleet holds of it goes with it.  */
+/* Clears the mirror, including the reservations of its tasks in the
+   fleet.  */
 void gp_tasks_forget_all (gp_tasks_t *tasks);
 
 /* tasks_place.c */
@@ -246,38 +249,40 @@
 void gp_tasks_place_init (gp_tasks_t *tasks);
 void gp_tasks_place_finish (gp_tasks_t *tasks);
 
-/* Place what may start now, and arm for the rest.  */
+/* Places queued tasks that may start now, and arms the timer for the
+   others.  */
 void gp_tasks_place (gp_tasks_t *tasks);
 void gp_tasks_place_soon (gp_tasks_t *tasks);
 
-/* Put TASK, pending on the log, into the queue if its team is placed here;
-   with BACKOFF not at once.  */
+/* Adds TASK, which is pending in the log, to the queue if this entry places
+   the tasks of its team; BACKOFF delays the next attempt.  */
 void gp_tasks_enqueue (gp_tasks_t *tasks, gp_tasks_task_t *task, bool backoff);
 void gp_tasks_dequeue (gp_tasks_t *tasks, gp_tasks_task_t *task);
 
-/* The grant of TASK was read.  */
+/* Handles an accepted grant of TASK that was read from the log.  */
 void gp_tasks_granted (gp_tasks_t *tasks, gp_tasks_task_t *task,
                        const gp_fold_task_t *state, const gp_fold_guard_t *of);
 
-/* Reserve the worker of GUARD for TASK, or let go of it.  */
+/* Reserve resources on the worker of GUARD for TASK, and release them.  */
 void gp_tasks_put (gp_tasks_t *tasks, gp_tasks_task_t *task,
                    gp_tasks_guard_t *guard);
 void gp_tasks_unput (gp_tasks_t *tasks, gp_tasks_task_t *task);
 
-/* The guard's reports hold TASK from now on.  */
+/* Records that the guard's reports include TASK from now on.  */
 void gp_tasks_confirm (gp_tasks_t *tasks, gp_tasks_task_t *task);
 
-/* Send what TASK, granted, still lacks: start, stop or end.  */
+/* Sends the message that the granted TASK still needs, a Start or a Stop.  */
 void gp_tasks_push (gp_tasks_t *tasks, gp_tasks_task_t *task);
 
 /* tasks_park.c */
 
-/* Propose to park TASK, or to end that.  */
+/* Propose to park TASK, and to unpark the tasks that fit a worker now.  */
 void gp_tasks_park (gp_tasks_t *tasks, gp_tasks_task_t *task,
                     Gp__Record__ParkReason reason);
 void gp_tasks_unpark_fitting (gp_tasks_t *tasks);
 
-/* Whether DEMAND fits a worker that is there or that the document names.  */
+/* Whether DEMAND fits a worker that is present or declared by the
+   document.  */
 bool gp_tasks_ever_fits (const gp_tasks_t *tasks,
                          const gp_resources_t *demand);
 
@@ -310,32 +315,37 @@
 gp_tasks_guard_t *gp_tasks_find_guard (const gp_tasks_t *tasks,
                                        const char *name);
 gp_tasks_guard_t *gp_tasks_guard_of_worker (gp_worker_t *worker);
-/* Start nothing in the zones that the document evacuates, of those known.  */
+/* Updates gp_tasks_t.evacuated from the document, for the zones that have a
+   number.  */
 void gp_tasks_close_zones (gp_tasks_t *tasks);
 void gp_tasks_guard_free (gpointer data);
 void gp_tasks_on_announce (gp_tasks_t *tasks, gp_session_t *session,
                            const Gp__Wire__Announce *announce);
-/* Bring the state of the worker in line with what is known of GUARD.  */
+/* Updates the state of GUARD's worker in the fleet.  */
 void gp_tasks_guard_settle (gp_tasks_t *tasks, gp_tasks_guard_t *guard);
 void gp_tasks_guards_init (gp_tasks_t *tasks);
-/* Look at the guards whose time has come: at the end of a lease, a suspicion
-   or a hold, in each tick while there is no session, and once a period.  */
+/* Checks the guards that are due: at the end of a lease, a suspicion or a
+   hold, in each tick while there is no session, and at least once per
+   due_period.  */
 void gp_tasks_guards_tick (gp_tasks_t *tasks);
-/* Have GUARD looked at in the next tick after AT, if not before.  */
+/* Makes sure that GUARD is checked in the first tick after AT at the
+   latest.  */
 void gp_tasks_guard_look_by (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
                              gp_time_t at);
 
 /* tasks_watch.c */
 
+/* Submits and cancels watchers to reach the declared counts.  */
 void gp_tasks_watch (gp_tasks_t *tasks);
 
 /* tasks_interfere.c */
 
 void gp_tasks_on_usage (gp_tasks_t *tasks, gp_session_t *session,
                         const Gp__Wire__Usage *usage);
-/* Take the limits on remedies from the document.  */
+/* Applies the document's limits on remedies.  */
 void gp_tasks_interfere_configure (gp_tasks_t *tasks);
-/* TASK came to its guard, left it, or was throttled or let go.  */
+/* Records a change of how much TASK uses its worker, in quarters: it was
+   placed, left, was throttled or unthrottled.  */
 void gp_tasks_weigh (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
                      const gp_tasks_task_t *task, int quarters);
 
@@ -344,7 +354,7 @@
 void gp_tasks_submit_tick (gp_tasks_t *tasks);
 void gp_tasks_submitting_free (gpointer data);
 uint64_t gp_tasks_new_id (gp_tasks_t *tasks);
-/* A Submit record's parts for a batch job or watcher.  */
+/* Fills the resources of a Submit record.  */
 void gp_tasks_resources_to_wire (Gp__Wire__Resources *wire,
                                  const gp_document_resources_t *resources);
 
--- a/src/daemon/tasks_report.c
+++ b/src/daemon/tasks_report.c
@@ -1,10 +1,9 @@
-/* What guards report of tasks, and what they are told to stop.
+/* Reports of guards about tasks, and Stop messages to guards.
 
-   Every entry gets every report, and any may put it on the log.  The
-   responsible entry does so at once, another one when the report is repeated
-   after the usual period.  A report is acknowledged when its record was read
-   back, whatever the verdict, or when the log shows that the epoch is
-   over.  */
+   Every entry gets every report, and any of them may propose its record.  The
+   responsible entry does so at once, the others when the report is repeated
+   after due_period.  A report is acknowledged when its record was read back,
+   whatever the verdict, or when the log shows that the epoch is over.  */
 
 #include "daemon/tasks_private.h"
 
@@ -14,7 +13,7 @@
 {
   gp_tasks_t *tasks;
   char *guard;
-  uint64_t process; /* of the guard that reported: its incarnation */
+  uint64_t process; /* incarnation of the guard's session */
   uint64_t task;
   uint64_t epoch;
   uint64_t number;
@@ -153,7 +152,8 @@
          && state->phase != GP__RECORD__TASK_PHASE__TASK_PHASE_GRANTED;
 }
 
-/* Learn from the first copy of the report of an end.  */
+/* Updates the run time estimate from the first copy of the report of an
+   end.  */
 static void
 learn (gp_tasks_t *tasks, gp_tasks_task_t *task,
        const Gp__Wire__TaskReport *report)
--- a/src/daemon/tasks_submit.c
+++ b/src/daemon/tasks_submit.c
@@ -1,8 +1,9 @@
 /* Submissions and cancellations.
 
-   A submission is answered when all of its records have their fate.  One
-   that takes too long takes back what was not sent, and answers UNKNOWN if
-   something was: those tasks may yet appear under their ids.  */
+   A submission is answered when the results of all its records are known.
+   After ANSWER_TIME the records that were not sent yet are withdrawn; if some
+   were sent, the answer is UNKNOWN: those tasks may still appear under their
+   ids.  */
 
 #include "daemon/tasks_private.h"
 
@@ -16,20 +17,20 @@
 {
   gp_tasks_submitting_t *of;
   uint64_t id;
-  gp_proposal_t *proposal; /* NULL when it has its fate */
+  gp_proposal_t *proposal; /* NULL once its result is known */
 } submitted_t;
 
 struct gp_tasks_submitting
 {
   gp_tasks_t *tasks;
-  gp_tasks_done_t done; /* NULL once it was answered */
+  gp_tasks_done_t done; /* NULL once called */
   void *data;
   gp_time_t deadline;
   uint32_t count;
-  uint32_t open; /* without their fate */
+  uint32_t open; /* proposals without a result */
   bool keyed;
-  GArray *ids;  /* accepted */
-  bool refused; /* one of them, by the log's order */
+  GArray *ids;  /* accepted tasks */
+  bool refused; /* the log has voided at least one record */
   const char *refusal;
   submitted_t *tasks_submitted;
 };
@@ -103,7 +104,8 @@
   done (&reply, submitting->data);
 }
 
-/* Time is up: take back what was not sent and tell of the rest.  */
+/* Handles the timeout: withdraws the records that were not sent and answers
+   with the ids of the others.  */
 static void
 give_up (gp_tasks_submitting_t *submitting)
 {
@@ -138,8 +140,8 @@
   done (&reply, submitting->data);
 }
 
-/* Whether the task of ONE is on the log for this submission: by its record,
-   or by an earlier one of the same key.  */
+/* Whether the task of ONE is in the log for this submission, either from its
+   own record or from that of an earlier submission with the same key.  */
 static bool
 is_taken (const submitted_t *one, gp_proposal_result_t result,
           gp_fold_verdict_t verdict)
@@ -207,7 +209,8 @@
     }
 }
 
-/* Checks before anything is proposed: NULL, or why it is refused.  */
+/* Checks before anything is proposed.  They return the reason for a refusal,
+   or NULL.  */
 
 static const char *
 check_team (const gp_tasks_t *tasks, const gp_document_batch_job_t *job,
@@ -252,7 +255,7 @@
   return check_team (tasks, job, team);
 }
 
-/* The records.  */
+/* Submit records.  */
 
 static int64_t
 deadline_of (const gp_tasks_t *tasks, const gp_tasks_submission_t *submission,
--- a/src/daemon/tasks_view.c
+++ b/src/daemon/tasks_view.c
@@ -67,7 +67,7 @@
     }
 }
 
-/* Text of a blob; bytes that are no UTF-8 are replaced.  */
+/* Converts a blob to a JSON string; invalid UTF-8 is replaced.  */
 static json_t *
 json_text (gp_blob_t *blob)
 {
@@ -162,7 +162,7 @@
   return gp_tasks_list_filtered (tasks, &filter, max);
 }
 
-/* Why it is where it is.  */
+/* Explanations of a task's state.  */
 
 static void
 explain_pending (const gp_tasks_t *tasks, const gp_fold_task_t *state,
--- a/src/daemon/tasks_watch.c
+++ b/src/daemon/tasks_watch.c
@@ -1,9 +1,9 @@
-/* Watchers at the counts that the document declares.
+/* Keeps the number of watchers at the counts that the document declares.
 
-   The responsible entry submits what is missing and cancels what is too
-   many.  Ids follow from the state on the log, so that two entries that both
-   think themselves responsible submit the same tasks, of which the log takes
-   one.  */
+   The responsible entry submits missing watchers and cancels surplus ones.
+   Task ids are derived from the state in the log, so that two entries that
+   both consider themselves responsible submit the same tasks, and the log
+   accepts each of them once.  */
 
 #include "daemon/tasks_private.h"
 
@@ -130,8 +130,8 @@
   return task->cancelling;
 }
 
-/* Those that don't run come first, then the higher ids, so that entries agree
-   on whom they withdraw.  */
+/* Orders watchers by which to cancel first: those that are not granted, then
+   those with higher ids, so that all entries choose the same ones.  */
 static gint
 compare_worth (gconstpointer a, gconstpointer b)
 {
