--- a/src/daemon/tasks_submit.c
+++ b/src/daemon/tasks_submit.c
@@ -97,7 +97,8 @@
   if (reply.count < submitting->count)
     reply.message = submitting->refused
                         ? submitting->refusal
-                        : "the log took no more; submit the rest again";
+                        : "the log accepts no more records now; submit the "
+                          "remaining tasks again";
   if (reply.count == 0)
     reply.result
         = submitting->refused ? GP_TASKS_REFUSED : GP_TASKS_UNAVAILABLE;
@@ -111,8 +112,8 @@
 {
   gp_tasks_done_t done = submitting->done;
   gp_tasks_answer_t reply = { .result = GP_TASKS_UNKNOWN,
-                              .message = "the log does not answer; these "
-                                         "may yet appear" };
+                              .message = "the log did not confirm these tasks "
+                                         "in time; they may still appear" };
 
   for (uint32_t i = 0; i < submitting->count; i++)
     {
@@ -165,9 +166,9 @@
 refusal_of (gp_fold_verdict_t verdict)
 {
   if (verdict == GP_FOLD_VOID_FULL)
-    return "the site holds as many tasks as it can";
+    return "the site has reached its maximum number of tasks";
   if (verdict == GP_FOLD_VOID_MALFORMED)
-    return "a field of the task is out of its bounds";
+    return "a field of the task is out of range";
   return gp_fold_verdict_name (verdict);
 }
 
@@ -226,13 +227,13 @@
   if (team == NULL)
     return "no such team in the document";
   if (team->max_tasks == 0)
-    return "the team may run no tasks";
+    return "the team's limit on running tasks is 0";
   quota = (gp_resources_t){ team->quota.millicores, team->quota.memory_mib,
                             team->quota.accelerators };
   if (!gp_resources_fit (&demand, &quota))
-    return "larger than the quota of its team, so it could never run";
+    return "the task exceeds the quota of its team, so it could never run";
   if (!gp_tasks_ever_fits (tasks, &demand))
-    return "larger than every worker, so it could never run";
+    return "the task is larger than every worker, so it could never run";
   return NULL;
 }
 
@@ -248,7 +249,7 @@
   if (submission->count == 0 || submission->count > COUNT_MAX)
     return "count must be from 1 to 10000";
   if (payload != NULL && strlen (payload) > GP_FOLD_PAYLOAD_MAX)
-    return "the payload is over 64 KiB";
+    return "the payload exceeds 64 KiB";
   if (tasks->document->limits.pending_jobs != GP_DOCUMENT_UNLIMITED
       && pending + submission->count > tasks->document->limits.pending_jobs)
     return "too many jobs are pending";
@@ -372,7 +373,7 @@
   if (!gp_store_ready (tasks->store) || tasks->document == NULL)
     {
       answer (done, data, GP_TASKS_UNAVAILABLE,
-              "the state of the site is not known here yet");
+              "this entry has not read the state of the site yet");
       return;
     }
   job = gp_document_find_batch_job (tasks->document, submission->kind);
@@ -421,16 +422,18 @@
 
   if (result == GP_PROPOSAL_EXPIRED)
     answer_cancelled (cancelling, GP_TASKS_UNAVAILABLE,
-                      "the log takes nothing now; it was not cancelled");
+                      "the log accepts no records now; the task was not "
+                      "cancelled");
   else if (result == GP_PROPOSAL_DECIDED && verdict == GP_FOLD_ACCEPTED)
     answer_cancelled (cancelling, GP_TASKS_ACCEPTED, NULL);
   else if (state != NULL && state->cancelled)
     answer_cancelled (cancelling, GP_TASKS_ACCEPTED,
-                      "it was cancelled before");
+                      "the task was already cancelled");
   else if (state == NULL)
     answer_cancelled (cancelling, GP_TASKS_REFUSED, "no such task");
   else
-    answer_cancelled (cancelling, GP_TASKS_ACCEPTED, "it has ended");
+    answer_cancelled (cancelling, GP_TASKS_ACCEPTED,
+                      "the task has already ended");
   g_free (cancelling);
 }
 
@@ -445,7 +448,7 @@
   if (!gp_store_ready (tasks->store))
     {
       answer (done, data, GP_TASKS_UNAVAILABLE,
-              "the state of the site is not known here yet");
+              "this entry has not read the state of the site yet");
       return;
     }
   if (gp_fold_task (gp_store_fold (tasks->store), task) == NULL)
@@ -464,5 +467,5 @@
     return;
   g_free (cancelling);
   answer (done, data, GP_TASKS_UNAVAILABLE,
-          "the log takes nothing now; it was not cancelled");
+          "the log accepts no records now; the task was not cancelled");
 }
--- a/src/daemon/tasks_view.c
+++ b/src/daemon/tasks_view.c
@@ -185,14 +185,15 @@
           state->millicores, state->memory_mib);
       break;
     case GP_PLACEMENT_NEVER_FITS:
-      g_string_append (text, "no worker that is there is large enough");
+      g_string_append (text, "no worker of the fleet is large enough");
       break;
     case GP_PLACEMENT_ZONE_CLOSED:
       g_string_append (text, "the workers that are large enough are in an "
                              "evacuated zone");
       break;
     case GP_PLACEMENT_AVOIDED:
-      g_string_append (text, "only workers on which it failed have room");
+      g_string_append (text, "only workers on which it has failed have "
+                             "enough free resources");
       break;
     case GP_PLACEMENT_HARMFUL:
       g_string_append (text, "it would slow a service beside it wherever "
@@ -205,7 +206,7 @@
           text, "%s",
           gp_quota_has_room (&tasks->quota, task->team->index,
                              &task->pending.charge.resources)
-              ? "its turn has not come"
+              ? "it waits for its turn in the queue"
               : "the quota of its team is used up");
       break;
     }
@@ -226,7 +227,7 @@
   if (task->over_quota)
     g_string_append (text, ", over the quota of its team");
   if (task->cost.harm > 0)
-    g_string_append_printf (text, "; expected harm there %.3f",
+    g_string_append_printf (text, "; expected interference there %.3f",
                             task->cost.harm);
 }
 
