--- a/src/daemon/downlinks.c
+++ b/src/daemon/downlinks.c
@@ -6,10 +6,10 @@
 
 #include "coordination/subset.h"
 
-/* Subsets follow the number of executors after this time.  */
+/* How often the subsets are adapted to the number of executors.  */
 #define REVIEW_INTERVAL (1 * GP_SEC)
 
-/* Is this entry a home of the guard, which then connects here itself?  */
+/* Whether this entry is a home of the guard, which then connects to it.  */
 static bool
 is_home (const gp_downlinks_t *downlinks, const gp_announcement_t *a)
 {
@@ -87,7 +87,7 @@
       return;
     }
   if (dialer != NULL)
-    return; /* moved: the old one goes when its session has closed */
+    return; /* the address changed: wait until the old session is closed */
   if (downlinks->spare->len > 0)
     {
       dialer = g_ptr_array_steal_index_fast (downlinks->spare, 0);
@@ -113,7 +113,7 @@
     return;
   gp_dialer_stop (dialer);
   if (dialer->session != NULL)
-    return; /* an open session is left to its requests and to the guard */
+    return; /* requests may use an open session; the guard closes it */
   g_hash_table_remove (downlinks->dialers, name);
   g_ptr_array_add (downlinks->spare, dialer);
 }
@@ -197,7 +197,7 @@
   gp_dialer_finish (dialer);
 }
 
-/* From here on all dialers are spare.  */
+/* Moves all dialers to SPARE and finishes them.  */
 void
 gp_downlinks_close (gp_downlinks_t *downlinks)
 {
--- a/src/daemon/downlinks.h
+++ b/src/daemon/downlinks.h
@@ -1,8 +1,8 @@
-/* Connections that an entry opens to guards it learnt of from others.
+/* Connections that an entry opens to guards it learnt of from other entries.
 
-   A guard keeps sessions to its homes; the other entries connect to its
-   address when they may have work for it: when they route to its upstream
-   (coordination/subset.h) or when it has a worker.  */
+   A guard connects to its homes itself; the other entries connect to its
+   address if they may have work for it: if they route to its upstream
+   (coordination/subset.h) or if it has a worker.  */
 
 #ifndef GP_DAEMON_DOWNLINKS_H
 #define GP_DAEMON_DOWNLINKS_H
@@ -20,23 +20,24 @@
   size_t entry_count;
   size_t self;           /* in entries */
   size_t zone_count;     /* entries of this entry's zone */
-  GHashTable *executors; /* "SERVICE/ZONE" -> how many serve */
+  GHashTable *executors; /* "SERVICE/ZONE" -> number of serving members */
   GHashTable *dialers;   /* name of a guard -> gp_dialer_t */
   GPtrArray *spare;      /* dialers that are not in use */
   gp_timer_t timer;
-  bool changed; /* members, since they were last looked over */
+  bool changed; /* some member changed since the last review */
 } gp_downlinks_t;
 
 void gp_downlinks_init (gp_downlinks_t *downlinks, gp_session_host_t *host,
                         gp_members_t *members, const gp_settings_t *settings,
                         GRand *rand);
 
-/* Release the timers, before the end of the loop, and the memory, which
-   sessions refer to, after it.  */
+/* Release the timers, before the event loop is finished, and the memory,
+   which sessions refer to, after it.  */
 void gp_downlinks_close (gp_downlinks_t *downlinks);
 void gp_downlinks_finish (gp_downlinks_t *downlinks);
 
-/* A member changed: it may have to be connected to, or no more.  */
+/* Handles a change of a member: connects to it or disconnects if need
+   be.  */
 void gp_downlinks_on_member (gp_downlinks_t *downlinks,
                              const gp_member_t *member);
 
--- a/src/daemon/laggards.c
+++ b/src/daemon/laggards.c
@@ -1,4 +1,4 @@
-/* Which guards have not got a revision yet.  */
+/* Which guards do not have the current configuration revision yet.  */
 
 #include "daemon/laggards.h"
 
@@ -6,20 +6,20 @@
 
 #define ASK_TIMEOUT (1 * GP_SEC)
 
-/* The question to one entry.  */
+/* The query to one entry.  */
 typedef struct
 {
   gp_laggards_t *laggards;
   char *entry;
-  gp_view_t *view; /* NULL once it has ended */
+  gp_view_t *view; /* NULL once answered or failed */
 } question_t;
 
 struct gp_laggards
 {
-  uint64_t revision; /* asked for */
+  uint64_t revision; /* that of this entry when it asked */
   GPtrArray *questions;
   unsigned open;
-  GHashTable *answers; /* entry -> json_t: revisions of guards behind */
+  GHashTable *answers; /* entry -> json_t: guards with older revisions */
   void (*done) (const gp_laggards_t *laggards, void *data);
   void *data;
 };
--- a/src/daemon/limits.c
+++ b/src/daemon/limits.c
@@ -1,13 +1,13 @@
-/* Limits of the document on callers' requests.  */
+/* Limits of the document on callers' requests, as applied by one entry.  */
 
 #include "daemon/limits.h"
 
-/* Hint to a caller when a place among the requests in progress is awaited,
-   and when nothing is let pass.  */
+/* Retry hints for callers: when too many requests are in progress, and when
+   the limit admits no requests at all.  */
 #define CONCURRENT_HINT (1 * GP_SEC)
 #define CLOSED_HINT (60 * GP_SEC)
 
-/* Keys: what is limited.  */
+/* Keys of the limits.  */
 
 static char *
 team_key (const char *team)
@@ -55,7 +55,7 @@
   limit->rated = rated;
 }
 
-/* Takes KEY.  */
+/* Sets the limit of KEY, which is freed.  */
 static void
 set_limit (gp_limits_t *limits, char *key, const gp_document_limit_t *to,
            gp_time_t now)
@@ -83,7 +83,8 @@
   limit->declared = false;
 }
 
-/* A limit that is declared no more is open while requests count for it.  */
+/* Removes a limit that is no longer declared; while requests are counted
+   against it, it is kept as unlimited.  */
 static gboolean
 drop_undeclared (gpointer key, gpointer value, gpointer data)
 {
@@ -125,7 +126,7 @@
 
 /* Requests.  */
 
-/* Add the limit of KEY, which is taken, if there is one.  */
+/* Adds the limit of KEY, if there is one, and frees KEY.  */
 static void
 add_limit (gp_limits_t *limits, char *key, gp_limits_hold_t *hold)
 {
--- a/src/daemon/limits.h
+++ b/src/daemon/limits.h
@@ -1,10 +1,10 @@
-/* Limits of the document on callers' requests, as one entry keeps them.
+/* Limits of the document on callers' requests, as applied by one entry.
 
-   A limit on a team, a kind or a class holds for the whole site.  Each of its
-   N entries keeps a fixed share, so that all together never let more pass,
-   also while they cannot talk to each other: of a number of requests in
-   progress the whole part of 1/N, the rest going to the first entries; of a
-   rate 1/N, with a burst of one second.  */
+   A limit on a team, a kind or a class applies to the whole site.  Each of
+   its N entries enforces a fixed share, so that together they never admit
+   more, even while they cannot communicate.  A limit on concurrent requests
+   is divided by N, and the remainder goes to the first entries.  A rate is
+   divided by N, with a burst of one second.  */
 
 #ifndef GP_DAEMON_LIMITS_H
 #define GP_DAEMON_LIMITS_H
@@ -26,11 +26,11 @@
 typedef struct
 {
   uint32_t entries;
-  uint32_t self; /* place of this entry among them */
+  uint32_t self; /* index of this entry */
   GHashTable *by_key;
 } gp_limits_t;
 
-/* Whose limits a request counts for; NULL or "": none.  */
+/* The attributes of a request that select its limits; NULL or "": none.  */
 typedef struct
 {
   const char *team;
@@ -41,7 +41,7 @@
 
 #define GP_LIMITS_PER_REQUEST 3
 
-/* What one request holds.  */
+/* The limits that a request counts against.  */
 typedef struct
 {
   gp_limit_t *limits[GP_LIMITS_PER_REQUEST];
@@ -51,12 +51,13 @@
 void gp_limits_init (gp_limits_t *limits, uint32_t entries, uint32_t self);
 void gp_limits_finish (gp_limits_t *limits);
 
-/* Take over the limits of DOCUMENT; requests in progress stay counted.  */
+/* Applies the limits of DOCUMENT; requests in progress remain counted.  */
 void gp_limits_configure (gp_limits_t *limits, const gp_document_t *document,
                           gp_time_t now);
 
-/* Take what a request of SUBJECT needs, all or nothing.  False: RETRY_AFTER
-   is the duration after which it may be tried again.  */
+/* Acquires all limits that apply to a request of SUBJECT, or none.  If it
+   returns false, RETRY_AFTER is the duration after which the request may be
+   tried again.  */
 bool gp_limits_take (gp_limits_t *limits, const gp_limits_subject_t *subject,
                      gp_limits_hold_t *hold, gp_time_t now,
                      gp_time_t *retry_after);
--- a/src/daemon/news.c
+++ b/src/daemon/news.c
@@ -1,4 +1,4 @@
-/* Membership between entries.  */
+/* Exchange of membership between entries.  */
 
 #include "daemon/news.h"
 
@@ -8,10 +8,10 @@
 
 #define TICK (100 * GP_MSEC)
 
-/* Signs of life in the time after which silence counts.  */
+/* Number of heartbeats to other entries within suspect_after.  */
 #define SIGNS_PER_SUSPICION 4
 
-/* Of one message; a piece of news is far smaller.  */
+/* Limits of one message; a single MemberNews is far smaller.  */
 #define NEWS_PER_MESSAGE 512
 #define MESSAGE_BUDGET ((size_t)256 * 1024)
 
@@ -22,7 +22,7 @@
   gp_time_t told_at;
 } gp_news_reader_t;
 
-/* One message that is put together; the wire structures point to it.  */
+/* Storage for one message; the wire structures point into it.  */
 typedef struct
 {
   gp_time_t now;
@@ -42,7 +42,7 @@
 static gp_counter_t news_stale = GP_COUNTER ("entry_member_news_stale_total",
                                              "News of older incarnations.");
 
-/* Telling.  */
+/* Sending.  */
 
 static void
 fill_announce (message_t *message, const gp_announcement_t *a)
@@ -127,8 +127,9 @@
   gp_session_send (reader->session, &envelope);
 }
 
-/* Tell READER what it does not know; without news, that this entry lives
-   when it is time.  */
+/* Sends READER the changes since its cursor; if there are none and the
+   interval has passed, an empty message that shows that this entry is
+   alive.  */
 static void
 tell (gp_news_t *news, gp_news_reader_t *reader, message_t *message)
 {
@@ -186,7 +187,7 @@
     gp_deferred_schedule (&news->deferred, news->host->loop);
 }
 
-/* Learning.  */
+/* Receiving.  */
 
 static gp_member_news_t
 read_news (const Gp__Wire__MemberNews *wire, gp_time_t now)
