--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -82,7 +82,7 @@
       && strcmp (ask->process, entry->settings->name) != 0)
     gp_views_forward (&entry->views, session, ask);
   else if (ask->kind == GP__WIRE__VIEW_KIND__VIEW_KIND_LAGGARDS)
-    gp_laggards_serve (entry, session, ask);
+    gp_laggards_answer (entry, session, ask);
   else
     gp_view_serve (session, &entry->timeline, ask);
 }
@@ -125,7 +125,7 @@
       gp_views_on_view (&entry->views, session, envelope->view);
       break;
     case GP__WIRE__ENVELOPE__MESSAGE_MEMBERS:
-      gp_routes_settle (&entry->routes);
+      gp_routes_apply_changes (&entry->routes);
       break;
     default:
       break;
@@ -140,7 +140,7 @@
   gp_entry_t *entry = data;
 
   if (session->object != NULL)
-    gp_relays_on_drain (&entry->relays, session->object);
+    gp_relays_on_session_writable (&entry->relays, session->object);
 }
 
 static void
@@ -159,11 +159,11 @@
   gp_views_on_closed (&entry->views, session);
   gp_news_on_closed (&entry->news, session);
   if (session->object != NULL)
-    gp_relays_on_closed (&entry->relays, session);
+    gp_relays_on_session_closed (&entry->relays, session);
   gp_tasks_on_closed (entry->tasks, session);
   gp_configuration_on_closed (entry->configuration, session);
   if (session->role == GP__WIRE__ROLE__ROLE_GUARD)
-    gp_routes_closed (&entry->routes, session);
+    gp_routes_session_closed (&entry->routes, session);
 }
 
 static const gp_session_callbacks_t session_callbacks = {
@@ -320,9 +320,9 @@
           GP_LOG_I ("revision", revision));
   entry->config_since_us = gp_time_wall ();
   tell_state (entry);
-  gp_routes_evacuate (&entry->routes,
-                      document != NULL ? document->evacuated_zones : NULL,
-                      document != NULL ? document->evacuated_zones_count : 0);
+  gp_routes_set_evacuated_zones (
+      &entry->routes, document != NULL ? document->evacuated_zones : NULL,
+      document != NULL ? document->evacuated_zones_count : 0);
   gp_relays_set_document (&entry->relays, document);
   gp_tasks_set_document (entry->tasks, document, revision);
 }
@@ -376,7 +376,7 @@
 {
   gp_entry_t *entry = data;
 
-  gp_relays_on_silent (&entry->relays, target);
+  gp_relays_on_suspect (&entry->relays, target);
 }
 
 /* Each pair of entries shares one session, opened by the one that comes first
--- a/src/daemon/laggards.c
+++ b/src/daemon/laggards.c
@@ -87,9 +87,9 @@
 }
 
 gp_laggards_t *
-gp_laggards_ask (gp_entry_t *entry,
-                 void (*done) (const gp_laggards_t *laggards, void *data),
-                 void *data)
+gp_laggards_query (gp_entry_t *entry,
+                   void (*done) (const gp_laggards_t *laggards, void *data),
+                   void *data)
 {
   gp_laggards_t *laggards = g_new0 (gp_laggards_t, 1);
 
@@ -130,8 +130,8 @@
 }
 
 void
-gp_laggards_serve (const gp_entry_t *entry, gp_session_t *session,
-                   const Gp__Wire__ViewAsk *ask)
+gp_laggards_answer (const gp_entry_t *entry, gp_session_t *session,
+                    const Gp__Wire__ViewAsk *ask)
 {
   json_t *behind = json_object ();
   GString *text = g_string_new (NULL);
--- a/src/daemon/laggards.h
+++ b/src/daemon/laggards.h
@@ -16,10 +16,10 @@
 /* Queries all connected entries.  DONE is called once within a second,
    possibly from within this function (which then returns NULL), unless the
    query is cancelled.  The result is valid during DONE and freed after it.  */
-gp_laggards_t *gp_laggards_ask (gp_entry_t *entry,
-                                void (*done) (const gp_laggards_t *laggards,
-                                              void *data),
-                                void *data);
+gp_laggards_t *gp_laggards_query (gp_entry_t *entry,
+                                  void (*done) (const gp_laggards_t *laggards,
+                                                void *data),
+                                  void *data);
 void gp_laggards_cancel (gp_laggards_t *laggards);
 
 /* Sets *REVISION to the revision of GUARD as reported by the entry REPORTER;
@@ -28,7 +28,7 @@
                            const char *guard, uint64_t *revision);
 
 /* Answers the query of another entry.  */
-void gp_laggards_serve (const gp_entry_t *entry, gp_session_t *session,
-                        const Gp__Wire__ViewAsk *ask);
+void gp_laggards_answer (const gp_entry_t *entry, gp_session_t *session,
+                         const Gp__Wire__ViewAsk *ask);
 
 #endif
--- a/src/daemon/limits.c
+++ b/src/daemon/limits.c
@@ -128,7 +128,7 @@
 
 /* Adds the limit of KEY, if there is one, and frees KEY.  */
 static void
-add_limit (gp_limits_t *limits, char *key, gp_limits_hold_t *hold)
+add_limit (gp_limits_t *limits, char *key, gp_limits_permit_t *hold)
 {
   gp_limit_t *limit = g_hash_table_lookup (limits->by_key, key);
 
@@ -139,7 +139,7 @@
 
 static void
 find_limits (gp_limits_t *limits, const gp_limits_subject_t *subject,
-             gp_limits_hold_t *hold)
+             gp_limits_permit_t *hold)
 {
   hold->count = 0;
   if (g_hash_table_size (limits->by_key) == 0)
@@ -152,7 +152,7 @@
 }
 
 static bool
-has_place (const gp_limits_hold_t *hold, gp_time_t *retry_after)
+has_place (const gp_limits_permit_t *hold, gp_time_t *retry_after)
 {
   for (size_t i = 0; i < hold->count; i++)
     {
@@ -167,7 +167,7 @@
 }
 
 static bool
-take_rates (const gp_limits_hold_t *hold, gp_time_t now,
+take_rates (const gp_limits_permit_t *hold, gp_time_t now,
             gp_time_t *retry_after)
 {
   gp_limiter_t *rates[GP_LIMITS_PER_REQUEST];
@@ -184,8 +184,9 @@
 }
 
 bool
-gp_limits_take (gp_limits_t *limits, const gp_limits_subject_t *subject,
-                gp_limits_hold_t *hold, gp_time_t now, gp_time_t *retry_after)
+gp_limits_acquire (gp_limits_t *limits, const gp_limits_subject_t *subject,
+                   gp_limits_permit_t *hold, gp_time_t now,
+                   gp_time_t *retry_after)
 {
   find_limits (limits, subject, hold);
   if (!has_place (hold, retry_after) || !take_rates (hold, now, retry_after))
@@ -199,7 +200,7 @@
 }
 
 void
-gp_limits_release (gp_limits_hold_t *hold)
+gp_limits_release (gp_limits_permit_t *hold)
 {
   for (size_t i = 0; i < hold->count; i++)
     hold->limits[i]->running--;
--- a/src/daemon/limits.h
+++ b/src/daemon/limits.h
@@ -46,7 +46,7 @@
 {
   gp_limit_t *limits[GP_LIMITS_PER_REQUEST];
   size_t count;
-} gp_limits_hold_t;
+} gp_limits_permit_t;
 
 void gp_limits_init (gp_limits_t *limits, uint32_t entries, uint32_t self);
 void gp_limits_finish (gp_limits_t *limits);
@@ -58,9 +58,10 @@
 /* Acquires all limits that apply to a request of SUBJECT, or none.  If it
    returns false, RETRY_AFTER is the duration after which the request may be
    tried again.  */
-bool gp_limits_take (gp_limits_t *limits, const gp_limits_subject_t *subject,
-                     gp_limits_hold_t *hold, gp_time_t now,
-                     gp_time_t *retry_after);
-void gp_limits_release (gp_limits_hold_t *hold);
+bool gp_limits_acquire (gp_limits_t *limits,
+                        const gp_limits_subject_t *subject,
+                        gp_limits_permit_t *hold, gp_time_t now,
+                        gp_time_t *retry_after);
+void gp_limits_release (gp_limits_permit_t *hold);
 
 #endif
--- a/src/daemon/news.c
+++ b/src/daemon/news.c
@@ -20,7 +20,7 @@
   gp_session_t *session;
   uint64_t cursor;
   gp_time_t told_at;
-} gp_news_reader_t;
+} gp_news_peer_t;
 
 /* Storage for one message; the wire structures point into it.  */
 typedef struct
@@ -115,7 +115,7 @@
 }
 
 static void
-send_message (gp_news_reader_t *reader, message_t *message)
+send_message (gp_news_peer_t *reader, message_t *message)
 {
   Gp__Wire__Members members = GP__WIRE__MEMBERS__INIT;
   Gp__Wire__Envelope envelope = GP_ENVELOPE (MEMBERS, members, &members);
@@ -131,7 +131,7 @@
    interval has passed, an empty message that shows that this entry is
    alive.  */
 static void
-tell (gp_news_t *news, gp_news_reader_t *reader, message_t *message)
+tell (gp_news_t *news, gp_news_peer_t *reader, message_t *message)
 {
   message->now = gp_loop_now (news->host->loop);
   if (gp_members_cursor_lost (news->members, reader->cursor))
@@ -260,11 +260,11 @@
 void
 gp_news_on_ready (gp_news_t *news, gp_session_t *session)
 {
-  gp_news_reader_t *reader;
+  gp_news_peer_t *reader;
 
   if (strcmp (session->region, news->host->self.region) != 0)
     return;
-  reader = g_new0 (gp_news_reader_t, 1);
+  reader = g_new0 (gp_news_peer_t, 1);
   reader->session = session;
   g_hash_table_insert (news->readers, session, reader);
   gp_members_reporter_open (news->members, session->process,
--- a/src/daemon/news.h
+++ b/src/daemon/news.h
@@ -13,7 +13,7 @@
 {
   gp_session_host_t *host;
   gp_members_t *members;
-  GHashTable *readers; /* gp_session_t -> gp_news_reader_t */
+  GHashTable *readers; /* gp_session_t -> gp_news_peer_t */
   gp_timer_t timer;
   gp_deferred_t deferred;
   gp_time_t interval; /* of messages without news, as heartbeats */
--- a/src/daemon/operators_status.c
+++ b/src/daemon/operators_status.c
@@ -365,7 +365,7 @@
 
   reader->entry = request->entry;
   reader->exchange = request->exchange;
-  laggards = gp_laggards_ask (request->entry, on_laggards, reader);
+  laggards = gp_laggards_query (request->entry, on_laggards, reader);
   if (laggards == NULL)
     return;
   reader->laggards = laggards;
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -56,7 +56,7 @@
 }
 
 void
-gp_relay_set_wake (gp_relay_t *relay, gp_time_t at)
+gp_relay_set_timeout (gp_relay_t *relay, gp_time_t at)
 {
   gp_heap_remove (&relay->relays->deadlines, &relay->node);
   relay->wake_at = at;
@@ -76,7 +76,7 @@
   gp_idpool_remove (&relay->relays->tries, relay->handle);
   gp_list_remove (&relay->link);
   relay->target = NULL;
-  gp_routes_done (relay->relays->routes, target);
+  gp_routes_request_done (relay->relays->routes, target);
 }
 
 void
@@ -84,7 +84,7 @@
 {
   gp_relays_t *relays = relay->relays;
 
-  gp_relay_end_key (relay, GP__WIRE__VERDICT__VERDICT_UNSPECIFIED);
+  gp_relay_record_outcome (relay, GP__WIRE__VERDICT__VERDICT_UNSPECIFIED);
   end_try (relay);
   gp_list_remove (&relay->waiting);
   if (!relay->expired)
@@ -179,7 +179,7 @@
   if (relay->route.n_tried < GP_ROUTER_MAX_TRIED)
     relay->route.tried[relay->route.n_tried++] = candidate;
   gp_list_push_back (&target->relays, &relay->link);
-  gp_routes_sent (relays->routes, target);
+  gp_routes_request_sent (relays->routes, target);
   gp_counter_add (&tries_sent, 1);
   gp_relay_send (relay, now);
 }
@@ -193,7 +193,7 @@
 
   if (!relay->cancelled)
     gp_counter_add (&callers_gone, 1);
-  if (gp_relay_awaits_outcome (relay))
+  if (gp_relay_must_await_outcome (relay))
     {
       relay->exchange = NULL;
       return;
@@ -211,8 +211,8 @@
                                   .kind = relay->kind,
                                   .work_class = relay->work_class };
 
-  return gp_limits_take (&relay->relays->limits, &subject, &relay->hold,
-                         gp_loop_now (relay->relays->loop), retry_after);
+  return gp_limits_acquire (&relay->relays->limits, &subject, &relay->hold,
+                            gp_loop_now (relay->relays->loop), retry_after);
 }
 
 static gp_relay_t *
@@ -231,13 +231,13 @@
                   gp_loop_now (relays->loop) + SWEEP_INTERVAL);
   gp_list_push_back (&relays->waiting, &relay->waiting);
   relay->body_size = gp_http_exchange_body (exchange).size;
-  gp_relay_find_policy (relay);
+  gp_relay_apply_policy (relay);
   relay->route.may_probe = relay->idempotent;
   relay->wake_at = relay->deadline + ANSWER_GRACE;
   gp_heap_insert (&relays->deadlines, &relay->node);
   relays->open++;
   gp_counter_set (&relays_open, (int64_t)relays->open);
-  gp_http_exchange_watch (exchange, on_gone, gp_relay_on_proceed, relay);
+  gp_http_exchange_watch (exchange, on_gone, gp_relay_on_part_taken, relay);
   return relay;
 }
 
@@ -250,10 +250,10 @@
   bool declared = relays->document != NULL
                   && gp_document_find_service (relays->document, name) != NULL;
 
-  gp_relay_refuse (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                   declared ? GP__WIRE__REASON__REASON_NO_CANDIDATE
-                            : GP__WIRE__REASON__REASON_NO_SUCH_SERVICE,
-                   declared ? GP_SEC : -1);
+  gp_relay_answer_failure (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                           declared ? GP__WIRE__REASON__REASON_NO_CANDIDATE
+                                    : GP__WIRE__REASON__REASON_NO_SUCH_SERVICE,
+                           declared ? GP_SEC : -1);
 }
 
 void
@@ -269,7 +269,7 @@
   if (!gp_relay_service_name (exchange, name, sizeof name))
     name[0] = '\0';
   else
-    service = gp_routes_find (relays->routes, name);
+    service = gp_routes_find_service (relays->routes, name);
   if (service == NULL)
     {
       refuse_unknown (relays, exchange, name);
@@ -277,14 +277,14 @@
     }
   if (!gp_relay_headers_fit (exchange))
     {
-      gp_relay_refuse (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                       GP__WIRE__REASON__REASON_TOO_LARGE, -1);
+      gp_relay_answer_failure (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                               GP__WIRE__REASON__REASON_TOO_LARGE, -1);
       return;
     }
   if (relays->open >= relays->max_open)
     {
-      gp_relay_refuse (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                       GP__WIRE__REASON__REASON_QUEUE_FULL, GP_SEC);
+      gp_relay_answer_failure (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                               GP__WIRE__REASON__REASON_QUEUE_FULL, GP_SEC);
       return;
     }
   relay = relay_new (relays, exchange, service);
@@ -328,10 +328,11 @@
   bool ran = answer->verdict == GP__WIRE__VERDICT__VERDICT_RAN;
 
   if (answer->load != NULL)
-    gp_routes_report (routes, relay->target, answer->load);
+    gp_routes_record_load (routes, relay->target, answer->load);
   if (ran || is_fault (answer))
-    gp_routes_record (routes, relay->target, !is_fault (answer),
-                      gp_loop_now (relay->relays->loop) - relay->sent_at);
+    gp_routes_record_result (routes, relay->target, !is_fault (answer),
+                             gp_loop_now (relay->relays->loop)
+                                 - relay->sent_at);
 }
 
 void
@@ -355,7 +356,7 @@
   if (answer->last)
     gp_relay_answer (relay, answer);
   else
-    gp_relay_stream (relay, answer);
+    gp_relay_start_stream (relay, answer);
 }
 
 void
@@ -372,7 +373,7 @@
     gp_keyed_keep_part (relay->keyed, part->data.data, part->data.len);
   if (part->last)
     end_try (relay);
-  gp_relay_send_next (relay);
+  gp_relay_send_next_part (relay);
 }
 
 void
@@ -382,11 +383,11 @@
   gp_relay_t *relay = find_relay (relays, session, broken->id);
 
   if (relay != NULL && relay->streaming)
-    gp_relay_cut (relay);
+    gp_relay_abort_stream (relay);
 }
 
 void
-gp_relays_on_drain (gp_relays_t *relays, gp_target_t *target)
+gp_relays_on_session_writable (gp_relays_t *relays, gp_target_t *target)
 {
   (void)relays;
   GP_LIST_FOREACH (pos, &target->relays)
@@ -410,7 +411,7 @@
 }
 
 void
-gp_relays_on_closed (gp_relays_t *relays, gp_session_t *session)
+gp_relays_on_session_closed (gp_relays_t *relays, gp_session_t *session)
 {
   gp_target_t *target = session->object;
 
@@ -422,7 +423,7 @@
     if (relay->session != session)
       continue;
     if (relay->streaming)
-      gp_relay_cut (relay);
+      gp_relay_abort_stream (relay);
     else
       decide (relay, verdict_of_loss (relay),
               GP__WIRE__REASON__REASON_UPSTREAM);
@@ -432,7 +433,7 @@
 /* Streaming answers may still continue, and a relay whose caller has left can
    wait for a late verdict.  */
 void
-gp_relays_on_silent (gp_relays_t *relays, gp_target_t *target)
+gp_relays_on_suspect (gp_relays_t *relays, gp_target_t *target)
 {
   (void)relays;
   GP_LIST_FOREACH_SAFE (pos, &target->relays)
@@ -492,7 +493,7 @@
   if (relay->target != NULL)
     gp_relay_send_cancel (relay);
   if (relay->streaming)
-    gp_relay_cut (relay);
+    gp_relay_abort_stream (relay);
   else
     gp_relay_fail (relay, verdict_of_loss (relay),
                    GP__WIRE__REASON__REASON_DEADLINE, -1);
--- a/src/daemon/relay.h
+++ b/src/daemon/relay.h
@@ -61,12 +61,12 @@
 
 /* Called when the session of TARGET can take more data, and when a session
    that has a target was closed.  */
-void gp_relays_on_drain (gp_relays_t *relays, gp_target_t *target);
-void gp_relays_on_closed (gp_relays_t *relays, gp_session_t *session);
+void gp_relays_on_session_writable (gp_relays_t *relays, gp_target_t *target);
+void gp_relays_on_session_closed (gp_relays_t *relays, gp_session_t *session);
 
 /* Called when TARGET has become suspect (no heartbeats) although its session
    is open.  Attempts that wait for it are ended: the request is retried on
    another target, or answered at once.  */
-void gp_relays_on_silent (gp_relays_t *relays, gp_target_t *target);
+void gp_relays_on_suspect (gp_relays_t *relays, gp_target_t *target);
 
 #endif
--- a/src/daemon/relay_answer.c
+++ b/src/daemon/relay_answer.c
@@ -102,8 +102,9 @@
 }
 
 void
-gp_relay_refuse (gp_http_exchange_t *exchange, Gp__Wire__Verdict verdict,
-                 Gp__Wire__Reason reason, gp_time_t retry_after)
+gp_relay_answer_failure (gp_http_exchange_t *exchange,
+                         Gp__Wire__Verdict verdict, Gp__Wire__Reason reason,
+                         gp_time_t retry_after)
 {
   char reason_text[GP_RELAY_NAME_SIZE];
   char seconds[24];
@@ -156,8 +157,8 @@
 {
   note_failure (relay, verdict, reason);
   if (relay->exchange != NULL)
-    gp_relay_refuse (relay->exchange, verdict, reason, retry_after);
-  gp_relay_end_key (relay, verdict);
+    gp_relay_answer_failure (relay->exchange, verdict, reason, retry_after);
+  gp_relay_record_outcome (relay, verdict);
   gp_relay_free (relay);
 }
 
@@ -191,12 +192,12 @@
 {
   gp_relays_t *relays = relay->relays;
 
-  gp_relay_set_wake (relay,
-                     gp_loop_now (relays->loop) + relays->stall_timeout);
+  gp_relay_set_timeout (relay,
+                        gp_loop_now (relays->loop) + relays->stall_timeout);
 }
 
 void
-gp_relay_send_next (gp_relay_t *relay)
+gp_relay_send_next_part (gp_relay_t *relay)
 {
   size_t size = MIN (relay->pending->len, GP_PART_SIZE);
   bool final = relay->last_received && size == relay->pending->len;
@@ -217,7 +218,7 @@
 }
 
 void
-gp_relay_on_proceed (void *data)
+gp_relay_on_part_taken (void *data)
 {
   gp_relay_t *relay = data;
 
@@ -225,11 +226,11 @@
   note_progress (relay);
   if (relay->target != NULL && !relay->last_received)
     gp_relay_send_credit (relay, relay->in_flight_size);
-  gp_relay_send_next (relay);
+  gp_relay_send_next_part (relay);
 }
 
 void
-gp_relay_stream (gp_relay_t *relay, const Gp__Wire__Answer *answer)
+gp_relay_start_stream (gp_relay_t *relay, const Gp__Wire__Answer *answer)
 {
   gp_http_header_t headers[GP_HEADERS_MAX + EXTRA_HEADERS];
   size_t count = answer_headers (answer, headers);
@@ -247,15 +248,15 @@
                           answer->content_length);
   g_byte_array_append (relay->pending, answer->data.data,
                        (guint)answer->data.len);
-  gp_relay_send_next (relay);
+  gp_relay_send_next_part (relay);
 }
 
 void
-gp_relay_cut (gp_relay_t *relay)
+gp_relay_abort_stream (gp_relay_t *relay)
 {
   gp_counter_add (&answers_cut, 1);
   gp_http_exchange_abort (relay->exchange);
-  gp_relay_end_key (relay, GP__WIRE__VERDICT__VERDICT_UNKNOWN);
+  gp_relay_record_outcome (relay, GP__WIRE__VERDICT__VERDICT_UNKNOWN);
   gp_relay_free (relay);
 }
 
--- a/src/daemon/relay_keyed.c
+++ b/src/daemon/relay_keyed.c
@@ -17,7 +17,7 @@
 }
 
 void
-gp_relay_end_key (gp_relay_t *relay, Gp__Wire__Verdict verdict)
+gp_relay_record_outcome (gp_relay_t *relay, Gp__Wire__Verdict verdict)
 {
   if (relay->keyed == NULL)
     return;
@@ -29,7 +29,7 @@
 }
 
 bool
-gp_relay_awaits_outcome (const gp_relay_t *relay)
+gp_relay_must_await_outcome (const gp_relay_t *relay)
 {
   return relay->keyed != NULL && relay->target != NULL && !relay->streaming
          && relay->body_sent == relay->body_size;
--- a/src/daemon/relay_policy.c
+++ b/src/daemon/relay_policy.c
@@ -94,7 +94,7 @@
 }
 
 void
-gp_relay_find_policy (gp_relay_t *relay)
+gp_relay_apply_policy (gp_relay_t *relay)
 {
   const gp_document_t *document = relay->relays->document;
   const gp_document_service_t *service = NULL;
--- a/src/daemon/relay_private.h
+++ b/src/daemon/relay_private.h
@@ -21,7 +21,7 @@
                                     header */
   char team[GP_RELAY_NAME_SIZE];
   gp_document_class_t work_class;
-  gp_limits_hold_t hold;
+  gp_limits_permit_t hold;
   gp_keyed_t *keyed;     /* whose outcome must be recorded, or NULL */
   gp_target_t *target;   /* of the current attempt, or NULL */
   gp_session_t *session; /* of the current or last attempt */
@@ -51,7 +51,7 @@
 } gp_relay_t;
 
 /* Lifecycle.  */
-void gp_relay_set_wake (gp_relay_t *relay, gp_time_t at);
+void gp_relay_set_timeout (gp_relay_t *relay, gp_time_t at);
 void gp_relay_free (gp_relay_t *relay);
 
 /* Sends the request to an upstream, or answers that there is none.  */
@@ -64,11 +64,11 @@
 
 /* Records the outcome of a keyed request, once.  UNSPECIFIED: the verdict is
    derived from the progress of the relay.  */
-void gp_relay_end_key (gp_relay_t *relay, Gp__Wire__Verdict verdict);
+void gp_relay_record_outcome (gp_relay_t *relay, Gp__Wire__Verdict verdict);
 
 /* Whether to wait for the verdict on a keyed request after its caller has
    left.  */
-bool gp_relay_awaits_outcome (const gp_relay_t *relay);
+bool gp_relay_must_await_outcome (const gp_relay_t *relay);
 
 /* Copies the first segment of EXCHANGE's path to NAME; false if it is empty
    or does not fit.  */
@@ -80,7 +80,7 @@
 
 /* Copies the settings for the request from the document, whose structures
    may be replaced while the request is in progress.  */
-void gp_relay_find_policy (gp_relay_t *relay);
+void gp_relay_apply_policy (gp_relay_t *relay);
 
 /* The path after the service's name.  */
 gp_http_text_t gp_relay_path (const gp_relay_t *relay);
@@ -93,8 +93,9 @@
 
 /* Answers EXCHANGE with a failure.  RETRY_AFTER is a duration; if it is
    negative, the answer has no retry hint.  */
-void gp_relay_refuse (gp_http_exchange_t *exchange, Gp__Wire__Verdict verdict,
-                      Gp__Wire__Reason reason, gp_time_t retry_after);
+void gp_relay_answer_failure (gp_http_exchange_t *exchange,
+                              Gp__Wire__Verdict verdict,
+                              Gp__Wire__Reason reason, gp_time_t retry_after);
 
 /* Answers RELAY's exchange with a failure and frees RELAY.  */
 void gp_relay_fail (gp_relay_t *relay, Gp__Wire__Verdict verdict,
@@ -104,15 +105,15 @@
 void gp_relay_answer (gp_relay_t *relay, const Gp__Wire__Answer *answer);
 
 /* Starts to stream an answer; ANSWER holds its head and first part.  */
-void gp_relay_stream (gp_relay_t *relay, const Gp__Wire__Answer *answer);
+void gp_relay_start_stream (gp_relay_t *relay, const Gp__Wire__Answer *answer);
 
 /* Sends the next pending part to the caller; frees RELAY after the last.  */
-void gp_relay_send_next (gp_relay_t *relay);
-void gp_relay_on_proceed (void *data);
+void gp_relay_send_next_part (gp_relay_t *relay);
+void gp_relay_on_part_taken (void *data);
 
 /* Aborts a streamed answer, so that the caller sees it is incomplete; frees
    RELAY.  */
-void gp_relay_cut (gp_relay_t *relay);
+void gp_relay_abort_stream (gp_relay_t *relay);
 
 void gp_relay_register_counters (void);
 
--- a/src/daemon/routes.c
+++ b/src/daemon/routes.c
@@ -45,7 +45,7 @@
 }
 
 gp_service_t *
-gp_routes_find (gp_routes_t *routes, const char *name)
+gp_routes_find_service (gp_routes_t *routes, const char *name)
 {
   return g_hash_table_lookup (routes->services, name);
 }
@@ -70,7 +70,7 @@
   gp_target_t *target = g_new0 (gp_target_t, 1);
   const char *name = member->announcement.service;
 
-  target->service = gp_routes_find (routes, name);
+  target->service = gp_routes_find_service (routes, name);
   if (target->service == NULL)
     target->service = service_new (routes, name);
   target->member = member;
@@ -192,7 +192,7 @@
 }
 
 void
-gp_routes_settle (gp_routes_t *routes)
+gp_routes_apply_changes (gp_routes_t *routes)
 {
   gp_member_t *member;
 
@@ -206,8 +206,8 @@
 }
 
 void
-gp_routes_evacuate (gp_routes_t *routes, const gp_document_zone_t *zones,
-                    uint32_t count)
+gp_routes_set_evacuated_zones (gp_routes_t *routes,
+                               const gp_document_zone_t *zones, uint32_t count)
 {
   GHashTableIter iter;
   gpointer member;
@@ -303,7 +303,7 @@
       return false;
     }
   attach_session (routes, session);
-  gp_routes_settle (routes);
+  gp_routes_apply_changes (routes);
   return true;
 }
 
@@ -329,7 +329,7 @@
     gp_counter_add (&stale_messages, 1);
   else if (target != NULL && target->routed && reported != NULL)
     gp_router_report (&target->service->router, &target->candidate, &load);
-  gp_routes_settle (routes);
+  gp_routes_apply_changes (routes);
 }
 
 /* Another open session with the same incarnation of a guard, or NULL.  */
@@ -349,7 +349,7 @@
 }
 
 void
-gp_routes_closed (gp_routes_t *routes, gp_session_t *session)
+gp_routes_session_closed (gp_routes_t *routes, gp_session_t *session)
 {
   gp_target_t *target = session->object;
   gp_session_t *other = other_session (routes, session);
@@ -365,12 +365,12 @@
     gp_members_connection_lost (&routes->members, session->process,
                                 session->incarnation,
                                 gp_loop_now (routes->loop));
-  gp_routes_settle (routes);
+  gp_routes_apply_changes (routes);
 }
 
 void
-gp_routes_report (gp_routes_t *routes, gp_target_t *target,
-                  const Gp__Wire__Load *load)
+gp_routes_record_load (gp_routes_t *routes, gp_target_t *target,
+                       const Gp__Wire__Load *load)
 {
   gp_load_t reported = { .running = load->running,
                          .queued = load->queued,
@@ -411,8 +411,8 @@
 }
 
 void
-gp_routes_record (gp_routes_t *routes, gp_target_t *target, bool success,
-                  gp_time_t duration)
+gp_routes_record_result (gp_routes_t *routes, gp_target_t *target,
+                         bool success, gp_time_t duration)
 {
   gp_outlier_t *outlier = &target->service->outlier;
   gp_time_t now = gp_loop_now (routes->loop);
@@ -429,7 +429,7 @@
 }
 
 void
-gp_routes_sent (gp_routes_t *routes, gp_target_t *target)
+gp_routes_request_sent (gp_routes_t *routes, gp_target_t *target)
 {
   gp_outlier_t *outlier = &target->service->outlier;
 
@@ -440,7 +440,7 @@
 }
 
 void
-gp_routes_done (gp_routes_t *routes, gp_target_t *target)
+gp_routes_request_done (gp_routes_t *routes, gp_target_t *target)
 {
   (void)routes;
   gp_router_done (&target->service->router, &target->candidate);
@@ -482,7 +482,7 @@
 
   if (may_judge (routes, now))
     gp_members_tick (&routes->members, now);
-  gp_routes_settle (routes);
+  gp_routes_apply_changes (routes);
   g_hash_table_iter_init (&iter, routes->services);
   while (g_hash_table_iter_next (&iter, NULL, &service))
     tick_service (routes, service, now);
--- a/src/daemon/routes.h
+++ b/src/daemon/routes.h
@@ -66,11 +66,12 @@
 
 /* Sets the evacuated zones: upstreams in them get no new requests.  Requests
    in progress continue.  */
-void gp_routes_evacuate (gp_routes_t *routes, const gp_document_zone_t *zones,
-                         uint32_t count);
+void gp_routes_set_evacuated_zones (gp_routes_t *routes,
+                                    const gp_document_zone_t *zones,
+                                    uint32_t count);
 
 /* Finds the service NAME; NULL if no upstream ever announced it.  */
-gp_service_t *gp_routes_find (gp_routes_t *routes, const char *name);
+gp_service_t *gp_routes_find_service (gp_routes_t *routes, const char *name);
 
 /* Handles the announcement of a guard over SESSION.  Returns false if the
    guard's incarnation is outdated; the session should be closed then.  When
@@ -86,21 +87,21 @@
 /* Handles the end of a guard's session; its target gets no more requests
    unless there is another session.  The relays on the session must have been
    ended before.  */
-void gp_routes_closed (gp_routes_t *routes, gp_session_t *session);
+void gp_routes_session_closed (gp_routes_t *routes, gp_session_t *session);
 
 /* Records the load that TARGET reported with an answer.  */
-void gp_routes_report (gp_routes_t *routes, gp_target_t *target,
-                       const Gp__Wire__Load *load);
+void gp_routes_record_load (gp_routes_t *routes, gp_target_t *target,
+                            const Gp__Wire__Load *load);
 
 /* Records the result of a request at TARGET for outlier detection.  */
-void gp_routes_record (gp_routes_t *routes, gp_target_t *target, bool success,
-                       gp_time_t duration);
+void gp_routes_record_result (gp_routes_t *routes, gp_target_t *target,
+                              bool success, gp_time_t duration);
 
 /* Record that a request was sent to TARGET, and that it has ended.  */
-void gp_routes_sent (gp_routes_t *routes, gp_target_t *target);
-void gp_routes_done (gp_routes_t *routes, gp_target_t *target);
+void gp_routes_request_sent (gp_routes_t *routes, gp_target_t *target);
+void gp_routes_request_done (gp_routes_t *routes, gp_target_t *target);
 
 /* Applies pending changes of the membership to the routers.  */
-void gp_routes_settle (gp_routes_t *routes);
+void gp_routes_apply_changes (gp_routes_t *routes);
 
 #endif
--- a/src/daemon/tasks.c
+++ b/src/daemon/tasks.c
@@ -41,7 +41,7 @@
 }
 
 gp_tasks_kind_t *
-gp_tasks_kind (gp_tasks_t *tasks, const char *name)
+gp_tasks_ensure_kind (gp_tasks_t *tasks, const char *name)
 {
   gp_tasks_kind_t *kind = g_hash_table_lookup (tasks->kinds, name);
 
@@ -93,7 +93,7 @@
 }
 
 gp_tasks_team_t *
-gp_tasks_team (gp_tasks_t *tasks, const char *name)
+gp_tasks_ensure_team (gp_tasks_t *tasks, const char *name)
 {
   gp_tasks_team_t *team = g_hash_table_lookup (tasks->teams, name);
 
@@ -102,7 +102,7 @@
   team = g_new0 (gp_tasks_team_t, 1);
   team->name = g_strdup (name);
   team->index = g_hash_table_size (tasks->teams);
-  team->mine = gp_tasks_is_mine (tasks, "team", name);
+  team->mine = gp_tasks_is_responsible (tasks, "team", name);
   team_limit (tasks, team);
   g_hash_table_insert (tasks->teams, team->name, team);
   return team;
@@ -120,7 +120,8 @@
 }
 
 bool
-gp_tasks_is_mine (const gp_tasks_t *tasks, const char *scope, const char *name)
+gp_tasks_is_responsible (const gp_tasks_t *tasks, const char *scope,
+                         const char *name)
 {
   char *key = g_strconcat (scope, "/", name, NULL);
   uint64_t own = gp_rendezvous_rank (key, tasks->settings->name);
@@ -176,14 +177,14 @@
     {
       gp_tasks_team_t *team = value;
 
-      team->mine = gp_tasks_is_mine (tasks, "team", team->name);
+      team->mine = gp_tasks_is_responsible (tasks, "team", team->name);
     }
   g_hash_table_iter_init (&iter, tasks->guards);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       gp_tasks_guard_t *guard = value;
 
-      guard->mine = gp_tasks_is_mine (tasks, "guard", guard->name);
+      guard->mine = gp_tasks_is_responsible (tasks, "guard", guard->name);
     }
   g_hash_table_iter_init (&iter, tasks->tasks);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -220,8 +221,8 @@
 }
 
 void
-gp_tasks_event (gp_tasks_t *tasks, gp_timeline_kind_t kind, uint64_t task,
-                uint64_t epoch, const char *vm, const char *text)
+gp_tasks_add_event (gp_tasks_t *tasks, gp_timeline_kind_t kind, uint64_t task,
+                    uint64_t epoch, const char *vm, const char *text)
 {
   gp_timeline_subject_t subject = { .task = task, .epoch = epoch, .vm = vm };
 
@@ -260,7 +261,7 @@
         return;
       gp_list_remove (&task->due_link);
       if (task->stage == GP_TASKS_GRANTED)
-        gp_tasks_push (tasks, task);
+        gp_tasks_send_pending (tasks, task);
     }
 }
 
@@ -284,13 +285,13 @@
   if (live_entries (tasks) != tasks->live_entries)
     assign (tasks);
   gp_tasks_lease_tick (tasks);
-  gp_tasks_guards_tick (tasks);
-  gp_tasks_submit_tick (tasks);
+  gp_tasks_guards_check_due (tasks);
+  gp_tasks_expire_submissions (tasks);
   set_gauges (tasks);
   if (!gp_store_ready (tasks->store))
     return;
   look_at_due (tasks, now);
-  gp_tasks_watch (tasks);
+  gp_tasks_adjust_watchers (tasks);
   gp_tasks_unpark_fitting (tasks);
 }
 
@@ -313,7 +314,7 @@
 }
 
 void
-gp_tasks_place_soon (gp_tasks_t *tasks)
+gp_tasks_schedule_placement (gp_tasks_t *tasks)
 {
   gp_deferred_schedule (&tasks->deferred, tasks->host->loop);
 }
@@ -372,7 +373,7 @@
   tasks->due_period = settings->timings.heartbeat_ms * (2 * GP_MSEC);
   gp_list_init (&tasks->due);
   tasks->submitting
-      = g_ptr_array_new_with_free_func (gp_tasks_submitting_free);
+      = g_ptr_array_new_with_free_func (gp_tasks_submission_state_free);
   register_counters ();
   tasks->entries = g_ptr_array_new_with_free_func (g_free);
   init_tables (tasks);
@@ -400,7 +401,7 @@
   gp_deferred_cancel (&tasks->deferred);
   g_ptr_array_unref (tasks->submitting);
   g_ptr_array_unref (tasks->entries);
-  gp_tasks_forget_all (tasks);
+  gp_tasks_clear_mirror (tasks);
   g_hash_table_unref (tasks->guards);
   gp_tasks_lease_finish (tasks);
   gp_tasks_place_finish (tasks);
@@ -422,17 +423,17 @@
 
   tasks->revision = revision;
   tasks->document = document;
-  gp_tasks_close_zones (tasks);
+  gp_tasks_update_evacuated (tasks);
   if (document != NULL)
-    gp_tasks_interfere_configure (tasks);
+    gp_tasks_configure_remedies (tasks);
   for (uint32_t i = 0; document != NULL && i < document->watchers_count; i++)
-    gp_tasks_kind (tasks, document->watchers[i].name);
+    gp_tasks_ensure_kind (tasks, document->watchers[i].name);
   g_hash_table_iter_init (&iter, tasks->teams);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     team_limit (tasks, value);
   tasks->watchers_changed = true;
   tasks->shapes_changed = true;
-  gp_tasks_place_soon (tasks);
+  gp_tasks_schedule_placement (tasks);
 }
 
 static void
@@ -483,8 +484,8 @@
   if (guard == NULL || guard->session != session)
     return;
   guard->session = NULL;
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
 }
 
 void
@@ -497,10 +498,10 @@
      by gp_tasks_on_announce.  */
   if (guard == NULL && member->announcement.millicores > 0
       && member->state != GP_MEMBER_GONE)
-    guard = gp_tasks_guard (tasks, name);
+    guard = gp_tasks_ensure_guard (tasks, name);
   if (guard == NULL)
     return;
   guard->member = member->state == GP_MEMBER_GONE ? NULL : member;
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
 }
--- a/src/daemon/tasks_guard.c
+++ b/src/daemon/tasks_guard.c
@@ -13,7 +13,7 @@
 }
 
 gp_tasks_guard_t *
-gp_tasks_guard (gp_tasks_t *tasks, const char *name)
+gp_tasks_ensure_guard (gp_tasks_t *tasks, const char *name)
 {
   gp_tasks_guard_t *guard = gp_tasks_find_guard (tasks, name);
 
@@ -21,7 +21,7 @@
     return guard;
   guard = g_new0 (gp_tasks_guard_t, 1);
   guard->name = g_strdup (name);
-  guard->mine = gp_tasks_is_mine (tasks, "guard", name);
+  guard->mine = gp_tasks_is_responsible (tasks, "guard", name);
   gp_worker_init (&guard->worker);
   guard->worker.state = GP_WORKER_LOST;
   guard->worker.service = GP_SERVICE_NONE;
@@ -125,7 +125,7 @@
 
 /* Zones that no guard has announced have no number yet and are skipped.  */
 void
-gp_tasks_close_zones (gp_tasks_t *tasks)
+gp_tasks_update_evacuated (gp_tasks_t *tasks)
 {
   const gp_document_t *document = tasks->document;
 
@@ -153,7 +153,7 @@
   worker->region = 0;
   worker->rack = number_of (tasks->racks, rack);
   tasks->zones |= UINT64_C (1) << worker->zone;
-  gp_tasks_close_zones (tasks);
+  gp_tasks_update_evacuated (tasks);
   g_free (rack);
   worker->service = GP_SERVICE_NONE;
   guard->slots = 0;
@@ -189,7 +189,7 @@
   if (announce->lease_incarnation == 0 || announce->capacity == NULL)
     return;
   if (guard == NULL)
-    guard = gp_tasks_guard (tasks, session->process);
+    guard = gp_tasks_ensure_guard (tasks, session->process);
   if (announce->lease_incarnation < guard->incarnation)
     return;
   if (announce->lease_incarnation != guard->incarnation)
@@ -200,8 +200,8 @@
   guard->leaving
       = announce->state == GP__WIRE__MEMBER_STATE__MEMBER_STATE_LEAVING;
   take_capacity (tasks, guard, session, announce);
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
 }
 
 static bool
@@ -236,7 +236,7 @@
 }
 
 void
-gp_tasks_guard_settle (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
+gp_tasks_guard_update_state (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
 {
   gp_worker_state_t state;
 
@@ -249,7 +249,7 @@
     gp_log (GP_LOG_WARNING, "worker.suspected",
             GP_LOG_S ("guard", guard->name));
   gp_fleet_set_state (&tasks->fleet, &guard->worker, state);
-  gp_tasks_place_soon (tasks);
+  gp_tasks_schedule_placement (tasks);
 }
 
 /* Whether GUARD can be freed: it is gone from the log and the membership, and
@@ -288,8 +288,8 @@
 }
 
 void
-gp_tasks_guard_look_by (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-                        gp_time_t at)
+gp_tasks_guard_check_by (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+                         gp_time_t at)
 {
   if (at < guard->look_at)
     set_look (tasks, guard, at);
@@ -332,13 +332,13 @@
     {
       (void)gp_suspects_tick (&tasks->suspects, guard->worker.index, now);
       gp_fleet_expire_hold (&tasks->fleet, &guard->worker, now);
-      gp_tasks_guard_settle (tasks, guard);
+      gp_tasks_guard_update_state (tasks, guard);
     }
   set_look (tasks, guard, next_look (tasks, guard, now));
 }
 
 void
-gp_tasks_guards_tick (gp_tasks_t *tasks)
+gp_tasks_guards_check_due (gp_tasks_t *tasks)
 {
   gp_time_t now = gp_tasks_now (tasks);
   gp_heap_node_t *first;
--- a/src/daemon/tasks_interfere.c
+++ b/src/daemon/tasks_interfere.c
@@ -20,8 +20,8 @@
     = GP_COUNTER ("entry_evictions_total", "Tasks evicted for a service.");
 
 void
-gp_tasks_weigh (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-                const gp_tasks_task_t *task, int quarters)
+gp_tasks_record_residency (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+                           const gp_tasks_task_t *task, int quarters)
 {
   gp_residency_change (&guard->residency, task->kind->index, quarters,
                        gp_tasks_now (tasks));
@@ -98,7 +98,8 @@
   if (task->throttled == throttled)
     return;
   task->throttled = throttled;
-  gp_tasks_weigh (tasks, task->guard, task, throttled ? -change : change);
+  gp_tasks_record_residency (tasks, task->guard, task,
+                             throttled ? -change : change);
 }
 
 static void
@@ -112,20 +113,20 @@
       gp_counter_add (&throttles, 1);
       set_throttled (tasks, task, true);
       gp_tasks_stop (tasks, task, GP__WIRE__STOP_MODE__STOP_MODE_THROTTLE);
-      gp_tasks_event (tasks, GP_TIMELINE_TASK_THROTTLED, task->id, task->epoch,
-                      task->guard->name, "throttle");
+      gp_tasks_add_event (tasks, GP_TIMELINE_TASK_THROTTLED, task->id,
+                          task->epoch, task->guard->name, "throttle");
       return;
     case GP_REMEDY_UNTHROTTLE:
       set_throttled (tasks, task, false);
       gp_tasks_stop (tasks, task, GP__WIRE__STOP_MODE__STOP_MODE_UNTHROTTLE);
-      gp_tasks_event (tasks, GP_TIMELINE_TASK_THROTTLED, task->id, task->epoch,
-                      task->guard->name, "unthrottle");
+      gp_tasks_add_event (tasks, GP_TIMELINE_TASK_THROTTLED, task->id,
+                          task->epoch, task->guard->name, "unthrottle");
       return;
     case GP_REMEDY_EVICT:
       gp_counter_add (&evictions, 1);
       gp_tasks_stop (tasks, task, GP__WIRE__STOP_MODE__STOP_MODE_EVICT);
-      gp_tasks_event (tasks, GP_TIMELINE_TASK_EVICTED, task->id, task->epoch,
-                      task->guard->name, NULL);
+      gp_tasks_add_event (tasks, GP_TIMELINE_TASK_EVICTED, task->id,
+                          task->epoch, task->guard->name, NULL);
       return;
     }
 }
@@ -163,7 +164,7 @@
 }
 
 void
-gp_tasks_interfere_configure (gp_tasks_t *tasks)
+gp_tasks_configure_remedies (gp_tasks_t *tasks)
 {
   uint32_t hourly
       = evictions_of (tasks, tasks->document->interference.evictions_per_hour);
--- a/src/daemon/tasks_lease.c
+++ b/src/daemon/tasks_lease.c
@@ -70,7 +70,8 @@
 static void
 want (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
 {
-  gp_tasks_guard_t *guard = gp_tasks_guard (tasks, action->u.guard.name);
+  gp_tasks_guard_t *guard
+      = gp_tasks_ensure_guard (tasks, action->u.guard.name);
   gp_time_t now = gp_tasks_now (tasks);
   uint64_t incarnation = action->u.guard.incarnation;
 
@@ -306,7 +307,7 @@
     if (strcmp (tasks->others[i]->name, session->process) == 0)
       gp_lease_grantor_vouched (&tasks->grantor, i, vouch->id, listed,
                                 (unsigned)count);
-  gp_tasks_event (tasks, GP_TIMELINE_VOUCH, 0, 0, session->process, NULL);
+  gp_tasks_add_event (tasks, GP_TIMELINE_VOUCH, 0, 0, session->process, NULL);
   g_free (listed);
 }
 
@@ -370,7 +371,7 @@
                                heartbeat->free->memory_mib,
                                heartbeat->free->accelerators };
   if (!gp_resources_equal (&headroom, &guard->worker.reported))
-    gp_tasks_place_soon (tasks);
+    gp_tasks_schedule_placement (tasks);
   gp_fleet_report (&tasks->fleet, &guard->worker, &headroom);
 }
 
@@ -399,7 +400,7 @@
   gp_counter_add (&vouched_renewals, grant.remaining > 0 && grant.vouched);
   if (heartbeat->lease_incarnation == guard->incarnation)
     guard->lease_until = now + grant.remaining;
-  gp_tasks_guard_look_by (tasks, guard, MAX (guard->lease_until, now));
+  gp_tasks_guard_check_by (tasks, guard, MAX (guard->lease_until, now));
 }
 
 void
@@ -422,7 +423,7 @@
     }
   gp_session_send (session, &envelope);
   if (guard != NULL)
-    gp_tasks_guard_settle (tasks, guard);
+    gp_tasks_guard_update_state (tasks, guard);
 }
 
 /* Changes read from the log.  */
@@ -430,33 +431,33 @@
 static void
 on_adopted (gp_tasks_t *tasks, const gp_fold_guard_t *state)
 {
-  gp_tasks_guard_t *guard = gp_tasks_guard (tasks, state->name);
+  gp_tasks_guard_t *guard = gp_tasks_ensure_guard (tasks, state->name);
 
   if (guard->adopt <= state->incarnation)
     guard->adopt = 0;
   guard->fence = guard->fence_done = 0;
   gp_lease_grantor_registered (&tasks->grantor, state->name,
                                state->incarnation, gp_tasks_now (tasks));
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
 }
 
 static void
 on_fenced (gp_tasks_t *tasks, const gp_fold_guard_t *state)
 {
-  gp_tasks_guard_t *guard = gp_tasks_guard (tasks, state->name);
+  gp_tasks_guard_t *guard = gp_tasks_ensure_guard (tasks, state->name);
 
   guard->fence = 0;
   gp_lease_grantor_fence_read (&tasks->grantor, state->name,
                                state->incarnation, gp_tasks_now (tasks));
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
 }
 
 static void
 on_gone (gp_tasks_t *tasks, const gp_fold_guard_t *state)
 {
-  gp_tasks_guard (tasks, state->name)->fence_done = 0;
+  gp_tasks_ensure_guard (tasks, state->name)->fence_done = 0;
   gp_lease_grantor_fence_done_read (&tasks->grantor, state->name,
                                     state->incarnation);
 }
@@ -475,19 +476,21 @@
       gp_counter_add (&fences, 1);
       gp_log (GP_LOG_WARNING, "guard.fenced", GP_LOG_S ("guard", state->name),
               GP_LOG_I ("incarnation", state->incarnation));
-      gp_tasks_event (tasks, GP_TIMELINE_FENCE, 0, 0, state->name, "fenced");
+      gp_tasks_add_event (tasks, GP_TIMELINE_FENCE, 0, 0, state->name,
+                          "fenced");
       on_fenced (tasks, state);
       break;
     case GP_FOLD_GUARD_GONE:
       gp_log (GP_LOG_WARNING, "guard.gone", GP_LOG_S ("guard", state->name),
               GP_LOG_I ("incarnation", state->incarnation));
-      gp_tasks_event (tasks, GP_TIMELINE_FENCE, 0, 0, state->name, "done");
+      gp_tasks_add_event (tasks, GP_TIMELINE_FENCE, 0, 0, state->name, "done");
       on_gone (tasks, state);
       break;
     case GP_FOLD_GUARD_DROPPED:
       gp_lease_grantor_removed (&tasks->grantor, state->name);
-      gp_tasks_guard_look_by (tasks, gp_tasks_guard (tasks, state->name),
-                              gp_tasks_now (tasks));
+      gp_tasks_guard_check_by (tasks,
+                               gp_tasks_ensure_guard (tasks, state->name),
+                               gp_tasks_now (tasks));
       break;
     default:
       break;
@@ -503,7 +506,7 @@
 
   g_hash_table_iter_init (&iter, tasks->guards);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    gp_tasks_guard_look_by (tasks, value, gp_tasks_now (tasks));
+    gp_tasks_guard_check_by (tasks, value, gp_tasks_now (tasks));
   g_hash_table_iter_init (&iter, gp_store_fold (tasks->store)->guards);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     {
--- a/src/daemon/tasks_mirror.c
+++ b/src/daemon/tasks_mirror.c
@@ -37,8 +37,8 @@
   gp_resources_t declared = declared_of (state);
 
   task->id = state->id;
-  task->kind = gp_tasks_kind (tasks, state->kind);
-  task->team = gp_tasks_team (tasks, state->team);
+  task->kind = gp_tasks_ensure_kind (tasks, state->kind);
+  task->team = gp_tasks_ensure_team (tasks, state->team);
   gp_pending_task_init (&task->pending, state->id, task->team->index,
                         (gp_work_class_t)state->work_class, &declared,
                         latest_start (tasks, task, state));
@@ -73,8 +73,8 @@
   if (!state->cancelled)
     count_watcher (tasks, task, 1);
   task->kind->seed_us = MAX (task->kind->seed_us, state->submitted_us);
-  gp_tasks_event (tasks, GP_TIMELINE_TASK_SUBMITTED, state->id, 0, NULL,
-                  state->kind);
+  gp_tasks_add_event (tasks, GP_TIMELINE_TASK_SUBMITTED, state->id, 0, NULL,
+                      state->kind);
 }
 
 /* Records for suspicion that the last epoch of TASK ended on GUARD.  */
@@ -91,8 +91,8 @@
   if (gp_suspects_outcome (&tasks->suspects, task->id, &task->failures,
                            guard->worker.index, failed, gp_tasks_now (tasks)))
     {
-      gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-      gp_tasks_guard_settle (tasks, guard);
+      gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+      gp_tasks_guard_update_state (tasks, guard);
     }
 }
 
@@ -108,12 +108,12 @@
                const gp_fold_task_t *state, const gp_fold_guard_t *of)
 {
   gp_tasks_guard_t *guard
-      = of == NULL ? NULL : gp_tasks_guard (tasks, of->name);
+      = of == NULL ? NULL : gp_tasks_ensure_guard (tasks, of->name);
 
   if (task->stage == GP_TASKS_GRANTED && task->peak.memory_mib > 0)
     gp_estimate_observe_use (&task->kind->estimate, &task->peak);
   gp_tasks_dequeue (tasks, task);
-  gp_tasks_unput (tasks, task);
+  gp_tasks_release (tasks, task);
   tasks->released++;
   gp_list_remove (&task->due_link);
   if (guard != NULL)
@@ -136,8 +136,8 @@
       = state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_REFUSED
         || state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_FAILED;
 
-  gp_tasks_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
-                  of == NULL ? NULL : of->name, "returned");
+  gp_tasks_add_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
+                      of == NULL ? NULL : of->name, "returned");
   on_epoch_over (tasks, task, state, of);
   if (backoff)
     task->ask.previous = GP_WORKER_NONE;
@@ -149,9 +149,9 @@
 on_ended (gp_tasks_t *tasks, gp_tasks_task_t *task,
           const gp_fold_task_t *state, const gp_fold_guard_t *of)
 {
-  gp_tasks_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
-                  of == NULL ? NULL : of->name,
-                  state->cancelled ? "cancelled" : "ended");
+  gp_tasks_add_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
+                      of == NULL ? NULL : of->name,
+                      state->cancelled ? "cancelled" : "ended");
   on_epoch_over (tasks, task, state, of);
   /* A task that was granted when it was cancelled was subtracted then.  */
   if (!state->cancelled || of == NULL)
@@ -177,17 +177,18 @@
   switch ((int)change->kind)
     {
     case GP_FOLD_TASK_GRANTED:
-      gp_tasks_granted (tasks, task, state, guard);
+      gp_tasks_on_granted (tasks, task, state, guard);
       break;
     case GP_FOLD_TASK_CHECKPOINT:
       task->saved_at = gp_tasks_now (tasks);
-      gp_tasks_event (tasks, GP_TIMELINE_TASK_CHECKPOINTED, state->id,
-                      state->epoch, guard == NULL ? NULL : guard->name, NULL);
+      gp_tasks_add_event (tasks, GP_TIMELINE_TASK_CHECKPOINTED, state->id,
+                          state->epoch, guard == NULL ? NULL : guard->name,
+                          NULL);
       break;
     case GP_FOLD_TASK_CANCELLING:
       count_watcher (tasks, task, -1);
       task->waits_since = gp_tasks_now (tasks);
-      gp_tasks_push (tasks, task);
+      gp_tasks_send_pending (tasks, task);
       break;
     case GP_FOLD_TASK_RETURNED:
       on_returned (tasks, task, state, guard);
@@ -198,8 +199,8 @@
     case GP_FOLD_TASK_PARKED:
       gp_tasks_dequeue (tasks, task);
       task->parking = false;
-      gp_tasks_event (tasks, GP_TIMELINE_TASK_PARKED, state->id, state->epoch,
-                      NULL, NULL);
+      gp_tasks_add_event (tasks, GP_TIMELINE_TASK_PARKED, state->id,
+                          state->epoch, NULL, NULL);
       break;
     case GP_FOLD_TASK_UNPARKED:
       task->failures.n = 0;
@@ -244,11 +245,11 @@
     case GP_FOLD_SNAPSHOT:
       break;
     }
-  gp_tasks_place_soon (tasks);
+  gp_tasks_schedule_placement (tasks);
 }
 
 void
-gp_tasks_forget_all (gp_tasks_t *tasks)
+gp_tasks_clear_mirror (gp_tasks_t *tasks)
 {
   GHashTableIter iter;
   gpointer value;
@@ -259,7 +260,7 @@
       gp_tasks_task_t *task = value;
 
       gp_tasks_dequeue (tasks, task);
-      gp_tasks_unput (tasks, task);
+      gp_tasks_release (tasks, task);
       gp_list_remove (&task->due_link);
       gp_placement_drop_hold (&tasks->placement, &task->ask);
       g_hash_table_iter_remove (&iter);
@@ -277,7 +278,7 @@
   GHashTableIter iter;
   gpointer key;
 
-  gp_tasks_forget_all (tasks);
+  gp_tasks_clear_mirror (tasks);
   gp_tasks_lease_rebuild (tasks);
   g_hash_table_iter_init (&iter, fold->tasks);
   while (g_hash_table_iter_next (&iter, &key, NULL))
@@ -288,10 +289,10 @@
         continue;
       on_submitted (tasks, state);
       if (state->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_GRANTED)
-        gp_tasks_granted (tasks, gp_tasks_find (tasks, state->id), state,
-                          state->guard);
+        gp_tasks_on_granted (tasks, gp_tasks_find (tasks, state->id), state,
+                             state->guard);
       if (state->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_PENDING)
         gp_tasks_enqueue (tasks, gp_tasks_find (tasks, state->id), false);
     }
-  gp_tasks_place_soon (tasks);
+  gp_tasks_schedule_placement (tasks);
 }
--- a/src/daemon/tasks_park.c
+++ b/src/daemon/tasks_park.c
@@ -31,7 +31,7 @@
 }
 
 bool
-gp_tasks_ever_fits (const gp_tasks_t *tasks, const gp_resources_t *demand)
+gp_tasks_may_ever_fit (const gp_tasks_t *tasks, const gp_resources_t *demand)
 {
   if (gp_fleet_can_ever_fit (&tasks->fleet, demand, GP_PLACEMENT_ALL_ZONES))
     return true;
@@ -114,7 +114,7 @@
           && state->park_reason
                  == GP__RECORD__PARK_REASON__PARK_REASON_TOO_LARGE
           && state->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_PARKED
-          && gp_tasks_ever_fits (tasks, &task->pending.charge.resources))
+          && gp_tasks_may_ever_fit (tasks, &task->pending.charge.resources))
         unpark (tasks, task->id);
     }
 }
--- a/src/daemon/tasks_place.c
+++ b/src/daemon/tasks_place.c
@@ -102,7 +102,7 @@
                             GP_PENDING_OTHER, now);
   else
     gp_pending_add (&tasks->pending, &task->pending, now);
-  gp_tasks_place_soon (tasks);
+  gp_tasks_schedule_placement (tasks);
 }
 
 void
@@ -124,8 +124,8 @@
 }
 
 void
-gp_tasks_put (gp_tasks_t *tasks, gp_tasks_task_t *task,
-              gp_tasks_guard_t *guard)
+gp_tasks_reserve (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                  gp_tasks_guard_t *guard)
 {
   task->guard = guard;
   task->confirmed = false;
@@ -134,11 +134,11 @@
   if (guard->added)
     gp_placement_reserve (&tasks->placement, &task->ask, &guard->worker);
   task->ask.held = GP_WORKER_NONE;
-  gp_tasks_weigh (tasks, guard, task, GP_RESIDENCY_WHOLE);
+  gp_tasks_record_residency (tasks, guard, task, GP_RESIDENCY_WHOLE);
 }
 
 void
-gp_tasks_unput (gp_tasks_t *tasks, gp_tasks_task_t *task)
+gp_tasks_release (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
   gp_tasks_guard_t *guard = task->guard;
 
@@ -149,9 +149,9 @@
   gp_list_remove (&task->placed_link);
   if (guard->added)
     gp_placement_release (&tasks->placement, &task->ask, &guard->worker);
-  gp_tasks_weigh (tasks, guard, task,
-                  task->throttled ? -GP_RESIDENCY_THROTTLED
-                                  : -GP_RESIDENCY_WHOLE);
+  gp_tasks_record_residency (tasks, guard, task,
+                             task->throttled ? -GP_RESIDENCY_THROTTLED
+                                             : -GP_RESIDENCY_WHOLE);
   task->guard = NULL;
 }
 
@@ -193,7 +193,7 @@
   task->ask.held = gp_placement_hold (&tasks->placement, &task->ask, until);
   worker = gp_fleet_worker (&tasks->fleet, task->ask.held);
   if (worker != NULL)
-    gp_tasks_guard_look_by (tasks, gp_tasks_guard_of_worker (worker), until);
+    gp_tasks_guard_check_by (tasks, gp_tasks_guard_of_worker (worker), until);
 }
 
 static void
@@ -214,7 +214,7 @@
 static void
 give_back (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
-  gp_tasks_unput (tasks, task);
+  gp_tasks_release (tasks, task);
   gp_tasks_dequeue (tasks, task);
   gp_tasks_enqueue (tasks, task, true);
 }
@@ -230,7 +230,7 @@
 
   if (!accepted)
     gp_counter_add (&grants_void, 1);
-  /* An accepted grant has changed the stage in gp_tasks_granted before this
+  /* An accepted grant has changed the stage in gp_tasks_on_granted before this
      call.  */
   if (task != NULL && task->stage == GP_TASKS_PROPOSED
       && task->epoch == granting->epoch)
@@ -302,12 +302,12 @@
     }
   gp_counter_add (&grants_proposed, 1);
   task->stage = GP_TASKS_PROPOSED;
-  gp_tasks_put (tasks, task, guard);
+  gp_tasks_reserve (tasks, task, guard);
   if (guard->added)
     gp_suspects_started (&tasks->suspects, task->id, worker->index,
                          gp_tasks_now (tasks));
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
   return true;
 }
 
@@ -342,7 +342,7 @@
     case GP_PLACEMENT_CHOSEN:
       return choose_worker (tasks, task, choice.worker, state);
     case GP_PLACEMENT_NEVER_FITS:
-      if (gp_tasks_ever_fits (tasks, &task->pending.charge.resources))
+      if (gp_tasks_may_ever_fit (tasks, &task->pending.charge.resources))
         defer (tasks, task, GP_PENDING_NO_CAPACITY);
       else
         gp_tasks_park (tasks, task,
@@ -444,19 +444,19 @@
 /* Grants read from the log.  */
 
 void
-gp_tasks_granted (gp_tasks_t *tasks, gp_tasks_task_t *task,
-                  const gp_fold_task_t *state, const gp_fold_guard_t *of)
+gp_tasks_on_granted (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                     const gp_fold_task_t *state, const gp_fold_guard_t *of)
 {
-  gp_tasks_guard_t *guard = gp_tasks_guard (tasks, of->name);
+  gp_tasks_guard_t *guard = gp_tasks_ensure_guard (tasks, of->name);
   bool own = task->stage == GP_TASKS_PROPOSED && task->guard == guard
              && task->epoch == state->epoch;
 
   if (!own)
     {
       gp_tasks_dequeue (tasks, task);
-      gp_tasks_unput (tasks, task);
+      gp_tasks_release (tasks, task);
       task->ask.demand = task->pending.charge.resources;
-      gp_tasks_put (tasks, task, guard);
+      gp_tasks_reserve (tasks, task, guard);
       gp_tasks_confirm (tasks, task);
     }
   task->over_quota = !gp_quota_grant (&tasks->quota, &task->pending.charge);
@@ -467,11 +467,11 @@
   task->saved_at = gp_tasks_now (tasks);
   task->waits_since = task->saved_at;
   task->reported_at = 0;
-  gp_tasks_event (tasks, GP_TIMELINE_TASK_GRANTED, state->id, state->epoch,
-                  of->name, NULL);
+  gp_tasks_add_event (tasks, GP_TIMELINE_TASK_GRANTED, state->id, state->epoch,
+                      of->name, NULL);
   gp_tasks_set_due (tasks, task);
   if (own)
-    gp_tasks_push (tasks, task);
+    gp_tasks_send_pending (tasks, task);
 }
 
 static void
@@ -522,7 +522,7 @@
 }
 
 void
-gp_tasks_push (gp_tasks_t *tasks, gp_tasks_task_t *task)
+gp_tasks_send_pending (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
   const gp_fold_task_t *state
       = gp_fold_task (gp_store_fold (tasks->store), task->id);
--- a/src/daemon/tasks_private.h
+++ b/src/daemon/tasks_private.h
@@ -139,7 +139,7 @@
   gp_placement_cost_t cost;
 } gp_tasks_task_t;
 
-typedef struct gp_tasks_submitting gp_tasks_submitting_t;
+typedef struct gp_tasks_submission_state gp_tasks_submission_state_t;
 
 struct gp_tasks
 {
@@ -197,7 +197,7 @@
   uint64_t live_entries; /* digest of the other entries with a session */
   GPtrArray *entries;    /* their names */
   uint64_t next_id;
-  GPtrArray *submitting; /* of gp_tasks_submitting_t */
+  GPtrArray *submitting; /* of gp_tasks_submission_state_t */
   bool watchers_changed; /* their counts have to be compared again */
   bool shapes_changed;   /* tasks that were too large may fit now */
   uint64_t shapes_growth;
@@ -212,13 +212,13 @@
 /* tasks.c */
 
 gp_tasks_task_t *gp_tasks_find (const gp_tasks_t *tasks, uint64_t id);
-gp_tasks_kind_t *gp_tasks_kind (gp_tasks_t *tasks, const char *name);
-gp_tasks_team_t *gp_tasks_team (gp_tasks_t *tasks, const char *name);
+gp_tasks_kind_t *gp_tasks_ensure_kind (gp_tasks_t *tasks, const char *name);
+gp_tasks_team_t *gp_tasks_ensure_team (gp_tasks_t *tasks, const char *name);
 
 /* Whether this entry is the one responsible for NAME of SCOPE ("team",
    "guard" or "watcher"), so that it acts first.  */
-bool gp_tasks_is_mine (const gp_tasks_t *tasks, const char *scope,
-                       const char *name);
+bool gp_tasks_is_responsible (const gp_tasks_t *tasks, const char *scope,
+                              const char *name);
 
 /* Schedules the next check of TASK after due_period.  */
 void gp_tasks_set_due (gp_tasks_t *tasks, gp_tasks_task_t *task);
@@ -228,8 +228,9 @@
                        gp_writer_priority_t priority, gp_proposal_done_t done,
                        void *data);
 
-void gp_tasks_event (gp_tasks_t *tasks, gp_timeline_kind_t kind, uint64_t task,
-                     uint64_t epoch, const char *vm, const char *text);
+void gp_tasks_add_event (gp_tasks_t *tasks, gp_timeline_kind_t kind,
+                         uint64_t task, uint64_t epoch, const char *vm,
+                         const char *text);
 
 /* The short name of the state of a task.  */
 const char *gp_tasks_state_name (const gp_tasks_t *tasks,
@@ -242,7 +243,7 @@
 void gp_tasks_on_rebuilt (void *data);
 /* Clears the mirror, including the reservations of its tasks in the
    fleet.  */
-void gp_tasks_forget_all (gp_tasks_t *tasks);
+void gp_tasks_clear_mirror (gp_tasks_t *tasks);
 
 /* tasks_place.c */
 
@@ -252,7 +253,7 @@
 /* Places queued tasks that may start now, and arms the timer for the
    others.  */
 void gp_tasks_place (gp_tasks_t *tasks);
-void gp_tasks_place_soon (gp_tasks_t *tasks);
+void gp_tasks_schedule_placement (gp_tasks_t *tasks);
 
 /* Adds TASK, which is pending in the log, to the queue if this entry places
    the tasks of its team; BACKOFF delays the next attempt.  */
@@ -260,19 +261,20 @@
 void gp_tasks_dequeue (gp_tasks_t *tasks, gp_tasks_task_t *task);
 
 /* Handles an accepted grant of TASK that was read from the log.  */
-void gp_tasks_granted (gp_tasks_t *tasks, gp_tasks_task_t *task,
-                       const gp_fold_task_t *state, const gp_fold_guard_t *of);
+void gp_tasks_on_granted (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                          const gp_fold_task_t *state,
+                          const gp_fold_guard_t *of);
 
 /* Reserve resources on the worker of GUARD for TASK, and release them.  */
-void gp_tasks_put (gp_tasks_t *tasks, gp_tasks_task_t *task,
-                   gp_tasks_guard_t *guard);
-void gp_tasks_unput (gp_tasks_t *tasks, gp_tasks_task_t *task);
+void gp_tasks_reserve (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                       gp_tasks_guard_t *guard);
+void gp_tasks_release (gp_tasks_t *tasks, gp_tasks_task_t *task);
 
 /* Records that the guard's reports include TASK from now on.  */
 void gp_tasks_confirm (gp_tasks_t *tasks, gp_tasks_task_t *task);
 
 /* Sends the message that the granted TASK still needs, a Start or a Stop.  */
-void gp_tasks_push (gp_tasks_t *tasks, gp_tasks_task_t *task);
+void gp_tasks_send_pending (gp_tasks_t *tasks, gp_tasks_task_t *task);
 
 /* tasks_park.c */
 
@@ -283,8 +285,8 @@
 
 /* Whether DEMAND fits a worker that is present or declared by the
    document.  */
-bool gp_tasks_ever_fits (const gp_tasks_t *tasks,
-                         const gp_resources_t *demand);
+bool gp_tasks_may_ever_fit (const gp_tasks_t *tasks,
+                            const gp_resources_t *demand);
 
 /* tasks_report.c */
 
@@ -311,48 +313,48 @@
 
 /* tasks_guard.c */
 
-gp_tasks_guard_t *gp_tasks_guard (gp_tasks_t *tasks, const char *name);
+gp_tasks_guard_t *gp_tasks_ensure_guard (gp_tasks_t *tasks, const char *name);
 gp_tasks_guard_t *gp_tasks_find_guard (const gp_tasks_t *tasks,
                                        const char *name);
 gp_tasks_guard_t *gp_tasks_guard_of_worker (gp_worker_t *worker);
 /* Updates gp_tasks_t.evacuated from the document, for the zones that have a
    number.  */
-void gp_tasks_close_zones (gp_tasks_t *tasks);
+void gp_tasks_update_evacuated (gp_tasks_t *tasks);
 void gp_tasks_guard_free (gpointer data);
 void gp_tasks_on_announce (gp_tasks_t *tasks, gp_session_t *session,
                            const Gp__Wire__Announce *announce);
 /* Updates the state of GUARD's worker in the fleet.  */
-void gp_tasks_guard_settle (gp_tasks_t *tasks, gp_tasks_guard_t *guard);
+void gp_tasks_guard_update_state (gp_tasks_t *tasks, gp_tasks_guard_t *guard);
 void gp_tasks_guards_init (gp_tasks_t *tasks);
 /* Checks the guards that are due: at the end of a lease, a suspicion or a
    hold, in each tick while there is no session, and at least once per
    due_period.  */
-void gp_tasks_guards_tick (gp_tasks_t *tasks);
+void gp_tasks_guards_check_due (gp_tasks_t *tasks);
 /* Makes sure that GUARD is checked in the first tick after AT at the
    latest.  */
-void gp_tasks_guard_look_by (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-                             gp_time_t at);
+void gp_tasks_guard_check_by (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+                              gp_time_t at);
 
 /* tasks_watch.c */
 
 /* Submits and cancels watchers to reach the declared counts.  */
-void gp_tasks_watch (gp_tasks_t *tasks);
+void gp_tasks_adjust_watchers (gp_tasks_t *tasks);
 
 /* tasks_interfere.c */
 
 void gp_tasks_on_usage (gp_tasks_t *tasks, gp_session_t *session,
                         const Gp__Wire__Usage *usage);
 /* Applies the document's limits on remedies.  */
-void gp_tasks_interfere_configure (gp_tasks_t *tasks);
+void gp_tasks_configure_remedies (gp_tasks_t *tasks);
 /* Records a change of how much TASK uses its worker, in quarters: it was
    placed, left, was throttled or unthrottled.  */
-void gp_tasks_weigh (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-                     const gp_tasks_task_t *task, int quarters);
+void gp_tasks_record_residency (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+                                const gp_tasks_task_t *task, int quarters);
 
 /* tasks_submit.c */
 
-void gp_tasks_submit_tick (gp_tasks_t *tasks);
-void gp_tasks_submitting_free (gpointer data);
+void gp_tasks_expire_submissions (gp_tasks_t *tasks);
+void gp_tasks_submission_state_free (gpointer data);
 uint64_t gp_tasks_new_id (gp_tasks_t *tasks);
 /* Fills the resources of a Submit record.  */
 void gp_tasks_resources_to_wire (Gp__Wire__Resources *wire,
--- a/src/daemon/tasks_report.c
+++ b/src/daemon/tasks_report.c
@@ -174,8 +174,8 @@
   if (task->running)
     return;
   task->running = true;
-  gp_tasks_event (tasks, GP_TIMELINE_TASK_STARTED, task->id, task->epoch,
-                  task->guard->name, NULL);
+  gp_tasks_add_event (tasks, GP_TIMELINE_TASK_STARTED, task->id, task->epoch,
+                      task->guard->name, NULL);
 }
 
 static void
--- a/src/daemon/tasks_submit.c
+++ b/src/daemon/tasks_submit.c
@@ -15,12 +15,12 @@
 
 typedef struct
 {
-  gp_tasks_submitting_t *of;
+  gp_tasks_submission_state_t *of;
   uint64_t id;
   gp_proposal_t *proposal; /* NULL once its result is known */
 } submitted_t;
 
-struct gp_tasks_submitting
+struct gp_tasks_submission_state
 {
   gp_tasks_t *tasks;
   gp_tasks_done_t done; /* NULL once called */
@@ -67,9 +67,9 @@
 /* Answers of a submission.  */
 
 void
-gp_tasks_submitting_free (gpointer data)
+gp_tasks_submission_state_free (gpointer data)
 {
-  gp_tasks_submitting_t *submitting = data;
+  gp_tasks_submission_state_t *submitting = data;
 
   g_array_free (submitting->ids, TRUE);
   g_free (submitting->tasks_submitted);
@@ -77,13 +77,13 @@
 }
 
 static void
-submitting_end (gp_tasks_submitting_t *submitting)
+submitting_end (gp_tasks_submission_state_t *submitting)
 {
   g_ptr_array_remove_fast (submitting->tasks->submitting, submitting);
 }
 
 static void
-answer_all (gp_tasks_submitting_t *submitting)
+answer_all (gp_tasks_submission_state_t *submitting)
 {
   gp_tasks_answer_t reply
       = { .result = GP_TASKS_ACCEPTED,
@@ -108,7 +108,7 @@
 /* Handles the timeout: withdraws the records that were not sent and answers
    with the ids of the others.  */
 static void
-give_up (gp_tasks_submitting_t *submitting)
+give_up (gp_tasks_submission_state_t *submitting)
 {
   gp_tasks_done_t done = submitting->done;
   gp_tasks_answer_t reply = { .result = GP_TASKS_UNKNOWN,
@@ -177,7 +177,7 @@
               void *data)
 {
   submitted_t *one = data;
-  gp_tasks_submitting_t *submitting = one->of;
+  gp_tasks_submission_state_t *submitting = one->of;
   bool accepted = is_taken (one, result, verdict);
 
   one->proposal = NULL;
@@ -196,13 +196,13 @@
 }
 
 void
-gp_tasks_submit_tick (gp_tasks_t *tasks)
+gp_tasks_expire_submissions (gp_tasks_t *tasks)
 {
   gp_time_t now = gp_tasks_now (tasks);
 
   for (guint i = tasks->submitting->len; i > 0; i--)
     {
-      gp_tasks_submitting_t *submitting
+      gp_tasks_submission_state_t *submitting
           = g_ptr_array_index (tasks->submitting, i - 1);
 
       if (submitting->done != NULL && submitting->deadline <= now)
@@ -232,7 +232,7 @@
                             team->quota.accelerators };
   if (!gp_resources_fit (&demand, &quota))
     return "the task exceeds the quota of its team, so it could never run";
-  if (!gp_tasks_ever_fits (tasks, &demand))
+  if (!gp_tasks_may_ever_fit (tasks, &demand))
     return "the task is larger than every worker, so it could never run";
   return NULL;
 }
@@ -278,7 +278,7 @@
 static gp_writer_result_t
 propose_one (submitted_t *one, Gp__Record__Submit *submit)
 {
-  gp_tasks_submitting_t *submitting = one->of;
+  gp_tasks_submission_state_t *submitting = one->of;
   gp_tasks_t *tasks = submitting->tasks;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
 
@@ -290,11 +290,12 @@
                            on_submitted, one, &one->proposal);
 }
 
-static gp_tasks_submitting_t *
+static gp_tasks_submission_state_t *
 submitting_new (gp_tasks_t *tasks, uint32_t count, gp_tasks_done_t done,
                 void *data)
 {
-  gp_tasks_submitting_t *submitting = g_new0 (gp_tasks_submitting_t, 1);
+  gp_tasks_submission_state_t *submitting
+      = g_new0 (gp_tasks_submission_state_t, 1);
 
   submitting->tasks = tasks;
   submitting->done = done;
@@ -318,7 +319,7 @@
 }
 
 static void
-propose_all (gp_tasks_submitting_t *submitting,
+propose_all (gp_tasks_submission_state_t *submitting,
              const gp_tasks_submission_t *submission,
              Gp__Record__Submit *submit)
 {
--- a/src/daemon/tasks_watch.c
+++ b/src/daemon/tasks_watch.c
@@ -191,7 +191,7 @@
 
   if (kind->live == wanted || kind->proposed > 0)
     return;
-  if (!gp_tasks_is_mine (tasks, "watcher", kind->name))
+  if (!gp_tasks_is_responsible (tasks, "watcher", kind->name))
     return;
   if (kind->live < wanted)
     submit_missing (tasks, kind, watcher, wanted - kind->live);
@@ -200,7 +200,7 @@
 }
 
 void
-gp_tasks_watch (gp_tasks_t *tasks)
+gp_tasks_adjust_watchers (gp_tasks_t *tasks)
 {
   GHashTableIter iter;
   gpointer value;
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -36,14 +36,14 @@
 }
 
 static uint32_t
-take_many (gp_limits_t *limits, gp_limits_hold_t *holds, gp_time_t now)
+take_many (gp_limits_t *limits, gp_limits_permit_t *holds, gp_time_t now)
 {
   gp_limits_subject_t subject = { .team = "t", .service = "x", .kind = "" };
   gp_time_t retry_after = 0;
   uint32_t taken = 0;
 
   for (size_t i = 0; i < TRIES; i++)
-    if (gp_limits_take (limits, &subject, &holds[taken], now, &retry_after))
+    if (gp_limits_acquire (limits, &subject, &holds[taken], now, &retry_after))
       taken++;
     else
       CU_ASSERT_TRUE (retry_after > 0);
@@ -54,7 +54,7 @@
 static void
 test_shares (void)
 {
-  gp_limits_hold_t holds[TRIES];
+  gp_limits_permit_t holds[TRIES];
 
   for (uint32_t entries = 1; entries <= ENTRIES_MAX; entries++)
     for (uint32_t limit = 0; limit < 12; limit++)
@@ -80,7 +80,7 @@
 static void
 test_rate (void)
 {
-  gp_limits_hold_t holds[TRIES];
+  gp_limits_permit_t holds[TRIES];
   gp_limits_t limits;
 
   gp_limits_init (&limits, 2, 0);
@@ -99,8 +99,8 @@
 static void
 test_change (void)
 {
-  gp_limits_hold_t first[TRIES];
-  gp_limits_hold_t second[TRIES];
+  gp_limits_permit_t first[TRIES];
+  gp_limits_permit_t second[TRIES];
   gp_limits_t limits;
 
   gp_limits_init (&limits, 1, 0);
--- a/tests/unit/test_tasks.c
+++ b/tests/unit/test_tasks.c
@@ -277,7 +277,7 @@
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_ADOPT), 1);
   flush ();
   heartbeat (0, 1);
-  other_team = gp_tasks_is_mine (tasks, "team", "u") ? "job" : "small";
+  other_team = gp_tasks_is_responsible (tasks, "team", "u") ? "job" : "small";
   task = submit (other_team);
   CU_ASSERT_FALSE (gp_tasks_find (tasks, task)->team->mine);
   pass (GP_SEC);
@@ -327,7 +327,7 @@
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_ADOPT), 1);
   flush ();
   heartbeat (0, 1);
-  CU_ASSERT_TRUE (gp_tasks_is_mine (tasks, "team", "u"));
+  CU_ASSERT_TRUE (gp_tasks_is_responsible (tasks, "team", "u"));
   CU_ASSERT_TRUE (gp_tasks_find (tasks, submit ("job"))->team->mine);
   pass (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
