--- a/src/daemon/downlinks.c
+++ b/src/daemon/downlinks.c
@@ -18,7 +18,7 @@
                               downlinks->entry_count, chosen);
 
   for (size_t i = 0; i < n; i++)
-    if (chosen[i] == downlinks->self)
+    if (chosen[i] == downlinks->self_index)
       return true;
   return false;
 }
@@ -39,8 +39,9 @@
       || member->announcement.service == NULL)
     return;
   group = group_name (&member->announcement);
-  count = GPOINTER_TO_SIZE (g_hash_table_lookup (downlinks->executors, group));
-  g_hash_table_replace (downlinks->executors, group,
+  count = GPOINTER_TO_SIZE (
+      g_hash_table_lookup (downlinks->executor_counts, group));
+  g_hash_table_replace (downlinks->executor_counts, group,
                         GSIZE_TO_POINTER (count + 1));
 }
 
@@ -48,8 +49,8 @@
 executors_like (const gp_downlinks_t *downlinks, const gp_announcement_t *a)
 {
   char *group = group_name (a);
-  size_t count
-      = GPOINTER_TO_SIZE (g_hash_table_lookup (downlinks->executors, group));
+  size_t count = GPOINTER_TO_SIZE (
+      g_hash_table_lookup (downlinks->executor_counts, group));
 
   g_free (group);
   return count;
@@ -73,7 +74,8 @@
   share
       = gp_subset_share (downlinks->zone_count, executors_like (downlinks, a));
   return gp_subset_contains (a->name, downlinks->entries,
-                             downlinks->entry_count, downlinks->self, share);
+                             downlinks->entry_count, downlinks->self_index,
+                             share);
 }
 
 static void
@@ -88,9 +90,9 @@
     }
   if (dialer != NULL)
     return; /* the address changed: wait until the old session is closed */
-  if (downlinks->spare->len > 0)
+  if (downlinks->spare_dialers->len > 0)
     {
-      dialer = g_ptr_array_steal_index_fast (downlinks->spare, 0);
+      dialer = g_ptr_array_steal_index_fast (downlinks->spare_dialers, 0);
       g_free (dialer->address);
       dialer->address = g_strdup (a->address);
       dialer->failures = 0;
@@ -115,7 +117,7 @@
   if (dialer->session != NULL)
     return; /* requests may use an open session; the guard closes it */
   g_hash_table_remove (downlinks->dialers, name);
-  g_ptr_array_add (downlinks->spare, dialer);
+  g_ptr_array_add (downlinks->spare_dialers, dialer);
 }
 
 static void
@@ -130,7 +132,7 @@
 void
 gp_downlinks_on_member (gp_downlinks_t *downlinks, const gp_member_t *member)
 {
-  downlinks->changed = true;
+  downlinks->members_changed = true;
   review (downlinks, member);
 }
 
@@ -142,10 +144,10 @@
   gpointer member;
 
   gp_timer_arm (timer, gp_loop_now (downlinks->host->loop) + REVIEW_INTERVAL);
-  if (!downlinks->changed)
+  if (!downlinks->members_changed)
     return;
-  downlinks->changed = false;
-  g_hash_table_remove_all (downlinks->executors);
+  downlinks->members_changed = false;
+  g_hash_table_remove_all (downlinks->executor_counts);
   g_hash_table_iter_init (&iter, downlinks->members->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &member))
     count_executor (downlinks, member);
@@ -165,7 +167,7 @@
       if (strcmp (entry->region, settings->region) != 0)
         continue;
       if (strcmp (entry->name, settings->name) == 0)
-        downlinks->self = downlinks->entry_count;
+        downlinks->self_index = downlinks->entry_count;
       if (strcmp (entry->zone, settings->zone) == 0)
         downlinks->zone_count++;
       downlinks->entries[downlinks->entry_count++]
@@ -181,11 +183,11 @@
   *downlinks
       = (gp_downlinks_t){ .host = host, .members = members, .rand = rand };
   list_entries (downlinks, settings);
-  downlinks->executors
+  downlinks->executor_counts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   downlinks->dialers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  downlinks->spare = g_ptr_array_new ();
+  downlinks->spare_dialers = g_ptr_array_new ();
   gp_timer_init (&downlinks->timer, host->loop, on_review, downlinks);
   gp_timer_arm (&downlinks->timer, gp_loop_now (host->loop) + REVIEW_INTERVAL);
 }
@@ -197,7 +199,7 @@
   gp_dialer_finish (dialer);
 }
 
-/* Moves all dialers to SPARE and finishes them.  */
+/* Moves all dialers to SPARE_DIALERS and finishes them.  */
 void
 gp_downlinks_close (gp_downlinks_t *downlinks)
 {
@@ -206,18 +208,18 @@
 
   g_hash_table_iter_init (&iter, downlinks->dialers);
   while (g_hash_table_iter_next (&iter, NULL, &dialer))
-    g_ptr_array_add (downlinks->spare, dialer);
+    g_ptr_array_add (downlinks->spare_dialers, dialer);
   g_hash_table_remove_all (downlinks->dialers);
-  g_ptr_array_foreach (downlinks->spare, close_dialer, NULL);
+  g_ptr_array_foreach (downlinks->spare_dialers, close_dialer, NULL);
   gp_timer_finish (&downlinks->timer);
 }
 
 void
 gp_downlinks_finish (gp_downlinks_t *downlinks)
 {
-  g_ptr_array_set_free_func (downlinks->spare, g_free);
-  g_ptr_array_unref (downlinks->spare);
+  g_ptr_array_set_free_func (downlinks->spare_dialers, g_free);
+  g_ptr_array_unref (downlinks->spare_dialers);
   g_hash_table_unref (downlinks->dialers);
-  g_hash_table_unref (downlinks->executors);
+  g_hash_table_unref (downlinks->executor_counts);
   g_free (downlinks->entries);
 }
--- a/src/daemon/downlinks.h
+++ b/src/daemon/downlinks.h
@@ -18,13 +18,14 @@
   GRand *rand;
   gp_home_t *entries; /* of the region */
   size_t entry_count;
-  size_t self;           /* in entries */
-  size_t zone_count;     /* entries of this entry's zone */
-  GHashTable *executors; /* "SERVICE/ZONE" -> number of serving members */
-  GHashTable *dialers;   /* name of a guard -> gp_dialer_t */
-  GPtrArray *spare;      /* dialers that are not in use */
+  size_t self_index; /* in entries */
+  size_t zone_count; /* entries of this entry's zone */
+  GHashTable
+      *executor_counts;     /* "SERVICE/ZONE" -> number of serving members */
+  GHashTable *dialers;      /* name of a guard -> gp_dialer_t */
+  GPtrArray *spare_dialers; /* dialers that are not in use */
   gp_timer_t timer;
-  bool changed; /* some member changed since the last review */
+  bool members_changed; /* some member changed since the last review */
 } gp_downlinks_t;
 
 void gp_downlinks_init (gp_downlinks_t *downlinks, gp_session_host_t *host,
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -437,9 +437,9 @@
                               &entry->timeline, on_configuration, entry);
   entry->routes.timeline = &entry->timeline;
   entry->relays.timeline = &entry->timeline;
-  entry->routes.on_change = on_member;
-  entry->routes.on_route = on_route;
-  entry->routes.on_silent = on_silent;
+  entry->routes.on_member_change = on_member;
+  entry->routes.on_target_added = on_route;
+  entry->routes.on_target_suspect = on_silent;
   entry->routes.data = entry;
   return true;
 }
--- a/src/daemon/keys.c
+++ b/src/daemon/keys.c
@@ -40,7 +40,7 @@
   gp_time_t deadline;
   gp_proposal_t *proposal; /* of the Intent */
   gp_deferred_t deferred;  /* calls DECIDED */
-  bool settled;            /* VERDICT is set */
+  bool has_verdict;        /* VERDICT is set */
   gp_keys_verdict_t verdict;
   gp_keys_decided_t decided; /* NULL once called or abandoned */
   void *data;
@@ -226,7 +226,7 @@
 {
   bool may_be_open = keyed->verdict == GP_KEYS_RUN;
 
-  if (!keyed->settled)
+  if (!keyed->has_verdict)
     may_be_open = keyed->proposal != NULL
                   && !gp_store_withdraw (keyed->keys->store, keyed->proposal);
   if (!may_be_open)
@@ -381,7 +381,7 @@
 static void
 decide (gp_keyed_t *keyed, gp_keys_verdict_t verdict)
 {
-  keyed->settled = true;
+  keyed->has_verdict = true;
   keyed->verdict = verdict;
   gp_deferred_schedule (&keyed->deferred, keyed->keys->host->loop);
 }
--- a/src/daemon/laggards.c
+++ b/src/daemon/laggards.c
@@ -17,8 +17,8 @@
 struct gp_laggards
 {
   uint64_t revision; /* that of this entry when it asked */
-  GPtrArray *questions;
-  unsigned open;
+  GPtrArray *queries;
+  unsigned open_count;
   GHashTable *answers; /* entry -> json_t: guards with older revisions */
   void (*done) (const gp_laggards_t *laggards, void *data);
   void *data;
@@ -38,7 +38,7 @@
 void
 gp_laggards_cancel (gp_laggards_t *laggards)
 {
-  g_ptr_array_unref (laggards->questions);
+  g_ptr_array_unref (laggards->queries);
   g_hash_table_unref (laggards->answers);
   g_free (laggards);
 }
@@ -46,7 +46,7 @@
 static void
 end_one (gp_laggards_t *laggards)
 {
-  if (--laggards->open > 0)
+  if (--laggards->open_count > 0)
     return;
   laggards->done (laggards, laggards->data);
   gp_laggards_cancel (laggards);
@@ -82,8 +82,8 @@
   question->entry = g_strdup (session->process);
   question->view = gp_views_ask (&entry->views, session, &ask, ASK_TIMEOUT,
                                  on_view, question);
-  laggards->open += question->view != NULL;
-  g_ptr_array_add (laggards->questions, question);
+  laggards->open_count += question->view != NULL;
+  g_ptr_array_add (laggards->queries, question);
 }
 
 gp_laggards_t *
@@ -94,7 +94,7 @@
   gp_laggards_t *laggards = g_new0 (gp_laggards_t, 1);
 
   laggards->revision = gp_configuration_revision (entry->configuration);
-  laggards->questions = g_ptr_array_new_with_free_func (question_free);
+  laggards->queries = g_ptr_array_new_with_free_func (question_free);
   laggards->answers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                              (GDestroyNotify)json_decref);
   laggards->done = done;
@@ -106,7 +106,7 @@
     if (session->ready && session->role == GP__WIRE__ROLE__ROLE_ENTRY)
       ask_one (entry, laggards, session);
   }
-  if (laggards->open > 0)
+  if (laggards->open_count > 0)
     return laggards;
   done (laggards, data);
   gp_laggards_cancel (laggards);
--- a/src/daemon/limits.c
+++ b/src/daemon/limits.c
@@ -33,26 +33,26 @@
 static uint32_t
 share_of (const gp_limits_t *limits, uint32_t all)
 {
-  uint32_t rest = all % limits->entries;
+  uint32_t rest = all % limits->entry_count;
 
   if (all == GP_DOCUMENT_UNLIMITED)
     return all;
-  return all / limits->entries + (limits->self < rest ? 1 : 0);
+  return all / limits->entry_count + (limits->self_index < rest ? 1 : 0);
 }
 
 static void
 set_rate (const gp_limits_t *limits, gp_limit_t *limit, uint32_t rate,
           gp_time_t now)
 {
-  double share = (double)rate / limits->entries;
+  double share = (double)rate / limits->entry_count;
   uint32_t burst = (uint32_t)MAX (share, 1);
   bool rated = rate != GP_DOCUMENT_UNLIMITED && rate > 0;
 
-  if (rated && limit->rated)
+  if (rated && limit->has_rate)
     gp_limiter_configure (&limit->rate, share, burst, now);
   else if (rated)
     gp_limiter_init (&limit->rate, share, burst);
-  limit->rated = rated;
+  limit->has_rate = rated;
 }
 
 /* Sets the limit of KEY, which is freed.  */
@@ -94,7 +94,7 @@
   if (limit->declared)
     return FALSE;
   limit->concurrent = GP_DOCUMENT_UNLIMITED;
-  limit->rated = false;
+  limit->has_rate = false;
   return limit->running == 0;
 }
 
@@ -175,7 +175,7 @@
   gp_time_t retry_at;
 
   for (size_t i = 0; i < hold->count; i++)
-    if (hold->limits[i]->rated)
+    if (hold->limits[i]->has_rate)
       rates[count++] = &hold->limits[i]->rate;
   if (gp_limiter_take_all (rates, count, 1, now, &retry_at))
     return true;
@@ -210,7 +210,7 @@
 void
 gp_limits_init (gp_limits_t *limits, uint32_t entries, uint32_t self)
 {
-  *limits = (gp_limits_t){ .entries = entries, .self = self };
+  *limits = (gp_limits_t){ .entry_count = entries, .self_index = self };
   limits->by_key
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
--- a/src/daemon/limits.h
+++ b/src/daemon/limits.h
@@ -17,7 +17,7 @@
 typedef struct
 {
   gp_limiter_t rate;
-  bool rated;    /* RATE is in use */
+  bool has_rate; /* RATE is in use */
   bool declared; /* by the document in force */
   uint32_t concurrent;
   uint32_t running;
@@ -25,8 +25,8 @@
 
 typedef struct
 {
-  uint32_t entries;
-  uint32_t self; /* index of this entry */
+  uint32_t entry_count;
+  uint32_t self_index; /* index of this entry */
   GHashTable *by_key;
 } gp_limits_t;
 
--- a/src/daemon/news.c
+++ b/src/daemon/news.c
@@ -19,7 +19,7 @@
 {
   gp_session_t *session;
   uint64_t cursor;
-  gp_time_t told_at;
+  gp_time_t sent_at;
 } gp_news_peer_t;
 
 /* Storage for one message; the wire structures point into it.  */
@@ -122,7 +122,7 @@
 
   members.news = message->pointers;
   members.n_news = message->count;
-  reader->told_at = message->now;
+  reader->sent_at = message->now;
   gp_counter_add (&news_sent, (int64_t)message->count);
   gp_session_send (reader->session, &envelope);
 }
@@ -145,7 +145,7 @@
       reader->cursor = gp_members_tell (news->members, reader->cursor,
                                         MESSAGE_BUDGET, add_news, message);
       if (message->count > 0
-          || message->now - reader->told_at >= news->interval)
+          || message->now - reader->sent_at >= news->heartbeat_interval)
         send_message (reader, message);
     }
   while (message->count > 0 && !gp_peer_congested (reader->session->peer));
@@ -158,7 +158,7 @@
   GHashTableIter iter;
   gpointer reader;
 
-  g_hash_table_iter_init (&iter, news->readers);
+  g_hash_table_iter_init (&iter, news->peers);
   while (g_hash_table_iter_next (&iter, NULL, &reader))
     tell (news, reader, message);
   g_free (message);
@@ -169,7 +169,7 @@
 {
   gp_news_t *news = data;
 
-  if (g_hash_table_size (news->readers) > 0)
+  if (g_hash_table_size (news->peers) > 0)
     tell_all (news);
   gp_timer_arm (timer, gp_loop_now (news->host->loop) + TICK);
 }
@@ -183,7 +183,7 @@
 void
 gp_news_schedule (gp_news_t *news)
 {
-  if (g_hash_table_size (news->readers) > 0)
+  if (g_hash_table_size (news->peers) > 0)
     gp_deferred_schedule (&news->deferred, news->host->loop);
 }
 
@@ -247,7 +247,7 @@
 {
   gp_time_t now = gp_loop_now (news->host->loop);
 
-  if (g_hash_table_lookup (news->readers, session) == NULL)
+  if (g_hash_table_lookup (news->peers, session) == NULL)
     return;
   if (!gp_members_reporter_heard (news->members, session->process, now))
     gp_session_close (session, true);
@@ -266,7 +266,7 @@
     return;
   reader = g_new0 (gp_news_peer_t, 1);
   reader->session = session;
-  g_hash_table_insert (news->readers, session, reader);
+  g_hash_table_insert (news->peers, session, reader);
   gp_members_reporter_open (news->members, session->process,
                             gp_loop_now (news->host->loop));
   gp_news_schedule (news);
@@ -275,15 +275,16 @@
 void
 gp_news_on_closed (gp_news_t *news, gp_session_t *session)
 {
-  g_hash_table_remove (news->readers, session);
+  g_hash_table_remove (news->peers, session);
 }
 
 void
 gp_news_init (gp_news_t *news, gp_session_host_t *host, gp_members_t *members)
 {
   *news = (gp_news_t){ .host = host, .members = members };
-  news->interval = members->settings.suspect_after / SIGNS_PER_SUSPICION;
-  news->readers = g_hash_table_new_full (NULL, NULL, NULL, g_free);
+  news->heartbeat_interval
+      = members->settings.suspect_after / SIGNS_PER_SUSPICION;
+  news->peers = g_hash_table_new_full (NULL, NULL, NULL, g_free);
   gp_deferred_init (&news->deferred, on_deferred);
   gp_timer_init (&news->timer, host->loop, on_tick, news);
   gp_timer_arm (&news->timer, gp_loop_now (host->loop) + TICK);
@@ -297,5 +298,5 @@
 {
   gp_deferred_cancel (&news->deferred);
   gp_timer_finish (&news->timer);
-  g_hash_table_unref (news->readers);
+  g_hash_table_unref (news->peers);
 }
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -39,29 +39,30 @@
 static bool
 wakes_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
 {
-  return GP_CONTAINER_OF (a, gp_relay_t, node)->wake_at
-         < GP_CONTAINER_OF (b, gp_relay_t, node)->wake_at;
+  return GP_CONTAINER_OF (a, gp_relay_t, timeout_node)->timeout_at
+         < GP_CONTAINER_OF (b, gp_relay_t, timeout_node)->timeout_at;
 }
 
 static void
 arm_timer (gp_relays_t *relays)
 {
-  const gp_heap_node_t *first = gp_heap_first (&relays->deadlines);
+  const gp_heap_node_t *first = gp_heap_first (&relays->timeouts);
 
   if (first == NULL)
     gp_timer_disarm (&relays->timer);
   else
-    gp_timer_arm (&relays->timer,
-                  GP_CONTAINER_OF (first, gp_relay_t, node)->wake_at);
+    gp_timer_arm (
+        &relays->timer,
+        GP_CONTAINER_OF (first, gp_relay_t, timeout_node)->timeout_at);
 }
 
 void
 gp_relay_set_timeout (gp_relay_t *relay, gp_time_t at)
 {
-  gp_heap_remove (&relay->relays->deadlines, &relay->node);
-  relay->wake_at = at;
-  gp_heap_insert (&relay->relays->deadlines, &relay->node);
-  if (gp_heap_first (&relay->relays->deadlines) == &relay->node)
+  gp_heap_remove (&relay->relays->timeouts, &relay->timeout_node);
+  relay->timeout_at = at;
+  gp_heap_insert (&relay->relays->timeouts, &relay->timeout_node);
+  if (gp_heap_first (&relay->relays->timeouts) == &relay->timeout_node)
     arm_timer (relay->relays);
 }
 
@@ -73,8 +74,8 @@
 
   if (target == NULL)
     return;
-  gp_idpool_remove (&relay->relays->tries, relay->handle);
-  gp_list_remove (&relay->link);
+  gp_idpool_remove (&relay->relays->attempts_by_handle, relay->handle);
+  gp_list_remove (&relay->target_link);
   relay->target = NULL;
   gp_routes_request_done (relay->relays->routes, target);
 }
@@ -86,15 +87,15 @@
 
   gp_relay_record_outcome (relay, GP__WIRE__VERDICT__VERDICT_UNSPECIFIED);
   end_try (relay);
-  gp_list_remove (&relay->waiting);
+  gp_list_remove (&relay->unanswered_link);
   if (!relay->expired)
-    gp_heap_remove (&relays->deadlines, &relay->node);
-  gp_limits_release (&relay->hold);
+    gp_heap_remove (&relays->timeouts, &relay->timeout_node);
+  gp_limits_release (&relay->permit);
   if (relay->pending != NULL)
     g_byte_array_unref (relay->pending);
   g_free (relay);
-  relays->open--;
-  gp_counter_set (&relays_open, (int64_t)relays->open);
+  relays->open_count--;
+  gp_counter_set (&relays_open, (int64_t)relays->open_count);
   arm_timer (relays);
 }
 
@@ -173,12 +174,12 @@
   target = candidate->data;
   relay->target = target;
   relay->session = target->session;
-  relay->handle = gp_idpool_add (&relays->tries, relay);
+  relay->handle = gp_idpool_add (&relays->attempts_by_handle, relay);
   relay->sent_at = now;
   relay->attempts++;
   if (relay->route.n_tried < GP_ROUTER_MAX_TRIED)
     relay->route.tried[relay->route.n_tried++] = candidate;
-  gp_list_push_back (&target->relays, &relay->link);
+  gp_list_push_back (&target->relays, &relay->target_link);
   gp_routes_request_sent (relays->routes, target);
   gp_counter_add (&tries_sent, 1);
   gp_relay_send (relay, now);
@@ -211,7 +212,7 @@
                                   .kind = relay->kind,
                                   .work_class = relay->work_class };
 
-  return gp_limits_acquire (&relay->relays->limits, &subject, &relay->hold,
+  return gp_limits_acquire (&relay->relays->limits, &subject, &relay->permit,
                             gp_loop_now (relay->relays->loop), retry_after);
 }
 
@@ -225,18 +226,18 @@
                          .exchange = exchange,
                          .service = service,
                          .id = ++relays->next_id };
-  gp_list_init (&relay->link);
-  if (gp_list_empty (&relays->waiting))
+  gp_list_init (&relay->target_link);
+  if (gp_list_empty (&relays->unanswered))
     gp_timer_arm (&relays->sweep_timer,
                   gp_loop_now (relays->loop) + SWEEP_INTERVAL);
-  gp_list_push_back (&relays->waiting, &relay->waiting);
+  gp_list_push_back (&relays->unanswered, &relay->unanswered_link);
   relay->body_size = gp_http_exchange_body (exchange).size;
   gp_relay_apply_policy (relay);
   relay->route.may_probe = relay->idempotent;
-  relay->wake_at = relay->deadline + ANSWER_GRACE;
-  gp_heap_insert (&relays->deadlines, &relay->node);
-  relays->open++;
-  gp_counter_set (&relays_open, (int64_t)relays->open);
+  relay->timeout_at = relay->deadline + ANSWER_GRACE;
+  gp_heap_insert (&relays->timeouts, &relay->timeout_node);
+  relays->open_count++;
+  gp_counter_set (&relays_open, (int64_t)relays->open_count);
   gp_http_exchange_watch (exchange, on_gone, gp_relay_on_part_taken, relay);
   return relay;
 }
@@ -281,7 +282,7 @@
                                GP__WIRE__REASON__REASON_TOO_LARGE, -1);
       return;
     }
-  if (relays->open >= relays->max_open)
+  if (relays->open_count >= relays->max_open_count)
     {
       gp_relay_answer_failure (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
                                GP__WIRE__REASON__REASON_QUEUE_FULL, GP_SEC);
@@ -304,7 +305,7 @@
 static gp_relay_t *
 find_relay (gp_relays_t *relays, const gp_session_t *session, uint64_t handle)
 {
-  gp_relay_t *relay = gp_idpool_get (&relays->tries, handle);
+  gp_relay_t *relay = gp_idpool_get (&relays->attempts_by_handle, handle);
 
   if (relay == NULL || relay->session != session)
     return NULL;
@@ -392,7 +393,7 @@
   (void)relays;
   GP_LIST_FOREACH (pos, &target->relays)
   {
-    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, link);
+    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, target_link);
 
     if (!relay->streaming && relay->exchange != NULL)
       gp_relay_send_body (relay);
@@ -418,7 +419,7 @@
   (void)relays;
   GP_LIST_FOREACH_SAFE (pos, &target->relays)
   {
-    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, link);
+    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, target_link);
 
     if (relay->session != session)
       continue;
@@ -438,7 +439,7 @@
   (void)relays;
   GP_LIST_FOREACH_SAFE (pos, &target->relays)
   {
-    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, link);
+    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, target_link);
 
     if (relay->streaming || relay->exchange == NULL)
       continue;
@@ -469,19 +470,20 @@
 on_sweep (gp_timer_t *timer, void *data)
 {
   gp_relays_t *relays = data;
-  size_t left = MIN (relays->open, SWEEP_COUNT);
+  size_t left = MIN (relays->open_count, SWEEP_COUNT);
   gp_list_t *link;
 
-  while (left-- > 0 && (link = gp_list_pop_front (&relays->waiting)) != NULL)
+  while (left-- > 0
+         && (link = gp_list_pop_front (&relays->unanswered)) != NULL)
     {
-      gp_relay_t *relay = GP_CONTAINER_OF (link, gp_relay_t, waiting);
+      gp_relay_t *relay = GP_CONTAINER_OF (link, gp_relay_t, unanswered_link);
 
       if (relay->streaming)
         continue;
-      gp_list_push_back (&relays->waiting, link);
+      gp_list_push_back (&relays->unanswered, link);
       check_caller (relay);
     }
-  if (!gp_list_empty (&relays->waiting))
+  if (!gp_list_empty (&relays->unanswered))
     gp_timer_arm (timer, gp_loop_now (relays->loop) + SWEEP_INTERVAL);
 }
 
@@ -504,15 +506,15 @@
 static gp_relay_t *
 take_expired (gp_relays_t *relays, gp_time_t now)
 {
-  gp_heap_node_t *first = gp_heap_first (&relays->deadlines);
+  gp_heap_node_t *first = gp_heap_first (&relays->timeouts);
   gp_relay_t *relay;
 
   if (first == NULL)
     return NULL;
-  relay = GP_CONTAINER_OF (first, gp_relay_t, node);
-  if (relay->wake_at > now)
+  relay = GP_CONTAINER_OF (first, gp_relay_t, timeout_node);
+  if (relay->timeout_at > now)
     return NULL;
-  gp_heap_pop (&relays->deadlines);
+  gp_heap_pop (&relays->timeouts);
   relay->expired = true;
   return relay;
 }
@@ -537,13 +539,13 @@
   *relays = (gp_relays_t){ .loop = loop,
                            .routes = routes,
                            .rand = rand,
-                           .max_open = max_open,
+                           .max_open_count = max_open,
                            .stall_timeout = stall_timeout };
-  relays->line = g_string_new (NULL);
-  gp_idpool_init (&relays->tries);
-  gp_list_init (&relays->waiting);
+  relays->request_line = g_string_new (NULL);
+  gp_idpool_init (&relays->attempts_by_handle);
+  gp_list_init (&relays->unanswered);
   gp_timer_init (&relays->sweep_timer, loop, on_sweep, relays);
-  gp_heap_init (&relays->deadlines, wakes_before);
+  gp_heap_init (&relays->timeouts, wakes_before);
   gp_timer_init (&relays->timer, loop, on_timer, relays);
   gp_counter_register (&requests);
   gp_counter_register (&tries_sent);
@@ -567,6 +569,6 @@
   gp_limits_finish (&relays->limits);
   gp_timer_finish (&relays->timer);
   gp_timer_finish (&relays->sweep_timer);
-  gp_idpool_finish (&relays->tries);
-  g_string_free (relays->line, TRUE);
+  gp_idpool_finish (&relays->attempts_by_handle);
+  g_string_free (relays->request_line, TRUE);
 }
--- a/src/daemon/relay.h
+++ b/src/daemon/relay.h
@@ -22,20 +22,20 @@
   gp_loop_t *loop;
   gp_routes_t *routes;
   GRand *rand;
-  const gp_document_t *document; /* NULL before the first configuration */
-  gp_keys_t *keys;               /* NULL: idempotency keys are ignored */
-  gp_idpool_t tries;             /* handle of an attempt -> gp_relay_t */
-  gp_heap_t deadlines;           /* by gp_relay_t.wake_at */
+  const gp_document_t *document;  /* NULL before the first configuration */
+  gp_keys_t *keys;                /* NULL: idempotency keys are ignored */
+  gp_idpool_t attempts_by_handle; /* handle of an attempt -> gp_relay_t */
+  gp_heap_t timeouts;             /* by gp_relay_t.timeout_at */
   gp_timer_t timer;
   gp_limits_t limits;
   gp_timeline_t *timeline; /* may be NULL */
-  gp_list_t waiting;       /* relays without an answer, whose callers are
-                              checked for having hung up */
+  gp_list_t unanswered;    /* relays without an answer, whose callers are
+                           checked for having hung up */
   gp_timer_t sweep_timer;
   uint64_t next_id;
-  size_t open;
-  size_t max_open;
-  GString *line;           /* method and path of the request being sent */
+  size_t open_count;
+  size_t max_open_count;
+  GString *request_line;   /* method and path of the request being sent */
   gp_time_t stall_timeout; /* for a streamed answer that makes no progress */
 } gp_relays_t;
 
--- a/src/daemon/relay_policy.c
+++ b/src/daemon/relay_policy.c
@@ -110,7 +110,7 @@
   relay->deadline = now + request_timeout (relay, kind);
   target = latency_target (service, kind);
   if (target > 0)
-    relay->due = now + target;
+    relay->target_at = now + target;
   if (service != NULL && service->team != NULL)
     g_strlcpy (relay->team, service->team, sizeof relay->team);
   else
--- a/src/daemon/relay_private.h
+++ b/src/daemon/relay_private.h
@@ -21,19 +21,19 @@
                                     header */
   char team[GP_RELAY_NAME_SIZE];
   gp_document_class_t work_class;
-  gp_limits_permit_t hold;
-  gp_keyed_t *keyed;     /* whose outcome must be recorded, or NULL */
-  gp_target_t *target;   /* of the current attempt, or NULL */
-  gp_session_t *session; /* of the current or last attempt */
-  gp_list_t link;        /* in target->relays */
-  gp_list_t waiting;     /* in relays->waiting */
-  gp_heap_node_t node;   /* in relays->deadlines, unless EXPIRED */
+  gp_limits_permit_t permit;
+  gp_keyed_t *keyed;           /* whose outcome must be recorded, or NULL */
+  gp_target_t *target;         /* of the current attempt, or NULL */
+  gp_session_t *session;       /* of the current or last attempt */
+  gp_list_t target_link;       /* in target->relays */
+  gp_list_t unanswered_link;   /* in gp_relays_t.unanswered */
+  gp_heap_node_t timeout_node; /* in gp_relays_t.timeouts, unless EXPIRED */
   bool expired;
-  gp_time_t wake_at; /* sort key in relays->deadlines */
+  gp_time_t timeout_at; /* sort key in gp_relays_t.timeouts */
   uint64_t id;
   uint64_t handle; /* of the current attempt */
   gp_time_t deadline;
-  gp_time_t due; /* end of its latency target, or 0 */
+  gp_time_t target_at; /* end of its latency target, or 0 */
   gp_time_t sent_at;
   gp_route_t route;
   uint32_t attempts;
--- a/src/daemon/relay_send.c
+++ b/src/daemon/relay_send.c
@@ -75,7 +75,7 @@
 static void
 copy_line (const gp_relay_t *relay, Gp__Wire__Request *request)
 {
-  GString *line = relay->relays->line;
+  GString *line = relay->relays->request_line;
   gp_http_text_t method = gp_http_exchange_method (relay->exchange);
   gp_http_text_t path = gp_relay_path (relay);
 
@@ -107,8 +107,8 @@
   request.work_class = work_class (relay);
   request.idempotent = relay->idempotent;
   request.remaining_us = (uint64_t)MAX (relay->deadline - now, 0);
-  if (relay->due != 0)
-    request.remaining_target_us = (uint64_t)MAX (relay->due - now, 1);
+  if (relay->target_at != 0)
+    request.remaining_target_us = (uint64_t)MAX (relay->target_at - now, 1);
   request.headers = wire.pointers;
   request.n_headers = wire.count;
   request.body_size = body.size;
--- a/src/daemon/routes.c
+++ b/src/daemon/routes.c
@@ -75,7 +75,7 @@
     target->service = service_new (routes, name);
   target->member = member;
   gp_list_init (&target->relays);
-  gp_list_init (&target->silent);
+  gp_list_init (&target->suspect_link);
   member->data = target;
   return target;
 }
@@ -97,8 +97,8 @@
   GP_LIST_FOREACH (pos, &target->relays)
   gp_router_sent (&target->service->router, &target->candidate);
   gp_counter_add (&members_serving, 1);
-  if (routes->on_route != NULL)
-    routes->on_route (routes->data);
+  if (routes->on_target_added != NULL)
+    routes->on_target_added (routes->data);
   gp_log (GP_LOG_INFO, "target.up", GP_LOG_S ("guard", a->name),
           GP_LOG_S ("service", a->service), GP_LOG_S ("zone", a->zone));
 }
@@ -167,9 +167,9 @@
     add_route (routes, target);
   else if (!routable && target->routed)
     remove_route (target);
-  gp_list_remove (&target->silent);
+  gp_list_remove (&target->suspect_link);
   if (member->state == GP_MEMBER_SUSPECT)
-    gp_list_push_back (&routes->silent, &target->silent);
+    gp_list_push_back (&routes->new_suspects, &target->suspect_link);
   if (member->state == GP_MEMBER_GONE)
     {
       member->data = NULL;
@@ -178,17 +178,18 @@
     }
 }
 
-/* Calls on_silent for the targets that became suspect, after all of them have
-   been removed from their routers: a retry must not pick one of them.  */
+/* Calls on_target_suspect for the targets that became suspect, after all of
+   them have been removed from their routers: a retry must not pick one of
+   them.  */
 static void
 tell_silent (gp_routes_t *routes)
 {
   gp_list_t *link;
 
-  while ((link = gp_list_pop_front (&routes->silent)) != NULL)
-    if (routes->on_silent != NULL)
-      routes->on_silent (GP_CONTAINER_OF (link, gp_target_t, silent),
-                         routes->data);
+  while ((link = gp_list_pop_front (&routes->new_suspects)) != NULL)
+    if (routes->on_target_suspect != NULL)
+      routes->on_target_suspect (
+          GP_CONTAINER_OF (link, gp_target_t, suspect_link), routes->data);
 }
 
 void
@@ -198,8 +199,8 @@
 
   while ((member = gp_members_next_change (&routes->members)) != NULL)
     {
-      if (routes->on_change != NULL)
-        routes->on_change (member, routes->data);
+      if (routes->on_member_change != NULL)
+        routes->on_member_change (member, routes->data);
       settle_member (routes, member);
     }
   tell_silent (routes);
@@ -464,11 +465,11 @@
 static bool
 may_judge (gp_routes_t *routes, gp_time_t now)
 {
-  bool late = now - routes->ticked_at > LATE;
-  bool judge = !late || routes->was_late;
+  bool late = now - routes->last_tick > LATE;
+  bool judge = !late || routes->last_tick_late;
 
-  routes->ticked_at = now;
-  routes->was_late = late;
+  routes->last_tick = now;
+  routes->last_tick_late = late;
   return judge;
 }
 
@@ -497,7 +498,7 @@
 
   *routes = (gp_routes_t){ .host = host, .loop = loop, .zone = zone };
   gp_members_init (&routes->members, settings);
-  gp_list_init (&routes->silent);
+  gp_list_init (&routes->new_suspects);
   routes->services
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, service_free);
   routes->evacuated
@@ -506,8 +507,8 @@
   gp_counter_register (&ejections);
   gp_counter_register (&stale_messages);
   gp_timer_init (&routes->timer, loop, on_tick, routes);
-  routes->ticked_at = gp_loop_now (loop);
-  gp_timer_arm (&routes->timer, routes->ticked_at + TICK);
+  routes->last_tick = gp_loop_now (loop);
+  gp_timer_arm (&routes->timer, routes->last_tick + TICK);
 }
 
 /* Frees the targets of all members.  */
--- a/src/daemon/routes.h
+++ b/src/daemon/routes.h
@@ -32,9 +32,9 @@
   gp_session_t *session;
   gp_candidate_t candidate;
   gp_health_t health;
-  gp_list_t relays; /* requests in progress, see daemon/relay.c */
-  gp_list_t silent; /* in routes->silent, or empty */
-  bool routed;      /* in the service's router */
+  gp_list_t relays;       /* requests in progress, see daemon/relay.c */
+  gp_list_t suspect_link; /* in gp_routes_t.new_suspects, or empty */
+  bool routed;            /* in the service's router */
 } gp_target_t;
 
 typedef struct
@@ -43,20 +43,20 @@
   gp_loop_t *loop;
   const char *zone; /* of this entry */
   gp_members_t members;
-  GHashTable *services;  /* name -> gp_service_t */
-  GHashTable *evacuated; /* names of zones, owned, that get no requests */
-  gp_list_t silent;      /* targets that became suspect and for which
-                            on_silent was not called yet */
+  GHashTable *services;   /* name -> gp_service_t */
+  GHashTable *evacuated;  /* names of zones, owned, that get no requests */
+  gp_list_t new_suspects; /* targets that became suspect and for which
+                             on_target_suspect was not called yet */
   gp_timer_t timer;
-  gp_time_t ticked_at;
-  bool was_late;           /* whether the last tick was late */
+  gp_time_t last_tick;
+  bool last_tick_late;     /* whether the last tick was late */
   gp_timeline_t *timeline; /* may be NULL */
   /* A member changed; may be NULL.  */
-  void (*on_change) (gp_member_t *member, void *data);
+  void (*on_member_change) (gp_member_t *member, void *data);
   /* A target was added to its router; may be NULL.  */
-  void (*on_route) (void *data);
+  void (*on_target_added) (void *data);
   /* A target became suspect; may be NULL.  */
-  void (*on_silent) (gp_target_t *target, void *data);
+  void (*on_target_suspect) (gp_target_t *target, void *data);
   void *data;
 } gp_routes_t;
 
--- a/src/daemon/tasks.c
+++ b/src/daemon/tasks.c
@@ -102,7 +102,7 @@
   team = g_new0 (gp_tasks_team_t, 1);
   team->name = g_strdup (name);
   team->index = g_hash_table_size (tasks->teams);
-  team->mine = gp_tasks_is_responsible (tasks, "team", name);
+  team->responsible = gp_tasks_is_responsible (tasks, "team", name);
   team_limit (tasks, team);
   g_hash_table_insert (tasks->teams, team->name, team);
   return team;
@@ -127,8 +127,10 @@
   uint64_t own = gp_rendezvous_rank (key, tasks->settings->name);
   bool mine = true;
 
-  for (guint i = 0; i < tasks->entries->len; i++)
-    if (gp_rendezvous_rank (key, g_ptr_array_index (tasks->entries, i)) > own)
+  for (guint i = 0; i < tasks->live_entry_names->len; i++)
+    if (gp_rendezvous_rank (key,
+                            g_ptr_array_index (tasks->live_entry_names, i))
+        > own)
       mine = false;
   g_free (key);
   return mine;
@@ -152,14 +154,14 @@
 static void
 list_live_entries (gp_tasks_t *tasks)
 {
-  tasks->live_entries = live_entries (tasks);
-  g_ptr_array_set_size (tasks->entries, 0);
+  tasks->live_digest = live_entries (tasks);
+  g_ptr_array_set_size (tasks->live_entry_names, 0);
   GP_LIST_FOREACH (pos, &tasks->host->sessions)
   {
     const gp_session_t *session = GP_CONTAINER_OF (pos, gp_session_t, link);
 
     if (is_live_entry (tasks, session))
-      g_ptr_array_add (tasks->entries, g_strdup (session->process));
+      g_ptr_array_add (tasks->live_entry_names, g_strdup (session->process));
   }
 }
 
@@ -177,14 +179,15 @@
     {
       gp_tasks_team_t *team = value;
 
-      team->mine = gp_tasks_is_responsible (tasks, "team", team->name);
+      team->responsible = gp_tasks_is_responsible (tasks, "team", team->name);
     }
   g_hash_table_iter_init (&iter, tasks->guards);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       gp_tasks_guard_t *guard = value;
 
-      guard->mine = gp_tasks_is_responsible (tasks, "guard", guard->name);
+      guard->responsible
+          = gp_tasks_is_responsible (tasks, "guard", guard->name);
     }
   g_hash_table_iter_init (&iter, tasks->tasks);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -193,10 +196,10 @@
       const gp_fold_task_t *state
           = gp_fold_task (gp_store_fold (tasks->store), task->id);
 
-      if (task->stage == GP_TASKS_QUEUED && !task->team->mine)
+      if (task->stage == GP_TASKS_QUEUED && !task->team->responsible)
         gp_tasks_dequeue (tasks, task);
-      else if (task->stage == GP_TASKS_IDLE && !task->parking
-               && task->team->mine && state != NULL
+      else if (task->stage == GP_TASKS_IDLE && !task->park_proposed
+               && task->team->responsible && state != NULL
                && state->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_PENDING)
         gp_tasks_enqueue (tasks, task, false);
     }
@@ -252,10 +255,10 @@
 static void
 look_at_due (gp_tasks_t *tasks, gp_time_t now)
 {
-  for (int i = 0; i < DUE_PER_TICK && !gp_list_empty (&tasks->due); i++)
+  for (int i = 0; i < DUE_PER_TICK && !gp_list_empty (&tasks->due_tasks); i++)
     {
       gp_tasks_task_t *task
-          = GP_CONTAINER_OF (tasks->due.next, gp_tasks_task_t, due_link);
+          = GP_CONTAINER_OF (tasks->due_tasks.next, gp_tasks_task_t, due_link);
 
       if (task->due_at > now)
         return;
@@ -281,8 +284,8 @@
 static void
 tick (gp_tasks_t *tasks, gp_time_t now)
 {
-  tasks->tick_at = now + TICK;
-  if (live_entries (tasks) != tasks->live_entries)
+  tasks->next_tick = now + TICK;
+  if (live_entries (tasks) != tasks->live_digest)
     assign (tasks);
   gp_tasks_lease_tick (tasks);
   gp_tasks_guards_check_due (tasks);
@@ -302,7 +305,7 @@
   gp_time_t now = gp_tasks_now (tasks);
 
   (void)timer;
-  if (now >= tasks->tick_at)
+  if (now >= tasks->next_tick)
     tick (tasks, now);
   gp_tasks_place (tasks);
 }
@@ -324,7 +327,7 @@
 {
   gp_list_remove (&task->due_link);
   task->due_at = gp_tasks_now (tasks) + tasks->due_period;
-  gp_list_push_back (&tasks->due, &task->due_link);
+  gp_list_push_back (&tasks->due_tasks, &task->due_link);
 }
 
 /* Initialization and message dispatch.  */
@@ -349,10 +352,11 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, kind_free);
   tasks->teams
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, team_free);
-  tasks->places
+  tasks->zone_numbers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  tasks->racks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  tasks->services
+  tasks->rack_numbers
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  tasks->service_numbers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
@@ -371,11 +375,11 @@
   tasks->incarnation = incarnation;
   tasks->started_at = gp_tasks_now (tasks);
   tasks->due_period = settings->timings.heartbeat_ms * (2 * GP_MSEC);
-  gp_list_init (&tasks->due);
-  tasks->submitting
+  gp_list_init (&tasks->due_tasks);
+  tasks->submissions
       = g_ptr_array_new_with_free_func (gp_tasks_submission_state_free);
   register_counters ();
-  tasks->entries = g_ptr_array_new_with_free_func (g_free);
+  tasks->live_entry_names = g_ptr_array_new_with_free_func (g_free);
   init_tables (tasks);
   gp_tasks_guards_init (tasks);
   gp_tasks_place_init (tasks);
@@ -399,8 +403,8 @@
   gp_list_remove (&tasks->subscriber.link);
   gp_timer_finish (&tasks->timer);
   gp_deferred_cancel (&tasks->deferred);
-  g_ptr_array_unref (tasks->submitting);
-  g_ptr_array_unref (tasks->entries);
+  g_ptr_array_unref (tasks->submissions);
+  g_ptr_array_unref (tasks->live_entry_names);
   gp_tasks_clear_mirror (tasks);
   g_hash_table_unref (tasks->guards);
   gp_tasks_lease_finish (tasks);
@@ -408,9 +412,9 @@
   g_hash_table_unref (tasks->tasks);
   g_hash_table_unref (tasks->kinds);
   g_hash_table_unref (tasks->teams);
-  g_hash_table_unref (tasks->places);
-  g_hash_table_unref (tasks->racks);
-  g_hash_table_unref (tasks->services);
+  g_hash_table_unref (tasks->zone_numbers);
+  g_hash_table_unref (tasks->rack_numbers);
+  g_hash_table_unref (tasks->service_numbers);
   g_free (tasks);
 }
 
--- a/src/daemon/tasks_guard.c
+++ b/src/daemon/tasks_guard.c
@@ -21,18 +21,18 @@
     return guard;
   guard = g_new0 (gp_tasks_guard_t, 1);
   guard->name = g_strdup (name);
-  guard->mine = gp_tasks_is_responsible (tasks, "guard", name);
+  guard->responsible = gp_tasks_is_responsible (tasks, "guard", name);
   gp_worker_init (&guard->worker);
   guard->worker.state = GP_WORKER_LOST;
   guard->worker.service = GP_SERVICE_NONE;
   gp_list_init (&guard->placed);
-  gp_list_init (&guard->wanted_link);
+  gp_list_init (&guard->to_propose_link);
   gp_residency_init (&guard->residency, gp_tasks_now (tasks));
   gp_remedy_init (&guard->remedy);
   guard->inventory = g_array_new (FALSE, FALSE, sizeof (gp_tasks_epoch_t));
   g_hash_table_insert (tasks->guards, guard->name, guard);
-  guard->look_at = gp_tasks_now (tasks);
-  gp_heap_insert (&tasks->looks, &guard->look);
+  guard->check_at = gp_tasks_now (tasks);
+  gp_heap_insert (&tasks->guard_checks, &guard->check_node);
   return guard;
 }
 
@@ -41,7 +41,7 @@
 {
   gp_tasks_guard_t *guard = data;
 
-  gp_list_remove (&guard->wanted_link);
+  gp_list_remove (&guard->to_propose_link);
   gp_worker_finish (&guard->worker);
   g_array_free (guard->inventory, TRUE);
   g_free (guard->name);
@@ -92,23 +92,23 @@
 {
   gp_fleet_add (&tasks->fleet, &guard->worker);
   need_suspects (tasks, guard->worker.index);
-  guard->added = true;
+  guard->in_fleet = true;
   tasks->shapes_changed = true;
   GP_LIST_FOREACH (pos, &guard->placed)
   {
     gp_tasks_task_t *task
         = GP_CONTAINER_OF (pos, gp_tasks_task_t, placed_link);
 
-    gp_placement_reserve (&tasks->placement, &task->ask, &guard->worker);
+    gp_placement_reserve (&tasks->placement, &task->request, &guard->worker);
     if (task->confirmed)
-      gp_fleet_confirm (&tasks->fleet, &guard->worker, &task->ask.demand);
+      gp_fleet_confirm (&tasks->fleet, &guard->worker, &task->request.demand);
   }
 }
 
 static void
 detach (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
 {
-  if (!guard->added)
+  if (!guard->in_fleet)
     return;
   GP_LIST_FOREACH (pos, &guard->placed)
   {
@@ -116,11 +116,11 @@
         = GP_CONTAINER_OF (pos, gp_tasks_task_t, placed_link);
 
     if (!task->confirmed)
-      gp_fleet_confirm (&tasks->fleet, &guard->worker, &task->ask.demand);
-    gp_placement_release (&tasks->placement, &task->ask, &guard->worker);
+      gp_fleet_confirm (&tasks->fleet, &guard->worker, &task->request.demand);
+    gp_placement_release (&tasks->placement, &task->request, &guard->worker);
   }
   gp_fleet_remove (&tasks->fleet, &guard->worker);
-  guard->added = false;
+  guard->in_fleet = false;
 }
 
 /* Zones that no guard has announced have no number yet and are skipped.  */
@@ -134,7 +134,7 @@
        i++)
     {
       uint32_t number = GPOINTER_TO_UINT (g_hash_table_lookup (
-          tasks->places, document->evacuated_zones[i].name));
+          tasks->zone_numbers, document->evacuated_zones[i].name));
 
       if (number > 0 && number <= tasks->n_zones)
         tasks->evacuated |= UINT64_C (1) << (number - 1);
@@ -147,11 +147,11 @@
 {
   gp_worker_t *worker = &guard->worker;
   char *rack = g_strconcat (session->zone, "/", announce->rack, NULL);
-  uint32_t zone = number_of (tasks->places, session->zone);
+  uint32_t zone = number_of (tasks->zone_numbers, session->zone);
 
   worker->zone = (uint16_t)MIN (zone, tasks->n_zones - 1);
   worker->region = 0;
-  worker->rack = number_of (tasks->racks, rack);
+  worker->rack = number_of (tasks->rack_numbers, rack);
   tasks->zones |= UINT64_C (1) << worker->zone;
   gp_tasks_update_evacuated (tasks);
   g_free (rack);
@@ -159,8 +159,8 @@
   guard->slots = 0;
   if (announce->upstream == NULL)
     return;
-  worker->service
-      = (uint16_t)number_of (tasks->services, announce->upstream->service);
+  worker->service = (uint16_t)number_of (tasks->service_numbers,
+                                         announce->upstream->service);
   guard->slots = announce->upstream->slots;
 }
 
@@ -172,7 +172,8 @@
       = { announce->capacity->millicores, announce->capacity->memory_mib,
           announce->capacity->accelerators };
 
-  if (guard->added && gp_resources_equal (&capacity, &guard->worker.capacity))
+  if (guard->in_fleet
+      && gp_resources_equal (&capacity, &guard->worker.capacity))
     return;
   detach (tasks, guard);
   take_place (tasks, guard, session, announce);
@@ -240,7 +241,7 @@
 {
   gp_worker_state_t state;
 
-  if (!guard->added)
+  if (!guard->in_fleet)
     return;
   state = state_of (tasks, guard);
   if (state == guard->worker.state)
@@ -258,8 +259,8 @@
 is_forgotten (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
 {
   return guard->session == NULL && guard->member == NULL
-         && gp_list_empty (&guard->placed) && guard->adopt == 0
-         && !guard->proposing
+         && gp_list_empty (&guard->placed) && guard->adopt_incarnation == 0
+         && !guard->proposal_pending
          && gp_fold_guard (gp_store_fold (tasks->store), guard->name) == NULL;
 }
 
@@ -268,30 +269,30 @@
 static bool
 looked_at_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
 {
-  return GP_CONTAINER_OF (a, gp_tasks_guard_t, look)->look_at
-         < GP_CONTAINER_OF (b, gp_tasks_guard_t, look)->look_at;
+  return GP_CONTAINER_OF (a, gp_tasks_guard_t, check_node)->check_at
+         < GP_CONTAINER_OF (b, gp_tasks_guard_t, check_node)->check_at;
 }
 
 void
 gp_tasks_guards_init (gp_tasks_t *tasks)
 {
-  gp_heap_init (&tasks->looks, looked_at_before);
-  gp_list_init (&tasks->wanted);
+  gp_heap_init (&tasks->guard_checks, looked_at_before);
+  gp_list_init (&tasks->to_propose);
 }
 
 static void
 set_look (gp_tasks_t *tasks, gp_tasks_guard_t *guard, gp_time_t at)
 {
-  gp_heap_remove (&tasks->looks, &guard->look);
-  guard->look_at = at;
-  gp_heap_insert (&tasks->looks, &guard->look);
+  gp_heap_remove (&tasks->guard_checks, &guard->check_node);
+  guard->check_at = at;
+  gp_heap_insert (&tasks->guard_checks, &guard->check_node);
 }
 
 void
 gp_tasks_guard_check_by (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
                          gp_time_t at)
 {
-  if (at < guard->look_at)
+  if (at < guard->check_at)
     set_look (tasks, guard, at);
 }
 
@@ -307,7 +308,7 @@
     return now + 1;
   if (guard->lease_until > now)
     at = MIN (at, guard->lease_until);
-  if (!guard->added)
+  if (!guard->in_fleet)
     return at;
   suspect = &tasks->suspects.workers[guard->worker.index];
   if (suspect->state != GP_SUSPECTS_TRUSTED)
@@ -324,11 +325,11 @@
   if (gp_store_ready (tasks->store) && is_forgotten (tasks, guard))
     {
       detach (tasks, guard);
-      gp_heap_remove (&tasks->looks, &guard->look);
+      gp_heap_remove (&tasks->guard_checks, &guard->check_node);
       g_hash_table_remove (tasks->guards, guard->name);
       return;
     }
-  if (guard->added)
+  if (guard->in_fleet)
     {
       (void)gp_suspects_tick (&tasks->suspects, guard->worker.index, now);
       gp_fleet_expire_hold (&tasks->fleet, &guard->worker, now);
@@ -343,12 +344,12 @@
   gp_time_t now = gp_tasks_now (tasks);
   gp_heap_node_t *first;
 
-  while ((first = gp_heap_first (&tasks->looks)) != NULL)
+  while ((first = gp_heap_first (&tasks->guard_checks)) != NULL)
     {
       gp_tasks_guard_t *guard
-          = GP_CONTAINER_OF (first, gp_tasks_guard_t, look);
+          = GP_CONTAINER_OF (first, gp_tasks_guard_t, check_node);
 
-      if (guard->look_at > now)
+      if (guard->check_at > now)
         return;
       look (tasks, guard, now);
     }
--- a/src/daemon/tasks_interfere.c
+++ b/src/daemon/tasks_interfere.c
@@ -80,9 +80,9 @@
       continue;
     residents[n++] = (gp_remedy_resident_t){
       .task = task->id,
-      .work_class = task->ask.work_class,
+      .work_class = task->request.work_class,
       .throttled = task->throttled,
-      .since_checkpoint = now - task->saved_at,
+      .since_checkpoint = now - task->progress_saved_at,
       .laxity = task->pending.latest_start - now,
       .relief = slope.mean * (1.0 + guard->worker.load_permille / 1000.0)
     };
@@ -240,6 +240,6 @@
                                  guard->worker.load_permille / 1000.0,
                                  &guard->residency, measurement.from,
                                  measurement.to, measurement.ratio);
-  if (guard->mine)
+  if (guard->responsible)
     remedy (tasks, guard, &measurement);
 }
--- a/src/daemon/tasks_lease.c
+++ b/src/daemon/tasks_lease.c
@@ -75,20 +75,20 @@
   gp_time_t now = gp_tasks_now (tasks);
   uint64_t incarnation = action->u.guard.incarnation;
 
-  guard->propose_at = now + (guard->mine ? 0 : tasks->due_period);
-  gp_list_remove (&guard->wanted_link);
-  gp_list_push_back (&tasks->wanted, &guard->wanted_link);
+  guard->propose_at = now + (guard->responsible ? 0 : tasks->due_period);
+  gp_list_remove (&guard->to_propose_link);
+  gp_list_push_back (&tasks->to_propose, &guard->to_propose_link);
   switch (action->kind)
     {
     case GP_LEASE_GRANTOR_REGISTER:
-      guard->adopt = incarnation;
+      guard->adopt_incarnation = incarnation;
       break;
     case GP_LEASE_GRANTOR_FENCE:
-      guard->fence = incarnation;
-      guard->fence_asked = now;
+      guard->fence_incarnation = incarnation;
+      guard->fence_requested_at = now;
       break;
     case GP_LEASE_GRANTOR_FENCE_DONE:
-      guard->fence_done = incarnation;
+      guard->fence_done_incarnation = incarnation;
       break;
     case GP_LEASE_GRANTOR_ASK_VOUCH:
       break;
@@ -104,7 +104,7 @@
 
   if (guard != NULL)
     {
-      guard->proposing = false;
+      guard->proposal_pending = false;
       guard->propose_at = gp_tasks_now (tasks) + PROPOSE_AGAIN;
     }
   /* A void record need not be proposed again: the record that made it void
@@ -112,12 +112,12 @@
   if (guard != NULL && result == GP_PROPOSAL_DECIDED
       && verdict != GP_FOLD_ACCEPTED)
     {
-      if (guard->adopt == proposing->incarnation)
-        guard->adopt = 0;
-      if (guard->fence == proposing->incarnation)
-        guard->fence = 0;
-      if (guard->fence_done == proposing->incarnation)
-        guard->fence_done = 0;
+      if (guard->adopt_incarnation == proposing->incarnation)
+        guard->adopt_incarnation = 0;
+      if (guard->fence_incarnation == proposing->incarnation)
+        guard->fence_incarnation = 0;
+      if (guard->fence_done_incarnation == proposing->incarnation)
+        guard->fence_done_incarnation = 0;
     }
   g_free (proposing->guard);
   g_free (proposing);
@@ -132,9 +132,9 @@
   proposing->tasks = tasks;
   proposing->guard = g_strdup (guard->name);
   proposing->incarnation = incarnation;
-  guard->proposing = gp_tasks_propose (tasks, record, GP_WRITER_URGENT,
-                                       on_decided, proposing);
-  if (guard->proposing)
+  guard->proposal_pending = gp_tasks_propose (tasks, record, GP_WRITER_URGENT,
+                                              on_decided, proposing);
+  if (guard->proposal_pending)
     return;
   guard->propose_at = gp_tasks_now (tasks) + PROPOSE_AGAIN;
   g_free (proposing->guard);
@@ -161,12 +161,12 @@
       running[i] = &epochs[i];
     }
   adopt.guard = guard->name;
-  adopt.incarnation = guard->adopt;
+  adopt.incarnation = guard->adopt_incarnation;
   adopt.running = running;
   adopt.n_running = count;
   record.record_case = GP__RECORD__RECORD__RECORD_ADOPT;
   record.adopt = &adopt;
-  propose (tasks, guard, &record, guard->adopt);
+  propose (tasks, guard, &record, guard->adopt_incarnation);
   g_free (running);
   g_free (epochs);
 }
@@ -178,10 +178,10 @@
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
 
   fence.guard = guard->name;
-  fence.incarnation = guard->fence;
+  fence.incarnation = guard->fence_incarnation;
   record.record_case = GP__RECORD__RECORD__RECORD_FENCE;
   record.fence = &fence;
-  propose (tasks, guard, &record, guard->fence);
+  propose (tasks, guard, &record, guard->fence_incarnation);
 }
 
 static void
@@ -191,38 +191,41 @@
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
 
   done.guard = guard->name;
-  done.incarnation = guard->fence_done;
+  done.incarnation = guard->fence_done_incarnation;
   record.record_case = GP__RECORD__RECORD__RECORD_FENCE_DONE;
   record.fence_done = &done;
-  propose (tasks, guard, &record, guard->fence_done);
+  propose (tasks, guard, &record, guard->fence_done_incarnation);
 }
 
 static void
 propose_wanted (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
 {
-  if (guard->fence != 0 && guard->heard > guard->fence_asked)
-    guard->fence = 0;
-  if (guard->proposing || gp_tasks_now (tasks) < guard->propose_at)
+  if (guard->fence_incarnation != 0
+      && guard->heard_at > guard->fence_requested_at)
+    guard->fence_incarnation = 0;
+  if (guard->proposal_pending || gp_tasks_now (tasks) < guard->propose_at)
     return;
-  if (guard->adopt != 0 && guard->inventory_of == guard->adopt)
+  if (guard->adopt_incarnation != 0
+      && guard->inventory_incarnation == guard->adopt_incarnation)
     propose_adopt (tasks, guard);
-  else if (guard->fence != 0)
+  else if (guard->fence_incarnation != 0)
     propose_fence (tasks, guard);
-  else if (guard->fence_done != 0)
+  else if (guard->fence_done_incarnation != 0)
     propose_fence_done (tasks, guard);
 }
 
 static void
 propose_all_wanted (gp_tasks_t *tasks)
 {
-  GP_LIST_FOREACH_SAFE (pos, &tasks->wanted)
+  GP_LIST_FOREACH_SAFE (pos, &tasks->to_propose)
   {
     gp_tasks_guard_t *guard
-        = GP_CONTAINER_OF (pos, gp_tasks_guard_t, wanted_link);
+        = GP_CONTAINER_OF (pos, gp_tasks_guard_t, to_propose_link);
 
     propose_wanted (tasks, guard);
-    if (guard->adopt == 0 && guard->fence == 0 && guard->fence_done == 0)
-      gp_list_remove (&guard->wanted_link);
+    if (guard->adopt_incarnation == 0 && guard->fence_incarnation == 0
+        && guard->fence_done_incarnation == 0)
+      gp_list_remove (&guard->to_propose_link);
   }
 }
 
@@ -361,11 +364,11 @@
 {
   gp_resources_t headroom;
 
-  guard->heard = gp_tasks_now (tasks);
+  guard->heard_at = gp_tasks_now (tasks);
   if (heartbeat->load != NULL && guard->slots > 0)
     guard->worker.load_permille = (uint16_t)MIN (
         1000, 1000 * (uint64_t)heartbeat->load->running / guard->slots);
-  if (heartbeat->free == NULL || !guard->added)
+  if (heartbeat->free == NULL || !guard->in_fleet)
     return;
   headroom = (gp_resources_t){ heartbeat->free->millicores,
                                heartbeat->free->memory_mib,
@@ -433,9 +436,9 @@
 {
   gp_tasks_guard_t *guard = gp_tasks_ensure_guard (tasks, state->name);
 
-  if (guard->adopt <= state->incarnation)
-    guard->adopt = 0;
-  guard->fence = guard->fence_done = 0;
+  if (guard->adopt_incarnation <= state->incarnation)
+    guard->adopt_incarnation = 0;
+  guard->fence_incarnation = guard->fence_done_incarnation = 0;
   gp_lease_grantor_registered (&tasks->grantor, state->name,
                                state->incarnation, gp_tasks_now (tasks));
   gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
@@ -447,7 +450,7 @@
 {
   gp_tasks_guard_t *guard = gp_tasks_ensure_guard (tasks, state->name);
 
-  guard->fence = 0;
+  guard->fence_incarnation = 0;
   gp_lease_grantor_fence_read (&tasks->grantor, state->name,
                                state->incarnation, gp_tasks_now (tasks));
   gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
@@ -457,7 +460,7 @@
 static void
 on_gone (gp_tasks_t *tasks, const gp_fold_guard_t *state)
 {
-  gp_tasks_ensure_guard (tasks, state->name)->fence_done = 0;
+  gp_tasks_ensure_guard (tasks, state->name)->fence_done_incarnation = 0;
   gp_lease_grantor_fence_done_read (&tasks->grantor, state->name,
                                     state->incarnation);
 }
--- a/src/daemon/tasks_mirror.c
+++ b/src/daemon/tasks_mirror.c
@@ -42,7 +42,7 @@
   gp_pending_task_init (&task->pending, state->id, task->team->index,
                         (gp_work_class_t)state->work_class, &declared,
                         latest_start (tasks, task, state));
-  task->ask
+  task->request
       = (gp_placement_ask_t){ .task = state->id,
                               .kind = task->kind->index,
                               .work_class = (gp_work_class_t)state->work_class,
@@ -59,9 +59,9 @@
 static void
 count_watcher (gp_tasks_t *tasks, gp_tasks_task_t *task, int amount)
 {
-  if (task->ask.work_class != GP_WORK_WATCHER)
+  if (task->request.work_class != GP_WORK_WATCHER)
     return;
-  task->kind->live += (uint32_t)amount;
+  task->kind->live_count += (uint32_t)amount;
   tasks->watchers_changed = true;
 }
 
@@ -72,7 +72,7 @@
 
   if (!state->cancelled)
     count_watcher (tasks, task, 1);
-  task->kind->seed_us = MAX (task->kind->seed_us, state->submitted_us);
+  task->kind->id_seed_us = MAX (task->kind->id_seed_us, state->submitted_us);
   gp_tasks_add_event (tasks, GP_TIMELINE_TASK_SUBMITTED, state->id, 0, NULL,
                       state->kind);
 }
@@ -86,7 +86,7 @@
   bool succeeded
       = state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED;
 
-  if (!guard->added || (!failed && !succeeded))
+  if (!guard->in_fleet || (!failed && !succeeded))
     return;
   if (gp_suspects_outcome (&tasks->suspects, task->id, &task->failures,
                            guard->worker.index, failed, gp_tasks_now (tasks)))
@@ -100,7 +100,7 @@
 count_lost (gp_tasks_t *tasks, const gp_fold_task_t *state)
 {
   if (state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_LOST)
-    tasks->lost++;
+    tasks->lost_count++;
 }
 
 static void
@@ -114,17 +114,18 @@
     gp_estimate_observe_use (&task->kind->estimate, &task->peak);
   gp_tasks_dequeue (tasks, task);
   gp_tasks_release (tasks, task);
-  tasks->released++;
+  tasks->release_count++;
   gp_list_remove (&task->due_link);
   if (guard != NULL)
     {
       note_outcome (tasks, task, state, guard);
       count_lost (tasks, state);
     }
-  task->ask.previous
-      = guard != NULL && guard->added ? guard->worker.index : GP_WORKER_NONE;
+  task->request.previous = guard != NULL && guard->in_fleet
+                               ? guard->worker.index
+                               : GP_WORKER_NONE;
   task->running = task->over_quota = task->throttled = false;
-  task->ending = task->checkpointing = false;
+  task->end_proposed = task->checkpoint_proposed = false;
   task->peak = (gp_resources_t){ 0 };
 }
 
@@ -140,8 +141,8 @@
                       of == NULL ? NULL : of->name, "returned");
   on_epoch_over (tasks, task, state, of);
   if (backoff)
-    task->ask.previous = GP_WORKER_NONE;
-  task->ask.has_checkpoint = state->checkpoint != NULL;
+    task->request.previous = GP_WORKER_NONE;
+  task->request.has_checkpoint = state->checkpoint != NULL;
   gp_tasks_enqueue (tasks, task, backoff);
 }
 
@@ -156,7 +157,7 @@
   /* A task that was granted when it was cancelled was subtracted then.  */
   if (!state->cancelled || of == NULL)
     count_watcher (tasks, task, -1);
-  gp_placement_drop_hold (&tasks->placement, &task->ask);
+  gp_placement_drop_hold (&tasks->placement, &task->request);
   g_hash_table_remove (tasks->tasks, task);
 }
 
@@ -180,14 +181,14 @@
       gp_tasks_on_granted (tasks, task, state, guard);
       break;
     case GP_FOLD_TASK_CHECKPOINT:
-      task->saved_at = gp_tasks_now (tasks);
+      task->progress_saved_at = gp_tasks_now (tasks);
       gp_tasks_add_event (tasks, GP_TIMELINE_TASK_CHECKPOINTED, state->id,
                           state->epoch, guard == NULL ? NULL : guard->name,
                           NULL);
       break;
     case GP_FOLD_TASK_CANCELLING:
       count_watcher (tasks, task, -1);
-      task->waits_since = gp_tasks_now (tasks);
+      task->waiting_since = gp_tasks_now (tasks);
       gp_tasks_send_pending (tasks, task);
       break;
     case GP_FOLD_TASK_RETURNED:
@@ -198,7 +199,7 @@
       break;
     case GP_FOLD_TASK_PARKED:
       gp_tasks_dequeue (tasks, task);
-      task->parking = false;
+      task->park_proposed = false;
       gp_tasks_add_event (tasks, GP_TIMELINE_TASK_PARKED, state->id,
                           state->epoch, NULL, NULL);
       break;
@@ -262,12 +263,12 @@
       gp_tasks_dequeue (tasks, task);
       gp_tasks_release (tasks, task);
       gp_list_remove (&task->due_link);
-      gp_placement_drop_hold (&tasks->placement, &task->ask);
+      gp_placement_drop_hold (&tasks->placement, &task->request);
       g_hash_table_iter_remove (&iter);
     }
   g_hash_table_iter_init (&iter, tasks->kinds);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    ((gp_tasks_kind_t *)value)->live = 0;
+    ((gp_tasks_kind_t *)value)->live_count = 0;
 }
 
 void
--- a/src/daemon/tasks_park.c
+++ b/src/daemon/tasks_park.c
@@ -52,9 +52,9 @@
   gp_tasks_task_t *task = gp_tasks_find (parking->tasks, parking->task);
 
   (void)verdict;
-  if (task != NULL && task->parking)
+  if (task != NULL && task->park_proposed)
     {
-      task->parking = false;
+      task->park_proposed = false;
       if (result == GP_PROPOSAL_EXPIRED && task->stage == GP_TASKS_IDLE)
         gp_tasks_enqueue (parking->tasks, task, true);
     }
@@ -74,9 +74,9 @@
   park.reason = reason;
   record.record_case = GP__RECORD__RECORD__RECORD_PARK;
   record.park = &park;
-  task->parking = gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL,
-                                    on_parked, parking);
-  if (task->parking)
+  task->park_proposed = gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL,
+                                          on_parked, parking);
+  if (task->park_proposed)
     return;
   g_free (parking);
   gp_tasks_enqueue (tasks, task, true);
@@ -110,7 +110,7 @@
       const gp_fold_task_t *state
           = gp_fold_task (gp_store_fold (tasks->store), task->id);
 
-      if (task->team->mine && state != NULL
+      if (task->team->responsible && state != NULL
           && state->park_reason
                  == GP__RECORD__PARK_REASON__PARK_REASON_TOO_LARGE
           && state->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_PARKED
--- a/src/daemon/tasks_place.c
+++ b/src/daemon/tasks_place.c
@@ -93,10 +93,10 @@
 {
   gp_time_t now = gp_tasks_now (tasks);
 
-  if (!task->team->mine)
+  if (!task->team->responsible)
     return;
   task->stage = GP_TASKS_QUEUED;
-  tasks->released++;
+  tasks->release_count++;
   if (backoff)
     (void)gp_pending_defer (&tasks->pending, &tasks->quota, &task->pending,
                             GP_PENDING_OTHER, now);
@@ -117,10 +117,10 @@
 static void
 count_running (gp_tasks_task_t *task, bool running)
 {
-  if (task->counted == running)
+  if (task->counted_as_running == running)
     return;
-  task->counted = running;
-  task->team->running += running ? 1U : UINT32_MAX;
+  task->counted_as_running = running;
+  task->team->running_count += running ? 1U : UINT32_MAX;
 }
 
 void
@@ -131,9 +131,9 @@
   task->confirmed = false;
   gp_list_push_back (&guard->placed, &task->placed_link);
   count_running (task, true);
-  if (guard->added)
-    gp_placement_reserve (&tasks->placement, &task->ask, &guard->worker);
-  task->ask.held = GP_WORKER_NONE;
+  if (guard->in_fleet)
+    gp_placement_reserve (&tasks->placement, &task->request, &guard->worker);
+  task->request.held = GP_WORKER_NONE;
   gp_tasks_record_residency (tasks, guard, task, GP_RESIDENCY_WHOLE);
 }
 
@@ -147,8 +147,8 @@
     return;
   gp_tasks_confirm (tasks, task);
   gp_list_remove (&task->placed_link);
-  if (guard->added)
-    gp_placement_release (&tasks->placement, &task->ask, &guard->worker);
+  if (guard->in_fleet)
+    gp_placement_release (&tasks->placement, &task->request, &guard->worker);
   gp_tasks_record_residency (tasks, guard, task,
                              task->throttled ? -GP_RESIDENCY_THROTTLED
                                              : -GP_RESIDENCY_WHOLE);
@@ -161,8 +161,9 @@
   if (task->confirmed || task->guard == NULL)
     return;
   task->confirmed = true;
-  if (task->guard->added)
-    gp_fleet_confirm (&tasks->fleet, &task->guard->worker, &task->ask.demand);
+  if (task->guard->in_fleet)
+    gp_fleet_confirm (&tasks->fleet, &task->guard->worker,
+                      &task->request.demand);
 }
 
 /* Placement.  */
@@ -190,8 +191,9 @@
 {
   gp_worker_t *worker;
 
-  task->ask.held = gp_placement_hold (&tasks->placement, &task->ask, until);
-  worker = gp_fleet_worker (&tasks->fleet, task->ask.held);
+  task->request.held
+      = gp_placement_hold (&tasks->placement, &task->request, until);
+  worker = gp_fleet_worker (&tasks->fleet, task->request.held);
   if (worker != NULL)
     gp_tasks_guard_check_by (tasks, gp_tasks_guard_of_worker (worker), until);
 }
@@ -205,7 +207,7 @@
 
   task->stage = GP_TASKS_QUEUED;
   if (hold && cause == GP_PENDING_NO_CAPACITY
-      && task->ask.held == GP_WORKER_NONE)
+      && task->request.held == GP_WORKER_NONE)
     hold_worker (tasks, task, now + HOLD_TIME);
 }
 
@@ -264,7 +266,7 @@
 static void
 fill_ask (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
-  gp_placement_ask_t *ask = &task->ask;
+  gp_placement_ask_t *ask = &task->request;
   gp_resources_t most = largest (tasks);
   gp_time_t laxity = task->pending.latest_start - gp_tasks_now (tasks);
 
@@ -303,7 +305,7 @@
   gp_counter_add (&grants_proposed, 1);
   task->stage = GP_TASKS_PROPOSED;
   gp_tasks_reserve (tasks, task, guard);
-  if (guard->added)
+  if (guard->in_fleet)
     gp_suspects_started (&tasks->suspects, task->id, worker->index,
                          gp_tasks_now (tasks));
   gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
@@ -321,7 +323,7 @@
   gp_placement_choice_t choice;
 
   task->stage = GP_TASKS_IDLE;
-  if (task->team->running >= task->team->max_tasks)
+  if (task->team->running_count >= task->team->max_tasks)
     {
       defer (tasks, task, GP_PENDING_NO_QUOTA);
       task->outcome = GP_PLACEMENT_QUOTA;
@@ -334,7 +336,7 @@
       return true;
     }
   fill_ask (tasks, task);
-  choice = gp_placement_choose (&tasks->placement, &task->ask);
+  choice = gp_placement_choose (&tasks->placement, &task->request);
   task->outcome = choice.outcome;
   task->cost = choice.cost;
   switch (choice.outcome)
@@ -367,33 +369,33 @@
 static void
 set_pace (gp_tasks_t *tasks, gp_time_t now)
 {
-  if (!tasks->paced && tasks->lost >= LOST_TO_PACE)
+  if (!tasks->starts_limited && tasks->lost_count >= LOST_TO_PACE)
     {
       gp_pending_pace (&tasks->pending, PACE_RATE, PACE_BURST, now);
-      tasks->paced = true;
+      tasks->starts_limited = true;
     }
-  if (tasks->paced && gp_pending_length (&tasks->pending) == 0)
+  if (tasks->starts_limited && gp_pending_length (&tasks->pending) == 0)
     {
       gp_pending_pace (&tasks->pending, 0, 0, now);
-      tasks->paced = false;
+      tasks->starts_limited = false;
     }
-  if (now - tasks->lost_since < GP_SEC)
+  if (now - tasks->lost_count_since < GP_SEC)
     return;
-  tasks->lost = 0;
-  tasks->lost_since = now;
+  tasks->lost_count = 0;
+  tasks->lost_count_since = now;
 }
 
 static bool
 is_roomier (const gp_tasks_t *tasks)
 {
-  return tasks->full_growth != tasks->fleet.growth + tasks->released;
+  return tasks->seen_growth != tasks->fleet.growth + tasks->release_count;
 }
 
 static bool
 is_full (const gp_tasks_t *tasks, gp_time_t now)
 {
   return now < tasks->full_until
-         && (!is_roomier (tasks) || now < tasks->room_at);
+         && (!is_roomier (tasks) || now < tasks->next_growth_check);
 }
 
 static void
@@ -401,11 +403,11 @@
 {
   unsigned int misses = 0;
 
-  if (is_roomier (tasks) && now >= tasks->room_at)
+  if (is_roomier (tasks) && now >= tasks->next_growth_check)
     {
       gp_pending_hurry (&tasks->pending, MISSES_PER_TURN);
-      tasks->full_growth = tasks->fleet.growth + tasks->released;
-      tasks->room_at = now + ROOM_PERIOD;
+      tasks->seen_growth = tasks->fleet.growth + tasks->release_count;
+      tasks->next_growth_check = now + ROOM_PERIOD;
     }
   for (int i = 0; i < PLACED_PER_TURN && misses < MISSES_PER_TURN; i++)
     {
@@ -437,8 +439,8 @@
   if (is_full (tasks, now))
     wake = MAX (wake, tasks->full_until);
   if (is_roomier (tasks))
-    wake = MIN (wake, MAX (tasks->room_at, now + GP_MSEC));
-  gp_timer_arm (&tasks->timer, MIN (wake, tasks->tick_at));
+    wake = MIN (wake, MAX (tasks->next_growth_check, now + GP_MSEC));
+  gp_timer_arm (&tasks->timer, MIN (wake, tasks->next_tick));
 }
 
 /* Grants read from the log.  */
@@ -455,7 +457,7 @@
     {
       gp_tasks_dequeue (tasks, task);
       gp_tasks_release (tasks, task);
-      task->ask.demand = task->pending.charge.resources;
+      task->request.demand = task->pending.charge.resources;
       gp_tasks_reserve (tasks, task, guard);
       gp_tasks_confirm (tasks, task);
     }
@@ -463,9 +465,9 @@
   gp_counter_add (&over_quota, task->over_quota);
   task->stage = GP_TASKS_GRANTED;
   task->epoch = state->epoch;
-  task->running = task->ending = task->checkpointing = false;
-  task->saved_at = gp_tasks_now (tasks);
-  task->waits_since = task->saved_at;
+  task->running = task->end_proposed = task->checkpoint_proposed = false;
+  task->progress_saved_at = gp_tasks_now (tasks);
+  task->waiting_since = task->progress_saved_at;
   task->reported_at = 0;
   gp_tasks_add_event (tasks, GP_TIMELINE_TASK_GRANTED, state->id, state->epoch,
                       of->name, NULL);
@@ -485,9 +487,9 @@
   start->work_class = (Gp__Wire__WorkClass)state->work_class;
   start->team = state->team;
   start->resources = resources;
-  resources->millicores = task->ask.demand.millicores;
-  resources->memory_mib = task->ask.demand.memory_mib;
-  resources->accelerators = task->ask.demand.accelerators;
+  resources->millicores = task->request.demand.millicores;
+  resources->memory_mib = task->request.demand.memory_mib;
+  resources->accelerators = task->request.demand.accelerators;
   start->checkpoint.data = gp_blob_data (state->checkpoint);
   start->checkpoint.len = gp_blob_size (state->checkpoint);
 }
@@ -515,9 +517,9 @@
 static bool
 acts_on (const gp_tasks_t *tasks, const gp_tasks_task_t *task)
 {
-  gp_time_t waited = gp_tasks_now (tasks) - task->waits_since;
+  gp_time_t waited = gp_tasks_now (tasks) - task->waiting_since;
 
-  return task->team->mine || !task->confirmed
+  return task->team->responsible || !task->confirmed
          || waited >= PATIENCE_OF_OTHERS * tasks->due_period;
 }
 
--- a/src/daemon/tasks_private.h
+++ b/src/daemon/tasks_private.h
@@ -54,19 +54,19 @@
   uint16_t index;
   gp_estimate_t estimate;
   /* For watchers only: */
-  uint32_t live;     /* tasks neither ended nor cancelled */
-  uint32_t proposed; /* submissions proposed and not read back yet */
-  uint64_t salt;     /* of new ids; changes when an id exists already */
-  int64_t seed_us;   /* when the last task was submitted, log time */
+  uint32_t live_count;     /* tasks neither ended nor cancelled */
+  uint32_t proposed_count; /* submissions proposed and not read back yet */
+  uint64_t id_salt;        /* of new ids; changes when an id exists already */
+  int64_t id_seed_us;      /* when the last task was submitted, log time */
 } gp_tasks_kind_t;
 
 typedef struct
 {
   char *name;
   uint32_t index;
-  bool mine; /* this entry places its tasks */
+  bool responsible; /* this entry places its tasks */
   uint32_t max_tasks;
-  uint32_t running; /* tasks granted, or with a grant proposed here */
+  uint32_t running_count; /* tasks granted, or with a grant proposed here */
 } gp_tasks_team_t;
 
 /* A guard with a worker.  */
@@ -77,29 +77,29 @@
   const gp_member_t *member; /* NULL: gone */
   uint64_t incarnation;      /* of its lease, as announced last */
   uint64_t inherits;
-  bool mine;    /* this entry proposes its fences and adoptions first */
-  bool leaving; /* as announced */
-  bool added;   /* its worker is in the fleet */
+  bool responsible; /* this entry proposes its fences and adoptions first */
+  bool leaving;     /* as announced */
+  bool in_fleet;    /* its worker is in the fleet */
   gp_worker_t worker;
   uint32_t slots;        /* of its upstream */
-  gp_time_t heard;       /* last heartbeat; 0: never */
+  gp_time_t heard_at;    /* last heartbeat; 0: never */
   gp_time_t lease_until; /* end of the lease as renewed by this entry */
   gp_list_t placed;      /* of gp_tasks_task_t */
   gp_residency_t residency;
   gp_remedy_t remedy;
-  uint64_t inventory_of; /* incarnation of the inventory; 0: none */
-  GArray *inventory;     /* of gp_tasks_epoch_t */
+  uint64_t inventory_incarnation; /* incarnation of the inventory; 0: none */
+  GArray *inventory;              /* of gp_tasks_epoch_t */
   /* Incarnations for which a record has to be proposed until it is read back;
      0: none.  */
-  uint64_t adopt;
-  uint64_t fence;
-  uint64_t fence_done;
+  uint64_t adopt_incarnation;
+  uint64_t fence_incarnation;
+  uint64_t fence_done_incarnation;
   gp_time_t propose_at;
-  gp_time_t fence_asked;
-  bool proposing;
-  gp_list_t wanted_link; /* in gp_tasks_t.wanted */
-  gp_heap_node_t look;   /* in gp_tasks_t.looks */
-  gp_time_t look_at;     /* sort key in gp_tasks_t.looks */
+  gp_time_t fence_requested_at;
+  bool proposal_pending;
+  gp_list_t to_propose_link; /* in gp_tasks_t.to_propose */
+  gp_heap_node_t check_node; /* in gp_tasks_t.guard_checks */
+  gp_time_t check_at;        /* sort key in gp_tasks_t.guard_checks */
 } gp_tasks_guard_t;
 
 typedef struct
@@ -110,31 +110,31 @@
 
 typedef struct
 {
-  uint64_t id; /* first: key of the table */
+  uint64_t id; /* first: key of gp_tasks_t.tasks */
   gp_tasks_stage_t stage;
   gp_pending_task_t pending;
-  gp_placement_ask_t ask;
+  gp_placement_ask_t request;
   gp_suspects_task_t failures;
   gp_tasks_kind_t *kind;
   gp_tasks_team_t *team;
   gp_tasks_guard_t *guard; /* on whose worker it is placed, or NULL */
   gp_list_t placed_link;   /* in the guard's list */
-  gp_list_t due_link;      /* in gp_tasks_t.due */
+  gp_list_t due_link;      /* in gp_tasks_t.due_tasks */
   gp_time_t due_at;
-  uint64_t epoch; /* proposed or granted */
-  bool counted;   /* in gp_tasks_team_t.running */
-  bool confirmed; /* the guard's report includes its reservation */
-  bool running;   /* as reported by the guard */
+  uint64_t epoch;          /* proposed or granted */
+  bool counted_as_running; /* in gp_tasks_team_t.running_count */
+  bool confirmed;          /* the guard's report includes its reservation */
+  bool running;            /* as reported by the guard */
   bool over_quota;
   bool throttled;
-  bool ending;           /* an End of this epoch was proposed */
-  bool checkpointing;    /* a Checkpoint was proposed */
-  bool parking;          /* a Park was proposed */
-  bool cancelling;       /* a Cancel of a watcher was proposed */
-  gp_resources_t peak;   /* highest reported usage in this epoch */
-  gp_time_t waits_since; /* when it began to wait for a start or a stop */
-  gp_time_t reported_at; /* when its end was first reported; 0: not yet */
-  gp_time_t saved_at;    /* last checkpoint, or the grant */
+  bool end_proposed;        /* an End of this epoch was proposed */
+  bool checkpoint_proposed; /* a Checkpoint was proposed */
+  bool park_proposed;       /* a Park was proposed */
+  bool cancel_proposed;     /* a Cancel of a watcher was proposed */
+  gp_resources_t peak;      /* highest reported usage in this epoch */
+  gp_time_t waiting_since;  /* when it began to wait for a start or a stop */
+  gp_time_t reported_at;    /* when its end was first reported; 0: not yet */
+  gp_time_t progress_saved_at;    /* last checkpoint, or the grant */
   gp_placement_outcome_t outcome; /* of the last placement attempt */
   gp_placement_cost_t cost;
 } gp_tasks_task_t;
@@ -154,20 +154,20 @@
   gp_store_subscriber_t subscriber;
   gp_timer_t timer;
   gp_deferred_t deferred; /* places queued tasks */
-  gp_time_t tick_at;
+  gp_time_t next_tick;
   gp_time_t started_at;
 
-  GHashTable *tasks;    /* set of gp_tasks_task_t */
-  GHashTable *guards;   /* name -> gp_tasks_guard_t */
-  gp_heap_t looks;      /* all guards by the time of their next check */
-  gp_list_t wanted;     /* guards for which a record may have to be proposed */
+  GHashTable *tasks;      /* set of gp_tasks_task_t */
+  GHashTable *guards;     /* name -> gp_tasks_guard_t */
+  gp_heap_t guard_checks; /* all guards by the time of their next check */
+  gp_list_t to_propose; /* guards for which a record may have to be proposed */
   GHashTable *kinds;    /* name -> gp_tasks_kind_t */
   GHashTable *teams;    /* name -> gp_tasks_team_t */
-  GHashTable *places;   /* zone names -> number from 1 */
-  GHashTable *racks;    /* "ZONE/RACK" -> number from 1 */
-  GHashTable *services; /* service names -> number from 1 */
-  uint64_t zones;       /* bit set of the zones in use */
-  uint64_t evacuated;   /* bit set of the zones in which nothing is started */
+  GHashTable *zone_numbers;    /* zone names -> number from 1 */
+  GHashTable *rack_numbers;    /* "ZONE/RACK" -> number from 1 */
+  GHashTable *service_numbers; /* service names -> number from 1 */
+  uint64_t zones;              /* bit set of the zones in use */
+  uint64_t evacuated; /* bit set of the zones in which nothing is started */
   uint32_t n_zones;
 
   gp_pending_t pending;
@@ -179,27 +179,27 @@
   gp_suspects_t suspects;
   gp_limiter_t evictions;
   bool may_evict;
-  gp_list_t due; /* of gp_tasks_task_t: to be checked again, by time */
+  gp_list_t due_tasks; /* of gp_tasks_task_t: to be checked again, by time */
   gp_time_t due_period;
-  uint32_t lost;        /* epochs lost since LOST_SINCE */
-  gp_time_t lost_since; /* start of the count of LOST */
-  bool paced;           /* the rate of starts is limited */
-  uint64_t released;    /* changes when a task ends or enters the queue */
-  uint64_t full_growth; /* fleet.growth + RELEASED when last taken note of */
+  uint32_t lost_count;        /* epochs lost since LOST_COUNT_SINCE */
+  gp_time_t lost_count_since; /* when LOST_COUNT was last reset */
+  bool starts_limited;        /* the rate of starts is limited */
+  uint64_t release_count; /* changes when a task ends or enters the queue */
+  uint64_t seen_growth; /* fleet.growth + RELEASE_COUNT at the last reaction */
   gp_time_t full_until; /* when to try again although nothing changed */
-  gp_time_t room_at;    /* earliest time to react to freed capacity */
+  gp_time_t next_growth_check; /* earliest time to react to freed capacity */
 
   gp_lease_grantor_t grantor;
   const gp_settings_member_t *others[GP_LEASE_GRANTOR_MAX_ENTRIES];
   unsigned n_others;
   uint64_t entry_set;
 
-  uint64_t live_entries; /* digest of the other entries with a session */
-  GPtrArray *entries;    /* their names */
+  uint64_t live_digest;        /* of the other entries with a session */
+  GPtrArray *live_entry_names; /* their names */
   uint64_t next_id;
-  GPtrArray *submitting; /* of gp_tasks_submission_state_t */
-  bool watchers_changed; /* their counts have to be compared again */
-  bool shapes_changed;   /* tasks that were too large may fit now */
+  GPtrArray *submissions; /* of gp_tasks_submission_state_t */
+  bool watchers_changed;  /* their counts have to be compared again */
+  bool shapes_changed;    /* tasks that were too large may fit now */
   uint64_t shapes_growth;
 };
 
--- a/src/daemon/tasks_report.c
+++ b/src/daemon/tasks_report.c
@@ -13,7 +13,7 @@
 {
   gp_tasks_t *tasks;
   char *guard;
-  uint64_t process; /* incarnation of the guard's session */
+  uint64_t session_incarnation; /* incarnation of the guard's session */
   uint64_t task;
   uint64_t epoch;
   uint64_t number;
@@ -36,7 +36,7 @@
       = GP_ENVELOPE (TASK_REPORT_ACK, task_report_ack, &ack);
 
   if (guard == NULL || guard->session == NULL
-      || guard->session->incarnation != reporting->process)
+      || guard->session->incarnation != reporting->session_incarnation)
     return;
   ack.task = reporting->task;
   ack.epoch = reporting->epoch;
@@ -53,13 +53,14 @@
 {
   reporting_t *reporting = g_new (reporting_t, 1);
 
-  *reporting = (reporting_t){ .tasks = tasks,
-                              .guard = g_strdup (guard->name),
-                              .process = guard->session->incarnation,
-                              .task = report->task,
-                              .epoch = report->epoch,
-                              .number = report->number,
-                              .state = report->state };
+  *reporting
+      = (reporting_t){ .tasks = tasks,
+                       .guard = g_strdup (guard->name),
+                       .session_incarnation = guard->session->incarnation,
+                       .task = report->task,
+                       .epoch = report->epoch,
+                       .number = report->number,
+                       .state = report->state };
   return reporting;
 }
 
@@ -80,9 +81,9 @@
   if (task != NULL && task->epoch == reporting->epoch)
     {
       if (reporting->state == GP__WIRE__TASK_STATE__TASK_STATE_CHECKPOINTED)
-        task->checkpointing = false;
+        task->checkpoint_proposed = false;
       else
-        task->ending = false;
+        task->end_proposed = false;
     }
   if (result == GP_PROPOSAL_DECIDED)
     acknowledge (reporting);
@@ -124,7 +125,7 @@
     end.checkpoint = report->checkpoint;
   record.record_case = GP__RECORD__RECORD__RECORD_END;
   record.end = &end;
-  task->ending = propose (tasks, task->guard, report, &record);
+  task->end_proposed = propose (tasks, task->guard, report, &record);
 }
 
 static void
@@ -139,7 +140,7 @@
   checkpoint.data = report->checkpoint;
   record.record_case = GP__RECORD__RECORD__RECORD_CHECKPOINT;
   record.checkpoint = &checkpoint;
-  task->checkpointing = propose (tasks, task->guard, report, &record);
+  task->checkpoint_proposed = propose (tasks, task->guard, report, &record);
 }
 
 /* Whether EPOCH of the task of STATE is over.  */
@@ -185,9 +186,9 @@
   gp_time_t now = gp_tasks_now (tasks);
 
   learn (tasks, task, report);
-  if (task->ending)
+  if (task->end_proposed)
     return;
-  if (task->team->mine || now - task->reported_at >= tasks->due_period)
+  if (task->team->responsible || now - task->reported_at >= tasks->due_period)
     propose_end (tasks, task, report);
 }
 
@@ -199,7 +200,7 @@
   reporting_t *reporting;
 
   on_running (tasks, task);
-  if (task->checkpointing || !task->team->mine)
+  if (task->checkpoint_proposed || !task->team->responsible)
     return;
   if (size > 0 && size <= GP_FOLD_CHECKPOINT_MAX)
     {
@@ -272,7 +273,7 @@
   if (guard == NULL || guard->session != session
       || inventory->lease_incarnation == 0)
     return;
-  guard->inventory_of = inventory->lease_incarnation;
+  guard->inventory_incarnation = inventory->lease_incarnation;
   g_array_set_size (guard->inventory, 0);
   for (size_t i = 0; i < inventory->n_tasks; i++)
     {
--- a/src/daemon/tasks_submit.c
+++ b/src/daemon/tasks_submit.c
@@ -15,7 +15,7 @@
 
 typedef struct
 {
-  gp_tasks_submission_state_t *of;
+  gp_tasks_submission_state_t *submission;
   uint64_t id;
   gp_proposal_t *proposal; /* NULL once its result is known */
 } submitted_t;
@@ -27,12 +27,12 @@
   void *data;
   gp_time_t deadline;
   uint32_t count;
-  uint32_t open; /* proposals without a result */
-  bool keyed;
-  GArray *ids;  /* accepted tasks */
-  bool refused; /* the log has voided at least one record */
+  uint32_t open_count; /* proposals without a result */
+  bool has_key;
+  GArray *accepted_ids; /* accepted tasks */
+  bool refused;         /* the log has voided at least one record */
   const char *refusal;
-  submitted_t *tasks_submitted;
+  submitted_t *proposals;
 };
 
 uint64_t
@@ -71,15 +71,15 @@
 {
   gp_tasks_submission_state_t *submitting = data;
 
-  g_array_free (submitting->ids, TRUE);
-  g_free (submitting->tasks_submitted);
+  g_array_free (submitting->accepted_ids, TRUE);
+  g_free (submitting->proposals);
   g_free (submitting);
 }
 
 static void
 submitting_end (gp_tasks_submission_state_t *submitting)
 {
-  g_ptr_array_remove_fast (submitting->tasks->submitting, submitting);
+  g_ptr_array_remove_fast (submitting->tasks->submissions, submitting);
 }
 
 static void
@@ -87,8 +87,8 @@
 {
   gp_tasks_answer_t reply
       = { .result = GP_TASKS_ACCEPTED,
-          .ids = (const uint64_t *)(void *)submitting->ids->data,
-          .count = submitting->ids->len };
+          .ids = (const uint64_t *)(void *)submitting->accepted_ids->data,
+          .count = submitting->accepted_ids->len };
   gp_tasks_done_t done = submitting->done;
 
   if (done == NULL)
@@ -117,26 +117,26 @@
 
   for (uint32_t i = 0; i < submitting->count; i++)
     {
-      submitted_t *one = &submitting->tasks_submitted[i];
+      submitted_t *one = &submitting->proposals[i];
 
       if (one->proposal == NULL)
         continue;
       if (gp_store_withdraw (submitting->tasks->store, one->proposal))
         {
           one->proposal = NULL;
-          submitting->open--;
+          submitting->open_count--;
         }
       else
-        g_array_append_val (submitting->ids, one->id);
+        g_array_append_val (submitting->accepted_ids, one->id);
     }
-  if (submitting->open == 0)
+  if (submitting->open_count == 0)
     {
       answer_all (submitting);
       submitting_end (submitting);
       return;
     }
-  reply.ids = (const uint64_t *)(void *)submitting->ids->data;
-  reply.count = submitting->ids->len;
+  reply.ids = (const uint64_t *)(void *)submitting->accepted_ids->data;
+  reply.count = submitting->accepted_ids->len;
   submitting->done = NULL;
   done (&reply, submitting->data);
 }
@@ -147,13 +147,13 @@
 is_taken (const submitted_t *one, gp_proposal_result_t result,
           gp_fold_verdict_t verdict)
 {
-  const gp_fold_t *fold = gp_store_fold (one->of->tasks->store);
+  const gp_fold_t *fold = gp_store_fold (one->submission->tasks->store);
 
   switch (result)
     {
     case GP_PROPOSAL_DECIDED:
       return verdict == GP_FOLD_ACCEPTED
-             || (verdict == GP_FOLD_VOID_EXISTS && one->of->keyed);
+             || (verdict == GP_FOLD_VOID_EXISTS && one->submission->has_key);
     case GP_PROPOSAL_UNREAD:
       return gp_fold_task (fold, one->id) != NULL;
     case GP_PROPOSAL_EXPIRED:
@@ -177,19 +177,19 @@
               void *data)
 {
   submitted_t *one = data;
-  gp_tasks_submission_state_t *submitting = one->of;
+  gp_tasks_submission_state_t *submitting = one->submission;
   bool accepted = is_taken (one, result, verdict);
 
   one->proposal = NULL;
-  submitting->open--;
+  submitting->open_count--;
   if (accepted && submitting->done != NULL)
-    g_array_append_val (submitting->ids, one->id);
+    g_array_append_val (submitting->accepted_ids, one->id);
   if (result == GP_PROPOSAL_DECIDED && !accepted)
     {
       submitting->refused = true;
       submitting->refusal = refusal_of (verdict);
     }
-  if (submitting->open > 0)
+  if (submitting->open_count > 0)
     return;
   answer_all (submitting);
   submitting_end (submitting);
@@ -200,10 +200,10 @@
 {
   gp_time_t now = gp_tasks_now (tasks);
 
-  for (guint i = tasks->submitting->len; i > 0; i--)
+  for (guint i = tasks->submissions->len; i > 0; i--)
     {
       gp_tasks_submission_state_t *submitting
-          = g_ptr_array_index (tasks->submitting, i - 1);
+          = g_ptr_array_index (tasks->submissions, i - 1);
 
       if (submitting->done != NULL && submitting->deadline <= now)
         give_up (submitting);
@@ -278,7 +278,7 @@
 static gp_writer_result_t
 propose_one (submitted_t *one, Gp__Record__Submit *submit)
 {
-  gp_tasks_submission_state_t *submitting = one->of;
+  gp_tasks_submission_state_t *submitting = one->submission;
   gp_tasks_t *tasks = submitting->tasks;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
 
@@ -302,9 +302,9 @@
   submitting->data = data;
   submitting->deadline = gp_tasks_now (tasks) + ANSWER_TIME;
   submitting->count = count;
-  submitting->ids = g_array_new (FALSE, FALSE, sizeof (uint64_t));
-  submitting->tasks_submitted = g_new0 (submitted_t, count);
-  g_ptr_array_add (tasks->submitting, submitting);
+  submitting->accepted_ids = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  submitting->proposals = g_new0 (submitted_t, count);
+  g_ptr_array_add (tasks->submissions, submitting);
   return submitting;
 }
 
@@ -323,18 +323,18 @@
              const gp_tasks_submission_t *submission,
              Gp__Record__Submit *submit)
 {
-  submitting->keyed = submission->key_size > 0;
+  submitting->has_key = submission->key_size > 0;
   for (uint32_t i = 0; i < submitting->count; i++)
     {
-      submitted_t *one = &submitting->tasks_submitted[i];
+      submitted_t *one = &submitting->proposals[i];
 
-      one->of = submitting;
+      one->submission = submitting;
       one->id = id_of (submitting->tasks, submission, i);
       if (propose_one (one, submit) != GP_WRITER_QUEUED)
         break;
-      submitting->open++;
+      submitting->open_count++;
     }
-  if (submitting->open > 0)
+  if (submitting->open_count > 0)
     return;
   answer_all (submitting);
   submitting_end (submitting);
--- a/src/daemon/tasks_view.c
+++ b/src/daemon/tasks_view.c
@@ -171,7 +171,7 @@
   const gp_tasks_task_t *task = gp_tasks_find (tasks, state->id);
   const char *team = state->team;
 
-  if (task == NULL || !task->team->mine)
+  if (task == NULL || !task->team->responsible)
     {
       g_string_append_printf (
           text, "it waits; another entry places the tasks of %s", team);
@@ -356,7 +356,7 @@
 
   g_hash_table_iter_init (&iter, tasks->guards);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((gp_tasks_guard_t *)value)->added)
+    if (((gp_tasks_guard_t *)value)->in_fleet)
       g_ptr_array_add (guards, value);
   g_ptr_array_sort (guards, compare_guards);
   for (guint i = 0; i < guards->len; i++)
--- a/src/daemon/tasks_watch.c
+++ b/src/daemon/tasks_watch.c
@@ -32,9 +32,9 @@
 {
   change_t *change = data;
 
-  change->kind->proposed--;
+  change->kind->proposed_count--;
   if (result == GP_PROPOSAL_DECIDED && verdict == GP_FOLD_VOID_EXISTS)
-    change->kind->salt++;
+    change->kind->id_salt++;
   change->tasks->watchers_changed = true;
   g_free (change);
 }
@@ -43,7 +43,7 @@
 id_of (const gp_tasks_t *tasks, const gp_tasks_kind_t *kind, uint32_t number)
 {
   const char *region = tasks->settings->region;
-  uint64_t parts[4] = { (uint64_t)kind->seed_us, kind->salt, number,
+  uint64_t parts[4] = { (uint64_t)kind->id_seed_us, kind->id_salt, number,
                         XXH3_64bits (region, strlen (region)) };
 
   return XXH3_64bits_withSeed (parts, sizeof parts,
@@ -74,7 +74,7 @@
   if (gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL, on_submitted,
                         change))
     {
-      kind->proposed++;
+      kind->proposed_count++;
       return true;
     }
   g_free (change);
@@ -106,7 +106,7 @@
 
   (void)result, (void)verdict;
   if (task != NULL)
-    task->cancelling = false;
+    task->cancel_proposed = false;
   change->tasks->watchers_changed = true;
   g_free (change);
 }
@@ -123,11 +123,11 @@
   record.record_case = GP__RECORD__RECORD__RECORD_CANCEL;
   record.cancel = &cancel;
   *change = (change_t){ tasks, task->kind, task->id };
-  task->cancelling = gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL,
-                                       on_withdrawn, change);
-  if (!task->cancelling)
+  task->cancel_proposed = gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL,
+                                            on_withdrawn, change);
+  if (!task->cancel_proposed)
     g_free (change);
-  return task->cancelling;
+  return task->cancel_proposed;
 }
 
 /* Orders watchers by which to cancel first: those that are not granted, then
@@ -160,7 +160,7 @@
       const gp_fold_task_t *state
           = gp_fold_task (gp_store_fold (tasks->store), task->id);
 
-      if (task->kind == kind && task->ask.work_class == GP_WORK_WATCHER
+      if (task->kind == kind && task->request.work_class == GP_WORK_WATCHER
           && state != NULL && !state->cancelled)
         g_ptr_array_add (live, task);
     }
@@ -169,7 +169,7 @@
     {
       gp_tasks_task_t *task = g_ptr_array_index (live, i);
 
-      if (!task->cancelling && !withdraw_one (tasks, task))
+      if (!task->cancel_proposed && !withdraw_one (tasks, task))
         {
           tasks->watchers_changed = true;
           break;
@@ -189,14 +189,14 @@
             ? 0
             : gp_settings_region_share (tasks->settings, watcher->count);
 
-  if (kind->live == wanted || kind->proposed > 0)
+  if (kind->live_count == wanted || kind->proposed_count > 0)
     return;
   if (!gp_tasks_is_responsible (tasks, "watcher", kind->name))
     return;
-  if (kind->live < wanted)
-    submit_missing (tasks, kind, watcher, wanted - kind->live);
+  if (kind->live_count < wanted)
+    submit_missing (tasks, kind, watcher, wanted - kind->live_count);
   else
-    withdraw_surplus (tasks, kind, kind->live - wanted);
+    withdraw_surplus (tasks, kind, kind->live_count - wanted);
 }
 
 void
--- a/tests/unit/test_tasks.c
+++ b/tests/unit/test_tasks.c
@@ -279,7 +279,7 @@
   heartbeat (0, 1);
   other_team = gp_tasks_is_responsible (tasks, "team", "u") ? "job" : "small";
   task = submit (other_team);
-  CU_ASSERT_FALSE (gp_tasks_find (tasks, task)->team->mine);
+  CU_ASSERT_FALSE (gp_tasks_find (tasks, task)->team->responsible);
   pass (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 0);
   gp_list_remove (&other.link);
@@ -328,7 +328,7 @@
   flush ();
   heartbeat (0, 1);
   CU_ASSERT_TRUE (gp_tasks_is_responsible (tasks, "team", "u"));
-  CU_ASSERT_TRUE (gp_tasks_find (tasks, submit ("job"))->team->mine);
+  CU_ASSERT_TRUE (gp_tasks_find (tasks, submit ("job"))->team->responsible);
   pass (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   for (size_t i = 0; i < G_N_ELEMENTS (others); i++)
