--- a/src/daemon/downlinks.c
+++ b/src/daemon/downlinks.c
@@ -30,7 +30,7 @@
 }
 
 static void
-count_executor (gp_downlinks_t *downlinks, const gp_member_t *member)
+add_executor (gp_downlinks_t *downlinks, const gp_member_t *member)
 {
   char *group;
   size_t count;
@@ -46,7 +46,7 @@
 }
 
 static size_t
-executors_like (const gp_downlinks_t *downlinks, const gp_announcement_t *a)
+executor_count_of (const gp_downlinks_t *downlinks, const gp_announcement_t *a)
 {
   char *group = group_name (a);
   size_t count = GPOINTER_TO_SIZE (
@@ -71,8 +71,8 @@
     return false;
   if (downlinks->zone_count <= GP_SUBSET_MIN_ENTRIES)
     return true;
-  share
-      = gp_subset_share (downlinks->zone_count, executors_like (downlinks, a));
+  share = gp_subset_share (downlinks->zone_count,
+                           executor_count_of (downlinks, a));
   return gp_subset_contains (a->name, downlinks->entries,
                              downlinks->entry_count, downlinks->self_index,
                              share);
@@ -121,7 +121,7 @@
 }
 
 static void
-review (gp_downlinks_t *downlinks, const gp_member_t *member)
+update_connection (gp_downlinks_t *downlinks, const gp_member_t *member)
 {
   if (is_wanted (downlinks, member))
     connect_to (downlinks, &member->announcement);
@@ -133,7 +133,7 @@
 gp_downlinks_on_member (gp_downlinks_t *downlinks, const gp_member_t *member)
 {
   downlinks->members_changed = true;
-  review (downlinks, member);
+  update_connection (downlinks, member);
 }
 
 static void
@@ -150,10 +150,10 @@
   g_hash_table_remove_all (downlinks->executor_counts);
   g_hash_table_iter_init (&iter, downlinks->members->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &member))
-    count_executor (downlinks, member);
+    add_executor (downlinks, member);
   g_hash_table_iter_init (&iter, downlinks->members->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &member))
-    review (downlinks, member);
+    update_connection (downlinks, member);
 }
 
 static void
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -15,8 +15,8 @@
 
 /* Guards try to reconnect to a lost entry at least every two seconds, so by
    then every guard has had a chance to connect.  */
-#define OPENING_TIME (2500 * GP_MSEC)
-#define OPENING_PAUSE (100 * GP_MSEC)
+#define OPENING_TIMEOUT (2500 * GP_MSEC)
+#define OPENING_QUIET_TIME (100 * GP_MSEC)
 #define READY_PATH "/-/ready"
 
 /* Sessions.  */
@@ -36,7 +36,7 @@
 
 /* Sends the state of this process to all other entries.  */
 static void
-tell_state (gp_entry_t *entry)
+broadcast_state (gp_entry_t *entry)
 {
   GP_LIST_FOREACH (pos, &entry->host.sessions)
   {
@@ -207,7 +207,7 @@
 }
 
 static void
-on_callers_done (void *data)
+on_callers_closed (void *data)
 {
   gp_entry_t *entry = data;
 
@@ -221,12 +221,12 @@
 }
 
 static void
-on_balancer_gone (gp_timer_t *timer, void *data)
+on_leave_delay_over (gp_timer_t *timer, void *data)
 {
   gp_entry_t *entry = data;
 
   (void)timer;
-  gp_http_server_shutdown (entry->callers, on_callers_done, entry);
+  gp_http_server_shutdown (entry->callers, on_callers_closed, entry);
 }
 
 static void
@@ -240,7 +240,7 @@
   gp_log (GP_LOG_INFO, "entry.leaving");
   gp_program_note (&entry->timeline, GP_TIMELINE_PROCESS_STOP,
                    entry->settings->name);
-  tell_state (entry);
+  broadcast_state (entry);
   gp_http_server_retire (entry->callers);
   gp_timer_arm (&entry->stop_timer,
                 gp_loop_now (&entry->loop)
@@ -263,8 +263,9 @@
 }
 
 /* Starts accepting callers, once: when no new upstream has appeared for
-   OPENING_PAUSE, or at OPENING_TIME after the start.  If it accepted requests
-   earlier, the entry would refuse some that other entries could serve.  */
+   OPENING_QUIET_TIME, or at OPENING_TIMEOUT after the start.  If it accepted
+   requests earlier, the entry would refuse some that other entries could
+   serve.  */
 static void
 open_to_callers (gp_entry_t *entry)
 {
@@ -277,18 +278,18 @@
 }
 
 static void
-on_route (void *data)
+on_target_added (void *data)
 {
   gp_entry_t *entry = data;
 
   if (!entry->open)
     gp_timer_arm (
         &entry->opening_timer,
-        MIN (gp_loop_now (&entry->loop) + OPENING_PAUSE, entry->open_at));
+        MIN (gp_loop_now (&entry->loop) + OPENING_QUIET_TIME, entry->open_at));
 }
 
 static void
-on_opening (gp_timer_t *timer, void *data)
+on_opening_timer (gp_timer_t *timer, void *data)
 {
   (void)timer;
   open_to_callers (data);
@@ -319,7 +320,7 @@
   gp_log (GP_LOG_INFO, "configuration.in-force",
           GP_LOG_I ("revision", revision));
   entry->config_since_us = gp_time_wall ();
-  tell_state (entry);
+  broadcast_state (entry);
   gp_routes_set_evacuated_zones (
       &entry->routes, document != NULL ? document->evacuated_zones : NULL,
       document != NULL ? document->evacuated_zones_count : 0);
@@ -329,7 +330,7 @@
 
 /* Maps the state of a member to a timeline event; false if it has none.  */
 static bool
-is_event (gp_member_state_t state, gp_timeline_kind_t *kind)
+timeline_kind_of (gp_member_state_t state, gp_timeline_kind_t *kind)
 {
   switch (state)
     {
@@ -350,29 +351,29 @@
 }
 
 static void
-note_member (gp_entry_t *entry, const gp_member_t *member)
+add_member_event (gp_entry_t *entry, const gp_member_t *member)
 {
   const gp_timeline_subject_t subject = { .vm = member->announcement.name };
   gp_timeline_kind_t kind = GP_TIMELINE_MEMBER_GONE;
 
-  if (is_event (member->state, &kind))
+  if (timeline_kind_of (member->state, &kind))
     gp_timeline_append (&entry->timeline, kind, &subject, NULL,
                         gp_time_wall ());
 }
 
 static void
-on_member (gp_member_t *member, void *data)
+on_member_change (gp_member_t *member, void *data)
 {
   gp_entry_t *entry = data;
 
-  note_member (entry, member);
+  add_member_event (entry, member);
   gp_downlinks_on_member (&entry->downlinks, member);
   gp_news_schedule (&entry->news);
   gp_tasks_on_member (entry->tasks, member);
 }
 
 static void
-on_silent (gp_target_t *target, void *data)
+on_target_suspect (gp_target_t *target, void *data)
 {
   gp_entry_t *entry = data;
 
@@ -410,7 +411,7 @@
 }
 
 static bool
-start_parts (gp_entry_t *entry, GError **error)
+init_components (gp_entry_t *entry, GError **error)
 {
   const gp_settings_t *settings = entry->settings;
 
@@ -437,9 +438,9 @@
                               &entry->timeline, on_configuration, entry);
   entry->routes.timeline = &entry->timeline;
   entry->relays.timeline = &entry->timeline;
-  entry->routes.on_member_change = on_member;
-  entry->routes.on_target_added = on_route;
-  entry->routes.on_target_suspect = on_silent;
+  entry->routes.on_member_change = on_member_change;
+  entry->routes.on_target_added = on_target_added;
+  entry->routes.on_target_suspect = on_target_suspect;
   entry->routes.data = entry;
   return true;
 }
@@ -447,7 +448,7 @@
 /* The index of this entry in the settings; all processes list the entries in
    the same order.  */
 static uint32_t
-own_place (const gp_settings_t *settings)
+own_index (const gp_settings_t *settings)
 {
   uint32_t place = 0;
 
@@ -488,16 +489,16 @@
                   settings->entry->max_requests,
                   settings->timings.stall_ms * GP_MSEC);
   gp_limits_init (&entry->relays.limits, MAX (settings->entries_count, 1),
-                  own_place (settings));
-  if (!start_parts (entry, error))
+                  own_index (settings));
+  if (!init_components (entry, error))
     return false;
-  gp_timer_init (&entry->stop_timer, &entry->loop, on_balancer_gone, entry);
+  gp_timer_init (&entry->stop_timer, &entry->loop, on_leave_delay_over, entry);
   if (!gp_session_host_listen (&entry->host, settings->entry->peers, error))
     return false;
   if (!listen_http (entry, error))
     return false;
-  gp_timer_init (&entry->opening_timer, &entry->loop, on_opening, entry);
-  entry->open_at = gp_loop_now (&entry->loop) + OPENING_TIME;
+  gp_timer_init (&entry->opening_timer, &entry->loop, on_opening_timer, entry);
+  entry->open_at = gp_loop_now (&entry->loop) + OPENING_TIMEOUT;
   gp_timer_arm (&entry->opening_timer, entry->open_at);
   start_dialers (entry);
   gp_loop_on_signal (&entry->loop, on_stop, entry);
--- a/src/daemon/keys.c
+++ b/src/daemon/keys.c
@@ -115,7 +115,7 @@
 }
 
 static void
-note (const gp_keyed_t *keyed, gp_timeline_kind_t kind, const char *text)
+add_event (const gp_keyed_t *keyed, gp_timeline_kind_t kind, const char *text)
 {
   const gp_timeline_subject_t subject = { .request = keyed->id };
 
@@ -186,7 +186,7 @@
 }
 
 static void
-on_timer (gp_timer_t *timer, void *data)
+on_outcome_retry (gp_timer_t *timer, void *data)
 {
   gp_keys_t *keys = data;
   gp_list_t waiting;
@@ -222,7 +222,7 @@
 /* Abandons the decision.  If the Intent is in the log or may still get there,
    the request stays until its Outcome has been written.  */
 static void
-give_up (gp_keyed_t *keyed)
+abandon (gp_keyed_t *keyed)
 {
   bool may_be_open = keyed->verdict == GP_KEYS_RUN;
 
@@ -239,17 +239,17 @@
   keyed->decided = NULL;
   if (keyed->state == KEYED_DECIDING)
     {
-      give_up (keyed);
+      abandon (keyed);
       return;
     }
   keyed->state = KEYED_ENDED;
   keyed->outcome = verdict;
   if (verdict == GP__WIRE__VERDICT__VERDICT_RAN)
     gp_kept_answer_pack (&keyed->kept);
-  note (keyed, GP_TIMELINE_KEY_OUTCOME,
-        verdict == GP__WIRE__VERDICT__VERDICT_RAN       ? "ran"
-        : verdict == GP__WIRE__VERDICT__VERDICT_NOT_RUN ? "not-run"
-                                                        : "unknown");
+  add_event (keyed, GP_TIMELINE_KEY_OUTCOME,
+             verdict == GP__WIRE__VERDICT__VERDICT_RAN       ? "ran"
+             : verdict == GP__WIRE__VERDICT__VERDICT_NOT_RUN ? "not-run"
+                                                             : "unknown");
   write_outcome (keyed);
 }
 
@@ -299,7 +299,7 @@
 }
 
 static void
-count (gp_keys_verdict_t verdict)
+count_verdict (gp_keys_verdict_t verdict)
 {
   switch (verdict)
     {
@@ -360,11 +360,11 @@
   void *data = keyed->data;
 
   keyed->decided = NULL;
-  count (decision.verdict);
+  count_verdict (decision.verdict);
   if (decision.verdict == GP_KEYS_RUN)
     {
       keyed->state = KEYED_RUNNING;
-      note (keyed, GP_TIMELINE_KEY_INTENT, NULL);
+      add_event (keyed, GP_TIMELINE_KEY_INTENT, NULL);
       if (decided != NULL)
         decided (&decision, data);
       else
@@ -379,7 +379,7 @@
 }
 
 static void
-decide (gp_keyed_t *keyed, gp_keys_verdict_t verdict)
+schedule_verdict (gp_keyed_t *keyed, gp_keys_verdict_t verdict)
 {
   keyed->has_verdict = true;
   keyed->verdict = verdict;
@@ -396,13 +396,14 @@
   const gp_fold_key_t *key = gp_fold_key (fold, keyed->key);
 
   if (key == NULL)
-    decide (keyed, GP_KEYS_BUSY); /* released meanwhile: may be retried */
+    schedule_verdict (keyed,
+                      GP_KEYS_BUSY); /* released meanwhile: may be retried */
   else if (is_own (keys, key) && key->request == keyed->request
            && key->state == GP__RECORD__KEY_STATE__KEY_STATE_OPEN)
-    decide (keyed, GP_KEYS_RUN);
+    schedule_verdict (keyed, GP_KEYS_RUN);
   else
-    decide (keyed, gp_keys_decide (fold, key, keyed->request,
-                                   owner_alive (keys, key)));
+    schedule_verdict (keyed, gp_keys_decide (fold, key, keyed->request,
+                                             owner_alive (keys, key)));
 }
 
 static void
@@ -416,14 +417,14 @@
     {
     case GP_PROPOSAL_DECIDED:
       if (verdict == GP_FOLD_ACCEPTED)
-        decide (keyed, GP_KEYS_RUN);
+        schedule_verdict (keyed, GP_KEYS_RUN);
       else if (verdict == GP_FOLD_VOID_KEY_TAKEN)
         decide_by_state (keyed);
       else
-        decide (keyed, GP_KEYS_UNAVAILABLE);
+        schedule_verdict (keyed, GP_KEYS_UNAVAILABLE);
       break;
     case GP_PROPOSAL_EXPIRED:
-      decide (keyed, GP_KEYS_LATE);
+      schedule_verdict (keyed, GP_KEYS_LATE);
       break;
     case GP_PROPOSAL_UNREAD:
       decide_by_state (keyed);
@@ -450,19 +451,19 @@
     case GP_WRITER_QUEUED:
       return;
     case GP_WRITER_LATE:
-      decide (keyed, GP_KEYS_LATE);
+      schedule_verdict (keyed, GP_KEYS_LATE);
       break;
     case GP_WRITER_UNAVAILABLE:
     case GP_WRITER_FULL:
     case GP_WRITER_TOO_LARGE:
-      decide (keyed, GP_KEYS_UNAVAILABLE);
+      schedule_verdict (keyed, GP_KEYS_UNAVAILABLE);
       break;
     }
 }
 
 /* Decides on KEYED while OTHER, a request of this entry, has the key.  */
 static gp_keys_verdict_t
-decide_beside (const gp_keyed_t *keyed, const gp_keyed_t *other)
+decide_with_active (const gp_keyed_t *keyed, const gp_keyed_t *other)
 {
   if (other->request != keyed->request)
     return GP_KEYS_MISMATCH;
@@ -480,7 +481,7 @@
 }
 
 static void
-start (gp_keyed_t *keyed)
+decide_or_propose (gp_keyed_t *keyed)
 {
   gp_keys_t *keys = keyed->keys;
   const gp_fold_t *fold = gp_store_fold (keys->store);
@@ -490,7 +491,7 @@
 
   if (other != NULL)
     {
-      decide (keyed, decide_beside (keyed, other));
+      schedule_verdict (keyed, decide_with_active (keyed, other));
       return;
     }
   key = gp_store_ready (keys->store) ? gp_fold_key (fold, keyed->key) : NULL;
@@ -505,7 +506,7 @@
       && key->state == GP__RECORD__KEY_STATE__KEY_STATE_OPEN)
     propose_outcome (keys->store, keyed->key,
                      GP__RECORD__KEY_STATE__KEY_STATE_UNKNOWN, NULL);
-  decide (keyed, verdict);
+  schedule_verdict (keyed, verdict);
 }
 
 gp_keyed_t *
@@ -523,7 +524,7 @@
   gp_list_init (&keyed->link);
   gp_deferred_init (&keyed->deferred, deliver);
   gp_keys_digest (request, keyed->key);
-  start (keyed);
+  decide_or_propose (keyed);
   return keyed;
 }
 
@@ -548,7 +549,7 @@
   keys->started_at = gp_loop_now (host->loop);
   keys->active = g_hash_table_new (hash_key, equal_keys);
   gp_list_init (&keys->unwritten);
-  gp_timer_init (&keys->timer, host->loop, on_timer, keys);
+  gp_timer_init (&keys->timer, host->loop, on_outcome_retry, keys);
   return keys;
 }
 
--- a/src/daemon/laggards.c
+++ b/src/daemon/laggards.c
@@ -4,7 +4,7 @@
 
 #include "daemon/entry.h"
 
-#define ASK_TIMEOUT (1 * GP_SEC)
+#define QUERY_TIMEOUT (1 * GP_SEC)
 
 /* The query to one entry.  */
 typedef struct
@@ -12,7 +12,7 @@
   gp_laggards_t *laggards;
   char *entry;
   gp_view_t *view; /* NULL once answered or failed */
-} question_t;
+} query_t;
 
 struct gp_laggards
 {
@@ -25,14 +25,14 @@
 };
 
 static void
-question_free (gpointer data)
+query_free (gpointer data)
 {
-  question_t *question = data;
+  query_t *query = data;
 
-  if (question->view != NULL)
-    gp_view_cancel (question->view);
-  g_free (question->entry);
-  g_free (question);
+  if (query->view != NULL)
+    gp_view_cancel (query->view);
+  g_free (query->entry);
+  g_free (query);
 }
 
 void
@@ -44,7 +44,7 @@
 }
 
 static void
-end_one (gp_laggards_t *laggards)
+on_query_done (gp_laggards_t *laggards)
 {
   if (--laggards->open_count > 0)
     return;
@@ -55,35 +55,35 @@
 static void
 on_view (gp_view_result_t result, const Gp__Wire__View *view, void *data)
 {
-  question_t *question = data;
-  gp_laggards_t *laggards = question->laggards;
+  query_t *query = data;
+  gp_laggards_t *laggards = query->laggards;
   json_t *behind = NULL;
 
-  question->view = NULL;
+  query->view = NULL;
   if (result == GP_VIEW_COME && !view->missing)
     behind
         = json_loadb ((const char *)view->text.data, view->text.len, 0, NULL);
   if (json_is_object (behind))
-    g_hash_table_replace (laggards->answers, g_strdup (question->entry),
+    g_hash_table_replace (laggards->answers, g_strdup (query->entry),
                           json_incref (behind));
   json_decref (behind);
-  end_one (laggards);
+  on_query_done (laggards);
 }
 
 static void
-ask_one (gp_entry_t *entry, gp_laggards_t *laggards, gp_session_t *session)
+query_entry (gp_entry_t *entry, gp_laggards_t *laggards, gp_session_t *session)
 {
   Gp__Wire__ViewAsk ask = GP__WIRE__VIEW_ASK__INIT;
-  question_t *question = g_new0 (question_t, 1);
+  query_t *query = g_new0 (query_t, 1);
 
   ask.kind = GP__WIRE__VIEW_KIND__VIEW_KIND_LAGGARDS;
   ask.since = laggards->revision;
-  question->laggards = laggards;
-  question->entry = g_strdup (session->process);
-  question->view = gp_views_ask (&entry->views, session, &ask, ASK_TIMEOUT,
-                                 on_view, question);
-  laggards->open_count += question->view != NULL;
-  g_ptr_array_add (laggards->queries, question);
+  query->laggards = laggards;
+  query->entry = g_strdup (session->process);
+  query->view = gp_views_ask (&entry->views, session, &ask, QUERY_TIMEOUT,
+                              on_view, query);
+  laggards->open_count += query->view != NULL;
+  g_ptr_array_add (laggards->queries, query);
 }
 
 gp_laggards_t *
@@ -94,7 +94,7 @@
   gp_laggards_t *laggards = g_new0 (gp_laggards_t, 1);
 
   laggards->revision = gp_configuration_revision (entry->configuration);
-  laggards->queries = g_ptr_array_new_with_free_func (question_free);
+  laggards->queries = g_ptr_array_new_with_free_func (query_free);
   laggards->answers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                              (GDestroyNotify)json_decref);
   laggards->done = done;
@@ -104,7 +104,7 @@
     gp_session_t *session = GP_CONTAINER_OF (pos, gp_session_t, link);
 
     if (session->ready && session->role == GP__WIRE__ROLE__ROLE_ENTRY)
-      ask_one (entry, laggards, session);
+      query_entry (entry, laggards, session);
   }
   if (laggards->open_count > 0)
     return laggards;
--- a/src/daemon/limits.c
+++ b/src/daemon/limits.c
@@ -4,8 +4,8 @@
 
 /* Retry hints for callers: when too many requests are in progress, and when
    the limit admits no requests at all.  */
-#define CONCURRENT_HINT (1 * GP_SEC)
-#define CLOSED_HINT (60 * GP_SEC)
+#define CONCURRENT_RETRY_AFTER (1 * GP_SEC)
+#define CLOSED_RETRY_AFTER (60 * GP_SEC)
 
 /* Keys of the limits.  */
 
@@ -31,7 +31,7 @@
 /* Configuration.  */
 
 static uint32_t
-share_of (const gp_limits_t *limits, uint32_t all)
+own_share (const gp_limits_t *limits, uint32_t all)
 {
   uint32_t rest = all % limits->entry_count;
 
@@ -68,14 +68,14 @@
       g_hash_table_insert (limits->by_key, g_strdup (key), limit);
     }
   limit->concurrent
-      = to->requests_per_s == 0 ? 0 : share_of (limits, to->concurrent);
+      = to->requests_per_s == 0 ? 0 : own_share (limits, to->concurrent);
   limit->declared = true;
   set_rate (limits, limit, to->requests_per_s, now);
   g_free (key);
 }
 
 static void
-forget_declared (gpointer key, gpointer value, gpointer data)
+clear_declared (gpointer key, gpointer value, gpointer data)
 {
   gp_limit_t *limit = value;
 
@@ -111,7 +111,7 @@
 gp_limits_configure (gp_limits_t *limits, const gp_document_t *document,
                      gp_time_t now)
 {
-  g_hash_table_foreach (limits->by_key, forget_declared, NULL);
+  g_hash_table_foreach (limits->by_key, clear_declared, NULL);
   for (uint32_t i = 0; i < document->teams_count; i++)
     set_limit (limits, team_key (document->teams[i].name),
                &document->teams[i].requests, now);
@@ -128,55 +128,57 @@
 
 /* Adds the limit of KEY, if there is one, and frees KEY.  */
 static void
-add_limit (gp_limits_t *limits, char *key, gp_limits_permit_t *hold)
+add_limit (gp_limits_t *limits, char *key, gp_limits_permit_t *permit)
 {
   gp_limit_t *limit = g_hash_table_lookup (limits->by_key, key);
 
   if (limit != NULL)
-    hold->limits[hold->count++] = limit;
+    permit->limits[permit->count++] = limit;
   g_free (key);
 }
 
 static void
 find_limits (gp_limits_t *limits, const gp_limits_subject_t *subject,
-             gp_limits_permit_t *hold)
+             gp_limits_permit_t *permit)
 {
-  hold->count = 0;
+  permit->count = 0;
   if (g_hash_table_size (limits->by_key) == 0)
     return;
   if (subject->team != NULL && subject->team[0] != '\0')
-    add_limit (limits, team_key (subject->team), hold);
+    add_limit (limits, team_key (subject->team), permit);
   if (subject->kind != NULL && subject->kind[0] != '\0')
-    add_limit (limits, kind_key (subject->service, subject->kind), hold);
-  add_limit (limits, class_key (subject->work_class), hold);
+    add_limit (limits, kind_key (subject->service, subject->kind), permit);
+  add_limit (limits, class_key (subject->work_class), permit);
 }
 
 static bool
-has_place (const gp_limits_permit_t *hold, gp_time_t *retry_after)
+below_concurrency_limits (const gp_limits_permit_t *permit,
+                          gp_time_t *retry_after)
 {
-  for (size_t i = 0; i < hold->count; i++)
+  for (size_t i = 0; i < permit->count; i++)
     {
-      const gp_limit_t *limit = hold->limits[i];
+      const gp_limit_t *limit = permit->limits[i];
 
       if (limit->running < limit->concurrent)
         continue;
-      *retry_after = limit->concurrent == 0 ? CLOSED_HINT : CONCURRENT_HINT;
+      *retry_after = limit->concurrent == 0 ? CLOSED_RETRY_AFTER
+                                            : CONCURRENT_RETRY_AFTER;
       return false;
     }
   return true;
 }
 
 static bool
-take_rates (const gp_limits_permit_t *hold, gp_time_t now,
-            gp_time_t *retry_after)
+acquire_rates (const gp_limits_permit_t *permit, gp_time_t now,
+               gp_time_t *retry_after)
 {
   gp_limiter_t *rates[GP_LIMITS_PER_REQUEST];
   size_t count = 0;
   gp_time_t retry_at;
 
-  for (size_t i = 0; i < hold->count; i++)
-    if (hold->limits[i]->has_rate)
-      rates[count++] = &hold->limits[i]->rate;
+  for (size_t i = 0; i < permit->count; i++)
+    if (permit->limits[i]->has_rate)
+      rates[count++] = &permit->limits[i]->rate;
   if (gp_limiter_take_all (rates, count, 1, now, &retry_at))
     return true;
   *retry_after = retry_at - now;
@@ -185,26 +187,27 @@
 
 bool
 gp_limits_acquire (gp_limits_t *limits, const gp_limits_subject_t *subject,
-                   gp_limits_permit_t *hold, gp_time_t now,
+                   gp_limits_permit_t *permit, gp_time_t now,
                    gp_time_t *retry_after)
 {
-  find_limits (limits, subject, hold);
-  if (!has_place (hold, retry_after) || !take_rates (hold, now, retry_after))
+  find_limits (limits, subject, permit);
+  if (!below_concurrency_limits (permit, retry_after)
+      || !acquire_rates (permit, now, retry_after))
     {
-      hold->count = 0;
+      permit->count = 0;
       return false;
     }
-  for (size_t i = 0; i < hold->count; i++)
-    hold->limits[i]->running++;
+  for (size_t i = 0; i < permit->count; i++)
+    permit->limits[i]->running++;
   return true;
 }
 
 void
-gp_limits_release (gp_limits_permit_t *hold)
+gp_limits_release (gp_limits_permit_t *permit)
 {
-  for (size_t i = 0; i < hold->count; i++)
-    hold->limits[i]->running--;
-  hold->count = 0;
+  for (size_t i = 0; i < permit->count; i++)
+    permit->limits[i]->running--;
+  permit->count = 0;
 }
 
 void
--- a/src/daemon/limits.h
+++ b/src/daemon/limits.h
@@ -60,8 +60,8 @@
    tried again.  */
 bool gp_limits_acquire (gp_limits_t *limits,
                         const gp_limits_subject_t *subject,
-                        gp_limits_permit_t *hold, gp_time_t now,
+                        gp_limits_permit_t *permit, gp_time_t now,
                         gp_time_t *retry_after);
-void gp_limits_release (gp_limits_permit_t *hold);
+void gp_limits_release (gp_limits_permit_t *permit);
 
 #endif
--- a/src/daemon/news.c
+++ b/src/daemon/news.c
@@ -9,7 +9,7 @@
 #define TICK (100 * GP_MSEC)
 
 /* Number of heartbeats to other entries within suspect_after.  */
-#define SIGNS_PER_SUSPICION 4
+#define HEARTBEATS_PER_SUSPECT_AFTER 4
 
 /* Limits of one message; a single MemberNews is far smaller.  */
 #define NEWS_PER_MESSAGE 512
@@ -33,7 +33,7 @@
   Gp__Wire__Upstream upstreams[NEWS_PER_MESSAGE];
   Gp__Wire__Resources capacities[NEWS_PER_MESSAGE];
   Gp__Wire__Load loads[NEWS_PER_MESSAGE];
-} message_t;
+} message_buffer_t;
 
 static gp_counter_t news_sent
     = GP_COUNTER ("entry_member_news_sent_total", "News told to entries.");
@@ -45,7 +45,7 @@
 /* Sending.  */
 
 static void
-fill_announce (message_t *message, const gp_announcement_t *a)
+fill_announce (message_buffer_t *message, const gp_announcement_t *a)
 {
   Gp__Wire__Announce *announce = &message->announces[message->count];
   Gp__Wire__Upstream *upstream = &message->upstreams[message->count];
@@ -73,7 +73,7 @@
 }
 
 static void
-fill_load (message_t *message, Gp__Wire__MemberNews *news,
+fill_load (message_buffer_t *message, Gp__Wire__MemberNews *news,
            const gp_load_t *load)
 {
   Gp__Wire__Load *wire = &message->loads[message->count];
@@ -91,7 +91,7 @@
 static size_t
 add_news (const gp_member_news_t *from, void *data)
 {
-  message_t *message = data;
+  message_buffer_t *message = data;
   const gp_announcement_t *a = &from->announcement;
   Gp__Wire__MemberNews *news = &message->news[message->count];
 
@@ -115,52 +115,52 @@
 }
 
 static void
-send_message (gp_news_peer_t *reader, message_t *message)
+send_message (gp_news_peer_t *peer, message_buffer_t *message)
 {
   Gp__Wire__Members members = GP__WIRE__MEMBERS__INIT;
   Gp__Wire__Envelope envelope = GP_ENVELOPE (MEMBERS, members, &members);
 
   members.news = message->pointers;
   members.n_news = message->count;
-  reader->sent_at = message->now;
+  peer->sent_at = message->now;
   gp_counter_add (&news_sent, (int64_t)message->count);
-  gp_session_send (reader->session, &envelope);
+  gp_session_send (peer->session, &envelope);
 }
 
 /* Sends READER the changes since its cursor; if there are none and the
    interval has passed, an empty message that shows that this entry is
    alive.  */
 static void
-tell (gp_news_t *news, gp_news_peer_t *reader, message_t *message)
+send_changes (gp_news_t *news, gp_news_peer_t *peer, message_buffer_t *message)
 {
   message->now = gp_loop_now (news->host->loop);
-  if (gp_members_cursor_lost (news->members, reader->cursor))
+  if (gp_members_cursor_lost (news->members, peer->cursor))
     {
-      gp_session_close (reader->session, true);
+      gp_session_close (peer->session, true);
       return;
     }
   do
     {
       message->count = 0;
-      reader->cursor = gp_members_tell (news->members, reader->cursor,
-                                        MESSAGE_BUDGET, add_news, message);
+      peer->cursor = gp_members_tell (news->members, peer->cursor,
+                                      MESSAGE_BUDGET, add_news, message);
       if (message->count > 0
-          || message->now - reader->sent_at >= news->heartbeat_interval)
-        send_message (reader, message);
+          || message->now - peer->sent_at >= news->heartbeat_interval)
+        send_message (peer, message);
     }
-  while (message->count > 0 && !gp_peer_congested (reader->session->peer));
+  while (message->count > 0 && !gp_peer_congested (peer->session->peer));
 }
 
 static void
-tell_all (gp_news_t *news)
+send_to_all (gp_news_t *news)
 {
-  message_t *message = g_new (message_t, 1);
+  message_buffer_t *message = g_new (message_buffer_t, 1);
   GHashTableIter iter;
-  gpointer reader;
+  gpointer peer;
 
   g_hash_table_iter_init (&iter, news->peers);
-  while (g_hash_table_iter_next (&iter, NULL, &reader))
-    tell (news, reader, message);
+  while (g_hash_table_iter_next (&iter, NULL, &peer))
+    send_changes (news, peer, message);
   g_free (message);
 }
 
@@ -170,14 +170,14 @@
   gp_news_t *news = data;
 
   if (g_hash_table_size (news->peers) > 0)
-    tell_all (news);
+    send_to_all (news);
   gp_timer_arm (timer, gp_loop_now (news->host->loop) + TICK);
 }
 
 static void
 on_deferred (gp_deferred_t *deferred)
 {
-  tell_all (GP_CONTAINER_OF (deferred, gp_news_t, deferred));
+  send_to_all (GP_CONTAINER_OF (deferred, gp_news_t, deferred));
 }
 
 void
@@ -190,7 +190,7 @@
 /* Receiving.  */
 
 static gp_member_news_t
-read_news (const Gp__Wire__MemberNews *wire, gp_time_t now)
+news_from_wire (const Gp__Wire__MemberNews *wire, gp_time_t now)
 {
   const Gp__Wire__Announce *announce = wire->announce;
   gp_member_news_t news = { .gone = wire->gone, .load.at = INT64_MIN };
@@ -225,15 +225,15 @@
 }
 
 static void
-learn (gp_news_t *news, const gp_session_t *session,
-       const Gp__Wire__Members *members)
+apply_news (gp_news_t *news, const gp_session_t *session,
+            const Gp__Wire__Members *members)
 {
   gp_time_t now = gp_loop_now (news->host->loop);
 
   gp_counter_add (&news_received, (int64_t)members->n_news);
   for (size_t i = 0; i < members->n_news; i++)
     {
-      gp_member_news_t piece = read_news (members->news[i], now);
+      gp_member_news_t piece = news_from_wire (members->news[i], now);
 
       if (gp_members_learn (news->members, session->process, &piece, now)
           == GP_MEMBERS_STALE)
@@ -252,7 +252,7 @@
   if (!gp_members_reporter_heard (news->members, session->process, now))
     gp_session_close (session, true);
   else if (envelope->message_case == GP__WIRE__ENVELOPE__MESSAGE_MEMBERS)
-    learn (news, session, envelope->members);
+    apply_news (news, session, envelope->members);
 }
 
 /* Sessions.  */
@@ -260,13 +260,13 @@
 void
 gp_news_on_ready (gp_news_t *news, gp_session_t *session)
 {
-  gp_news_peer_t *reader;
+  gp_news_peer_t *peer;
 
   if (strcmp (session->region, news->host->self.region) != 0)
     return;
-  reader = g_new0 (gp_news_peer_t, 1);
-  reader->session = session;
-  g_hash_table_insert (news->peers, session, reader);
+  peer = g_new0 (gp_news_peer_t, 1);
+  peer->session = session;
+  g_hash_table_insert (news->peers, session, peer);
   gp_members_reporter_open (news->members, session->process,
                             gp_loop_now (news->host->loop));
   gp_news_schedule (news);
@@ -283,7 +283,7 @@
 {
   *news = (gp_news_t){ .host = host, .members = members };
   news->heartbeat_interval
-      = members->settings.suspect_after / SIGNS_PER_SUSPICION;
+      = members->settings.suspect_after / HEARTBEATS_PER_SUSPECT_AFTER;
   news->peers = g_hash_table_new_full (NULL, NULL, NULL, g_free);
   gp_deferred_init (&news->deferred, on_deferred);
   gp_timer_init (&news->timer, host->loop, on_tick, news);
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -22,9 +22,9 @@
 
 static gp_counter_t requests
     = GP_COUNTER ("entry_requests_total", "Requests of callers.");
-static gp_counter_t tries_sent
+static gp_counter_t attempts_sent
     = GP_COUNTER ("entry_tries_total", "Tries sent to guards.");
-static gp_counter_t tries_given_up
+static gp_counter_t attempts_abandoned
     = GP_COUNTER ("entry_tries_given_up_total",
                   "Tries ended because their guard was not heard any more.");
 static gp_counter_t requests_limited = GP_COUNTER (
@@ -37,7 +37,7 @@
 /* Lifecycle of a relay.  */
 
 static bool
-wakes_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
+times_out_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
 {
   return GP_CONTAINER_OF (a, gp_relay_t, timeout_node)->timeout_at
          < GP_CONTAINER_OF (b, gp_relay_t, timeout_node)->timeout_at;
@@ -68,7 +68,7 @@
 
 /* Ends the current attempt; later messages for its handle are ignored.  */
 static void
-end_try (gp_relay_t *relay)
+end_attempt (gp_relay_t *relay)
 {
   gp_target_t *target = relay->target;
 
@@ -86,7 +86,7 @@
   gp_relays_t *relays = relay->relays;
 
   gp_relay_record_outcome (relay, GP__WIRE__VERDICT__VERDICT_UNSPECIFIED);
-  end_try (relay);
+  end_attempt (relay);
   gp_list_remove (&relay->unanswered_link);
   if (!relay->expired)
     gp_heap_remove (&relays->timeouts, &relay->timeout_node);
@@ -115,7 +115,8 @@
 /* Handles the end of the current attempt with VERDICT: dispatches the request
    again or answers the caller.  */
 static void
-decide (gp_relay_t *relay, Gp__Wire__Verdict verdict, Gp__Wire__Reason reason)
+handle_attempt_end (gp_relay_t *relay, Gp__Wire__Verdict verdict,
+                    Gp__Wire__Reason reason)
 {
   gp_time_t now = gp_loop_now (relay->relays->loop);
   gp_retry_decision_t decision;
@@ -129,7 +130,7 @@
     .deadline = relay->deadline,
   };
 
-  end_try (relay);
+  end_attempt (relay);
   if (relay->cancelled || relay->exchange == NULL)
     {
       gp_relay_fail (relay, verdict, reason, -1);
@@ -167,8 +168,8 @@
 
   if (candidate == NULL)
     {
-      decide (relay, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-              GP__WIRE__REASON__REASON_NO_CANDIDATE);
+      handle_attempt_end (relay, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                          GP__WIRE__REASON__REASON_NO_CANDIDATE);
       return;
     }
   target = candidate->data;
@@ -181,14 +182,14 @@
     relay->route.tried[relay->route.n_tried++] = candidate;
   gp_list_push_back (&target->relays, &relay->target_link);
   gp_routes_request_sent (relays->routes, target);
-  gp_counter_add (&tries_sent, 1);
+  gp_counter_add (&attempts_sent, 1);
   gp_relay_send (relay, now);
 }
 
 /* Requests.  */
 
 static void
-on_gone (void *data)
+on_caller_gone (void *data)
 {
   gp_relay_t *relay = data;
 
@@ -205,7 +206,7 @@
 }
 
 static bool
-take_limits (gp_relay_t *relay, gp_time_t *retry_after)
+acquire_limits (gp_relay_t *relay, gp_time_t *retry_after)
 {
   gp_limits_subject_t subject = { .team = relay->team,
                                   .service = relay->service->name,
@@ -238,7 +239,8 @@
   gp_heap_insert (&relays->timeouts, &relay->timeout_node);
   relays->open_count++;
   gp_counter_set (&relays_open, (int64_t)relays->open_count);
-  gp_http_exchange_watch (exchange, on_gone, gp_relay_on_part_taken, relay);
+  gp_http_exchange_watch (exchange, on_caller_gone, gp_relay_on_part_taken,
+                          relay);
   return relay;
 }
 
@@ -290,7 +292,7 @@
     }
   relay = relay_new (relays, exchange, service);
   arm_timer (relays);
-  if (!take_limits (relay, &retry_after))
+  if (!acquire_limits (relay, &retry_after))
     {
       gp_counter_add (&requests_limited, 1);
       gp_relay_fail (relay, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
@@ -323,7 +325,7 @@
 }
 
 static void
-record (gp_relay_t *relay, const Gp__Wire__Answer *answer)
+record_answer (gp_relay_t *relay, const Gp__Wire__Answer *answer)
 {
   gp_routes_t *routes = relay->relays->routes;
   bool ran = answer->verdict == GP__WIRE__VERDICT__VERDICT_RAN;
@@ -344,10 +346,10 @@
 
   if (relay == NULL || relay->streaming)
     return;
-  record (relay, answer);
+  record_answer (relay, answer);
   if (answer->verdict != GP__WIRE__VERDICT__VERDICT_RAN)
     {
-      decide (relay, answer->verdict, answer->reason);
+      handle_attempt_end (relay, answer->verdict, answer->reason);
       return;
     }
   relay->head_received = true;
@@ -373,7 +375,7 @@
   if (relay->keyed != NULL)
     gp_keyed_keep_part (relay->keyed, part->data.data, part->data.len);
   if (part->last)
-    end_try (relay);
+    end_attempt (relay);
   gp_relay_send_next_part (relay);
 }
 
@@ -403,7 +405,7 @@
 /* The verdict on a request whose guard was lost: a guard does not submit a
    request before it has the whole body.  */
 static Gp__Wire__Verdict
-verdict_of_loss (const gp_relay_t *relay)
+verdict_after_loss (const gp_relay_t *relay)
 {
   bool sent = relay->attempts > 0 && relay->body_sent == relay->body_size;
 
@@ -426,8 +428,8 @@
     if (relay->streaming)
       gp_relay_abort_stream (relay);
     else
-      decide (relay, verdict_of_loss (relay),
-              GP__WIRE__REASON__REASON_UPSTREAM);
+      handle_attempt_end (relay, verdict_after_loss (relay),
+                          GP__WIRE__REASON__REASON_UPSTREAM);
   }
 }
 
@@ -443,9 +445,10 @@
 
     if (relay->streaming || relay->exchange == NULL)
       continue;
-    gp_counter_add (&tries_given_up, 1);
+    gp_counter_add (&attempts_abandoned, 1);
     gp_relay_send_cancel (relay);
-    decide (relay, verdict_of_loss (relay), GP__WIRE__REASON__REASON_UPSTREAM);
+    handle_attempt_end (relay, verdict_after_loss (relay),
+                        GP__WIRE__REASON__REASON_UPSTREAM);
   }
 }
 
@@ -497,7 +500,7 @@
   if (relay->streaming)
     gp_relay_abort_stream (relay);
   else
-    gp_relay_fail (relay, verdict_of_loss (relay),
+    gp_relay_fail (relay, verdict_after_loss (relay),
                    GP__WIRE__REASON__REASON_DEADLINE, -1);
 }
 
@@ -520,7 +523,7 @@
 }
 
 static void
-on_timer (gp_timer_t *timer, void *data)
+on_timeout (gp_timer_t *timer, void *data)
 {
   gp_relays_t *relays = data;
   gp_time_t now = gp_loop_now (relays->loop);
@@ -545,11 +548,11 @@
   gp_idpool_init (&relays->attempts_by_handle);
   gp_list_init (&relays->unanswered);
   gp_timer_init (&relays->sweep_timer, loop, on_sweep, relays);
-  gp_heap_init (&relays->timeouts, wakes_before);
-  gp_timer_init (&relays->timer, loop, on_timer, relays);
+  gp_heap_init (&relays->timeouts, times_out_before);
+  gp_timer_init (&relays->timer, loop, on_timeout, relays);
   gp_counter_register (&requests);
-  gp_counter_register (&tries_sent);
-  gp_counter_register (&tries_given_up);
+  gp_counter_register (&attempts_sent);
+  gp_counter_register (&attempts_abandoned);
   gp_relay_register_counters ();
   gp_counter_register (&requests_limited);
   gp_counter_register (&callers_gone);
--- a/src/daemon/relay_answer.c
+++ b/src/daemon/relay_answer.c
@@ -134,8 +134,8 @@
 }
 
 static void
-note_failure (const gp_relay_t *relay, Gp__Wire__Verdict verdict,
-              Gp__Wire__Reason reason)
+add_failure_event (const gp_relay_t *relay, Gp__Wire__Verdict verdict,
+                   Gp__Wire__Reason reason)
 {
   gp_timeline_t *timeline = relay->relays->timeline;
   bool refused = verdict == GP__WIRE__VERDICT__VERDICT_NOT_RUN;
@@ -155,7 +155,7 @@
 gp_relay_fail (gp_relay_t *relay, Gp__Wire__Verdict verdict,
                Gp__Wire__Reason reason, gp_time_t retry_after)
 {
-  note_failure (relay, verdict, reason);
+  add_failure_event (relay, verdict, reason);
   if (relay->exchange != NULL)
     gp_relay_answer_failure (relay->exchange, verdict, reason, retry_after);
   gp_relay_record_outcome (relay, verdict);
@@ -188,7 +188,7 @@
 /* Streamed answers.  */
 
 static void
-note_progress (gp_relay_t *relay)
+restart_stall_timeout (gp_relay_t *relay)
 {
   gp_relays_t *relays = relay->relays;
 
@@ -206,7 +206,7 @@
     return;
   relay->part_in_flight = true;
   relay->in_flight_size = size;
-  note_progress (relay);
+  restart_stall_timeout (relay);
   gp_http_exchange_part (relay->exchange, relay->pending->data, size, final);
   if (final)
     {
@@ -223,7 +223,7 @@
   gp_relay_t *relay = data;
 
   relay->part_in_flight = false;
-  note_progress (relay);
+  restart_stall_timeout (relay);
   if (relay->target != NULL && !relay->last_received)
     gp_relay_send_credit (relay, relay->in_flight_size);
   gp_relay_send_next_part (relay);
@@ -243,7 +243,7 @@
     }
   relay->streaming = true;
   relay->pending = g_byte_array_new ();
-  note_progress (relay);
+  restart_stall_timeout (relay);
   gp_http_exchange_start (relay->exchange, (int)answer->status, headers, count,
                           answer->content_length);
   g_byte_array_append (relay->pending, answer->data.data,
--- a/src/daemon/relay_keyed.c
+++ b/src/daemon/relay_keyed.c
@@ -4,11 +4,11 @@
 
 #include <string.h>
 
-#define LOG_RETRY (1 * GP_SEC)
+#define LOG_RETRY_AFTER (1 * GP_SEC)
 
 /* The verdict on a relay that ends without one from its guard.  */
 static Gp__Wire__Verdict
-verdict_so_far (const gp_relay_t *relay)
+verdict_from_progress (const gp_relay_t *relay)
 {
   if (relay->head_received)
     return GP__WIRE__VERDICT__VERDICT_RAN;
@@ -22,7 +22,7 @@
   if (relay->keyed == NULL)
     return;
   if (verdict == GP__WIRE__VERDICT__VERDICT_UNSPECIFIED)
-    verdict = verdict_so_far (relay);
+    verdict = verdict_from_progress (relay);
   if (!relay->last_received)
     gp_keyed_drop_answer (relay->keyed);
   gp_keyed_end (g_steal_pointer (&relay->keyed), verdict);
@@ -53,15 +53,15 @@
                    GP__WIRE__REASON__REASON_UPSTREAM, -1);
   else if (decision->verdict == GP_KEYS_LATE)
     gp_relay_fail (relay, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                   GP__WIRE__REASON__REASON_DEADLINE, LOG_RETRY);
+                   GP__WIRE__REASON__REASON_DEADLINE, LOG_RETRY_AFTER);
   else
     gp_relay_fail (relay, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                   GP__WIRE__REASON__REASON_LOG, LOG_RETRY);
+                   GP__WIRE__REASON__REASON_LOG, LOG_RETRY_AFTER);
 }
 
 /* Asks whether the request may run under KEY; on_decided gets the result.  */
 static void
-begin (gp_relay_t *relay, gp_http_text_t key)
+begin_keyed (gp_relay_t *relay, gp_http_text_t key)
 {
   gp_http_exchange_t *exchange = relay->exchange;
   gp_http_text_t method = gp_http_exchange_method (exchange);
@@ -88,7 +88,7 @@
       = gp_http_exchange_header (relay->exchange, "idempotency-key");
 
   if (relay->relays->keys != NULL && !relay->idempotent && key.size > 0)
-    begin (relay, key);
+    begin_keyed (relay, key);
   else
     gp_relay_dispatch (relay);
 }
--- a/src/daemon/routes.c
+++ b/src/daemon/routes.c
@@ -11,9 +11,9 @@
 #define TICK (100 * GP_MSEC)
 
 /* A tick is late if more time than this has passed since the last one.  */
-#define LATE (5 * TICK)
+#define LATE_TICK (5 * TICK)
 
-static gp_counter_t members_serving
+static gp_counter_t targets_routed
     = GP_GAUGE ("entry_targets_routed", "Upstreams that take requests.");
 static gp_counter_t ejections
     = GP_COUNTER ("entry_ejections_total", "Upstreams ejected as outliers.");
@@ -52,8 +52,8 @@
 
 /* Adds an event about TARGET to the timeline.  */
 static void
-note (const gp_routes_t *routes, gp_timeline_kind_t kind,
-      const gp_target_t *target, const char *text)
+add_event (const gp_routes_t *routes, gp_timeline_kind_t kind,
+           const gp_target_t *target, const char *text)
 {
   gp_timeline_subject_t subject = { .vm = target->member->announcement.name };
 
@@ -96,7 +96,7 @@
   target->routed = true;
   GP_LIST_FOREACH (pos, &target->relays)
   gp_router_sent (&target->service->router, &target->candidate);
-  gp_counter_add (&members_serving, 1);
+  gp_counter_add (&targets_routed, 1);
   if (routes->on_target_added != NULL)
     routes->on_target_added (routes->data);
   gp_log (GP_LOG_INFO, "target.up", GP_LOG_S ("guard", a->name),
@@ -109,7 +109,7 @@
   gp_router_remove (&target->service->router, &target->candidate);
   gp_outlier_remove (&target->service->outlier, &target->health);
   target->routed = false;
-  gp_counter_add (&members_serving, -1);
+  gp_counter_add (&targets_routed, -1);
   gp_log (GP_LOG_INFO, "target.down",
           GP_LOG_S ("guard", target->member->announcement.name),
           GP_LOG_S ("service", target->service->name));
@@ -117,7 +117,7 @@
 
 /* Frees TARGET unless it has a member, a session or requests in progress.  */
 static void
-target_release (gp_target_t *target)
+target_free_if_unused (gp_target_t *target)
 {
   if (target->member == NULL && gp_list_empty (&target->relays)
       && target->session == NULL)
@@ -125,7 +125,7 @@
 }
 
 static void
-take_session (gp_target_t *target, gp_session_t *session)
+set_session (gp_target_t *target, gp_session_t *session)
 {
   target->session = session;
   if (session != NULL)
@@ -149,7 +149,7 @@
 }
 
 static void
-settle_member (gp_routes_t *routes, gp_member_t *member)
+update_member (gp_routes_t *routes, gp_member_t *member)
 {
   gp_target_t *target = member->data;
   bool routable = gp_member_routable (member)
@@ -162,7 +162,7 @@
   if (target == NULL)
     return;
   if (routable && target->session == NULL)
-    take_session (target, find_session (routes, member));
+    set_session (target, find_session (routes, member));
   if (routable && !target->routed && target->session != NULL)
     add_route (routes, target);
   else if (!routable && target->routed)
@@ -174,7 +174,7 @@
     {
       member->data = NULL;
       target->member = NULL;
-      target_release (target);
+      target_free_if_unused (target);
     }
 }
 
@@ -182,7 +182,7 @@
    them have been removed from their routers: a retry must not pick one of
    them.  */
 static void
-tell_silent (gp_routes_t *routes)
+notify_suspects (gp_routes_t *routes)
 {
   gp_list_t *link;
 
@@ -201,9 +201,9 @@
     {
       if (routes->on_member_change != NULL)
         routes->on_member_change (member, routes->data);
-      settle_member (routes, member);
+      update_member (routes, member);
     }
-  tell_silent (routes);
+  notify_suspects (routes);
 }
 
 void
@@ -218,7 +218,7 @@
     g_hash_table_add (routes->evacuated, g_strdup (zones[i].name));
   g_hash_table_iter_init (&iter, routes->members.by_name);
   while (g_hash_table_iter_next (&iter, NULL, &member))
-    settle_member (routes, member);
+    update_member (routes, member);
 }
 
 /* Events.  */
@@ -276,8 +276,8 @@
    announcement shows that it can be reached, but this entry must not expect
    heartbeats from it.  */
 static gp_members_result_t
-take_announcement (gp_routes_t *routes, const gp_session_t *session,
-                   const gp_announcement_t *a)
+record_announcement (gp_routes_t *routes, const gp_session_t *session,
+                     const gp_announcement_t *a)
 {
   gp_members_t *members = &routes->members;
   gp_time_t now = gp_loop_now (routes->loop);
@@ -298,7 +298,7 @@
 {
   gp_announcement_t a = announcement_of (session, announce);
 
-  if (take_announcement (routes, session, &a) == GP_MEMBERS_STALE)
+  if (record_announcement (routes, session, &a) == GP_MEMBERS_STALE)
     {
       gp_counter_add (&stale_messages, 1);
       return false;
@@ -335,7 +335,7 @@
 
 /* Another open session with the same incarnation of a guard, or NULL.  */
 static gp_session_t *
-other_session (const gp_routes_t *routes, const gp_session_t *session)
+find_other_session (const gp_routes_t *routes, const gp_session_t *session)
 {
   GP_LIST_FOREACH (pos, &routes->host->sessions)
   {
@@ -353,7 +353,7 @@
 gp_routes_session_closed (gp_routes_t *routes, gp_session_t *session)
 {
   gp_target_t *target = session->object;
-  gp_session_t *other = other_session (routes, session);
+  gp_session_t *other = find_other_session (routes, session);
 
   if (target != NULL && target->session == session)
     {
@@ -383,8 +383,8 @@
 }
 
 static void
-apply (const gp_routes_t *routes, gp_target_t *target,
-       gp_outlier_action_t action)
+apply_outlier_action (const gp_routes_t *routes, gp_target_t *target,
+                      gp_outlier_action_t action)
 {
   gp_router_t *router = &target->service->router;
 
@@ -396,7 +396,7 @@
       gp_counter_add (&ejections, 1);
       gp_log (GP_LOG_WARNING, "target.ejected",
               GP_LOG_S ("guard", target->member->announcement.name));
-      note (routes, GP_TIMELINE_MEMBER_GONE, target, "ejected");
+      add_event (routes, GP_TIMELINE_MEMBER_GONE, target, "ejected");
       gp_router_eject (router, &target->candidate);
       break;
     case GP_OUTLIER_OFFER_PROBE:
@@ -405,7 +405,7 @@
     case GP_OUTLIER_READMIT:
       gp_log (GP_LOG_INFO, "target.readmitted",
               GP_LOG_S ("guard", target->member->announcement.name));
-      note (routes, GP_TIMELINE_MEMBER_SERVING, target, "readmitted");
+      add_event (routes, GP_TIMELINE_MEMBER_SERVING, target, "readmitted");
       gp_router_readmit (router, &target->candidate);
       break;
     }
@@ -421,10 +421,11 @@
   if (!target->routed)
     return;
   if (target->health.state == GP_HEALTH_PROBED)
-    apply (routes, target,
-           gp_outlier_probe_done (outlier, &target->health, success, now));
+    apply_outlier_action (
+        routes, target,
+        gp_outlier_probe_done (outlier, &target->health, success, now));
   else
-    apply (
+    apply_outlier_action (
         routes, target,
         gp_outlier_record (outlier, &target->health, success, duration, now));
 }
@@ -445,7 +446,7 @@
 {
   (void)routes;
   gp_router_done (&target->service->router, &target->candidate);
-  target_release (target);
+  target_free_if_unused (target);
 }
 
 static void
@@ -456,16 +457,16 @@
 
   while ((health = gp_outlier_next_due (&service->outlier, now, &action))
          != NULL)
-    apply (routes, health->data, action);
+    apply_outlier_action (routes, health->data, action);
 }
 
 /* Whether members without heartbeats may be declared suspect.  After a late
    tick this process was itself blocked: it skips one tick to read the
    messages that have arrived meanwhile.  */
 static bool
-may_judge (gp_routes_t *routes, gp_time_t now)
+may_suspect_members (gp_routes_t *routes, gp_time_t now)
 {
-  bool late = now - routes->last_tick > LATE;
+  bool late = now - routes->last_tick > LATE_TICK;
   bool judge = !late || routes->last_tick_late;
 
   routes->last_tick = now;
@@ -481,7 +482,7 @@
   GHashTableIter iter;
   gpointer service;
 
-  if (may_judge (routes, now))
+  if (may_suspect_members (routes, now))
     gp_members_tick (&routes->members, now);
   gp_routes_apply_changes (routes);
   g_hash_table_iter_init (&iter, routes->services);
@@ -503,7 +504,7 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, service_free);
   routes->evacuated
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  gp_counter_register (&members_serving);
+  gp_counter_register (&targets_routed);
   gp_counter_register (&ejections);
   gp_counter_register (&stale_messages);
   gp_timer_init (&routes->timer, loop, on_tick, routes);
--- a/src/daemon/tasks.c
+++ b/src/daemon/tasks.c
@@ -68,7 +68,7 @@
 /* Sets the team's quota and task limit to the region's share of those in the
    document.  A team that the document does not declare is unlimited.  */
 static void
-team_limit (gp_tasks_t *tasks, gp_tasks_team_t *team)
+apply_team_limits (gp_tasks_t *tasks, gp_tasks_team_t *team)
 {
   const gp_document_team_t *declared = NULL;
   gp_resources_t limit = { UINT32_MAX, UINT32_MAX, UINT32_MAX };
@@ -103,7 +103,7 @@
   team->name = g_strdup (name);
   team->index = g_hash_table_size (tasks->teams);
   team->responsible = gp_tasks_is_responsible (tasks, "team", name);
-  team_limit (tasks, team);
+  apply_team_limits (tasks, team);
   g_hash_table_insert (tasks->teams, team->name, team);
   return team;
 }
@@ -137,7 +137,7 @@
 }
 
 static uint64_t
-live_entries (const gp_tasks_t *tasks)
+digest_live_entries (const gp_tasks_t *tasks)
 {
   uint64_t digest = 0;
 
@@ -154,7 +154,7 @@
 static void
 list_live_entries (gp_tasks_t *tasks)
 {
-  tasks->live_digest = live_entries (tasks);
+  tasks->live_digest = digest_live_entries (tasks);
   g_ptr_array_set_size (tasks->live_entry_names, 0);
   GP_LIST_FOREACH (pos, &tasks->host->sessions)
   {
@@ -168,7 +168,7 @@
 /* Recomputes what this entry is responsible for, after entries connected or
    disconnected.  */
 static void
-assign (gp_tasks_t *tasks)
+reassign_responsibility (gp_tasks_t *tasks)
 {
   GHashTableIter iter;
   gpointer value;
@@ -235,7 +235,7 @@
 }
 
 static void
-on_read (gp_time_t sent_at, void *data)
+on_log_read (gp_time_t sent_at, void *data)
 {
   gp_tasks_t *tasks = data;
 
@@ -243,7 +243,7 @@
 }
 
 static void
-on_gap (void *data)
+on_log_gap (void *data)
 {
   gp_tasks_t *tasks = data;
 
@@ -253,7 +253,7 @@
 /* Periodic work.  */
 
 static void
-look_at_due (gp_tasks_t *tasks, gp_time_t now)
+check_due_tasks (gp_tasks_t *tasks, gp_time_t now)
 {
   for (int i = 0; i < DUE_PER_TICK && !gp_list_empty (&tasks->due_tasks); i++)
     {
@@ -282,18 +282,18 @@
 }
 
 static void
-tick (gp_tasks_t *tasks, gp_time_t now)
+run_periodic (gp_tasks_t *tasks, gp_time_t now)
 {
   tasks->next_tick = now + TICK;
-  if (live_entries (tasks) != tasks->live_digest)
-    assign (tasks);
+  if (digest_live_entries (tasks) != tasks->live_digest)
+    reassign_responsibility (tasks);
   gp_tasks_lease_tick (tasks);
   gp_tasks_guards_check_due (tasks);
   gp_tasks_expire_submissions (tasks);
   set_gauges (tasks);
   if (!gp_store_ready (tasks->store))
     return;
-  look_at_due (tasks, now);
+  check_due_tasks (tasks, now);
   gp_tasks_adjust_watchers (tasks);
   gp_tasks_unpark_fitting (tasks);
 }
@@ -306,7 +306,7 @@
 
   (void)timer;
   if (now >= tasks->next_tick)
-    tick (tasks, now);
+    run_periodic (tasks, now);
   gp_tasks_place (tasks);
 }
 
@@ -377,7 +377,7 @@
   tasks->due_period = settings->timings.heartbeat_ms * (2 * GP_MSEC);
   gp_list_init (&tasks->due_tasks);
   tasks->submissions
-      = g_ptr_array_new_with_free_func (gp_tasks_submission_state_free);
+      = g_ptr_array_new_with_free_func (gp_tasks_pending_submission_free);
   register_counters ();
   tasks->live_entry_names = g_ptr_array_new_with_free_func (g_free);
   init_tables (tasks);
@@ -390,8 +390,8 @@
   tasks->subscriber
       = (gp_store_subscriber_t){ .on_change = gp_tasks_on_change,
                                  .on_rebuilt = gp_tasks_on_rebuilt,
-                                 .on_read = on_read,
-                                 .on_gap = on_gap,
+                                 .on_read = on_log_read,
+                                 .on_gap = on_log_gap,
                                  .data = tasks };
   gp_store_subscribe (store, &tasks->subscriber);
   return tasks;
@@ -434,7 +434,7 @@
     gp_tasks_ensure_kind (tasks, document->watchers[i].name);
   g_hash_table_iter_init (&iter, tasks->teams);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    team_limit (tasks, value);
+    apply_team_limits (tasks, value);
   tasks->watchers_changed = true;
   tasks->shapes_changed = true;
   gp_tasks_schedule_placement (tasks);
--- a/src/daemon/tasks_guard.c
+++ b/src/daemon/tasks_guard.c
@@ -69,7 +69,7 @@
 }
 
 static void
-need_suspects (gp_tasks_t *tasks, uint32_t index)
+ensure_suspects_slot (gp_tasks_t *tasks, uint32_t index)
 {
   gp_suspects_t *suspects = &tasks->suspects;
   uint32_t before = suspects->n_workers;
@@ -88,10 +88,10 @@
 /* Adds the worker of GUARD to the fleet, including the reservations of the
    tasks placed on it.  */
 static void
-attach (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
+add_to_fleet (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
 {
   gp_fleet_add (&tasks->fleet, &guard->worker);
-  need_suspects (tasks, guard->worker.index);
+  ensure_suspects_slot (tasks, guard->worker.index);
   guard->in_fleet = true;
   tasks->shapes_changed = true;
   GP_LIST_FOREACH (pos, &guard->placed)
@@ -106,7 +106,7 @@
 }
 
 static void
-detach (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
+remove_from_fleet (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
 {
   if (!guard->in_fleet)
     return;
@@ -142,8 +142,8 @@
 }
 
 static void
-take_place (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-            const gp_session_t *session, const Gp__Wire__Announce *announce)
+set_location (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+              const gp_session_t *session, const Gp__Wire__Announce *announce)
 {
   gp_worker_t *worker = &guard->worker;
   char *rack = g_strconcat (session->zone, "/", announce->rack, NULL);
@@ -165,8 +165,8 @@
 }
 
 static void
-take_capacity (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-               const gp_session_t *session, const Gp__Wire__Announce *announce)
+set_capacity (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+              const gp_session_t *session, const Gp__Wire__Announce *announce)
 {
   gp_resources_t capacity
       = { announce->capacity->millicores, announce->capacity->memory_mib,
@@ -175,10 +175,10 @@
   if (guard->in_fleet
       && gp_resources_equal (&capacity, &guard->worker.capacity))
     return;
-  detach (tasks, guard);
-  take_place (tasks, guard, session, announce);
+  remove_from_fleet (tasks, guard);
+  set_location (tasks, guard, session, announce);
   guard->worker.capacity = capacity;
-  attach (tasks, guard);
+  add_to_fleet (tasks, guard);
 }
 
 void
@@ -200,7 +200,7 @@
   guard->inherits = announce->inherits;
   guard->leaving
       = announce->state == GP__WIRE__MEMBER_STATE__MEMBER_STATE_LEAVING;
-  take_capacity (tasks, guard, session, announce);
+  set_capacity (tasks, guard, session, announce);
   gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
   gp_tasks_guard_update_state (tasks, guard);
 }
@@ -216,7 +216,7 @@
 }
 
 static bool
-is_heard (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
+is_alive (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
 {
   if (guard->session == NULL || guard->lease_until <= gp_tasks_now (tasks))
     return false;
@@ -225,9 +225,9 @@
 }
 
 static gp_worker_state_t
-state_of (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
+worker_state_of (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
 {
-  if (!is_heard (tasks, guard) || !is_registered (tasks, guard))
+  if (!is_alive (tasks, guard) || !is_registered (tasks, guard))
     return GP_WORKER_LOST;
   if (guard->leaving)
     return GP_WORKER_LEAVING;
@@ -243,7 +243,7 @@
 
   if (!guard->in_fleet)
     return;
-  state = state_of (tasks, guard);
+  state = worker_state_of (tasks, guard);
   if (state == guard->worker.state)
     return;
   if (state == GP_WORKER_SUSPECTED)
@@ -267,7 +267,7 @@
 /* Periodic checks.  */
 
 static bool
-looked_at_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
+checked_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
 {
   return GP_CONTAINER_OF (a, gp_tasks_guard_t, check_node)->check_at
          < GP_CONTAINER_OF (b, gp_tasks_guard_t, check_node)->check_at;
@@ -276,12 +276,12 @@
 void
 gp_tasks_guards_init (gp_tasks_t *tasks)
 {
-  gp_heap_init (&tasks->guard_checks, looked_at_before);
+  gp_heap_init (&tasks->guard_checks, checked_before);
   gp_list_init (&tasks->to_propose);
 }
 
 static void
-set_look (gp_tasks_t *tasks, gp_tasks_guard_t *guard, gp_time_t at)
+set_check (gp_tasks_t *tasks, gp_tasks_guard_t *guard, gp_time_t at)
 {
   gp_heap_remove (&tasks->guard_checks, &guard->check_node);
   guard->check_at = at;
@@ -293,13 +293,13 @@
                          gp_time_t at)
 {
   if (at < guard->check_at)
-    set_look (tasks, guard, at);
+    set_check (tasks, guard, at);
 }
 
 /* The next time at which the state of GUARD may change without an event.  */
 static gp_time_t
-next_look (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
-           gp_time_t now)
+next_check (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
+            gp_time_t now)
 {
   gp_time_t at = now + tasks->due_period;
   const gp_suspects_worker_t *suspect;
@@ -320,11 +320,11 @@
 
 /* Applies timeouts to GUARD, which may be freed.  */
 static void
-look (gp_tasks_t *tasks, gp_tasks_guard_t *guard, gp_time_t now)
+check_guard (gp_tasks_t *tasks, gp_tasks_guard_t *guard, gp_time_t now)
 {
   if (gp_store_ready (tasks->store) && is_forgotten (tasks, guard))
     {
-      detach (tasks, guard);
+      remove_from_fleet (tasks, guard);
       gp_heap_remove (&tasks->guard_checks, &guard->check_node);
       g_hash_table_remove (tasks->guards, guard->name);
       return;
@@ -335,7 +335,7 @@
       gp_fleet_expire_hold (&tasks->fleet, &guard->worker, now);
       gp_tasks_guard_update_state (tasks, guard);
     }
-  set_look (tasks, guard, next_look (tasks, guard, now));
+  set_check (tasks, guard, next_check (tasks, guard, now));
 }
 
 void
@@ -351,6 +351,6 @@
 
       if (guard->check_at > now)
         return;
-      look (tasks, guard, now);
+      check_guard (tasks, guard, now);
     }
 }
--- a/src/daemon/tasks_interfere.c
+++ b/src/daemon/tasks_interfere.c
@@ -12,7 +12,8 @@
 
 #define RESIDENTS_MAX 256
 #define SECONDS_PER_HOUR 3600.0
-#define RATE_LEAST 0.001 /* per hour; the limiter needs a positive rate */
+/* Evictions per hour; the limiter needs a positive rate.  */
+#define MIN_HOURLY_RATE 0.001
 
 static gp_counter_t throttles
     = GP_COUNTER ("entry_throttles_total", "Tasks throttled for a service.");
@@ -28,8 +29,8 @@
 }
 
 static void
-note_peaks (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
-            const Gp__Wire__Usage *usage)
+update_peaks (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
+              const Gp__Wire__Usage *usage)
 {
   for (size_t i = 0; i < usage->n_tasks; i++)
     {
@@ -103,7 +104,8 @@
 }
 
 static void
-apply (gp_tasks_t *tasks, gp_tasks_task_t *task, gp_remedy_action_t action)
+apply_action (gp_tasks_t *tasks, gp_tasks_task_t *task,
+              gp_remedy_action_t action)
 {
   switch (action)
     {
@@ -149,7 +151,7 @@
 
 /* This entry's share of the site's hourly evictions.  */
 static uint32_t
-evictions_of (const gp_tasks_t *tasks, uint32_t of_site)
+own_share_of_evictions (const gp_tasks_t *tasks, uint32_t of_site)
 {
   const gp_settings_t *settings = tasks->settings;
   uint32_t count = settings->entries_count;
@@ -166,12 +168,12 @@
 void
 gp_tasks_configure_remedies (gp_tasks_t *tasks)
 {
-  uint32_t hourly
-      = evictions_of (tasks, tasks->document->interference.evictions_per_hour);
+  uint32_t hourly = own_share_of_evictions (
+      tasks, tasks->document->interference.evictions_per_hour);
   /* Half as a burst and half at a constant rate, so that no period of one
      hour exceeds the limit.  */
   uint32_t burst = MAX (1, hourly / 2);
-  double rate = MAX (hourly - burst, RATE_LEAST) / SECONDS_PER_HOUR;
+  double rate = MAX (hourly - burst, MIN_HOURLY_RATE) / SECONDS_PER_HOUR;
 
   tasks->may_evict = hourly > 0;
   if (tasks->evictions.token_ns == 0)
@@ -195,8 +197,8 @@
 }
 
 static void
-remedy (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-        const gp_remedy_measurement_t *measurement)
+apply_remedy (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+              const gp_remedy_measurement_t *measurement)
 {
   gp_remedy_settings_t settings = remedy_settings (tasks);
   gp_remedy_resident_t residents[RESIDENTS_MAX];
@@ -212,7 +214,7 @@
       gp_tasks_task_t *task = gp_tasks_find (tasks, decision.tasks[i]);
 
       if (task != NULL && task->guard == guard)
-        apply (tasks, task, decision.action);
+        apply_action (tasks, task, decision.action);
     }
 }
 
@@ -228,7 +230,7 @@
     return;
   gp_counter_register (&throttles);
   gp_counter_register (&evictions);
-  note_peaks (tasks, guard, usage);
+  update_peaks (tasks, guard, usage);
   target = target_us (tasks, guard);
   if (target <= 0.0 || usage->service_p99_us == 0 || usage->span_us == 0
       || usage->age_us > INT64_MAX / 4 || usage->span_us > INT64_MAX / 4)
@@ -241,5 +243,5 @@
                                  &guard->residency, measurement.from,
                                  measurement.to, measurement.ratio);
   if (guard->responsible)
-    remedy (tasks, guard, &measurement);
+    apply_remedy (tasks, guard, &measurement);
 }
--- a/src/daemon/tasks_lease.c
+++ b/src/daemon/tasks_lease.c
@@ -14,7 +14,7 @@
 #include "base/counters.h"
 #include "base/log.h"
 
-#define PROPOSE_AGAIN (200 * GP_MSEC)
+#define PROPOSE_RETRY (200 * GP_MSEC)
 
 typedef struct
 {
@@ -22,7 +22,7 @@
   char *guard;
   uint64_t incarnation;
   gp_lease_grantor_action_kind_t kind;
-} proposing_t;
+} pending_proposal_t;
 
 static gp_counter_t renewals
     = GP_COUNTER ("entry_leases_renewed_total", "Leases of workers renewed.");
@@ -68,7 +68,7 @@
 /* Requested records.  */
 
 static void
-want (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
+request_record (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
 {
   gp_tasks_guard_t *guard
       = gp_tasks_ensure_guard (tasks, action->u.guard.name);
@@ -96,49 +96,50 @@
 }
 
 static void
-on_decided (gp_proposal_result_t result, gp_fold_verdict_t verdict, void *data)
+on_proposal_result (gp_proposal_result_t result, gp_fold_verdict_t verdict,
+                    void *data)
 {
-  proposing_t *proposing = data;
-  gp_tasks_t *tasks = proposing->tasks;
-  gp_tasks_guard_t *guard = gp_tasks_find_guard (tasks, proposing->guard);
+  pending_proposal_t *pending = data;
+  gp_tasks_t *tasks = pending->tasks;
+  gp_tasks_guard_t *guard = gp_tasks_find_guard (tasks, pending->guard);
 
   if (guard != NULL)
     {
       guard->proposal_pending = false;
-      guard->propose_at = gp_tasks_now (tasks) + PROPOSE_AGAIN;
+      guard->propose_at = gp_tasks_now (tasks) + PROPOSE_RETRY;
     }
   /* A void record need not be proposed again: the record that made it void
      was read before.  */
   if (guard != NULL && result == GP_PROPOSAL_DECIDED
       && verdict != GP_FOLD_ACCEPTED)
     {
-      if (guard->adopt_incarnation == proposing->incarnation)
+      if (guard->adopt_incarnation == pending->incarnation)
         guard->adopt_incarnation = 0;
-      if (guard->fence_incarnation == proposing->incarnation)
+      if (guard->fence_incarnation == pending->incarnation)
         guard->fence_incarnation = 0;
-      if (guard->fence_done_incarnation == proposing->incarnation)
+      if (guard->fence_done_incarnation == pending->incarnation)
         guard->fence_done_incarnation = 0;
     }
-  g_free (proposing->guard);
-  g_free (proposing);
+  g_free (pending->guard);
+  g_free (pending);
 }
 
 static void
-propose (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-         const Gp__Record__Record *record, uint64_t incarnation)
+propose_record (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+                const Gp__Record__Record *record, uint64_t incarnation)
 {
-  proposing_t *proposing = g_new0 (proposing_t, 1);
+  pending_proposal_t *pending = g_new0 (pending_proposal_t, 1);
 
-  proposing->tasks = tasks;
-  proposing->guard = g_strdup (guard->name);
-  proposing->incarnation = incarnation;
+  pending->tasks = tasks;
+  pending->guard = g_strdup (guard->name);
+  pending->incarnation = incarnation;
   guard->proposal_pending = gp_tasks_propose (tasks, record, GP_WRITER_URGENT,
-                                              on_decided, proposing);
+                                              on_proposal_result, pending);
   if (guard->proposal_pending)
     return;
-  guard->propose_at = gp_tasks_now (tasks) + PROPOSE_AGAIN;
-  g_free (proposing->guard);
-  g_free (proposing);
+  guard->propose_at = gp_tasks_now (tasks) + PROPOSE_RETRY;
+  g_free (pending->guard);
+  g_free (pending);
 }
 
 static void
@@ -166,7 +167,7 @@
   adopt.n_running = count;
   record.record_case = GP__RECORD__RECORD__RECORD_ADOPT;
   record.adopt = &adopt;
-  propose (tasks, guard, &record, guard->adopt_incarnation);
+  propose_record (tasks, guard, &record, guard->adopt_incarnation);
   g_free (running);
   g_free (epochs);
 }
@@ -181,7 +182,7 @@
   fence.incarnation = guard->fence_incarnation;
   record.record_case = GP__RECORD__RECORD__RECORD_FENCE;
   record.fence = &fence;
-  propose (tasks, guard, &record, guard->fence_incarnation);
+  propose_record (tasks, guard, &record, guard->fence_incarnation);
 }
 
 static void
@@ -194,11 +195,11 @@
   done.incarnation = guard->fence_done_incarnation;
   record.record_case = GP__RECORD__RECORD__RECORD_FENCE_DONE;
   record.fence_done = &done;
-  propose (tasks, guard, &record, guard->fence_done_incarnation);
+  propose_record (tasks, guard, &record, guard->fence_done_incarnation);
 }
 
 static void
-propose_wanted (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
+propose_requested (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
 {
   if (guard->fence_incarnation != 0
       && guard->heard_at > guard->fence_requested_at)
@@ -215,14 +216,14 @@
 }
 
 static void
-propose_all_wanted (gp_tasks_t *tasks)
+propose_all_requested (gp_tasks_t *tasks)
 {
   GP_LIST_FOREACH_SAFE (pos, &tasks->to_propose)
   {
     gp_tasks_guard_t *guard
         = GP_CONTAINER_OF (pos, gp_tasks_guard_t, to_propose_link);
 
-    propose_wanted (tasks, guard);
+    propose_requested (tasks, guard);
     if (guard->adopt_incarnation == 0 && guard->fence_incarnation == 0
         && guard->fence_done_incarnation == 0)
       gp_list_remove (&guard->to_propose_link);
@@ -232,7 +233,7 @@
 /* Vouches.  */
 
 static gp_session_t *
-session_to (const gp_tasks_t *tasks, const char *process)
+find_entry_session (const gp_tasks_t *tasks, const char *process)
 {
   GP_LIST_FOREACH (pos, &tasks->host->sessions)
   {
@@ -246,10 +247,10 @@
 }
 
 static void
-ask_vouch (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
+send_vouch_ask (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
 {
   gp_session_t *session
-      = session_to (tasks, tasks->others[action->u.ask.entry]->name);
+      = find_entry_session (tasks, tasks->others[action->u.ask.entry]->name);
   Gp__Wire__VouchAsk ask = GP__WIRE__VOUCH_ASK__INIT;
   Gp__Wire__Envelope envelope = GP_ENVELOPE (VOUCH_ASK, vouch_ask, &ask);
 
@@ -317,23 +318,23 @@
 /* Heartbeats and periodic work.  */
 
 static void
-carry_out (gp_tasks_t *tasks, const gp_lease_grantor_actions_t *actions)
+execute_actions (gp_tasks_t *tasks, const gp_lease_grantor_actions_t *actions)
 {
   for (unsigned i = 0; i < actions->count; i++)
     {
       const gp_lease_grantor_action_t *action = &actions->items[i];
 
       if (action->kind == GP_LEASE_GRANTOR_ASK_VOUCH)
-        ask_vouch (tasks, action);
+        send_vouch_ask (tasks, action);
       else
-        want (tasks, action);
+        request_record (tasks, action);
     }
 }
 
 /* Tells the grantor that GUARD is alive if only other entries receive its
    heartbeats.  */
 static void
-hear_by_others (gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
+record_heard_by_others (gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
 {
   if (guard->member != NULL && guard->member->state == GP_MEMBER_SERVING
       && !guard->member->direct)
@@ -350,17 +351,17 @@
 
   g_hash_table_iter_init (&iter, tasks->guards);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    hear_by_others (tasks, value);
+    record_heard_by_others (tasks, value);
   gp_lease_grantor_tick (&tasks->grantor, gp_tasks_now (tasks), &actions);
-  carry_out (tasks, &actions);
+  execute_actions (tasks, &actions);
   if (!gp_store_ready (tasks->store))
     return;
-  propose_all_wanted (tasks);
+  propose_all_requested (tasks);
 }
 
 static void
-note_heartbeat (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-                const Gp__Wire__Heartbeat *heartbeat)
+record_heartbeat (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+                  const Gp__Wire__Heartbeat *heartbeat)
 {
   gp_resources_t headroom;
 
@@ -379,8 +380,9 @@
 }
 
 static void
-renew (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-       const Gp__Wire__Heartbeat *heartbeat, Gp__Wire__HeartbeatReply *reply)
+renew_lease (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+             const Gp__Wire__Heartbeat *heartbeat,
+             Gp__Wire__HeartbeatReply *reply)
 {
   gp_lease_request_t request = { .incarnation = heartbeat->lease_incarnation,
                                  .inherits = heartbeat->inherits,
@@ -392,9 +394,9 @@
 
   gp_lease_grantor_heartbeat (&tasks->grantor, guard->name, &request, now,
                               &grant, &actions);
-  carry_out (tasks, &actions);
+  execute_actions (tasks, &actions);
   if (actions.count > 0)
-    propose_wanted (tasks, guard);
+    propose_requested (tasks, guard);
   reply->lease_remaining_us = (uint64_t)grant.remaining;
   reply->vouched = grant.vouched;
   reply->fenced = grant.fenced;
@@ -420,9 +422,9 @@
   reply.config_revision = tasks->revision;
   if (guard != NULL && guard->session == session)
     {
-      note_heartbeat (tasks, guard, heartbeat);
+      record_heartbeat (tasks, guard, heartbeat);
       if (heartbeat->renew && heartbeat->lease_incarnation != 0)
-        renew (tasks, guard, heartbeat, &reply);
+        renew_lease (tasks, guard, heartbeat, &reply);
     }
   gp_session_send (session, &envelope);
   if (guard != NULL)
--- a/src/daemon/tasks_mirror.c
+++ b/src/daemon/tasks_mirror.c
@@ -79,8 +79,8 @@
 
 /* Records for suspicion that the last epoch of TASK ended on GUARD.  */
 static void
-note_outcome (gp_tasks_t *tasks, gp_tasks_task_t *task,
-              const gp_fold_task_t *state, gp_tasks_guard_t *guard)
+record_outcome (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                const gp_fold_task_t *state, gp_tasks_guard_t *guard)
 {
   bool failed = state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_FAILED;
   bool succeeded
@@ -104,8 +104,8 @@
 }
 
 static void
-on_epoch_over (gp_tasks_t *tasks, gp_tasks_task_t *task,
-               const gp_fold_task_t *state, const gp_fold_guard_t *of)
+on_epoch_ended (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                const gp_fold_task_t *state, const gp_fold_guard_t *of)
 {
   gp_tasks_guard_t *guard
       = of == NULL ? NULL : gp_tasks_ensure_guard (tasks, of->name);
@@ -118,7 +118,7 @@
   gp_list_remove (&task->due_link);
   if (guard != NULL)
     {
-      note_outcome (tasks, task, state, guard);
+      record_outcome (tasks, task, state, guard);
       count_lost (tasks, state);
     }
   task->request.previous = guard != NULL && guard->in_fleet
@@ -139,7 +139,7 @@
 
   gp_tasks_add_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
                       of == NULL ? NULL : of->name, "returned");
-  on_epoch_over (tasks, task, state, of);
+  on_epoch_ended (tasks, task, state, of);
   if (backoff)
     task->request.previous = GP_WORKER_NONE;
   task->request.has_checkpoint = state->checkpoint != NULL;
@@ -153,7 +153,7 @@
   gp_tasks_add_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
                       of == NULL ? NULL : of->name,
                       state->cancelled ? "cancelled" : "ended");
-  on_epoch_over (tasks, task, state, of);
+  on_epoch_ended (tasks, task, state, of);
   /* A task that was granted when it was cancelled was subtracted then.  */
   if (!state->cancelled || of == NULL)
     count_watcher (tasks, task, -1);
--- a/src/daemon/tasks_park.c
+++ b/src/daemon/tasks_park.c
@@ -5,13 +5,13 @@
 
 /* Time after the start by which all running guards should have
    connected.  */
-#define FLEET_COMES_IN (60 * GP_SEC)
+#define FLEET_CONNECT_TIME (60 * GP_SEC)
 
 typedef struct
 {
   gp_tasks_t *tasks;
   uint64_t task;
-} parking_t;
+} park_proposal_t;
 
 /* Sizes.  */
 
@@ -40,7 +40,7 @@
   /* Without a list of workers in the document, the answer is only known after
      all guards have had time to connect.  */
   return tasks->fleet.shapes->len == 0
-         || gp_tasks_now (tasks) < tasks->started_at + FLEET_COMES_IN;
+         || gp_tasks_now (tasks) < tasks->started_at + FLEET_CONNECT_TIME;
 }
 
 /* Parking.  */
@@ -48,7 +48,7 @@
 static void
 on_parked (gp_proposal_result_t result, gp_fold_verdict_t verdict, void *data)
 {
-  parking_t *parking = data;
+  park_proposal_t *parking = data;
   gp_tasks_task_t *task = gp_tasks_find (parking->tasks, parking->task);
 
   (void)verdict;
@@ -67,9 +67,9 @@
 {
   Gp__Record__Park park = GP__RECORD__PARK__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
-  parking_t *parking = g_new (parking_t, 1);
+  park_proposal_t *parking = g_new (park_proposal_t, 1);
 
-  *parking = (parking_t){ tasks, task->id };
+  *parking = (park_proposal_t){ tasks, task->id };
   park.task = task->id;
   park.reason = reason;
   record.record_case = GP__RECORD__RECORD__RECORD_PARK;
--- a/src/daemon/tasks_place.c
+++ b/src/daemon/tasks_place.c
@@ -13,34 +13,34 @@
 
 #include "base/counters.h"
 
-#define PLACED_PER_TURN 256
+#define MAX_PLACED_PER_ROUND 256
 #define HOLD_TIME (60 * GP_SEC)
 /* After this many tasks in a row that could not be placed, the rest stay
-   queued until resources come free, but at most for FULL_TIME.  */
-#define MISSES_PER_TURN 32
-#define FULL_TIME (500 * GP_MSEC)
+   queued until resources come free, but at most for FULL_RETRY_TIME.  */
+#define MAX_MISSES_PER_ROUND 32
+#define FULL_RETRY_TIME (500 * GP_MSEC)
 /* Minimum time between two reactions to resources that came free.  */
-#define ROOM_PERIOD (5 * GP_MSEC)
-#define ZONES_LEAST 16
-#define WORKERS_LEAST 64
+#define GROWTH_CHECK_INTERVAL (5 * GP_MSEC)
+#define MIN_ZONES 16
+#define MIN_WORKERS 64
 /* A batch task with more laxity than this waits for a worker where its
-   expected interference is at most HARM_WITH_LAXITY.  */
-#define LAXITY_TO_WAIT (60 * GP_SEC)
-#define HARM_WITH_LAXITY 0.02
+   expected interference is at most MAX_INTERFERENCE_WITH_LAXITY.  */
+#define MIN_LAXITY_TO_WAIT (60 * GP_SEC)
+#define MAX_INTERFERENCE_WITH_LAXITY 0.02
 /* If this many epochs are lost within one second, the rate of starts is
    limited.  */
-#define LOST_TO_PACE 300
-#define PACE_RATE 1300.0
-#define PACE_BURST 200.0
+#define LOST_TO_LIMIT_STARTS 300
+#define START_RATE 1300.0
+#define START_BURST 200.0
 /* Entries that are not responsible act after this many due_periods.  */
-#define PATIENCE_OF_OTHERS 5
+#define PERIODS_BEFORE_OTHERS_ACT 5
 
 typedef struct
 {
   gp_tasks_t *tasks;
   uint64_t task;
   uint64_t epoch;
-} granting_t;
+} grant_proposal_t;
 
 static gp_counter_t grants_proposed
     = GP_COUNTER ("entry_grants_proposed_total", "Grants proposed.");
@@ -54,7 +54,7 @@
 void
 gp_tasks_place_init (gp_tasks_t *tasks)
 {
-  uint32_t zones = ZONES_LEAST;
+  uint32_t zones = MIN_ZONES;
 
   for (uint32_t i = 0; i < tasks->settings->regions_count; i++)
     zones += tasks->settings->regions[i].zones_count;
@@ -67,8 +67,7 @@
   gp_placement_init (&tasks->placement, &GP_PLACEMENT_WEIGHTS_DEFAULT,
                      &tasks->fleet, &tasks->spread, &tasks->interference);
   gp_suspects_init (&tasks->suspects, &GP_SUSPECTS_DEFAULTS,
-                    g_new (gp_suspects_worker_t, WORKERS_LEAST),
-                    WORKERS_LEAST);
+                    g_new (gp_suspects_worker_t, MIN_WORKERS), MIN_WORKERS);
   gp_counter_register (&grants_proposed);
   gp_counter_register (&grants_void);
   gp_counter_register (&starts_sent);
@@ -170,7 +169,7 @@
 
 /* The maximum capacity of any worker, separately for each resource.  */
 static gp_resources_t
-largest (const gp_tasks_t *tasks)
+max_capacity (const gp_tasks_t *tasks)
 {
   gp_resources_t most = { 0, 0, 0 };
 
@@ -214,7 +213,7 @@
 /* Releases the worker and queues TASK again after its grant was not
    accepted.  */
 static void
-give_back (gp_tasks_t *tasks, gp_tasks_task_t *task)
+requeue_after_grant (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
   gp_tasks_release (tasks, task);
   gp_tasks_dequeue (tasks, task);
@@ -225,7 +224,7 @@
 on_grant_decided (gp_proposal_result_t result, gp_fold_verdict_t verdict,
                   void *data)
 {
-  granting_t *granting = data;
+  grant_proposal_t *granting = data;
   gp_tasks_t *tasks = granting->tasks;
   gp_tasks_task_t *task = gp_tasks_find (tasks, granting->task);
   bool accepted = result == GP_PROPOSAL_DECIDED && verdict == GP_FOLD_ACCEPTED;
@@ -236,7 +235,7 @@
      call.  */
   if (task != NULL && task->stage == GP_TASKS_PROPOSED
       && task->epoch == granting->epoch)
-    give_back (tasks, task);
+    requeue_after_grant (tasks, task);
   g_free (granting);
 }
 
@@ -246,7 +245,7 @@
 {
   Gp__Record__Grant grant = GP__RECORD__GRANT__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
-  granting_t *granting;
+  grant_proposal_t *granting;
 
   grant.task = task->id;
   grant.epoch = task->epoch;
@@ -254,8 +253,8 @@
   grant.guard_incarnation = guard->incarnation;
   record.record_case = GP__RECORD__RECORD__RECORD_GRANT;
   record.grant = &grant;
-  granting = g_new (granting_t, 1);
-  *granting = (granting_t){ tasks, task->id, task->epoch };
+  granting = g_new (grant_proposal_t, 1);
+  *granting = (grant_proposal_t){ tasks, task->id, task->epoch };
   if (gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL, on_grant_decided,
                         granting))
     return true;
@@ -264,21 +263,22 @@
 }
 
 static void
-fill_ask (gp_tasks_t *tasks, gp_tasks_task_t *task)
+fill_request (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
-  gp_placement_ask_t *ask = &task->request;
-  gp_resources_t most = largest (tasks);
+  gp_placement_ask_t *request = &task->request;
+  gp_resources_t most = max_capacity (tasks);
   gp_time_t laxity = task->pending.latest_start - gp_tasks_now (tasks);
 
-  ask->zones = tasks->zones & ~tasks->evacuated;
-  ask->demand = gp_estimate_reservation (
+  request->zones = tasks->zones & ~tasks->evacuated;
+  request->demand = gp_estimate_reservation (
       &task->kind->estimate, &task->pending.charge.resources, &most);
-  ask->harm_limit = ask->work_class == GP_WORK_BATCH && laxity > LAXITY_TO_WAIT
-                        ? HARM_WITH_LAXITY
-                        : (double)INFINITY;
-  ask->n_avoided = MIN (task->failures.n, GP_PLACEMENT_AVOIDED_MAX);
-  for (unsigned i = 0; i < ask->n_avoided; i++)
-    ask->avoided[i] = task->failures.workers[i];
+  request->harm_limit
+      = request->work_class == GP_WORK_BATCH && laxity > MIN_LAXITY_TO_WAIT
+            ? MAX_INTERFERENCE_WITH_LAXITY
+            : (double)INFINITY;
+  request->n_avoided = MIN (task->failures.n, GP_PLACEMENT_AVOIDED_MAX);
+  for (unsigned i = 0; i < request->n_avoided; i++)
+    request->avoided[i] = task->failures.workers[i];
 }
 
 /* Proposes the grant of TASK on WORKER and reserves its resources; false if
@@ -335,7 +335,7 @@
       gp_tasks_park (tasks, task, GP__RECORD__PARK_REASON__PARK_REASON_FAILS);
       return true;
     }
-  fill_ask (tasks, task);
+  fill_request (tasks, task);
   choice = gp_placement_choose (&tasks->placement, &task->request);
   task->outcome = choice.outcome;
   task->cost = choice.cost;
@@ -364,14 +364,14 @@
   return true;
 }
 
-/* Limits the rate of starts after the loss of LOST_TO_PACE epochs within one
-   second, until the queue is empty.  */
+/* Limits the rate of starts after the loss of LOST_TO_LIMIT_STARTS epochs
+   within one second, until the queue is empty.  */
 static void
-set_pace (gp_tasks_t *tasks, gp_time_t now)
+limit_start_rate (gp_tasks_t *tasks, gp_time_t now)
 {
-  if (!tasks->starts_limited && tasks->lost_count >= LOST_TO_PACE)
+  if (!tasks->starts_limited && tasks->lost_count >= LOST_TO_LIMIT_STARTS)
     {
-      gp_pending_pace (&tasks->pending, PACE_RATE, PACE_BURST, now);
+      gp_pending_pace (&tasks->pending, START_RATE, START_BURST, now);
       tasks->starts_limited = true;
     }
   if (tasks->starts_limited && gp_pending_length (&tasks->pending) == 0)
@@ -386,7 +386,7 @@
 }
 
 static bool
-is_roomier (const gp_tasks_t *tasks)
+capacity_has_grown (const gp_tasks_t *tasks)
 {
   return tasks->seen_growth != tasks->fleet.growth + tasks->release_count;
 }
@@ -395,21 +395,22 @@
 is_full (const gp_tasks_t *tasks, gp_time_t now)
 {
   return now < tasks->full_until
-         && (!is_roomier (tasks) || now < tasks->next_growth_check);
+         && (!capacity_has_grown (tasks) || now < tasks->next_growth_check);
 }
 
 static void
-place_some (gp_tasks_t *tasks, gp_time_t now)
+place_batch (gp_tasks_t *tasks, gp_time_t now)
 {
   unsigned int misses = 0;
 
-  if (is_roomier (tasks) && now >= tasks->next_growth_check)
+  if (capacity_has_grown (tasks) && now >= tasks->next_growth_check)
     {
-      gp_pending_hurry (&tasks->pending, MISSES_PER_TURN);
+      gp_pending_hurry (&tasks->pending, MAX_MISSES_PER_ROUND);
       tasks->seen_growth = tasks->fleet.growth + tasks->release_count;
-      tasks->next_growth_check = now + ROOM_PERIOD;
+      tasks->next_growth_check = now + GROWTH_CHECK_INTERVAL;
     }
-  for (int i = 0; i < PLACED_PER_TURN && misses < MISSES_PER_TURN; i++)
+  for (int i = 0; i < MAX_PLACED_PER_ROUND && misses < MAX_MISSES_PER_ROUND;
+       i++)
     {
       gp_pending_task_t *next
           = gp_pending_next (&tasks->pending, &tasks->quota, now);
@@ -422,8 +423,8 @@
         return;
       misses = task->stage == GP_TASKS_PROPOSED ? 0 : misses + 1;
     }
-  if (misses >= MISSES_PER_TURN)
-    tasks->full_until = now + FULL_TIME;
+  if (misses >= MAX_MISSES_PER_ROUND)
+    tasks->full_until = now + FULL_RETRY_TIME;
 }
 
 void
@@ -432,13 +433,13 @@
   gp_time_t now = gp_tasks_now (tasks);
   gp_time_t wake;
 
-  set_pace (tasks, now);
+  limit_start_rate (tasks, now);
   if (gp_store_ready (tasks->store) && !is_full (tasks, now))
-    place_some (tasks, now);
+    place_batch (tasks, now);
   wake = MAX (gp_pending_wake (&tasks->pending, now), now + GP_MSEC);
   if (is_full (tasks, now))
     wake = MAX (wake, tasks->full_until);
-  if (is_roomier (tasks))
+  if (capacity_has_grown (tasks))
     wake = MIN (wake, MAX (tasks->next_growth_check, now + GP_MSEC));
   gp_timer_arm (&tasks->timer, MIN (wake, tasks->next_tick));
 }
@@ -513,14 +514,14 @@
 
 /* Whether this entry may send messages about TASK now.  The responsible entry
    and the one that proposed the grant do so at once, the others when the task
-   still waits after PATIENCE_OF_OTHERS periods.  */
+   still waits after PERIODS_BEFORE_OTHERS_ACT periods.  */
 static bool
-acts_on (const gp_tasks_t *tasks, const gp_tasks_task_t *task)
+may_act_on (const gp_tasks_t *tasks, const gp_tasks_task_t *task)
 {
   gp_time_t waited = gp_tasks_now (tasks) - task->waiting_since;
 
   return task->team->responsible || !task->confirmed
-         || waited >= PATIENCE_OF_OTHERS * tasks->due_period;
+         || waited >= PERIODS_BEFORE_OTHERS_ACT * tasks->due_period;
 }
 
 void
@@ -535,7 +536,7 @@
   if (task->running && !state->cancelled)
     return;
   gp_tasks_set_due (tasks, task);
-  if (task->guard->session == NULL || !acts_on (tasks, task))
+  if (task->guard->session == NULL || !may_act_on (tasks, task))
     return;
   /* Another entry with an older configuration, in which the task is within
      the quota, may have started it: only the guard knows.  */
--- a/src/daemon/tasks_private.h
+++ b/src/daemon/tasks_private.h
@@ -139,7 +139,7 @@
   gp_placement_cost_t cost;
 } gp_tasks_task_t;
 
-typedef struct gp_tasks_submission_state gp_tasks_submission_state_t;
+typedef struct gp_tasks_pending_submission gp_tasks_pending_submission_t;
 
 struct gp_tasks
 {
@@ -197,7 +197,7 @@
   uint64_t live_digest;        /* of the other entries with a session */
   GPtrArray *live_entry_names; /* their names */
   uint64_t next_id;
-  GPtrArray *submissions; /* of gp_tasks_submission_state_t */
+  GPtrArray *submissions; /* of gp_tasks_pending_submission_t */
   bool watchers_changed;  /* their counts have to be compared again */
   bool shapes_changed;    /* tasks that were too large may fit now */
   uint64_t shapes_growth;
@@ -354,7 +354,7 @@
 /* tasks_submit.c */
 
 void gp_tasks_expire_submissions (gp_tasks_t *tasks);
-void gp_tasks_submission_state_free (gpointer data);
+void gp_tasks_pending_submission_free (gpointer data);
 uint64_t gp_tasks_new_id (gp_tasks_t *tasks);
 /* Fills the resources of a Submit record.  */
 void gp_tasks_resources_to_wire (Gp__Wire__Resources *wire,
--- a/src/daemon/tasks_report.c
+++ b/src/daemon/tasks_report.c
@@ -18,7 +18,7 @@
   uint64_t epoch;
   uint64_t number;
   Gp__Wire__TaskState state;
-} reporting_t;
+} pending_report_t;
 
 static gp_counter_t ends_proposed
     = GP_COUNTER ("entry_task_ends_proposed_total",
@@ -27,7 +27,7 @@
     "entry_task_acks_total", "Reports of guards that were acknowledged.");
 
 static void
-acknowledge (const reporting_t *reporting)
+acknowledge (const pending_report_t *reporting)
 {
   gp_tasks_guard_t *guard
       = gp_tasks_find_guard (reporting->tasks, reporting->guard);
@@ -47,25 +47,25 @@
   gp_session_send (guard->session, &envelope);
 }
 
-static reporting_t *
+static pending_report_t *
 reporting_new (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
                const Gp__Wire__TaskReport *report)
 {
-  reporting_t *reporting = g_new (reporting_t, 1);
+  pending_report_t *reporting = g_new (pending_report_t, 1);
 
   *reporting
-      = (reporting_t){ .tasks = tasks,
-                       .guard = g_strdup (guard->name),
-                       .session_incarnation = guard->session->incarnation,
-                       .task = report->task,
-                       .epoch = report->epoch,
-                       .number = report->number,
-                       .state = report->state };
+      = (pending_report_t){ .tasks = tasks,
+                            .guard = g_strdup (guard->name),
+                            .session_incarnation = guard->session->incarnation,
+                            .task = report->task,
+                            .epoch = report->epoch,
+                            .number = report->number,
+                            .state = report->state };
   return reporting;
 }
 
 static void
-reporting_free (reporting_t *reporting)
+reporting_free (pending_report_t *reporting)
 {
   g_free (reporting->guard);
   g_free (reporting);
@@ -74,7 +74,7 @@
 static void
 on_decided (gp_proposal_result_t result, gp_fold_verdict_t verdict, void *data)
 {
-  reporting_t *reporting = data;
+  pending_report_t *reporting = data;
   gp_tasks_task_t *task = gp_tasks_find (reporting->tasks, reporting->task);
 
   (void)verdict;
@@ -94,7 +94,7 @@
 propose (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
          const Gp__Wire__TaskReport *report, Gp__Record__Record *record)
 {
-  reporting_t *reporting = reporting_new (tasks, guard, report);
+  pending_report_t *reporting = reporting_new (tasks, guard, report);
 
   if (gp_tasks_propose (tasks, record, GP_WRITER_NORMAL, on_decided,
                         reporting))
@@ -156,8 +156,8 @@
 /* Updates the run time estimate from the first copy of the report of an
    end.  */
 static void
-learn (gp_tasks_t *tasks, gp_tasks_task_t *task,
-       const Gp__Wire__TaskReport *report)
+observe_run_time (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                  const Gp__Wire__TaskReport *report)
 {
   if (task->reported_at != 0)
     return;
@@ -185,7 +185,7 @@
 {
   gp_time_t now = gp_tasks_now (tasks);
 
-  learn (tasks, task, report);
+  observe_run_time (tasks, task, report);
   if (task->end_proposed)
     return;
   if (task->team->responsible || now - task->reported_at >= tasks->due_period)
@@ -197,7 +197,7 @@
                  gp_tasks_task_t *task, const Gp__Wire__TaskReport *report)
 {
   size_t size = report->checkpoint.len;
-  reporting_t *reporting;
+  pending_report_t *reporting;
 
   on_running (tasks, task);
   if (task->checkpoint_proposed || !task->team->responsible)
@@ -224,7 +224,7 @@
     return;
   if (is_over (state, report->epoch))
     {
-      reporting_t *reporting = reporting_new (tasks, guard, report);
+      pending_report_t *reporting = reporting_new (tasks, guard, report);
 
       if (report->state != GP__WIRE__TASK_STATE__TASK_STATE_RUNNING)
         acknowledge (reporting);
--- a/src/daemon/tasks_submit.c
+++ b/src/daemon/tasks_submit.c
@@ -1,9 +1,9 @@
 /* Submissions and cancellations.
 
    A submission is answered when the results of all its records are known.
-   After ANSWER_TIME the records that were not sent yet are withdrawn; if some
-   were sent, the answer is UNKNOWN: those tasks may still appear under their
-   ids.  */
+   After ANSWER_TIMEOUT the records that were not sent yet are withdrawn; if
+   some were sent, the answer is UNKNOWN: those tasks may still appear under
+   their ids.  */
 
 #include "daemon/tasks_private.h"
 
@@ -11,16 +11,16 @@
 #include <xxhash.h>
 
 #define COUNT_MAX 10000
-#define ANSWER_TIME (8 * GP_SEC)
+#define ANSWER_TIMEOUT (8 * GP_SEC)
 
 typedef struct
 {
-  gp_tasks_submission_state_t *submission;
+  gp_tasks_pending_submission_t *submission;
   uint64_t id;
   gp_proposal_t *proposal; /* NULL once its result is known */
-} submitted_t;
+} task_proposal_t;
 
-struct gp_tasks_submission_state
+struct gp_tasks_pending_submission
 {
   gp_tasks_t *tasks;
   gp_tasks_done_t done; /* NULL once called */
@@ -32,7 +32,7 @@
   GArray *accepted_ids; /* accepted tasks */
   bool refused;         /* the log has voided at least one record */
   const char *refusal;
-  submitted_t *proposals;
+  task_proposal_t *proposals;
 };
 
 uint64_t
@@ -67,85 +67,84 @@
 /* Answers of a submission.  */
 
 void
-gp_tasks_submission_state_free (gpointer data)
+gp_tasks_pending_submission_free (gpointer data)
 {
-  gp_tasks_submission_state_t *submitting = data;
+  gp_tasks_pending_submission_t *pending = data;
 
-  g_array_free (submitting->accepted_ids, TRUE);
-  g_free (submitting->proposals);
-  g_free (submitting);
+  g_array_free (pending->accepted_ids, TRUE);
+  g_free (pending->proposals);
+  g_free (pending);
 }
 
 static void
-submitting_end (gp_tasks_submission_state_t *submitting)
+submission_remove (gp_tasks_pending_submission_t *pending)
 {
-  g_ptr_array_remove_fast (submitting->tasks->submissions, submitting);
+  g_ptr_array_remove_fast (pending->tasks->submissions, pending);
 }
 
 static void
-answer_all (gp_tasks_submission_state_t *submitting)
+answer_all (gp_tasks_pending_submission_t *pending)
 {
   gp_tasks_answer_t reply
       = { .result = GP_TASKS_ACCEPTED,
-          .ids = (const uint64_t *)(void *)submitting->accepted_ids->data,
-          .count = submitting->accepted_ids->len };
-  gp_tasks_done_t done = submitting->done;
+          .ids = (const uint64_t *)(void *)pending->accepted_ids->data,
+          .count = pending->accepted_ids->len };
+  gp_tasks_done_t done = pending->done;
 
   if (done == NULL)
     return;
-  submitting->done = NULL;
-  if (reply.count < submitting->count)
-    reply.message = submitting->refused
-                        ? submitting->refusal
+  pending->done = NULL;
+  if (reply.count < pending->count)
+    reply.message = pending->refused
+                        ? pending->refusal
                         : "the log accepts no more records now; submit the "
                           "remaining tasks again";
   if (reply.count == 0)
-    reply.result
-        = submitting->refused ? GP_TASKS_REFUSED : GP_TASKS_UNAVAILABLE;
-  done (&reply, submitting->data);
+    reply.result = pending->refused ? GP_TASKS_REFUSED : GP_TASKS_UNAVAILABLE;
+  done (&reply, pending->data);
 }
 
 /* Handles the timeout: withdraws the records that were not sent and answers
    with the ids of the others.  */
 static void
-give_up (gp_tasks_submission_state_t *submitting)
+on_submission_timeout (gp_tasks_pending_submission_t *pending)
 {
-  gp_tasks_done_t done = submitting->done;
+  gp_tasks_done_t done = pending->done;
   gp_tasks_answer_t reply = { .result = GP_TASKS_UNKNOWN,
                               .message = "the log did not confirm these tasks "
                                          "in time; they may still appear" };
 
-  for (uint32_t i = 0; i < submitting->count; i++)
+  for (uint32_t i = 0; i < pending->count; i++)
     {
-      submitted_t *one = &submitting->proposals[i];
+      task_proposal_t *one = &pending->proposals[i];
 
       if (one->proposal == NULL)
         continue;
-      if (gp_store_withdraw (submitting->tasks->store, one->proposal))
+      if (gp_store_withdraw (pending->tasks->store, one->proposal))
         {
           one->proposal = NULL;
-          submitting->open_count--;
+          pending->open_count--;
         }
       else
-        g_array_append_val (submitting->accepted_ids, one->id);
+        g_array_append_val (pending->accepted_ids, one->id);
     }
-  if (submitting->open_count == 0)
+  if (pending->open_count == 0)
     {
-      answer_all (submitting);
-      submitting_end (submitting);
+      answer_all (pending);
+      submission_remove (pending);
       return;
     }
-  reply.ids = (const uint64_t *)(void *)submitting->accepted_ids->data;
-  reply.count = submitting->accepted_ids->len;
-  submitting->done = NULL;
-  done (&reply, submitting->data);
+  reply.ids = (const uint64_t *)(void *)pending->accepted_ids->data;
+  reply.count = pending->accepted_ids->len;
+  pending->done = NULL;
+  done (&reply, pending->data);
 }
 
 /* Whether the task of ONE is in the log for this submission, either from its
    own record or from that of an earlier submission with the same key.  */
 static bool
-is_taken (const submitted_t *one, gp_proposal_result_t result,
-          gp_fold_verdict_t verdict)
+is_in_log (const task_proposal_t *one, gp_proposal_result_t result,
+           gp_fold_verdict_t verdict)
 {
   const gp_fold_t *fold = gp_store_fold (one->submission->tasks->store);
 
@@ -176,23 +175,23 @@
 on_submitted (gp_proposal_result_t result, gp_fold_verdict_t verdict,
               void *data)
 {
-  submitted_t *one = data;
-  gp_tasks_submission_state_t *submitting = one->submission;
-  bool accepted = is_taken (one, result, verdict);
+  task_proposal_t *one = data;
+  gp_tasks_pending_submission_t *pending = one->submission;
+  bool accepted = is_in_log (one, result, verdict);
 
   one->proposal = NULL;
-  submitting->open_count--;
-  if (accepted && submitting->done != NULL)
-    g_array_append_val (submitting->accepted_ids, one->id);
+  pending->open_count--;
+  if (accepted && pending->done != NULL)
+    g_array_append_val (pending->accepted_ids, one->id);
   if (result == GP_PROPOSAL_DECIDED && !accepted)
     {
-      submitting->refused = true;
-      submitting->refusal = refusal_of (verdict);
+      pending->refused = true;
+      pending->refusal = refusal_of (verdict);
     }
-  if (submitting->open_count > 0)
+  if (pending->open_count > 0)
     return;
-  answer_all (submitting);
-  submitting_end (submitting);
+  answer_all (pending);
+  submission_remove (pending);
 }
 
 void
@@ -202,11 +201,11 @@
 
   for (guint i = tasks->submissions->len; i > 0; i--)
     {
-      gp_tasks_submission_state_t *submitting
+      gp_tasks_pending_submission_t *pending
           = g_ptr_array_index (tasks->submissions, i - 1);
 
-      if (submitting->done != NULL && submitting->deadline <= now)
-        give_up (submitting);
+      if (pending->done != NULL && pending->deadline <= now)
+        on_submission_timeout (pending);
     }
 }
 
@@ -238,8 +237,9 @@
 }
 
 static const char *
-check (const gp_tasks_t *tasks, const gp_tasks_submission_t *submission,
-       const gp_document_batch_job_t *job, const char *team)
+check_submission (const gp_tasks_t *tasks,
+                  const gp_tasks_submission_t *submission,
+                  const gp_document_batch_job_t *job, const char *team)
 {
   const char *payload = submission->payload;
   uint32_t pending
@@ -276,10 +276,10 @@
 }
 
 static gp_writer_result_t
-propose_one (submitted_t *one, Gp__Record__Submit *submit)
+propose_one (task_proposal_t *one, Gp__Record__Submit *submit)
 {
-  gp_tasks_submission_state_t *submitting = one->submission;
-  gp_tasks_t *tasks = submitting->tasks;
+  gp_tasks_pending_submission_t *pending = one->submission;
+  gp_tasks_t *tasks = pending->tasks;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
 
   submit->task = one->id;
@@ -290,27 +290,27 @@
                            on_submitted, one, &one->proposal);
 }
 
-static gp_tasks_submission_state_t *
-submitting_new (gp_tasks_t *tasks, uint32_t count, gp_tasks_done_t done,
+static gp_tasks_pending_submission_t *
+submission_new (gp_tasks_t *tasks, uint32_t count, gp_tasks_done_t done,
                 void *data)
 {
-  gp_tasks_submission_state_t *submitting
-      = g_new0 (gp_tasks_submission_state_t, 1);
-
-  submitting->tasks = tasks;
-  submitting->done = done;
-  submitting->data = data;
-  submitting->deadline = gp_tasks_now (tasks) + ANSWER_TIME;
-  submitting->count = count;
-  submitting->accepted_ids = g_array_new (FALSE, FALSE, sizeof (uint64_t));
-  submitting->proposals = g_new0 (submitted_t, count);
-  g_ptr_array_add (tasks->submissions, submitting);
-  return submitting;
+  gp_tasks_pending_submission_t *pending
+      = g_new0 (gp_tasks_pending_submission_t, 1);
+
+  pending->tasks = tasks;
+  pending->done = done;
+  pending->data = data;
+  pending->deadline = gp_tasks_now (tasks) + ANSWER_TIMEOUT;
+  pending->count = count;
+  pending->accepted_ids = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  pending->proposals = g_new0 (task_proposal_t, count);
+  g_ptr_array_add (tasks->submissions, pending);
+  return pending;
 }
 
 static uint64_t
-id_of (gp_tasks_t *tasks, const gp_tasks_submission_t *submission,
-       uint32_t number)
+task_id_for (gp_tasks_t *tasks, const gp_tasks_submission_t *submission,
+             uint32_t number)
 {
   if (submission->key_size == 0)
     return gp_tasks_new_id (tasks);
@@ -319,25 +319,25 @@
 }
 
 static void
-propose_all (gp_tasks_submission_state_t *submitting,
+propose_all (gp_tasks_pending_submission_t *pending,
              const gp_tasks_submission_t *submission,
              Gp__Record__Submit *submit)
 {
-  submitting->has_key = submission->key_size > 0;
-  for (uint32_t i = 0; i < submitting->count; i++)
+  pending->has_key = submission->key_size > 0;
+  for (uint32_t i = 0; i < pending->count; i++)
     {
-      submitted_t *one = &submitting->proposals[i];
+      task_proposal_t *one = &pending->proposals[i];
 
-      one->submission = submitting;
-      one->id = id_of (submitting->tasks, submission, i);
+      one->submission = pending;
+      one->id = task_id_for (pending->tasks, submission, i);
       if (propose_one (one, submit) != GP_WRITER_QUEUED)
         break;
-      submitting->open_count++;
+      pending->open_count++;
     }
-  if (submitting->open_count > 0)
+  if (pending->open_count > 0)
     return;
-  answer_all (submitting);
-  submitting_end (submitting);
+  answer_all (pending);
+  submission_remove (pending);
 }
 
 static void
@@ -359,7 +359,7 @@
   submit.payload.len = payload == NULL ? 0 : strlen (payload);
   submit.deadline_us = deadline_of (tasks, submission, job);
   submit.max_tries = job->max_tries;
-  propose_all (submitting_new (tasks, submission->count, done, data),
+  propose_all (submission_new (tasks, submission->count, done, data),
                submission, &submit);
 }
 
@@ -385,7 +385,7 @@
       return;
     }
   team = submission->team != NULL ? submission->team : job->team;
-  refusal = check (tasks, submission, job, team);
+  refusal = check_submission (tasks, submission, job, team);
   if (refusal != NULL)
     answer (done, data, GP_TASKS_REFUSED, refusal);
   else
@@ -400,10 +400,10 @@
   gp_tasks_done_t done;
   void *data;
   uint64_t id;
-} cancelling_t;
+} pending_cancel_t;
 
 static void
-answer_cancelled (const cancelling_t *cancelling, gp_tasks_result_t result,
+answer_cancelled (const pending_cancel_t *cancelling, gp_tasks_result_t result,
                   const char *message)
 {
   gp_tasks_answer_t reply = {
@@ -417,7 +417,7 @@
 on_cancelled (gp_proposal_result_t result, gp_fold_verdict_t verdict,
               void *data)
 {
-  cancelling_t *cancelling = data;
+  pending_cancel_t *cancelling = data;
   const gp_fold_task_t *state = gp_fold_task (
       gp_store_fold (cancelling->tasks->store), cancelling->id);
 
@@ -444,7 +444,7 @@
 {
   Gp__Record__Cancel cancel = GP__RECORD__CANCEL__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
-  cancelling_t *cancelling;
+  pending_cancel_t *cancelling;
 
   if (!gp_store_ready (tasks->store))
     {
@@ -461,8 +461,8 @@
   cancel.reason = GP__WIRE__REASON__REASON_CANCELLED;
   record.record_case = GP__RECORD__RECORD__RECORD_CANCEL;
   record.cancel = &cancel;
-  cancelling = g_new (cancelling_t, 1);
-  *cancelling = (cancelling_t){ tasks, done, data, task };
+  cancelling = g_new (pending_cancel_t, 1);
+  *cancelling = (pending_cancel_t){ tasks, done, data, task };
   if (gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL, on_cancelled,
                         cancelling))
     return;
--- a/src/daemon/tasks_view.c
+++ b/src/daemon/tasks_view.c
@@ -52,7 +52,7 @@
 }
 
 static const char *
-park_name (int reason)
+park_explanation (int reason)
 {
   switch (reason)
     {
@@ -126,8 +126,8 @@
 }
 
 static bool
-passes (const gp_tasks_t *tasks, const gp_tasks_filter_t *filter,
-        const gp_fold_task_t *state)
+matches_filter (const gp_tasks_t *tasks, const gp_tasks_filter_t *filter,
+                const gp_fold_task_t *state)
 {
   if (filter->work_class != GP__WIRE__WORK_CLASS__WORK_CLASS_UNSPECIFIED
       && state->work_class != filter->work_class)
@@ -148,7 +148,7 @@
   g_hash_table_iter_init (&iter, gp_store_fold (tasks->store)->tasks);
   while (json_array_size (list) < max
          && g_hash_table_iter_next (&iter, &key, NULL))
-    if (passes (tasks, filter, key))
+    if (matches_filter (tasks, filter, key))
       json_array_append_new (list, describe (tasks, key));
   return list;
 }
@@ -232,7 +232,7 @@
 }
 
 static const char *
-end_name (int end_state)
+end_explanation (int end_state)
 {
   switch (end_state)
     {
@@ -269,7 +269,7 @@
       explain_granted (tasks, state, text);
       break;
     case GP__RECORD__TASK_PHASE__TASK_PHASE_PARKED:
-      g_string_append (text, park_name (state->park_reason));
+      g_string_append (text, park_explanation (state->park_reason));
       break;
     default:
       g_string_append_printf (text, "it has ended: %s", ended_name (state));
@@ -278,7 +278,7 @@
   if (state->epoch > 0
       && state->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_PENDING)
     g_string_append_printf (text, "; its last run %s",
-                            end_name (state->end_state));
+                            end_explanation (state->end_state));
   json = json_pack ("{s:o, s:s, s:[s]}", "id", json_id (id), "state",
                     gp_tasks_state_name (tasks, state), "reasons", text->str);
   g_string_free (text, TRUE);
--- a/src/daemon/tasks_watch.c
+++ b/src/daemon/tasks_watch.c
@@ -12,7 +12,7 @@
 
 #include "base/counters.h"
 
-#define CHANGES_PER_TURN 500
+#define MAX_CHANGES_PER_ROUND 500
 
 typedef struct
 {
@@ -86,7 +86,7 @@
                 const gp_document_watcher_t *watcher, uint32_t missing)
 {
   gp_counter_register (&submitted);
-  for (uint32_t i = 0; i < MIN (missing, CHANGES_PER_TURN); i++)
+  for (uint32_t i = 0; i < MIN (missing, MAX_CHANGES_PER_ROUND); i++)
     {
       if (!submit_one (tasks, kind, watcher, i))
         {
@@ -98,7 +98,7 @@
 }
 
 static void
-on_withdrawn (gp_proposal_result_t result, gp_fold_verdict_t verdict,
+on_cancelled (gp_proposal_result_t result, gp_fold_verdict_t verdict,
               void *data)
 {
   change_t *change = data;
@@ -112,7 +112,7 @@
 }
 
 static bool
-withdraw_one (gp_tasks_t *tasks, gp_tasks_task_t *task)
+cancel_one (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
   Gp__Record__Cancel cancel = GP__RECORD__CANCEL__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
@@ -124,7 +124,7 @@
   record.cancel = &cancel;
   *change = (change_t){ tasks, task->kind, task->id };
   task->cancel_proposed = gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL,
-                                            on_withdrawn, change);
+                                            on_cancelled, change);
   if (!task->cancel_proposed)
     g_free (change);
   return task->cancel_proposed;
@@ -133,7 +133,7 @@
 /* Orders watchers by which to cancel first: those that are not granted, then
    those with higher ids, so that all entries choose the same ones.  */
 static gint
-compare_worth (gconstpointer a, gconstpointer b)
+compare_for_cancel (gconstpointer a, gconstpointer b)
 {
   const gp_tasks_task_t *one = *(gp_tasks_task_t *const *)a;
   const gp_tasks_task_t *other = *(gp_tasks_task_t *const *)b;
@@ -146,7 +146,7 @@
 }
 
 static void
-withdraw_surplus (gp_tasks_t *tasks, gp_tasks_kind_t *kind, uint32_t surplus)
+cancel_surplus (gp_tasks_t *tasks, gp_tasks_kind_t *kind, uint32_t surplus)
 {
   GPtrArray *live = g_ptr_array_new ();
   GHashTableIter iter;
@@ -164,12 +164,13 @@
           && state != NULL && !state->cancelled)
         g_ptr_array_add (live, task);
     }
-  g_ptr_array_sort (live, compare_worth);
-  for (guint i = 0; i < live->len && i < MIN (surplus, CHANGES_PER_TURN); i++)
+  g_ptr_array_sort (live, compare_for_cancel);
+  for (guint i = 0; i < live->len && i < MIN (surplus, MAX_CHANGES_PER_ROUND);
+       i++)
     {
       gp_tasks_task_t *task = g_ptr_array_index (live, i);
 
-      if (!task->cancel_proposed && !withdraw_one (tasks, task))
+      if (!task->cancel_proposed && !cancel_one (tasks, task))
         {
           tasks->watchers_changed = true;
           break;
@@ -180,7 +181,7 @@
 }
 
 static void
-watch_kind (gp_tasks_t *tasks, gp_tasks_kind_t *kind)
+adjust_kind (gp_tasks_t *tasks, gp_tasks_kind_t *kind)
 {
   const gp_document_watcher_t *watcher
       = gp_document_find_watcher (tasks->document, kind->name);
@@ -196,7 +197,7 @@
   if (kind->live_count < wanted)
     submit_missing (tasks, kind, watcher, wanted - kind->live_count);
   else
-    withdraw_surplus (tasks, kind, kind->live_count - wanted);
+    cancel_surplus (tasks, kind, kind->live_count - wanted);
 }
 
 void
@@ -210,5 +211,5 @@
   tasks->watchers_changed = false;
   g_hash_table_iter_init (&iter, tasks->kinds);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    watch_kind (tasks, value);
+    adjust_kind (tasks, value);
 }
