--- a/src/daemon/news.c
+++ b/src/daemon/news.c
@@ -127,7 +127,7 @@
   gp_session_send (peer->session, &envelope);
 }
 
-/* Sends READER the changes since its cursor; if there are none and the
+/* Sends PEER the changes since its cursor; if there are none and the
    interval has passed, an empty message that shows that this entry is
    alive.  */
 static void
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -490,7 +490,7 @@
     gp_timer_arm (timer, gp_loop_now (relays->loop) + SWEEP_INTERVAL);
 }
 
-/* Deadlines.  */
+/* Timeouts.  */
 
 static void
 expire (gp_relay_t *relay)
--- a/src/daemon/routes.c
+++ b/src/daemon/routes.c
@@ -460,9 +460,9 @@
     apply_outlier_action (routes, health->data, action);
 }
 
-/* Whether members without heartbeats may be declared suspect.  After a late
-   tick this process was itself blocked: it skips one tick to read the
-   messages that have arrived meanwhile.  */
+/* Whether members without heartbeats may be declared suspect.  If the tick is
+   late, this process was blocked itself and has to read the messages that have
+   arrived meanwhile first.  Only one tick in a row is skipped for this.  */
 static bool
 may_suspect_members (gp_routes_t *routes, gp_time_t now)
 {
--- a/tests/unit/task_site.c
+++ b/tests/unit/task_site.c
@@ -20,7 +20,7 @@
       "margin_ms: 10,\n"
       "  suspect_ms: 1000, usage_ms: 10, reconnect_min_ms: 1}\n";
 
-/* Told.  */
+/* Received messages.  */
 
 static told_t
 copy_report (const Gp__Wire__TaskReport *report)
@@ -154,7 +154,7 @@
         .on_message = on_entry_message,
         .on_close = on_entry_close };
 
-/* The site.  */
+/* Setup and event loop.  */
 
 static int
 free_port (void)
@@ -221,7 +221,8 @@
   *(bool *)data = true;
 }
 
-/* Run until CONDITION or, when that is NULL, until report N has come.  */
+/* Runs until CONDITION or, if that is NULL, until N reports like WANTED were
+   received; false on timeout.  */
 static bool
 run (task_site_t *site, bool (*condition) (const task_site_t *site),
      const told_t *wanted, unsigned n)
--- a/tests/unit/task_site.h
+++ b/tests/unit/task_site.h
@@ -1,5 +1,5 @@
-/* A guard under test between a fake runtime and a fake entry, which keeps
-   what it is told and answers heartbeats as the test says.  */
+/* A guard under test with a fake runtime and a fake entry, which records the
+   reports that it receives and answers heartbeats as set by the test.  */
 
 #ifndef GP_TESTS_TASK_SITE_H
 #define GP_TESTS_TASK_SITE_H
@@ -7,7 +7,7 @@
 #include "daemon/guard.h"
 #include "fake_runtime.h"
 
-/* A report, of its own or of an inventory.  */
+/* A received report, either from a TaskReport message or an inventory.  */
 typedef struct
 {
   uint64_t task;
@@ -24,13 +24,13 @@
   gp_guard_t guard;
   gp_settings_t settings;
   fake_runtime_t runtime;
-  /* The entry.  */
+  /* The fake entry.  */
   gp_session_host_t entry;
   gp_session_t *session;
-  gp_time_t grant; /* what a heartbeat is given, 0: no lease */
-  bool fenced;     /* what a heartbeat is told of GRANTED_TO */
-  bool acks;       /* reports are acknowledged */
-  uint64_t lease;  /* as announced last */
+  gp_time_t grant; /* duration of granted leases; 0: no lease */
+  bool fenced;     /* sent in the next reply to a heartbeat */
+  bool acks;       /* whether reports are acknowledged */
+  uint64_t lease;  /* lease incarnation as announced last */
   uint64_t inherits;
   uint64_t boot;
   uint32_t capacity; /* millicores */
@@ -39,19 +39,20 @@
   int heartbeats;
   int inventories;
   int usages;
-  GArray *inventory; /* told_t, the last one */
-  GArray *reports;   /* told_t, all */
+  GArray *inventory; /* of told_t: the last inventory */
+  GArray *reports;   /* of told_t: all reports */
 } task_site_t;
 
-/* Prepare everything; nothing runs before the first task_site_until.  */
+/* Initializes everything; nothing runs before the first task_site_until.  */
 void task_site_init (task_site_t *site);
 void task_site_finish (task_site_t *site);
 
-/* Run until CONDITION; false when that takes unreasonably long.  */
+/* Runs until CONDITION is true; false if that takes more than 20 seconds.  */
 bool task_site_until (task_site_t *site,
                       bool (*condition) (const task_site_t *site));
 
-/* Run until the guard is announced, has a lease and is at rest.  */
+/* Runs until the guard has sent its inventory, renewed the lease of its
+   runtime and reported free resources.  */
 bool task_site_ready (task_site_t *site);
 
 void task_site_start (task_site_t *site, uint64_t task, uint64_t epoch,
@@ -59,13 +60,13 @@
 void task_site_stop (task_site_t *site, uint64_t task, uint64_t epoch,
                      Gp__Wire__StopMode mode);
 
-/* Run until report number N (from 1) of (TASK, EPOCH) in STATE has come;
-   NULL: it has not.  */
+/* Runs until report number N (from 1) of (TASK, EPOCH) in STATE was received;
+   NULL on timeout.  */
 const told_t *task_site_await (task_site_t *site, uint64_t task,
                                uint64_t epoch, Gp__Wire__TaskState state,
                                unsigned n);
 
-/* The reports of (TASK, EPOCH) in STATE so far.  */
+/* The number of reports of (TASK, EPOCH) in STATE received so far.  */
 unsigned task_site_count (const task_site_t *site, uint64_t task,
                           uint64_t epoch, Gp__Wire__TaskState state);
 
--- a/tests/unit/tasks_world_impl.h
+++ b/tests/unit/tasks_world_impl.h
@@ -1,10 +1,11 @@
-/* An entry's tasks in a world that the test holds; for test_tasks.c only,
-   since it stands in for the store, the sessions and the clock by their
-   names.
+/* Simulated environment for the tasks of an entry.  For test_tasks.c only,
+   since it defines functions of the store, the sessions and the clock under
+   their real names.
 
-   What is proposed waits until the test appends it, other entries' records
-   come between as the test likes, and time is what the test says.  The
-   sessions are bare; what is sent on them is kept as lines of text.  */
+   Proposed records are queued until the test appends them to the log, the
+   test can append records of other entries in between, and the test sets the
+   time.  Sessions have no connection; messages sent on them are recorded as
+   lines of text.  */
 
 #ifndef GP_TESTS_TASKS_WORLD_IMPL_H
 #define GP_TESTS_TASKS_WORLD_IMPL_H
@@ -25,7 +26,7 @@
   STEP = 50
 };
 
-/* The store.  */
+/* Store.  */
 
 struct gp_proposal
 {
@@ -40,9 +41,9 @@
   gp_store_subscriber_t *subscriber;
   GQueue queue; /* of gp_proposal_t */
   bool ready;
-  bool down; /* takes nothing */
+  bool down; /* accepts no records */
   uint64_t sequence[2];
-  GArray *verdicts; /* of the batch that is applied */
+  GArray *verdicts; /* of the batch being applied */
 };
 
 static gp_store_t store;
@@ -57,7 +58,7 @@
 static gp_tasks_result_t answered;
 static GArray *answered_ids;
 
-/* Time is the test's own.  */
+/* The simulated time.  */
 static gp_time_t present;
 
 gp_time_t
@@ -142,7 +143,7 @@
   store.subscriber->on_change (change, store.subscriber->data);
 }
 
-/* Append RECORDS as one batch of a writer and read it back.  */
+/* Appends RECORDS as one batch of a writer and reads it back.  */
 static void
 append (bool own, Gp__Record__Record **records, size_t count)
 {
@@ -179,7 +180,7 @@
     }
 }
 
-/* Append what is queued; the deferred calls follow.  */
+/* Appends the queued records and runs deferred calls.  */
 static void
 flush (void)
 {
@@ -214,7 +215,7 @@
   run_deferred ();
 }
 
-/* The queued records were never sent.  */
+/* Drops the queued records as expired before they were sent.  */
 static void
 expire (void)
 {
@@ -228,7 +229,7 @@
     }
 }
 
-/* How many records of CASE are queued.  */
+/* The number of queued records of type WANTED.  */
 static unsigned int
 queued (Gp__Record__Record__RecordCase wanted)
 {
@@ -281,14 +282,15 @@
   return true;
 }
 
-/* DURATION passes, a step at a time; the log is read all the while.  */
+/* Advances the time by DURATION in steps; the log is read up to date at each
+   step unless it is down.  */
 static void
 pass (gp_time_t duration)
 {
   for (gp_time_t left = duration; left > 0; left -= STEP * GP_MSEC)
     {
       present += STEP * GP_MSEC;
-      loop.now_uv = 0; /* to be read again */
+      loop.now_uv = 0; /* invalidates the cached time */
       if (!store.down)
         store.subscriber->on_read (present, store.subscriber->data);
       tasks->timer.cb (&tasks->timer, tasks->timer.data);
@@ -296,7 +298,7 @@
     }
 }
 
-/* What was sent since, which is forgotten.  */
+/* Returns the lines sent since the last call.  */
 static const char *
 take_sent (void)
 {
@@ -365,7 +367,7 @@
   deliver (&sessions[guard], &envelope);
 }
 
-/* Guard GUARD comes up, is registered and gets its lease.  */
+/* Announces GUARD, registers it and renews its lease.  */
 static void
 bring_up (unsigned int guard)
 {
@@ -488,7 +490,7 @@
   gp_tasks_submit (tasks, &submission, on_answer, NULL);
 }
 
-/* Submit one job of KIND; its grant is queued after.  */
+/* Submits one job of KIND; afterwards its grant is queued.  */
 static uint64_t
 submit (const char *kind)
 {
@@ -515,14 +517,14 @@
   return text;
 }
 
-/* The guard of the only grant.  */
+/* The index of the guard to which TASK is granted.  */
 static unsigned int
 guard_of (uint64_t task)
 {
   return (unsigned int)(state_of (task)->guard->name[6] - '1');
 }
 
-/* Submit a job, let it be granted and say that it runs.  */
+/* Submits a job, appends its grant and reports that it runs.  */
 static uint64_t
 run_one (const char *kind)
 {
@@ -535,7 +537,7 @@
   return task;
 }
 
-/* A record of the other entry.  */
+/* Appends a Grant of the other entry.  */
 static void
 grant_by_peer (uint64_t task, uint64_t epoch, const char *guard)
 {
--- a/tests/unit/test_keys.c
+++ b/tests/unit/test_keys.c
@@ -1,5 +1,6 @@
-/* Tests of the decision on a key, by the state that a log left, against a
-   naive twin that reads the list of what happened to the key.  */
+/* Tests of the decision on an idempotency key.  Random histories of a key are
+   applied to a fold and to a simple reference model, and both must lead to
+   the same decision.  */
 
 #include <string.h>
 
@@ -22,14 +23,14 @@
   gp_fold_t fold;
   uint64_t incarnation[OWNERS];
   uint64_t sequence[OWNERS];
-  /* The twin: who has the key, and what is known of it.  */
+  /* The reference model: owner and outcome of the key.  */
   bool open;
   bool decided;
   Gp__Record__KeyState state;
   uint64_t request;
   int owner;
   uint64_t owner_incarnation;
-  uint64_t heard[OWNERS]; /* highest incarnation on the log */
+  uint64_t heard[OWNERS]; /* highest incarnation in the log */
 } world_t;
 
 static void
@@ -52,7 +53,7 @@
   world->heard[writer] = world->incarnation[writer];
 }
 
-/* A record that concerns no key.  */
+/* Appends a record that has nothing to do with keys.  */
 static void
 append_other (world_t *world, int writer)
 {
@@ -142,7 +143,7 @@
 
   switch (g_rand_int_range (rand, 0, 4))
     {
-    case 0: /* the writer starts again */
+    case 0: /* the writer restarts */
       world->incarnation[writer]++;
       world->sequence[writer] = 0;
       append_other (world, writer);
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -1,4 +1,4 @@
-/* Tests of the document's limits as the entries share them.  */
+/* Tests of how the entries divide the document's limits.  */
 
 #include <glib.h>
 
@@ -50,7 +50,8 @@
   return taken;
 }
 
-/* Whatever the number of entries, their shares are the limit.  */
+/* The shares of all entries add up to the limit, for any number of
+   entries.  */
 static void
 test_shares (void)
 {
@@ -95,7 +96,7 @@
   gp_limits_finish (&limits);
 }
 
-/* Requests in progress count on when the document changes.  */
+/* Requests in progress stay counted when the document changes.  */
 static void
 test_change (void)
 {
--- a/tests/unit/test_tasks.c
+++ b/tests/unit/test_tasks.c
@@ -1,4 +1,4 @@
-/* Tasks at an entry, against a log, guards and a clock of the test's own; see
+/* Tests of the tasks of an entry with a simulated log, guards and clock; see
    tasks_world_impl.h.  */
 
 #include "tasks_world_impl.h"
@@ -15,7 +15,7 @@
   task = submit ("job");
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   pass (GP_SEC);
-  CU_ASSERT_STRING_EQUAL (take_sent (), ""); /* not before it is read */
+  CU_ASSERT_STRING_EQUAL (take_sent (), ""); /* the grant is not read yet */
   flush ();
   CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "start epoch 1"));
   report (0, task, 1, GP__WIRE__TASK_STATE__TASK_STATE_RUNNING);
@@ -32,7 +32,7 @@
   tear_down ();
 }
 
-/* A start that gets no answer is sent again.  */
+/* A Start that is not answered is sent again.  */
 static void
 test_start_again (void)
 {
@@ -61,7 +61,7 @@
   CU_ASSERT_EQUAL (answered, GP_TASKS_UNAVAILABLE);
   CU_ASSERT_EQUAL (answered_ids->len, 0);
   ask ("job", 2);
-  pass (10 * GP_SEC); /* never sent: taken back */
+  pass (10 * GP_SEC); /* never sent: withdrawn */
   CU_ASSERT_EQUAL (answered, GP_TASKS_UNAVAILABLE);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_SUBMIT), 0);
   tear_down ();
@@ -89,7 +89,7 @@
 {
   set_up (0);
   bring_up (0);
-  pass (60 * GP_SEC); /* the fleet is known */
+  pass (60 * GP_SEC); /* all guards had time to connect */
   ask ("large", 1);
   CU_ASSERT_EQUAL (answered, GP_TASKS_REFUSED);
   ask ("nothing", 1);
@@ -100,7 +100,7 @@
   tear_down ();
 }
 
-/* A key names its tasks: submitted twice they are there once.  */
+/* Two submissions with the same key create the tasks once.  */
 static void
 test_key (void)
 {
@@ -123,8 +123,8 @@
   tear_down ();
 }
 
-/* Another entry's grant came first: ours is void and nothing is started
-   twice.  */
+/* A grant of another entry comes first in the log: the grant of this entry is
+   void, and the task is not started twice.  */
 static void
 test_race (void)
 {
@@ -141,12 +141,13 @@
   CU_ASSERT_STRING_EQUAL (take_sent (), "");
   CU_ASSERT_EQUAL (state_of (task)->epoch, 1);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 0);
-  pass (4 * GP_SEC + STEP * GP_MSEC); /* the peer is not there to start it */
+  pass (4 * GP_SEC + STEP * GP_MSEC); /* the other entry does not start it */
   CU_ASSERT_STRING_EQUAL (take_sent (), line (1, "start epoch 1"));
   tear_down ();
 }
 
-/* Two grants race for the last of a quota: the later is not started.  */
+/* Two grants together exceed a quota: the one that is later in the log is not
+   started.  */
 static void
 test_quota_race (void)
 {
@@ -171,8 +172,8 @@
   tear_down ();
 }
 
-/* A guard that is not heard is fenced, and its task runs elsewhere only after
-   the wait.  */
+/* A guard without heartbeats is fenced, and its task runs on another guard
+   only after the time in which its lease may still be valid.  */
 static void
 test_silent_guard (void)
 {
@@ -213,7 +214,8 @@
   tear_down ();
 }
 
-/* Room that comes free is used at once, however long others have waited.  */
+/* Resources that come free are used at once, even if the queued tasks are in
+   backoff.  */
 static void
 test_full (void)
 {
@@ -233,7 +235,7 @@
   tear_down ();
 }
 
-/* A guard that only other entries hear is not fenced.  */
+/* A guard whose heartbeats only other entries receive is not fenced.  */
 static void
 test_heard_elsewhere (void)
 {
@@ -254,8 +256,8 @@
   tear_down ();
 }
 
-/* Of two entries the responsible one places, proposes and starts; the other
-   takes over when it goes.  */
+/* Of two entries only the responsible one places tasks and proposes records;
+   the other takes over when it is gone.  */
 static void
 test_responsible (void)
 {
@@ -273,7 +275,7 @@
   announce (0, 1, NULL, 0);
   heartbeat (0, 1);
   if (queued (GP__RECORD__RECORD__RECORD_ADOPT) == 0)
-    pass (5 * GP_SEC); /* the guard is the other's, who does nothing */
+    pass (5 * GP_SEC); /* the other entry is responsible and does nothing */
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_ADOPT), 1);
   flush ();
   heartbeat (0, 1);
@@ -289,8 +291,9 @@
   tear_down ();
 }
 
-/* A guard is told the revision in force, which may not be on the stream of
-   the tasks; with a lower one it would offer its own at each heartbeat.  */
+/* Replies to heartbeats contain the revision in force, which may come from
+   another log than that of the tasks.  If the reply had a lower one, the guard
+   would offer its own configuration at each heartbeat.  */
 static void
 test_revision (void)
 {
@@ -303,7 +306,7 @@
   tear_down ();
 }
 
-/* An entry of another region takes nothing over.  */
+/* Entries of other regions are not responsible for anything in this one.  */
 static void
 test_other_region (void)
 {
@@ -339,8 +342,9 @@
   tear_down ();
 }
 
-/* The guard's process starts again beside its runtime: what runs goes on
-   under its epoch, what does not is lost and runs again.  */
+/* The guard's process restarts while its runtime keeps running: tasks in its
+   inventory continue under their epoch, the others are lost and granted
+   again.  */
 static void
 test_adopted (void)
 {
@@ -373,8 +377,8 @@
   tear_down ();
 }
 
-/* A checkpoint that is decided when the guard has started again is not
-   acknowledged to the new process: its own report of the task's end may have
+/* A checkpoint whose record is read back after a restart of the guard is not
+   acknowledged to the new process, whose own report of the task's end may have
    the same number.  */
 static void
 test_ack_of_predecessor (void)
@@ -480,11 +484,12 @@
                           "cancelled");
   gp_tasks_cancel (tasks, running, on_answer, NULL);
   flush ();
-  CU_ASSERT_EQUAL (answered, GP_TASKS_ACCEPTED); /* it was */
+  CU_ASSERT_EQUAL (answered, GP_TASKS_ACCEPTED); /* cancelled before */
   tear_down ();
 }
 
-/* What is known beside the fold is built anew with it.  */
+/* After the fold was rebuilt, for example from a snapshot, the mirror of its
+   tasks is rebuilt too.  */
 static void
 test_rebuilt (void)
 {
@@ -502,7 +507,7 @@
   report (0, running, 1, GP__WIRE__TASK_STATE__TASK_STATE_RUNNING);
   report (0, running, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
   flush ();
-  pass (STEP * GP_MSEC); /* the log is read */
+  pass (STEP * GP_MSEC); /* the grantor learns that the log is read again */
   heartbeat (0, 1);
   pass (3 * GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
