--- a/tests/unit/task_site.c
+++ b/tests/unit/task_site.c
@@ -4,7 +4,7 @@
 
 #include "transport_support.h"
 
-#define PATIENCE (20 * GP_SEC)
+#define RUN_TIMEOUT (20 * GP_SEC)
 
 static const char settings_text[]
     = "site: s\nname: guard-1\nregion: r\nzone: z\n"
@@ -22,10 +22,10 @@
 
 /* Received messages.  */
 
-static told_t
+static received_report_t
 copy_report (const Gp__Wire__TaskReport *report)
 {
-  return (told_t){
+  return (received_report_t){
     .task = report->task,
     .epoch = report->epoch,
     .state = report->state,
@@ -41,49 +41,49 @@
 static void
 told_clear (void *data)
 {
-  g_free (((told_t *)data)->text);
+  g_free (((received_report_t *)data)->text);
 }
 
 void
-task_site_ack (task_site_t *site, const told_t *told)
+task_site_ack (task_site_t *site, const received_report_t *received)
 {
   Gp__Wire__TaskReportAck ack = GP__WIRE__TASK_REPORT_ACK__INIT;
   Gp__Wire__Envelope envelope
       = GP_ENVELOPE (TASK_REPORT_ACK, task_report_ack, &ack);
 
-  ack.task = told->task;
-  ack.epoch = told->epoch;
-  ack.state = told->state;
-  ack.number = told->number;
+  ack.task = received->task;
+  ack.epoch = received->epoch;
+  ack.state = received->state;
+  ack.number = received->number;
   gp_session_send (site->session, &envelope);
 }
 
 static void
-take_report (task_site_t *site, const Gp__Wire__TaskReport *report)
+record_report (task_site_t *site, const Gp__Wire__TaskReport *report)
 {
-  told_t told = copy_report (report);
+  received_report_t received = copy_report (report);
 
-  g_array_append_val (site->reports, told);
-  if (site->acks && told.number != 0)
-    task_site_ack (site, &told);
+  g_array_append_val (site->reports, received);
+  if (site->acks && received.number != 0)
+    task_site_ack (site, &received);
 }
 
 static void
-take_inventory (task_site_t *site, const Gp__Wire__Inventory *inventory)
+record_inventory (task_site_t *site, const Gp__Wire__Inventory *inventory)
 {
   g_array_set_size (site->inventory, 0);
   for (size_t i = 0; i < inventory->n_tasks; i++)
     {
-      told_t told = copy_report (inventory->tasks[i]);
+      received_report_t received = copy_report (inventory->tasks[i]);
 
-      g_array_append_val (site->inventory, told);
+      g_array_append_val (site->inventory, received);
     }
   if (inventory->lease_incarnation == site->lease)
     site->inventories++;
 }
 
 static void
-take_announce (task_site_t *site, const Gp__Wire__Announce *announce)
+record_announce (task_site_t *site, const Gp__Wire__Announce *announce)
 {
   site->lease = announce->lease_incarnation;
   site->inherits = announce->inherits;
@@ -120,13 +120,13 @@
   task_site_t *site = data;
 
   if (envelope->message_case == GP__WIRE__ENVELOPE__MESSAGE_ANNOUNCE)
-    take_announce (site, envelope->announce);
+    record_announce (site, envelope->announce);
   else if (envelope->message_case == GP__WIRE__ENVELOPE__MESSAGE_INVENTORY)
-    take_inventory (site, envelope->inventory);
+    record_inventory (site, envelope->inventory);
   else if (envelope->message_case == GP__WIRE__ENVELOPE__MESSAGE_HEARTBEAT)
     answer_heartbeat (site, envelope->heartbeat);
   else if (envelope->message_case == GP__WIRE__ENVELOPE__MESSAGE_TASK_REPORT)
-    take_report (site, envelope->task_report);
+    record_report (site, envelope->task_report);
   else if (envelope->message_case == GP__WIRE__ENVELOPE__MESSAGE_USAGE)
     site->usages++;
 }
@@ -196,8 +196,8 @@
                               &error)
       || !gp_guard_init (&site->guard, &site->settings, &error))
     g_error ("%s", error->message);
-  site->reports = g_array_new (FALSE, TRUE, sizeof (told_t));
-  site->inventory = g_array_new (FALSE, TRUE, sizeof (told_t));
+  site->reports = g_array_new (FALSE, TRUE, sizeof (received_report_t));
+  site->inventory = g_array_new (FALSE, TRUE, sizeof (received_report_t));
   g_array_set_clear_func (site->reports, told_clear);
   g_array_set_clear_func (site->inventory, told_clear);
   start_entry (site, entry_port);
@@ -216,7 +216,7 @@
 }
 
 static void
-on_late (gp_timer_t *timer, void *data)
+on_run_timeout (gp_timer_t *timer, void *data)
 {
   *(bool *)data = true;
 }
@@ -225,13 +225,13 @@
    received; false on timeout.  */
 static bool
 run (task_site_t *site, bool (*condition) (const task_site_t *site),
-     const told_t *wanted, unsigned n)
+     const received_report_t *wanted, unsigned n)
 {
   bool late = false;
   gp_timer_t timer;
 
-  gp_timer_init (&timer, &site->guard.loop, on_late, &late);
-  gp_timer_arm (&timer, gp_time_now () + PATIENCE);
+  gp_timer_init (&timer, &site->guard.loop, on_run_timeout, &late);
+  gp_timer_arm (&timer, gp_time_now () + RUN_TIMEOUT);
   while (!late
          && (condition != NULL ? !condition (site)
                                : task_site_count (site, wanted->task,
@@ -294,19 +294,20 @@
   gp_session_send (site->session, &envelope);
 }
 
-static const told_t *
-find_told (const GArray *list, uint64_t task, uint64_t epoch,
-           Gp__Wire__TaskState state, unsigned n)
+static const received_report_t *
+find_report (const GArray *list, uint64_t task, uint64_t epoch,
+             Gp__Wire__TaskState state, unsigned n)
 {
   for (guint i = 0; i < list->len; i++)
     {
-      const told_t *told = &g_array_index (list, told_t, i);
+      const received_report_t *received
+          = &g_array_index (list, received_report_t, i);
 
-      if (told->task == task && told->epoch == epoch
+      if (received->task == task && received->epoch == epoch
           && (state == GP__WIRE__TASK_STATE__TASK_STATE_UNSPECIFIED
-              || told->state == state)
+              || received->state == state)
           && --n == 0)
-        return told;
+        return received;
     }
   return NULL;
 }
@@ -317,24 +318,26 @@
 {
   unsigned count = 0;
 
-  while (find_told (site->reports, task, epoch, state, count + 1) != NULL)
+  while (find_report (site->reports, task, epoch, state, count + 1) != NULL)
     count++;
   return count;
 }
 
-const told_t *
+const received_report_t *
 task_site_await (task_site_t *site, uint64_t task, uint64_t epoch,
                  Gp__Wire__TaskState state, unsigned n)
 {
-  const told_t wanted = { .task = task, .epoch = epoch, .state = state };
+  const received_report_t wanted
+      = { .task = task, .epoch = epoch, .state = state };
 
   run (site, NULL, &wanted, n);
-  return find_told (site->reports, task, epoch, state, n);
+  return find_report (site->reports, task, epoch, state, n);
 }
 
-const told_t *
-task_site_listed (const task_site_t *site, uint64_t task, uint64_t epoch)
+const received_report_t *
+task_site_find_in_inventory (const task_site_t *site, uint64_t task,
+                             uint64_t epoch)
 {
-  return find_told (site->inventory, task, epoch,
-                    GP__WIRE__TASK_STATE__TASK_STATE_UNSPECIFIED, 1);
+  return find_report (site->inventory, task, epoch,
+                      GP__WIRE__TASK_STATE__TASK_STATE_UNSPECIFIED, 1);
 }
--- a/tests/unit/task_site.h
+++ b/tests/unit/task_site.h
@@ -17,7 +17,7 @@
   uint64_t number;
   char *text; /* result, '/' and checkpoint */
   uint32_t free_millicores;
-} told_t;
+} received_report_t;
 
 typedef struct
 {
@@ -39,8 +39,8 @@
   int heartbeats;
   int inventories;
   int usages;
-  GArray *inventory; /* of told_t: the last inventory */
-  GArray *reports;   /* of told_t: all reports */
+  GArray *inventory; /* of received_report_t: the last inventory */
+  GArray *reports;   /* of received_report_t: all reports */
 } task_site_t;
 
 /* Initializes everything; nothing runs before the first task_site_until.  */
@@ -62,18 +62,20 @@
 
 /* Runs until report number N (from 1) of (TASK, EPOCH) in STATE was received;
    NULL on timeout.  */
-const told_t *task_site_await (task_site_t *site, uint64_t task,
-                               uint64_t epoch, Gp__Wire__TaskState state,
-                               unsigned n);
+const received_report_t *task_site_await (task_site_t *site, uint64_t task,
+                                          uint64_t epoch,
+                                          Gp__Wire__TaskState state,
+                                          unsigned n);
 
 /* The number of reports of (TASK, EPOCH) in STATE received so far.  */
 unsigned task_site_count (const task_site_t *site, uint64_t task,
                           uint64_t epoch, Gp__Wire__TaskState state);
 
-void task_site_ack (task_site_t *site, const told_t *told);
+void task_site_ack (task_site_t *site, const received_report_t *received);
 
 /* The task in the last inventory, or NULL.  */
-const told_t *task_site_listed (const task_site_t *site, uint64_t task,
-                                uint64_t epoch);
+const received_report_t *task_site_find_in_inventory (const task_site_t *site,
+                                                      uint64_t task,
+                                                      uint64_t epoch);
 
 #endif
--- a/tests/unit/tasks_world_impl.h
+++ b/tests/unit/tasks_world_impl.h
@@ -17,8 +17,8 @@
 #include "daemon/tasks_private.h"
 #include "runner.h"
 
-#define ME "entry-1"
-#define PEER "entry-2"
+#define OWN_ENTRY "entry-1"
+#define OTHER_ENTRY "entry-2"
 
 enum
 {
@@ -59,18 +59,18 @@
 static GArray *answered_ids;
 
 /* The simulated time.  */
-static gp_time_t present;
+static gp_time_t current_time;
 
 gp_time_t
 gp_time_now (void)
 {
-  return present;
+  return current_time;
 }
 
 int64_t
 gp_time_wall (void)
 {
-  return present;
+  return current_time;
 }
 
 bool
@@ -152,7 +152,7 @@
   uint8_t *bytes;
 
   batch.version = GP_FOLD_VERSION;
-  batch.writer = own ? ME : PEER;
+  batch.writer = own ? OWN_ENTRY : OTHER_ENTRY;
   batch.incarnation = 1;
   batch.sequence = ++store.sequence[own];
   batch.wall_us = gp_loop_now (&loop);
@@ -217,7 +217,7 @@
 
 /* Drops the queued records as expired before they were sent.  */
 static void
-expire (void)
+expire_queued (void)
 {
   gp_proposal_t *proposal;
 
@@ -285,14 +285,14 @@
 /* Advances the time by DURATION in steps; the log is read up to date at each
    step unless it is down.  */
 static void
-pass (gp_time_t duration)
+advance_time (gp_time_t duration)
 {
   for (gp_time_t left = duration; left > 0; left -= STEP * GP_MSEC)
     {
-      present += STEP * GP_MSEC;
+      current_time += STEP * GP_MSEC;
       loop.now_uv = 0; /* invalidates the cached time */
       if (!store.down)
-        store.subscriber->on_read (present, store.subscriber->data);
+        store.subscriber->on_read (current_time, store.subscriber->data);
       tasks->timer.cb (&tasks->timer, tasks->timer.data);
       run_deferred ();
     }
@@ -319,15 +319,15 @@
 static void
 heartbeat (unsigned int guard, uint64_t incarnation)
 {
-  Gp__Wire__Resources room = GP__WIRE__RESOURCES__INIT;
+  Gp__Wire__Resources free_resources = GP__WIRE__RESOURCES__INIT;
   Gp__Wire__Heartbeat message = GP__WIRE__HEARTBEAT__INIT;
   Gp__Wire__Envelope envelope = GP_ENVELOPE (HEARTBEAT, heartbeat, &message);
 
-  room.millicores = 4000;
-  room.memory_mib = 8000;
+  free_resources.millicores = 4000;
+  free_resources.memory_mib = 8000;
   message.renew = true;
   message.lease_incarnation = incarnation;
-  message.free = &room;
+  message.free = &free_resources;
   deliver (&sessions[guard], &envelope);
 }
 
@@ -381,10 +381,11 @@
 }
 
 static const char settings_text[]
-    = "site: s\nname: " ME "\nregion: r\nzone: z\n"
+    = "site: s\nname: " OWN_ENTRY "\nregion: r\nzone: z\n"
       "entries:\n"
-      "  - {name: " ME ", region: r, zone: z, peers: \"127.0.0.1:1\"}\n"
-      "  - {name: " PEER ", region: r, zone: z, peers: \"127.0.0.1:2\"}\n"
+      "  - {name: " OWN_ENTRY ", region: r, zone: z, peers: \"127.0.0.1:1\"}\n"
+      "  - {name: " OTHER_ENTRY
+      ", region: r, zone: z, peers: \"127.0.0.1:2\"}\n"
       "platform_log: {address: \"127.0.0.1:9\", stream: s}\n"
       "entry: {callers: \"127.0.0.1:2\", operators: \"127.0.0.1:3\", "
       "peers: \"127.0.0.1:1\", operator_token: t}\n";
@@ -434,14 +435,14 @@
   answered_ids = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   g_assert (gp_settings_load_text (&settings, "s", settings_text,
                                    strlen (settings_text), NULL));
-  present = 1000 * GP_SEC;
+  current_time = 1000 * GP_SEC;
   g_assert (gp_loop_init (&loop, NULL));
   loop.now_uv = 0;
   host = (gp_session_host_t){ .loop = &loop };
   gp_list_init (&host.sessions);
   store = (gp_store_t){ .ready = true };
   gp_fold_init (&store.fold, NULL);
-  gp_fold_watch (&store.fold, ME, 1);
+  gp_fold_watch (&store.fold, OWN_ENTRY, 1);
   store.verdicts = g_array_new (FALSE, FALSE, sizeof (gp_fold_verdict_t));
   for (int i = 0; i < GUARDS; i++)
     sessions[i] = (gp_session_t){ .host = &host,
@@ -451,16 +452,16 @@
                                   .role = GP__WIRE__ROLE__ROLE_GUARD };
   tasks = gp_tasks_new (&host, &store, &settings, 1, NULL, NULL);
   store.subscriber->on_rebuilt (store.subscriber->data);
-  store.subscriber->on_read (present, store.subscriber->data);
+  store.subscriber->on_read (current_time, store.subscriber->data);
   set_document (watchers);
 }
 
 static void
 tear_down (void)
 {
-  expire ();
+  expire_queued ();
   gp_tasks_free (tasks);
-  expire ();
+  expire_queued ();
   gp_fold_finish (&store.fold);
   g_array_free (store.verdicts, TRUE);
   gp_document_finish (&document);
@@ -482,7 +483,7 @@
 }
 
 static void
-ask (const char *kind, uint32_t count)
+submit_count (const char *kind, uint32_t count)
 {
   gp_tasks_submission_t submission = { .kind = kind, .count = count };
 
@@ -494,7 +495,7 @@
 static uint64_t
 submit (const char *kind)
 {
-  ask (kind, 1);
+  submit_count (kind, 1);
   CU_ASSERT_EQUAL (answered, (gp_tasks_result_t)-1);
   flush ();
   CU_ASSERT_EQUAL_FATAL (answered, GP_TASKS_ACCEPTED);
@@ -509,7 +510,7 @@
 }
 
 static const char *
-line (unsigned int guard, const char *what)
+sent_line (unsigned int guard, const char *what)
 {
   static char text[64];
 
--- a/tests/unit/test_keys.c
+++ b/tests/unit/test_keys.c
@@ -88,7 +88,7 @@
 }
 
 static void
-note_outcome (world_t *world, int writer, Gp__Record__KeyState state)
+model_outcome (world_t *world, int writer, Gp__Record__KeyState state)
 {
   bool is_owner = writer == world->owner
                   && world->incarnation[writer] == world->owner_incarnation;
@@ -117,11 +117,11 @@
   record.record_case = GP__RECORD__RECORD__RECORD_OUTCOME;
   record.outcome = &outcome;
   append (world, writer, &record);
-  note_outcome (world, writer, state);
+  model_outcome (world, writer, state);
 }
 
 static gp_keys_verdict_t
-twin_decide (const world_t *world, uint64_t request, bool owner_alive)
+model_decide (const world_t *world, uint64_t request, bool owner_alive)
 {
   if (!world->open)
     return GP_KEYS_RUN;
@@ -176,7 +176,7 @@
           step (&world, rand);
           verdict = gp_keys_decide (
               &world.fold, gp_fold_key (&world.fold, key_bytes), 7, alive);
-          CU_ASSERT (verdict == twin_decide (&world, 7, alive));
+          CU_ASSERT (verdict == model_decide (&world, 7, alive));
           seen[verdict]++;
         }
       gp_fold_finish (&world.fold);
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -8,7 +8,7 @@
 enum
 {
   ENTRIES_MAX = 5,
-  TRIES = 40
+  ATTEMPTS = 40
 };
 
 static void
@@ -36,14 +36,15 @@
 }
 
 static uint32_t
-take_many (gp_limits_t *limits, gp_limits_permit_t *holds, gp_time_t now)
+acquire_many (gp_limits_t *limits, gp_limits_permit_t *permits, gp_time_t now)
 {
   gp_limits_subject_t subject = { .team = "t", .service = "x", .kind = "" };
   gp_time_t retry_after = 0;
   uint32_t taken = 0;
 
-  for (size_t i = 0; i < TRIES; i++)
-    if (gp_limits_acquire (limits, &subject, &holds[taken], now, &retry_after))
+  for (size_t i = 0; i < ATTEMPTS; i++)
+    if (gp_limits_acquire (limits, &subject, &permits[taken], now,
+                           &retry_after))
       taken++;
     else
       CU_ASSERT_TRUE (retry_after > 0);
@@ -55,7 +56,7 @@
 static void
 test_shares (void)
 {
-  gp_limits_permit_t holds[TRIES];
+  gp_limits_permit_t permits[ATTEMPTS];
 
   for (uint32_t entries = 1; entries <= ENTRIES_MAX; entries++)
     for (uint32_t limit = 0; limit < 12; limit++)
@@ -70,7 +71,7 @@
 
             gp_limits_init (&limits, entries, self);
             configure (&limits, team);
-            sum += take_many (&limits, holds, GP_SEC);
+            sum += acquire_many (&limits, permits, GP_SEC);
             gp_limits_finish (&limits);
           }
         CU_ASSERT_EQUAL (sum, limit);
@@ -81,18 +82,18 @@
 static void
 test_rate (void)
 {
-  gp_limits_permit_t holds[TRIES];
+  gp_limits_permit_t permits[ATTEMPTS];
   gp_limits_t limits;
 
   gp_limits_init (&limits, 2, 0);
   configure (&limits,
              "teams:\n  - {name: t, requests: {requests_per_s: 8}}\n");
-  CU_ASSERT_EQUAL (take_many (&limits, holds, GP_SEC), 4);
-  CU_ASSERT_EQUAL (take_many (&limits, holds, GP_SEC), 0);
-  CU_ASSERT_EQUAL (take_many (&limits, holds, GP_SEC + GP_SEC / 2), 2);
+  CU_ASSERT_EQUAL (acquire_many (&limits, permits, GP_SEC), 4);
+  CU_ASSERT_EQUAL (acquire_many (&limits, permits, GP_SEC), 0);
+  CU_ASSERT_EQUAL (acquire_many (&limits, permits, GP_SEC + GP_SEC / 2), 2);
   configure (&limits,
              "teams:\n  - {name: t, requests: {requests_per_s: 0}}\n");
-  CU_ASSERT_EQUAL (take_many (&limits, holds, 100 * GP_SEC), 0);
+  CU_ASSERT_EQUAL (acquire_many (&limits, permits, 100 * GP_SEC), 0);
   gp_limits_finish (&limits);
 }
 
@@ -100,23 +101,23 @@
 static void
 test_change (void)
 {
-  gp_limits_permit_t first[TRIES];
-  gp_limits_permit_t second[TRIES];
+  gp_limits_permit_t first[ATTEMPTS];
+  gp_limits_permit_t second[ATTEMPTS];
   gp_limits_t limits;
 
   gp_limits_init (&limits, 1, 0);
   configure (&limits, "teams:\n  - {name: t, requests: {concurrent: 3}}\n");
-  CU_ASSERT_EQUAL (take_many (&limits, first, GP_SEC), 3);
+  CU_ASSERT_EQUAL (acquire_many (&limits, first, GP_SEC), 3);
   configure (&limits, "");
-  CU_ASSERT_EQUAL (take_many (&limits, second, GP_SEC), TRIES);
-  for (size_t i = 0; i < TRIES; i++)
+  CU_ASSERT_EQUAL (acquire_many (&limits, second, GP_SEC), ATTEMPTS);
+  for (size_t i = 0; i < ATTEMPTS; i++)
     gp_limits_release (&second[i]);
   configure (&limits, "teams:\n  - {name: t, requests: {concurrent: 4}}\n");
-  CU_ASSERT_EQUAL (take_many (&limits, second, GP_SEC), 1);
+  CU_ASSERT_EQUAL (acquire_many (&limits, second, GP_SEC), 1);
   gp_limits_release (&second[0]);
   for (size_t i = 0; i < 3; i++)
     gp_limits_release (&first[i]);
-  CU_ASSERT_EQUAL (take_many (&limits, second, GP_SEC), 4);
+  CU_ASSERT_EQUAL (acquire_many (&limits, second, GP_SEC), 4);
   gp_limits_finish (&limits);
 }
 
--- a/tests/unit/test_runner.c
+++ b/tests/unit/test_runner.c
@@ -60,7 +60,7 @@
 static void
 test_end (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   begin ();
   CU_ASSERT_EQUAL (site.capacity, 4000);
@@ -87,8 +87,8 @@
 static void
 test_checkpoint_ack (void)
 {
-  const told_t *told;
-  told_t older;
+  const received_report_t *told;
+  received_report_t older;
 
   begin ();
   site.acks = false;
@@ -145,7 +145,7 @@
 static void
 test_capacity (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   begin ();
   task_site_start (&site, 1, 1, site.lease, 3000);
@@ -178,7 +178,7 @@
 static void
 test_start_turned_down (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   begin ();
   site.runtime.refuse_start = 500;
@@ -213,7 +213,7 @@
 static void
 test_stop (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   begin ();
   task_site_start (&site, 7, 1, site.lease, 1000);
@@ -238,11 +238,11 @@
 static void
 check_stopped (void)
 {
-  const told_t *listed;
+  const received_report_t *listed;
 
   CU_ASSERT_TRUE (task_site_until (&site, has_new_lease));
   CU_ASSERT_EQUAL (site.inherits, 0);
-  listed = task_site_listed (&site, 7, 1);
+  listed = task_site_find_in_inventory (&site, 7, 1);
   CU_ASSERT_PTR_NOT_NULL (listed);
   if (listed == NULL)
     return;
@@ -351,8 +351,10 @@
   CU_ASSERT_EQUAL (site.inherits, 5);
   CU_ASSERT_EQUAL (site.runtime.holder, site.lease);
   CU_ASSERT_EQUAL (site.inventory->len, 2);
-  CU_ASSERT_EQUAL (task_site_listed (&site, 1, 4)->state, STATE (RUNNING));
-  CU_ASSERT_EQUAL (task_site_listed (&site, 2, 6)->state, STATE (SUCCEEDED));
+  CU_ASSERT_EQUAL (task_site_find_in_inventory (&site, 1, 4)->state,
+                   STATE (RUNNING));
+  CU_ASSERT_EQUAL (task_site_find_in_inventory (&site, 2, 6)->state,
+                   STATE (SUCCEEDED));
   CU_ASSERT_EQUAL (site.free, 1000);
   task_site_start (&site, 3, 1, site.lease, 1001);
   CU_ASSERT_EQUAL (task_site_await (&site, 3, 1, STATE (REFUSED), 1)->reason,
@@ -386,7 +388,7 @@
 static void
 test_runtime_restart (void)
 {
-  const told_t *listed;
+  const received_report_t *listed;
 
   begin ();
   run_unacknowledged ();
@@ -395,7 +397,7 @@
   fake_runtime_reboot (&site.runtime);
   CU_ASSERT_TRUE (task_site_until (&site, has_new_lease));
   CU_ASSERT_EQUAL (site.boot, site.runtime.boot);
-  listed = task_site_listed (&site, 7, 1);
+  listed = task_site_find_in_inventory (&site, 7, 1);
   CU_ASSERT_PTR_NOT_NULL (listed);
   if (listed == NULL)
     return;
@@ -443,7 +445,8 @@
   run_one (2);
   CU_ASSERT_TRUE (task_site_until (&site, has_new_lease));
   CU_ASSERT_EQUAL (site.inherits, old_lease);
-  CU_ASSERT_EQUAL (task_site_listed (&site, 7, 1)->state, STATE (RUNNING));
+  CU_ASSERT_EQUAL (task_site_find_in_inventory (&site, 7, 1)->state,
+                   STATE (RUNNING));
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "running");
   run_one (3);
   end ();
@@ -469,7 +472,7 @@
 static void
 test_usage (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   begin ();
   task_site_start (&site, 1, 1, site.lease, 2000);
@@ -498,7 +501,7 @@
 static void
 test_leave (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   begin ();
   site.acks = false;
--- a/tests/unit/test_tasks.c
+++ b/tests/unit/test_tasks.c
@@ -14,21 +14,21 @@
   bring_up (0);
   task = submit ("job");
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_STRING_EQUAL (take_sent (), ""); /* the grant is not read yet */
   flush ();
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "start epoch 1"));
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "start epoch 1"));
   report (0, task, 1, GP__WIRE__TASK_STATE__TASK_STATE_RUNNING);
   report (0, task, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
   report (0, task, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_END), 1);
   CU_ASSERT_STRING_EQUAL (take_sent (), "");
   flush ();
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "ack 1"));
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "ack 1"));
   CU_ASSERT_STRING_EQUAL (gp_tasks_state_name (tasks, state_of (task)),
                           "succeeded");
   report (0, task, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "ack 1"));
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "ack 1"));
   tear_down ();
 }
 
@@ -42,8 +42,8 @@
   flush ();
   run_deferred ();
   take_sent ();
-  pass (4 * GP_SEC + STEP * GP_MSEC);
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "start epoch 1"));
+  advance_time (4 * GP_SEC + STEP * GP_MSEC);
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "start epoch 1"));
   tear_down ();
 }
 
@@ -53,15 +53,15 @@
   set_up (0);
   bring_up (0);
   store.down = true;
-  ask ("job", 1);
+  submit_count ("job", 1);
   CU_ASSERT_EQUAL (answered, GP_TASKS_UNAVAILABLE);
   store.down = false;
-  ask ("job", 2);
-  expire ();
+  submit_count ("job", 2);
+  expire_queued ();
   CU_ASSERT_EQUAL (answered, GP_TASKS_UNAVAILABLE);
   CU_ASSERT_EQUAL (answered_ids->len, 0);
-  ask ("job", 2);
-  pass (10 * GP_SEC); /* never sent: withdrawn */
+  submit_count ("job", 2);
+  advance_time (10 * GP_SEC); /* never sent: withdrawn */
   CU_ASSERT_EQUAL (answered, GP_TASKS_UNAVAILABLE);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_SUBMIT), 0);
   tear_down ();
@@ -74,10 +74,10 @@
   set_up (0);
   bring_up (0);
   submit ("job");
-  expire ();
+  expire_queued ();
   run_deferred ();
   heartbeat (0, 1);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   flush ();
   CU_ASSERT_PTR_NOT_NULL (strstr (take_sent (), "start epoch 1"));
@@ -89,12 +89,12 @@
 {
   set_up (0);
   bring_up (0);
-  pass (60 * GP_SEC); /* all guards had time to connect */
-  ask ("large", 1);
+  advance_time (60 * GP_SEC); /* all guards had time to connect */
+  submit_count ("large", 1);
   CU_ASSERT_EQUAL (answered, GP_TASKS_REFUSED);
-  ask ("nothing", 1);
+  submit_count ("nothing", 1);
   CU_ASSERT_EQUAL (answered, GP_TASKS_REFUSED);
-  ask ("job", 0);
+  submit_count ("job", 0);
   CU_ASSERT_EQUAL (answered, GP_TASKS_REFUSED);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_SUBMIT), 0);
   tear_down ();
@@ -141,8 +141,9 @@
   CU_ASSERT_STRING_EQUAL (take_sent (), "");
   CU_ASSERT_EQUAL (state_of (task)->epoch, 1);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 0);
-  pass (4 * GP_SEC + STEP * GP_MSEC); /* the other entry does not start it */
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (1, "start epoch 1"));
+  advance_time (4 * GP_SEC
+                + STEP * GP_MSEC); /* the other entry does not start it */
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (1, "start epoch 1"));
   tear_down ();
 }
 
@@ -158,7 +159,7 @@
   bring_up (0);
   bring_up (1);
   first = submit ("job");
-  ask ("job", 1);
+  submit_count ("job", 1);
   flush ();
   second = g_array_index (answered_ids, uint64_t, 0);
   run_deferred ();
@@ -166,9 +167,9 @@
   CU_ASSERT_EQUAL (state_of (first)->epoch, 1);
   take_sent ();
   grant_by_peer (second, 1, "guard-2");
-  pass (4 * GP_SEC + STEP * GP_MSEC);
-  CU_ASSERT_PTR_NULL (strstr (sent->str, line (1, "start epoch 1")));
-  CU_ASSERT_PTR_NOT_NULL (strstr (sent->str, line (1, "stop 1")));
+  advance_time (4 * GP_SEC + STEP * GP_MSEC);
+  CU_ASSERT_PTR_NULL (strstr (sent->str, sent_line (1, "start epoch 1")));
+  CU_ASSERT_PTR_NOT_NULL (strstr (sent->str, sent_line (1, "stop 1")));
   tear_down ();
 }
 
@@ -190,23 +191,24 @@
        i < 100 && !gp_fold_guard (&store.fold, sessions[at].process)->fenced;
        i++)
     {
-      pass (GP_SEC);
+      advance_time (GP_SEC);
       heartbeat (1 - at, 1);
       flush ();
     }
   CU_ASSERT_TRUE (gp_fold_guard (&store.fold, sessions[at].process)->fenced);
   heartbeat (at, 1);
   CU_ASSERT_PTR_NOT_NULL (strstr (take_sent (), "lease no fenced"));
-  fenced = present;
+  fenced = current_time;
   while (state_of (task)->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_GRANTED
-         && state_of (task)->epoch == 1 && present < fenced + 100 * GP_SEC)
+         && state_of (task)->epoch == 1
+         && current_time < fenced + 100 * GP_SEC)
     {
-      pass (GP_SEC);
+      advance_time (GP_SEC);
       heartbeat (1 - at, 1);
       flush ();
     }
-  CU_ASSERT_TRUE (present - fenced >= 15 * GP_SEC);
-  pass (GP_SEC);
+  CU_ASSERT_TRUE (current_time - fenced >= 15 * GP_SEC);
+  advance_time (GP_SEC);
   flush ();
   CU_ASSERT_EQUAL (state_of (task)->epoch, 2);
   CU_ASSERT_EQUAL (guard_of (task), 1 - at);
@@ -224,10 +226,10 @@
   set_up (0);
   bring_up (0);
   first = run_one ("small");
-  ask ("small", 60);
+  submit_count ("small", 60);
   flush ();
   flush ();
-  pass (8 * GP_SEC);
+  advance_time (8 * GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 0);
   report (0, first, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
   flush ();
@@ -247,11 +249,11 @@
   gp_tasks_on_member (tasks, &member);
   bring_up (0);
   gp_tasks_on_closed (tasks, &sessions[0]);
-  pass (60 * GP_SEC);
+  advance_time (60 * GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_FENCE), 0);
   member.state = GP_MEMBER_SUSPECT;
   gp_tasks_on_member (tasks, &member);
-  pass (60 * GP_SEC);
+  advance_time (60 * GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_FENCE), 1);
   tear_down ();
 }
@@ -263,7 +265,7 @@
 {
   gp_session_t other = { .host = &host,
                          .ready = true,
-                         .process = PEER,
+                         .process = OTHER_ENTRY,
                          .region = "r",
                          .role = GP__WIRE__ROLE__ROLE_ENTRY };
   const char *other_team;
@@ -271,22 +273,23 @@
 
   set_up (0);
   gp_list_push_back (&host.sessions, &other.link);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   announce (0, 1, NULL, 0);
   heartbeat (0, 1);
   if (queued (GP__RECORD__RECORD__RECORD_ADOPT) == 0)
-    pass (5 * GP_SEC); /* the other entry is responsible and does nothing */
+    advance_time (
+        5 * GP_SEC); /* the other entry is responsible and does nothing */
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_ADOPT), 1);
   flush ();
   heartbeat (0, 1);
   other_team = gp_tasks_is_responsible (tasks, "team", "u") ? "job" : "small";
   task = submit (other_team);
   CU_ASSERT_FALSE (gp_tasks_find (tasks, task)->team->responsible);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 0);
   gp_list_remove (&other.link);
   heartbeat (0, 1);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   tear_down ();
 }
@@ -298,7 +301,7 @@
 test_revision (void)
 {
   set_up (0);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   announce (0, 1, NULL, 0);
   heartbeat (0, 1);
   CU_ASSERT_EQUAL (gp_store_fold (&store)->config.revision, 0);
@@ -324,7 +327,7 @@
                                   .role = GP__WIRE__ROLE__ROLE_ENTRY };
       gp_list_push_back (&host.sessions, &others[i].link);
     }
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   announce (0, 1, NULL, 0);
   heartbeat (0, 1);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_ADOPT), 1);
@@ -332,7 +335,7 @@
   heartbeat (0, 1);
   CU_ASSERT_TRUE (gp_tasks_is_responsible (tasks, "team", "u"));
   CU_ASSERT_TRUE (gp_tasks_find (tasks, submit ("job"))->team->responsible);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   for (size_t i = 0; i < G_N_ELEMENTS (others); i++)
     {
@@ -366,7 +369,7 @@
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_ADOPT), 1);
   flush ();
   heartbeat (0, 2);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (state_of (kept)->epoch, 1);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   flush ();
@@ -410,7 +413,7 @@
   CU_ASSERT_PTR_NULL (strstr (take_sent (), "ack"));
   g_queue_push_tail (&store.queue, end);
   flush ();
-  CU_ASSERT_PTR_NOT_NULL (strstr (take_sent (), line (0, "ack 1")));
+  CU_ASSERT_PTR_NOT_NULL (strstr (take_sent (), sent_line (0, "ack 1")));
   tear_down ();
 }
 
@@ -438,21 +441,21 @@
 {
   set_up (5);
   bring_up (0);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   for (int i = 0; i < 3; i++)
     {
       flush ();
-      pass (GP_SEC);
+      advance_time (GP_SEC);
     }
   CU_ASSERT_EQUAL (count_watchers (), 5);
   set_document (2);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_CANCEL), 3);
   flush ();
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_CANCEL), 0);
   set_document (4);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_SUBMIT), 2);
   flush ();
   tear_down ();
@@ -473,11 +476,11 @@
   gp_tasks_cancel (tasks, running, on_answer, NULL);
   flush ();
   CU_ASSERT_EQUAL (answered, GP_TASKS_ACCEPTED);
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "stop 2"));
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "stop 2"));
   CU_ASSERT_STRING_EQUAL (gp_tasks_state_name (tasks, state_of (waiting)),
                           "cancelled");
-  pass (4 * GP_SEC + STEP * GP_MSEC);
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "stop 2"));
+  advance_time (4 * GP_SEC + STEP * GP_MSEC);
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "stop 2"));
   report (0, running, 1, GP__WIRE__TASK_STATE__TASK_STATE_STOPPED);
   flush ();
   CU_ASSERT_STRING_EQUAL (gp_tasks_state_name (tasks, state_of (running)),
@@ -507,9 +510,10 @@
   report (0, running, 1, GP__WIRE__TASK_STATE__TASK_STATE_RUNNING);
   report (0, running, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
   flush ();
-  pass (STEP * GP_MSEC); /* the grantor learns that the log is read again */
+  advance_time (STEP
+                * GP_MSEC); /* the grantor learns that the log is read again */
   heartbeat (0, 1);
-  pass (3 * GP_SEC);
+  advance_time (3 * GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   flush ();
   CU_ASSERT_EQUAL (state_of (waiting)->epoch, 1);
