--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -198,7 +198,7 @@
 /* Shutdown.  */
 
 static void
-on_peers_closed (gp_timer_t *timer, void *data)
+on_close_grace_over (gp_timer_t *timer, void *data)
 {
   gp_entry_t *entry = data;
 
@@ -216,7 +216,7 @@
   for (size_t i = 0; i < entry->dialer_count; i++)
     gp_dialer_stop (&entry->dialers[i]);
   gp_session_host_close (&entry->host);
-  entry->stop_timer.cb = on_peers_closed;
+  entry->stop_timer.cb = on_close_grace_over;
   gp_timer_arm (&entry->stop_timer, gp_loop_now (&entry->loop) + CLOSE_GRACE);
 }
 
--- a/src/daemon/routes.c
+++ b/src/daemon/routes.c
@@ -467,11 +467,11 @@
 may_suspect_members (gp_routes_t *routes, gp_time_t now)
 {
   bool late = now - routes->last_tick > LATE_TICK;
-  bool judge = !late || routes->last_tick_late;
+  bool allowed = !late || routes->last_tick_late;
 
   routes->last_tick = now;
   routes->last_tick_late = late;
-  return judge;
+  return allowed;
 }
 
 static void
--- a/src/daemon/tasks_mirror.c
+++ b/src/daemon/tasks_mirror.c
@@ -105,10 +105,11 @@
 
 static void
 on_epoch_ended (gp_tasks_t *tasks, gp_tasks_task_t *task,
-                const gp_fold_task_t *state, const gp_fold_guard_t *of)
+                const gp_fold_task_t *state, const gp_fold_guard_t *fold_guard)
 {
   gp_tasks_guard_t *guard
-      = of == NULL ? NULL : gp_tasks_ensure_guard (tasks, of->name);
+      = fold_guard == NULL ? NULL
+                           : gp_tasks_ensure_guard (tasks, fold_guard->name);
 
   if (task->stage == GP_TASKS_GRANTED && task->peak.memory_mib > 0)
     gp_estimate_observe_use (&task->kind->estimate, &task->peak);
@@ -131,15 +132,16 @@
 
 static void
 on_returned (gp_tasks_t *tasks, gp_tasks_task_t *task,
-             const gp_fold_task_t *state, const gp_fold_guard_t *of)
+             const gp_fold_task_t *state, const gp_fold_guard_t *fold_guard)
 {
   bool backoff
       = state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_REFUSED
         || state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_FAILED;
 
   gp_tasks_add_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
-                      of == NULL ? NULL : of->name, "returned");
-  on_epoch_ended (tasks, task, state, of);
+                      fold_guard == NULL ? NULL : fold_guard->name,
+                      "returned");
+  on_epoch_ended (tasks, task, state, fold_guard);
   if (backoff)
     task->request.previous = GP_WORKER_NONE;
   task->request.has_checkpoint = state->checkpoint != NULL;
@@ -148,14 +150,14 @@
 
 static void
 on_ended (gp_tasks_t *tasks, gp_tasks_task_t *task,
-          const gp_fold_task_t *state, const gp_fold_guard_t *of)
+          const gp_fold_task_t *state, const gp_fold_guard_t *fold_guard)
 {
   gp_tasks_add_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
-                      of == NULL ? NULL : of->name,
+                      fold_guard == NULL ? NULL : fold_guard->name,
                       state->cancelled ? "cancelled" : "ended");
-  on_epoch_ended (tasks, task, state, of);
+  on_epoch_ended (tasks, task, state, fold_guard);
   /* A task that was granted when it was cancelled was subtracted then.  */
-  if (!state->cancelled || of == NULL)
+  if (!state->cancelled || fold_guard == NULL)
     count_watcher (tasks, task, -1);
   gp_placement_drop_hold (&tasks->placement, &task->request);
   g_hash_table_remove (tasks->tasks, task);
--- a/src/daemon/tasks_park.c
+++ b/src/daemon/tasks_park.c
@@ -48,17 +48,17 @@
 static void
 on_parked (gp_proposal_result_t result, gp_fold_verdict_t verdict, void *data)
 {
-  park_proposal_t *parking = data;
-  gp_tasks_task_t *task = gp_tasks_find (parking->tasks, parking->task);
+  park_proposal_t *proposal = data;
+  gp_tasks_task_t *task = gp_tasks_find (proposal->tasks, proposal->task);
 
   (void)verdict;
   if (task != NULL && task->park_proposed)
     {
       task->park_proposed = false;
       if (result == GP_PROPOSAL_EXPIRED && task->stage == GP_TASKS_IDLE)
-        gp_tasks_enqueue (parking->tasks, task, true);
+        gp_tasks_enqueue (proposal->tasks, task, true);
     }
-  g_free (parking);
+  g_free (proposal);
 }
 
 void
@@ -67,18 +67,18 @@
 {
   Gp__Record__Park park = GP__RECORD__PARK__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
-  park_proposal_t *parking = g_new (park_proposal_t, 1);
+  park_proposal_t *proposal = g_new (park_proposal_t, 1);
 
-  *parking = (park_proposal_t){ tasks, task->id };
+  *proposal = (park_proposal_t){ tasks, task->id };
   park.task = task->id;
   park.reason = reason;
   record.record_case = GP__RECORD__RECORD__RECORD_PARK;
   record.park = &park;
   task->park_proposed = gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL,
-                                          on_parked, parking);
+                                          on_parked, proposal);
   if (task->park_proposed)
     return;
-  g_free (parking);
+  g_free (proposal);
   gp_tasks_enqueue (tasks, task, true);
 }
 
--- a/src/daemon/tasks_place.c
+++ b/src/daemon/tasks_place.c
@@ -171,18 +171,19 @@
 static gp_resources_t
 max_capacity (const gp_tasks_t *tasks)
 {
-  gp_resources_t most = { 0, 0, 0 };
+  gp_resources_t maximum = { 0, 0, 0 };
 
   for (guint i = 0; i < tasks->fleet.shapes->len; i++)
     {
       const gp_resources_t *capacity
           = &g_array_index (tasks->fleet.shapes, gp_fleet_shape_t, i).capacity;
 
-      most.millicores = MAX (most.millicores, capacity->millicores);
-      most.memory_mib = MAX (most.memory_mib, capacity->memory_mib);
-      most.accelerators = MAX (most.accelerators, capacity->accelerators);
+      maximum.millicores = MAX (maximum.millicores, capacity->millicores);
+      maximum.memory_mib = MAX (maximum.memory_mib, capacity->memory_mib);
+      maximum.accelerators
+          = MAX (maximum.accelerators, capacity->accelerators);
     }
-  return most;
+  return maximum;
 }
 
 static void
@@ -224,9 +225,9 @@
 on_grant_decided (gp_proposal_result_t result, gp_fold_verdict_t verdict,
                   void *data)
 {
-  grant_proposal_t *granting = data;
-  gp_tasks_t *tasks = granting->tasks;
-  gp_tasks_task_t *task = gp_tasks_find (tasks, granting->task);
+  grant_proposal_t *proposal = data;
+  gp_tasks_t *tasks = proposal->tasks;
+  gp_tasks_task_t *task = gp_tasks_find (tasks, proposal->task);
   bool accepted = result == GP_PROPOSAL_DECIDED && verdict == GP_FOLD_ACCEPTED;
 
   if (!accepted)
@@ -234,9 +235,9 @@
   /* An accepted grant has changed the stage in gp_tasks_on_granted before this
      call.  */
   if (task != NULL && task->stage == GP_TASKS_PROPOSED
-      && task->epoch == granting->epoch)
+      && task->epoch == proposal->epoch)
     requeue_after_grant (tasks, task);
-  g_free (granting);
+  g_free (proposal);
 }
 
 static bool
@@ -245,7 +246,7 @@
 {
   Gp__Record__Grant grant = GP__RECORD__GRANT__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
-  grant_proposal_t *granting;
+  grant_proposal_t *proposal;
 
   grant.task = task->id;
   grant.epoch = task->epoch;
@@ -253,12 +254,12 @@
   grant.guard_incarnation = guard->incarnation;
   record.record_case = GP__RECORD__RECORD__RECORD_GRANT;
   record.grant = &grant;
-  granting = g_new (grant_proposal_t, 1);
-  *granting = (grant_proposal_t){ tasks, task->id, task->epoch };
+  proposal = g_new (grant_proposal_t, 1);
+  *proposal = (grant_proposal_t){ tasks, task->id, task->epoch };
   if (gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL, on_grant_decided,
-                        granting))
+                        proposal))
     return true;
-  g_free (granting);
+  g_free (proposal);
   return false;
 }
 
@@ -266,12 +267,12 @@
 fill_request (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
   gp_placement_ask_t *request = &task->request;
-  gp_resources_t most = max_capacity (tasks);
+  gp_resources_t maximum = max_capacity (tasks);
   gp_time_t laxity = task->pending.latest_start - gp_tasks_now (tasks);
 
   request->zones = tasks->zones & ~tasks->evacuated;
   request->demand = gp_estimate_reservation (
-      &task->kind->estimate, &task->pending.charge.resources, &most);
+      &task->kind->estimate, &task->pending.charge.resources, &maximum);
   request->harm_limit
       = request->work_class == GP_WORK_BATCH && laxity > MIN_LAXITY_TO_WAIT
             ? MAX_INTERFERENCE_WITH_LAXITY
@@ -448,9 +449,10 @@
 
 void
 gp_tasks_on_granted (gp_tasks_t *tasks, gp_tasks_task_t *task,
-                     const gp_fold_task_t *state, const gp_fold_guard_t *of)
+                     const gp_fold_task_t *state,
+                     const gp_fold_guard_t *fold_guard)
 {
-  gp_tasks_guard_t *guard = gp_tasks_ensure_guard (tasks, of->name);
+  gp_tasks_guard_t *guard = gp_tasks_ensure_guard (tasks, fold_guard->name);
   bool own = task->stage == GP_TASKS_PROPOSED && task->guard == guard
              && task->epoch == state->epoch;
 
@@ -471,7 +473,7 @@
   task->waiting_since = task->progress_saved_at;
   task->reported_at = 0;
   gp_tasks_add_event (tasks, GP_TIMELINE_TASK_GRANTED, state->id, state->epoch,
-                      of->name, NULL);
+                      fold_guard->name, NULL);
   gp_tasks_set_due (tasks, task);
   if (own)
     gp_tasks_send_pending (tasks, task);
--- a/src/daemon/tasks_private.h
+++ b/src/daemon/tasks_private.h
@@ -263,7 +263,7 @@
 /* Handles an accepted grant of TASK that was read from the log.  */
 void gp_tasks_on_granted (gp_tasks_t *tasks, gp_tasks_task_t *task,
                           const gp_fold_task_t *state,
-                          const gp_fold_guard_t *of);
+                          const gp_fold_guard_t *fold_guard);
 
 /* Reserve resources on the worker of GUARD for TASK, and release them.  */
 void gp_tasks_reserve (gp_tasks_t *tasks, gp_tasks_task_t *task,
--- a/src/daemon/tasks_report.c
+++ b/src/daemon/tasks_report.c
@@ -27,33 +27,33 @@
     "entry_task_acks_total", "Reports of guards that were acknowledged.");
 
 static void
-acknowledge (const pending_report_t *reporting)
+acknowledge (const pending_report_t *pending)
 {
   gp_tasks_guard_t *guard
-      = gp_tasks_find_guard (reporting->tasks, reporting->guard);
+      = gp_tasks_find_guard (pending->tasks, pending->guard);
   Gp__Wire__TaskReportAck ack = GP__WIRE__TASK_REPORT_ACK__INIT;
   Gp__Wire__Envelope envelope
       = GP_ENVELOPE (TASK_REPORT_ACK, task_report_ack, &ack);
 
   if (guard == NULL || guard->session == NULL
-      || guard->session->incarnation != reporting->session_incarnation)
+      || guard->session->incarnation != pending->session_incarnation)
     return;
-  ack.task = reporting->task;
-  ack.epoch = reporting->epoch;
-  ack.state = reporting->state;
-  ack.number = reporting->number;
+  ack.task = pending->task;
+  ack.epoch = pending->epoch;
+  ack.state = pending->state;
+  ack.number = pending->number;
   gp_counter_register (&acks_sent);
   gp_counter_add (&acks_sent, 1);
   gp_session_send (guard->session, &envelope);
 }
 
 static pending_report_t *
-reporting_new (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
-               const Gp__Wire__TaskReport *report)
+pending_report_new (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
+                    const Gp__Wire__TaskReport *report)
 {
-  pending_report_t *reporting = g_new (pending_report_t, 1);
+  pending_report_t *pending = g_new (pending_report_t, 1);
 
-  *reporting
+  *pending
       = (pending_report_t){ .tasks = tasks,
                             .guard = g_strdup (guard->name),
                             .session_incarnation = guard->session->incarnation,
@@ -61,49 +61,48 @@
                             .epoch = report->epoch,
                             .number = report->number,
                             .state = report->state };
-  return reporting;
+  return pending;
 }
 
 static void
-reporting_free (pending_report_t *reporting)
+pending_report_free (pending_report_t *pending)
 {
-  g_free (reporting->guard);
-  g_free (reporting);
+  g_free (pending->guard);
+  g_free (pending);
 }
 
 static void
 on_decided (gp_proposal_result_t result, gp_fold_verdict_t verdict, void *data)
 {
-  pending_report_t *reporting = data;
-  gp_tasks_task_t *task = gp_tasks_find (reporting->tasks, reporting->task);
+  pending_report_t *pending = data;
+  gp_tasks_task_t *task = gp_tasks_find (pending->tasks, pending->task);
 
   (void)verdict;
-  if (task != NULL && task->epoch == reporting->epoch)
+  if (task != NULL && task->epoch == pending->epoch)
     {
-      if (reporting->state == GP__WIRE__TASK_STATE__TASK_STATE_CHECKPOINTED)
+      if (pending->state == GP__WIRE__TASK_STATE__TASK_STATE_CHECKPOINTED)
         task->checkpoint_proposed = false;
       else
         task->end_proposed = false;
     }
   if (result == GP_PROPOSAL_DECIDED)
-    acknowledge (reporting);
-  reporting_free (reporting);
+    acknowledge (pending);
+  pending_report_free (pending);
 }
 
 static bool
 propose (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
          const Gp__Wire__TaskReport *report, Gp__Record__Record *record)
 {
-  pending_report_t *reporting = reporting_new (tasks, guard, report);
+  pending_report_t *pending = pending_report_new (tasks, guard, report);
 
-  if (gp_tasks_propose (tasks, record, GP_WRITER_NORMAL, on_decided,
-                        reporting))
+  if (gp_tasks_propose (tasks, record, GP_WRITER_NORMAL, on_decided, pending))
     {
       gp_counter_register (&ends_proposed);
       gp_counter_add (&ends_proposed, 1);
       return true;
     }
-  reporting_free (reporting);
+  pending_report_free (pending);
   return false;
 }
 
@@ -197,7 +196,7 @@
                  gp_tasks_task_t *task, const Gp__Wire__TaskReport *report)
 {
   size_t size = report->checkpoint.len;
-  pending_report_t *reporting;
+  pending_report_t *pending;
 
   on_running (tasks, task);
   if (task->checkpoint_proposed || !task->team->responsible)
@@ -207,9 +206,9 @@
       propose_checkpoint (tasks, task, report);
       return;
     }
-  reporting = reporting_new (tasks, guard, report);
-  acknowledge (reporting);
-  reporting_free (reporting);
+  pending = pending_report_new (tasks, guard, report);
+  acknowledge (pending);
+  pending_report_free (pending);
 }
 
 static void
@@ -224,11 +223,11 @@
     return;
   if (is_over (state, report->epoch))
     {
-      pending_report_t *reporting = reporting_new (tasks, guard, report);
+      pending_report_t *pending = pending_report_new (tasks, guard, report);
 
       if (report->state != GP__WIRE__TASK_STATE__TASK_STATE_RUNNING)
-        acknowledge (reporting);
-      reporting_free (reporting);
+        acknowledge (pending);
+      pending_report_free (pending);
       return;
     }
   if (task == NULL || task->stage != GP_TASKS_GRANTED
--- a/src/daemon/tasks_submit.c
+++ b/src/daemon/tasks_submit.c
@@ -403,39 +403,39 @@
 } pending_cancel_t;
 
 static void
-answer_cancelled (const pending_cancel_t *cancelling, gp_tasks_result_t result,
+answer_cancelled (const pending_cancel_t *pending, gp_tasks_result_t result,
                   const char *message)
 {
   gp_tasks_answer_t reply = {
-    .result = result, .message = message, .ids = &cancelling->id, .count = 1
+    .result = result, .message = message, .ids = &pending->id, .count = 1
   };
 
-  cancelling->done (&reply, cancelling->data);
+  pending->done (&reply, pending->data);
 }
 
 static void
 on_cancelled (gp_proposal_result_t result, gp_fold_verdict_t verdict,
               void *data)
 {
-  pending_cancel_t *cancelling = data;
-  const gp_fold_task_t *state = gp_fold_task (
-      gp_store_fold (cancelling->tasks->store), cancelling->id);
+  pending_cancel_t *pending = data;
+  const gp_fold_task_t *state
+      = gp_fold_task (gp_store_fold (pending->tasks->store), pending->id);
 
   if (result == GP_PROPOSAL_EXPIRED)
-    answer_cancelled (cancelling, GP_TASKS_UNAVAILABLE,
+    answer_cancelled (pending, GP_TASKS_UNAVAILABLE,
                       "the log accepts no records now; the task was not "
                       "cancelled");
   else if (result == GP_PROPOSAL_DECIDED && verdict == GP_FOLD_ACCEPTED)
-    answer_cancelled (cancelling, GP_TASKS_ACCEPTED, NULL);
+    answer_cancelled (pending, GP_TASKS_ACCEPTED, NULL);
   else if (state != NULL && state->cancelled)
-    answer_cancelled (cancelling, GP_TASKS_ACCEPTED,
+    answer_cancelled (pending, GP_TASKS_ACCEPTED,
                       "the task was already cancelled");
   else if (state == NULL)
-    answer_cancelled (cancelling, GP_TASKS_REFUSED, "no such task");
+    answer_cancelled (pending, GP_TASKS_REFUSED, "no such task");
   else
-    answer_cancelled (cancelling, GP_TASKS_ACCEPTED,
+    answer_cancelled (pending, GP_TASKS_ACCEPTED,
                       "the task has already ended");
-  g_free (cancelling);
+  g_free (pending);
 }
 
 void
@@ -444,7 +444,7 @@
 {
   Gp__Record__Cancel cancel = GP__RECORD__CANCEL__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
-  pending_cancel_t *cancelling;
+  pending_cancel_t *pending;
 
   if (!gp_store_ready (tasks->store))
     {
@@ -461,12 +461,12 @@
   cancel.reason = GP__WIRE__REASON__REASON_CANCELLED;
   record.record_case = GP__RECORD__RECORD__RECORD_CANCEL;
   record.cancel = &cancel;
-  cancelling = g_new (pending_cancel_t, 1);
-  *cancelling = (pending_cancel_t){ tasks, done, data, task };
+  pending = g_new (pending_cancel_t, 1);
+  *pending = (pending_cancel_t){ tasks, done, data, task };
   if (gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL, on_cancelled,
-                        cancelling))
+                        pending))
     return;
-  g_free (cancelling);
+  g_free (pending);
   answer (done, data, GP_TASKS_UNAVAILABLE,
           "the log accepts no records now; the task was not cancelled");
 }
