--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -1,4 +1,4 @@
-/* The entry: listeners, sessions, stop.  */
+/* The entry process: listeners, session callbacks and graceful shutdown.  */
 
 #include "daemon/entry.h"
 
@@ -13,9 +13,10 @@
 
 #define CLOSE_GRACE (200 * GP_MSEC)
 
-/* Guards look for a lost entry at least every two seconds.  */
-#define OPENING_TIME (2500 * GP_MSEC)
-#define OPENING_PAUSE (100 * GP_MSEC)
+/* Guards try to reconnect to a lost entry at least every two seconds, so by
+   then every guard has had a chance to connect.  */
+#define OPENING_TIMEOUT (2500 * GP_MSEC)
+#define OPENING_QUIET_TIME (100 * GP_MSEC)
 #define READY_PATH "/-/ready"
 
 /* Sessions.  */
@@ -33,9 +34,9 @@
   gp_session_send (session, &envelope);
 }
 
-/* Tell the other entries what changed here.  */
+/* Sends the state of this process to all other entries.  */
 static void
-tell_state (gp_entry_t *entry)
+broadcast_state (gp_entry_t *entry)
 {
   GP_LIST_FOREACH (pos, &entry->host.sessions)
   {
@@ -82,7 +83,7 @@
       && strcmp (ask->process, entry->settings->name) != 0)
     gp_views_forward (&entry->views, session, ask);
   else if (ask->kind == GP__WIRE__VIEW_KIND__VIEW_KIND_LAGGARDS)
-    gp_laggards_serve (entry, session, ask);
+    gp_laggards_answer (entry, session, ask);
   else
     gp_view_serve (session, &entry->timeline, ask);
 }
@@ -125,7 +126,7 @@
       gp_views_on_view (&entry->views, session, envelope->view);
       break;
     case GP__WIRE__ENVELOPE__MESSAGE_MEMBERS:
-      gp_routes_settle (&entry->routes);
+      gp_routes_apply_changes (&entry->routes);
       break;
     default:
       break;
@@ -140,7 +141,7 @@
   gp_entry_t *entry = data;
 
   if (session->object != NULL)
-    gp_relays_on_drain (&entry->relays, session->object);
+    gp_relays_on_session_writable (&entry->relays, session->object);
 }
 
 static void
@@ -160,11 +161,11 @@
   gp_views_on_closed (&entry->views, session);
   gp_news_on_closed (&entry->news, session);
   if (session->object != NULL)
-    gp_relays_on_closed (&entry->relays, session);
+    gp_relays_on_session_closed (&entry->relays, session);
   gp_tasks_on_closed (entry->tasks, session);
   gp_configuration_on_closed (entry->configuration, session);
   if (session->role == GP__WIRE__ROLE__ROLE_GUARD)
-    gp_routes_closed (&entry->routes, session);
+    gp_routes_session_closed (&entry->routes, session);
 }
 
 static const gp_session_callbacks_t session_callbacks = {
@@ -196,10 +197,10 @@
     gp_relays_on_request (exchange, &entry->relays);
 }
 
-/* Stop.  */
+/* Shutdown.  */
 
 static void
-on_peers_closed (gp_timer_t *timer, void *data)
+on_close_grace_over (gp_timer_t *timer, void *data)
 {
   gp_entry_t *entry = data;
 
@@ -208,7 +209,7 @@
 }
 
 static void
-on_callers_done (void *data)
+on_callers_closed (void *data)
 {
   gp_entry_t *entry = data;
 
@@ -217,17 +218,17 @@
   for (size_t i = 0; i < entry->dialer_count; i++)
     gp_dialer_stop (&entry->dialers[i]);
   gp_session_host_close (&entry->host);
-  entry->stop_timer.cb = on_peers_closed;
+  entry->stop_timer.cb = on_close_grace_over;
   gp_timer_arm (&entry->stop_timer, gp_loop_now (&entry->loop) + CLOSE_GRACE);
 }
 
 static void
-on_balancer_gone (gp_timer_t *timer, void *data)
+on_leave_delay_over (gp_timer_t *timer, void *data)
 {
   gp_entry_t *entry = data;
 
   (void)timer;
-  gp_http_server_shutdown (entry->callers, on_callers_done, entry);
+  gp_http_server_shutdown (entry->callers, on_callers_closed, entry);
 }
 
 static void
@@ -241,7 +242,7 @@
   gp_log (GP_LOG_INFO, "entry.leaving");
   gp_program_record_event (&entry->timeline, GP_TIMELINE_PROCESS_STOP,
                            entry->settings->name);
-  tell_state (entry);
+  broadcast_state (entry);
   gp_http_server_retire (entry->callers);
   gp_timer_arm (&entry->stop_timer,
                 gp_loop_now (&entry->loop)
@@ -263,9 +264,10 @@
   };
 }
 
-/* Listen for callers, once: when upstreams were found and no more for a
-   moment, or when every guard has had the time to find this entry.  An entry
-   that took requests before would refuse what others can serve.  */
+/* Starts accepting callers, once: when no new upstream has appeared for
+   OPENING_QUIET_TIME, or at OPENING_TIMEOUT after the start.  If it accepted
+   requests earlier, the entry would refuse some that other entries could
+   serve.  */
 static void
 open_to_callers (gp_entry_t *entry)
 {
@@ -278,18 +280,18 @@
 }
 
 static void
-on_route (void *data)
+on_target_added (void *data)
 {
   gp_entry_t *entry = data;
 
   if (!entry->open)
     gp_timer_arm (
         &entry->opening_timer,
-        MIN (gp_loop_now (&entry->loop) + OPENING_PAUSE, entry->open_at));
+        MIN (gp_loop_now (&entry->loop) + OPENING_QUIET_TIME, entry->open_at));
 }
 
 static void
-on_opening (gp_timer_t *timer, void *data)
+on_opening_timer (gp_timer_t *timer, void *data)
 {
   (void)timer;
   open_to_callers (data);
@@ -320,17 +322,17 @@
   gp_log (GP_LOG_INFO, "configuration.in-force",
           GP_LOG_I ("revision", revision));
   entry->config_since_us = gp_time_wall ();
-  tell_state (entry);
-  gp_routes_evacuate (&entry->routes,
-                      document != NULL ? document->evacuated_zones : NULL,
-                      document != NULL ? document->evacuated_zones_count : 0);
+  broadcast_state (entry);
+  gp_routes_set_evacuated_zones (
+      &entry->routes, document != NULL ? document->evacuated_zones : NULL,
+      document != NULL ? document->evacuated_zones_count : 0);
   gp_relays_set_document (&entry->relays, document);
   gp_tasks_set_document (entry->tasks, document, revision);
 }
 
-/* Whether the state of a member is an event of its own.  */
+/* Maps the state of a member to a timeline event; false if it has none.  */
 static bool
-is_event (gp_member_state_t state, gp_timeline_kind_t *kind)
+timeline_kind_of (gp_member_state_t state, gp_timeline_kind_t *kind)
 {
   switch (state)
     {
@@ -351,37 +353,37 @@
 }
 
 static void
-note_member (gp_entry_t *entry, const gp_member_t *member)
+add_member_event (gp_entry_t *entry, const gp_member_t *member)
 {
   const gp_timeline_subject_t subject = { .vm = member->announcement.name };
   gp_timeline_kind_t kind = GP_TIMELINE_MEMBER_GONE;
 
-  if (is_event (member->state, &kind))
+  if (timeline_kind_of (member->state, &kind))
     gp_timeline_append (&entry->timeline, kind, &subject, NULL,
                         gp_time_wall ());
 }
 
 static void
-on_member (gp_member_t *member, void *data)
+on_member_change (gp_member_t *member, void *data)
 {
   gp_entry_t *entry = data;
 
-  note_member (entry, member);
+  add_member_event (entry, member);
   gp_downlinks_on_member (&entry->downlinks, member);
   gp_news_schedule (&entry->news);
   gp_tasks_on_member (entry->tasks, member);
 }
 
 static void
-on_silent (gp_target_t *target, void *data)
+on_target_suspect (gp_target_t *target, void *data)
 {
   gp_entry_t *entry = data;
 
-  gp_relays_on_silent (&entry->relays, target);
+  gp_relays_on_suspect (&entry->relays, target);
 }
 
-/* Each pair of entries has one session, opened by the first in the
-   settings.  */
+/* Each pair of entries shares one session, opened by the one that comes first
+   in the settings.  */
 static void
 start_dialers (gp_entry_t *entry)
 {
@@ -411,7 +413,7 @@
 }
 
 static bool
-start_parts (gp_entry_t *entry, GError **error)
+init_components (gp_entry_t *entry, GError **error)
 {
   const gp_settings_t *settings = entry->settings;
 
@@ -438,17 +440,17 @@
                               &entry->timeline, on_configuration, entry);
   entry->routes.timeline = &entry->timeline;
   entry->relays.timeline = &entry->timeline;
-  entry->routes.on_change = on_member;
-  entry->routes.on_route = on_route;
-  entry->routes.on_silent = on_silent;
+  entry->routes.on_member_change = on_member_change;
+  entry->routes.on_target_added = on_target_added;
+  entry->routes.on_target_suspect = on_target_suspect;
   entry->routes.data = entry;
   return true;
 }
 
-/* The place of this entry among those of the settings, which all processes
-   list alike.  */
+/* The index of this entry in the settings; all processes list the entries in
+   the same order.  */
 static uint32_t
-own_place (const gp_settings_t *settings)
+own_index (const gp_settings_t *settings)
 {
   uint32_t place = 0;
 
@@ -489,16 +491,16 @@
                   settings->entry->max_requests,
                   settings->timings.stall_ms * GP_MSEC);
   gp_limits_init (&entry->relays.limits, MAX (settings->entries_count, 1),
-                  own_place (settings));
-  if (!start_parts (entry, error))
+                  own_index (settings));
+  if (!init_components (entry, error))
     return false;
-  gp_timer_init (&entry->stop_timer, &entry->loop, on_balancer_gone, entry);
+  gp_timer_init (&entry->stop_timer, &entry->loop, on_leave_delay_over, entry);
   if (!gp_session_host_listen (&entry->host, settings->entry->peers, error))
     return false;
   if (!listen_http (entry, error))
     return false;
-  gp_timer_init (&entry->opening_timer, &entry->loop, on_opening, entry);
-  entry->open_at = gp_loop_now (&entry->loop) + OPENING_TIME;
+  gp_timer_init (&entry->opening_timer, &entry->loop, on_opening_timer, entry);
+  entry->open_at = gp_loop_now (&entry->loop) + OPENING_TIMEOUT;
   gp_timer_arm (&entry->opening_timer, entry->open_at);
   start_dialers (entry);
   gp_loop_on_signal (&entry->loop, on_stop, entry);
--- a/src/daemon/keys.c
+++ b/src/daemon/keys.c
@@ -1,11 +1,13 @@
 /* Keyed requests at an entry.
 
-   A keyed request is DECIDING until its verdict, RUNNING when this entry may
-   dispatch it, and ENDED while its Outcome is on its way to the log.  An
-   Outcome that the log refuses for now is proposed again until it is taken.
-   All of this entry's keys that are RUNNING, ENDED or have an Intent on its
-   way stand in ACTIVE, one of a key: so an Intent that was not read back one
-   by one is known to be this request's if the state names this entry.  */
+   A keyed request is DECIDING until its verdict, RUNNING while this entry may
+   dispatch it, and ENDED while its Outcome is being written to the log.  An
+   Outcome that the log refuses for now is proposed again until it is
+   accepted.  All of this entry's requests that are RUNNING, ENDED or have a
+   proposed Intent are in ACTIVE, at most one for each key.  So if this entry
+   did not read its Intent back as a single record, for example because it
+   read a snapshot, the Intent was accepted if the state of the key names
+   this entry as its owner.  */
 
 #include "daemon/keys.h"
 
@@ -15,7 +17,8 @@
 #include "daemon/kept_answer.h"
 
 #define OUTCOME_RETRY (200 * GP_MSEC)
-/* A peer that has not connected by then is not there.  */
+/* An entry that has not connected by this time after the start is taken to be
+   dead.  */
 #define PEERS_GRACE (2 * GP_SEC)
 
 typedef enum
@@ -27,7 +30,7 @@
 
 struct gp_keyed
 {
-  uint8_t key[GP_FOLD_KEY_SIZE]; /* first: key of ACTIVE */
+  uint8_t key[GP_FOLD_KEY_SIZE]; /* must be first: hash key of ACTIVE */
   gp_list_t link;                /* in gp_keys_t.unwritten */
   gp_keys_t *keys;
   keyed_state_t state;
@@ -37,9 +40,9 @@
   gp_time_t deadline;
   gp_proposal_t *proposal; /* of the Intent */
   gp_deferred_t deferred;  /* calls DECIDED */
-  bool settled;            /* VERDICT is set */
+  bool has_verdict;        /* VERDICT is set */
   gp_keys_verdict_t verdict;
-  gp_keys_decided_t decided; /* NULL: nobody waits */
+  gp_keys_decided_t decided; /* NULL once called or abandoned */
   void *data;
   Gp__Wire__Verdict outcome;
   gp_kept_answer_t kept;
@@ -54,7 +57,7 @@
   GHashTable *active;  /* set of gp_keyed_t */
   gp_list_t unwritten; /* of gp_keyed_t: outcomes that the log refused */
   gp_timer_t timer;    /* proposes them again */
-  gp_closer_t closer;  /* frees the memory after the timer */
+  gp_closer_t closer;  /* frees the memory after the timer is closed */
 };
 
 static gp_counter_t intents
@@ -87,7 +90,7 @@
   return memcmp (a, b, GP_FOLD_KEY_SIZE) == 0;
 }
 
-/* Life of a keyed request.  */
+/* Lifecycle of a keyed request.  */
 
 static void
 set_active (gp_keyed_t *keyed)
@@ -112,7 +115,7 @@
 }
 
 static void
-note (const gp_keyed_t *keyed, gp_timeline_kind_t kind, const char *text)
+add_event (const gp_keyed_t *keyed, gp_timeline_kind_t kind, const char *text)
 {
   const gp_timeline_subject_t subject = { .request = keyed->id };
 
@@ -168,7 +171,7 @@
                            NULL);
 }
 
-/* Propose the outcome of an ended request, now or later.  */
+/* Proposes the outcome of an ended request, now or after OUTCOME_RETRY.  */
 static void
 write_outcome (gp_keyed_t *keyed)
 {
@@ -183,7 +186,7 @@
 }
 
 static void
-on_timer (gp_timer_t *timer, void *data)
+on_outcome_retry (gp_timer_t *timer, void *data)
 {
   gp_keys_t *keys = data;
   gp_list_t waiting;
@@ -216,14 +219,14 @@
   gp_kept_answer_head (&keyed->kept, answer);
 }
 
-/* Nobody waits for the decision any more.  An Intent that is or may come on
-   the log is followed by its Outcome all the same.  */
+/* Abandons the decision.  If the Intent is in the log or may still get there,
+   the request stays until its Outcome has been written.  */
 static void
-give_up (gp_keyed_t *keyed)
+abandon (gp_keyed_t *keyed)
 {
   bool may_be_open = keyed->verdict == GP_KEYS_RUN;
 
-  if (!keyed->settled)
+  if (!keyed->has_verdict)
     may_be_open = keyed->proposal != NULL
                   && !gp_store_withdraw (keyed->keys->store, keyed->proposal);
   if (!may_be_open)
@@ -236,17 +239,17 @@
   keyed->decided = NULL;
   if (keyed->state == KEYED_DECIDING)
     {
-      give_up (keyed);
+      abandon (keyed);
       return;
     }
   keyed->state = KEYED_ENDED;
   keyed->outcome = verdict;
   if (verdict == GP__WIRE__VERDICT__VERDICT_RAN)
     gp_kept_answer_pack (&keyed->kept);
-  note (keyed, GP_TIMELINE_KEY_OUTCOME,
-        verdict == GP__WIRE__VERDICT__VERDICT_RAN       ? "ran"
-        : verdict == GP__WIRE__VERDICT__VERDICT_NOT_RUN ? "not-run"
-                                                        : "unknown");
+  add_event (keyed, GP_TIMELINE_KEY_OUTCOME,
+             verdict == GP__WIRE__VERDICT__VERDICT_RAN       ? "ran"
+             : verdict == GP__WIRE__VERDICT__VERDICT_NOT_RUN ? "not-run"
+                                                             : "unknown");
   write_outcome (keyed);
 }
 
@@ -278,7 +281,8 @@
          && strcmp (key->owner, keys->host->self.process) == 0;
 }
 
-/* Whether the entry that opened KEY still runs, as far as is known here.  */
+/* Whether the entry that opened KEY is still alive, as far as this entry
+   knows.  */
 static bool
 owner_alive (const gp_keys_t *keys, const gp_fold_key_t *key)
 {
@@ -295,7 +299,7 @@
 }
 
 static void
-count (gp_keys_verdict_t verdict)
+count_verdict (gp_keys_verdict_t verdict)
 {
   switch (verdict)
     {
@@ -321,8 +325,8 @@
     }
 }
 
-/* The answer to be replayed: of the log, or of a request of this entry whose
-   outcome is not on the log yet.  */
+/* Sets the answer to be replayed, either from the log or from a request of
+   this entry whose outcome is not in the log yet.  */
 static void
 fill_replay (const gp_keyed_t *keyed, gp_keys_decision_t *decision)
 {
@@ -356,11 +360,11 @@
   void *data = keyed->data;
 
   keyed->decided = NULL;
-  count (decision.verdict);
+  count_verdict (decision.verdict);
   if (decision.verdict == GP_KEYS_RUN)
     {
       keyed->state = KEYED_RUNNING;
-      note (keyed, GP_TIMELINE_KEY_INTENT, NULL);
+      add_event (keyed, GP_TIMELINE_KEY_INTENT, NULL);
       if (decided != NULL)
         decided (&decision, data);
       else
@@ -375,14 +379,15 @@
 }
 
 static void
-decide (gp_keyed_t *keyed, gp_keys_verdict_t verdict)
+schedule_verdict (gp_keyed_t *keyed, gp_keys_verdict_t verdict)
 {
-  keyed->settled = true;
+  keyed->has_verdict = true;
   keyed->verdict = verdict;
   gp_deferred_schedule (&keyed->deferred, keyed->keys->host->loop);
 }
 
-/* Another intent came first, or this one was not read one by one.  */
+/* Decides by the state of the key, after another Intent came first or this
+   one was not read back as a single record.  */
 static void
 decide_by_state (gp_keyed_t *keyed)
 {
@@ -391,13 +396,14 @@
   const gp_fold_key_t *key = gp_fold_key (fold, keyed->key);
 
   if (key == NULL)
-    decide (keyed, GP_KEYS_BUSY); /* released meanwhile: try again */
+    schedule_verdict (keyed,
+                      GP_KEYS_BUSY); /* released meanwhile: may be retried */
   else if (is_own (keys, key) && key->request == keyed->request
            && key->state == GP__RECORD__KEY_STATE__KEY_STATE_OPEN)
-    decide (keyed, GP_KEYS_RUN);
+    schedule_verdict (keyed, GP_KEYS_RUN);
   else
-    decide (keyed, gp_keys_decide (fold, key, keyed->request,
-                                   owner_alive (keys, key)));
+    schedule_verdict (keyed, gp_keys_decide (fold, key, keyed->request,
+                                             owner_alive (keys, key)));
 }
 
 static void
@@ -411,14 +417,14 @@
     {
     case GP_PROPOSAL_DECIDED:
       if (verdict == GP_FOLD_ACCEPTED)
-        decide (keyed, GP_KEYS_RUN);
+        schedule_verdict (keyed, GP_KEYS_RUN);
       else if (verdict == GP_FOLD_VOID_KEY_TAKEN)
         decide_by_state (keyed);
       else
-        decide (keyed, GP_KEYS_UNAVAILABLE);
+        schedule_verdict (keyed, GP_KEYS_UNAVAILABLE);
       break;
     case GP_PROPOSAL_EXPIRED:
-      decide (keyed, GP_KEYS_LATE);
+      schedule_verdict (keyed, GP_KEYS_LATE);
       break;
     case GP_PROPOSAL_UNREAD:
       decide_by_state (keyed);
@@ -445,19 +451,19 @@
     case GP_WRITER_QUEUED:
       return;
     case GP_WRITER_DEADLINE_PASSED:
-      decide (keyed, GP_KEYS_LATE);
+      schedule_verdict (keyed, GP_KEYS_LATE);
       break;
     case GP_WRITER_UNAVAILABLE:
     case GP_WRITER_FULL:
     case GP_WRITER_TOO_LARGE:
-      decide (keyed, GP_KEYS_UNAVAILABLE);
+      schedule_verdict (keyed, GP_KEYS_UNAVAILABLE);
       break;
     }
 }
 
-/* A try while this entry has the key already.  */
+/* Decides on KEYED while OTHER, a request of this entry, has the key.  */
 static gp_keys_verdict_t
-decide_beside (const gp_keyed_t *keyed, const gp_keyed_t *other)
+decide_with_active (const gp_keyed_t *keyed, const gp_keyed_t *other)
 {
   if (other->request != keyed->request)
     return GP_KEYS_MISMATCH;
@@ -468,14 +474,14 @@
     case GP__WIRE__VERDICT__VERDICT_RAN:
       return GP_KEYS_REPLAY;
     case GP__WIRE__VERDICT__VERDICT_NOT_RUN:
-      return GP_KEYS_BUSY; /* until the log has released the key */
+      return GP_KEYS_BUSY; /* until the outcome in the log releases the key */
     default:
       return GP_KEYS_UNKNOWN;
     }
 }
 
 static void
-start (gp_keyed_t *keyed)
+decide_or_propose (gp_keyed_t *keyed)
 {
   gp_keys_t *keys = keyed->keys;
   const gp_fold_t *fold = gp_store_fold (keys->store);
@@ -485,7 +491,7 @@
 
   if (other != NULL)
     {
-      decide (keyed, decide_beside (keyed, other));
+      schedule_verdict (keyed, decide_with_active (keyed, other));
       return;
     }
   key = gp_store_ready (keys->store) ? gp_fold_key (fold, keyed->key) : NULL;
@@ -500,7 +506,7 @@
       && key->state == GP__RECORD__KEY_STATE__KEY_STATE_OPEN)
     propose_outcome (keys->store, keyed->key,
                      GP__RECORD__KEY_STATE__KEY_STATE_UNKNOWN, NULL);
-  decide (keyed, verdict);
+  schedule_verdict (keyed, verdict);
 }
 
 gp_keyed_t *
@@ -518,11 +524,11 @@
   gp_list_init (&keyed->link);
   gp_deferred_init (&keyed->deferred, deliver);
   gp_keys_digest (request, keyed->key);
-  start (keyed);
+  decide_or_propose (keyed);
   return keyed;
 }
 
-/* Life.  */
+/* Initialization.  */
 
 gp_keys_t *
 gp_keys_new (gp_session_host_t *host, gp_store_t *store,
@@ -543,7 +549,7 @@
   keys->started_at = gp_loop_now (host->loop);
   keys->active = g_hash_table_new (hash_key, equal_keys);
   gp_list_init (&keys->unwritten);
-  gp_timer_init (&keys->timer, host->loop, on_timer, keys);
+  gp_timer_init (&keys->timer, host->loop, on_outcome_retry, keys);
   return keys;
 }
 
--- a/src/daemon/laggards.c
+++ b/src/daemon/laggards.c
@@ -1,52 +1,52 @@
-/* Which guards have not got a revision yet.  */
+/* Which guards do not have the current configuration revision yet.  */
 
 #include "daemon/laggards.h"
 
 #include "daemon/entry.h"
 
-#define ASK_TIMEOUT (1 * GP_SEC)
+#define QUERY_TIMEOUT (1 * GP_SEC)
 
-/* The question to one entry.  */
+/* The query to one entry.  */
 typedef struct
 {
   gp_laggards_t *laggards;
   char *entry;
-  gp_view_t *view; /* NULL once it has ended */
-} question_t;
+  gp_view_t *view; /* NULL once answered or failed */
+} query_t;
 
 struct gp_laggards
 {
-  uint64_t revision; /* asked for */
-  GPtrArray *questions;
-  unsigned open;
-  GHashTable *answers; /* entry -> json_t: revisions of guards behind */
+  uint64_t revision; /* that of this entry when it asked */
+  GPtrArray *queries;
+  unsigned open_count;
+  GHashTable *answers; /* entry -> json_t: guards with older revisions */
   void (*done) (const gp_laggards_t *laggards, void *data);
   void *data;
 };
 
 static void
-question_free (gpointer data)
+query_free (gpointer data)
 {
-  question_t *question = data;
+  query_t *query = data;
 
-  if (question->view != NULL)
-    gp_view_cancel (question->view);
-  g_free (question->entry);
-  g_free (question);
+  if (query->view != NULL)
+    gp_view_cancel (query->view);
+  g_free (query->entry);
+  g_free (query);
 }
 
 void
 gp_laggards_cancel (gp_laggards_t *laggards)
 {
-  g_ptr_array_unref (laggards->questions);
+  g_ptr_array_unref (laggards->queries);
   g_hash_table_unref (laggards->answers);
   g_free (laggards);
 }
 
 static void
-end_one (gp_laggards_t *laggards)
+on_query_done (gp_laggards_t *laggards)
 {
-  if (--laggards->open > 0)
+  if (--laggards->open_count > 0)
     return;
   laggards->done (laggards, laggards->data);
   gp_laggards_cancel (laggards);
@@ -55,46 +55,46 @@
 static void
 on_view (gp_view_result_t result, const Gp__Wire__View *view, void *data)
 {
-  question_t *question = data;
-  gp_laggards_t *laggards = question->laggards;
+  query_t *query = data;
+  gp_laggards_t *laggards = query->laggards;
   json_t *behind = NULL;
 
-  question->view = NULL;
+  query->view = NULL;
   if (result == GP_VIEW_RECEIVED && !view->missing)
     behind
         = json_loadb ((const char *)view->text.data, view->text.len, 0, NULL);
   if (json_is_object (behind))
-    g_hash_table_replace (laggards->answers, g_strdup (question->entry),
+    g_hash_table_replace (laggards->answers, g_strdup (query->entry),
                           json_incref (behind));
   json_decref (behind);
-  end_one (laggards);
+  on_query_done (laggards);
 }
 
 static void
-ask_one (gp_entry_t *entry, gp_laggards_t *laggards, gp_session_t *session)
+query_entry (gp_entry_t *entry, gp_laggards_t *laggards, gp_session_t *session)
 {
   Gp__Wire__ViewAsk ask = GP__WIRE__VIEW_ASK__INIT;
-  question_t *question = g_new0 (question_t, 1);
+  query_t *query = g_new0 (query_t, 1);
 
   ask.kind = GP__WIRE__VIEW_KIND__VIEW_KIND_LAGGARDS;
   ask.since = laggards->revision;
-  question->laggards = laggards;
-  question->entry = g_strdup (session->process);
-  question->view = gp_views_request (&entry->views, session, &ask, ASK_TIMEOUT,
-                                     on_view, question);
-  laggards->open += question->view != NULL;
-  g_ptr_array_add (laggards->questions, question);
+  query->laggards = laggards;
+  query->entry = g_strdup (session->process);
+  query->view = gp_views_request (&entry->views, session, &ask, QUERY_TIMEOUT,
+                                  on_view, query);
+  laggards->open_count += query->view != NULL;
+  g_ptr_array_add (laggards->queries, query);
 }
 
 gp_laggards_t *
-gp_laggards_ask (gp_entry_t *entry,
-                 void (*done) (const gp_laggards_t *laggards, void *data),
-                 void *data)
+gp_laggards_query (gp_entry_t *entry,
+                   void (*done) (const gp_laggards_t *laggards, void *data),
+                   void *data)
 {
   gp_laggards_t *laggards = g_new0 (gp_laggards_t, 1);
 
   laggards->revision = gp_configuration_revision (entry->configuration);
-  laggards->questions = g_ptr_array_new_with_free_func (question_free);
+  laggards->queries = g_ptr_array_new_with_free_func (query_free);
   laggards->answers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                              (GDestroyNotify)json_decref);
   laggards->done = done;
@@ -104,9 +104,9 @@
     gp_session_t *session = GP_CONTAINER_OF (pos, gp_session_t, link);
 
     if (session->ready && session->role == GP__WIRE__ROLE__ROLE_ENTRY)
-      ask_one (entry, laggards, session);
+      query_entry (entry, laggards, session);
   }
-  if (laggards->open > 0)
+  if (laggards->open_count > 0)
     return laggards;
   done (laggards, data);
   gp_laggards_cancel (laggards);
@@ -130,8 +130,8 @@
 }
 
 void
-gp_laggards_serve (const gp_entry_t *entry, gp_session_t *session,
-                   const Gp__Wire__ViewAsk *ask)
+gp_laggards_answer (const gp_entry_t *entry, gp_session_t *session,
+                    const Gp__Wire__ViewAsk *ask)
 {
   json_t *behind = json_object ();
   GString *text = g_string_new (NULL);
--- a/src/daemon/operators_status.c
+++ b/src/daemon/operators_status.c
@@ -368,7 +368,7 @@
 
   waiter->entry = request->entry;
   waiter->exchange = request->exchange;
-  laggards = gp_laggards_ask (request->entry, on_laggards, waiter);
+  laggards = gp_laggards_query (request->entry, on_laggards, waiter);
   if (laggards == NULL)
     return;
   waiter->laggards = laggards;
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -1,10 +1,11 @@
 /* Relaying of callers' requests.
 
-   A relay is WAITING for the verdict of its current try, then STREAMING
-   when the answer comes in parts, and is freed when the caller has its
-   answer or has left.  While it waits its deadline is that of the request
-   plus a grace, since the guard speaks first; while it streams, the
-   deadline moves with every part that the caller takes.  */
+   A relay is WAITING for the verdict of its current attempt, then STREAMING
+   if the answer comes in parts, and is freed when the caller has its answer
+   or has left.  While it waits, its timeout is the deadline of the request
+   plus a grace, so that the guard can report the missed deadline first;
+   while it streams, the timeout moves with every part that the caller
+   takes.  */
 
 #include "daemon/relay_private.h"
 
@@ -14,15 +15,16 @@
 
 #define ANSWER_GRACE (250 * GP_MSEC)
 
-/* Callers that hang up are looked for in this interval, so many at once.  */
+/* How often to check for callers that have hung up, and how many relays are
+   checked each time.  */
 #define SWEEP_INTERVAL (100 * GP_MSEC)
 #define SWEEP_COUNT 256
 
 static gp_counter_t requests
     = GP_COUNTER ("entry_requests_total", "Requests of callers.");
-static gp_counter_t tries_sent
+static gp_counter_t attempts_sent
     = GP_COUNTER ("entry_tries_total", "Tries sent to guards.");
-static gp_counter_t tries_given_up
+static gp_counter_t attempts_abandoned
     = GP_COUNTER ("entry_tries_given_up_total",
                   "Tries ended because their guard was not heard any more.");
 static gp_counter_t requests_limited = GP_COUNTER (
@@ -32,49 +34,50 @@
 static gp_counter_t relays_open
     = GP_GAUGE ("entry_requests_open", "Requests in progress.");
 
-/* Life of a relay.  */
+/* Lifecycle of a relay.  */
 
 static bool
-wakes_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
+times_out_before (const gp_heap_node_t *a, const gp_heap_node_t *b)
 {
-  return GP_CONTAINER_OF (a, gp_relay_t, node)->wake_at
-         < GP_CONTAINER_OF (b, gp_relay_t, node)->wake_at;
+  return GP_CONTAINER_OF (a, gp_relay_t, timeout_node)->timeout_at
+         < GP_CONTAINER_OF (b, gp_relay_t, timeout_node)->timeout_at;
 }
 
 static void
 arm_timer (gp_relays_t *relays)
 {
-  const gp_heap_node_t *first = gp_heap_first (&relays->deadlines);
+  const gp_heap_node_t *first = gp_heap_first (&relays->timeouts);
 
   if (first == NULL)
     gp_timer_disarm (&relays->timer);
   else
-    gp_timer_arm (&relays->timer,
-                  GP_CONTAINER_OF (first, gp_relay_t, node)->wake_at);
+    gp_timer_arm (
+        &relays->timer,
+        GP_CONTAINER_OF (first, gp_relay_t, timeout_node)->timeout_at);
 }
 
 void
-gp_relay_set_wake (gp_relay_t *relay, gp_time_t at)
+gp_relay_set_timeout (gp_relay_t *relay, gp_time_t at)
 {
-  gp_heap_remove (&relay->relays->deadlines, &relay->node);
-  relay->wake_at = at;
-  gp_heap_insert (&relay->relays->deadlines, &relay->node);
-  if (gp_heap_first (&relay->relays->deadlines) == &relay->node)
+  gp_heap_remove (&relay->relays->timeouts, &relay->timeout_node);
+  relay->timeout_at = at;
+  gp_heap_insert (&relay->relays->timeouts, &relay->timeout_node);
+  if (gp_heap_first (&relay->relays->timeouts) == &relay->timeout_node)
     arm_timer (relay->relays);
 }
 
-/* End the current try: late messages for it find nothing.  */
+/* Ends the current attempt; later messages for its handle are ignored.  */
 static void
-end_try (gp_relay_t *relay)
+end_attempt (gp_relay_t *relay)
 {
   gp_target_t *target = relay->target;
 
   if (target == NULL)
     return;
-  gp_idpool_remove (&relay->relays->tries, relay->handle);
-  gp_list_remove (&relay->link);
+  gp_idpool_remove (&relay->relays->attempts_by_handle, relay->handle);
+  gp_list_remove (&relay->target_link);
   relay->target = NULL;
-  gp_routes_done (relay->relays->routes, target);
+  gp_routes_request_done (relay->relays->routes, target);
 }
 
 void
@@ -82,21 +85,21 @@
 {
   gp_relays_t *relays = relay->relays;
 
-  gp_relay_end_key (relay, GP__WIRE__VERDICT__VERDICT_UNSPECIFIED);
-  end_try (relay);
-  gp_list_remove (&relay->waiting);
+  gp_relay_record_outcome (relay, GP__WIRE__VERDICT__VERDICT_UNSPECIFIED);
+  end_attempt (relay);
+  gp_list_remove (&relay->unanswered_link);
   if (!relay->expired)
-    gp_heap_remove (&relays->deadlines, &relay->node);
-  gp_limits_release (&relay->hold);
+    gp_heap_remove (&relays->timeouts, &relay->timeout_node);
+  gp_limits_release (&relay->permit);
   if (relay->pending != NULL)
     g_byte_array_unref (relay->pending);
   g_free (relay);
-  relays->open--;
-  gp_counter_set (&relays_open, (int64_t)relays->open);
+  relays->open_count--;
+  gp_counter_set (&relays_open, (int64_t)relays->open_count);
   arm_timer (relays);
 }
 
-/* Tries.  */
+/* Attempts.  */
 
 static void
 fill_capacity (const gp_relay_t *relay, gp_retry_input_t *input)
@@ -109,9 +112,11 @@
   input->interval_us = latency / (gp_time_t)MAX (router->total_slots, 1);
 }
 
-/* The current try has ended with VERDICT; go on or answer.  */
+/* Handles the end of the current attempt with VERDICT: dispatches the request
+   again or answers the caller.  */
 static void
-decide (gp_relay_t *relay, Gp__Wire__Verdict verdict, Gp__Wire__Reason reason)
+handle_attempt_end (gp_relay_t *relay, Gp__Wire__Verdict verdict,
+                    Gp__Wire__Reason reason)
 {
   gp_time_t now = gp_loop_now (relay->relays->loop);
   gp_retry_decision_t decision;
@@ -125,7 +130,7 @@
     .deadline = relay->deadline,
   };
 
-  end_try (relay);
+  end_attempt (relay);
   if (relay->cancelled || relay->exchange == NULL)
     {
       gp_relay_fail (relay, verdict, reason, -1);
@@ -163,34 +168,34 @@
 
   if (candidate == NULL)
     {
-      decide (relay, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-              GP__WIRE__REASON__REASON_NO_CANDIDATE);
+      handle_attempt_end (relay, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                          GP__WIRE__REASON__REASON_NO_CANDIDATE);
       return;
     }
   target = candidate->data;
   relay->target = target;
   relay->session = target->session;
-  relay->handle = gp_idpool_add (&relays->tries, relay);
+  relay->handle = gp_idpool_add (&relays->attempts_by_handle, relay);
   relay->sent_at = now;
   relay->attempts++;
   if (relay->route.n_tried < GP_ROUTER_MAX_TRIED)
     relay->route.tried[relay->route.n_tried++] = candidate;
-  gp_list_push_back (&target->relays, &relay->link);
-  gp_routes_sent (relays->routes, target);
-  gp_counter_add (&tries_sent, 1);
+  gp_list_push_back (&target->relays, &relay->target_link);
+  gp_routes_request_sent (relays->routes, target);
+  gp_counter_add (&attempts_sent, 1);
   gp_relay_send (relay, now);
 }
 
 /* Requests.  */
 
 static void
-on_gone (void *data)
+on_caller_gone (void *data)
 {
   gp_relay_t *relay = data;
 
   if (!relay->cancelled)
     gp_counter_add (&callers_gone, 1);
-  if (gp_relay_awaits_outcome (relay))
+  if (gp_relay_must_await_outcome (relay))
     {
       relay->exchange = NULL;
       return;
@@ -201,15 +206,15 @@
 }
 
 static bool
-take_limits (gp_relay_t *relay, gp_time_t *retry_after)
+acquire_limits (gp_relay_t *relay, gp_time_t *retry_after)
 {
   gp_limits_subject_t subject = { .team = relay->team,
                                   .service = relay->service->name,
                                   .kind = relay->kind,
                                   .work_class = relay->work_class };
 
-  return gp_limits_take (&relay->relays->limits, &subject, &relay->hold,
-                         gp_loop_now (relay->relays->loop), retry_after);
+  return gp_limits_acquire (&relay->relays->limits, &subject, &relay->permit,
+                            gp_loop_now (relay->relays->loop), retry_after);
 }
 
 static gp_relay_t *
@@ -222,23 +227,25 @@
                          .exchange = exchange,
                          .service = service,
                          .id = ++relays->next_id };
-  gp_list_init (&relay->link);
-  if (gp_list_empty (&relays->waiting))
+  gp_list_init (&relay->target_link);
+  if (gp_list_empty (&relays->unanswered))
     gp_timer_arm (&relays->sweep_timer,
                   gp_loop_now (relays->loop) + SWEEP_INTERVAL);
-  gp_list_push_back (&relays->waiting, &relay->waiting);
+  gp_list_push_back (&relays->unanswered, &relay->unanswered_link);
   relay->body_size = gp_http_exchange_body (exchange).size;
-  gp_relay_find_policy (relay);
+  gp_relay_apply_policy (relay);
   relay->route.may_probe = relay->idempotent;
-  relay->wake_at = relay->deadline + ANSWER_GRACE;
-  gp_heap_insert (&relays->deadlines, &relay->node);
-  relays->open++;
-  gp_counter_set (&relays_open, (int64_t)relays->open);
-  gp_http_exchange_watch (exchange, on_gone, gp_relay_on_proceed, relay);
+  relay->timeout_at = relay->deadline + ANSWER_GRACE;
+  gp_heap_insert (&relays->timeouts, &relay->timeout_node);
+  relays->open_count++;
+  gp_counter_set (&relays_open, (int64_t)relays->open_count);
+  gp_http_exchange_watch (exchange, on_caller_gone, gp_relay_on_part_taken,
+                          relay);
   return relay;
 }
 
-/* No upstream of service NAME was ever seen here.  */
+/* Refuses a request for service NAME, of which this entry has never seen an
+   upstream.  */
 static void
 refuse_unknown (const gp_relays_t *relays, gp_http_exchange_t *exchange,
                 const char *name)
@@ -246,10 +253,10 @@
   bool declared = relays->document != NULL
                   && gp_document_find_service (relays->document, name) != NULL;
 
-  gp_relay_refuse (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                   declared ? GP__WIRE__REASON__REASON_NO_CANDIDATE
-                            : GP__WIRE__REASON__REASON_NO_SUCH_SERVICE,
-                   declared ? GP_SEC : -1);
+  gp_relay_answer_failure (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                           declared ? GP__WIRE__REASON__REASON_NO_CANDIDATE
+                                    : GP__WIRE__REASON__REASON_NO_SUCH_SERVICE,
+                           declared ? GP_SEC : -1);
 }
 
 void
@@ -265,7 +272,7 @@
   if (!gp_relay_service_name (exchange, name, sizeof name))
     name[0] = '\0';
   else
-    service = gp_routes_find (relays->routes, name);
+    service = gp_routes_find_service (relays->routes, name);
   if (service == NULL)
     {
       refuse_unknown (relays, exchange, name);
@@ -273,19 +280,19 @@
     }
   if (!gp_relay_headers_fit (exchange))
     {
-      gp_relay_refuse (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                       GP__WIRE__REASON__REASON_TOO_LARGE, -1);
+      gp_relay_answer_failure (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                               GP__WIRE__REASON__REASON_TOO_LARGE, -1);
       return;
     }
-  if (relays->open >= relays->max_open)
+  if (relays->open_count >= relays->max_open_count)
     {
-      gp_relay_refuse (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
-                       GP__WIRE__REASON__REASON_QUEUE_FULL, GP_SEC);
+      gp_relay_answer_failure (exchange, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
+                               GP__WIRE__REASON__REASON_QUEUE_FULL, GP_SEC);
       return;
     }
   relay = relay_new (relays, exchange, service);
   arm_timer (relays);
-  if (!take_limits (relay, &retry_after))
+  if (!acquire_limits (relay, &retry_after))
     {
       gp_counter_add (&requests_limited, 1);
       gp_relay_fail (relay, GP__WIRE__VERDICT__VERDICT_NOT_RUN,
@@ -300,14 +307,14 @@
 static gp_relay_t *
 find_relay (gp_relays_t *relays, const gp_session_t *session, uint64_t handle)
 {
-  gp_relay_t *relay = gp_idpool_get (&relays->tries, handle);
+  gp_relay_t *relay = gp_idpool_get (&relays->attempts_by_handle, handle);
 
   if (relay == NULL || relay->session != session)
     return NULL;
   return relay;
 }
 
-/* Failures that tell of a faulty executor, not of a busy one.  */
+/* Whether ANSWER is a failure of a faulty executor, not of a busy one.  */
 static bool
 is_fault (const Gp__Wire__Answer *answer)
 {
@@ -318,16 +325,17 @@
 }
 
 static void
-record (gp_relay_t *relay, const Gp__Wire__Answer *answer)
+record_answer (gp_relay_t *relay, const Gp__Wire__Answer *answer)
 {
   gp_routes_t *routes = relay->relays->routes;
   bool ran = answer->verdict == GP__WIRE__VERDICT__VERDICT_RAN;
 
   if (answer->load != NULL)
-    gp_routes_report (routes, relay->target, answer->load);
+    gp_routes_record_load (routes, relay->target, answer->load);
   if (ran || is_fault (answer))
-    gp_routes_record (routes, relay->target, !is_fault (answer),
-                      gp_loop_now (relay->relays->loop) - relay->sent_at);
+    gp_routes_record_result (routes, relay->target, !is_fault (answer),
+                             gp_loop_now (relay->relays->loop)
+                                 - relay->sent_at);
 }
 
 void
@@ -338,10 +346,10 @@
 
   if (relay == NULL || relay->streaming)
     return;
-  record (relay, answer);
+  record_answer (relay, answer);
   if (answer->verdict != GP__WIRE__VERDICT__VERDICT_RAN)
     {
-      decide (relay, answer->verdict, answer->reason);
+      handle_attempt_end (relay, answer->verdict, answer->reason);
       return;
     }
   relay->head_received = true;
@@ -351,7 +359,7 @@
   if (answer->last)
     gp_relay_answer (relay, answer);
   else
-    gp_relay_stream (relay, answer);
+    gp_relay_start_stream (relay, answer);
 }
 
 void
@@ -367,8 +375,8 @@
   if (relay->keyed != NULL)
     gp_keyed_keep_part (relay->keyed, part->data.data, part->data.len);
   if (part->last)
-    end_try (relay);
-  gp_relay_send_next (relay);
+    end_attempt (relay);
+  gp_relay_send_next_part (relay);
 }
 
 void
@@ -378,26 +386,26 @@
   gp_relay_t *relay = find_relay (relays, session, broken->id);
 
   if (relay != NULL && relay->streaming)
-    gp_relay_cut (relay);
+    gp_relay_abort_stream (relay);
 }
 
 void
-gp_relays_on_drain (gp_relays_t *relays, gp_target_t *target)
+gp_relays_on_session_writable (gp_relays_t *relays, gp_target_t *target)
 {
   (void)relays;
   GP_LIST_FOREACH (pos, &target->relays)
   {
-    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, link);
+    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, target_link);
 
     if (!relay->streaming && relay->exchange != NULL)
       gp_relay_send_body (relay);
   }
 }
 
-/* What the loss of the guard says of a request: a body that was not sent
-   whole was never submitted.  */
+/* The verdict on a request whose guard was lost: a guard does not submit a
+   request before it has the whole body.  */
 static Gp__Wire__Verdict
-verdict_of_loss (const gp_relay_t *relay)
+verdict_after_loss (const gp_relay_t *relay)
 {
   bool sent = relay->attempts > 0 && relay->body_sent == relay->body_size;
 
@@ -406,48 +414,50 @@
 }
 
 void
-gp_relays_on_closed (gp_relays_t *relays, gp_session_t *session)
+gp_relays_on_session_closed (gp_relays_t *relays, gp_session_t *session)
 {
   gp_target_t *target = session->object;
 
   (void)relays;
   GP_LIST_FOREACH_SAFE (pos, &target->relays)
   {
-    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, link);
+    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, target_link);
 
     if (relay->session != session)
       continue;
     if (relay->streaming)
-      gp_relay_cut (relay);
+      gp_relay_abort_stream (relay);
     else
-      decide (relay, verdict_of_loss (relay),
-              GP__WIRE__REASON__REASON_UPSTREAM);
+      handle_attempt_end (relay, verdict_after_loss (relay),
+                          GP__WIRE__REASON__REASON_UPSTREAM);
   }
 }
 
-/* An answer that has begun may go on, and who has no caller any more can
+/* Streaming answers may still continue, and a relay whose caller has left can
    wait for a late verdict.  */
 void
-gp_relays_on_silent (gp_relays_t *relays, gp_target_t *target)
+gp_relays_on_suspect (gp_relays_t *relays, gp_target_t *target)
 {
   (void)relays;
   GP_LIST_FOREACH_SAFE (pos, &target->relays)
   {
-    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, link);
+    gp_relay_t *relay = GP_CONTAINER_OF (pos, gp_relay_t, target_link);
 
     if (relay->streaming || relay->exchange == NULL)
       continue;
-    gp_counter_add (&tries_given_up, 1);
+    gp_counter_add (&attempts_abandoned, 1);
     gp_relay_send_cancel (relay);
-    decide (relay, verdict_of_loss (relay), GP__WIRE__REASON__REASON_UPSTREAM);
+    handle_attempt_end (relay, verdict_after_loss (relay),
+                        GP__WIRE__REASON__REASON_UPSTREAM);
   }
 }
 
-/* Callers that hang up.  */
+/* Callers that have hung up.  */
 
-/* Cancel the try of RELAY if its caller has closed its side.  What has not
-   started is given up by the guard, whose verdict then ends the relay; the
-   answer of what has started goes to a caller that may still read.  */
+/* Cancels the attempt of RELAY if its caller has closed its side of the
+   connection.  If the request has not started, the guard drops it and its
+   verdict ends the relay.  If it has started, its answer is still sent, as
+   the caller may have closed only its sending side.  */
 static void
 check_caller (gp_relay_t *relay)
 {
@@ -463,23 +473,24 @@
 on_sweep (gp_timer_t *timer, void *data)
 {
   gp_relays_t *relays = data;
-  size_t left = MIN (relays->open, SWEEP_COUNT);
+  size_t left = MIN (relays->open_count, SWEEP_COUNT);
   gp_list_t *link;
 
-  while (left-- > 0 && (link = gp_list_pop_front (&relays->waiting)) != NULL)
+  while (left-- > 0
+         && (link = gp_list_pop_front (&relays->unanswered)) != NULL)
     {
-      gp_relay_t *relay = GP_CONTAINER_OF (link, gp_relay_t, waiting);
+      gp_relay_t *relay = GP_CONTAINER_OF (link, gp_relay_t, unanswered_link);
 
       if (relay->streaming)
         continue;
-      gp_list_push_back (&relays->waiting, link);
+      gp_list_push_back (&relays->unanswered, link);
       check_caller (relay);
     }
-  if (!gp_list_empty (&relays->waiting))
+  if (!gp_list_empty (&relays->unanswered))
     gp_timer_arm (timer, gp_loop_now (relays->loop) + SWEEP_INTERVAL);
 }
 
-/* Deadlines.  */
+/* Timeouts.  */
 
 static void
 expire (gp_relay_t *relay)
@@ -487,31 +498,32 @@
   if (relay->target != NULL)
     gp_relay_send_cancel (relay);
   if (relay->streaming)
-    gp_relay_cut (relay);
+    gp_relay_abort_stream (relay);
   else
-    gp_relay_fail (relay, verdict_of_loss (relay),
+    gp_relay_fail (relay, verdict_after_loss (relay),
                    GP__WIRE__REASON__REASON_DEADLINE, -1);
 }
 
-/* The first relay whose time has come, taken out of the heap, or NULL.  */
+/* Removes the first relay whose timeout has passed from the heap; NULL if
+   there is none.  */
 static gp_relay_t *
 take_expired (gp_relays_t *relays, gp_time_t now)
 {
-  gp_heap_node_t *first = gp_heap_first (&relays->deadlines);
+  gp_heap_node_t *first = gp_heap_first (&relays->timeouts);
   gp_relay_t *relay;
 
   if (first == NULL)
     return NULL;
-  relay = GP_CONTAINER_OF (first, gp_relay_t, node);
-  if (relay->wake_at > now)
+  relay = GP_CONTAINER_OF (first, gp_relay_t, timeout_node);
+  if (relay->timeout_at > now)
     return NULL;
-  gp_heap_pop (&relays->deadlines);
+  gp_heap_pop (&relays->timeouts);
   relay->expired = true;
   return relay;
 }
 
 static void
-on_timer (gp_timer_t *timer, void *data)
+on_timeout (gp_timer_t *timer, void *data)
 {
   gp_relays_t *relays = data;
   gp_time_t now = gp_loop_now (relays->loop);
@@ -530,17 +542,17 @@
   *relays = (gp_relays_t){ .loop = loop,
                            .routes = routes,
                            .rand = rand,
-                           .max_open = max_open,
+                           .max_open_count = max_open,
                            .stall_timeout = stall_timeout };
-  relays->line = g_string_new (NULL);
-  gp_idpool_init (&relays->tries);
-  gp_list_init (&relays->waiting);
+  relays->request_line = g_string_new (NULL);
+  gp_idpool_init (&relays->attempts_by_handle);
+  gp_list_init (&relays->unanswered);
   gp_timer_init (&relays->sweep_timer, loop, on_sweep, relays);
-  gp_heap_init (&relays->deadlines, wakes_before);
-  gp_timer_init (&relays->timer, loop, on_timer, relays);
+  gp_heap_init (&relays->timeouts, times_out_before);
+  gp_timer_init (&relays->timer, loop, on_timeout, relays);
   gp_counter_register (&requests);
-  gp_counter_register (&tries_sent);
-  gp_counter_register (&tries_given_up);
+  gp_counter_register (&attempts_sent);
+  gp_counter_register (&attempts_abandoned);
   gp_relay_register_counters ();
   gp_counter_register (&requests_limited);
   gp_counter_register (&callers_gone);
@@ -560,6 +572,6 @@
   gp_limits_finish (&relays->limits);
   gp_timer_finish (&relays->timer);
   gp_timer_finish (&relays->sweep_timer);
-  gp_idpool_finish (&relays->tries);
-  g_string_free (relays->line, TRUE);
+  gp_idpool_finish (&relays->attempts_by_handle);
+  g_string_free (relays->request_line, TRUE);
 }
--- a/src/daemon/relay_answer.c
+++ b/src/daemon/relay_answer.c
@@ -1,9 +1,9 @@
-/* Answers of relays to their callers.
+/* Sends answers to callers.
 
-   An answer that comes whole is passed on at once.  A longer one is passed
-   on in parts, the next when the caller has taken the one before, and the
-   guard is given credit for what was taken: an entry holds a window of each
-   answer and no more, however slow its reader.  */
+   An answer that arrives in one message is forwarded at once.  A longer one
+   is forwarded in parts, each after the caller has taken the one before, and
+   the guard gets credit for the bytes that were taken.  So an entry buffers
+   at most one window of each answer, however slow its reader is.  */
 
 #include "daemon/relay_private.h"
 
@@ -40,7 +40,8 @@
     }
 }
 
-/* "queue-full" of REASON_QUEUE_FULL.  */
+/* Writes the external name of REASON, such as "queue-full" for
+   REASON_QUEUE_FULL.  */
 static void
 reason_name (Gp__Wire__Reason reason, char *name, size_t size)
 {
@@ -100,11 +101,10 @@
   return text;
 }
 
-/* Answer EXCHANGE with a failure.  RETRY_AFTER is a duration, negative: no
-   hint is given.  */
 void
-gp_relay_refuse (gp_http_exchange_t *exchange, Gp__Wire__Verdict verdict,
-                 Gp__Wire__Reason reason, gp_time_t retry_after)
+gp_relay_answer_failure (gp_http_exchange_t *exchange,
+                         Gp__Wire__Verdict verdict, Gp__Wire__Reason reason,
+                         gp_time_t retry_after)
 {
   char reason_text[GP_RELAY_NAME_SIZE];
   char seconds[24];
@@ -134,8 +134,8 @@
 }
 
 static void
-note_failure (const gp_relay_t *relay, Gp__Wire__Verdict verdict,
-              Gp__Wire__Reason reason)
+add_failure_event (const gp_relay_t *relay, Gp__Wire__Verdict verdict,
+                   Gp__Wire__Reason reason)
 {
   gp_timeline_t *timeline = relay->relays->timeline;
   bool refused = verdict == GP__WIRE__VERDICT__VERDICT_NOT_RUN;
@@ -155,10 +155,10 @@
 gp_relay_fail (gp_relay_t *relay, Gp__Wire__Verdict verdict,
                Gp__Wire__Reason reason, gp_time_t retry_after)
 {
-  note_failure (relay, verdict, reason);
+  add_failure_event (relay, verdict, reason);
   if (relay->exchange != NULL)
-    gp_relay_refuse (relay->exchange, verdict, reason, retry_after);
-  gp_relay_end_key (relay, verdict);
+    gp_relay_answer_failure (relay->exchange, verdict, reason, retry_after);
+  gp_relay_record_outcome (relay, verdict);
   gp_relay_free (relay);
 }
 
@@ -185,19 +185,19 @@
   gp_relay_free (relay);
 }
 
-/* Answers in parts.  */
+/* Streamed answers.  */
 
 static void
-note_progress (gp_relay_t *relay)
+restart_stall_timeout (gp_relay_t *relay)
 {
   gp_relays_t *relays = relay->relays;
 
-  gp_relay_set_wake (relay,
-                     gp_loop_now (relays->loop) + relays->stall_timeout);
+  gp_relay_set_timeout (relay,
+                        gp_loop_now (relays->loop) + relays->stall_timeout);
 }
 
 void
-gp_relay_send_next (gp_relay_t *relay)
+gp_relay_send_next_part (gp_relay_t *relay)
 {
   size_t size = MIN (relay->pending->len, GP_PART_SIZE);
   bool final = relay->last_received && size == relay->pending->len;
@@ -206,7 +206,7 @@
     return;
   relay->part_in_flight = true;
   relay->in_flight_size = size;
-  note_progress (relay);
+  restart_stall_timeout (relay);
   gp_http_exchange_part (relay->exchange, relay->pending->data, size, final);
   if (final)
     {
@@ -218,46 +218,45 @@
 }
 
 void
-gp_relay_on_proceed (void *data)
+gp_relay_on_part_taken (void *data)
 {
   gp_relay_t *relay = data;
 
   relay->part_in_flight = false;
-  note_progress (relay);
+  restart_stall_timeout (relay);
   if (relay->target != NULL && !relay->last_received)
     gp_relay_send_credit (relay, relay->in_flight_size);
-  gp_relay_send_next (relay);
+  gp_relay_send_next_part (relay);
 }
 
 void
-gp_relay_stream (gp_relay_t *relay, const Gp__Wire__Answer *answer)
+gp_relay_start_stream (gp_relay_t *relay, const Gp__Wire__Answer *answer)
 {
   gp_http_header_t headers[GP_HEADERS_MAX + EXTRA_HEADERS];
   size_t count = answer_headers (answer, headers);
 
   if (relay->exchange == NULL)
     {
-      gp_relay_send_cancel (relay); /* that it ran is all that is wanted */
+      gp_relay_send_cancel (relay); /* the body has no reader */
       gp_relay_free (relay);
       return;
     }
   relay->streaming = true;
   relay->pending = g_byte_array_new ();
-  note_progress (relay);
+  restart_stall_timeout (relay);
   gp_http_exchange_start (relay->exchange, (int)answer->status, headers, count,
                           answer->content_length);
   g_byte_array_append (relay->pending, answer->data.data,
                        (guint)answer->data.len);
-  gp_relay_send_next (relay);
+  gp_relay_send_next_part (relay);
 }
 
-/* The caller sees that the answer is cut short.  */
 void
-gp_relay_cut (gp_relay_t *relay)
+gp_relay_abort_stream (gp_relay_t *relay)
 {
   gp_counter_add (&answers_cut, 1);
   gp_http_exchange_abort (relay->exchange);
-  gp_relay_end_key (relay, GP__WIRE__VERDICT__VERDICT_UNKNOWN);
+  gp_relay_record_outcome (relay, GP__WIRE__VERDICT__VERDICT_UNKNOWN);
   gp_relay_free (relay);
 }
 
--- a/src/daemon/routes.c
+++ b/src/daemon/routes.c
@@ -1,4 +1,5 @@
-/* Services and their upstreams at an entry.  */
+/* Services, their targets, and the routing changes that follow from the
+   membership.  */
 
 #include "daemon/routes.h"
 
@@ -9,10 +10,10 @@
 
 #define TICK (100 * GP_MSEC)
 
-/* A tick that comes so long after the last one is late.  */
-#define LATE (5 * TICK)
+/* A tick is late if more time than this has passed since the last one.  */
+#define LATE_TICK (5 * TICK)
 
-static gp_counter_t members_serving
+static gp_counter_t targets_routed
     = GP_GAUGE ("entry_targets_routed", "Upstreams that take requests.");
 static gp_counter_t ejections
     = GP_COUNTER ("entry_ejections_total", "Upstreams ejected as outliers.");
@@ -44,15 +45,15 @@
 }
 
 gp_service_t *
-gp_routes_find (gp_routes_t *routes, const char *name)
+gp_routes_find_service (gp_routes_t *routes, const char *name)
 {
   return g_hash_table_lookup (routes->services, name);
 }
 
-/* What an operator sees of a target.  */
+/* Adds an event about TARGET to the timeline.  */
 static void
-note (const gp_routes_t *routes, gp_timeline_kind_t kind,
-      const gp_target_t *target, const char *text)
+add_event (const gp_routes_t *routes, gp_timeline_kind_t kind,
+           const gp_target_t *target, const char *text)
 {
   gp_timeline_subject_t subject = { .vm = target->member->announcement.name };
 
@@ -69,17 +70,18 @@
   gp_target_t *target = g_new0 (gp_target_t, 1);
   const char *name = member->announcement.service;
 
-  target->service = gp_routes_find (routes, name);
+  target->service = gp_routes_find_service (routes, name);
   if (target->service == NULL)
     target->service = service_new (routes, name);
   target->member = member;
   gp_list_init (&target->relays);
-  gp_list_init (&target->silent);
+  gp_list_init (&target->suspect_link);
   member->data = target;
   return target;
 }
 
-/* Requests of the time before may be under way.  */
+/* Adds TARGET to its router.  Requests sent while it was routed earlier may
+   still be in progress; the router has to count them again.  */
 static void
 add_route (gp_routes_t *routes, gp_target_t *target)
 {
@@ -94,9 +96,9 @@
   target->routed = true;
   GP_LIST_FOREACH (pos, &target->relays)
   gp_router_sent (&target->service->router, &target->candidate);
-  gp_counter_add (&members_serving, 1);
-  if (routes->on_route != NULL)
-    routes->on_route (routes->data);
+  gp_counter_add (&targets_routed, 1);
+  if (routes->on_target_added != NULL)
+    routes->on_target_added (routes->data);
   gp_log (GP_LOG_INFO, "target.up", GP_LOG_S ("guard", a->name),
           GP_LOG_S ("service", a->service), GP_LOG_S ("zone", a->zone));
 }
@@ -107,15 +109,15 @@
   gp_router_remove (&target->service->router, &target->candidate);
   gp_outlier_remove (&target->service->outlier, &target->health);
   target->routed = false;
-  gp_counter_add (&members_serving, -1);
+  gp_counter_add (&targets_routed, -1);
   gp_log (GP_LOG_INFO, "target.down",
           GP_LOG_S ("guard", target->member->announcement.name),
           GP_LOG_S ("service", target->service->name));
 }
 
-/* A target lives while its member is known or requests are under way.  */
+/* Frees TARGET unless it has a member, a session or requests in progress.  */
 static void
-target_release (gp_target_t *target)
+target_free_if_unused (gp_target_t *target)
 {
   if (target->member == NULL && gp_list_empty (&target->relays)
       && target->session == NULL)
@@ -123,7 +125,7 @@
 }
 
 static void
-take_session (gp_target_t *target, gp_session_t *session)
+set_session (gp_target_t *target, gp_session_t *session)
 {
   target->session = session;
   if (session != NULL)
@@ -147,7 +149,7 @@
 }
 
 static void
-settle_member (gp_routes_t *routes, gp_member_t *member)
+update_member (gp_routes_t *routes, gp_member_t *member)
 {
   gp_target_t *target = member->data;
   bool routable = gp_member_routable (member)
@@ -160,52 +162,53 @@
   if (target == NULL)
     return;
   if (routable && target->session == NULL)
-    take_session (target, find_session (routes, member));
+    set_session (target, find_session (routes, member));
   if (routable && !target->routed && target->session != NULL)
     add_route (routes, target);
   else if (!routable && target->routed)
     remove_route (target);
-  gp_list_remove (&target->silent);
+  gp_list_remove (&target->suspect_link);
   if (member->state == GP_MEMBER_SUSPECT)
-    gp_list_push_back (&routes->silent, &target->silent);
+    gp_list_push_back (&routes->new_suspects, &target->suspect_link);
   if (member->state == GP_MEMBER_GONE)
     {
       member->data = NULL;
       target->member = NULL;
-      target_release (target);
+      target_free_if_unused (target);
     }
 }
 
-/* Tell of the targets that became suspect, when none of them is routed any
-   more.  */
+/* Calls on_target_suspect for the targets that became suspect, after all of
+   them have been removed from their routers: a retry must not pick one of
+   them.  */
 static void
-tell_silent (gp_routes_t *routes)
+notify_suspects (gp_routes_t *routes)
 {
   gp_list_t *link;
 
-  while ((link = gp_list_pop_front (&routes->silent)) != NULL)
-    if (routes->on_silent != NULL)
-      routes->on_silent (GP_CONTAINER_OF (link, gp_target_t, silent),
-                         routes->data);
+  while ((link = gp_list_pop_front (&routes->new_suspects)) != NULL)
+    if (routes->on_target_suspect != NULL)
+      routes->on_target_suspect (
+          GP_CONTAINER_OF (link, gp_target_t, suspect_link), routes->data);
 }
 
 void
-gp_routes_settle (gp_routes_t *routes)
+gp_routes_apply_changes (gp_routes_t *routes)
 {
   gp_member_t *member;
 
   while ((member = gp_members_next_change (&routes->members)) != NULL)
     {
-      if (routes->on_change != NULL)
-        routes->on_change (member, routes->data);
-      settle_member (routes, member);
+      if (routes->on_member_change != NULL)
+        routes->on_member_change (member, routes->data);
+      update_member (routes, member);
     }
-  tell_silent (routes);
+  notify_suspects (routes);
 }
 
 void
-gp_routes_evacuate (gp_routes_t *routes, const gp_document_zone_t *zones,
-                    uint32_t count)
+gp_routes_set_evacuated_zones (gp_routes_t *routes,
+                               const gp_document_zone_t *zones, uint32_t count)
 {
   GHashTableIter iter;
   gpointer member;
@@ -215,7 +218,7 @@
     g_hash_table_add (routes->evacuated, g_strdup (zones[i].name));
   g_hash_table_iter_init (&iter, routes->members.by_name);
   while (g_hash_table_iter_next (&iter, NULL, &member))
-    settle_member (routes, member);
+    update_member (routes, member);
 }
 
 /* Events.  */
@@ -268,11 +271,13 @@
   session->object = target;
 }
 
-/* A guard that this entry connected to heartbeats to others, its homes: what
-   it says here opens the way to it, but is no promise to be heard again.  */
+/* Records an announcement in the membership.  A guard that this entry
+   connected to sends its heartbeats to other entries, its homes: its
+   announcement shows that it can be reached, but this entry must not expect
+   heartbeats from it.  */
 static gp_members_result_t
-take_announcement (gp_routes_t *routes, const gp_session_t *session,
-                   const gp_announcement_t *a)
+record_announcement (gp_routes_t *routes, const gp_session_t *session,
+                     const gp_announcement_t *a)
 {
   gp_members_t *members = &routes->members;
   gp_time_t now = gp_loop_now (routes->loop);
@@ -293,13 +298,13 @@
 {
   gp_announcement_t a = announcement_of (session, announce);
 
-  if (take_announcement (routes, session, &a) == GP_MEMBERS_STALE)
+  if (record_announcement (routes, session, &a) == GP_MEMBERS_STALE)
     {
       gp_counter_add (&stale_messages, 1);
       return false;
     }
   attach_session (routes, session);
-  gp_routes_settle (routes);
+  gp_routes_apply_changes (routes);
   return true;
 }
 
@@ -325,12 +330,12 @@
     gp_counter_add (&stale_messages, 1);
   else if (target != NULL && target->routed && reported != NULL)
     gp_router_report (&target->service->router, &target->candidate, &load);
-  gp_routes_settle (routes);
+  gp_routes_apply_changes (routes);
 }
 
 /* Another open session with the same incarnation of a guard, or NULL.  */
 static gp_session_t *
-other_session (const gp_routes_t *routes, const gp_session_t *session)
+find_other_session (const gp_routes_t *routes, const gp_session_t *session)
 {
   GP_LIST_FOREACH (pos, &routes->host->sessions)
   {
@@ -345,10 +350,10 @@
 }
 
 void
-gp_routes_closed (gp_routes_t *routes, gp_session_t *session)
+gp_routes_session_closed (gp_routes_t *routes, gp_session_t *session)
 {
   gp_target_t *target = session->object;
-  gp_session_t *other = other_session (routes, session);
+  gp_session_t *other = find_other_session (routes, session);
 
   if (target != NULL && target->session == session)
     {
@@ -361,12 +366,12 @@
     gp_members_connection_lost (&routes->members, session->process,
                                 session->incarnation,
                                 gp_loop_now (routes->loop));
-  gp_routes_settle (routes);
+  gp_routes_apply_changes (routes);
 }
 
 void
-gp_routes_report (gp_routes_t *routes, gp_target_t *target,
-                  const Gp__Wire__Load *load)
+gp_routes_record_load (gp_routes_t *routes, gp_target_t *target,
+                       const Gp__Wire__Load *load)
 {
   gp_load_t reported = { .running = load->running,
                          .queued = load->queued,
@@ -378,8 +383,8 @@
 }
 
 static void
-apply (const gp_routes_t *routes, gp_target_t *target,
-       gp_outlier_action_t action)
+apply_outlier_action (const gp_routes_t *routes, gp_target_t *target,
+                      gp_outlier_action_t action)
 {
   gp_router_t *router = &target->service->router;
 
@@ -391,7 +396,7 @@
       gp_counter_add (&ejections, 1);
       gp_log (GP_LOG_WARNING, "target.ejected",
               GP_LOG_S ("guard", target->member->announcement.name));
-      note (routes, GP_TIMELINE_MEMBER_GONE, target, "ejected");
+      add_event (routes, GP_TIMELINE_MEMBER_GONE, target, "ejected");
       gp_router_eject (router, &target->candidate);
       break;
     case GP_OUTLIER_OFFER_PROBE:
@@ -400,15 +405,15 @@
     case GP_OUTLIER_READMIT:
       gp_log (GP_LOG_INFO, "target.readmitted",
               GP_LOG_S ("guard", target->member->announcement.name));
-      note (routes, GP_TIMELINE_MEMBER_SERVING, target, "readmitted");
+      add_event (routes, GP_TIMELINE_MEMBER_SERVING, target, "readmitted");
       gp_router_readmit (router, &target->candidate);
       break;
     }
 }
 
 void
-gp_routes_record (gp_routes_t *routes, gp_target_t *target, bool success,
-                  gp_time_t duration)
+gp_routes_record_result (gp_routes_t *routes, gp_target_t *target,
+                         bool success, gp_time_t duration)
 {
   gp_outlier_t *outlier = &target->service->outlier;
   gp_time_t now = gp_loop_now (routes->loop);
@@ -416,16 +421,17 @@
   if (!target->routed)
     return;
   if (target->health.state == GP_HEALTH_PROBING)
-    apply (routes, target,
-           gp_outlier_probe_done (outlier, &target->health, success, now));
+    apply_outlier_action (
+        routes, target,
+        gp_outlier_probe_done (outlier, &target->health, success, now));
   else
-    apply (
+    apply_outlier_action (
         routes, target,
         gp_outlier_record (outlier, &target->health, success, duration, now));
 }
 
 void
-gp_routes_sent (gp_routes_t *routes, gp_target_t *target)
+gp_routes_request_sent (gp_routes_t *routes, gp_target_t *target)
 {
   gp_outlier_t *outlier = &target->service->outlier;
 
@@ -436,11 +442,11 @@
 }
 
 void
-gp_routes_done (gp_routes_t *routes, gp_target_t *target)
+gp_routes_request_done (gp_routes_t *routes, gp_target_t *target)
 {
   (void)routes;
   gp_router_done (&target->service->router, &target->candidate);
-  target_release (target);
+  target_free_if_unused (target);
 }
 
 static void
@@ -451,20 +457,21 @@
 
   while ((health = gp_outlier_next_due (&service->outlier, now, &action))
          != NULL)
-    apply (routes, health->data, action);
+    apply_outlier_action (routes, health->data, action);
 }
 
-/* Whether to judge the silence of others.  A process that was itself held
-   up first reads what has come meanwhile.  */
+/* Whether members without heartbeats may be declared suspect.  If the tick is
+   late, this process was blocked itself and has to read the messages that have
+   arrived meanwhile first.  Only one tick in a row is skipped for this.  */
 static bool
-may_judge (gp_routes_t *routes, gp_time_t now)
+may_suspect_members (gp_routes_t *routes, gp_time_t now)
 {
-  bool late = now - routes->ticked_at > LATE;
-  bool judge = !late || routes->was_late;
+  bool late = now - routes->last_tick > LATE_TICK;
+  bool allowed = !late || routes->last_tick_late;
 
-  routes->ticked_at = now;
-  routes->was_late = late;
-  return judge;
+  routes->last_tick = now;
+  routes->last_tick_late = late;
+  return allowed;
 }
 
 static void
@@ -475,9 +482,9 @@
   GHashTableIter iter;
   gpointer service;
 
-  if (may_judge (routes, now))
+  if (may_suspect_members (routes, now))
     gp_members_tick (&routes->members, now);
-  gp_routes_settle (routes);
+  gp_routes_apply_changes (routes);
   g_hash_table_iter_init (&iter, routes->services);
   while (g_hash_table_iter_next (&iter, NULL, &service))
     tick_service (routes, service, now);
@@ -492,20 +499,20 @@
 
   *routes = (gp_routes_t){ .host = host, .loop = loop, .zone = zone };
   gp_members_init (&routes->members, settings);
-  gp_list_init (&routes->silent);
+  gp_list_init (&routes->new_suspects);
   routes->services
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, service_free);
   routes->evacuated
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  gp_counter_register (&members_serving);
+  gp_counter_register (&targets_routed);
   gp_counter_register (&ejections);
   gp_counter_register (&stale_messages);
   gp_timer_init (&routes->timer, loop, on_tick, routes);
-  routes->ticked_at = gp_loop_now (loop);
-  gp_timer_arm (&routes->timer, routes->ticked_at + TICK);
+  routes->last_tick = gp_loop_now (loop);
+  gp_timer_arm (&routes->timer, routes->last_tick + TICK);
 }
 
-/* The targets of members that are still known.  */
+/* Frees the targets of all members.  */
 static void
 free_targets (gp_routes_t *routes)
 {
--- a/src/daemon/tasks.c
+++ b/src/daemon/tasks.c
@@ -1,4 +1,5 @@
-/* Tasks at an entry: wiring, responsibility and time.  */
+/* Tasks at an entry: initialization, message dispatch, responsibility and
+   periodic work.  */
 
 #include "daemon/tasks_private.h"
 
@@ -40,7 +41,7 @@
 }
 
 gp_tasks_kind_t *
-gp_tasks_kind (gp_tasks_t *tasks, const char *name)
+gp_tasks_ensure_kind (gp_tasks_t *tasks, const char *name)
 {
   gp_tasks_kind_t *kind = g_hash_table_lookup (tasks->kinds, name);
 
@@ -64,10 +65,10 @@
   g_free (team);
 }
 
-/* Take the region's share of the team's limits from the document; without
-   any it has none.  */
+/* Sets the team's quota and task limit to the region's share of those in the
+   document.  A team that the document does not declare is unlimited.  */
 static void
-team_limit (gp_tasks_t *tasks, gp_tasks_team_t *team)
+apply_team_limits (gp_tasks_t *tasks, gp_tasks_team_t *team)
 {
   const gp_document_team_t *declared = NULL;
   gp_resources_t limit = { UINT32_MAX, UINT32_MAX, UINT32_MAX };
@@ -92,7 +93,7 @@
 }
 
 gp_tasks_team_t *
-gp_tasks_team (gp_tasks_t *tasks, const char *name)
+gp_tasks_ensure_team (gp_tasks_t *tasks, const char *name)
 {
   gp_tasks_team_t *team = g_hash_table_lookup (tasks->teams, name);
 
@@ -101,15 +102,16 @@
   team = g_new0 (gp_tasks_team_t, 1);
   team->name = g_strdup (name);
   team->index = g_hash_table_size (tasks->teams);
-  team->mine = gp_tasks_is_mine (tasks, "team", name);
-  team_limit (tasks, team);
+  team->responsible = gp_tasks_is_responsible (tasks, "team", name);
+  apply_team_limits (tasks, team);
   g_hash_table_insert (tasks->teams, team->name, team);
   return team;
 }
 
 /* Responsibility.  */
 
-/* Another entry of this region, which acts on the same tasks.  */
+/* Whether SESSION is with another entry of this region, which acts on the same
+   tasks.  */
 static bool
 is_live_entry (const gp_tasks_t *tasks, const gp_session_t *session)
 {
@@ -118,21 +120,24 @@
 }
 
 bool
-gp_tasks_is_mine (const gp_tasks_t *tasks, const char *scope, const char *name)
+gp_tasks_is_responsible (const gp_tasks_t *tasks, const char *scope,
+                         const char *name)
 {
   char *key = g_strconcat (scope, "/", name, NULL);
   uint64_t own = gp_rendezvous_rank (key, tasks->settings->name);
   bool mine = true;
 
-  for (guint i = 0; i < tasks->entries->len; i++)
-    if (gp_rendezvous_rank (key, g_ptr_array_index (tasks->entries, i)) > own)
+  for (guint i = 0; i < tasks->live_entry_names->len; i++)
+    if (gp_rendezvous_rank (key,
+                            g_ptr_array_index (tasks->live_entry_names, i))
+        > own)
       mine = false;
   g_free (key);
   return mine;
 }
 
 static uint64_t
-live_entries (const gp_tasks_t *tasks)
+digest_live_entries (const gp_tasks_t *tasks)
 {
   uint64_t digest = 0;
 
@@ -149,20 +154,21 @@
 static void
 list_live_entries (gp_tasks_t *tasks)
 {
-  tasks->live_entries = live_entries (tasks);
-  g_ptr_array_set_size (tasks->entries, 0);
+  tasks->live_digest = digest_live_entries (tasks);
+  g_ptr_array_set_size (tasks->live_entry_names, 0);
   GP_LIST_FOREACH (pos, &tasks->host->sessions)
   {
     const gp_session_t *session = GP_CONTAINER_OF (pos, gp_session_t, link);
 
     if (is_live_entry (tasks, session))
-      g_ptr_array_add (tasks->entries, g_strdup (session->process));
+      g_ptr_array_add (tasks->live_entry_names, g_strdup (session->process));
   }
 }
 
-/* Who acts on what, after entries came or went.  */
+/* Recomputes what this entry is responsible for, after entries connected or
+   disconnected.  */
 static void
-assign (gp_tasks_t *tasks)
+reassign_responsibility (gp_tasks_t *tasks)
 {
   GHashTableIter iter;
   gpointer value;
@@ -173,14 +179,15 @@
     {
       gp_tasks_team_t *team = value;
 
-      team->mine = gp_tasks_is_mine (tasks, "team", team->name);
+      team->responsible = gp_tasks_is_responsible (tasks, "team", team->name);
     }
   g_hash_table_iter_init (&iter, tasks->guards);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       gp_tasks_guard_t *guard = value;
 
-      guard->mine = gp_tasks_is_mine (tasks, "guard", guard->name);
+      guard->responsible
+          = gp_tasks_is_responsible (tasks, "guard", guard->name);
     }
   g_hash_table_iter_init (&iter, tasks->tasks);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -189,10 +196,10 @@
       const gp_fold_task_t *state
           = gp_fold_task (gp_store_fold (tasks->store), task->id);
 
-      if (task->stage == GP_TASKS_QUEUED && !task->team->mine)
+      if (task->stage == GP_TASKS_QUEUED && !task->team->responsible)
         gp_tasks_dequeue (tasks, task);
-      else if (task->stage == GP_TASKS_IDLE && !task->parking
-               && task->team->mine && state != NULL
+      else if (task->stage == GP_TASKS_IDLE && !task->park_proposed
+               && task->team->responsible && state != NULL
                && state->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_PENDING)
         gp_tasks_enqueue (tasks, task, false);
     }
@@ -217,8 +224,8 @@
 }
 
 void
-gp_tasks_event (gp_tasks_t *tasks, gp_timeline_kind_t kind, uint64_t task,
-                uint64_t epoch, const char *vm, const char *text)
+gp_tasks_add_event (gp_tasks_t *tasks, gp_timeline_kind_t kind, uint64_t task,
+                    uint64_t epoch, const char *vm, const char *text)
 {
   gp_timeline_subject_t subject = { .task = task, .epoch = epoch, .vm = vm };
 
@@ -228,7 +235,7 @@
 }
 
 static void
-on_read (gp_time_t sent_at, void *data)
+on_log_read (gp_time_t sent_at, void *data)
 {
   gp_tasks_t *tasks = data;
 
@@ -236,28 +243,28 @@
 }
 
 static void
-on_gap (void *data)
+on_log_gap (void *data)
 {
   gp_tasks_t *tasks = data;
 
   gp_lease_grantor_log_gap (&tasks->grantor, gp_tasks_now (tasks));
 }
 
-/* Time.  */
+/* Periodic work.  */
 
 static void
-look_at_due (gp_tasks_t *tasks, gp_time_t now)
+check_due_tasks (gp_tasks_t *tasks, gp_time_t now)
 {
-  for (int i = 0; i < DUE_PER_TICK && !gp_list_empty (&tasks->due); i++)
+  for (int i = 0; i < DUE_PER_TICK && !gp_list_empty (&tasks->due_tasks); i++)
     {
       gp_tasks_task_t *task
-          = GP_CONTAINER_OF (tasks->due.next, gp_tasks_task_t, due_link);
+          = GP_CONTAINER_OF (tasks->due_tasks.next, gp_tasks_task_t, due_link);
 
       if (task->due_at > now)
         return;
       gp_list_remove (&task->due_link);
       if (task->stage == GP_TASKS_GRANTED)
-        gp_tasks_push (tasks, task);
+        gp_tasks_send_pending (tasks, task);
     }
 }
 
@@ -275,19 +282,19 @@
 }
 
 static void
-tick (gp_tasks_t *tasks, gp_time_t now)
+run_periodic (gp_tasks_t *tasks, gp_time_t now)
 {
-  tasks->tick_at = now + TICK;
-  if (live_entries (tasks) != tasks->live_entries)
-    assign (tasks);
+  tasks->next_tick = now + TICK;
+  if (digest_live_entries (tasks) != tasks->live_digest)
+    reassign_responsibility (tasks);
   gp_tasks_lease_tick (tasks);
-  gp_tasks_guards_tick (tasks);
-  gp_tasks_submit_tick (tasks);
+  gp_tasks_guards_check_due (tasks);
+  gp_tasks_expire_submissions (tasks);
   set_gauges (tasks);
   if (!gp_store_ready (tasks->store))
     return;
-  look_at_due (tasks, now);
-  gp_tasks_watch (tasks);
+  check_due_tasks (tasks, now);
+  gp_tasks_adjust_watchers (tasks);
   gp_tasks_unpark_fitting (tasks);
 }
 
@@ -298,8 +305,8 @@
   gp_time_t now = gp_tasks_now (tasks);
 
   (void)timer;
-  if (now >= tasks->tick_at)
-    tick (tasks, now);
+  if (now >= tasks->next_tick)
+    run_periodic (tasks, now);
   gp_tasks_place (tasks);
 }
 
@@ -310,7 +317,7 @@
 }
 
 void
-gp_tasks_place_soon (gp_tasks_t *tasks)
+gp_tasks_schedule_placement (gp_tasks_t *tasks)
 {
   gp_deferred_schedule (&tasks->deferred, tasks->host->loop);
 }
@@ -320,10 +327,10 @@
 {
   gp_list_remove (&task->due_link);
   task->due_at = gp_tasks_now (tasks) + tasks->due_period;
-  gp_list_push_back (&tasks->due, &task->due_link);
+  gp_list_push_back (&tasks->due_tasks, &task->due_link);
 }
 
-/* The interface.  */
+/* Initialization and message dispatch.  */
 
 static void
 register_counters (void)
@@ -345,10 +352,11 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, kind_free);
   tasks->teams
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, team_free);
-  tasks->places
+  tasks->zone_numbers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  tasks->racks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  tasks->services
+  tasks->rack_numbers
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  tasks->service_numbers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
@@ -367,11 +375,11 @@
   tasks->incarnation = incarnation;
   tasks->started_at = gp_tasks_now (tasks);
   tasks->due_period = settings->timings.heartbeat_ms * (2 * GP_MSEC);
-  gp_list_init (&tasks->due);
-  tasks->submitting
-      = g_ptr_array_new_with_free_func (gp_tasks_submitting_free);
+  gp_list_init (&tasks->due_tasks);
+  tasks->submissions
+      = g_ptr_array_new_with_free_func (gp_tasks_pending_submission_free);
   register_counters ();
-  tasks->entries = g_ptr_array_new_with_free_func (g_free);
+  tasks->live_entry_names = g_ptr_array_new_with_free_func (g_free);
   init_tables (tasks);
   gp_tasks_guards_init (tasks);
   gp_tasks_place_init (tasks);
@@ -382,8 +390,8 @@
   tasks->subscriber
       = (gp_store_subscriber_t){ .on_change = gp_tasks_on_change,
                                  .on_rebuilt = gp_tasks_on_rebuilt,
-                                 .on_read = on_read,
-                                 .on_gap = on_gap,
+                                 .on_read = on_log_read,
+                                 .on_gap = on_log_gap,
                                  .data = tasks };
   gp_store_subscribe (store, &tasks->subscriber);
   return tasks;
@@ -395,18 +403,18 @@
   gp_list_remove (&tasks->subscriber.link);
   gp_timer_finish (&tasks->timer);
   gp_deferred_cancel (&tasks->deferred);
-  g_ptr_array_unref (tasks->submitting);
-  g_ptr_array_unref (tasks->entries);
-  gp_tasks_forget_all (tasks);
+  g_ptr_array_unref (tasks->submissions);
+  g_ptr_array_unref (tasks->live_entry_names);
+  gp_tasks_clear_mirror (tasks);
   g_hash_table_unref (tasks->guards);
   gp_tasks_lease_finish (tasks);
   gp_tasks_place_finish (tasks);
   g_hash_table_unref (tasks->tasks);
   g_hash_table_unref (tasks->kinds);
   g_hash_table_unref (tasks->teams);
-  g_hash_table_unref (tasks->places);
-  g_hash_table_unref (tasks->racks);
-  g_hash_table_unref (tasks->services);
+  g_hash_table_unref (tasks->zone_numbers);
+  g_hash_table_unref (tasks->rack_numbers);
+  g_hash_table_unref (tasks->service_numbers);
   g_free (tasks);
 }
 
@@ -419,17 +427,17 @@
 
   tasks->revision = revision;
   tasks->document = document;
-  gp_tasks_close_zones (tasks);
+  gp_tasks_update_evacuated (tasks);
   if (document != NULL)
-    gp_tasks_interfere_configure (tasks);
+    gp_tasks_configure_remedies (tasks);
   for (uint32_t i = 0; document != NULL && i < document->watchers_count; i++)
-    gp_tasks_kind (tasks, document->watchers[i].name);
+    gp_tasks_ensure_kind (tasks, document->watchers[i].name);
   g_hash_table_iter_init (&iter, tasks->teams);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    team_limit (tasks, value);
+    apply_team_limits (tasks, value);
   tasks->watchers_changed = true;
   tasks->shapes_changed = true;
-  gp_tasks_place_soon (tasks);
+  gp_tasks_schedule_placement (tasks);
 }
 
 static void
@@ -480,8 +488,8 @@
   if (guard == NULL || guard->session != session)
     return;
   guard->session = NULL;
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
 }
 
 void
@@ -490,13 +498,14 @@
   const char *name = member->announcement.name;
   gp_tasks_guard_t *guard = gp_tasks_find_guard (tasks, name);
 
-  /* It is told before the guard's own announcement comes here.  */
+  /* The member change may come before the guard's announcement is handled
+     by gp_tasks_on_announce.  */
   if (guard == NULL && member->announcement.millicores > 0
       && member->state != GP_MEMBER_GONE)
-    guard = gp_tasks_guard (tasks, name);
+    guard = gp_tasks_ensure_guard (tasks, name);
   if (guard == NULL)
     return;
   guard->member = member->state == GP_MEMBER_GONE ? NULL : member;
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
 }
--- a/src/daemon/tasks_interfere.c
+++ b/src/daemon/tasks_interfere.c
@@ -1,7 +1,8 @@
-/* What tasks do to the services beside them: learning and remedies.
+/* Interference of tasks with the services on the same VM: estimates and
+   remedies.
 
-   Every entry learns from the usage that guards report; the one responsible
-   for the guard acts on it.  */
+   Every entry updates its estimates from the usage that guards report; only
+   the entry responsible for the guard applies remedies.  */
 
 #include "daemon/tasks_private.h"
 
@@ -11,7 +12,8 @@
 
 #define RESIDENTS_MAX 256
 #define SECONDS_PER_HOUR 3600.0
-#define RATE_LEAST 0.001 /* an hour; a limiter wants more than none */
+/* Evictions per hour; the limiter needs a positive rate.  */
+#define MIN_HOURLY_RATE 0.001
 
 static gp_counter_t throttles
     = GP_COUNTER ("entry_throttles_total", "Tasks throttled for a service.");
@@ -19,16 +21,16 @@
     = GP_COUNTER ("entry_evictions_total", "Tasks evicted for a service.");
 
 void
-gp_tasks_weigh (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-                const gp_tasks_task_t *task, int quarters)
+gp_tasks_record_residency (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+                           const gp_tasks_task_t *task, int quarters)
 {
   gp_residency_change (&guard->residency, task->kind->index, quarters,
                        gp_tasks_now (tasks));
 }
 
 static void
-note_peaks (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
-            const Gp__Wire__Usage *usage)
+update_peaks (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
+              const Gp__Wire__Usage *usage)
 {
   for (size_t i = 0; i < usage->n_tasks; i++)
     {
@@ -45,7 +47,7 @@
     }
 }
 
-/* The latency target of the service beside GUARD, or 0.  */
+/* The latency target in microseconds of the service that GUARD runs, or 0.  */
 static double
 target_us (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
 {
@@ -79,9 +81,9 @@
       continue;
     residents[n++] = (gp_remedy_resident_t){
       .task = task->id,
-      .work_class = task->ask.work_class,
+      .work_class = task->request.work_class,
       .throttled = task->throttled,
-      .since_checkpoint = now - task->saved_at,
+      .since_checkpoint = now - task->progress_saved_at,
       .laxity = task->pending.latest_start - now,
       .relief = slope.mean * (1.0 + guard->worker.load_permille / 1000.0)
     };
@@ -97,11 +99,13 @@
   if (task->throttled == throttled)
     return;
   task->throttled = throttled;
-  gp_tasks_weigh (tasks, task->guard, task, throttled ? -change : change);
+  gp_tasks_record_residency (tasks, task->guard, task,
+                             throttled ? -change : change);
 }
 
 static void
-apply (gp_tasks_t *tasks, gp_tasks_task_t *task, gp_remedy_action_t action)
+apply_action (gp_tasks_t *tasks, gp_tasks_task_t *task,
+              gp_remedy_action_t action)
 {
   switch (action)
     {
@@ -111,20 +115,20 @@
       gp_counter_add (&throttles, 1);
       set_throttled (tasks, task, true);
       gp_tasks_stop (tasks, task, GP__WIRE__STOP_MODE__STOP_MODE_THROTTLE);
-      gp_tasks_event (tasks, GP_TIMELINE_TASK_THROTTLED, task->id, task->epoch,
-                      task->guard->name, "throttle");
+      gp_tasks_add_event (tasks, GP_TIMELINE_TASK_THROTTLED, task->id,
+                          task->epoch, task->guard->name, "throttle");
       return;
     case GP_REMEDY_UNTHROTTLE:
       set_throttled (tasks, task, false);
       gp_tasks_stop (tasks, task, GP__WIRE__STOP_MODE__STOP_MODE_UNTHROTTLE);
-      gp_tasks_event (tasks, GP_TIMELINE_TASK_THROTTLED, task->id, task->epoch,
-                      task->guard->name, "unthrottle");
+      gp_tasks_add_event (tasks, GP_TIMELINE_TASK_THROTTLED, task->id,
+                          task->epoch, task->guard->name, "unthrottle");
       return;
     case GP_REMEDY_EVICT:
       gp_counter_add (&evictions, 1);
       gp_tasks_stop (tasks, task, GP__WIRE__STOP_MODE__STOP_MODE_EVICT);
-      gp_tasks_event (tasks, GP_TIMELINE_TASK_EVICTED, task->id, task->epoch,
-                      task->guard->name, NULL);
+      gp_tasks_add_event (tasks, GP_TIMELINE_TASK_EVICTED, task->id,
+                          task->epoch, task->guard->name, NULL);
       return;
     }
 }
@@ -145,9 +149,9 @@
   return settings;
 }
 
-/* This entry's part of the site's evictions in an hour.  */
+/* This entry's share of the site's hourly evictions.  */
 static uint32_t
-evictions_of (const gp_tasks_t *tasks, uint32_t of_site)
+own_share_of_evictions (const gp_tasks_t *tasks, uint32_t of_site)
 {
   const gp_settings_t *settings = tasks->settings;
   uint32_t count = settings->entries_count;
@@ -162,13 +166,14 @@
 }
 
 void
-gp_tasks_interfere_configure (gp_tasks_t *tasks)
+gp_tasks_configure_remedies (gp_tasks_t *tasks)
 {
-  uint32_t hourly
-      = evictions_of (tasks, tasks->document->interference.evictions_per_hour);
-  /* Half at once and half as the hour passes keeps any hour within it.  */
+  uint32_t hourly = own_share_of_evictions (
+      tasks, tasks->document->interference.evictions_per_hour);
+  /* Half as a burst and half at a constant rate, so that no period of one
+     hour exceeds the limit.  */
   uint32_t burst = MAX (1, hourly / 2);
-  double rate = MAX (hourly - burst, RATE_LEAST) / SECONDS_PER_HOUR;
+  double rate = MAX (hourly - burst, MIN_HOURLY_RATE) / SECONDS_PER_HOUR;
 
   tasks->may_evict = hourly > 0;
   if (tasks->evictions.token_ns == 0)
@@ -178,7 +183,8 @@
                           gp_tasks_now (tasks));
 }
 
-/* Whether a service at RATIO of its target, and the site, allow ACTION.  */
+/* Whether ACTION is allowed, given that the service's latency is RATIO times
+   its target, and the site's limit on evictions.  */
 static bool
 is_allowed (gp_tasks_t *tasks, gp_remedy_action_t action, double ratio)
 {
@@ -191,8 +197,8 @@
 }
 
 static void
-remedy (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-        const gp_remedy_measurement_t *measurement)
+apply_remedy (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+              const gp_remedy_measurement_t *measurement)
 {
   gp_remedy_settings_t settings = remedy_settings (tasks);
   gp_remedy_resident_t residents[RESIDENTS_MAX];
@@ -208,7 +214,7 @@
       gp_tasks_task_t *task = gp_tasks_find (tasks, decision.tasks[i]);
 
       if (task != NULL && task->guard == guard)
-        apply (tasks, task, decision.action);
+        apply_action (tasks, task, decision.action);
     }
 }
 
@@ -224,7 +230,7 @@
     return;
   gp_counter_register (&throttles);
   gp_counter_register (&evictions);
-  note_peaks (tasks, guard, usage);
+  update_peaks (tasks, guard, usage);
   target = target_us (tasks, guard);
   if (target <= 0.0 || usage->service_p99_us == 0 || usage->span_us == 0
       || usage->age_us > INT64_MAX / 4 || usage->span_us > INT64_MAX / 4)
@@ -236,6 +242,6 @@
                                  guard->worker.load_permille / 1000.0,
                                  &guard->residency, measurement.from,
                                  measurement.to, measurement.ratio);
-  if (guard->mine)
-    remedy (tasks, guard, &measurement);
+  if (guard->responsible)
+    apply_remedy (tasks, guard, &measurement);
 }
--- a/src/daemon/tasks_lease.c
+++ b/src/daemon/tasks_lease.c
@@ -1,9 +1,10 @@
-/* Leases at an entry: coordination/lease_grantor.h bound to the log and to
+/* Leases at an entry: connects coordination/lease_grantor.h to the log and
    the sessions.
 
-   A record that the grantor asks for is kept with its guard and proposed
-   until it, or one that makes it void, is read.  The entry that is
-   responsible for the guard proposes at once, the others after a period.  */
+   A record that the grantor requests is noted at its guard and proposed
+   repeatedly until it, or a record that makes it void, is read from the log.
+   The entry responsible for the guard proposes at once, the others after
+   due_period.  */
 
 #include "daemon/tasks_private.h"
 
@@ -13,7 +14,7 @@
 #include "base/counters.h"
 #include "base/log.h"
 
-#define PROPOSE_AGAIN (200 * GP_MSEC)
+#define PROPOSE_RETRY (200 * GP_MSEC)
 
 typedef struct
 {
@@ -21,7 +22,7 @@
   char *guard;
   uint64_t incarnation;
   gp_lease_grantor_action_kind_t kind;
-} proposing_t;
+} pending_proposal_t;
 
 static gp_counter_t renewals
     = GP_COUNTER ("entry_leases_renewed_total", "Leases of workers renewed.");
@@ -43,7 +44,7 @@
       const gp_settings_member_t *entry = &settings->entries[i];
 
       if (strcmp (entry->region, settings->region) != 0)
-        continue; /* it acts on no guard of this region's stream */
+        continue; /* entries of other regions use other logs */
       tasks->entry_set += XXH3_64bits (entry->name, strlen (entry->name));
       if (strcmp (entry->name, settings->name) != 0
           && tasks->n_others < GP_LEASE_GRANTOR_MAX_ENTRIES)
@@ -64,29 +65,30 @@
   gp_lease_grantor_finish (&tasks->grantor);
 }
 
-/* Records that are wanted.  */
+/* Requested records.  */
 
 static void
-want (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
+request_record (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
 {
-  gp_tasks_guard_t *guard = gp_tasks_guard (tasks, action->u.guard.name);
+  gp_tasks_guard_t *guard
+      = gp_tasks_ensure_guard (tasks, action->u.guard.name);
   gp_time_t now = gp_tasks_now (tasks);
   uint64_t incarnation = action->u.guard.incarnation;
 
-  guard->propose_at = now + (guard->mine ? 0 : tasks->due_period);
-  gp_list_remove (&guard->wanted_link);
-  gp_list_push_back (&tasks->wanted, &guard->wanted_link);
+  guard->propose_at = now + (guard->responsible ? 0 : tasks->due_period);
+  gp_list_remove (&guard->to_propose_link);
+  gp_list_push_back (&tasks->to_propose, &guard->to_propose_link);
   switch (action->kind)
     {
     case GP_LEASE_GRANTOR_REGISTER:
-      guard->adopt = incarnation;
+      guard->adopt_incarnation = incarnation;
       break;
     case GP_LEASE_GRANTOR_FENCE:
-      guard->fence = incarnation;
-      guard->fence_asked = now;
+      guard->fence_incarnation = incarnation;
+      guard->fence_requested_at = now;
       break;
     case GP_LEASE_GRANTOR_FENCE_DONE:
-      guard->fence_done = incarnation;
+      guard->fence_done_incarnation = incarnation;
       break;
     case GP_LEASE_GRANTOR_ASK_VOUCH:
       break;
@@ -94,48 +96,50 @@
 }
 
 static void
-on_decided (gp_proposal_result_t result, gp_fold_verdict_t verdict, void *data)
+on_proposal_result (gp_proposal_result_t result, gp_fold_verdict_t verdict,
+                    void *data)
 {
-  proposing_t *proposing = data;
-  gp_tasks_t *tasks = proposing->tasks;
-  gp_tasks_guard_t *guard = gp_tasks_find_guard (tasks, proposing->guard);
+  pending_proposal_t *pending = data;
+  gp_tasks_t *tasks = pending->tasks;
+  gp_tasks_guard_t *guard = gp_tasks_find_guard (tasks, pending->guard);
 
   if (guard != NULL)
     {
-      guard->proposing = false;
-      guard->propose_at = gp_tasks_now (tasks) + PROPOSE_AGAIN;
+      guard->proposal_pending = false;
+      guard->propose_at = gp_tasks_now (tasks) + PROPOSE_RETRY;
     }
-  /* A void record is not wanted any more: what voided it was read.  */
+  /* A void record need not be proposed again: the record that made it void
+     was read before.  */
   if (guard != NULL && result == GP_PROPOSAL_DECIDED
       && verdict != GP_FOLD_ACCEPTED)
     {
-      if (guard->adopt == proposing->incarnation)
-        guard->adopt = 0;
-      if (guard->fence == proposing->incarnation)
-        guard->fence = 0;
-      if (guard->fence_done == proposing->incarnation)
-        guard->fence_done = 0;
+      if (guard->adopt_incarnation == pending->incarnation)
+        guard->adopt_incarnation = 0;
+      if (guard->fence_incarnation == pending->incarnation)
+        guard->fence_incarnation = 0;
+      if (guard->fence_done_incarnation == pending->incarnation)
+        guard->fence_done_incarnation = 0;
     }
-  g_free (proposing->guard);
-  g_free (proposing);
+  g_free (pending->guard);
+  g_free (pending);
 }
 
 static void
-propose (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-         const Gp__Record__Record *record, uint64_t incarnation)
+propose_record (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+                const Gp__Record__Record *record, uint64_t incarnation)
 {
-  proposing_t *proposing = g_new0 (proposing_t, 1);
-
-  proposing->tasks = tasks;
-  proposing->guard = g_strdup (guard->name);
-  proposing->incarnation = incarnation;
-  guard->proposing = gp_tasks_propose (tasks, record, GP_WRITER_URGENT,
-                                       on_decided, proposing);
-  if (guard->proposing)
+  pending_proposal_t *pending = g_new0 (pending_proposal_t, 1);
+
+  pending->tasks = tasks;
+  pending->guard = g_strdup (guard->name);
+  pending->incarnation = incarnation;
+  guard->proposal_pending = gp_tasks_propose (tasks, record, GP_WRITER_URGENT,
+                                              on_proposal_result, pending);
+  if (guard->proposal_pending)
     return;
-  guard->propose_at = gp_tasks_now (tasks) + PROPOSE_AGAIN;
-  g_free (proposing->guard);
-  g_free (proposing);
+  guard->propose_at = gp_tasks_now (tasks) + PROPOSE_RETRY;
+  g_free (pending->guard);
+  g_free (pending);
 }
 
 static void
@@ -158,12 +162,12 @@
       running[i] = &epochs[i];
     }
   adopt.guard = guard->name;
-  adopt.incarnation = guard->adopt;
+  adopt.incarnation = guard->adopt_incarnation;
   adopt.running = running;
   adopt.n_running = count;
   record.record_case = GP__RECORD__RECORD__RECORD_ADOPT;
   record.adopt = &adopt;
-  propose (tasks, guard, &record, guard->adopt);
+  propose_record (tasks, guard, &record, guard->adopt_incarnation);
   g_free (running);
   g_free (epochs);
 }
@@ -175,10 +179,10 @@
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
 
   fence.guard = guard->name;
-  fence.incarnation = guard->fence;
+  fence.incarnation = guard->fence_incarnation;
   record.record_case = GP__RECORD__RECORD__RECORD_FENCE;
   record.fence = &fence;
-  propose (tasks, guard, &record, guard->fence);
+  propose_record (tasks, guard, &record, guard->fence_incarnation);
 }
 
 static void
@@ -188,45 +192,48 @@
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
 
   done.guard = guard->name;
-  done.incarnation = guard->fence_done;
+  done.incarnation = guard->fence_done_incarnation;
   record.record_case = GP__RECORD__RECORD__RECORD_FENCE_DONE;
   record.fence_done = &done;
-  propose (tasks, guard, &record, guard->fence_done);
+  propose_record (tasks, guard, &record, guard->fence_done_incarnation);
 }
 
 static void
-propose_wanted (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
+propose_requested (gp_tasks_t *tasks, gp_tasks_guard_t *guard)
 {
-  if (guard->fence != 0 && guard->heard > guard->fence_asked)
-    guard->fence = 0;
-  if (guard->proposing || gp_tasks_now (tasks) < guard->propose_at)
+  if (guard->fence_incarnation != 0
+      && guard->heard_at > guard->fence_requested_at)
+    guard->fence_incarnation = 0;
+  if (guard->proposal_pending || gp_tasks_now (tasks) < guard->propose_at)
     return;
-  if (guard->adopt != 0 && guard->inventory_of == guard->adopt)
+  if (guard->adopt_incarnation != 0
+      && guard->inventory_incarnation == guard->adopt_incarnation)
     propose_adopt (tasks, guard);
-  else if (guard->fence != 0)
+  else if (guard->fence_incarnation != 0)
     propose_fence (tasks, guard);
-  else if (guard->fence_done != 0)
+  else if (guard->fence_done_incarnation != 0)
     propose_fence_done (tasks, guard);
 }
 
 static void
-propose_all_wanted (gp_tasks_t *tasks)
+propose_all_requested (gp_tasks_t *tasks)
 {
-  GP_LIST_FOREACH_SAFE (pos, &tasks->wanted)
+  GP_LIST_FOREACH_SAFE (pos, &tasks->to_propose)
   {
     gp_tasks_guard_t *guard
-        = GP_CONTAINER_OF (pos, gp_tasks_guard_t, wanted_link);
+        = GP_CONTAINER_OF (pos, gp_tasks_guard_t, to_propose_link);
 
-    propose_wanted (tasks, guard);
-    if (guard->adopt == 0 && guard->fence == 0 && guard->fence_done == 0)
-      gp_list_remove (&guard->wanted_link);
+    propose_requested (tasks, guard);
+    if (guard->adopt_incarnation == 0 && guard->fence_incarnation == 0
+        && guard->fence_done_incarnation == 0)
+      gp_list_remove (&guard->to_propose_link);
   }
 }
 
 /* Vouches.  */
 
 static gp_session_t *
-session_to (const gp_tasks_t *tasks, const char *process)
+find_entry_session (const gp_tasks_t *tasks, const char *process)
 {
   GP_LIST_FOREACH (pos, &tasks->host->sessions)
   {
@@ -240,10 +247,10 @@
 }
 
 static void
-ask_vouch (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
+send_vouch_ask (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
 {
   gp_session_t *session
-      = session_to (tasks, tasks->others[action->u.ask.entry]->name);
+      = find_entry_session (tasks, tasks->others[action->u.ask.entry]->name);
   Gp__Wire__VouchAsk ask = GP__WIRE__VOUCH_ASK__INIT;
   Gp__Wire__Envelope envelope = GP_ENVELOPE (VOUCH_ASK, vouch_ask, &ask);
 
@@ -304,29 +311,30 @@
     if (strcmp (tasks->others[i]->name, session->process) == 0)
       gp_lease_grantor_vouched (&tasks->grantor, i, vouch->id, listed,
                                 (unsigned)count);
-  gp_tasks_event (tasks, GP_TIMELINE_VOUCH, 0, 0, session->process, NULL);
+  gp_tasks_add_event (tasks, GP_TIMELINE_VOUCH, 0, 0, session->process, NULL);
   g_free (listed);
 }
 
-/* Heartbeats and time.  */
+/* Heartbeats and periodic work.  */
 
 static void
-carry_out (gp_tasks_t *tasks, const gp_lease_grantor_actions_t *actions)
+execute_actions (gp_tasks_t *tasks, const gp_lease_grantor_actions_t *actions)
 {
   for (unsigned i = 0; i < actions->count; i++)
     {
       const gp_lease_grantor_action_t *action = &actions->items[i];
 
       if (action->kind == GP_LEASE_GRANTOR_ASK_VOUCH)
-        ask_vouch (tasks, action);
+        send_vouch_ask (tasks, action);
       else
-        want (tasks, action);
+        request_record (tasks, action);
     }
 }
 
-/* Other entries hear the guards that this one does not.  */
+/* Tells the grantor that GUARD is alive if only other entries receive its
+   heartbeats.  */
 static void
-hear_by_others (gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
+record_heard_by_others (gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
 {
   if (guard->member != NULL && guard->member->state == GP_MEMBER_SERVING
       && !guard->member->direct)
@@ -343,37 +351,38 @@
 
   g_hash_table_iter_init (&iter, tasks->guards);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    hear_by_others (tasks, value);
+    record_heard_by_others (tasks, value);
   gp_lease_grantor_tick (&tasks->grantor, gp_tasks_now (tasks), &actions);
-  carry_out (tasks, &actions);
+  execute_actions (tasks, &actions);
   if (!gp_store_ready (tasks->store))
     return;
-  propose_all_wanted (tasks);
+  propose_all_requested (tasks);
 }
 
 static void
-note_heartbeat (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-                const Gp__Wire__Heartbeat *heartbeat)
+record_heartbeat (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+                  const Gp__Wire__Heartbeat *heartbeat)
 {
   gp_resources_t headroom;
 
-  guard->heard = gp_tasks_now (tasks);
+  guard->heard_at = gp_tasks_now (tasks);
   if (heartbeat->load != NULL && guard->slots > 0)
     guard->worker.load_permille = (uint16_t)MIN (
         1000, 1000 * (uint64_t)heartbeat->load->running / guard->slots);
-  if (heartbeat->free == NULL || !guard->added)
+  if (heartbeat->free == NULL || !guard->in_fleet)
     return;
   headroom = (gp_resources_t){ heartbeat->free->millicores,
                                heartbeat->free->memory_mib,
                                heartbeat->free->accelerators };
   if (!gp_resources_equal (&headroom, &guard->worker.reported))
-    gp_tasks_place_soon (tasks);
+    gp_tasks_schedule_placement (tasks);
   gp_fleet_report (&tasks->fleet, &guard->worker, &headroom);
 }
 
 static void
-renew (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
-       const Gp__Wire__Heartbeat *heartbeat, Gp__Wire__HeartbeatReply *reply)
+renew_lease (gp_tasks_t *tasks, gp_tasks_guard_t *guard,
+             const Gp__Wire__Heartbeat *heartbeat,
+             Gp__Wire__HeartbeatReply *reply)
 {
   gp_lease_request_t request = { .incarnation = heartbeat->lease_incarnation,
                                  .inherits = heartbeat->inherits,
@@ -385,9 +394,9 @@
 
   gp_lease_grantor_heartbeat (&tasks->grantor, guard->name, &request, now,
                               &grant, &actions);
-  carry_out (tasks, &actions);
+  execute_actions (tasks, &actions);
   if (actions.count > 0)
-    propose_wanted (tasks, guard);
+    propose_requested (tasks, guard);
   reply->lease_remaining_us = (uint64_t)grant.remaining;
   reply->vouched = grant.vouched;
   reply->fenced = grant.fenced;
@@ -396,7 +405,7 @@
   gp_counter_add (&vouched_renewals, grant.remaining > 0 && grant.vouched);
   if (heartbeat->lease_incarnation == guard->incarnation)
     guard->lease_until = now + grant.remaining;
-  gp_tasks_guard_look_by (tasks, guard, MAX (guard->lease_until, now));
+  gp_tasks_guard_check_by (tasks, guard, MAX (guard->lease_until, now));
 }
 
 void
@@ -413,47 +422,47 @@
   reply.config_revision = tasks->revision;
   if (guard != NULL && guard->session == session)
     {
-      note_heartbeat (tasks, guard, heartbeat);
+      record_heartbeat (tasks, guard, heartbeat);
       if (heartbeat->renew && heartbeat->lease_incarnation != 0)
-        renew (tasks, guard, heartbeat, &reply);
+        renew_lease (tasks, guard, heartbeat, &reply);
     }
   gp_session_send (session, &envelope);
   if (guard != NULL)
-    gp_tasks_guard_settle (tasks, guard);
+    gp_tasks_guard_update_state (tasks, guard);
 }
 
-/* The log.  */
+/* Changes read from the log.  */
 
 static void
 on_adopted (gp_tasks_t *tasks, const gp_fold_guard_t *state)
 {
-  gp_tasks_guard_t *guard = gp_tasks_guard (tasks, state->name);
+  gp_tasks_guard_t *guard = gp_tasks_ensure_guard (tasks, state->name);
 
-  if (guard->adopt <= state->incarnation)
-    guard->adopt = 0;
-  guard->fence = guard->fence_done = 0;
+  if (guard->adopt_incarnation <= state->incarnation)
+    guard->adopt_incarnation = 0;
+  guard->fence_incarnation = guard->fence_done_incarnation = 0;
   gp_lease_grantor_registered (&tasks->grantor, state->name,
                                state->incarnation, gp_tasks_now (tasks));
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
 }
 
 static void
 on_fenced (gp_tasks_t *tasks, const gp_fold_guard_t *state)
 {
-  gp_tasks_guard_t *guard = gp_tasks_guard (tasks, state->name);
+  gp_tasks_guard_t *guard = gp_tasks_ensure_guard (tasks, state->name);
 
-  guard->fence = 0;
+  guard->fence_incarnation = 0;
   gp_lease_grantor_fence_read (&tasks->grantor, state->name,
                                state->incarnation, gp_tasks_now (tasks));
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
 }
 
 static void
 on_gone (gp_tasks_t *tasks, const gp_fold_guard_t *state)
 {
-  gp_tasks_guard (tasks, state->name)->fence_done = 0;
+  gp_tasks_ensure_guard (tasks, state->name)->fence_done_incarnation = 0;
   gp_lease_grantor_fence_done_read (&tasks->grantor, state->name,
                                     state->incarnation);
 }
@@ -472,19 +481,21 @@
       gp_counter_add (&fences, 1);
       gp_log (GP_LOG_WARNING, "guard.fenced", GP_LOG_S ("guard", state->name),
               GP_LOG_I ("incarnation", state->incarnation));
-      gp_tasks_event (tasks, GP_TIMELINE_FENCE, 0, 0, state->name, "fenced");
+      gp_tasks_add_event (tasks, GP_TIMELINE_FENCE, 0, 0, state->name,
+                          "fenced");
       on_fenced (tasks, state);
       break;
     case GP_FOLD_GUARD_GONE:
       gp_log (GP_LOG_WARNING, "guard.gone", GP_LOG_S ("guard", state->name),
               GP_LOG_I ("incarnation", state->incarnation));
-      gp_tasks_event (tasks, GP_TIMELINE_FENCE, 0, 0, state->name, "done");
+      gp_tasks_add_event (tasks, GP_TIMELINE_FENCE, 0, 0, state->name, "done");
       on_gone (tasks, state);
       break;
     case GP_FOLD_GUARD_DROPPED:
       gp_lease_grantor_removed (&tasks->grantor, state->name);
-      gp_tasks_guard_look_by (tasks, gp_tasks_guard (tasks, state->name),
-                              gp_tasks_now (tasks));
+      gp_tasks_guard_check_by (tasks,
+                               gp_tasks_ensure_guard (tasks, state->name),
+                               gp_tasks_now (tasks));
       break;
     default:
       break;
@@ -500,7 +511,7 @@
 
   g_hash_table_iter_init (&iter, tasks->guards);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    gp_tasks_guard_look_by (tasks, value, gp_tasks_now (tasks));
+    gp_tasks_guard_check_by (tasks, value, gp_tasks_now (tasks));
   g_hash_table_iter_init (&iter, gp_store_fold (tasks->store)->guards);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     {
--- a/src/daemon/tasks_mirror.c
+++ b/src/daemon/tasks_mirror.c
@@ -1,4 +1,5 @@
-/* The mirror of the fold's tasks: changes of the log carried over.  */
+/* The mirror of the fold's tasks: applies the changes that come from the
+   log.  */
 
 #include "daemon/tasks_private.h"
 
@@ -36,19 +37,20 @@
   gp_resources_t declared = declared_of (state);
 
   task->id = state->id;
-  task->kind = gp_tasks_kind (tasks, state->kind);
-  task->team = gp_tasks_team (tasks, state->team);
+  task->kind = gp_tasks_ensure_kind (tasks, state->kind);
+  task->team = gp_tasks_ensure_team (tasks, state->team);
   gp_pending_task_init (&task->pending, state->id, task->team->index,
                         (gp_work_class_t)state->work_class, &declared,
                         latest_start (tasks, task, state));
-  task->ask = (gp_placement_request_t){ .task = state->id,
-                                        .kind = task->kind->index,
-                                        .work_class
-                                        = (gp_work_class_t)state->work_class,
-                                        .group = task->kind->index,
-                                        .demand = declared,
-                                        .previous = GP_WORKER_NONE,
-                                        .held = GP_WORKER_NONE };
+  task->request
+      = (gp_placement_request_t){ .task = state->id,
+                                  .kind = task->kind->index,
+                                  .work_class
+                                  = (gp_work_class_t)state->work_class,
+                                  .group = task->kind->index,
+                                  .demand = declared,
+                                  .previous = GP_WORKER_NONE,
+                                  .held = GP_WORKER_NONE };
   gp_list_init (&task->placed_link);
   gp_list_init (&task->due_link);
   g_hash_table_add (tasks->tasks, task);
@@ -58,9 +60,9 @@
 static void
 count_watcher (gp_tasks_t *tasks, gp_tasks_task_t *task, int amount)
 {
-  if (task->ask.work_class != GP_WORK_WATCHER)
+  if (task->request.work_class != GP_WORK_WATCHER)
     return;
-  task->kind->live += (uint32_t)amount;
+  task->kind->live_count += (uint32_t)amount;
   tasks->watchers_changed = true;
 }
 
@@ -71,27 +73,27 @@
 
   if (!state->cancelled)
     count_watcher (tasks, task, 1);
-  task->kind->seed_us = MAX (task->kind->seed_us, state->submitted_us);
-  gp_tasks_event (tasks, GP_TIMELINE_TASK_SUBMITTED, state->id, 0, NULL,
-                  state->kind);
+  task->kind->id_seed_us = MAX (task->kind->id_seed_us, state->submitted_us);
+  gp_tasks_add_event (tasks, GP_TIMELINE_TASK_SUBMITTED, state->id, 0, NULL,
+                      state->kind);
 }
 
-/* The last epoch of TASK ended on GUARD.  */
+/* Records for suspicion that the last epoch of TASK ended on GUARD.  */
 static void
-note_outcome (gp_tasks_t *tasks, gp_tasks_task_t *task,
-              const gp_fold_task_t *state, gp_tasks_guard_t *guard)
+record_outcome (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                const gp_fold_task_t *state, gp_tasks_guard_t *guard)
 {
   bool failed = state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_FAILED;
   bool succeeded
       = state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED;
 
-  if (!guard->added || (!failed && !succeeded))
+  if (!guard->in_fleet || (!failed && !succeeded))
     return;
   if (gp_suspects_outcome (&tasks->suspects, task->id, &task->failures,
                            guard->worker.index, failed, gp_tasks_now (tasks)))
     {
-      gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-      gp_tasks_guard_settle (tasks, guard);
+      gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+      gp_tasks_guard_update_state (tasks, guard);
     }
 }
 
@@ -99,63 +101,66 @@
 count_lost (gp_tasks_t *tasks, const gp_fold_task_t *state)
 {
   if (state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_LOST)
-    tasks->lost++;
+    tasks->lost_count++;
 }
 
 static void
-on_epoch_over (gp_tasks_t *tasks, gp_tasks_task_t *task,
-               const gp_fold_task_t *state, const gp_fold_guard_t *of)
+on_epoch_ended (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                const gp_fold_task_t *state, const gp_fold_guard_t *fold_guard)
 {
   gp_tasks_guard_t *guard
-      = of == NULL ? NULL : gp_tasks_guard (tasks, of->name);
+      = fold_guard == NULL ? NULL
+                           : gp_tasks_ensure_guard (tasks, fold_guard->name);
 
   if (task->stage == GP_TASKS_GRANTED && task->peak.memory_mib > 0)
     gp_estimate_observe_use (&task->kind->estimate, &task->peak);
   gp_tasks_dequeue (tasks, task);
-  gp_tasks_unput (tasks, task);
-  tasks->released++;
+  gp_tasks_release (tasks, task);
+  tasks->release_count++;
   gp_list_remove (&task->due_link);
   if (guard != NULL)
     {
-      note_outcome (tasks, task, state, guard);
+      record_outcome (tasks, task, state, guard);
       count_lost (tasks, state);
     }
-  task->ask.previous
-      = guard != NULL && guard->added ? guard->worker.index : GP_WORKER_NONE;
+  task->request.previous = guard != NULL && guard->in_fleet
+                               ? guard->worker.index
+                               : GP_WORKER_NONE;
   task->running = task->over_quota = task->throttled = false;
-  task->ending = task->checkpointing = false;
+  task->end_proposed = task->checkpoint_proposed = false;
   task->peak = (gp_resources_t){ 0 };
 }
 
 static void
 on_returned (gp_tasks_t *tasks, gp_tasks_task_t *task,
-             const gp_fold_task_t *state, const gp_fold_guard_t *of)
+             const gp_fold_task_t *state, const gp_fold_guard_t *fold_guard)
 {
   bool backoff
       = state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_REFUSED
         || state->end_state == GP__WIRE__TASK_STATE__TASK_STATE_FAILED;
 
-  gp_tasks_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
-                  of == NULL ? NULL : of->name, "returned");
-  on_epoch_over (tasks, task, state, of);
+  gp_tasks_add_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
+                      fold_guard == NULL ? NULL : fold_guard->name,
+                      "returned");
+  on_epoch_ended (tasks, task, state, fold_guard);
   if (backoff)
-    task->ask.previous = GP_WORKER_NONE;
-  task->ask.has_checkpoint = state->checkpoint != NULL;
+    task->request.previous = GP_WORKER_NONE;
+  task->request.has_checkpoint = state->checkpoint != NULL;
   gp_tasks_enqueue (tasks, task, backoff);
 }
 
 static void
 on_ended (gp_tasks_t *tasks, gp_tasks_task_t *task,
-          const gp_fold_task_t *state, const gp_fold_guard_t *of)
+          const gp_fold_task_t *state, const gp_fold_guard_t *fold_guard)
 {
-  gp_tasks_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
-                  of == NULL ? NULL : of->name,
-                  state->cancelled ? "cancelled" : "ended");
-  on_epoch_over (tasks, task, state, of);
-  /* One that was granted has been counted off when it was cancelled.  */
-  if (!state->cancelled || of == NULL)
+  gp_tasks_add_event (tasks, GP_TIMELINE_TASK_ENDED, state->id, state->epoch,
+                      fold_guard == NULL ? NULL : fold_guard->name,
+                      state->cancelled ? "cancelled" : "ended");
+  on_epoch_ended (tasks, task, state, fold_guard);
+  /* A task that was granted when it was cancelled was subtracted then.  */
+  if (!state->cancelled || fold_guard == NULL)
     count_watcher (tasks, task, -1);
-  gp_placement_drop_hold (&tasks->placement, &task->ask);
+  gp_placement_drop_hold (&tasks->placement, &task->request);
   g_hash_table_remove (tasks->tasks, task);
 }
 
@@ -176,17 +181,18 @@
   switch ((int)change->kind)
     {
     case GP_FOLD_TASK_GRANTED:
-      gp_tasks_granted (tasks, task, state, guard);
+      gp_tasks_on_granted (tasks, task, state, guard);
       break;
     case GP_FOLD_TASK_CHECKPOINT:
-      task->saved_at = gp_tasks_now (tasks);
-      gp_tasks_event (tasks, GP_TIMELINE_TASK_CHECKPOINTED, state->id,
-                      state->epoch, guard == NULL ? NULL : guard->name, NULL);
+      task->progress_saved_at = gp_tasks_now (tasks);
+      gp_tasks_add_event (tasks, GP_TIMELINE_TASK_CHECKPOINTED, state->id,
+                          state->epoch, guard == NULL ? NULL : guard->name,
+                          NULL);
       break;
     case GP_FOLD_TASK_CANCELLING:
       count_watcher (tasks, task, -1);
-      task->waits_since = gp_tasks_now (tasks);
-      gp_tasks_push (tasks, task);
+      task->waiting_since = gp_tasks_now (tasks);
+      gp_tasks_send_pending (tasks, task);
       break;
     case GP_FOLD_TASK_RETURNED:
       on_returned (tasks, task, state, guard);
@@ -196,9 +202,9 @@
       break;
     case GP_FOLD_TASK_PARKED:
       gp_tasks_dequeue (tasks, task);
-      task->parking = false;
-      gp_tasks_event (tasks, GP_TIMELINE_TASK_PARKED, state->id, state->epoch,
-                      NULL, NULL);
+      task->park_proposed = false;
+      gp_tasks_add_event (tasks, GP_TIMELINE_TASK_PARKED, state->id,
+                          state->epoch, NULL, NULL);
       break;
     case GP_FOLD_TASK_UNPARKED:
       task->failures.n = 0;
@@ -243,12 +249,11 @@
     case GP_FOLD_SNAPSHOT:
       break;
     }
-  gp_tasks_place_soon (tasks);
+  gp_tasks_schedule_placement (tasks);
 }
 
-/* Drop the mirror; what the fleet holds of it goes with it.  */
 void
-gp_tasks_forget_all (gp_tasks_t *tasks)
+gp_tasks_clear_mirror (gp_tasks_t *tasks)
 {
   GHashTableIter iter;
   gpointer value;
@@ -259,14 +264,14 @@
       gp_tasks_task_t *task = value;
 
       gp_tasks_dequeue (tasks, task);
-      gp_tasks_unput (tasks, task);
+      gp_tasks_release (tasks, task);
       gp_list_remove (&task->due_link);
-      gp_placement_drop_hold (&tasks->placement, &task->ask);
+      gp_placement_drop_hold (&tasks->placement, &task->request);
       g_hash_table_iter_remove (&iter);
     }
   g_hash_table_iter_init (&iter, tasks->kinds);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    ((gp_tasks_kind_t *)value)->live = 0;
+    ((gp_tasks_kind_t *)value)->live_count = 0;
 }
 
 void
@@ -277,7 +282,7 @@
   GHashTableIter iter;
   gpointer key;
 
-  gp_tasks_forget_all (tasks);
+  gp_tasks_clear_mirror (tasks);
   gp_tasks_lease_rebuild (tasks);
   g_hash_table_iter_init (&iter, fold->tasks);
   while (g_hash_table_iter_next (&iter, &key, NULL))
@@ -288,10 +293,10 @@
         continue;
       on_submitted (tasks, state);
       if (state->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_GRANTED)
-        gp_tasks_granted (tasks, gp_tasks_find (tasks, state->id), state,
-                          state->guard);
+        gp_tasks_on_granted (tasks, gp_tasks_find (tasks, state->id), state,
+                             state->guard);
       if (state->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_PENDING)
         gp_tasks_enqueue (tasks, gp_tasks_find (tasks, state->id), false);
     }
-  gp_tasks_place_soon (tasks);
+  gp_tasks_schedule_placement (tasks);
 }
--- a/src/daemon/tasks_park.c
+++ b/src/daemon/tasks_park.c
@@ -1,15 +1,17 @@
-/* Tasks that can't run: too large for every worker, or failing everywhere.  */
+/* Tasks that cannot run: too large for every worker, or failing
+   everywhere.  */
 
 #include "daemon/tasks_private.h"
 
-/* Guards that are there have come by then.  */
-#define FLEET_COMES_IN (60 * GP_SEC)
+/* Time after the start by which all running guards should have
+   connected.  */
+#define FLEET_CONNECT_TIME (60 * GP_SEC)
 
 typedef struct
 {
   gp_tasks_t *tasks;
   uint64_t task;
-} parking_t;
+} park_proposal_t;
 
 /* Sizes.  */
 
@@ -29,16 +31,16 @@
 }
 
 bool
-gp_tasks_ever_fits (const gp_tasks_t *tasks, const gp_resources_t *demand)
+gp_tasks_may_ever_fit (const gp_tasks_t *tasks, const gp_resources_t *demand)
 {
   if (gp_fleet_can_ever_fit (&tasks->fleet, demand, GP_PLACEMENT_ALL_ZONES))
     return true;
   if (tasks->document != NULL && tasks->document->workers_count > 0)
     return fits_document (tasks->document, demand);
-  /* Without a list of workers in the document the fleet must have had the
-     time to come in.  */
+  /* Without a list of workers in the document, the answer is only known after
+     all guards have had time to connect.  */
   return tasks->fleet.shapes->len == 0
-         || gp_tasks_now (tasks) < tasks->started_at + FLEET_COMES_IN;
+         || gp_tasks_now (tasks) < tasks->started_at + FLEET_CONNECT_TIME;
 }
 
 /* Parking.  */
@@ -46,17 +48,17 @@
 static void
 on_parked (gp_proposal_result_t result, gp_fold_verdict_t verdict, void *data)
 {
-  parking_t *parking = data;
-  gp_tasks_task_t *task = gp_tasks_find (parking->tasks, parking->task);
+  park_proposal_t *proposal = data;
+  gp_tasks_task_t *task = gp_tasks_find (proposal->tasks, proposal->task);
 
   (void)verdict;
-  if (task != NULL && task->parking)
+  if (task != NULL && task->park_proposed)
     {
-      task->parking = false;
+      task->park_proposed = false;
       if (result == GP_PROPOSAL_EXPIRED && task->stage == GP_TASKS_IDLE)
-        gp_tasks_enqueue (parking->tasks, task, true);
+        gp_tasks_enqueue (proposal->tasks, task, true);
     }
-  g_free (parking);
+  g_free (proposal);
 }
 
 void
@@ -65,18 +67,18 @@
 {
   Gp__Record__Park park = GP__RECORD__PARK__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
-  parking_t *parking = g_new (parking_t, 1);
+  park_proposal_t *proposal = g_new (park_proposal_t, 1);
 
-  *parking = (parking_t){ tasks, task->id };
+  *proposal = (park_proposal_t){ tasks, task->id };
   park.task = task->id;
   park.reason = reason;
   record.record_case = GP__RECORD__RECORD__RECORD_PARK;
   record.park = &park;
-  task->parking = gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL,
-                                    on_parked, parking);
-  if (task->parking)
+  task->park_proposed = gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL,
+                                          on_parked, proposal);
+  if (task->park_proposed)
     return;
-  g_free (parking);
+  g_free (proposal);
   gp_tasks_enqueue (tasks, task, true);
 }
 
@@ -108,11 +110,11 @@
       const gp_fold_task_t *state
           = gp_fold_task (gp_store_fold (tasks->store), task->id);
 
-      if (task->team->mine && state != NULL
+      if (task->team->responsible && state != NULL
           && state->park_reason
                  == GP__RECORD__PARK_REASON__PARK_REASON_TOO_LARGE
           && state->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_PARKED
-          && gp_tasks_ever_fits (tasks, &task->pending.charge.resources))
+          && gp_tasks_may_ever_fit (tasks, &task->pending.charge.resources))
         unpark (tasks, task->id);
     }
 }
--- a/src/daemon/tasks_place.c
+++ b/src/daemon/tasks_place.c
@@ -1,11 +1,11 @@
-/* From the queue to a granted and started task.
+/* Placement, grants and starts of queued tasks.
 
-   The queue holds the pending tasks of the teams that this entry places.  A
-   chosen worker is reserved and a Grant proposed; what follows comes from the
-   log.  The Start is sent when the grant is read, and again until the guard
-   answers, by whichever entry is responsible then: a guard tells copies
-   apart.  A grant that is over the team's quota in log order is not started;
-   its guard is told to end it as refused.  */
+   The queue holds the pending tasks of the teams that this entry places.  For
+   a chosen worker, resources are reserved and a Grant is proposed; everything
+   else follows from the log.  The Start is sent when the grant is read, and
+   repeated until the guard answers, by whichever entry is responsible at that
+   time; guards ignore duplicates.  A grant that exceeds the team's quota in
+   log order is not started: its guard gets a Stop and ends it as refused.  */
 
 #include "daemon/tasks_private.h"
 
@@ -13,33 +13,34 @@
 
 #include "base/counters.h"
 
-#define PLACED_PER_TURN 256
+#define MAX_PLACED_PER_ROUND 256
 #define HOLD_TIME (60 * GP_SEC)
-/* After so many tasks in a row without room the rest stay in their order
-   until there is more room, or this long.  */
-#define MISSES_PER_TURN 32
-#define FULL_TIME (500 * GP_MSEC)
-/* Room that comes free again and again is looked at this often.  */
-#define ROOM_PERIOD (5 * GP_MSEC)
-#define ZONES_LEAST 16
-#define WORKERS_LEAST 64
-/* A batch task with more time to spare than this may wait for a worker where
-   it does no harm.  */
-#define LAXITY_TO_WAIT (60 * GP_SEC)
-#define HARM_WITH_LAXITY 0.02
-/* A mass loss is that many epochs in one second; starts are paced then.  */
-#define LOST_TO_PACE 300
-#define PACE_RATE 1300.0
-#define PACE_BURST 200.0
-/* Entries that are not responsible act after so many periods.  */
-#define PATIENCE_OF_OTHERS 5
+/* After this many tasks in a row that could not be placed, the rest stay
+   queued until resources come free, but at most for FULL_RETRY_TIME.  */
+#define MAX_MISSES_PER_ROUND 32
+#define FULL_RETRY_TIME (500 * GP_MSEC)
+/* Minimum time between two reactions to resources that came free.  */
+#define GROWTH_CHECK_INTERVAL (5 * GP_MSEC)
+#define MIN_ZONES 16
+#define MIN_WORKERS 64
+/* A batch task with more laxity than this waits for a worker where its
+   expected interference is at most MAX_INTERFERENCE_WITH_LAXITY.  */
+#define MIN_LAXITY_TO_WAIT (60 * GP_SEC)
+#define MAX_INTERFERENCE_WITH_LAXITY 0.02
+/* If this many epochs are lost within one second, the rate of starts is
+   limited.  */
+#define LOST_TO_LIMIT_STARTS 300
+#define START_RATE 1300.0
+#define START_BURST 200.0
+/* Entries that are not responsible act after this many due_periods.  */
+#define PERIODS_BEFORE_OTHERS_ACT 5
 
 typedef struct
 {
   gp_tasks_t *tasks;
   uint64_t task;
   uint64_t epoch;
-} granting_t;
+} grant_proposal_t;
 
 static gp_counter_t grants_proposed
     = GP_COUNTER ("entry_grants_proposed_total", "Grants proposed.");
@@ -53,7 +54,7 @@
 void
 gp_tasks_place_init (gp_tasks_t *tasks)
 {
-  uint32_t zones = ZONES_LEAST;
+  uint32_t zones = MIN_ZONES;
 
   for (uint32_t i = 0; i < tasks->settings->regions_count; i++)
     zones += tasks->settings->regions[i].zones_count;
@@ -66,8 +67,7 @@
   gp_placement_init (&tasks->placement, &GP_PLACEMENT_WEIGHTS_DEFAULT,
                      &tasks->fleet, &tasks->spread, &tasks->interference);
   gp_suspects_init (&tasks->suspects, &GP_SUSPECTS_DEFAULTS,
-                    g_new (gp_suspects_worker_t, WORKERS_LEAST),
-                    WORKERS_LEAST);
+                    g_new (gp_suspects_worker_t, MIN_WORKERS), MIN_WORKERS);
   gp_counter_register (&grants_proposed);
   gp_counter_register (&grants_void);
   gp_counter_register (&starts_sent);
@@ -92,16 +92,16 @@
 {
   gp_time_t now = gp_tasks_now (tasks);
 
-  if (!task->team->mine)
+  if (!task->team->responsible)
     return;
   task->stage = GP_TASKS_QUEUED;
-  tasks->released++;
+  tasks->release_count++;
   if (backoff)
     (void)gp_pending_defer (&tasks->pending, &tasks->quota, &task->pending,
                             GP_PENDING_OTHER, now);
   else
     gp_pending_add (&tasks->pending, &task->pending, now);
-  gp_tasks_place_soon (tasks);
+  gp_tasks_schedule_placement (tasks);
 }
 
 void
@@ -116,28 +116,28 @@
 static void
 count_running (gp_tasks_task_t *task, bool running)
 {
-  if (task->counted == running)
+  if (task->counted_as_running == running)
     return;
-  task->counted = running;
-  task->team->running += running ? 1U : UINT32_MAX;
+  task->counted_as_running = running;
+  task->team->running_count += running ? 1U : UINT32_MAX;
 }
 
 void
-gp_tasks_put (gp_tasks_t *tasks, gp_tasks_task_t *task,
-              gp_tasks_guard_t *guard)
+gp_tasks_reserve (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                  gp_tasks_guard_t *guard)
 {
   task->guard = guard;
   task->confirmed = false;
   gp_list_push_back (&guard->placed, &task->placed_link);
   count_running (task, true);
-  if (guard->added)
-    gp_placement_reserve (&tasks->placement, &task->ask, &guard->worker);
-  task->ask.held = GP_WORKER_NONE;
-  gp_tasks_weigh (tasks, guard, task, GP_RESIDENCY_UNTHROTTLED);
+  if (guard->in_fleet)
+    gp_placement_reserve (&tasks->placement, &task->request, &guard->worker);
+  task->request.held = GP_WORKER_NONE;
+  gp_tasks_record_residency (tasks, guard, task, GP_RESIDENCY_UNTHROTTLED);
 }
 
 void
-gp_tasks_unput (gp_tasks_t *tasks, gp_tasks_task_t *task)
+gp_tasks_release (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
   gp_tasks_guard_t *guard = task->guard;
 
@@ -146,11 +146,11 @@
     return;
   gp_tasks_confirm (tasks, task);
   gp_list_remove (&task->placed_link);
-  if (guard->added)
-    gp_placement_release (&tasks->placement, &task->ask, &guard->worker);
-  gp_tasks_weigh (tasks, guard, task,
-                  task->throttled ? -GP_RESIDENCY_THROTTLED
-                                  : -GP_RESIDENCY_UNTHROTTLED);
+  if (guard->in_fleet)
+    gp_placement_release (&tasks->placement, &task->request, &guard->worker);
+  gp_tasks_record_residency (tasks, guard, task,
+                             task->throttled ? -GP_RESIDENCY_THROTTLED
+                                             : -GP_RESIDENCY_UNTHROTTLED);
   task->guard = NULL;
 }
 
@@ -160,28 +160,30 @@
   if (task->confirmed || task->guard == NULL)
     return;
   task->confirmed = true;
-  if (task->guard->added)
-    gp_fleet_confirm (&tasks->fleet, &task->guard->worker, &task->ask.demand);
+  if (task->guard->in_fleet)
+    gp_fleet_confirm (&tasks->fleet, &task->guard->worker,
+                      &task->request.demand);
 }
 
 /* Placement.  */
 
-/* The largest worker, by each component.  */
+/* The maximum capacity of any worker, separately for each resource.  */
 static gp_resources_t
-largest (const gp_tasks_t *tasks)
+max_capacity (const gp_tasks_t *tasks)
 {
-  gp_resources_t most = { 0, 0, 0 };
+  gp_resources_t maximum = { 0, 0, 0 };
 
   for (guint i = 0; i < tasks->fleet.shapes->len; i++)
     {
       const gp_resources_t *capacity
           = &g_array_index (tasks->fleet.shapes, gp_fleet_shape_t, i).capacity;
 
-      most.millicores = MAX (most.millicores, capacity->millicores);
-      most.memory_mib = MAX (most.memory_mib, capacity->memory_mib);
-      most.accelerators = MAX (most.accelerators, capacity->accelerators);
+      maximum.millicores = MAX (maximum.millicores, capacity->millicores);
+      maximum.memory_mib = MAX (maximum.memory_mib, capacity->memory_mib);
+      maximum.accelerators
+          = MAX (maximum.accelerators, capacity->accelerators);
     }
-  return most;
+  return maximum;
 }
 
 static void
@@ -189,10 +191,11 @@
 {
   gp_worker_t *worker;
 
-  task->ask.held = gp_placement_hold (&tasks->placement, &task->ask, until);
-  worker = gp_fleet_worker (&tasks->fleet, task->ask.held);
+  task->request.held
+      = gp_placement_hold (&tasks->placement, &task->request, until);
+  worker = gp_fleet_worker (&tasks->fleet, task->request.held);
   if (worker != NULL)
-    gp_tasks_guard_look_by (tasks, gp_tasks_guard_of_worker (worker), until);
+    gp_tasks_guard_check_by (tasks, gp_tasks_guard_of_worker (worker), until);
 }
 
 static void
@@ -204,15 +207,16 @@
 
   task->stage = GP_TASKS_QUEUED;
   if (hold && cause == GP_PENDING_NO_CAPACITY
-      && task->ask.held == GP_WORKER_NONE)
+      && task->request.held == GP_WORKER_NONE)
     hold_worker (tasks, task, now + HOLD_TIME);
 }
 
-/* The grant did not come about: wait for another.  */
+/* Releases the worker and queues TASK again after its grant was not
+   accepted.  */
 static void
-give_back (gp_tasks_t *tasks, gp_tasks_task_t *task)
+requeue_after_grant (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
-  gp_tasks_unput (tasks, task);
+  gp_tasks_release (tasks, task);
   gp_tasks_dequeue (tasks, task);
   gp_tasks_enqueue (tasks, task, true);
 }
@@ -221,18 +225,19 @@
 on_grant_decided (gp_proposal_result_t result, gp_fold_verdict_t verdict,
                   void *data)
 {
-  granting_t *granting = data;
-  gp_tasks_t *tasks = granting->tasks;
-  gp_tasks_task_t *task = gp_tasks_find (tasks, granting->task);
+  grant_proposal_t *proposal = data;
+  gp_tasks_t *tasks = proposal->tasks;
+  gp_tasks_task_t *task = gp_tasks_find (tasks, proposal->task);
   bool accepted = result == GP_PROPOSAL_DECIDED && verdict == GP_FOLD_ACCEPTED;
 
   if (!accepted)
     gp_counter_add (&grants_void, 1);
-  /* An accepted grant was seen as a change before this.  */
+  /* An accepted grant has changed the stage in gp_tasks_on_granted before this
+     call.  */
   if (task != NULL && task->stage == GP_TASKS_PROPOSED
-      && task->epoch == granting->epoch)
-    give_back (tasks, task);
-  g_free (granting);
+      && task->epoch == proposal->epoch)
+    requeue_after_grant (tasks, task);
+  g_free (proposal);
 }
 
 static bool
@@ -241,7 +246,7 @@
 {
   Gp__Record__Grant grant = GP__RECORD__GRANT__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
-  granting_t *granting;
+  grant_proposal_t *proposal;
 
   grant.task = task->id;
   grant.epoch = task->epoch;
@@ -249,34 +254,36 @@
   grant.guard_incarnation = guard->incarnation;
   record.record_case = GP__RECORD__RECORD__RECORD_GRANT;
   record.grant = &grant;
-  granting = g_new (granting_t, 1);
-  *granting = (granting_t){ tasks, task->id, task->epoch };
+  proposal = g_new (grant_proposal_t, 1);
+  *proposal = (grant_proposal_t){ tasks, task->id, task->epoch };
   if (gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL, on_grant_decided,
-                        granting))
+                        proposal))
     return true;
-  g_free (granting);
+  g_free (proposal);
   return false;
 }
 
 static void
-fill_ask (gp_tasks_t *tasks, gp_tasks_task_t *task)
+fill_request (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
-  gp_placement_request_t *ask = &task->ask;
-  gp_resources_t most = largest (tasks);
+  gp_placement_request_t *request = &task->request;
+  gp_resources_t maximum = max_capacity (tasks);
   gp_time_t laxity = task->pending.latest_start - gp_tasks_now (tasks);
 
-  ask->zones = tasks->zones & ~tasks->evacuated;
-  ask->demand = gp_estimate_reservation (
-      &task->kind->estimate, &task->pending.charge.resources, &most);
-  ask->harm_limit = ask->work_class == GP_WORK_BATCH && laxity > LAXITY_TO_WAIT
-                        ? HARM_WITH_LAXITY
-                        : (double)INFINITY;
-  ask->n_avoided = MIN (task->failures.n, GP_PLACEMENT_AVOIDED_MAX);
-  for (unsigned i = 0; i < ask->n_avoided; i++)
-    ask->avoided[i] = task->failures.workers[i];
+  request->zones = tasks->zones & ~tasks->evacuated;
+  request->demand = gp_estimate_reservation (
+      &task->kind->estimate, &task->pending.charge.resources, &maximum);
+  request->harm_limit
+      = request->work_class == GP_WORK_BATCH && laxity > MIN_LAXITY_TO_WAIT
+            ? MAX_INTERFERENCE_WITH_LAXITY
+            : (double)INFINITY;
+  request->n_avoided = MIN (task->failures.n, GP_PLACEMENT_AVOIDED_MAX);
+  for (unsigned i = 0; i < request->n_avoided; i++)
+    request->avoided[i] = task->failures.workers[i];
 }
 
-/* A worker was found: reserve it and propose the grant.  */
+/* Proposes the grant of TASK on WORKER and reserves its resources; false if
+   the log accepts no records.  */
 static bool
 choose_worker (gp_tasks_t *tasks, gp_tasks_task_t *task, gp_worker_t *worker,
                const gp_fold_task_t *state)
@@ -298,17 +305,17 @@
     }
   gp_counter_add (&grants_proposed, 1);
   task->stage = GP_TASKS_PROPOSED;
-  gp_tasks_put (tasks, task, guard);
-  if (guard->added)
+  gp_tasks_reserve (tasks, task, guard);
+  if (guard->in_fleet)
     gp_suspects_started (&tasks->suspects, task->id, worker->index,
                          gp_tasks_now (tasks));
-  gp_tasks_guard_look_by (tasks, guard, gp_tasks_now (tasks));
-  gp_tasks_guard_settle (tasks, guard);
+  gp_tasks_guard_check_by (tasks, guard, gp_tasks_now (tasks));
+  gp_tasks_guard_update_state (tasks, guard);
   return true;
 }
 
-/* Try to place TASK, which was taken from the queue; false when the log takes
-   nothing.  */
+/* Tries to place TASK, which was taken from the queue; false if the log
+   accepts no records.  */
 static bool
 place_one (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
@@ -317,7 +324,7 @@
   gp_placement_choice_t choice;
 
   task->stage = GP_TASKS_IDLE;
-  if (task->team->running >= task->team->max_tasks)
+  if (task->team->running_count >= task->team->max_tasks)
     {
       defer (tasks, task, GP_PENDING_NO_QUOTA);
       task->outcome = GP_PLACEMENT_QUOTA;
@@ -329,8 +336,8 @@
       gp_tasks_park (tasks, task, GP__RECORD__PARK_REASON__PARK_REASON_FAILS);
       return true;
     }
-  fill_ask (tasks, task);
-  choice = gp_placement_choose (&tasks->placement, &task->ask);
+  fill_request (tasks, task);
+  choice = gp_placement_choose (&tasks->placement, &task->request);
   task->outcome = choice.outcome;
   task->cost = choice.cost;
   switch (choice.outcome)
@@ -338,7 +345,7 @@
     case GP_PLACEMENT_CHOSEN:
       return choose_worker (tasks, task, choice.worker, state);
     case GP_PLACEMENT_NEVER_FITS:
-      if (gp_tasks_ever_fits (tasks, &task->pending.charge.resources))
+      if (gp_tasks_may_ever_fit (tasks, &task->pending.charge.resources))
         defer (tasks, task, GP_PENDING_NO_CAPACITY);
       else
         gp_tasks_park (tasks, task,
@@ -358,51 +365,54 @@
   return true;
 }
 
-/* Pace the starts after a mass loss until the queue is empty.  */
+/* Limits the rate of starts after the loss of LOST_TO_LIMIT_STARTS epochs
+   within one second, until the queue is empty.  */
 static void
-set_pace (gp_tasks_t *tasks, gp_time_t now)
+limit_start_rate (gp_tasks_t *tasks, gp_time_t now)
 {
-  if (!tasks->paced && tasks->lost >= LOST_TO_PACE)
+  if (!tasks->starts_limited && tasks->lost_count >= LOST_TO_LIMIT_STARTS)
     {
-      gp_pending_set_rate (&tasks->pending, PACE_RATE, PACE_BURST, now);
-      tasks->paced = true;
+      gp_pending_set_rate (&tasks->pending, START_RATE, START_BURST, now);
+      tasks->starts_limited = true;
     }
-  if (tasks->paced && gp_pending_length (&tasks->pending) == 0)
+  if (tasks->starts_limited && gp_pending_length (&tasks->pending) == 0)
     {
       gp_pending_set_rate (&tasks->pending, 0, 0, now);
-      tasks->paced = false;
+      tasks->starts_limited = false;
     }
-  if (now - tasks->lost_since < GP_SEC)
+  if (now - tasks->lost_count_since < GP_SEC)
     return;
-  tasks->lost = 0;
-  tasks->lost_since = now;
+  tasks->lost_count = 0;
+  tasks->lost_count_since = now;
 }
 
 static bool
-is_roomier (const gp_tasks_t *tasks)
+capacity_has_grown (const gp_tasks_t *tasks)
 {
-  return tasks->full_growth != tasks->fleet.growth_count + tasks->released;
+  return tasks->seen_growth
+         != tasks->fleet.growth_count + tasks->release_count;
 }
 
 static bool
 is_full (const gp_tasks_t *tasks, gp_time_t now)
 {
   return now < tasks->full_until
-         && (!is_roomier (tasks) || now < tasks->room_at);
+         && (!capacity_has_grown (tasks) || now < tasks->next_growth_check);
 }
 
 static void
-place_some (gp_tasks_t *tasks, gp_time_t now)
+place_batch (gp_tasks_t *tasks, gp_time_t now)
 {
   unsigned int misses = 0;
 
-  if (is_roomier (tasks) && now >= tasks->room_at)
+  if (capacity_has_grown (tasks) && now >= tasks->next_growth_check)
     {
-      gp_pending_end_backoffs (&tasks->pending, MISSES_PER_TURN);
-      tasks->full_growth = tasks->fleet.growth_count + tasks->released;
-      tasks->room_at = now + ROOM_PERIOD;
+      gp_pending_end_backoffs (&tasks->pending, MAX_MISSES_PER_ROUND);
+      tasks->seen_growth = tasks->fleet.growth_count + tasks->release_count;
+      tasks->next_growth_check = now + GROWTH_CHECK_INTERVAL;
     }
-  for (int i = 0; i < PLACED_PER_TURN && misses < MISSES_PER_TURN; i++)
+  for (int i = 0; i < MAX_PLACED_PER_ROUND && misses < MAX_MISSES_PER_ROUND;
+       i++)
     {
       gp_pending_task_t *next
           = gp_pending_next (&tasks->pending, &tasks->quota, now);
@@ -415,8 +425,8 @@
         return;
       misses = task->stage == GP_TASKS_PROPOSED ? 0 : misses + 1;
     }
-  if (misses >= MISSES_PER_TURN)
-    tasks->full_until = now + FULL_TIME;
+  if (misses >= MAX_MISSES_PER_ROUND)
+    tasks->full_until = now + FULL_RETRY_TIME;
 }
 
 void
@@ -425,48 +435,49 @@
   gp_time_t now = gp_tasks_now (tasks);
   gp_time_t wake;
 
-  set_pace (tasks, now);
+  limit_start_rate (tasks, now);
   if (gp_store_ready (tasks->store) && !is_full (tasks, now))
-    place_some (tasks, now);
+    place_batch (tasks, now);
   wake = MAX (gp_pending_next_wake (&tasks->pending, now), now + GP_MSEC);
   if (is_full (tasks, now))
     wake = MAX (wake, tasks->full_until);
-  if (is_roomier (tasks))
-    wake = MIN (wake, MAX (tasks->room_at, now + GP_MSEC));
-  gp_timer_arm (&tasks->timer, MIN (wake, tasks->tick_at));
+  if (capacity_has_grown (tasks))
+    wake = MIN (wake, MAX (tasks->next_growth_check, now + GP_MSEC));
+  gp_timer_arm (&tasks->timer, MIN (wake, tasks->next_tick));
 }
 
-/* Grants that were read.  */
+/* Grants read from the log.  */
 
 void
-gp_tasks_granted (gp_tasks_t *tasks, gp_tasks_task_t *task,
-                  const gp_fold_task_t *state, const gp_fold_guard_t *of)
+gp_tasks_on_granted (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                     const gp_fold_task_t *state,
+                     const gp_fold_guard_t *fold_guard)
 {
-  gp_tasks_guard_t *guard = gp_tasks_guard (tasks, of->name);
+  gp_tasks_guard_t *guard = gp_tasks_ensure_guard (tasks, fold_guard->name);
   bool own = task->stage == GP_TASKS_PROPOSED && task->guard == guard
              && task->epoch == state->epoch;
 
   if (!own)
     {
       gp_tasks_dequeue (tasks, task);
-      gp_tasks_unput (tasks, task);
-      task->ask.demand = task->pending.charge.resources;
-      gp_tasks_put (tasks, task, guard);
+      gp_tasks_release (tasks, task);
+      task->request.demand = task->pending.charge.resources;
+      gp_tasks_reserve (tasks, task, guard);
       gp_tasks_confirm (tasks, task);
     }
   task->over_quota = !gp_quota_grant (&tasks->quota, &task->pending.charge);
   gp_counter_add (&over_quota, task->over_quota);
   task->stage = GP_TASKS_GRANTED;
   task->epoch = state->epoch;
-  task->running = task->ending = task->checkpointing = false;
-  task->saved_at = gp_tasks_now (tasks);
-  task->waits_since = task->saved_at;
+  task->running = task->end_proposed = task->checkpoint_proposed = false;
+  task->progress_saved_at = gp_tasks_now (tasks);
+  task->waiting_since = task->progress_saved_at;
   task->reported_at = 0;
-  gp_tasks_event (tasks, GP_TIMELINE_TASK_GRANTED, state->id, state->epoch,
-                  of->name, NULL);
+  gp_tasks_add_event (tasks, GP_TIMELINE_TASK_GRANTED, state->id, state->epoch,
+                      fold_guard->name, NULL);
   gp_tasks_set_due (tasks, task);
   if (own)
-    gp_tasks_push (tasks, task);
+    gp_tasks_send_pending (tasks, task);
 }
 
 static void
@@ -480,9 +491,9 @@
   start->work_class = (Gp__Wire__WorkClass)state->work_class;
   start->team = state->team;
   start->resources = resources;
-  resources->millicores = task->ask.demand.millicores;
-  resources->memory_mib = task->ask.demand.memory_mib;
-  resources->accelerators = task->ask.demand.accelerators;
+  resources->millicores = task->request.demand.millicores;
+  resources->memory_mib = task->request.demand.memory_mib;
+  resources->accelerators = task->request.demand.accelerators;
   start->checkpoint.data = gp_blob_data (state->checkpoint);
   start->checkpoint.len = gp_blob_size (state->checkpoint);
 }
@@ -504,19 +515,20 @@
   g_free (payload);
 }
 
-/* Whether this entry is to act on TASK now: the responsible one and the one
-   that was granted it at once, another when nothing has come of that.  */
+/* Whether this entry may send messages about TASK now.  The responsible entry
+   and the one that proposed the grant do so at once, the others when the task
+   still waits after PERIODS_BEFORE_OTHERS_ACT periods.  */
 static bool
-acts_on (const gp_tasks_t *tasks, const gp_tasks_task_t *task)
+may_act_on (const gp_tasks_t *tasks, const gp_tasks_task_t *task)
 {
-  gp_time_t waited = gp_tasks_now (tasks) - task->waits_since;
+  gp_time_t waited = gp_tasks_now (tasks) - task->waiting_since;
 
-  return task->team->mine || !task->confirmed
-         || waited >= PATIENCE_OF_OTHERS * tasks->due_period;
+  return task->team->responsible || !task->confirmed
+         || waited >= PERIODS_BEFORE_OTHERS_ACT * tasks->due_period;
 }
 
 void
-gp_tasks_push (gp_tasks_t *tasks, gp_tasks_task_t *task)
+gp_tasks_send_pending (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
   const gp_fold_task_t *state
       = gp_fold_task (gp_store_fold (tasks->store), task->id);
@@ -527,10 +539,10 @@
   if (task->running && !state->cancelled)
     return;
   gp_tasks_set_due (tasks, task);
-  if (task->guard->session == NULL || !acts_on (tasks, task))
+  if (task->guard->session == NULL || !may_act_on (tasks, task))
     return;
-  /* Only the guard knows whether another entry, with an older
-     configuration, has started what is over its quota here.  */
+  /* Another entry with an older configuration, in which the task is within
+     the quota, may have started it: only the guard knows.  */
   if (state->cancelled)
     gp_tasks_stop (tasks, task, GP__WIRE__STOP_MODE__STOP_MODE_CANCEL);
   else if (task->over_quota)
--- a/src/daemon/tasks_report.c
+++ b/src/daemon/tasks_report.c
@@ -1,10 +1,9 @@
-/* What guards report of tasks, and what they are told to stop.
+/* Reports of guards about tasks, and Stop messages to guards.
 
-   Every entry gets every report, and any may put it on the log.  The
-   responsible entry does so at once, another one when the report is repeated
-   after the usual period.  A report is acknowledged when its record was read
-   back, whatever the verdict, or when the log shows that the epoch is
-   over.  */
+   Every entry gets every report, and any of them may propose its record.  The
+   responsible entry does so at once, the others when the report is repeated
+   after due_period.  A report is acknowledged when its record was read back,
+   whatever the verdict, or when the log shows that the epoch is over.  */
 
 #include "daemon/tasks_private.h"
 
@@ -14,12 +13,12 @@
 {
   gp_tasks_t *tasks;
   char *guard;
-  uint64_t process; /* of the guard that reported: its incarnation */
+  uint64_t session_incarnation; /* incarnation of the guard's session */
   uint64_t task;
   uint64_t epoch;
   uint64_t number;
   Gp__Wire__TaskState state;
-} reporting_t;
+} pending_report_t;
 
 static gp_counter_t ends_proposed
     = GP_COUNTER ("entry_task_ends_proposed_total",
@@ -28,82 +27,82 @@
     "entry_task_acks_total", "Reports of guards that were acknowledged.");
 
 static void
-acknowledge (const reporting_t *reporting)
+acknowledge (const pending_report_t *pending)
 {
   gp_tasks_guard_t *guard
-      = gp_tasks_find_guard (reporting->tasks, reporting->guard);
+      = gp_tasks_find_guard (pending->tasks, pending->guard);
   Gp__Wire__TaskReportAck ack = GP__WIRE__TASK_REPORT_ACK__INIT;
   Gp__Wire__Envelope envelope
       = GP_ENVELOPE (TASK_REPORT_ACK, task_report_ack, &ack);
 
   if (guard == NULL || guard->session == NULL
-      || guard->session->incarnation != reporting->process)
+      || guard->session->incarnation != pending->session_incarnation)
     return;
-  ack.task = reporting->task;
-  ack.epoch = reporting->epoch;
-  ack.state = reporting->state;
-  ack.number = reporting->number;
+  ack.task = pending->task;
+  ack.epoch = pending->epoch;
+  ack.state = pending->state;
+  ack.number = pending->number;
   gp_counter_register (&acks_sent);
   gp_counter_add (&acks_sent, 1);
   gp_session_send (guard->session, &envelope);
 }
 
-static reporting_t *
-reporting_new (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
-               const Gp__Wire__TaskReport *report)
+static pending_report_t *
+pending_report_new (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
+                    const Gp__Wire__TaskReport *report)
 {
-  reporting_t *reporting = g_new (reporting_t, 1);
-
-  *reporting = (reporting_t){ .tasks = tasks,
-                              .guard = g_strdup (guard->name),
-                              .process = guard->session->incarnation,
-                              .task = report->task,
-                              .epoch = report->epoch,
-                              .number = report->number,
-                              .state = report->state };
-  return reporting;
+  pending_report_t *pending = g_new (pending_report_t, 1);
+
+  *pending
+      = (pending_report_t){ .tasks = tasks,
+                            .guard = g_strdup (guard->name),
+                            .session_incarnation = guard->session->incarnation,
+                            .task = report->task,
+                            .epoch = report->epoch,
+                            .number = report->number,
+                            .state = report->state };
+  return pending;
 }
 
 static void
-reporting_free (reporting_t *reporting)
+pending_report_free (pending_report_t *pending)
 {
-  g_free (reporting->guard);
-  g_free (reporting);
+  g_free (pending->guard);
+  g_free (pending);
 }
 
 static void
 on_decided (gp_proposal_result_t result, gp_fold_verdict_t verdict, void *data)
 {
-  reporting_t *reporting = data;
-  gp_tasks_task_t *task = gp_tasks_find (reporting->tasks, reporting->task);
+  pending_report_t *pending = data;
+  gp_tasks_task_t *task = gp_tasks_find (pending->tasks, pending->task);
 
   (void)verdict;
-  if (task != NULL && task->epoch == reporting->epoch)
+  if (task != NULL && task->epoch == pending->epoch)
     {
-      if (reporting->state == GP__WIRE__TASK_STATE__TASK_STATE_CHECKPOINTED)
-        task->checkpointing = false;
+      if (pending->state == GP__WIRE__TASK_STATE__TASK_STATE_CHECKPOINTED)
+        task->checkpoint_proposed = false;
       else
-        task->ending = false;
+        task->end_proposed = false;
     }
   if (result == GP_PROPOSAL_DECIDED)
-    acknowledge (reporting);
-  reporting_free (reporting);
+    acknowledge (pending);
+  pending_report_free (pending);
 }
 
 static bool
 propose (gp_tasks_t *tasks, const gp_tasks_guard_t *guard,
          const Gp__Wire__TaskReport *report, Gp__Record__Record *record)
 {
-  reporting_t *reporting = reporting_new (tasks, guard, report);
+  pending_report_t *pending = pending_report_new (tasks, guard, report);
 
-  if (gp_tasks_propose (tasks, record, GP_WRITER_NORMAL, on_decided,
-                        reporting))
+  if (gp_tasks_propose (tasks, record, GP_WRITER_NORMAL, on_decided, pending))
     {
       gp_counter_register (&ends_proposed);
       gp_counter_add (&ends_proposed, 1);
       return true;
     }
-  reporting_free (reporting);
+  pending_report_free (pending);
   return false;
 }
 
@@ -125,7 +124,7 @@
     end.checkpoint = report->checkpoint;
   record.record_case = GP__RECORD__RECORD__RECORD_END;
   record.end = &end;
-  task->ending = propose (tasks, task->guard, report, &record);
+  task->end_proposed = propose (tasks, task->guard, report, &record);
 }
 
 static void
@@ -140,7 +139,7 @@
   checkpoint.data = report->checkpoint;
   record.record_case = GP__RECORD__RECORD__RECORD_CHECKPOINT;
   record.checkpoint = &checkpoint;
-  task->checkpointing = propose (tasks, task->guard, report, &record);
+  task->checkpoint_proposed = propose (tasks, task->guard, report, &record);
 }
 
 /* Whether EPOCH of the task of STATE is over.  */
@@ -153,10 +152,11 @@
          && state->phase != GP__RECORD__TASK_PHASE__TASK_PHASE_GRANTED;
 }
 
-/* Learn from the first copy of the report of an end.  */
+/* Updates the run time estimate from the first copy of the report of an
+   end.  */
 static void
-learn (gp_tasks_t *tasks, gp_tasks_task_t *task,
-       const Gp__Wire__TaskReport *report)
+observe_run_time (gp_tasks_t *tasks, gp_tasks_task_t *task,
+                  const Gp__Wire__TaskReport *report)
 {
   if (task->reported_at != 0)
     return;
@@ -174,8 +174,8 @@
   if (task->running)
     return;
   task->running = true;
-  gp_tasks_event (tasks, GP_TIMELINE_TASK_STARTED, task->id, task->epoch,
-                  task->guard->name, NULL);
+  gp_tasks_add_event (tasks, GP_TIMELINE_TASK_STARTED, task->id, task->epoch,
+                      task->guard->name, NULL);
 }
 
 static void
@@ -184,10 +184,10 @@
 {
   gp_time_t now = gp_tasks_now (tasks);
 
-  learn (tasks, task, report);
-  if (task->ending)
+  observe_run_time (tasks, task, report);
+  if (task->end_proposed)
     return;
-  if (task->team->mine || now - task->reported_at >= tasks->due_period)
+  if (task->team->responsible || now - task->reported_at >= tasks->due_period)
     propose_end (tasks, task, report);
 }
 
@@ -196,19 +196,19 @@
                  gp_tasks_task_t *task, const Gp__Wire__TaskReport *report)
 {
   size_t size = report->checkpoint.len;
-  reporting_t *reporting;
+  pending_report_t *pending;
 
   on_running (tasks, task);
-  if (task->checkpointing || !task->team->mine)
+  if (task->checkpoint_proposed || !task->team->responsible)
     return;
   if (size > 0 && size <= GP_FOLD_CHECKPOINT_MAX)
     {
       propose_checkpoint (tasks, task, report);
       return;
     }
-  reporting = reporting_new (tasks, guard, report);
-  acknowledge (reporting);
-  reporting_free (reporting);
+  pending = pending_report_new (tasks, guard, report);
+  acknowledge (pending);
+  pending_report_free (pending);
 }
 
 static void
@@ -223,11 +223,11 @@
     return;
   if (is_over (state, report->epoch))
     {
-      reporting_t *reporting = reporting_new (tasks, guard, report);
+      pending_report_t *pending = pending_report_new (tasks, guard, report);
 
       if (report->state != GP__WIRE__TASK_STATE__TASK_STATE_RUNNING)
-        acknowledge (reporting);
-      reporting_free (reporting);
+        acknowledge (pending);
+      pending_report_free (pending);
       return;
     }
   if (task == NULL || task->stage != GP_TASKS_GRANTED
@@ -272,7 +272,7 @@
   if (guard == NULL || guard->session != session
       || inventory->lease_incarnation == 0)
     return;
-  guard->inventory_of = inventory->lease_incarnation;
+  guard->inventory_incarnation = inventory->lease_incarnation;
   g_array_set_size (guard->inventory, 0);
   for (size_t i = 0; i < inventory->n_tasks; i++)
     {
--- a/src/daemon/tasks_submit.c
+++ b/src/daemon/tasks_submit.c
@@ -1,8 +1,9 @@
 /* Submissions and cancellations.
 
-   A submission is answered when all of its records have their fate.  One
-   that takes too long takes back what was not sent, and answers UNKNOWN if
-   something was: those tasks may yet appear under their ids.  */
+   A submission is answered when the results of all its records are known.
+   After ANSWER_TIMEOUT the records that were not sent yet are withdrawn; if
+   some were sent, the answer is UNKNOWN: those tasks may still appear under
+   their ids.  */
 
 #include "daemon/tasks_private.h"
 
@@ -10,28 +11,28 @@
 #include <xxhash.h>
 
 #define COUNT_MAX 10000
-#define ANSWER_TIME (8 * GP_SEC)
+#define ANSWER_TIMEOUT (8 * GP_SEC)
 
 typedef struct
 {
-  gp_tasks_submitting_t *of;
+  gp_tasks_pending_submission_t *submission;
   uint64_t id;
-  gp_proposal_t *proposal; /* NULL when it has its fate */
-} submitted_t;
+  gp_proposal_t *proposal; /* NULL once its result is known */
+} task_proposal_t;
 
-struct gp_tasks_submitting
+struct gp_tasks_pending_submission
 {
   gp_tasks_t *tasks;
-  gp_tasks_done_t done; /* NULL once it was answered */
+  gp_tasks_done_t done; /* NULL once called */
   void *data;
   gp_time_t deadline;
   uint32_t count;
-  uint32_t open; /* without their fate */
-  bool keyed;
-  GArray *ids;  /* accepted */
-  bool refused; /* one of them, by the log's order */
+  uint32_t open_count; /* proposals without a result */
+  bool has_key;
+  GArray *accepted_ids; /* accepted tasks */
+  bool refused;         /* the log has voided at least one record */
   const char *refusal;
-  submitted_t *tasks_submitted;
+  task_proposal_t *proposals;
 };
 
 uint64_t
@@ -66,91 +67,91 @@
 /* Answers of a submission.  */
 
 void
-gp_tasks_submitting_free (gpointer data)
+gp_tasks_pending_submission_free (gpointer data)
 {
-  gp_tasks_submitting_t *submitting = data;
+  gp_tasks_pending_submission_t *pending = data;
 
-  g_array_free (submitting->ids, TRUE);
-  g_free (submitting->tasks_submitted);
-  g_free (submitting);
+  g_array_free (pending->accepted_ids, TRUE);
+  g_free (pending->proposals);
+  g_free (pending);
 }
 
 static void
-submitting_end (gp_tasks_submitting_t *submitting)
+submission_remove (gp_tasks_pending_submission_t *pending)
 {
-  g_ptr_array_remove_fast (submitting->tasks->submitting, submitting);
+  g_ptr_array_remove_fast (pending->tasks->submissions, pending);
 }
 
 static void
-answer_all (gp_tasks_submitting_t *submitting)
+answer_all (gp_tasks_pending_submission_t *pending)
 {
   gp_tasks_answer_t reply
       = { .result = GP_TASKS_ACCEPTED,
-          .ids = (const uint64_t *)(void *)submitting->ids->data,
-          .count = submitting->ids->len };
-  gp_tasks_done_t done = submitting->done;
+          .ids = (const uint64_t *)(void *)pending->accepted_ids->data,
+          .count = pending->accepted_ids->len };
+  gp_tasks_done_t done = pending->done;
 
   if (done == NULL)
     return;
-  submitting->done = NULL;
-  if (reply.count < submitting->count)
-    reply.message = submitting->refused
-                        ? submitting->refusal
+  pending->done = NULL;
+  if (reply.count < pending->count)
+    reply.message = pending->refused
+                        ? pending->refusal
                         : "the log took no more; submit the rest again";
   if (reply.count == 0)
-    reply.result
-        = submitting->refused ? GP_TASKS_REFUSED : GP_TASKS_UNAVAILABLE;
-  done (&reply, submitting->data);
+    reply.result = pending->refused ? GP_TASKS_REFUSED : GP_TASKS_UNAVAILABLE;
+  done (&reply, pending->data);
 }
 
-/* Time is up: take back what was not sent and tell of the rest.  */
+/* Handles the timeout: withdraws the records that were not sent and answers
+   with the ids of the others.  */
 static void
-give_up (gp_tasks_submitting_t *submitting)
+on_submission_timeout (gp_tasks_pending_submission_t *pending)
 {
-  gp_tasks_done_t done = submitting->done;
-  gp_tasks_answer_t reply = { .result = GP_TASKS_UNKNOWN,
-                              .message = "the log does not answer; these "
-                                         "may yet appear" };
+  gp_tasks_done_t done = pending->done;
+  gp_tasks_answer_t reply
+      = { .result = GP_TASKS_UNKNOWN,
+          .message = "the log does not answer; these may yet appear" };
 
-  for (uint32_t i = 0; i < submitting->count; i++)
+  for (uint32_t i = 0; i < pending->count; i++)
     {
-      submitted_t *one = &submitting->tasks_submitted[i];
+      task_proposal_t *one = &pending->proposals[i];
 
       if (one->proposal == NULL)
         continue;
-      if (gp_store_withdraw (submitting->tasks->store, one->proposal))
+      if (gp_store_withdraw (pending->tasks->store, one->proposal))
         {
           one->proposal = NULL;
-          submitting->open--;
+          pending->open_count--;
         }
       else
-        g_array_append_val (submitting->ids, one->id);
+        g_array_append_val (pending->accepted_ids, one->id);
     }
-  if (submitting->open == 0)
+  if (pending->open_count == 0)
     {
-      answer_all (submitting);
-      submitting_end (submitting);
+      answer_all (pending);
+      submission_remove (pending);
       return;
     }
-  reply.ids = (const uint64_t *)(void *)submitting->ids->data;
-  reply.count = submitting->ids->len;
-  submitting->done = NULL;
-  done (&reply, submitting->data);
+  reply.ids = (const uint64_t *)(void *)pending->accepted_ids->data;
+  reply.count = pending->accepted_ids->len;
+  pending->done = NULL;
+  done (&reply, pending->data);
 }
 
-/* Whether the task of ONE is on the log for this submission: by its record,
-   or by an earlier one of the same key.  */
+/* Whether the task of ONE is in the log for this submission, either from its
+   own record or from that of an earlier submission with the same key.  */
 static bool
-is_taken (const submitted_t *one, gp_proposal_result_t result,
-          gp_fold_verdict_t verdict)
+is_in_log (const task_proposal_t *one, gp_proposal_result_t result,
+           gp_fold_verdict_t verdict)
 {
-  const gp_fold_t *fold = gp_store_fold (one->of->tasks->store);
+  const gp_fold_t *fold = gp_store_fold (one->submission->tasks->store);
 
   switch (result)
     {
     case GP_PROPOSAL_DECIDED:
       return verdict == GP_FOLD_ACCEPTED
-             || (verdict == GP_FOLD_VOID_EXISTS && one->of->keyed);
+             || (verdict == GP_FOLD_VOID_EXISTS && one->submission->has_key);
     case GP_PROPOSAL_UNREAD:
       return gp_fold_task (fold, one->id) != NULL;
     case GP_PROPOSAL_EXPIRED:
@@ -173,41 +174,42 @@
 on_submitted (gp_proposal_result_t result, gp_fold_verdict_t verdict,
               void *data)
 {
-  submitted_t *one = data;
-  gp_tasks_submitting_t *submitting = one->of;
-  bool accepted = is_taken (one, result, verdict);
+  task_proposal_t *one = data;
+  gp_tasks_pending_submission_t *pending = one->submission;
+  bool accepted = is_in_log (one, result, verdict);
 
   one->proposal = NULL;
-  submitting->open--;
-  if (accepted && submitting->done != NULL)
-    g_array_append_val (submitting->ids, one->id);
+  pending->open_count--;
+  if (accepted && pending->done != NULL)
+    g_array_append_val (pending->accepted_ids, one->id);
   if (result == GP_PROPOSAL_DECIDED && !accepted)
     {
-      submitting->refused = true;
-      submitting->refusal = refusal_of (verdict);
+      pending->refused = true;
+      pending->refusal = refusal_of (verdict);
     }
-  if (submitting->open > 0)
+  if (pending->open_count > 0)
     return;
-  answer_all (submitting);
-  submitting_end (submitting);
+  answer_all (pending);
+  submission_remove (pending);
 }
 
 void
-gp_tasks_submit_tick (gp_tasks_t *tasks)
+gp_tasks_expire_submissions (gp_tasks_t *tasks)
 {
   gp_time_t now = gp_tasks_now (tasks);
 
-  for (guint i = tasks->submitting->len; i > 0; i--)
+  for (guint i = tasks->submissions->len; i > 0; i--)
     {
-      gp_tasks_submitting_t *submitting
-          = g_ptr_array_index (tasks->submitting, i - 1);
+      gp_tasks_pending_submission_t *pending
+          = g_ptr_array_index (tasks->submissions, i - 1);
 
-      if (submitting->done != NULL && submitting->deadline <= now)
-        give_up (submitting);
+      if (pending->done != NULL && pending->deadline <= now)
+        on_submission_timeout (pending);
     }
 }
 
-/* Checks before anything is proposed: NULL, or why it is refused.  */
+/* Checks before anything is proposed.  They return the reason for a refusal,
+   or NULL.  */
 
 static const char *
 check_team (const gp_tasks_t *tasks, const gp_document_batch_job_t *job,
@@ -228,14 +230,15 @@
                             team->quota.accelerators };
   if (!gp_resources_fit (&demand, &quota))
     return "larger than the quota of its team, so it could never run";
-  if (!gp_tasks_ever_fits (tasks, &demand))
+  if (!gp_tasks_may_ever_fit (tasks, &demand))
     return "larger than every worker, so it could never run";
   return NULL;
 }
 
 static const char *
-check (const gp_tasks_t *tasks, const gp_tasks_submission_t *submission,
-       const gp_document_batch_job_t *job, const char *team)
+check_submission (const gp_tasks_t *tasks,
+                  const gp_tasks_submission_t *submission,
+                  const gp_document_batch_job_t *job, const char *team)
 {
   const char *payload = submission->payload;
   uint32_t pending
@@ -252,7 +255,7 @@
   return check_team (tasks, job, team);
 }
 
-/* The records.  */
+/* Submit records.  */
 
 static int64_t
 deadline_of (const gp_tasks_t *tasks, const gp_tasks_submission_t *submission,
@@ -272,10 +275,10 @@
 }
 
 static gp_writer_result_t
-propose_one (submitted_t *one, Gp__Record__Submit *submit)
+propose_one (task_proposal_t *one, Gp__Record__Submit *submit)
 {
-  gp_tasks_submitting_t *submitting = one->of;
-  gp_tasks_t *tasks = submitting->tasks;
+  gp_tasks_pending_submission_t *pending = one->submission;
+  gp_tasks_t *tasks = pending->tasks;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
 
   submit->task = one->id;
@@ -286,26 +289,27 @@
                            on_submitted, one, &one->proposal);
 }
 
-static gp_tasks_submitting_t *
-submitting_new (gp_tasks_t *tasks, uint32_t count, gp_tasks_done_t done,
+static gp_tasks_pending_submission_t *
+submission_new (gp_tasks_t *tasks, uint32_t count, gp_tasks_done_t done,
                 void *data)
 {
-  gp_tasks_submitting_t *submitting = g_new0 (gp_tasks_submitting_t, 1);
-
-  submitting->tasks = tasks;
-  submitting->done = done;
-  submitting->data = data;
-  submitting->deadline = gp_tasks_now (tasks) + ANSWER_TIME;
-  submitting->count = count;
-  submitting->ids = g_array_new (FALSE, FALSE, sizeof (uint64_t));
-  submitting->tasks_submitted = g_new0 (submitted_t, count);
-  g_ptr_array_add (tasks->submitting, submitting);
-  return submitting;
+  gp_tasks_pending_submission_t *pending
+      = g_new0 (gp_tasks_pending_submission_t, 1);
+
+  pending->tasks = tasks;
+  pending->done = done;
+  pending->data = data;
+  pending->deadline = gp_tasks_now (tasks) + ANSWER_TIMEOUT;
+  pending->count = count;
+  pending->accepted_ids = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  pending->proposals = g_new0 (task_proposal_t, count);
+  g_ptr_array_add (tasks->submissions, pending);
+  return pending;
 }
 
 static uint64_t
-id_of (gp_tasks_t *tasks, const gp_tasks_submission_t *submission,
-       uint32_t number)
+task_id_for (gp_tasks_t *tasks, const gp_tasks_submission_t *submission,
+             uint32_t number)
 {
   if (submission->key_size == 0)
     return gp_tasks_new_id (tasks);
@@ -314,25 +318,25 @@
 }
 
 static void
-propose_all (gp_tasks_submitting_t *submitting,
+propose_all (gp_tasks_pending_submission_t *pending,
              const gp_tasks_submission_t *submission,
              Gp__Record__Submit *submit)
 {
-  submitting->keyed = submission->key_size > 0;
-  for (uint32_t i = 0; i < submitting->count; i++)
+  pending->has_key = submission->key_size > 0;
+  for (uint32_t i = 0; i < pending->count; i++)
     {
-      submitted_t *one = &submitting->tasks_submitted[i];
+      task_proposal_t *one = &pending->proposals[i];
 
-      one->of = submitting;
-      one->id = id_of (submitting->tasks, submission, i);
+      one->submission = pending;
+      one->id = task_id_for (pending->tasks, submission, i);
       if (propose_one (one, submit) != GP_WRITER_QUEUED)
         break;
-      submitting->open++;
+      pending->open_count++;
     }
-  if (submitting->open > 0)
+  if (pending->open_count > 0)
     return;
-  answer_all (submitting);
-  submitting_end (submitting);
+  answer_all (pending);
+  submission_remove (pending);
 }
 
 static void
@@ -354,7 +358,7 @@
   submit.payload.len = payload == NULL ? 0 : strlen (payload);
   submit.deadline_us = deadline_of (tasks, submission, job);
   submit.max_tries = job->max_tries;
-  propose_all (submitting_new (tasks, submission->count, done, data),
+  propose_all (submission_new (tasks, submission->count, done, data),
                submission, &submit);
 }
 
@@ -380,7 +384,7 @@
       return;
     }
   team = submission->team != NULL ? submission->team : job->team;
-  refusal = check (tasks, submission, job, team);
+  refusal = check_submission (tasks, submission, job, team);
   if (refusal != NULL)
     answer (done, data, GP_TASKS_REFUSED, refusal);
   else
@@ -395,40 +399,39 @@
   gp_tasks_done_t done;
   void *data;
   uint64_t id;
-} cancelling_t;
+} pending_cancel_t;
 
 static void
-answer_cancelled (const cancelling_t *cancelling, gp_tasks_result_t result,
+answer_cancelled (const pending_cancel_t *pending, gp_tasks_result_t result,
                   const char *message)
 {
   gp_tasks_answer_t reply = {
-    .result = result, .message = message, .ids = &cancelling->id, .count = 1
+    .result = result, .message = message, .ids = &pending->id, .count = 1
   };
 
-  cancelling->done (&reply, cancelling->data);
+  pending->done (&reply, pending->data);
 }
 
 static void
 on_cancelled (gp_proposal_result_t result, gp_fold_verdict_t verdict,
               void *data)
 {
-  cancelling_t *cancelling = data;
-  const gp_fold_task_t *state = gp_fold_task (
-      gp_store_fold (cancelling->tasks->store), cancelling->id);
+  pending_cancel_t *pending = data;
+  const gp_fold_task_t *state
+      = gp_fold_task (gp_store_fold (pending->tasks->store), pending->id);
 
   if (result == GP_PROPOSAL_EXPIRED)
-    answer_cancelled (cancelling, GP_TASKS_UNAVAILABLE,
+    answer_cancelled (pending, GP_TASKS_UNAVAILABLE,
                       "the log takes nothing now; it was not cancelled");
   else if (result == GP_PROPOSAL_DECIDED && verdict == GP_FOLD_ACCEPTED)
-    answer_cancelled (cancelling, GP_TASKS_ACCEPTED, NULL);
+    answer_cancelled (pending, GP_TASKS_ACCEPTED, NULL);
   else if (state != NULL && state->cancelled)
-    answer_cancelled (cancelling, GP_TASKS_ACCEPTED,
-                      "it was cancelled before");
+    answer_cancelled (pending, GP_TASKS_ACCEPTED, "it was cancelled before");
   else if (state == NULL)
-    answer_cancelled (cancelling, GP_TASKS_REFUSED, "no such task");
+    answer_cancelled (pending, GP_TASKS_REFUSED, "no such task");
   else
-    answer_cancelled (cancelling, GP_TASKS_ACCEPTED, "it has ended");
-  g_free (cancelling);
+    answer_cancelled (pending, GP_TASKS_ACCEPTED, "it has ended");
+  g_free (pending);
 }
 
 void
@@ -437,7 +440,7 @@
 {
   Gp__Record__Cancel cancel = GP__RECORD__CANCEL__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
-  cancelling_t *cancelling;
+  pending_cancel_t *pending;
 
   if (!gp_store_ready (tasks->store))
     {
@@ -454,12 +457,12 @@
   cancel.reason = GP__WIRE__REASON__REASON_CANCELLED;
   record.record_case = GP__RECORD__RECORD__RECORD_CANCEL;
   record.cancel = &cancel;
-  cancelling = g_new (cancelling_t, 1);
-  *cancelling = (cancelling_t){ tasks, done, data, task };
+  pending = g_new (pending_cancel_t, 1);
+  *pending = (pending_cancel_t){ tasks, done, data, task };
   if (gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL, on_cancelled,
-                        cancelling))
+                        pending))
     return;
-  g_free (cancelling);
+  g_free (pending);
   answer (done, data, GP_TASKS_UNAVAILABLE,
           "the log takes nothing now; it was not cancelled");
 }
--- a/src/daemon/tasks_watch.c
+++ b/src/daemon/tasks_watch.c
@@ -1,9 +1,9 @@
-/* Watchers at the counts that the document declares.
+/* Keeps the number of watchers at the counts that the document declares.
 
-   The responsible entry submits what is missing and cancels what is too
-   many.  Ids follow from the state on the log, so that two entries that both
-   think themselves responsible submit the same tasks, of which the log takes
-   one.  */
+   The responsible entry submits missing watchers and cancels surplus ones.
+   Task ids are derived from the state in the log, so that two entries that
+   both consider themselves responsible submit the same tasks, and the log
+   accepts each of them once.  */
 
 #include "daemon/tasks_private.h"
 
@@ -12,7 +12,7 @@
 
 #include "base/counters.h"
 
-#define CHANGES_PER_TURN 500
+#define MAX_CHANGES_PER_ROUND 500
 
 typedef struct
 {
@@ -32,9 +32,9 @@
 {
   change_t *change = data;
 
-  change->kind->proposed--;
+  change->kind->proposed_count--;
   if (result == GP_PROPOSAL_DECIDED && verdict == GP_FOLD_VOID_EXISTS)
-    change->kind->salt++;
+    change->kind->id_salt++;
   change->tasks->watchers_changed = true;
   g_free (change);
 }
@@ -43,7 +43,7 @@
 id_of (const gp_tasks_t *tasks, const gp_tasks_kind_t *kind, uint32_t number)
 {
   const char *region = tasks->settings->region;
-  uint64_t parts[4] = { (uint64_t)kind->seed_us, kind->salt, number,
+  uint64_t parts[4] = { (uint64_t)kind->id_seed_us, kind->id_salt, number,
                         XXH3_64bits (region, strlen (region)) };
 
   return XXH3_64bits_withSeed (parts, sizeof parts,
@@ -74,7 +74,7 @@
   if (gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL, on_submitted,
                         change))
     {
-      kind->proposed++;
+      kind->proposed_count++;
       return true;
     }
   g_free (change);
@@ -86,7 +86,7 @@
                 const gp_document_watcher_t *watcher, uint32_t missing)
 {
   gp_counter_register (&submitted);
-  for (uint32_t i = 0; i < MIN (missing, CHANGES_PER_TURN); i++)
+  for (uint32_t i = 0; i < MIN (missing, MAX_CHANGES_PER_ROUND); i++)
     {
       if (!submit_one (tasks, kind, watcher, i))
         {
@@ -98,7 +98,7 @@
 }
 
 static void
-on_withdrawn (gp_proposal_result_t result, gp_fold_verdict_t verdict,
+on_cancelled (gp_proposal_result_t result, gp_fold_verdict_t verdict,
               void *data)
 {
   change_t *change = data;
@@ -106,13 +106,13 @@
 
   (void)result, (void)verdict;
   if (task != NULL)
-    task->cancelling = false;
+    task->cancel_proposed = false;
   change->tasks->watchers_changed = true;
   g_free (change);
 }
 
 static bool
-withdraw_one (gp_tasks_t *tasks, gp_tasks_task_t *task)
+cancel_one (gp_tasks_t *tasks, gp_tasks_task_t *task)
 {
   Gp__Record__Cancel cancel = GP__RECORD__CANCEL__INIT;
   Gp__Record__Record record = GP__RECORD__RECORD__INIT;
@@ -123,17 +123,17 @@
   record.record_case = GP__RECORD__RECORD__RECORD_CANCEL;
   record.cancel = &cancel;
   *change = (change_t){ tasks, task->kind, task->id };
-  task->cancelling = gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL,
-                                       on_withdrawn, change);
-  if (!task->cancelling)
+  task->cancel_proposed = gp_tasks_propose (tasks, &record, GP_WRITER_NORMAL,
+                                            on_cancelled, change);
+  if (!task->cancel_proposed)
     g_free (change);
-  return task->cancelling;
+  return task->cancel_proposed;
 }
 
-/* Those that don't run come first, then the higher ids, so that entries agree
-   on whom they withdraw.  */
+/* Orders watchers by which to cancel first: those that are not granted, then
+   those with higher ids, so that all entries choose the same ones.  */
 static gint
-compare_worth (gconstpointer a, gconstpointer b)
+compare_for_cancel (gconstpointer a, gconstpointer b)
 {
   const gp_tasks_task_t *one = *(gp_tasks_task_t *const *)a;
   const gp_tasks_task_t *other = *(gp_tasks_task_t *const *)b;
@@ -146,7 +146,7 @@
 }
 
 static void
-withdraw_surplus (gp_tasks_t *tasks, gp_tasks_kind_t *kind, uint32_t surplus)
+cancel_surplus (gp_tasks_t *tasks, gp_tasks_kind_t *kind, uint32_t surplus)
 {
   GPtrArray *live = g_ptr_array_new ();
   GHashTableIter iter;
@@ -160,16 +160,17 @@
       const gp_fold_task_t *state
           = gp_fold_task (gp_store_fold (tasks->store), task->id);
 
-      if (task->kind == kind && task->ask.work_class == GP_WORK_WATCHER
+      if (task->kind == kind && task->request.work_class == GP_WORK_WATCHER
           && state != NULL && !state->cancelled)
         g_ptr_array_add (live, task);
     }
-  g_ptr_array_sort (live, compare_worth);
-  for (guint i = 0; i < live->len && i < MIN (surplus, CHANGES_PER_TURN); i++)
+  g_ptr_array_sort (live, compare_for_cancel);
+  for (guint i = 0; i < live->len && i < MIN (surplus, MAX_CHANGES_PER_ROUND);
+       i++)
     {
       gp_tasks_task_t *task = g_ptr_array_index (live, i);
 
-      if (!task->cancelling && !withdraw_one (tasks, task))
+      if (!task->cancel_proposed && !cancel_one (tasks, task))
         {
           tasks->watchers_changed = true;
           break;
@@ -180,7 +181,7 @@
 }
 
 static void
-watch_kind (gp_tasks_t *tasks, gp_tasks_kind_t *kind)
+adjust_kind (gp_tasks_t *tasks, gp_tasks_kind_t *kind)
 {
   const gp_document_watcher_t *watcher
       = gp_document_find_watcher (tasks->document, kind->name);
@@ -189,18 +190,18 @@
             ? 0
             : gp_settings_region_share (tasks->settings, watcher->count);
 
-  if (kind->live == wanted || kind->proposed > 0)
+  if (kind->live_count == wanted || kind->proposed_count > 0)
     return;
-  if (!gp_tasks_is_mine (tasks, "watcher", kind->name))
+  if (!gp_tasks_is_responsible (tasks, "watcher", kind->name))
     return;
-  if (kind->live < wanted)
-    submit_missing (tasks, kind, watcher, wanted - kind->live);
+  if (kind->live_count < wanted)
+    submit_missing (tasks, kind, watcher, wanted - kind->live_count);
   else
-    withdraw_surplus (tasks, kind, kind->live - wanted);
+    cancel_surplus (tasks, kind, kind->live_count - wanted);
 }
 
 void
-gp_tasks_watch (gp_tasks_t *tasks)
+gp_tasks_adjust_watchers (gp_tasks_t *tasks)
 {
   GHashTableIter iter;
   gpointer value;
@@ -210,5 +211,5 @@
   tasks->watchers_changed = false;
   g_hash_table_iter_init (&iter, tasks->kinds);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    watch_kind (tasks, value);
+    adjust_kind (tasks, value);
 }
--- a/tests/unit/tasks_world_impl.h
+++ b/tests/unit/tasks_world_impl.h
@@ -1,10 +1,11 @@
-/* An entry's tasks in a world that the test holds; for test_tasks.c only,
-   since it stands in for the store, the sessions and the clock by their
-   names.
+/* Simulated environment for the tasks of an entry.  For test_tasks.c only,
+   since it defines functions of the store, the sessions and the clock under
+   their real names.
 
-   What is proposed waits until the test appends it, other entries' records
-   come between as the test likes, and time is what the test says.  The
-   sessions are bare; what is sent on them is kept as lines of text.  */
+   Proposed records are queued until the test appends them to the log, the
+   test can append records of other entries in between, and the test sets the
+   time.  Sessions have no connection; messages sent on them are recorded as
+   lines of text.  */
 
 #ifndef GP_TESTS_TASKS_WORLD_IMPL_H
 #define GP_TESTS_TASKS_WORLD_IMPL_H
@@ -16,8 +17,8 @@
 #include "daemon/tasks_private.h"
 #include "runner.h"
 
-#define ME "entry-1"
-#define PEER "entry-2"
+#define OWN_ENTRY "entry-1"
+#define OTHER_ENTRY "entry-2"
 
 enum
 {
@@ -25,7 +26,7 @@
   STEP = 50
 };
 
-/* The store.  */
+/* Store.  */
 
 struct gp_proposal
 {
@@ -40,9 +41,9 @@
   gp_store_subscriber_t *subscriber;
   GQueue queue; /* of gp_proposal_t */
   bool ready;
-  bool down; /* takes nothing */
+  bool down; /* accepts no records */
   uint64_t sequence[2];
-  GArray *verdicts; /* of the batch that is applied */
+  GArray *verdicts; /* of the batch being applied */
 };
 
 static gp_store_t store;
@@ -57,19 +58,19 @@
 static gp_tasks_result_t answered;
 static GArray *answered_ids;
 
-/* Time is the test's own.  */
-static gp_time_t present;
+/* The simulated time.  */
+static gp_time_t current_time;
 
 gp_time_t
 gp_time_now (void)
 {
-  return present;
+  return current_time;
 }
 
 int64_t
 gp_time_wall (void)
 {
-  return present;
+  return current_time;
 }
 
 bool
@@ -142,7 +143,7 @@
   store.subscriber->on_change (change, store.subscriber->data);
 }
 
-/* Append RECORDS as one batch of a writer and read it back.  */
+/* Appends RECORDS as one batch of a writer and reads it back.  */
 static void
 append (bool own, Gp__Record__Record **records, size_t count)
 {
@@ -151,7 +152,7 @@
   uint8_t *bytes;
 
   batch.version = GP_FOLD_VERSION;
-  batch.writer = own ? ME : PEER;
+  batch.writer = own ? OWN_ENTRY : OTHER_ENTRY;
   batch.incarnation = 1;
   batch.sequence = ++store.sequence[own];
   batch.wall_us = gp_loop_now (&loop);
@@ -179,7 +180,7 @@
     }
 }
 
-/* Append what is queued; the deferred calls follow.  */
+/* Appends the queued records and runs deferred calls.  */
 static void
 flush (void)
 {
@@ -214,9 +215,9 @@
   run_deferred ();
 }
 
-/* The queued records were never sent.  */
+/* Drops the queued records as expired before they were sent.  */
 static void
-expire (void)
+expire_queued (void)
 {
   gp_proposal_t *proposal;
 
@@ -228,7 +229,7 @@
     }
 }
 
-/* How many records of CASE are queued.  */
+/* The number of queued records of type WANTED.  */
 static unsigned int
 queued (Gp__Record__Record__RecordCase wanted)
 {
@@ -281,22 +282,23 @@
   return true;
 }
 
-/* DURATION passes, a step at a time; the log is read all the while.  */
+/* Advances the time by DURATION in steps; the log is read up to date at each
+   step unless it is down.  */
 static void
-pass (gp_time_t duration)
+advance_time (gp_time_t duration)
 {
   for (gp_time_t left = duration; left > 0; left -= STEP * GP_MSEC)
     {
-      present += STEP * GP_MSEC;
-      loop.now_uv = 0; /* to be read again */
+      current_time += STEP * GP_MSEC;
+      loop.now_uv = 0; /* invalidates the cached time */
       if (!store.down)
-        store.subscriber->on_read (present, store.subscriber->data);
+        store.subscriber->on_read (current_time, store.subscriber->data);
       tasks->timer.cb (&tasks->timer, tasks->timer.data);
       run_deferred ();
     }
 }
 
-/* What was sent since, which is forgotten.  */
+/* Returns the lines sent since the last call.  */
 static const char *
 take_sent (void)
 {
@@ -317,15 +319,15 @@
 static void
 heartbeat (unsigned int guard, uint64_t incarnation)
 {
-  Gp__Wire__Resources room = GP__WIRE__RESOURCES__INIT;
+  Gp__Wire__Resources free_resources = GP__WIRE__RESOURCES__INIT;
   Gp__Wire__Heartbeat message = GP__WIRE__HEARTBEAT__INIT;
   Gp__Wire__Envelope envelope = GP_ENVELOPE (HEARTBEAT, heartbeat, &message);
 
-  room.millicores = 4000;
-  room.memory_mib = 8000;
+  free_resources.millicores = 4000;
+  free_resources.memory_mib = 8000;
   message.renew = true;
   message.lease_incarnation = incarnation;
-  message.free = &room;
+  message.free = &free_resources;
   deliver (&sessions[guard], &envelope);
 }
 
@@ -365,7 +367,7 @@
   deliver (&sessions[guard], &envelope);
 }
 
-/* Guard GUARD comes up, is registered and gets its lease.  */
+/* Announces GUARD, registers it and renews its lease.  */
 static void
 bring_up (unsigned int guard)
 {
@@ -379,10 +381,11 @@
 }
 
 static const char settings_text[]
-    = "site: s\nname: " ME "\nregion: r\nzone: z\n"
+    = "site: s\nname: " OWN_ENTRY "\nregion: r\nzone: z\n"
       "entries:\n"
-      "  - {name: " ME ", region: r, zone: z, peers: \"127.0.0.1:1\"}\n"
-      "  - {name: " PEER ", region: r, zone: z, peers: \"127.0.0.1:2\"}\n"
+      "  - {name: " OWN_ENTRY ", region: r, zone: z, peers: \"127.0.0.1:1\"}\n"
+      "  - {name: " OTHER_ENTRY
+      ", region: r, zone: z, peers: \"127.0.0.1:2\"}\n"
       "platform_log: {address: \"127.0.0.1:9\", stream: s}\n"
       "entry: {callers: \"127.0.0.1:2\", operators: \"127.0.0.1:3\", "
       "peers: \"127.0.0.1:1\", operator_token: t}\n";
@@ -432,14 +435,14 @@
   answered_ids = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   g_assert (gp_settings_load_text (&settings, "s", settings_text,
                                    strlen (settings_text), NULL));
-  present = 1000 * GP_SEC;
+  current_time = 1000 * GP_SEC;
   g_assert (gp_loop_init (&loop, NULL));
   loop.now_uv = 0;
   host = (gp_session_host_t){ .loop = &loop };
   gp_list_init (&host.sessions);
   store = (gp_store_t){ .ready = true };
   gp_fold_init (&store.fold, NULL);
-  gp_fold_set_own_writer (&store.fold, ME, 1);
+  gp_fold_set_own_writer (&store.fold, OWN_ENTRY, 1);
   store.verdicts = g_array_new (FALSE, FALSE, sizeof (gp_fold_verdict_t));
   for (int i = 0; i < GUARDS; i++)
     sessions[i] = (gp_session_t){ .host = &host,
@@ -449,16 +452,16 @@
                                   .role = GP__WIRE__ROLE__ROLE_GUARD };
   tasks = gp_tasks_new (&host, &store, &settings, 1, NULL, NULL);
   store.subscriber->on_rebuilt (store.subscriber->data);
-  store.subscriber->on_read (present, store.subscriber->data);
+  store.subscriber->on_read (current_time, store.subscriber->data);
   set_document (watchers);
 }
 
 static void
 tear_down (void)
 {
-  expire ();
+  expire_queued ();
   gp_tasks_free (tasks);
-  expire ();
+  expire_queued ();
   gp_fold_finish (&store.fold);
   g_array_free (store.verdicts, TRUE);
   gp_document_finish (&document);
@@ -480,7 +483,7 @@
 }
 
 static void
-ask (const char *kind, uint32_t count)
+submit_count (const char *kind, uint32_t count)
 {
   gp_tasks_submission_t submission = { .kind = kind, .count = count };
 
@@ -488,11 +491,11 @@
   gp_tasks_submit (tasks, &submission, on_answer, NULL);
 }
 
-/* Submit one job of KIND; its grant is queued after.  */
+/* Submits one job of KIND; afterwards its grant is queued.  */
 static uint64_t
 submit (const char *kind)
 {
-  ask (kind, 1);
+  submit_count (kind, 1);
   CU_ASSERT_EQUAL (answered, (gp_tasks_result_t)-1);
   flush ();
   CU_ASSERT_EQUAL_FATAL (answered, GP_TASKS_ACCEPTED);
@@ -507,7 +510,7 @@
 }
 
 static const char *
-line (unsigned int guard, const char *what)
+sent_line (unsigned int guard, const char *what)
 {
   static char text[64];
 
@@ -515,14 +518,14 @@
   return text;
 }
 
-/* The guard of the only grant.  */
+/* The index of the guard to which TASK is granted.  */
 static unsigned int
 guard_of (uint64_t task)
 {
   return (unsigned int)(state_of (task)->guard->name[6] - '1');
 }
 
-/* Submit a job, let it be granted and say that it runs.  */
+/* Submits a job, appends its grant and reports that it runs.  */
 static uint64_t
 run_one (const char *kind)
 {
@@ -535,7 +538,7 @@
   return task;
 }
 
-/* A record of the other entry.  */
+/* Appends a Grant of the other entry.  */
 static void
 grant_by_peer (uint64_t task, uint64_t epoch, const char *guard)
 {
--- a/tests/unit/test_runner.c
+++ b/tests/unit/test_runner.c
@@ -61,7 +61,7 @@
 static void
 test_end (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   setup ();
   CU_ASSERT_EQUAL (site.capacity, 4000);
@@ -88,8 +88,8 @@
 static void
 test_checkpoint_ack (void)
 {
-  const told_t *told;
-  told_t older;
+  const received_report_t *told;
+  received_report_t older;
 
   setup ();
   site.acks = false;
@@ -148,7 +148,7 @@
 static void
 test_capacity (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   setup ();
   task_site_start (&site, 1, 1, site.lease, 3000);
@@ -182,7 +182,7 @@
 static void
 test_start_turned_down (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   setup ();
   site.runtime.refuse_start = 500;
@@ -217,7 +217,7 @@
 static void
 test_stop (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   setup ();
   task_site_start (&site, 7, 1, site.lease, 1000);
@@ -243,11 +243,11 @@
 static void
 check_stopped (void)
 {
-  const told_t *listed;
+  const received_report_t *listed;
 
   CU_ASSERT_TRUE (task_site_until (&site, has_new_lease));
   CU_ASSERT_EQUAL (site.inherits, 0);
-  listed = task_site_listed (&site, 7, 1);
+  listed = task_site_find_in_inventory (&site, 7, 1);
   CU_ASSERT_PTR_NOT_NULL (listed);
   if (listed == NULL)
     return;
@@ -358,8 +358,10 @@
   CU_ASSERT_EQUAL (site.inherits, 5);
   CU_ASSERT_EQUAL (site.runtime.holder, site.lease);
   CU_ASSERT_EQUAL (site.inventory->len, 2);
-  CU_ASSERT_EQUAL (task_site_listed (&site, 1, 4)->state, STATE (RUNNING));
-  CU_ASSERT_EQUAL (task_site_listed (&site, 2, 6)->state, STATE (SUCCEEDED));
+  CU_ASSERT_EQUAL (task_site_find_in_inventory (&site, 1, 4)->state,
+                   STATE (RUNNING));
+  CU_ASSERT_EQUAL (task_site_find_in_inventory (&site, 2, 6)->state,
+                   STATE (SUCCEEDED));
   CU_ASSERT_EQUAL (site.free, 1000);
   task_site_start (&site, 3, 1, site.lease, 1001);
   CU_ASSERT_EQUAL (task_site_await (&site, 3, 1, STATE (REFUSED), 1)->reason,
@@ -394,7 +396,7 @@
 static void
 test_runtime_restart (void)
 {
-  const told_t *listed;
+  const received_report_t *listed;
 
   setup ();
   start_unacknowledged ();
@@ -403,7 +405,7 @@
   fake_runtime_restart (&site.runtime);
   CU_ASSERT_TRUE (task_site_until (&site, has_new_lease));
   CU_ASSERT_EQUAL (site.boot, site.runtime.boot);
-  listed = task_site_listed (&site, 7, 1);
+  listed = task_site_find_in_inventory (&site, 7, 1);
   CU_ASSERT_PTR_NOT_NULL (listed);
   if (listed == NULL)
     return;
@@ -452,7 +454,8 @@
   run_to_end (2);
   CU_ASSERT_TRUE (task_site_until (&site, has_new_lease));
   CU_ASSERT_EQUAL (site.inherits, old_lease);
-  CU_ASSERT_EQUAL (task_site_listed (&site, 7, 1)->state, STATE (RUNNING));
+  CU_ASSERT_EQUAL (task_site_find_in_inventory (&site, 7, 1)->state,
+                   STATE (RUNNING));
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "running");
   run_to_end (3);
   teardown ();
@@ -479,7 +482,7 @@
 static void
 test_usage (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   setup ();
   task_site_start (&site, 1, 1, site.lease, 2000);
@@ -508,7 +511,7 @@
 static void
 test_leave (void)
 {
-  const told_t *told;
+  const received_report_t *told;
 
   setup ();
   site.acks = false;
