--- a/tests/unit/test_tasks.c
+++ b/tests/unit/test_tasks.c
@@ -1,4 +1,4 @@
-/* Tasks at an entry, against a log, guards and a clock of the test's own; see
+/* Tests of the tasks of an entry with a simulated log, guards and clock; see
    tasks_world_impl.h.  */
 
 #include "tasks_world_impl.h"
@@ -14,25 +14,25 @@
   bring_up (0);
   task = submit ("job");
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
-  pass (GP_SEC);
-  CU_ASSERT_STRING_EQUAL (take_sent (), ""); /* not before it is read */
+  advance_time (GP_SEC);
+  CU_ASSERT_STRING_EQUAL (take_sent (), ""); /* the grant is not read yet */
   flush ();
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "start epoch 1"));
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "start epoch 1"));
   report (0, task, 1, GP__WIRE__TASK_STATE__TASK_STATE_RUNNING);
   report (0, task, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
   report (0, task, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_END), 1);
   CU_ASSERT_STRING_EQUAL (take_sent (), "");
   flush ();
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "ack 1"));
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "ack 1"));
   CU_ASSERT_STRING_EQUAL (gp_tasks_state_name (tasks, state_of (task)),
                           "succeeded");
   report (0, task, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "ack 1"));
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "ack 1"));
   tear_down ();
 }
 
-/* A start that gets no answer is sent again.  */
+/* A Start that is not answered is sent again.  */
 static void
 test_start_again (void)
 {
@@ -42,8 +42,8 @@
   flush ();
   run_deferred ();
   take_sent ();
-  pass (4 * GP_SEC + STEP * GP_MSEC);
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "start epoch 1"));
+  advance_time (4 * GP_SEC + STEP * GP_MSEC);
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "start epoch 1"));
   tear_down ();
 }
 
@@ -53,15 +53,15 @@
   set_up (0);
   bring_up (0);
   store.down = true;
-  ask ("job", 1);
+  submit_count ("job", 1);
   CU_ASSERT_EQUAL (answered, GP_TASKS_UNAVAILABLE);
   store.down = false;
-  ask ("job", 2);
-  expire ();
+  submit_count ("job", 2);
+  expire_queued ();
   CU_ASSERT_EQUAL (answered, GP_TASKS_UNAVAILABLE);
   CU_ASSERT_EQUAL (answered_ids->len, 0);
-  ask ("job", 2);
-  pass (10 * GP_SEC); /* never sent: taken back */
+  submit_count ("job", 2);
+  advance_time (10 * GP_SEC); /* never sent: withdrawn */
   CU_ASSERT_EQUAL (answered, GP_TASKS_UNAVAILABLE);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_SUBMIT), 0);
   tear_down ();
@@ -74,10 +74,10 @@
   set_up (0);
   bring_up (0);
   submit ("job");
-  expire ();
+  expire_queued ();
   run_deferred ();
   heartbeat (0, 1);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   flush ();
   CU_ASSERT_PTR_NOT_NULL (strstr (take_sent (), "start epoch 1"));
@@ -89,18 +89,18 @@
 {
   set_up (0);
   bring_up (0);
-  pass (60 * GP_SEC); /* the fleet is known */
-  ask ("large", 1);
+  advance_time (60 * GP_SEC); /* all guards had time to connect */
+  submit_count ("large", 1);
   CU_ASSERT_EQUAL (answered, GP_TASKS_REFUSED);
-  ask ("nothing", 1);
+  submit_count ("nothing", 1);
   CU_ASSERT_EQUAL (answered, GP_TASKS_REFUSED);
-  ask ("job", 0);
+  submit_count ("job", 0);
   CU_ASSERT_EQUAL (answered, GP_TASKS_REFUSED);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_SUBMIT), 0);
   tear_down ();
 }
 
-/* A key names its tasks: submitted twice they are there once.  */
+/* Two submissions with the same key create the tasks once.  */
 static void
 test_key (void)
 {
@@ -123,8 +123,8 @@
   tear_down ();
 }
 
-/* Another entry's grant came first: ours is void and nothing is started
-   twice.  */
+/* A grant of another entry comes first in the log: the grant of this entry is
+   void, and the task is not started twice.  */
 static void
 test_race (void)
 {
@@ -141,12 +141,14 @@
   CU_ASSERT_STRING_EQUAL (take_sent (), "");
   CU_ASSERT_EQUAL (state_of (task)->epoch, 1);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 0);
-  pass (4 * GP_SEC + STEP * GP_MSEC); /* the peer is not there to start it */
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (1, "start epoch 1"));
+  advance_time (4 * GP_SEC
+                + STEP * GP_MSEC); /* the other entry does not start it */
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (1, "start epoch 1"));
   tear_down ();
 }
 
-/* Two grants race for the last of a quota: the later is not started.  */
+/* Two grants together exceed a quota: the one that is later in the log is not
+   started.  */
 static void
 test_quota_race (void)
 {
@@ -157,7 +159,7 @@
   bring_up (0);
   bring_up (1);
   first = submit ("job");
-  ask ("job", 1);
+  submit_count ("job", 1);
   flush ();
   second = g_array_index (answered_ids, uint64_t, 0);
   run_deferred ();
@@ -165,14 +167,14 @@
   CU_ASSERT_EQUAL (state_of (first)->epoch, 1);
   take_sent ();
   grant_by_peer (second, 1, "guard-2");
-  pass (4 * GP_SEC + STEP * GP_MSEC);
-  CU_ASSERT_PTR_NULL (strstr (sent->str, line (1, "start epoch 1")));
-  CU_ASSERT_PTR_NOT_NULL (strstr (sent->str, line (1, "stop 1")));
+  advance_time (4 * GP_SEC + STEP * GP_MSEC);
+  CU_ASSERT_PTR_NULL (strstr (sent->str, sent_line (1, "start epoch 1")));
+  CU_ASSERT_PTR_NOT_NULL (strstr (sent->str, sent_line (1, "stop 1")));
   tear_down ();
 }
 
-/* A guard that is not heard is fenced, and its task runs elsewhere only after
-   the wait.  */
+/* A guard without heartbeats is fenced, and its task runs on another guard
+   only after the time in which its lease may still be valid.  */
 static void
 test_silent_guard (void)
 {
@@ -189,23 +191,24 @@
        i < 100 && !gp_fold_guard (&store.fold, sessions[at].process)->fenced;
        i++)
     {
-      pass (GP_SEC);
+      advance_time (GP_SEC);
       heartbeat (1 - at, 1);
       flush ();
     }
   CU_ASSERT_TRUE (gp_fold_guard (&store.fold, sessions[at].process)->fenced);
   heartbeat (at, 1);
   CU_ASSERT_PTR_NOT_NULL (strstr (take_sent (), "lease no fenced"));
-  fenced = present;
+  fenced = current_time;
   while (state_of (task)->phase == GP__RECORD__TASK_PHASE__TASK_PHASE_GRANTED
-         && state_of (task)->epoch == 1 && present < fenced + 100 * GP_SEC)
+         && state_of (task)->epoch == 1
+         && current_time < fenced + 100 * GP_SEC)
     {
-      pass (GP_SEC);
+      advance_time (GP_SEC);
       heartbeat (1 - at, 1);
       flush ();
     }
-  CU_ASSERT_TRUE (present - fenced >= 15 * GP_SEC);
-  pass (GP_SEC);
+  CU_ASSERT_TRUE (current_time - fenced >= 15 * GP_SEC);
+  advance_time (GP_SEC);
   flush ();
   CU_ASSERT_EQUAL (state_of (task)->epoch, 2);
   CU_ASSERT_EQUAL (guard_of (task), 1 - at);
@@ -213,7 +216,8 @@
   tear_down ();
 }
 
-/* Room that comes free is used at once, however long others have waited.  */
+/* Resources that come free are used at once, even if the queued tasks are in
+   backoff.  */
 static void
 test_full (void)
 {
@@ -222,10 +226,10 @@
   set_up (0);
   bring_up (0);
   first = run_one ("small");
-  ask ("small", 60);
+  submit_count ("small", 60);
   flush ();
   flush ();
-  pass (8 * GP_SEC);
+  advance_time (8 * GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 0);
   report (0, first, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
   flush ();
@@ -233,7 +237,7 @@
   tear_down ();
 }
 
-/* A guard that only other entries hear is not fenced.  */
+/* A guard whose heartbeats only other entries receive is not fenced.  */
 static void
 test_heard_elsewhere (void)
 {
@@ -245,23 +249,23 @@
   gp_tasks_on_member (tasks, &member);
   bring_up (0);
   gp_tasks_on_closed (tasks, &sessions[0]);
-  pass (60 * GP_SEC);
+  advance_time (60 * GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_FENCE), 0);
   member.state = GP_MEMBER_SUSPECT;
   gp_tasks_on_member (tasks, &member);
-  pass (60 * GP_SEC);
+  advance_time (60 * GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_FENCE), 1);
   tear_down ();
 }
 
-/* Of two entries the responsible one places, proposes and starts; the other
-   takes over when it goes.  */
+/* Of two entries only the responsible one places tasks and proposes records;
+   the other takes over when it is gone.  */
 static void
 test_responsible (void)
 {
   gp_session_t other = { .host = &host,
                          .ready = true,
-                         .process = PEER,
+                         .process = OTHER_ENTRY,
                          .region = "r",
                          .role = GP__WIRE__ROLE__ROLE_ENTRY };
   const char *other_team;
@@ -269,33 +273,35 @@
 
   set_up (0);
   gp_list_push_back (&host.sessions, &other.link);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   announce (0, 1, NULL, 0);
   heartbeat (0, 1);
   if (queued (GP__RECORD__RECORD__RECORD_ADOPT) == 0)
-    pass (5 * GP_SEC); /* the guard is the other's, who does nothing */
+    advance_time (
+        5 * GP_SEC); /* the other entry is responsible and does nothing */
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_ADOPT), 1);
   flush ();
   heartbeat (0, 1);
-  other_team = gp_tasks_is_mine (tasks, "team", "u") ? "job" : "small";
+  other_team = gp_tasks_is_responsible (tasks, "team", "u") ? "job" : "small";
   task = submit (other_team);
-  CU_ASSERT_FALSE (gp_tasks_find (tasks, task)->team->mine);
-  pass (GP_SEC);
+  CU_ASSERT_FALSE (gp_tasks_find (tasks, task)->team->responsible);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 0);
   gp_list_remove (&other.link);
   heartbeat (0, 1);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   tear_down ();
 }
 
-/* A guard is told the revision in force, which may not be on the stream of
-   the tasks; with a lower one it would offer its own at each heartbeat.  */
+/* Replies to heartbeats contain the revision in force, which may come from
+   another log than that of the tasks.  If the reply had a lower one, the guard
+   would offer its own configuration at each heartbeat.  */
 static void
 test_revision (void)
 {
   set_up (0);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   announce (0, 1, NULL, 0);
   heartbeat (0, 1);
   CU_ASSERT_EQUAL (gp_store_fold (&store)->config.revision, 0);
@@ -303,7 +309,7 @@
   tear_down ();
 }
 
-/* An entry of another region takes nothing over.  */
+/* Entries of other regions are not responsible for anything in this one.  */
 static void
 test_other_region (void)
 {
@@ -321,15 +327,15 @@
                                   .role = GP__WIRE__ROLE__ROLE_ENTRY };
       gp_list_push_back (&host.sessions, &others[i].link);
     }
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   announce (0, 1, NULL, 0);
   heartbeat (0, 1);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_ADOPT), 1);
   flush ();
   heartbeat (0, 1);
-  CU_ASSERT_TRUE (gp_tasks_is_mine (tasks, "team", "u"));
-  CU_ASSERT_TRUE (gp_tasks_find (tasks, submit ("job"))->team->mine);
-  pass (GP_SEC);
+  CU_ASSERT_TRUE (gp_tasks_is_responsible (tasks, "team", "u"));
+  CU_ASSERT_TRUE (gp_tasks_find (tasks, submit ("job"))->team->responsible);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   for (size_t i = 0; i < G_N_ELEMENTS (others); i++)
     {
@@ -339,8 +345,9 @@
   tear_down ();
 }
 
-/* The guard's process starts again beside its runtime: what runs goes on
-   under its epoch, what does not is lost and runs again.  */
+/* The guard's process restarts while its runtime keeps running: tasks in its
+   inventory continue under their epoch, the others are lost and granted
+   again.  */
 static void
 test_adopted (void)
 {
@@ -362,7 +369,7 @@
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_ADOPT), 1);
   flush ();
   heartbeat (0, 2);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (state_of (kept)->epoch, 1);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   flush ();
@@ -373,8 +380,8 @@
   tear_down ();
 }
 
-/* A checkpoint that is decided when the guard has started again is not
-   acknowledged to the new process: its own report of the task's end may have
+/* A checkpoint whose record is read back after a restart of the guard is not
+   acknowledged to the new process, whose own report of the task's end may have
    the same number.  */
 static void
 test_ack_of_predecessor (void)
@@ -406,7 +413,7 @@
   CU_ASSERT_PTR_NULL (strstr (take_sent (), "ack"));
   g_queue_push_tail (&store.queue, end);
   flush ();
-  CU_ASSERT_PTR_NOT_NULL (strstr (take_sent (), line (0, "ack 1")));
+  CU_ASSERT_PTR_NOT_NULL (strstr (take_sent (), sent_line (0, "ack 1")));
   tear_down ();
 }
 
@@ -434,21 +441,21 @@
 {
   set_up (5);
   bring_up (0);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   for (int i = 0; i < 3; i++)
     {
       flush ();
-      pass (GP_SEC);
+      advance_time (GP_SEC);
     }
   CU_ASSERT_EQUAL (count_watchers (), 5);
   set_document (2);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_CANCEL), 3);
   flush ();
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_CANCEL), 0);
   set_document (4);
-  pass (GP_SEC);
+  advance_time (GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_SUBMIT), 2);
   flush ();
   tear_down ();
@@ -469,22 +476,23 @@
   gp_tasks_cancel (tasks, running, on_answer, NULL);
   flush ();
   CU_ASSERT_EQUAL (answered, GP_TASKS_ACCEPTED);
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "stop 2"));
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "stop 2"));
   CU_ASSERT_STRING_EQUAL (gp_tasks_state_name (tasks, state_of (waiting)),
                           "cancelled");
-  pass (4 * GP_SEC + STEP * GP_MSEC);
-  CU_ASSERT_STRING_EQUAL (take_sent (), line (0, "stop 2"));
+  advance_time (4 * GP_SEC + STEP * GP_MSEC);
+  CU_ASSERT_STRING_EQUAL (take_sent (), sent_line (0, "stop 2"));
   report (0, running, 1, GP__WIRE__TASK_STATE__TASK_STATE_STOPPED);
   flush ();
   CU_ASSERT_STRING_EQUAL (gp_tasks_state_name (tasks, state_of (running)),
                           "cancelled");
   gp_tasks_cancel (tasks, running, on_answer, NULL);
   flush ();
-  CU_ASSERT_EQUAL (answered, GP_TASKS_ACCEPTED); /* it was */
+  CU_ASSERT_EQUAL (answered, GP_TASKS_ACCEPTED); /* cancelled before */
   tear_down ();
 }
 
-/* What is known beside the fold is built anew with it.  */
+/* After the fold was rebuilt, for example from a snapshot, the mirror of its
+   tasks is rebuilt too.  */
 static void
 test_rebuilt (void)
 {
@@ -502,9 +510,10 @@
   report (0, running, 1, GP__WIRE__TASK_STATE__TASK_STATE_RUNNING);
   report (0, running, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
   flush ();
-  pass (STEP * GP_MSEC); /* the log is read */
+  advance_time (STEP
+                * GP_MSEC); /* the grantor learns that the log is read again */
   heartbeat (0, 1);
-  pass (3 * GP_SEC);
+  advance_time (3 * GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
   flush ();
   CU_ASSERT_EQUAL (state_of (waiting)->epoch, 1);
