--- a/src/cli/call.c
+++ b/src/cli/call.c
@@ -1,4 +1,4 @@
-/* Calls of the operators' HTTP.  */
+/* Calls of the operators' HTTP API.  */
 
 #include "cli/call.h"
 
@@ -18,13 +18,13 @@
 #define HEADERS_MAX 3
 #define BODY_MAX_SIZE ((size_t)64 * 1024 * 1024)
 
-/* One call on its own loop.  */
+/* One HTTP exchange, run on its own event loop.  */
 typedef struct
 {
   gp_loop_t loop;
   gp_cli_answer_t *answer;
   GError *error;
-  bool sent;
+  bool sent; /* whether the entry may have received the request */
 } exchange_t;
 
 static void
@@ -90,7 +90,9 @@
   g_free (bearer);
 }
 
-/* One attempt: a GError of the transport, or an answer.  */
+/* Make the call once, at ENTRY.  Returns true with ANSWER set, or false with
+   the transport's ERROR.  *SENT tells whether the entry may have received the
+   request.  */
 static bool
 attempt (const gp_cli_t *cli, const char *entry, gp_time_t deadline,
          const gp_cli_request_t *request, gp_cli_answer_t *answer, bool *sent,
@@ -135,7 +137,7 @@
   answer->body = NULL;
 }
 
-/* Tell why ENTRY gave no answer.  */
+/* Print why ENTRY gave no answer; takes ownership of ERROR.  */
 static gp_cli_exit_t
 report_failure (const char *entry, const gp_cli_request_t *request, bool sent,
                 GError *error)
@@ -166,8 +168,9 @@
   return report_failure (entry, request, sent, error);
 }
 
-/* When to give up an entry that hangs: the others get their share of the
-   time, unless they may not be asked after it.  */
+/* The deadline of the attempt at ENTRY.  If the call may be repeated at the
+   remaining entries, the time left is divided evenly between them, so that an
+   entry that hangs does not use all of it.  */
 static gp_time_t
 share_of_time (const gp_cli_t *cli, char *const *entry, bool idempotent)
 {
@@ -244,11 +247,11 @@
     case HTTP_FORBIDDEN:
       return "the token is not accepted";
     case HTTP_NOT_FOUND:
-      return "there is no such thing";
+      return "not found";
     case HTTP_CONFLICT:
       return "another revision came first";
     case HTTP_UNAVAILABLE:
-      return "not possible now; it did not run";
+      return "temporarily unavailable; the request did not run";
     case HTTP_TIMEOUT:
       return "the deadline passed";
     default:
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -1,4 +1,4 @@
-/* Options, dispatch and what the commands share.  */
+/* Option parsing, command dispatch and helpers shared by the commands.  */
 
 #include "cli/cli.h"
 #include "galenapier/version.h"
@@ -51,7 +51,7 @@
          out);
 }
 
-/* What may stand in a header.  */
+/* Whether TEXT can be sent in the Authorization header.  */
 static bool
 is_token (const char *text)
 {
@@ -100,7 +100,8 @@
   return true;
 }
 
-/* What the command line leaves out comes from the environment.  */
+/* Fill in options missing on the command line from the environment, and
+   validate them.  */
 static bool
 complete (gp_cli_t *cli)
 {
--- a/src/cli/cmd_check.c
+++ b/src/cli/cmd_check.c
@@ -1,4 +1,5 @@
-/* galenapier check: a document, without asking anybody.  */
+/* galenapier check: validate a document locally, without calling an
+   entry.  */
 
 #include <jansson.h>
 #include <stdio.h>
@@ -31,7 +32,8 @@
   g_string_free (text, TRUE);
 }
 
-/* The zone is looked up here, as loading reads no files.  */
+/* Warn about an unknown time zone.  This is done here because loading a
+   document reads no files, and so not the time zone database.  */
 static void
 check_time_zone (gp_cli_document_file_t *file)
 {
--- a/src/cli/cmd_config.c
+++ b/src/cli/cmd_config.c
@@ -59,7 +59,7 @@
   return GP_CLI_OK;
 }
 
-/* The value of KEY in ITEMS, owned by them, or NULL.  */
+/* The value of KEY in ITEMS, or NULL.  Owned by ITEMS.  */
 static GBytes *
 value_of (const GPtrArray *items, const char *key)
 {
@@ -97,7 +97,8 @@
   return json_stringn (bytes, size);
 }
 
-/* Print what turns BASE into TARGET; returns whether they differ.  */
+/* Print the differences from BASE to TARGET; returns whether there are
+   any.  */
 static bool
 print_diff (const GPtrArray *base, const GPtrArray *target, bool as_json)
 {
@@ -126,7 +127,8 @@
   return differs;
 }
 
-/* The items of the document in force; an empty list when there is none.  */
+/* Fetch the items of the document in force; an empty list if there is no
+   document yet.  */
 static gp_cli_exit_t
 current_items (gp_cli_t *cli, GPtrArray **items)
 {
@@ -188,7 +190,8 @@
   return status;
 }
 
-/* Names of the processes in LIST that are up and behind REVISION.  */
+/* Append to NAMES the processes in LIST that are not gone and have a revision
+   earlier than REVISION in force.  */
 static void
 find_behind (const json_t *list, gint64 revision, GPtrArray *names)
 {
@@ -208,7 +211,8 @@
   }
 }
 
-/* Ask once; NAMES receives who is behind.  */
+/* Fetch the status once and append to NAMES the processes behind
+   REVISION.  */
 static gp_cli_exit_t
 ask_behind (gp_cli_t *cli, gint64 revision, GPtrArray *names)
 {
--- a/src/cli/cmd_explain_logs.c
+++ b/src/cli/cmd_explain_logs.c
@@ -1,6 +1,5 @@
-/* galenapier explain ID LOG...: the path of a job, task, executor or zone
-   through the log lines of all processes, or all that was refused as
-   malformed.  */
+/* galenapier explain ID LOG...: all log lines of all processes about one job,
+   task, executor or zone, or about rejected malformed input.  */
 
 #include <jansson.h>
 #include <stdio.h>
@@ -10,13 +9,14 @@
 #include "cli/cli.h"
 #include "cli/log_lines.h"
 
-/* In the place of an ID: what came from outside and was refused.  */
+/* Given instead of an ID, selects the lines about malformed external input
+   that was rejected.  */
 #define REFUSED "refused"
 #define REFUSAL_SUFFIX ".malformed"
 #define UNCONFIRMED "executor.unconfirmed"
 
-/* Does the line's job or task belong to ID?  A job's id begins the names of
-   its tasks.  */
+/* Whether member KEY is ID, or a task of job ID: the name of a task is the id
+   of its job, a "." and a suffix.  */
 static bool
 names (const json_t *json, const char *key, const char *id)
 {
@@ -72,8 +72,8 @@
   }
 }
 
-/* Milliseconds since the first line, those since the line before, where and
-   what.  */
+/* Print per line: milliseconds since the first line, milliseconds since the
+   previous line, process, event and the other fields.  */
 static void
 print_lines (const GArray *lines)
 {
--- a/src/cli/cmd_losses.c
+++ b/src/cli/cmd_losses.c
@@ -1,4 +1,5 @@
-/* galenapier losses LOG...: where jobs lost their time, from log files.  */
+/* galenapier losses LOG...: job statistics and causes of delay, from log
+   files.  */
 
 #include "cli/cli.h"
 #include "cli/log_lines.h"
--- a/src/cli/cmd_publish.c
+++ b/src/cli/cmd_publish.c
@@ -1,8 +1,9 @@
 /* galenapier publish: put a document in force.
 
-   The entry accepts a document only on the revision it was written for, so
-   that of two operators who race only one wins.  The revision comes from
-   --base, or from the comment that `config show' writes.  */
+   The entry accepts a document only if the base revision, the one it was
+   written for, is still current, so that of two operators who publish
+   concurrently only one succeeds.  The base revision comes from --base, or
+   from the comment that `config show' writes.  */
 
 #include <jansson.h>
 #include <stdio.h>
@@ -32,7 +33,7 @@
   g_string_free (text, TRUE);
 }
 
-/* The revision that is current now.  */
+/* Fetch the current revision as the base.  */
 static gp_cli_exit_t
 ask_latest (gp_cli_t *cli, gint64 *base)
 {
--- a/src/cli/cmd_status.c
+++ b/src/cli/cmd_status.c
@@ -1,12 +1,13 @@
-/* galenapier status: processes, capacity, log and configuration, once or as a
-   live view that refreshes in the terminal.  */
+/* galenapier status: print processes, capacity, log and configuration, once or
+   as a live view that refreshes in the terminal.  */
 
 #include <stdio.h>
 
 #include "cli/call.h"
 #include "cli/print.h"
 
-/* Cursor to the upper left, clear to the end of the screen (ECMA-48).  */
+/* Move the cursor to the upper left and clear to the end of the screen
+   (ECMA-48).  */
 #define CLEAR_SCREEN "\033[H\033[J"
 
 static gp_cli_exit_t
@@ -27,8 +28,9 @@
   return GP_CLI_OK;
 }
 
-/* Refresh each INTERVAL_S seconds, TIMES times or until interrupted (0).  An
-   entry that does not answer is told and asked again.  */
+/* Refresh every INTERVAL_S seconds, TIMES times, or until interrupted if TIMES
+   is 0.  If no entry answers, the error is printed and the next refresh tries
+   again.  */
 static gp_cli_exit_t
 watch (gp_cli_t *cli, double interval_s, int times)
 {
--- a/src/cli/cmd_timeline.c
+++ b/src/cli/cmd_timeline.c
@@ -1,4 +1,4 @@
-/* galenapier timeline: events of the site in their order.  */
+/* galenapier timeline: the merged events of all processes of the site.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "cli/timeline_merge.h"
 
 #define FILES_MAX 1000
-/* Events of one answer.  */
+/* Events requested per answer.  */
 #define PAGE_SIZE 1000
 
 typedef struct
@@ -21,18 +21,18 @@
   gboolean trace;
 } timeline_options_t;
 
-/* One collection of events.  */
+/* State of collecting events from all entries.  */
 typedef struct
 {
   gp_cli_t *cli;
   const timeline_options_t *options;
   const gp_timeline_filter_t *filter;
   gp_timeline_merge_t *merge;
-  GHashTable *asked; /* names of processes */
+  GHashTable *asked; /* names of the processes already requested */
 } collection_t;
 
-/* The path of the page after sequence SINCE of PROCESS, NULL: of the entry
-   that is asked.  */
+/* The request path of the page after sequence SINCE of PROCESS, or of the
+   called entry itself if PROCESS is NULL.  Owned by the caller.  */
 static char *
 page_path (const char *process, guint64 since)
 {
@@ -48,7 +48,7 @@
   return g_string_free (path, FALSE);
 }
 
-/* The sequence of the last event of a page, 0 when it has none.  */
+/* The sequence of the last event in PAGE, or 0 if there is none.  */
 static guint64
 last_sequence (const GString *page)
 {
@@ -66,7 +66,8 @@
   return sequence > 0 ? (guint64)sequence : 0;
 }
 
-/* Add one page of events; *SINCE moves on, or stays at the end.  */
+/* Add one page of events.  Advances *SINCE to the last event of the page, or
+   leaves it as it is when there are no more events.  */
 static gp_cli_exit_t
 collect_page (const collection_t *collection, const char *entry,
               const char *process, guint64 *since)
@@ -93,7 +94,7 @@
   return status;
 }
 
-/* Add all events of PROCESS, NULL: of ENTRY itself.  */
+/* Add all events of PROCESS, or of ENTRY itself if PROCESS is NULL.  */
 static gp_cli_exit_t
 collect (const collection_t *collection, const char *entry,
          const char *process)
@@ -122,7 +123,7 @@
          && g_hash_table_add (collection->asked, g_strdup (name));
 }
 
-/* Whether the entry can reach PROCESS.  */
+/* Whether the entry can reach PROCESS, an element of its status.  */
 static bool
 is_reachable (json_t *process)
 {
@@ -135,7 +136,8 @@
   return !json_is_false (connected);
 }
 
-/* Add the events of each process in LIST through ENTRY.  */
+/* Add the events of each reachable process in LIST, requested through ENTRY.
+   Returns the first failure, if any.  */
 static gp_cli_exit_t
 collect_list (const collection_t *collection, const char *entry, json_t *list)
 {
@@ -156,7 +158,8 @@
   return first;
 }
 
-/* The status of ENTRY, NULL when it cannot be told.  */
+/* Fetch the status of ENTRY.  *JSON is owned by the caller, and NULL on
+   failure or if the answer is not JSON.  */
 static gp_cli_exit_t
 ask_status (gp_cli_t *cli, const char *entry, json_t **json)
 {
@@ -176,8 +179,8 @@
   return status;
 }
 
-/* Add the events of ENTRY and of all processes that it reaches and that no
-   entry before gave.  */
+/* Add the events of ENTRY and of all processes that it reaches, except those
+   already requested through an earlier entry.  */
 static gp_cli_exit_t
 collect_entry (const collection_t *collection, const char *entry)
 {
@@ -199,7 +202,7 @@
   return first == GP_CLI_OK ? status : first;
 }
 
-/* Add what was saved in a file with --json.  */
+/* Add events saved to a file with --json.  */
 static gp_cli_exit_t
 read_saved (const char *path, const gp_timeline_filter_t *filter,
             gp_timeline_merge_t *merge)
@@ -252,8 +255,9 @@
     gp_cli_error ("%zu lines are not events", merge->malformed);
 }
 
-/* Ask all entries, through them all processes, and read all files; what fails
-   is told, the rest is printed, and the first failure is the exit status.  */
+/* Collect events from all files, all entries and, through them, all processes.
+   Failures are printed to standard error and do not stop the collection; the
+   first one is the exit status.  */
 static gp_cli_exit_t
 merge_all (gp_cli_t *cli, const timeline_options_t *options, int argc,
            char **argv)
--- a/src/cli/cmd_work.c
+++ b/src/cli/cmd_work.c
@@ -1,4 +1,4 @@
-/* galenapier status, submit, jobs, watchers, cancel, explain, counters.  */
+/* galenapier submit, jobs, watchers, cancel, explain, counters.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -8,10 +8,10 @@
 #include "cli/print.h"
 
 #define IDS_MAX 10000
-/* An ID and the logs of as many processes.  */
+/* One ID and up to 1000 log files.  */
 #define LOGS_MAX 1001
 
-/* GET PATH and print what comes.  */
+/* Send GET PATH and print the answer.  */
 static gp_cli_exit_t
 get_and_print (gp_cli_t *cli, const char *path)
 {
@@ -41,7 +41,8 @@
   g_free (escaped);
 }
 
-/* A list that can be narrowed.  */
+/* Print the list at PATH, filtered by the state, team and kind that the
+   options give.  */
 static gp_cli_exit_t
 list (gp_cli_t *cli, const char *path, int argc, char **argv)
 {
@@ -85,7 +86,7 @@
   return list (cli, "/v1/watchers", argc, argv);
 }
 
-/* "PREFIX/ID" with ID escaped.  */
+/* "PREFIX/ID" with ID percent-encoded; owned by the caller.  */
 static char *
 path_of_id (const char *prefix, const char *id)
 {
@@ -128,7 +129,8 @@
   return status;
 }
 
-/* Goes on after one that fails; the first failure is the exit status.  */
+/* Continues after a failed cancellation; the first failure is the exit
+   status.  */
 gp_cli_exit_t
 gp_cli_cancel (gp_cli_t *cli, int argc, char **argv)
 {
@@ -218,8 +220,9 @@
   }
 }
 
-/* The key lets the entry tell a second try from a second job, so the next
-   entry may be tried whatever became of the first.  */
+/* The idempotency key lets an entry distinguish a retry from a new
+   submission, so the next entry may be tried even if the outcome at the first
+   is unknown.  */
 static gp_cli_exit_t
 submit (gp_cli_t *cli, const submit_options_t *options)
 {
@@ -277,7 +280,7 @@
   return status;
 }
 
-/* Counters in the text exposition format as one JSON object.  */
+/* Convert counters in the text exposition format to a JSON object.  */
 static json_t *
 counters_json (const char *text)
 {
--- a/src/cli/document_file.c
+++ b/src/cli/document_file.c
@@ -1,4 +1,4 @@
-/* A document in a file of the operator.  */
+/* A configuration document read from a file.  */
 
 #include "cli/document_file.h"
 
--- a/src/cli/log_lines.c
+++ b/src/cli/log_lines.c
@@ -1,4 +1,4 @@
-/* Lines of the logs that the processes write.  */
+/* Reads the JSON lines of process logs.  */
 
 #include "cli/log_lines.h"
 
@@ -23,7 +23,8 @@
   return left->time < right->time ? -1 : 1;
 }
 
-/* A log may hold other text, also before the object on a line.  */
+/* Parse the JSON object in TEXT; NULL if there is none.  Log files also
+   contain lines that are not JSON, and text before and after the object.  */
 static json_t *
 parse (const char *text)
 {
--- a/src/cli/losses.c
+++ b/src/cli/losses.c
@@ -1,4 +1,4 @@
-/* What became of the jobs that callers handed in, by the logs.  */
+/* Job statistics computed from logs.  */
 
 #include "cli/losses.h"
 
@@ -6,9 +6,11 @@
 
 #include "cli/log_lines.h"
 
-/* Hexadecimal digits of a job's id, which begins the names of its tasks.  */
+/* Length of a job id in hexadecimal digits.  The name of a task starts with
+   the id of its job.  */
 #define ID_SIZE 16
-/* Of entries that follow: it does not know the queue of a job.  */
+/* Shown for jobs without an assigned run: only the assignment logs the
+   queue.  */
 #define QUEUE_UNKNOWN "-"
 
 typedef enum
@@ -19,7 +21,7 @@
   FATE_FAILED,
   FATE_CANCELLED,
   FATE_REFUSED,
-  FATE_LEFT_OPEN, /* the caller does not know */
+  FATE_LEFT_OPEN, /* the caller was not told whether it was accepted */
   FATES
 } fate_t;
 
@@ -40,16 +42,16 @@
 
 typedef struct
 {
-  char *queue; /* owned, NULL: not known */
+  char *queue; /* owned; NULL if unknown */
   gp_time_t handed_in;
-  gp_time_t recorded; /* 0: not */
-  gp_time_t started;  /* 0: not */
-  gp_time_t ended;    /* 0: not */
-  gp_time_t idle_since;
-  gp_time_t idle;  /* time for which it had no run */
-  gp_time_t again; /* sum over runs that did not end done ... */
-  gp_time_t spent; /* ... and over all that have ended */
-  unsigned active; /* runs */
+  gp_time_t recorded;   /* 0 if not recorded */
+  gp_time_t started;    /* of the first run; 0 if none */
+  gp_time_t ended;      /* 0 if not ended */
+  gp_time_t idle_since; /* valid while it has no active run */
+  gp_time_t idle;       /* total time without an active run */
+  gp_time_t again;      /* total duration of runs that did not end "done" */
+  gp_time_t spent;      /* total duration of all runs that ended */
+  unsigned active;      /* number of active runs */
   fate_t fate;
 } job_t;
 
@@ -60,37 +62,37 @@
   gp_time_t began;
 } run_t;
 
-/* Runs that ended in one way.  */
+/* Runs of one queue that ended in the same way.  */
 typedef struct
 {
   unsigned count;
-  gp_time_t time;
+  gp_time_t time; /* total duration */
 } ends_t;
 
-/* An executor that went down, and what may have taken it down.  */
+/* An executor that was lost, possibly because of a run on it.  */
 typedef struct
 {
-  gp_time_t at;
-  unsigned runs; /* that went with it */
-  char *jobs;    /* owned */
+  gp_time_t at;  /* time of the first loss */
+  unsigned runs; /* runs lost with it */
+  char *jobs;    /* the suspected jobs, owned */
 } suspects_t;
 
-/* An executor that has started again under its id.  */
+/* Restarts of an executor under the same id.  */
 typedef struct
 {
-  unsigned lives;  /* that began so */
-  int64_t lost;    /* runs that went with the lives before ... */
-  int64_t carried; /* ... and that the next ones carried out */
+  unsigned lives;  /* incarnations after the first */
+  int64_t lost;    /* runs lost with previous incarnations */
+  int64_t carried; /* runs carried over to the next incarnation */
 } restarts_t;
 
 typedef struct
 {
   GHashTable *jobs;     /* id to job_t, owned */
-  GHashTable *runs;     /* "task run" to run_t, owned: under way */
+  GHashTable *runs;     /* active runs: "task run" to run_t, owned */
   GHashTable *ends;     /* "queue how" to ends_t, owned */
   GHashTable *answers;  /* "status why" to a count */
   GHashTable *suspects; /* executor to suspects_t, owned */
-  GHashTable *restarts; /* the same to restarts_t, owned */
+  GHashTable *restarts; /* executor to restarts_t, owned */
   gp_time_t last;       /* time of the last line */
 } account_t;
 
@@ -130,7 +132,7 @@
   return job;
 }
 
-/* The key of a run, owned by the caller.  */
+/* The key in the table of runs, owned by the caller.  */
 static char *
 run_key (const gp_log_line_t *line)
 {
@@ -202,7 +204,7 @@
   g_free (key);
 }
 
-/* The run of LINE is over, by what it says or as HOW.  */
+/* Record that the run of LINE ended as HOW, if it was active.  */
 static void
 take_end (account_t *account, const gp_log_line_t *line, const char *how)
 {
@@ -224,7 +226,7 @@
   g_free (key);
 }
 
-/* A run went with its executor: count it, if runs there may have done it.  */
+/* Count a run lost with its executor, if the line names suspected jobs.  */
 static void
 take_lost (account_t *account, const gp_log_line_t *line)
 {
@@ -304,7 +306,9 @@
     take_next_life (account, line);
 }
 
-/* Where JOB, which was not in time, lost most of it.  */
+/* The cause that took most of the time of JOB.  The time with active runs is
+   divided between repeated runs and execution in the proportion of the ended
+   runs' durations.  */
 static cause_t
 cause_of (const account_t *account, const job_t *job)
 {
@@ -341,7 +345,7 @@
   return false;
 }
 
-/* Tables.  */
+/* Output tables.  */
 
 static void
 add_to (json_t *row, const char *key, int64_t amount)
@@ -351,8 +355,8 @@
   json_object_set_new (row, key, json_integer (before + amount));
 }
 
-/* The row of table ROWS whose member KEY is NAME, made with ZEROES (a list
-   that ends with NULL) when there is none.  */
+/* The row in ROWS whose member KEY is NAME.  If there is none, appends one
+   whose members ZEROES (NULL-terminated) are 0.  */
 static json_t *
 row_of (json_t *rows, const char *key, const char *name,
         const char *const *zeroes)
@@ -385,7 +389,7 @@
     add_to (row, "start_ms", (job->started - job->recorded) / GP_MSEC);
 }
 
-/* Sums become means over the jobs of the row.  */
+/* Replace the sums in each row by the means over the row's jobs.  */
 static void
 take_means (json_t *rows)
 {
@@ -542,7 +546,8 @@
   return strcmp (*(char *const *)a, *(char *const *)b);
 }
 
-/* Who paid for work that takes executors down, and for which.  */
+/* Executors possibly lost because of a run on them, ordered by time, with the
+   suspected jobs.  */
 static json_t *
 executor_table (const account_t *account)
 {
--- a/src/cli/losses.h
+++ b/src/cli/losses.h
@@ -1,11 +1,12 @@
-/* What became of the jobs that callers handed in, by the logs of all entries
-   and guards: how many were in time, and where the others lost their time.
+/* Job statistics computed from the logs of all entries and guards: how many of
+   the submitted jobs were completed in time, and why the others were not.
 
-   A job that is late, has failed or still goes on lost most of its time in one
-   of three ways: it had no run, as there was no room; its runs had to be made
-   again; or it was at work.
+   A job that was late, failed or is still going on is attributed to the one
+   cause that took most of its time: it had no active run, as no executor had
+   the resources; its runs were lost or failed and had to be repeated; or its
+   runs were executing.
 
-   Pure.  */
+   Performs no I/O.  */
 
 #ifndef GP_CLI_LOSSES_H
 #define GP_CLI_LOSSES_H
@@ -15,11 +16,15 @@
 
 #include "base/time.h"
 
-/* LINES are gp_log_line_t by time.  A JSON object of the caller's with the
-   tables "queues"; "answers": those other than success, by why; "runs": by how
-   they ended; "moments": by when jobs were handed in, in steps of EVERY;
-   "executors": those that runs there may have taken down, with these jobs;
-   "restarts": those that have started again under their id.  */
+/* LINES are gp_log_line_t ordered by time.  Returns a JSON object, owned by
+   the caller, with the tables
+   "queues": jobs by queue;
+   "answers": answers other than 200, by status and reason;
+   "runs": runs by queue and how they ended;
+   "moments": jobs by submission time, in intervals of EVERY;
+   "executors": executors that may have crashed because of a run, with the
+   suspected jobs;
+   "restarts": executors that restarted under the same id.  */
 json_t *gp_losses_of (const GArray *lines, gp_time_t every);
 
 #endif
--- a/src/cli/print.c
+++ b/src/cli/print.c
@@ -1,16 +1,17 @@
-/* JSON for people.  */
+/* Formats JSON as human-readable text.  */
 
 #include "cli/print.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/* A table in the making: columns in the order in which they appear.  */
+/* A table being built.  Columns are in the order of their first
+   appearance.  */
 typedef struct
 {
   GPtrArray *names; /* of columns */
-  GArray *widths;   /* size_t */
-  GPtrArray *rows;  /* of GHashTable: column -> text */
+  GArray *widths;   /* size_t, in characters */
+  GPtrArray *rows;  /* of GHashTable: column name -> text */
 } table_t;
 
 static char *
--- a/src/cli/print.h
+++ b/src/cli/print.h
@@ -1,8 +1,8 @@
-/* JSON for people.
+/* Formats JSON as human-readable text.
 
-   Members that are single values come as "name: value"; a list of objects
-   comes as a table with a column for each member; members of an inner
-   object are named "outer.inner".  */
+   A scalar member is formatted as "name: value", and an array of objects as a
+   table with one column per member.  A member of a nested object is named
+   "outer.inner".  */
 
 #ifndef GP_CLI_PRINT_H
 #define GP_CLI_PRINT_H
@@ -11,10 +11,11 @@
 #include <jansson.h>
 #include <stdbool.h>
 
-/* Append JSON to OUT.  */
+/* Append JSON to OUT as text.  */
 void gp_cli_format (const json_t *json, GString *out);
 
-/* Print JSON on standard output, as it is if AS_JSON.  */
+/* Print JSON to standard output, as indented JSON if AS_JSON, otherwise as
+   text.  */
 void gp_cli_print (const json_t *json, bool as_json);
 
 #endif
--- a/src/cli/timeline_merge.c
+++ b/src/cli/timeline_merge.c
@@ -1,4 +1,4 @@
-/* Events of many processes in one order.  */
+/* Merges the timelines of many processes into one total order.  */
 
 #include "cli/timeline_merge.h"
 
@@ -179,10 +179,10 @@
     append_event (out, merge->events->pdata[i]);
 }
 
-/* Trace viewers.  */
+/* Trace event format.  */
 
-/* Microseconds; the logical counter keeps the order inside of one
-   millisecond.  */
+/* The timestamp of EVENT in microseconds.  The logical counter stands in for
+   the microseconds, which keeps the order within a millisecond.  */
 static json_int_t
 trace_time (const json_t *event)
 {
@@ -191,7 +191,8 @@
   return number_of (event, "ms") * US_PER_MS + MIN (counter, US_PER_MS - 1);
 }
 
-/* The number of the process of EVENT; a new one is named in LIST.  */
+/* The process id in the trace of the process of EVENT.  A new process gets the
+   next number and a metadata event with its name in LIST.  */
 static json_int_t
 process_number (GHashTable *numbers, json_t *list, const json_t *event)
 {
@@ -209,8 +210,8 @@
   return number;
 }
 
-/* The bar of a task, from the event that starts it to the one that ends it,
-   as an asynchronous pair.  */
+/* If EVENT starts or ends a task, append the begin or end event of the task's
+   asynchronous event pair.  */
 static void
 append_bar (json_t *list, const json_t *event, json_int_t process)
 {
--- a/src/cli/timeline_merge.h
+++ b/src/cli/timeline_merge.h
@@ -1,8 +1,9 @@
-/* Events of many processes in one order.
+/* Merges the timelines of many processes into one total order.
 
-   Every process hands out its events as JSON lines (base/timeline.h).  The
-   merge keeps each event once, whoever handed it out, and orders them by
-   hybrid logical time, then process, incarnation and sequence.  */
+   Every process serves its events as JSON lines (base/timeline.h).  The merge
+   keeps each event once, even if it was received several times, and orders
+   the events by hybrid logical time, then process, incarnation and
+   sequence.  */
 
 #ifndef GP_CLI_TIMELINE_MERGE_H
 #define GP_CLI_TIMELINE_MERGE_H
@@ -13,16 +14,16 @@
 
 typedef struct
 {
-  GPtrArray *events; /* of json_t, in the order of the merge after _sort */
-  GHashTable *seen;
-  size_t malformed; /* lines that were dropped */
-  size_t lost;      /* events that their processes no longer had */
+  GPtrArray *events; /* of json_t, sorted by gp_timeline_merge_sort */
+  GHashTable *seen;  /* identities of the events received */
+  size_t malformed;  /* lines that were dropped */
+  size_t lost;       /* events that their processes no longer keep */
 } gp_timeline_merge_t;
 
-/* Which events to keep; NULL: any.  */
+/* Selects the events to keep; a NULL member matches any.  */
 typedef struct
 {
-  const char *kind; /* "task." keeps all kinds that start so */
+  const char *kind; /* a prefix: "task." matches "task.started" */
   const char *process;
   const char *task;
   const char *request;
@@ -38,12 +39,13 @@
 
 void gp_timeline_merge_sort (gp_timeline_merge_t *merge);
 
-/* Append the events as lines for people.  */
+/* Append the events to OUT as human-readable lines.  */
 void gp_timeline_merge_text (const gp_timeline_merge_t *merge, GString *out);
 
-/* The events as the JSON that trace viewers open: each process is one of
-   the trace, with a track for its VM; events with a task also span a bar
-   from the task's start to its end.  */
+/* The events in the JSON trace event format, owned by the caller.  Each
+   process of the site is a process of the trace, and each event an instant
+   event of it; the start and the end of a task also form an asynchronous
+   event pair.  */
 json_t *gp_timeline_merge_trace (const gp_timeline_merge_t *merge);
 
 #endif
