--- a/src/cli/call.c
+++ b/src/cli/call.c
@@ -172,7 +172,7 @@
    remaining entries, the time left is divided evenly between them, so that an
    entry that hangs does not use all of it.  */
 static gp_time_t
-share_of_time (const gp_cli_t *cli, char *const *entry, bool idempotent)
+attempt_deadline (const gp_cli_t *cli, char *const *entry, bool idempotent)
 {
   gp_time_t now = gp_time_now ();
 
@@ -189,7 +189,7 @@
 
   for (char **entry = cli->entries; entry && *entry; entry++)
     {
-      gp_time_t deadline = share_of_time (cli, entry, request->idempotent);
+      gp_time_t deadline = attempt_deadline (cli, entry, request->idempotent);
       GError *error = NULL;
       bool sent;
 
@@ -197,7 +197,7 @@
         {
           if (answer->status != HTTP_UNAVAILABLE || !entry[1])
             return GP_CLI_OK;
-          status = gp_cli_refusal (answer);
+          status = gp_cli_report_refusal (answer);
           gp_cli_answer_finish (answer);
           continue;
         }
@@ -223,7 +223,7 @@
 }
 
 static gp_cli_exit_t
-exit_of_status (int status)
+exit_code_for_status (int status)
 {
   switch (status)
     {
@@ -239,7 +239,7 @@
 }
 
 static const char *
-words_of_status (int status)
+default_message_for_status (int status)
 {
   switch (status)
     {
@@ -260,7 +260,7 @@
 }
 
 gp_cli_exit_t
-gp_cli_refusal (const gp_cli_answer_t *answer)
+gp_cli_report_refusal (const gp_cli_answer_t *answer)
 {
   json_t *json = json_loadb (answer->body->str, answer->body->len, 0, NULL);
   const char *message = json_string_value (json_object_get (json, "message"));
@@ -269,11 +269,12 @@
   size_t i;
 
   gp_cli_error ("%s: %s (HTTP %d)", answer->entry,
-                message ? message : words_of_status (answer->status),
+                message ? message
+                        : default_message_for_status (answer->status),
                 answer->status);
   json_array_foreach (issues, i, issue) { report_issue (issue); }
   json_decref (json);
-  return exit_of_status (answer->status);
+  return exit_code_for_status (answer->status);
 }
 
 gp_cli_exit_t
@@ -288,7 +289,7 @@
     return status;
   if (!gp_cli_answer_ok (&answer))
     {
-      status = gp_cli_refusal (&answer);
+      status = gp_cli_report_refusal (&answer);
       gp_cli_answer_finish (&answer);
       return status;
     }
--- a/src/cli/call.h
+++ b/src/cli/call.h
@@ -52,6 +52,6 @@
 
 /* Print an answer other than 2xx as an error; returns the matching exit
    code.  */
-gp_cli_exit_t gp_cli_refusal (const gp_cli_answer_t *answer);
+gp_cli_exit_t gp_cli_report_refusal (const gp_cli_answer_t *answer);
 
 #endif
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -103,7 +103,7 @@
 /* Fill in options missing on the command line from the environment, and
    validate them.  */
 static bool
-complete (gp_cli_t *cli)
+apply_environment (gp_cli_t *cli)
 {
   const char *entries = g_getenv ("GALENAPIER_ENTRY");
   const char *token_file = g_getenv ("GALENAPIER_TOKEN_FILE");
@@ -157,7 +157,7 @@
                     summary[0] != '\0' ? " " : "", summary);
       return false;
     }
-  return complete (cli);
+  return apply_environment (cli);
 }
 
 static char *
@@ -189,7 +189,7 @@
 }
 
 static int
-run (const gp_cli_command_t *command, int argc, char **argv)
+run_command (const gp_cli_command_t *command, int argc, char **argv)
 {
   gp_cli_t cli = { .timeout_s = DEFAULT_TIMEOUT_S };
   char *name = g_strconcat ("galenapier ", command->name, NULL);
@@ -221,7 +221,7 @@
     }
   for (size_t i = 0; i < G_N_ELEMENTS (commands); i++)
     if (strcmp (name, commands[i].name) == 0)
-      return run (&commands[i], argc - 1, argv + 1);
+      return run_command (&commands[i], argc - 1, argv + 1);
   if (name[0] != '\0')
     gp_cli_error ("no command \"%s\"", name);
   print_help (stderr);
--- a/src/cli/cmd_config.c
+++ b/src/cli/cmd_config.c
@@ -74,7 +74,7 @@
 }
 
 static void
-print_side (char mark, const char *key, GBytes *value)
+print_diff_line (char mark, const char *key, GBytes *value)
 {
   gsize size;
   const char *bytes;
@@ -86,7 +86,7 @@
 }
 
 static json_t *
-side_json (GBytes *value)
+item_value_json (GBytes *value)
 {
   gsize size;
   const char *bytes;
@@ -113,12 +113,13 @@
 
       if (!as_json)
         {
-          print_side ('-', item->key, old);
-          print_side ('+', item->key, item->value);
+          print_diff_line ('-', item->key, old);
+          print_diff_line ('+', item->key, item->value);
         }
-      json_array_append_new (
-          list, json_pack ("{s:s, s:o, s:o}", "key", item->key, "old",
-                           side_json (old), "new", side_json (item->value)));
+      json_array_append_new (list,
+                             json_pack ("{s:s, s:o, s:o}", "key", item->key,
+                                        "old", item_value_json (old), "new",
+                                        item_value_json (item->value)));
     }
   if (as_json)
     gp_cli_print (list, true);
@@ -193,7 +194,7 @@
 /* Append to NAMES the processes in LIST that are not gone and have a revision
    earlier than REVISION in force.  */
 static void
-find_behind (const json_t *list, gint64 revision, GPtrArray *names)
+append_outdated (const json_t *list, gint64 revision, GPtrArray *names)
 {
   json_t *process;
   size_t i;
@@ -214,7 +215,7 @@
 /* Fetch the status once and append to NAMES the processes behind
    REVISION.  */
 static gp_cli_exit_t
-ask_behind (gp_cli_t *cli, gint64 revision, GPtrArray *names)
+fetch_outdated (gp_cli_t *cli, gint64 revision, GPtrArray *names)
 {
   json_t *json;
   gp_cli_exit_t status = get (cli, "/v1/status", &json);
@@ -226,14 +227,14 @@
       gp_cli_error ("the status lists no entries");
       status = GP_CLI_REFUSED;
     }
-  find_behind (json_object_get (json, "entries"), revision, names);
-  find_behind (json_object_get (json, "guards"), revision, names);
+  append_outdated (json_object_get (json, "entries"), revision, names);
+  append_outdated (json_object_get (json, "guards"), revision, names);
   json_decref (json);
   return status;
 }
 
 static gp_cli_exit_t
-report_behind (gint64 revision, GPtrArray *names)
+report_outdated (gint64 revision, GPtrArray *names)
 {
   char *list;
 
@@ -251,7 +252,7 @@
   for (;;)
     {
       GPtrArray *names = g_ptr_array_new_with_free_func (g_free);
-      gp_cli_exit_t status = ask_behind (cli, revision, names);
+      gp_cli_exit_t status = fetch_outdated (cli, revision, names);
       bool done = status != GP_CLI_OK || names->len == 0;
 
       if (status == GP_CLI_OK && names->len == 0 && !cli->json)
@@ -259,7 +260,7 @@
                 revision);
       if (!done && gp_time_now () + POLL_US >= cli->deadline)
         {
-          status = report_behind (revision, names);
+          status = report_outdated (revision, names);
           done = true;
         }
       g_ptr_array_unref (names);
--- a/src/cli/cmd_explain_logs.c
+++ b/src/cli/cmd_explain_logs.c
@@ -13,12 +13,12 @@
    that was rejected.  */
 #define REFUSED "refused"
 #define REFUSAL_SUFFIX ".malformed"
-#define UNCONFIRMED "executor.unconfirmed"
+#define UNCONFIRMED_EVENT "executor.unconfirmed"
 
 /* Whether member KEY is ID, or a task of job ID: the name of a task is the id
    of its job, a "." and a suffix.  */
 static bool
-names (const json_t *json, const char *key, const char *id)
+id_matches (const json_t *json, const char *key, const char *id)
 {
   const char *value = json_string_value (json_object_get (json, key));
   size_t size = strlen (id);
@@ -34,18 +34,18 @@
 
   return event != NULL
          && (g_str_has_suffix (event, REFUSAL_SUFFIX)
-             || strcmp (event, UNCONFIRMED) == 0);
+             || strcmp (event, UNCONFIRMED_EVENT) == 0);
 }
 
 static bool
-belongs (const json_t *json, void *data)
+is_about (const json_t *json, void *data)
 {
   const char *id = data;
 
   if (strcmp (id, REFUSED) == 0)
     return is_refusal (json);
-  return names (json, "job", id) || names (json, "task", id)
-         || names (json, "executor", id) || names (json, "zone", id);
+  return id_matches (json, "job", id) || id_matches (json, "task", id)
+         || id_matches (json, "executor", id) || id_matches (json, "zone", id);
 }
 
 static bool
@@ -78,7 +78,7 @@
 print_lines (const GArray *lines)
 {
   const gp_log_line_t *first = &g_array_index (lines, gp_log_line_t, 0);
-  json_int_t before = first->time;
+  json_int_t previous = first->time;
 
   for (guint i = 0; i < lines->len; i++)
     {
@@ -86,12 +86,12 @@
 
       printf ("%9.1f %+8.1f ms  %s %s",
               (double)(line->time - first->time) / GP_MSEC,
-              (double)(line->time - before) / GP_MSEC,
+              (double)(line->time - previous) / GP_MSEC,
               json_string_value (json_object_get (line->json, "process")),
               json_string_value (json_object_get (line->json, "event")));
       print_fields (line->json);
       putchar ('\n');
-      before = line->time;
+      previous = line->time;
     }
 }
 
@@ -109,7 +109,7 @@
 gp_cli_exit_t
 gp_cli_explain_logs (gp_cli_t *cli, const char *id, char **logs)
 {
-  GArray *lines = gp_log_lines_read (logs, belongs, (void *)id);
+  GArray *lines = gp_log_lines_read (logs, is_about, (void *)id);
   gp_cli_exit_t status = GP_CLI_OK;
 
   if (lines == NULL)
--- a/src/cli/cmd_losses.c
+++ b/src/cli/cmd_losses.c
@@ -8,10 +8,10 @@
 
 #include <string.h>
 
-#define EVERY_DEFAULT_S 10
+#define DEFAULT_INTERVAL_S 10
 
 static bool
-is_counted (const json_t *json, void *data)
+is_relevant (const json_t *json, void *data)
 {
   const char *event = json_string_value (json_object_get (json, "event"));
 
@@ -24,7 +24,7 @@
 gp_cli_exit_t
 gp_cli_losses (gp_cli_t *cli, int argc, char **argv)
 {
-  int every_s = EVERY_DEFAULT_S;
+  int every_s = DEFAULT_INTERVAL_S;
   const GOptionEntry options[]
       = { { "every", 0, 0, G_OPTION_ARG_INT, &every_s,
             "moments in steps of SECONDS (10)", "SECONDS" },
@@ -39,10 +39,10 @@
       gp_cli_error ("--every takes a number of seconds over 0");
       return GP_CLI_USAGE;
     }
-  lines = gp_log_lines_read (argv + 1, is_counted, NULL);
+  lines = gp_log_lines_read (argv + 1, is_relevant, NULL);
   if (lines == NULL)
     return GP_CLI_USAGE;
-  losses = gp_losses_of (lines, every_s * GP_SEC);
+  losses = gp_losses_compute (lines, every_s * GP_SEC);
   gp_cli_print (losses, cli->json);
   json_decref (losses);
   g_array_unref (lines);
--- a/src/cli/cmd_publish.c
+++ b/src/cli/cmd_publish.c
@@ -35,7 +35,7 @@
 
 /* Fetch the current revision as the base.  */
 static gp_cli_exit_t
-ask_latest (gp_cli_t *cli, gint64 *base)
+fetch_latest_revision (gp_cli_t *cli, gint64 *base)
 {
   const gp_cli_request_t request
       = { .method = "GET", .path = "/v1/config", .idempotent = true };
@@ -50,14 +50,14 @@
 }
 
 static gp_cli_exit_t
-find_base (gp_cli_t *cli, publish_options_t *options, const char *text)
+resolve_base (gp_cli_t *cli, publish_options_t *options, const char *text)
 {
   if (options->base == NO_BASE)
     options->base = gp_cli_base_revision (text);
   if (options->base >= 0 && !options->latest)
     return GP_CLI_OK;
   if (options->latest)
-    return ask_latest (cli, &options->base);
+    return fetch_latest_revision (cli, &options->base);
   gp_cli_error ("which revision was the document written for? Give --base N "
                 "(0 for the first), a line \"# base-revision: N\" as `config "
                 "show' writes it, or --latest to overwrite what is there");
@@ -100,7 +100,7 @@
 {
   json_t *json = NULL;
   gint64 revision;
-  gp_cli_exit_t status = find_base (cli, options, file->text);
+  gp_cli_exit_t status = resolve_base (cli, options, file->text);
 
   if (status == GP_CLI_OK)
     status = send_document (cli, options, file, &json);
--- a/src/cli/cmd_timeline.c
+++ b/src/cli/cmd_timeline.c
@@ -28,7 +28,7 @@
   const timeline_options_t *options;
   const gp_timeline_filter_t *filter;
   gp_timeline_merge_t *merge;
-  GHashTable *asked; /* names of the processes already requested */
+  GHashTable *requested; /* names of processes */
 } collection_t;
 
 /* The request path of the page after sequence SINCE of PROCESS, or of the
@@ -89,7 +89,7 @@
       *since = MAX (*since, last_sequence (answer.body));
     }
   else
-    status = gp_cli_refusal (&answer);
+    status = gp_cli_report_refusal (&answer);
   gp_cli_answer_finish (&answer);
   return status;
 }
@@ -100,27 +100,29 @@
          const char *process)
 {
   guint64 since = 0;
-  guint64 before;
+  guint64 previous;
   gp_cli_exit_t status;
 
   if (collection->options->since)
     since = g_ascii_strtoull (collection->options->since, NULL, 10);
   do
     {
-      before = since;
+      previous = since;
       status = collect_page (collection, entry, process, &since);
     }
-  while (status == GP_CLI_OK && since > before);
+  while (status == GP_CLI_OK && since > previous);
   return status;
 }
 
+/* Whether to collect the events of process NAME: it passes the filter and was
+   not requested before.  Marks it as requested.  */
 static bool
-is_wanted (const collection_t *collection, const char *name)
+should_collect (const collection_t *collection, const char *name)
 {
   const char *only = collection->options->process;
 
   return (!only || strcmp (only, name) == 0)
-         && g_hash_table_add (collection->asked, g_strdup (name));
+         && g_hash_table_add (collection->requested, g_strdup (name));
 }
 
 /* Whether the entry can reach PROCESS, an element of its status.  */
@@ -150,7 +152,7 @@
     const char *name = json_string_value (json_object_get (process, "name"));
     gp_cli_exit_t status = GP_CLI_OK;
 
-    if (name && is_reachable (process) && is_wanted (collection, name))
+    if (name && is_reachable (process) && should_collect (collection, name))
       status = collect (collection, entry, name);
     if (first == GP_CLI_OK)
       first = status;
@@ -161,7 +163,7 @@
 /* Fetch the status of ENTRY.  *JSON is owned by the caller, and NULL on
    failure or if the answer is not JSON.  */
 static gp_cli_exit_t
-ask_status (gp_cli_t *cli, const char *entry, json_t **json)
+fetch_status (gp_cli_t *cli, const char *entry, json_t **json)
 {
   const gp_cli_request_t request
       = { .method = "GET", .path = "/v1/status", .idempotent = true };
@@ -174,7 +176,7 @@
   if (gp_cli_answer_ok (&answer))
     *json = json_loadb (answer.body->str, answer.body->len, 0, NULL);
   else
-    status = gp_cli_refusal (&answer);
+    status = gp_cli_report_refusal (&answer);
   gp_cli_answer_finish (&answer);
   return status;
 }
@@ -185,14 +187,14 @@
 collect_entry (const collection_t *collection, const char *entry)
 {
   json_t *json;
-  gp_cli_exit_t status = ask_status (collection->cli, entry, &json);
+  gp_cli_exit_t status = fetch_status (collection->cli, entry, &json);
   const char *name;
   gp_cli_exit_t first = GP_CLI_OK;
 
   if (status != GP_CLI_OK)
     return status;
   name = json_string_value (json_object_get (json, "entry"));
-  if (!name || is_wanted (collection, name))
+  if (!name || should_collect (collection, name))
     first = collect (collection, entry, NULL);
   status = collect_list (collection, entry, json_object_get (json, "entries"));
   if (first == GP_CLI_OK)
@@ -273,7 +275,7 @@
           .options = options,
           .filter = &filter,
           .merge = &merge,
-          .asked
+          .requested
           = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL) };
 
   gp_timeline_merge_init (&merge);
@@ -294,7 +296,7 @@
   gp_timeline_merge_sort (&merge);
   print_merge (cli, options, &merge);
   gp_timeline_merge_finish (&merge);
-  g_hash_table_unref (collection.asked);
+  g_hash_table_unref (collection.requested);
   return first;
 }
 
--- a/src/cli/cmd_work.c
+++ b/src/cli/cmd_work.c
@@ -9,7 +9,7 @@
 
 #define IDS_MAX 10000
 /* One ID and up to 1000 log files.  */
-#define LOGS_MAX 1001
+#define EXPLAIN_ARGUMENTS_MAX 1001
 
 /* Send GET PATH and print the answer.  */
 static gp_cli_exit_t
@@ -103,7 +103,8 @@
   gp_cli_exit_t status;
   char *path;
 
-  if (!gp_cli_parse (cli, NULL, "ID [LOG...]", 1, LOGS_MAX, &argc, &argv))
+  if (!gp_cli_parse (cli, NULL, "ID [LOG...]", 1, EXPLAIN_ARGUMENTS_MAX, &argc,
+                     &argv))
     return GP_CLI_USAGE;
   if (argc > 2)
     return gp_cli_explain_logs (cli, argv[1], &argv[2]);
@@ -318,7 +319,7 @@
   if (status != GP_CLI_OK)
     return status;
   if (!gp_cli_answer_ok (&answer))
-    status = gp_cli_refusal (&answer);
+    status = gp_cli_report_refusal (&answer);
   else if (cli->json)
     {
       json = counters_json (answer.body->str);
--- a/src/cli/document_file.c
+++ b/src/cli/document_file.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define BASE_MARK "# base-revision: "
+#define BASE_REVISION_PREFIX "# base-revision: "
 
 gp_cli_exit_t
 gp_cli_document_file_load (gp_cli_document_file_t *file, const char *path)
@@ -33,8 +33,9 @@
 {
   while (*text == '#')
     {
-      if (g_str_has_prefix (text, BASE_MARK))
-        return g_ascii_strtoll (text + strlen (BASE_MARK), NULL, 10);
+      if (g_str_has_prefix (text, BASE_REVISION_PREFIX))
+        return g_ascii_strtoll (text + strlen (BASE_REVISION_PREFIX), NULL,
+                                10);
       text += strcspn (text, "\n");
       text += *text == '\n';
     }
@@ -44,7 +45,7 @@
 const char *
 gp_cli_document_body (const char *text)
 {
-  while (g_str_has_prefix (text, BASE_MARK))
+  while (g_str_has_prefix (text, BASE_REVISION_PREFIX))
     {
       text += strcspn (text, "\n");
       text += *text == '\n';
--- a/src/cli/losses.c
+++ b/src/cli/losses.c
@@ -15,25 +15,25 @@
 
 typedef enum
 {
-  FATE_GOING_ON,
-  FATE_IN_TIME,
-  FATE_LATE,
-  FATE_FAILED,
-  FATE_CANCELLED,
-  FATE_REFUSED,
-  FATE_LEFT_OPEN, /* the caller was not told whether it was accepted */
-  FATES
-} fate_t;
-
-static const char *const fate_names[FATES]
+  OUTCOME_GOING_ON,
+  OUTCOME_IN_TIME,
+  OUTCOME_LATE,
+  OUTCOME_FAILED,
+  OUTCOME_CANCELLED,
+  OUTCOME_REFUSED,
+  OUTCOME_LEFT_OPEN, /* the caller was not told whether it was accepted */
+  OUTCOMES
+} job_outcome_t;
+
+static const char *const outcome_names[OUTCOMES]
     = { "going_on",  "in_time", "late",     "failed",
         "cancelled", "refused", "left_open" };
 
 typedef enum
 {
-  CAUSE_NO_ROOM,
-  CAUSE_RUN_AGAIN,
-  CAUSE_AT_WORK,
+  CAUSE_NO_RESOURCES,
+  CAUSE_REPEATED_RUNS,
+  CAUSE_EXECUTION,
   CAUSES
 } cause_t;
 
@@ -43,23 +43,23 @@
 typedef struct
 {
   char *queue; /* owned; NULL if unknown */
-  gp_time_t handed_in;
-  gp_time_t recorded;   /* 0 if not recorded */
-  gp_time_t started;    /* of the first run; 0 if none */
-  gp_time_t ended;      /* 0 if not ended */
-  gp_time_t idle_since; /* valid while it has no active run */
-  gp_time_t idle;       /* total time without an active run */
-  gp_time_t again;      /* total duration of runs that did not end "done" */
-  gp_time_t spent;      /* total duration of all runs that ended */
-  unsigned active;      /* number of active runs */
-  fate_t fate;
+  gp_time_t submitted;
+  gp_time_t recorded;          /* 0 if not recorded */
+  gp_time_t started;           /* of the first run; 0 if none */
+  gp_time_t ended;             /* 0 if not ended */
+  gp_time_t idle_since;        /* valid while it has no active run */
+  gp_time_t idle;              /* total time without an active run */
+  gp_time_t repeated_duration; /* total, of runs that did not end "done" */
+  gp_time_t ended_duration;    /* total, of all runs that ended */
+  unsigned active;             /* number of active runs */
+  job_outcome_t outcome;
 } job_t;
 
 typedef struct
 {
   char *job;   /* owned */
   char *queue; /* owned */
-  gp_time_t began;
+  gp_time_t started;
 } run_t;
 
 /* Runs of one queue that ended in the same way.  */
@@ -67,7 +67,7 @@
 {
   unsigned count;
   gp_time_t time; /* total duration */
-} ends_t;
+} end_stats_t;
 
 /* An executor that was lost, possibly because of a run on it.  */
 typedef struct
@@ -75,26 +75,26 @@
   gp_time_t at;  /* time of the first loss */
   unsigned runs; /* runs lost with it */
   char *jobs;    /* the suspected jobs, owned */
-} suspects_t;
+} executor_loss_t;
 
 /* Restarts of an executor under the same id.  */
 typedef struct
 {
-  unsigned lives;  /* incarnations after the first */
+  unsigned count;  /* restarts */
   int64_t lost;    /* runs lost with previous incarnations */
   int64_t carried; /* runs carried over to the next incarnation */
-} restarts_t;
+} restart_stats_t;
 
 typedef struct
 {
   GHashTable *jobs;     /* id to job_t, owned */
   GHashTable *runs;     /* active runs: "task run" to run_t, owned */
-  GHashTable *ends;     /* "queue how" to ends_t, owned */
+  GHashTable *ends;     /* "queue how" to end_stats_t, owned */
   GHashTable *answers;  /* "status why" to a count */
-  GHashTable *suspects; /* executor to suspects_t, owned */
-  GHashTable *restarts; /* executor to restarts_t, owned */
+  GHashTable *suspects; /* executor to executor_loss_t, owned */
+  GHashTable *restarts; /* executor to restart_stats_t, owned */
   gp_time_t last;       /* time of the last line */
-} account_t;
+} loss_stats_t;
 
 static void
 free_job (gpointer data)
@@ -114,21 +114,21 @@
 static void
 free_suspects (gpointer data)
 {
-  g_free (((suspects_t *)data)->jobs);
+  g_free (((executor_loss_t *)data)->jobs);
   g_free (data);
 }
 
 static job_t *
-need_job (account_t *account, const char *id, gp_time_t now)
+find_or_add_job (loss_stats_t *stats, const char *id, gp_time_t now)
 {
-  job_t *job = g_hash_table_lookup (account->jobs, id);
+  job_t *job = g_hash_table_lookup (stats->jobs, id);
 
   if (job != NULL)
     return job;
   job = g_new0 (job_t, 1);
-  job->handed_in = now;
+  job->submitted = now;
   job->idle_since = now;
-  g_hash_table_insert (account->jobs, g_strdup (id), job);
+  g_hash_table_insert (stats->jobs, g_strdup (id), job);
   return job;
 }
 
@@ -142,37 +142,37 @@
 }
 
 static void
-take_answer (account_t *account, const gp_log_line_t *line)
+apply_answer (loss_stats_t *stats, const gp_log_line_t *line)
 {
   int64_t status = gp_log_line_number (line, "status", 0);
   gp_time_t after = gp_log_line_number (line, "after_ms", 0) * GP_MSEC;
-  job_t *job
-      = need_job (account, gp_log_line_text (line, "job"), line->time - after);
+  job_t *job = find_or_add_job (stats, gp_log_line_text (line, "job"),
+                                line->time - after);
   char *key;
 
   if (status == 200)
     {
       if (job->recorded == 0)
         job->recorded = line->time;
-      if (job->fate == FATE_REFUSED || job->fate == FATE_LEFT_OPEN)
-        job->fate = FATE_GOING_ON;
+      if (job->outcome == OUTCOME_REFUSED || job->outcome == OUTCOME_LEFT_OPEN)
+        job->outcome = OUTCOME_GOING_ON;
       return;
     }
   if (job->recorded == 0)
-    job->fate = status == 504 ? FATE_LEFT_OPEN : FATE_REFUSED;
+    job->outcome = status == 504 ? OUTCOME_LEFT_OPEN : OUTCOME_REFUSED;
   key = g_strdup_printf ("%" G_GINT64_FORMAT " %s", status,
                          gp_log_line_text (line, "why"));
   g_hash_table_insert (
-      account->answers, key,
+      stats->answers, key,
       GUINT_TO_POINTER (
-          GPOINTER_TO_UINT (g_hash_table_lookup (account->answers, key)) + 1));
+          GPOINTER_TO_UINT (g_hash_table_lookup (stats->answers, key)) + 1));
 }
 
 static void
-take_assigned (account_t *account, const gp_log_line_t *line)
+apply_run_assigned (loss_stats_t *stats, const gp_log_line_t *line)
 {
   char *id = g_strndup (gp_log_line_text (line, "task"), ID_SIZE);
-  job_t *job = need_job (account, id, line->time);
+  job_t *job = find_or_add_job (stats, id, line->time);
   run_t *run = g_new (run_t, 1);
 
   if (job->queue == NULL)
@@ -183,21 +183,21 @@
     job->idle += line->time - job->idle_since;
   *run = (run_t){ .job = id,
                   .queue = g_strdup (job->queue),
-                  .began = line->time };
-  g_hash_table_replace (account->runs, run_key (line), run);
+                  .started = line->time };
+  g_hash_table_replace (stats->runs, run_key (line), run);
 }
 
 static void
-count_end (account_t *account, const run_t *run, const char *how,
+count_end (loss_stats_t *stats, const run_t *run, const char *how,
            gp_time_t duration)
 {
   char *key = g_strdup_printf ("%s %s", run->queue, how);
-  ends_t *ends = g_hash_table_lookup (account->ends, key);
+  end_stats_t *ends = g_hash_table_lookup (stats->ends, key);
 
   if (ends == NULL)
     {
-      ends = g_new0 (ends_t, 1);
-      g_hash_table_insert (account->ends, g_strdup (key), ends);
+      ends = g_new0 (end_stats_t, 1);
+      g_hash_table_insert (stats->ends, g_strdup (key), ends);
     }
   ends->count++;
   ends->time += duration;
@@ -206,67 +206,68 @@
 
 /* Record that the run of LINE ended as HOW, if it was active.  */
 static void
-take_end (account_t *account, const gp_log_line_t *line, const char *how)
+apply_run_end (loss_stats_t *stats, const gp_log_line_t *line, const char *how)
 {
   char *key = run_key (line);
-  const run_t *run = g_hash_table_lookup (account->runs, key);
+  const run_t *run = g_hash_table_lookup (stats->runs, key);
   job_t *job;
 
   if (run != NULL)
     {
-      job = need_job (account, run->job, line->time);
-      count_end (account, run, how, line->time - run->began);
-      job->spent += line->time - run->began;
+      job = find_or_add_job (stats, run->job, line->time);
+      count_end (stats, run, how, line->time - run->started);
+      job->ended_duration += line->time - run->started;
       if (strcmp (how, "done") != 0)
-        job->again += line->time - run->began;
+        job->repeated_duration += line->time - run->started;
       if (--job->active == 0)
         job->idle_since = line->time;
-      g_hash_table_remove (account->runs, key);
+      g_hash_table_remove (stats->runs, key);
     }
   g_free (key);
 }
 
 /* Count a run lost with its executor, if the line names suspected jobs.  */
 static void
-take_lost (account_t *account, const gp_log_line_t *line)
+apply_run_lost (loss_stats_t *stats, const gp_log_line_t *line)
 {
   const char *executor = gp_log_line_text (line, "executor");
   const char *jobs = gp_log_line_text (line, "suspects");
-  suspects_t *suspects = g_hash_table_lookup (account->suspects, executor);
+  executor_loss_t *suspects = g_hash_table_lookup (stats->suspects, executor);
 
   if (*jobs == '\0')
     return;
   if (suspects == NULL)
     {
-      suspects = g_new0 (suspects_t, 1);
+      suspects = g_new0 (executor_loss_t, 1);
       suspects->at = line->time;
       suspects->jobs = g_strdup (jobs);
-      g_hash_table_insert (account->suspects, g_strdup (executor), suspects);
+      g_hash_table_insert (stats->suspects, g_strdup (executor), suspects);
     }
   suspects->runs++;
 }
 
 static void
-take_next_life (account_t *account, const gp_log_line_t *line)
+apply_executor_restart (loss_stats_t *stats, const gp_log_line_t *line)
 {
   const char *executor = gp_log_line_text (line, "executor");
-  restarts_t *restarts = g_hash_table_lookup (account->restarts, executor);
+  restart_stats_t *restarts = g_hash_table_lookup (stats->restarts, executor);
 
   if (restarts == NULL)
     {
-      restarts = g_new0 (restarts_t, 1);
-      g_hash_table_insert (account->restarts, g_strdup (executor), restarts);
+      restarts = g_new0 (restart_stats_t, 1);
+      g_hash_table_insert (stats->restarts, g_strdup (executor), restarts);
     }
-  restarts->lives++;
+  restarts->count++;
   restarts->lost += gp_log_line_number (line, "lost", 0);
   restarts->carried += gp_log_line_number (line, "carried", 0);
 }
 
 static void
-take_job_end (account_t *account, const gp_log_line_t *line)
+apply_job_end (loss_stats_t *stats, const gp_log_line_t *line)
 {
   const char *state = gp_log_line_text (line, "state");
-  job_t *job = need_job (account, gp_log_line_text (line, "job"), line->time);
+  job_t *job
+      = find_or_add_job (stats, gp_log_line_text (line, "job"), line->time);
   int64_t objective = gp_log_line_number (line, "objective_ms", -1);
   int64_t took = gp_log_line_number (line, "took_ms", 0);
 
@@ -274,72 +275,75 @@
   if (job->active == 0)
     job->idle += line->time - job->idle_since;
   if (strcmp (state, "failed") == 0)
-    job->fate = FATE_FAILED;
+    job->outcome = OUTCOME_FAILED;
   else if (strcmp (state, "cancelled") == 0)
-    job->fate = FATE_CANCELLED;
+    job->outcome = OUTCOME_CANCELLED;
   else
-    job->fate = objective >= 0 && took > objective ? FATE_LATE : FATE_IN_TIME;
+    job->outcome
+        = objective >= 0 && took > objective ? OUTCOME_LATE : OUTCOME_IN_TIME;
 }
 
 static void
-take_line (account_t *account, const gp_log_line_t *line)
+apply_line (loss_stats_t *stats, const gp_log_line_t *line)
 {
   const char *event = gp_log_line_text (line, "event");
 
-  account->last = line->time;
+  stats->last = line->time;
   if (strcmp (event, "job.answered") == 0)
-    take_answer (account, line);
+    apply_answer (stats, line);
   else if (strcmp (event, "run.assigned") == 0)
-    take_assigned (account, line);
+    apply_run_assigned (stats, line);
   else if (strcmp (event, "run.ended") == 0)
-    take_end (account, line, gp_log_line_text (line, "how"));
+    apply_run_end (stats, line, gp_log_line_text (line, "how"));
   else if (strcmp (event, "run.lost") == 0)
     {
-      take_end (account, line, "lost");
-      take_lost (account, line);
+      apply_run_end (stats, line, "lost");
+      apply_run_lost (stats, line);
     }
   else if (strcmp (event, "run.absent") == 0)
-    take_end (account, line, "absent");
+    apply_run_end (stats, line, "absent");
   else if (strcmp (event, "job.ended") == 0)
-    take_job_end (account, line);
+    apply_job_end (stats, line);
   else if (strcmp (event, "executor.next_life") == 0)
-    take_next_life (account, line);
+    apply_executor_restart (stats, line);
 }
 
 /* The cause that took most of the time of JOB.  The time with active runs is
    divided between repeated runs and execution in the proportion of the ended
    runs' durations.  */
 static cause_t
-cause_of (const account_t *account, const job_t *job)
+main_cause (const loss_stats_t *stats, const job_t *job)
 {
-  gp_time_t end = job->ended != 0 ? job->ended : account->last;
+  gp_time_t end = job->ended != 0 ? job->ended : stats->last;
   gp_time_t idle = job->idle;
   gp_time_t work;
-  gp_time_t again;
+  gp_time_t repeated;
 
   if (job->ended == 0 && job->active == 0)
     idle += end - job->idle_since;
-  work = end - job->handed_in - idle;
-  again = job->spent > 0 ? work * job->again / job->spent : 0;
-  if (idle >= again && idle >= work - again)
-    return CAUSE_NO_ROOM;
-  return again > work - again ? CAUSE_RUN_AGAIN : CAUSE_AT_WORK;
+  work = end - job->submitted - idle;
+  repeated = job->ended_duration > 0
+                 ? work * job->repeated_duration / job->ended_duration
+                 : 0;
+  if (idle >= repeated && idle >= work - repeated)
+    return CAUSE_NO_RESOURCES;
+  return repeated > work - repeated ? CAUSE_REPEATED_RUNS : CAUSE_EXECUTION;
 }
 
 static bool
-is_lost (const job_t *job)
+counts_as_loss (const job_t *job)
 {
-  switch (job->fate)
+  switch (job->outcome)
     {
-    case FATE_LATE:
-    case FATE_FAILED:
-    case FATE_GOING_ON:
+    case OUTCOME_LATE:
+    case OUTCOME_FAILED:
+    case OUTCOME_GOING_ON:
       return true;
-    case FATE_IN_TIME:
-    case FATE_CANCELLED:
-    case FATE_REFUSED:
-    case FATE_LEFT_OPEN:
-    case FATES:
+    case OUTCOME_IN_TIME:
+    case OUTCOME_CANCELLED:
+    case OUTCOME_REFUSED:
+    case OUTCOME_LEFT_OPEN:
+    case OUTCOMES:
       break;
     }
   return false;
@@ -358,8 +362,8 @@
 /* The row in ROWS whose member KEY is NAME.  If there is none, appends one
    whose members ZEROES (NULL-terminated) are 0.  */
 static json_t *
-row_of (json_t *rows, const char *key, const char *name,
-        const char *const *zeroes)
+find_or_add_row (json_t *rows, const char *key, const char *name,
+                 const char *const *zeroes)
 {
   json_t *row;
   size_t i;
@@ -377,21 +381,21 @@
 }
 
 static void
-count_job (const account_t *account, const job_t *job, json_t *row)
+count_job (const loss_stats_t *stats, const job_t *job, json_t *row)
 {
   add_to (row, "jobs", 1);
-  add_to (row, fate_names[job->fate], 1);
-  if (is_lost (job))
-    add_to (row, cause_names[cause_of (account, job)], 1);
+  add_to (row, outcome_names[job->outcome], 1);
+  if (counts_as_loss (job))
+    add_to (row, cause_names[main_cause (stats, job)], 1);
   if (job->recorded != 0)
-    add_to (row, "record_ms", (job->recorded - job->handed_in) / GP_MSEC);
+    add_to (row, "record_ms", (job->recorded - job->submitted) / GP_MSEC);
   if (job->recorded != 0 && job->started > job->recorded)
     add_to (row, "start_ms", (job->started - job->recorded) / GP_MSEC);
 }
 
 /* Replace the sums in each row by the means over the row's jobs.  */
 static void
-take_means (json_t *rows)
+sums_to_means (json_t *rows)
 {
   static const char *const means[] = { "record_ms", "start_ms" };
   json_t *row;
@@ -410,32 +414,32 @@
 }
 
 static gint
-by_handed_in (gconstpointer a, gconstpointer b)
+compare_submitted (gconstpointer a, gconstpointer b)
 {
   const job_t *left = *(const job_t *const *)a;
   const job_t *right = *(const job_t *const *)b;
 
-  if (left->handed_in == right->handed_in)
+  if (left->submitted == right->submitted)
     return 0;
-  return left->handed_in < right->handed_in ? -1 : 1;
+  return left->submitted < right->submitted ? -1 : 1;
 }
 
 static GPtrArray *
-sorted_jobs (const account_t *account)
+jobs_by_submission (const loss_stats_t *stats)
 {
   GPtrArray *jobs = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, account->jobs);
+  g_hash_table_iter_init (&iter, stats->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     g_ptr_array_add (jobs, value);
-  g_ptr_array_sort (jobs, by_handed_in);
+  g_ptr_array_sort (jobs, compare_submitted);
   return jobs;
 }
 
 static json_t *
-queue_table (const account_t *account, const GPtrArray *jobs)
+queue_table (const loss_stats_t *stats, const GPtrArray *jobs)
 {
   static const char *const zeroes[] = { "jobs",         "in_time",
                                         "late",         "failed",
@@ -451,36 +455,37 @@
       const job_t *job = g_ptr_array_index (jobs, i);
       const char *queue = job->queue != NULL ? job->queue : QUEUE_UNKNOWN;
 
-      count_job (account, job, row_of (rows, "queue", queue, zeroes));
+      count_job (stats, job, find_or_add_row (rows, "queue", queue, zeroes));
     }
-  take_means (rows);
+  sums_to_means (rows);
   return rows;
 }
 
 static json_t *
-moment_table (const account_t *account, const GPtrArray *jobs, gp_time_t every)
+interval_table (const loss_stats_t *stats, const GPtrArray *jobs,
+                gp_time_t every)
 {
   static const char *const zeroes[]
       = { "jobs",         "in_time",        "refused",      "left_open",
           "lost_no_room", "lost_run_again", "lost_at_work", NULL };
   json_t *rows = json_array ();
   gp_time_t first
-      = jobs->len > 0 ? ((const job_t *)g_ptr_array_index (jobs, 0))->handed_in
+      = jobs->len > 0 ? ((const job_t *)g_ptr_array_index (jobs, 0))->submitted
                       : 0;
 
   for (guint i = 0; i < jobs->len; i++)
     {
       const job_t *job = g_ptr_array_index (jobs, i);
-      gp_time_t step = (job->handed_in - first) / every;
+      gp_time_t step = (job->submitted - first) / every;
       char *name
           = g_strdup_printf ("%" G_GINT64_FORMAT, step * every / GP_SEC);
-      json_t *row = row_of (rows, "from_s", name, zeroes);
+      json_t *row = find_or_add_row (rows, "from_s", name, zeroes);
 
       add_to (row, "jobs", 1);
-      if (is_lost (job))
-        add_to (row, cause_names[cause_of (account, job)], 1);
-      else if (job->fate != FATE_CANCELLED)
-        add_to (row, fate_names[job->fate], 1);
+      if (counts_as_loss (job))
+        add_to (row, cause_names[main_cause (stats, job)], 1);
+      else if (job->outcome != OUTCOME_CANCELLED)
+        add_to (row, outcome_names[job->outcome], 1);
       g_free (name);
     }
   return rows;
@@ -493,14 +498,14 @@
 }
 
 static json_t *
-run_table (const account_t *account)
+run_table (const loss_stats_t *stats)
 {
   json_t *rows = json_array ();
-  GList *keys = sorted_keys (account->ends);
+  GList *keys = sorted_keys (stats->ends);
 
   for (const GList *key = keys; key != NULL; key = key->next)
     {
-      const ends_t *ends = g_hash_table_lookup (account->ends, key->data);
+      const end_stats_t *ends = g_hash_table_lookup (stats->ends, key->data);
       char **parts = g_strsplit (key->data, " ", 2);
 
       json_array_append_new (
@@ -514,16 +519,16 @@
 }
 
 static json_t *
-answer_table (const account_t *account)
+answer_table (const loss_stats_t *stats)
 {
   json_t *rows = json_array ();
-  GList *keys = sorted_keys (account->answers);
+  GList *keys = sorted_keys (stats->answers);
 
   for (const GList *key = keys; key != NULL; key = key->next)
     {
       char **parts = g_strsplit (key->data, " ", 2);
-      guint count = GPOINTER_TO_UINT (
-          g_hash_table_lookup (account->answers, key->data));
+      guint count
+          = GPOINTER_TO_UINT (g_hash_table_lookup (stats->answers, key->data));
 
       json_array_append_new (rows, json_pack ("{s:s, s:s, s:i}", "status",
                                               parts[0], "why", parts[1],
@@ -538,8 +543,10 @@
 by_time (gconstpointer a, gconstpointer b, gpointer data)
 {
   GHashTable *suspects = data;
-  const suspects_t *left = g_hash_table_lookup (suspects, *(char *const *)a);
-  const suspects_t *right = g_hash_table_lookup (suspects, *(char *const *)b);
+  const executor_loss_t *left
+      = g_hash_table_lookup (suspects, *(char *const *)a);
+  const executor_loss_t *right
+      = g_hash_table_lookup (suspects, *(char *const *)b);
 
   if (left->at != right->at)
     return left->at < right->at ? -1 : 1;
@@ -549,19 +556,19 @@
 /* Executors possibly lost because of a run on them, ordered by time, with the
    suspected jobs.  */
 static json_t *
-executor_table (const account_t *account)
+executor_table (const loss_stats_t *stats)
 {
   json_t *rows = json_array ();
   guint count;
   char **executors
-      = (char **)g_hash_table_get_keys_as_array (account->suspects, &count);
+      = (char **)g_hash_table_get_keys_as_array (stats->suspects, &count);
 
   g_qsort_with_data (executors, (gint)count, sizeof *executors, by_time,
-                     account->suspects);
+                     stats->suspects);
   for (guint i = 0; i < count; i++)
     {
-      const suspects_t *suspects
-          = g_hash_table_lookup (account->suspects, executors[i]);
+      const executor_loss_t *suspects
+          = g_hash_table_lookup (stats->suspects, executors[i]);
 
       json_array_append_new (rows, json_pack ("{s:s, s:i, s:s}", "executor",
                                               executors[i], "runs_lost",
@@ -573,19 +580,19 @@
 }
 
 static json_t *
-restart_table (const account_t *account)
+restart_table (const loss_stats_t *stats)
 {
   json_t *rows = json_array ();
-  GList *keys = sorted_keys (account->restarts);
+  GList *keys = sorted_keys (stats->restarts);
 
   for (const GList *key = keys; key != NULL; key = key->next)
     {
-      const restarts_t *restarts
-          = g_hash_table_lookup (account->restarts, key->data);
+      const restart_stats_t *restarts
+          = g_hash_table_lookup (stats->restarts, key->data);
 
       json_array_append_new (
           rows, json_pack ("{s:s, s:i, s:I, s:I}", "executor", key->data,
-                           "lives", (int)restarts->lives, "runs_lost",
+                           "lives", (int)restarts->count, "runs_lost",
                            (json_int_t)restarts->lost, "runs_carried",
                            (json_int_t)restarts->carried));
     }
@@ -594,9 +601,9 @@
 }
 
 json_t *
-gp_losses_of (const GArray *lines, gp_time_t every)
+gp_losses_compute (const GArray *lines, gp_time_t every)
 {
-  account_t account = {
+  loss_stats_t stats = {
     .jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_job),
     .runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_run),
     .ends = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free),
@@ -610,19 +617,19 @@
   json_t *result;
 
   for (guint i = 0; i < lines->len; i++)
-    take_line (&account, &g_array_index (lines, gp_log_line_t, i));
-  jobs = sorted_jobs (&account);
+    apply_line (&stats, &g_array_index (lines, gp_log_line_t, i));
+  jobs = jobs_by_submission (&stats);
   result = json_pack (
-      "{s:o, s:o, s:o, s:o, s:o, s:o}", "queues", queue_table (&account, jobs),
-      "answers", answer_table (&account), "runs", run_table (&account),
-      "moments", moment_table (&account, jobs, every), "executors",
-      executor_table (&account), "restarts", restart_table (&account));
+      "{s:o, s:o, s:o, s:o, s:o, s:o}", "queues", queue_table (&stats, jobs),
+      "answers", answer_table (&stats), "runs", run_table (&stats), "moments",
+      interval_table (&stats, jobs, every), "executors",
+      executor_table (&stats), "restarts", restart_table (&stats));
   g_ptr_array_unref (jobs);
-  g_hash_table_destroy (account.jobs);
-  g_hash_table_destroy (account.runs);
-  g_hash_table_destroy (account.ends);
-  g_hash_table_destroy (account.answers);
-  g_hash_table_destroy (account.suspects);
-  g_hash_table_destroy (account.restarts);
+  g_hash_table_destroy (stats.jobs);
+  g_hash_table_destroy (stats.runs);
+  g_hash_table_destroy (stats.ends);
+  g_hash_table_destroy (stats.answers);
+  g_hash_table_destroy (stats.suspects);
+  g_hash_table_destroy (stats.restarts);
   return result;
 }
--- a/src/cli/losses.h
+++ b/src/cli/losses.h
@@ -25,6 +25,6 @@
    "executors": executors that may have crashed because of a run, with the
    suspected jobs;
    "restarts": executors that restarted under the same id.  */
-json_t *gp_losses_of (const GArray *lines, gp_time_t every);
+json_t *gp_losses_compute (const GArray *lines, gp_time_t every);
 
 #endif
--- a/src/cli/timeline_merge.c
+++ b/src/cli/timeline_merge.c
@@ -47,7 +47,7 @@
 }
 
 static bool
-passes (const json_t *event, const gp_timeline_filter_t *filter)
+matches_filter (const json_t *event, const gp_timeline_filter_t *filter)
 {
   if (filter->kind
       && !g_str_has_prefix (text_of (event, "kind"), filter->kind))
@@ -72,7 +72,7 @@
     merge->lost += (size_t)number_of (event, "lost");
   else if (!is_event (event))
     merge->malformed++;
-  else if (passes (event, filter))
+  else if (matches_filter (event, filter))
     {
       identity = g_strdup_printf (
           "%s %s %" JSON_INTEGER_FORMAT, text_of (event, "process"),
@@ -194,15 +194,15 @@
 /* The process id in the trace of the process of EVENT.  A new process gets the
    next number and a metadata event with its name in LIST.  */
 static json_int_t
-process_number (GHashTable *numbers, json_t *list, const json_t *event)
+trace_pid (GHashTable *pids, json_t *list, const json_t *event)
 {
   const char *name = text_of (event, "process");
-  json_int_t number = GPOINTER_TO_INT (g_hash_table_lookup (numbers, name));
+  json_int_t number = GPOINTER_TO_INT (g_hash_table_lookup (pids, name));
 
   if (number > 0)
     return number;
-  number = g_hash_table_size (numbers) + 1;
-  g_hash_table_insert (numbers, g_strdup (name), GINT_TO_POINTER (number));
+  number = g_hash_table_size (pids) + 1;
+  g_hash_table_insert (pids, g_strdup (name), GINT_TO_POINTER (number));
   json_array_append_new (list,
                          json_pack ("{s:s, s:s, s:I, s:i, s:{s:s}}", "ph", "M",
                                     "name", "process_name", "pid", number,
@@ -213,7 +213,7 @@
 /* If EVENT starts or ends a task, append the begin or end event of the task's
    asynchronous event pair.  */
 static void
-append_bar (json_t *list, const json_t *event, json_int_t process)
+append_task_span (json_t *list, const json_t *event, json_int_t process)
 {
   const char *kind = text_of (event, "kind");
   const char *phase = NULL;
@@ -234,23 +234,23 @@
 json_t *
 gp_timeline_merge_trace (const gp_timeline_merge_t *merge)
 {
-  GHashTable *numbers
+  GHashTable *pids
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   json_t *list = json_array ();
 
   for (guint i = 0; i < merge->events->len; i++)
     {
       json_t *event = merge->events->pdata[i];
-      json_int_t process = process_number (numbers, list, event);
+      json_int_t process = trace_pid (pids, list, event);
 
       json_array_append_new (
           list, json_pack ("{s:s, s:s, s:s, s:I, s:I, s:i, s:O}", "ph", "i",
                            "s", "p", "name", text_of (event, "kind"), "ts",
                            trace_time (event), "pid", process, "tid", 0,
                            "args", event));
-      append_bar (list, event, process);
+      append_task_span (list, event, process);
     }
-  g_hash_table_unref (numbers);
+  g_hash_table_unref (pids);
   return json_pack ("{s:o, s:s}", "traceEvents", list, "displayTimeUnit",
                     "ms");
 }
