--- a/programs/galenapier-entry.c
+++ b/programs/galenapier-entry.c
@@ -1,4 +1,5 @@
-/* galenapier-entry: HTTP to callers and operators, routing, placement.  */
+/* galenapier-entry: serves the HTTP APIs of callers and operators, routes
+   requests and places tasks.  */
 
 #include "daemon/entry.h"
 #include "daemon/program.h"
--- a/programs/galenapier-guard.c
+++ b/programs/galenapier-guard.c
@@ -1,4 +1,4 @@
-/* galenapier-guard: the process beside an upstream or on a worker.  */
+/* galenapier-guard: runs next to an upstream or on a worker.  */
 
 #include "daemon/guard.h"
 #include "daemon/program.h"
--- a/programs/galenapier-node.c
+++ b/programs/galenapier-node.c
@@ -1,5 +1,5 @@
-/* galenapier-node: an entry or a guard on the platform, as its settings
-   say.  */
+/* galenapier-node: an entry or a guard on the platform, as its argument says.
+   With --check, only validates the settings.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -10,6 +10,7 @@
 #include "platform/refusals.h"
 #include "platform/settings.h"
 
+/* Exit status for an invalid command line or invalid settings.  */
 #define EXIT_SETTINGS 2
 
 static int
--- a/programs/galenapier.c
+++ b/programs/galenapier.c
@@ -1,4 +1,4 @@
-/* galenapier: the operator's command line.  */
+/* galenapier: the operators' command line.  */
 
 #include "cli/cli.h"
 
