--- a/src/console/console.js
+++ b/src/console/console.js
@@ -1,9 +1,9 @@
-/* The console: sign-in, the document being edited, its check, publishing.
+/* The console: sign-in, editing, checking and publishing the document.
 
-   The text is what counts.  A value that is changed in a form is put into
-   the text where it stands, so comments and layout stay; a change that adds
-   or takes away parts writes the text anew.  The entry checks every text,
-   here while typing and again when it is published. */
+   The document's text is authoritative.  A value changed in a form replaces
+   the old value in the text, so that comments and layout are kept; a change
+   that adds or removes list items emits the whole text again.  The entry checks
+   every text, while it is edited and again when it is published. */
 
 import { get, join, parentOf, set, split } from "./model.js";
 import { compare, emit, insertAfter, replaceAt } from "./yaml.js";
@@ -22,15 +22,15 @@
   base: { revision: 0, author: "", text: "", model: null },
   text: "",
   model: null,
-  checked: null, /* the last answer for a text, with that text */
-  pending: new Map(), /* path -> value that was changed since that text */
-  isFormChange: false,
+  checked: null, /* the last check's result, with the text checked */
+  pending: new Map(), /* path -> value changed in forms since that check */
+  isFormChange: false, /* whether the last change was made in a form */
   timer: 0,
-  asked: 0,
+  asked: 0, /* number of the last check; earlier answers are ignored */
   undo: [],
   view: "forms",
-  theirs: null,
-  waitFor: 0,
+  theirs: null, /* the current revision, if it conflicts with the base */
+  waitFor: 0, /* the revision published last */
 };
 
 const forms = {
@@ -41,7 +41,7 @@
   onShape: changeShape,
 };
 
-/* Calls. */
+/* Calls of the operators' HTTP API. */
 
 class Refusal extends Error {
   constructor(status, answer) {
@@ -98,7 +98,7 @@
   $("show-forms").focus();
 }
 
-/* What is in force. */
+/* Status of the configuration. */
 
 function showForce(status) {
   const processes = [...status.entries, ...status.guards].filter(
@@ -149,7 +149,7 @@
     state.undo.shift();
 }
 
-/* A whole new text: forms follow when it has been checked. */
+/* Replace the whole text; the forms are updated after its check. */
 function replaceText(text) {
   state.text = text;
   state.pending.clear();
@@ -160,6 +160,7 @@
   checkSoon(0);
 }
 
+/* Emit the text from the model, which drops comments. */
 function rewrite() {
   const hadComments = /(^|\s)#/m.test(state.text);
   state.text = emit(state.model);
@@ -170,8 +171,9 @@
     : "";
 }
 
-/* Where the value of PATH goes into the text that was checked: at its own
-   place, or after the last member beside it; null when there is none. */
+/* Where to write the value of PATH in the checked text: at its own place, or
+   after the last scalar member of the same mapping; null if there is
+   neither. */
 function targetOf(path) {
   const { places, tree } = state.checked;
   if (places[path])
@@ -192,8 +194,9 @@
   return a[0] > b[0] || (a[0] === b[0] && a[1] > b[1]);
 }
 
-/* From the end of the text on, so that places stay right; what goes behind
-   a value before what replaces it. */
+/* Order targets from the end of the text to its start, so that the places of
+   those not yet applied remain valid. At the same place, an insertion after the
+   value comes before the replacement of the value. */
 function laterFirst(a, b) {
   if (isAfter(a.place, b.place))
     return -1;
@@ -211,8 +214,8 @@
     value);
 }
 
-/* Put the pending values into the text that was checked.  False when one
-   cannot be put into it. */
+/* Write the pending values into the checked text. Returns false, with the text
+   unchanged, if one of them cannot be written in place. */
 function applyPending() {
   if (!state.checked?.places)
     return false;
@@ -312,7 +315,7 @@
     !Array.isArray(tree);
   if (state.isFormChange && isTree && state.model)
     return;
-  /* A copy: forms change the model, and the tree stays as it was checked. */
+  /* Copied, as forms change the model and the tree must remain as checked. */
   state.model = isTree ? structuredClone(tree) : null;
   renderForms();
 }
@@ -379,7 +382,8 @@
 
 /* Changes against a revision. */
 
-/* Lines by what they say; by how they are written when that is equal. */
+/* Compare two documents in normalized form. If they are equal in that form but
+   their texts differ, or if one has no model, compare the texts. */
 function differences(old, oldModel, current, model) {
   if (oldModel && model) {
     const lines = compare(emit(oldModel), emit(model));
@@ -480,7 +484,8 @@
   $("publish").disabled = false;
 }
 
-/* What the winner changed against the base that this text had. */
+/* Show what the conflicting revision changed relative to the base of the edited
+   text. */
 async function showConflict() {
   const { base } = state;
   let theirs;
--- a/src/console/forms.js
+++ b/src/console/forms.js
@@ -1,8 +1,9 @@
-/* Forms of a document, made from its JSON Schema.
+/* Renders forms for a document from its JSON Schema.
 
-   Each input stands for one path.  A change is told by callbacks:
-   onValue (path, value) for a value, onShape (change, path) for one that
-   adds or takes away parts, after which the forms are made anew. */
+   Each input edits the value at one path.  Changes are reported by callbacks:
+   onValue (path, value) for a value, and onShape (change) for one that replaces
+   a list or adds or removes an item of it; unless change.keepForms is set, the
+   caller renders the forms again after that. */
 
 import { fresh, get, join, parentOf, words } from "./model.js";
 
@@ -24,8 +25,9 @@
   return node;
 }
 
-/* A text as a value: a number where one is meant, so that the check of the
-   entry tells what else is wrong. */
+/* Convert the text of an input to a value of the type in SCHEMA. Text that is
+   not of that type is kept as a string, so that the entry's check reports it
+   as an issue. */
 function valueOf(text, schema) {
   if (schema.type === "integer" && /^(0|[1-9]\d{0,15})$/.test(text))
     return Number(text);
@@ -92,7 +94,7 @@
     else
       forms.onValue(path, value);
   });
-  /* An input that is left empty takes its key away. */
+  /* Leaving an optional input empty removes its key. */
   input.addEventListener("change", () => {
     if (input.value === "" && !required)
       forms.onValue(path, undefined);
@@ -151,7 +153,7 @@
   return makeField(forms, schema, path, key, required);
 }
 
-/* Required keys first. */
+/* The keys of SCHEMA, required ones first. */
 function keysOf(schema) {
   const required = schema.required ?? [];
   return [...required, ...Object.keys(schema.properties).filter(
@@ -179,7 +181,7 @@
   return details;
 }
 
-/* Fill NODE with forms of forms.model. */
+/* Replace the content of NODE by the forms for forms.model. */
 export function render(forms, node) {
   const head = element("div", { class: "fields" });
   const sections = [];
@@ -198,7 +200,8 @@
   return issue.message + (issue.allowed ? ` (allowed: ${issue.allowed})` : "");
 }
 
-/* The nearest part with a note that holds PATH. */
+/* The note of the innermost element for PATH or a parent of it; null if there
+   is none. */
 function noteOf(path) {
   for (let own = path; own !== ""; own = parentOf(own)) {
     const note = document.getElementById(`${idOf(own)}-note`);
@@ -223,7 +226,7 @@
         item.classList.add("bad");
 }
 
-/* Show ISSUES beside their fields. */
+/* Show ISSUES at their fields, replacing those shown before. */
 export function mark(node, issues) {
   for (const note of node.querySelectorAll(".note")) {
     note.textContent = "";
@@ -236,7 +239,8 @@
   issues.forEach(markOne);
 }
 
-/* Open what holds PATH and put the focus there. */
+/* Open the sections that contain PATH and focus its input, or that of the
+   innermost parent that has one. Returns false if there is none. */
 export function reveal(forms, path) {
   let target = null;
   for (let own = path; own !== "" && !target; own = parentOf(own))
--- a/src/console/model.js
+++ b/src/console/model.js
@@ -1,5 +1,7 @@
-/* Paths into a document, such as "services[0].slots", and changes at them. */
+/* Reads and changes a document by path, such as "services[0].slots", and
+   helpers for the schema's keys. */
 
+/* The components of PATH: strings for keys, numbers for indexes. */
 export function split(path) {
   const parts = [];
   for (const part of path.matchAll(/([^.[\]]+)|\[(\d+)\]/g))
@@ -13,7 +15,8 @@
   return path === "" ? part : `${path}.${part}`;
 }
 
-/* The path of what holds PATH; empty for a key of the document. */
+/* The path of the mapping or list that contains PATH; empty for a top-level
+   key. */
 export function parentOf(path) {
   return path.replace(/(\.[^.[\]]+|\[\d+\]|^[^.[\]]+)$/, "");
 }
@@ -33,8 +36,8 @@
     !Array.isArray(value) && Object.keys(value).length === 0;
 }
 
-/* Set PATH to VALUE; undefined takes the key away, and a mapping that is
-   left empty with it. */
+/* Set PATH to VALUE. If VALUE is undefined, remove the key, and also any parent
+   mapping that this leaves empty. */
 export function set(model, path, value) {
   const parts = split(path);
   const last = parts.pop();
@@ -61,7 +64,8 @@
       break;
 }
 
-/* What a new object of SCHEMA starts with: its required keys. */
+/* The initial value for SCHEMA. An object gets its required keys, with NAME as
+   its name. */
 export function fresh(schema, name) {
   if (schema.enum)
     return schema.enum[0];
@@ -80,7 +84,7 @@
   }
 }
 
-/* "latency_target_ms" as words. */
+/* The label of a key: "latency_target_ms" becomes "Latency target (ms)". */
 export function words(key) {
   const units = { ms: "ms", s: "s", mib: "MiB", percent: "%" };
   const parts = key.split("_");
--- a/src/console/yaml.js
+++ b/src/console/yaml.js
@@ -1,8 +1,12 @@
-/* Writing YAML, changing one value of it in place, and comparing lines. */
+/* Emits YAML, changes single values of a YAML text in place, and compares texts
+   by line. */
 
+/* Strings that can be written without quotes, except for WORDS, which YAML
+   would read as a boolean or null. */
 const PLAIN = /^[A-Za-z/][A-Za-z0-9._/~-]*( [A-Za-z0-9._/~-]+)*$/;
 const WORDS = /^(true|false|null|yes|no|on|off|y|n)$/i;
-/* Lines that are compared at most by each pair. */
+/* Limits the time and memory of a line comparison: the number of pairs of old
+   and new lines. */
 const PAIRS_MAX = 4e6;
 
 export function scalar(value) {
@@ -13,6 +17,7 @@
   return JSON.stringify(value);
 }
 
+/* Whether VALUE contains only scalars, and so is written in flow style. */
 function isFlat(value) {
   return Object.values(value).every((part) => typeof part !== "object");
 }
@@ -70,6 +75,8 @@
   return `${lines.join("\n")}\n`;
 }
 
+/* The length of the scalar at the start of TEXT: any quoted scalar, or OLD
+   written plainly. -1 if there is neither. */
 function tokenSize(text, old) {
   const quoted = /^(?:"(?:[^"\\\n]|\\.)*"|'(?:[^'\n]|'')*')/.exec(text);
   if (quoted)
@@ -77,8 +84,8 @@
   return text.startsWith(String(old)) ? String(old).length : -1;
 }
 
-/* The line of PLACE ([line, column]) cut before and after the value OLD that
-   stands there, or null when it does not. */
+/* Split TEXT into lines, and the line of PLACE ([line, column], from 1) before
+   and after the value OLD at that place. null if OLD is not there. */
 function cut(text, place, old) {
   const lines = text.split("\n");
   const characters = Array.from(lines[place[0] - 1] ?? "");
@@ -90,7 +97,8 @@
   return { lines, before, token: rest.slice(0, size), after: rest.slice(size) };
 }
 
-/* TEXT with the value OLD at PLACE replaced, or null. */
+/* TEXT with the value OLD at PLACE replaced by VALUE, or null if OLD is not
+   there. */
 export function replaceAt(text, place, old, value) {
   const parts = cut(text, place, old);
   if (!parts)
@@ -99,8 +107,9 @@
   return parts.lines.join("\n");
 }
 
-/* TEXT with KEY added after the member SIBLING, whose value OLD stands at
-   PLACE, in the style of that member; or null. */
+/* TEXT with KEY added after the member SIBLING, whose value OLD is at PLACE, in
+   the same style (block or flow) as that member; or null if that is not
+   possible. */
 export function insertAfter(text, place, sibling, old, key, value) {
   const parts = cut(text, place, old);
   const lead = parts && new RegExp(`^(.*?)${sibling}: *$`).exec(parts.before);
@@ -117,8 +126,8 @@
   return parts.lines.join("\n");
 }
 
-/* The lengths of the longest common parts of A and B from each pair of
-   lines on. */
+/* The lengths of the longest common subsequences of the suffixes of A and B,
+   from each pair of lines on. */
 function commonLengths(a, b) {
   const width = b.length + 1;
   const lengths = new Uint32Array((a.length + 1) * width);
@@ -130,6 +139,8 @@
   return lengths;
 }
 
+/* Compare the lines between the common start and end. Beyond the limit, all of
+   A is shown as removed and all of B as added. */
 function compareMiddle(a, b) {
   if (a.length * b.length > PAIRS_MAX)
     return [...a.map((line) => ["-", line]), ...b.map((line) => ["+", line])];
@@ -150,7 +161,8 @@
   return result;
 }
 
-/* [mark, line] for each line of OLD and NEW; mark is " ", "-" or "+". */
+/* The line differences from OLD to CURRENT, as a list of [mark, line]; mark is
+   " ", "-" or "+". */
 export function compare(old, current) {
   const a = old.split("\n");
   const b = current.split("\n");
