--- a/src/console/console.js
+++ b/src/console/console.js
@@ -2,12 +2,12 @@
 
    The document's text is authoritative.  A value changed in a form replaces
    the old value in the text, so that comments and layout are kept; a change
-   that adds or removes list items emits the whole text again.  The entry checks
-   every text, while it is edited and again when it is published. */
+   that adds or removes list items emits the whole text again.  The entry
+   checks every text, while it is edited and again when it is published. */
 
 import { get, join, parentOf, set, split } from "./model.js";
-import { compare, emit, insertAfter, replaceAt } from "./yaml.js";
-import { mark, render, reveal } from "./forms.js";
+import { diffLines, emit, insertAfter, replaceAt } from "./yaml.js";
+import { markIssues, render, reveal } from "./forms.js";
 
 const TOKEN_KEY = "galenapier-token";
 const CHECK_DELAY_MS = 200;
@@ -26,11 +26,11 @@
   pending: new Map(), /* path -> value changed in forms since that check */
   isFormChange: false, /* whether the last change was made in a form */
   timer: 0,
-  asked: 0, /* number of the last check; earlier answers are ignored */
+  checkNumber: 0, /* number of the last check; earlier answers are ignored */
   undo: [],
   view: "forms",
   theirs: null, /* the current revision, if it conflicts with the base */
-  waitFor: 0, /* the revision published last */
+  publishedRevision: 0, /* the revision published last */
 };
 
 const forms = {
@@ -38,12 +38,12 @@
   model: null,
   open: new Set(["services", "batch_jobs", "watchers", "teams"]),
   onValue: changeValue,
-  onShape: changeShape,
+  onStructure: changeStructure,
 };
 
 /* Calls of the operators' HTTP API. */
 
-class Refusal extends Error {
+class HttpError extends Error {
   constructor(status, answer) {
     super(answer.message ?? `HTTP ${status}`);
     this.status = status;
@@ -62,7 +62,7 @@
   if (answer.status === 401)
     signOut("The token is not accepted.");
   if (!answer.ok)
-    throw new Refusal(answer.status, json);
+    throw new HttpError(answer.status, json);
   return json;
 }
 
@@ -74,7 +74,7 @@
   $("sign-out").hidden = true;
   $("sign-in").hidden = false;
   $("sign-in-error").textContent = reason;
-  $("force").textContent = "";
+  $("config-status").textContent = "";
   $("token").value = "";
   $("token").focus();
 }
@@ -83,7 +83,7 @@
   try {
     const status = await call("GET", "/v1/status");
     $("site").textContent = `${status.site} at ${status.entry}`;
-    showForce(status);
+    showConfigStatus(status);
     await load(status.site);
   } catch (error) {
     if (error.status === 429)
@@ -100,24 +100,25 @@
 
 /* Status of the configuration. */
 
-function showForce(status) {
+function showConfigStatus(status) {
   const processes = [...status.entries, ...status.guards].filter(
     (process) => process.state !== "gone");
-  const wanted = Math.max(status.config_revision, state.waitFor);
+  const wanted = Math.max(status.config_revision, state.publishedRevision);
   const count = processes.filter(
     (process) => process.config_revision >= wanted).length;
-  $("force").textContent = wanted === 0 ? "No revision yet."
+  $("config-status").textContent = wanted === 0 ? "No revision yet."
     : `Revision ${wanted} is in force at ${count} of ${processes.length} ` +
       `processes. Log: ${status.log.state}.`;
 }
 
-async function refreshForce() {
+async function refreshConfigStatus() {
   if ($("editor").hidden || document.hidden)
     return;
   try {
-    showForce(await call("GET", "/v1/status"));
+    showConfigStatus(await call("GET", "/v1/status"));
   } catch (error) {
-    $("force").textContent = `The entry cannot be asked: ${error.message}`;
+    $("config-status").textContent =
+      `The entry cannot be asked: ${error.message}`;
   }
 }
 
@@ -141,7 +142,7 @@
 
 /* Changes. */
 
-function remember() {
+function pushUndo() {
   if (state.undo[state.undo.length - 1] === state.text)
     return;
   state.undo.push(state.text);
@@ -157,11 +158,11 @@
   state.isFormChange = false;
   $("document").value = text;
   $("publish-result").textContent = "";
-  checkSoon(0);
+  scheduleCheck(0);
 }
 
 /* Emit the text from the model, which drops comments. */
-function rewrite() {
+function emitModel() {
   const hadComments = /(^|\s)#/m.test(state.text);
   state.text = emit(state.model);
   state.pending.clear();
@@ -174,7 +175,7 @@
 /* Where to write the value of PATH in the checked text: at its own place, or
    after the last scalar member of the same mapping; null if there is
    neither. */
-function targetOf(path) {
+function findTarget(path) {
   const { places, tree } = state.checked;
   if (places[path])
     return { path, place: places[path], old: get(tree, path) };
@@ -182,10 +183,10 @@
   let best = null;
   for (const [key, value] of Object.entries(
     (parent === "" ? tree : get(tree, parent)) ?? {})) {
-    const beside = join(parent, key);
-    if (typeof value !== "object" && places[beside] &&
-      (!best || isAfter(places[beside], best.place)))
-      best = { path, place: places[beside], old: value, sibling: key };
+    const siblingPath = join(parent, key);
+    if (typeof value !== "object" && places[siblingPath] &&
+      (!best || isAfter(places[siblingPath], best.place)))
+      best = { path, place: places[siblingPath], old: value, sibling: key };
   }
   return best;
 }
@@ -195,9 +196,9 @@
 }
 
 /* Order targets from the end of the text to its start, so that the places of
-   those not yet applied remain valid. At the same place, an insertion after the
-   value comes before the replacement of the value. */
-function laterFirst(a, b) {
+   those not yet applied remain valid. At the same place, an insertion after
+   the value comes before the replacement of the value. */
+function compareTargets(a, b) {
   if (isAfter(a.place, b.place))
     return -1;
   if (isAfter(b.place, a.place))
@@ -205,7 +206,7 @@
   return (a.sibling ? 0 : 1) - (b.sibling ? 0 : 1);
 }
 
-function applyOne(text, target) {
+function applyTarget(text, target) {
   const value = state.pending.get(target.path);
   if (!target.sibling)
     return replaceAt(text, target.place, target.old, value);
@@ -219,12 +220,12 @@
 function applyPending() {
   if (!state.checked?.places)
     return false;
-  const targets = [...state.pending.keys()].map(targetOf);
+  const targets = [...state.pending.keys()].map(findTarget);
   if (targets.includes(null))
     return false;
   let text = state.checked.text;
-  for (const target of targets.sort(laterFirst)) {
-    text = applyOne(text, target);
+  for (const target of targets.sort(compareTargets)) {
+    text = applyTarget(text, target);
     if (text === null)
       return false;
   }
@@ -233,24 +234,24 @@
 }
 
 function changeValue(path, value) {
-  remember();
+  pushUndo();
   set(state.model, path, value);
   state.isFormChange = true;
   if (value === undefined) {
     const wasNew = get(state.checked?.tree, path) === undefined;
     state.pending.delete(path);
     if (!wasNew || !applyPending())
-      rewrite();
+      emitModel();
   } else {
     state.pending.set(path, value);
     if (!applyPending())
-      rewrite();
+      emitModel();
   }
   afterFormChange();
 }
 
-function changeShape(change) {
-  remember();
+function changeStructure(change) {
+  pushUndo();
   if (change.keepForms)
     set(state.model, change.path, change.value);
   else if (change.add !== undefined)
@@ -262,7 +263,7 @@
     set(state.model, change.path, rest.length > 0 ? rest : undefined);
   }
   state.isFormChange = true;
-  rewrite();
+  emitModel();
   if (!change.keepForms)
     renderAndFocus(change);
   afterFormChange();
@@ -281,12 +282,12 @@
 
 function afterFormChange() {
   $("document").value = state.text;
-  checkSoon(CHECK_DELAY_MS);
+  scheduleCheck(CHECK_DELAY_MS);
 }
 
 /* The check. */
 
-function checkSoon(delay) {
+function scheduleCheck(delay) {
   clearTimeout(state.timer);
   state.timer = setTimeout(check, delay);
   $("publish").disabled = true;
@@ -294,7 +295,7 @@
 
 async function check() {
   const text = state.text;
-  const number = ++state.asked;
+  const number = ++state.checkNumber;
   let answer;
   try {
     answer = await call("POST", "/v1/check", { document: text, tree: true });
@@ -302,15 +303,15 @@
     showVerdict("bad", `Not checked: ${error.message}`);
     return;
   }
-  if (number !== state.asked || text !== state.text)
+  if (number !== state.checkNumber || text !== state.text)
     return;
   state.checked = { ...answer, text };
   state.pending.clear();
-  takeTree(answer.tree);
-  showChecked();
+  updateModel(answer.tree);
+  showCheckResult();
 }
 
-function takeTree(tree) {
+function updateModel(tree) {
   const isTree = tree !== null && typeof tree === "object" &&
     !Array.isArray(tree);
   if (state.isFormChange && isTree && state.model)
@@ -333,7 +334,7 @@
   $("verdict").textContent = text;
 }
 
-function showChecked() {
+function showCheckResult() {
   const { ok, issues, text } = state.checked;
   const errors = issues.filter((issue) => issue.severity === "error").length;
   const warnings = issues.length - errors;
@@ -345,7 +346,7 @@
   else
     showVerdict("good", isSame ? "Valid; nothing is changed." : "Valid.");
   showIssues(issues);
-  mark($("forms"), issues);
+  markIssues($("forms"), issues);
   showChanges();
   $("publish").disabled = !ok || isSame || !$("conflict").hidden;
 }
@@ -357,7 +358,7 @@
   button.type = "button";
   button.textContent = `line ${issue.line}: ${issue.path}: ${issue.message}` +
     (issue.allowed ? ` (allowed: ${issue.allowed})` : "");
-  button.addEventListener("click", () => goTo(issue));
+  button.addEventListener("click", () => goToIssue(issue));
   item.append(button);
   return item;
 }
@@ -367,11 +368,11 @@
   $("issue-list").replaceChildren(...issues.map(makeIssue));
 }
 
-function goTo(issue) {
+function goToIssue(issue) {
   if (state.view === "forms" && split(issue.path).length > 0 &&
     reveal(forms, issue.path))
     return;
-  show("text");
+  showView("text");
   const lines = state.text.split("\n");
   const start = lines.slice(0, issue.line - 1).join("\n").length +
     (issue.line > 1 ? 1 : 0);
@@ -384,13 +385,13 @@
 
 /* Compare two documents in normalized form. If they are equal in that form but
    their texts differ, or if one has no model, compare the texts. */
-function differences(old, oldModel, current, model) {
+function diffDocuments(old, oldModel, current, model) {
   if (oldModel && model) {
-    const lines = compare(emit(oldModel), emit(model));
+    const lines = diffLines(emit(oldModel), emit(model));
     if (lines.some(([sign]) => sign !== " ") || old === current)
       return lines;
   }
-  return compare(old, current);
+  return diffLines(old, current);
 }
 
 function makeLine(sign, line) {
@@ -403,22 +404,22 @@
   return node;
 }
 
-function isNear(lines, index) {
+function isInContext(lines, index) {
   const from = Math.max(0, index - CONTEXT_LINES);
   return lines.slice(from, index + CONTEXT_LINES + 1).some(
     ([sign]) => sign !== " ");
 }
 
-function showDifferences(node, lines) {
+function showDiff(node, lines) {
   const shown = [];
   let skipped = false;
   lines.forEach(([sign, line], index) => {
-    if (isNear(lines, index)) {
+    if (isInContext(lines, index)) {
       if (skipped)
         shown.push(makeLine(" ", "..."));
       shown.push(makeLine(sign, line));
     }
-    skipped = !isNear(lines, index);
+    skipped = !isInContext(lines, index);
   });
   node.replaceChildren(...shown);
   if (shown.length === 0)
@@ -430,7 +431,7 @@
   $("base").textContent = base.revision > 0
     ? `revision ${base.revision} by ${base.author}` : "an empty document";
   if (state.view === "changes")
-    showDifferences($("diff"), differences(base.text, base.model, state.text,
+    showDiff($("diff"), diffDocuments(base.text, base.model, state.text,
       state.checked?.tree));
 }
 
@@ -445,24 +446,24 @@
     const answer = await call("POST", "/v1/config", {
       base: state.base.revision, author: $("author").value,
       comment: $("comment").value, document: text });
-    published(answer.revision, text);
+    onPublished(answer.revision, text);
   } catch (error) {
-    await publishFailed(error);
+    await onPublishFailed(error);
   }
 }
 
-function published(revision, text) {
+function onPublished(revision, text) {
   state.base = { revision, author: $("author").value, text,
     model: state.checked?.tree ?? null };
-  state.waitFor = revision;
+  state.publishedRevision = revision;
   $("comment").value = "";
   $("publish-result").textContent = `Revision ${revision} is published.`;
-  refreshForce();
+  refreshConfigStatus();
   if (state.checked)
-    showChecked();
+    showCheckResult();
 }
 
-async function publishFailed(error) {
+async function onPublishFailed(error) {
   const result = $("publish-result");
   if (error.status === 409) {
     result.textContent = "Not published: another revision came first.";
@@ -478,14 +479,14 @@
   if (error.answer.issues && state.checked) {
     state.checked = { ...state.checked, ok: false,
       issues: error.answer.issues };
-    showChecked();
+    showCheckResult();
     return;
   }
   $("publish").disabled = false;
 }
 
-/* Show what the conflicting revision changed relative to the base of the edited
-   text. */
+/* Show what the conflicting revision changed relative to the base of the
+   edited text. */
 async function showConflict() {
   const { base } = state;
   let theirs;
@@ -501,36 +502,36 @@
     (theirs.comment ? ` ("${theirs.comment}")` : "") +
     ` took the place of revision ${base.revision}, on which your text is ` +
     "based. This is what it changed:";
-  showDifferences($("conflict-diff"),
-    differences(base.text, base.model, theirs.text, theirs.model));
+  showDiff($("conflict-diff"),
+    diffDocuments(base.text, base.model, theirs.text, theirs.model));
   $("conflict").hidden = false;
   $("conflict").focus();
 }
 
-function keepMine() {
+function rebaseText() {
   state.base = state.theirs;
   state.theirs = null;
   $("conflict").hidden = true;
   $("publish-result").textContent = "Your text is now based on revision " +
     `${state.base.revision}. Look at the changes before you publish: they ` +
     "take back what it does not have.";
-  show("changes");
-  checkSoon(0);
+  showView("changes");
+  scheduleCheck(0);
 }
 
-function dropMine() {
+function discardText() {
   state.base = state.theirs;
   state.theirs = null;
   $("conflict").hidden = true;
   $("publish-result").textContent = "";
-  remember();
+  pushUndo();
   replaceText(state.base.text);
   $("show-forms").focus();
 }
 
 /* Views and events. */
 
-function show(view) {
+function showView(view) {
   state.view = view;
   for (const name of ["forms", "text", "changes"]) {
     $(name).hidden = name !== view;
@@ -539,7 +540,7 @@
   if (view === "forms" && state.isFormChange === false && state.model)
     renderForms();
   if (state.checked)
-    showChecked();
+    showCheckResult();
 }
 
 function undo() {
@@ -566,12 +567,12 @@
 }
 
 function onTextInput() {
-  remember();
+  pushUndo();
   state.text = $("document").value;
   state.pending.clear();
   state.checked = null;
   state.isFormChange = false;
-  checkSoon(CHECK_DELAY_MS);
+  scheduleCheck(CHECK_DELAY_MS);
 }
 
 function onSubmit(id, action) {
@@ -591,18 +592,18 @@
   });
   onSubmit("publish-form", publish);
   for (const view of ["forms", "text", "changes"])
-    $(`show-${view}`).addEventListener("click", () => show(view));
+    $(`show-${view}`).addEventListener("click", () => showView(view));
   $("document").addEventListener("input", onTextInput);
   $("undo").addEventListener("click", undo);
   $("reload").addEventListener("click", reload);
   $("sign-out").addEventListener("click", () => signOut(""));
-  $("conflict-keep").addEventListener("click", keepMine);
-  $("conflict-drop").addEventListener("click", dropMine);
+  $("conflict-keep").addEventListener("click", rebaseText);
+  $("conflict-drop").addEventListener("click", discardText);
   window.addEventListener("beforeunload", (event) => {
     if (!$("editor").hidden && state.text !== state.base.text)
       event.preventDefault();
   });
-  setInterval(refreshForce, STATUS_EVERY_MS);
+  setInterval(refreshConfigStatus, STATUS_EVERY_MS);
   if (sessionStorage.getItem(TOKEN_KEY))
     signIn();
   else
--- a/src/console/forms.js
+++ b/src/console/forms.js
@@ -1,18 +1,18 @@
 /* Renders forms for a document from its JSON Schema.
 
    Each input edits the value at one path.  Changes are reported by callbacks:
-   onValue (path, value) for a value, and onShape (change) for one that replaces
-   a list or adds or removes an item of it; unless change.keepForms is set, the
-   caller renders the forms again after that. */
+   onValue (path, value) for a value, and onStructure (change) for one that
+   replaces a list or adds or removes an item of it; unless change.keepForms is
+   set, the caller renders the forms again after that. */
 
-import { fresh, get, join, parentOf, words } from "./model.js";
+import { get, initialValue, join, labelOf, parentOf } from "./model.js";
 
-const ORDER = ["version", "site", "time_zone", "services", "batch_jobs",
-  "watchers", "teams", "limits", "interference", "workers", "regions",
-  "evacuated_zones"];
-const LONG = new Set(["payload"]);
+const SECTION_ORDER = ["version", "site", "time_zone", "services",
+  "batch_jobs", "watchers", "teams", "limits", "interference", "workers",
+  "regions", "evacuated_zones"];
+const MULTILINE_KEYS = new Set(["payload"]);
 
-export function idOf(path) {
+export function elementId(path) {
   return `field-${path}`;
 }
 
@@ -28,7 +28,7 @@
 /* Convert the text of an input to a value of the type in SCHEMA. Text that is
    not of that type is kept as a string, so that the entry's check reports it
    as an issue. */
-function valueOf(text, schema) {
+function parseValue(text, schema) {
   if (schema.type === "integer" && /^(0|[1-9]\d{0,15})$/.test(text))
     return Number(text);
   if (schema.type === "boolean")
@@ -38,11 +38,11 @@
   return text;
 }
 
-function textOf(value) {
+function formatValue(value) {
   return Array.isArray(value) ? value.join(", ") : String(value ?? "");
 }
 
-function choices(schema) {
+function allowedValues(schema) {
   if (schema.enum)
     return schema.enum;
   return schema.type === "boolean" ? ["true", "false"] : null;
@@ -54,19 +54,19 @@
     select.append(element("option", { value: "" }, "(not set)"));
   for (const option of options)
     select.append(element("option", { value: option }, option));
-  select.value = textOf(value);
+  select.value = formatValue(value);
   return select;
 }
 
 function makeInput(schema, key, value, required) {
-  const options = choices(schema);
+  const options = allowedValues(schema);
   if (options)
     return makeSelect(options, value, required);
-  const input = LONG.has(key) ? element("textarea", { rows: 2 })
+  const input = MULTILINE_KEYS.has(key) ? element("textarea", { rows: 2 })
     : element("input", { type: "text",
       inputmode: schema.type === "integer" ? "numeric" : undefined,
       placeholder: schema.default });
-  input.value = textOf(value);
+  input.value = formatValue(value);
   return input;
 }
 
@@ -80,7 +80,7 @@
 }
 
 function makeField(forms, schema, path, key, required) {
-  const id = idOf(path);
+  const id = elementId(path);
   const input = makeInput(schema, key, get(forms.model, path), required);
   const isList = schema.type === "array";
   input.id = id;
@@ -88,9 +88,9 @@
   input.spellcheck = false;
   input.setAttribute("aria-describedby", `${id}-note`);
   input.addEventListener("input", () => {
-    const value = valueOf(input.value, schema);
+    const value = parseValue(input.value, schema);
     if (isList)
-      forms.onShape({ keepForms: true, path, value });
+      forms.onStructure({ keepForms: true, path, value });
     else
       forms.onValue(path, value);
   });
@@ -101,26 +101,26 @@
   });
   return element("div", { class: "field" },
     element("label", { for: id, class: required ? "required" : undefined },
-      words(key)), input, element("p", { id: `${id}-note`, class: "note" }));
+      labelOf(key)), input, element("p", { id: `${id}-note`, class: "note" }));
 }
 
 function makeGroup(forms, schema, path, key) {
-  return element("fieldset", {}, element("legend", {}, words(key)),
+  return element("fieldset", {}, element("legend", {}, labelOf(key)),
     makeFields(forms, schema, path));
 }
 
-function summaryOf(item, index) {
+function itemTitle(item, index) {
   return item?.name ? String(item.name) : `number ${index + 1}`;
 }
 
 function makeItem(forms, schema, path, index) {
   const own = join(path, index);
-  const summary = element("summary", { id: idOf(own) },
-    summaryOf(get(forms.model, own), index));
+  const summary = element("summary", { id: elementId(own) },
+    itemTitle(get(forms.model, own), index));
   const remove = element("button", { type: "button" },
-    `Remove ${summaryOf(get(forms.model, own), index)}`);
+    `Remove ${itemTitle(get(forms.model, own), index)}`);
   remove.addEventListener("click", () =>
-    forms.onShape({ remove: index, path }));
+    forms.onStructure({ remove: index, path }));
   const details = element("details", { class: "item", "data-path": own },
     summary, makeFields(forms, schema, own), remove);
   details.open = forms.open.has(own);
@@ -131,12 +131,13 @@
 
 function makeList(forms, schema, path, key) {
   const items = get(forms.model, path) ?? [];
-  const add = element("button", { type: "button", id: `${idOf(path)}-add` },
-    `Add to ${words(key).toLowerCase()}`);
-  add.addEventListener("click", () => forms.onShape({ path,
-    add: fresh(schema.items, `new-${items.length + 1}`) }));
+  const add = element("button",
+    { type: "button", id: `${elementId(path)}-add` },
+    `Add to ${labelOf(key).toLowerCase()}`);
+  add.addEventListener("click", () => forms.onStructure({ path,
+    add: initialValue(schema.items, `new-${items.length + 1}`) }));
   const list = element("div", { class: "list" },
-    element("p", { id: `${idOf(path)}-note`, class: "note" }));
+    element("p", { id: `${elementId(path)}-note`, class: "note" }));
   if (Array.isArray(items))
     items.forEach((_, index) =>
       list.append(makeItem(forms, schema.items, path, index)));
@@ -144,17 +145,17 @@
   return list;
 }
 
-function makePart(forms, schema, path, key, required) {
+function makeControl(forms, schema, path, key, required) {
   if (schema.type === "object")
     return makeGroup(forms, schema, path, key);
   if (schema.type === "array" && schema.items.type === "object")
-    return element("fieldset", {}, element("legend", {}, words(key)),
+    return element("fieldset", {}, element("legend", {}, labelOf(key)),
       makeList(forms, schema, path, key));
   return makeField(forms, schema, path, key, required);
 }
 
 /* The keys of SCHEMA, required ones first. */
-function keysOf(schema) {
+function orderedKeys(schema) {
   const required = schema.required ?? [];
   return [...required, ...Object.keys(schema.properties).filter(
     (key) => !required.includes(key))];
@@ -162,8 +163,8 @@
 
 function makeFields(forms, schema, path) {
   const fields = element("div", { class: "fields" });
-  for (const key of keysOf(schema))
-    fields.append(makePart(forms, schema.properties[key], join(path, key),
+  for (const key of orderedKeys(schema))
+    fields.append(makeControl(forms, schema.properties[key], join(path, key),
       key, (schema.required ?? []).includes(key)));
   return fields;
 }
@@ -174,7 +175,7 @@
   const content = schema.type === "array"
     ? makeList(forms, schema, key, key) : makeFields(forms, schema, key);
   const details = element("details", { class: "section", "data-path": key },
-    element("summary", { id: idOf(key) }, words(key) + count), content);
+    element("summary", { id: elementId(key) }, labelOf(key) + count), content);
   details.open = forms.open.has(key);
   details.addEventListener("toggle", () => details.open
     ? forms.open.add(key) : forms.open.delete(key));
@@ -185,7 +186,7 @@
 export function render(forms, node) {
   const head = element("div", { class: "fields" });
   const sections = [];
-  for (const key of ORDER) {
+  for (const key of SECTION_ORDER) {
     const schema = forms.schema.properties[key];
     if (schema.type === "array" || schema.type === "object")
       sections.push(makeSection(forms, key, schema));
@@ -196,26 +197,26 @@
   node.replaceChildren(head, ...sections);
 }
 
-function describe(issue) {
+function describeIssue(issue) {
   return issue.message + (issue.allowed ? ` (allowed: ${issue.allowed})` : "");
 }
 
 /* The note of the innermost element for PATH or a parent of it; null if there
    is none. */
-function noteOf(path) {
+function findNote(path) {
   for (let own = path; own !== ""; own = parentOf(own)) {
-    const note = document.getElementById(`${idOf(own)}-note`);
+    const note = document.getElementById(`${elementId(own)}-note`);
     if (note)
       return note;
   }
   return null;
 }
 
-function markOne(issue) {
-  const note = noteOf(issue.path);
-  const input = document.getElementById(idOf(issue.path));
+function markIssue(issue) {
+  const note = findNote(issue.path);
+  const input = document.getElementById(elementId(issue.path));
   if (note) {
-    note.textContent += (note.textContent ? "; " : "") + describe(issue);
+    note.textContent += (note.textContent ? "; " : "") + describeIssue(issue);
     note.classList.add(issue.severity);
   }
   if (input && issue.severity === "error")
@@ -227,7 +228,7 @@
 }
 
 /* Show ISSUES at their fields, replacing those shown before. */
-export function mark(node, issues) {
+export function markIssues(node, issues) {
   for (const note of node.querySelectorAll(".note")) {
     note.textContent = "";
     note.className = "note";
@@ -236,7 +237,7 @@
     input.removeAttribute("aria-invalid");
   for (const item of node.querySelectorAll("details.bad"))
     item.classList.remove("bad");
-  issues.forEach(markOne);
+  issues.forEach(markIssue);
 }
 
 /* Open the sections that contain PATH and focus its input, or that of the
@@ -244,7 +245,7 @@
 export function reveal(forms, path) {
   let target = null;
   for (let own = path; own !== "" && !target; own = parentOf(own))
-    target = document.getElementById(idOf(own));
+    target = document.getElementById(elementId(own));
   if (!target)
     return false;
   for (let node = target.parentElement; node; node = node.parentElement)
--- a/src/console/model.js
+++ b/src/console/model.js
@@ -36,27 +36,27 @@
     !Array.isArray(value) && Object.keys(value).length === 0;
 }
 
-/* Set PATH to VALUE. If VALUE is undefined, remove the key, and also any parent
-   mapping that this leaves empty. */
+/* Set PATH to VALUE. If VALUE is undefined, remove the key, and also any
+   parent mapping that this leaves empty. */
 export function set(model, path, value) {
   const parts = split(path);
   const last = parts.pop();
   const parents = [];
-  let place = model;
+  let container = model;
   for (const part of parts) {
-    if (place[part] === undefined) {
+    if (container[part] === undefined) {
       if (value === undefined)
         return;
-      place[part] = {};
+      container[part] = {};
     }
-    parents.push([place, part]);
-    place = place[part];
+    parents.push([container, part]);
+    container = container[part];
   }
   if (value !== undefined) {
-    place[last] = value;
+    container[last] = value;
     return;
   }
-  delete place[last];
+  delete container[last];
   for (const [parent, part] of parents.reverse())
     if (!Array.isArray(parent) && isEmptyObject(parent[part]))
       delete parent[part];
@@ -66,17 +66,17 @@
 
 /* The initial value for SCHEMA. An object gets its required keys, with NAME as
    its name. */
-export function fresh(schema, name) {
+export function initialValue(schema, name) {
   if (schema.enum)
     return schema.enum[0];
   switch (schema.type) {
   case "object":
     return Object.fromEntries((schema.required ?? []).map(
-      (key) => [key, key === "name" ? name : fresh(schema.properties[key],
-        name)]));
+      (key) => [key, key === "name" ? name
+        : initialValue(schema.properties[key], name)]));
   case "array":
     return schema.items.type === "object"
-      ? [fresh(schema.items, "new")] : [name];
+      ? [initialValue(schema.items, "new")] : [name];
   case "integer":
     return schema.default ?? Math.max(schema.minimum, 1);
   default:
@@ -85,7 +85,7 @@
 }
 
 /* The label of a key: "latency_target_ms" becomes "Latency target (ms)". */
-export function words(key) {
+export function labelOf(key) {
   const units = { ms: "ms", s: "s", mib: "MiB", percent: "%" };
   const parts = key.split("_");
   const last = parts[parts.length - 1];
--- a/src/console/yaml.js
+++ b/src/console/yaml.js
@@ -1,18 +1,18 @@
-/* Emits YAML, changes single values of a YAML text in place, and compares texts
-   by line. */
+/* Emits YAML, changes single values of a YAML text in place, and compares
+   texts by line. */
 
-/* Strings that can be written without quotes, except for WORDS, which YAML
-   would read as a boolean or null. */
-const PLAIN = /^[A-Za-z/][A-Za-z0-9._/~-]*( [A-Za-z0-9._/~-]+)*$/;
-const WORDS = /^(true|false|null|yes|no|on|off|y|n)$/i;
+/* Strings that can be written without quotes, except for RESERVED_WORDS, which
+   YAML would read as a boolean or null. */
+const PLAIN_SCALAR = /^[A-Za-z/][A-Za-z0-9._/~-]*( [A-Za-z0-9._/~-]+)*$/;
+const RESERVED_WORDS = /^(true|false|null|yes|no|on|off|y|n)$/i;
 /* Limits the time and memory of a line comparison: the number of pairs of old
    and new lines. */
-const PAIRS_MAX = 4e6;
+const MAX_COMPARED_PAIRS = 4e6;
 
-export function scalar(value) {
+export function formatScalar(value) {
   if (typeof value === "number" || typeof value === "boolean")
     return String(value);
-  if (PLAIN.test(value) && !WORDS.test(value))
+  if (PLAIN_SCALAR.test(value) && !RESERVED_WORDS.test(value))
     return value;
   return JSON.stringify(value);
 }
@@ -22,19 +22,19 @@
   return Object.values(value).every((part) => typeof part !== "object");
 }
 
-function flow(value) {
+function formatFlow(value) {
   if (Array.isArray(value))
-    return `[${value.map(scalar).join(", ")}]`;
+    return `[${value.map(formatScalar).join(", ")}]`;
   const parts = Object.entries(value).map(
-    ([key, part]) => `${key}: ${scalar(part)}`);
+    ([key, part]) => `${key}: ${formatScalar(part)}`);
   return `{${parts.join(", ")}}`;
 }
 
 function emitMember(key, value, indent, lines) {
   if (value === null || typeof value !== "object")
-    lines.push(`${indent}${key}: ${scalar(value ?? "")}`);
+    lines.push(`${indent}${key}: ${formatScalar(value ?? "")}`);
   else if (isFlat(value))
-    lines.push(`${indent}${key}: ${flow(value)}`);
+    lines.push(`${indent}${key}: ${formatFlow(value)}`);
   else {
     lines.push(`${indent}${key}:`);
     emitValue(value, `${indent}  `, lines);
@@ -43,7 +43,7 @@
 
 function emitItem(item, indent, lines) {
   if (item === null || typeof item !== "object") {
-    lines.push(`${indent}- ${scalar(item ?? "")}`);
+    lines.push(`${indent}- ${formatScalar(item ?? "")}`);
     return;
   }
   const own = [];
@@ -77,7 +77,7 @@
 
 /* The length of the scalar at the start of TEXT: any quoted scalar, or OLD
    written plainly. -1 if there is neither. */
-function tokenSize(text, old) {
+function scalarLength(text, old) {
   const quoted = /^(?:"(?:[^"\\\n]|\\.)*"|'(?:[^'\n]|'')*')/.exec(text);
   if (quoted)
     return quoted[0].length;
@@ -86,12 +86,12 @@
 
 /* Split TEXT into lines, and the line of PLACE ([line, column], from 1) before
    and after the value OLD at that place. null if OLD is not there. */
-function cut(text, place, old) {
+function splitAtValue(text, place, old) {
   const lines = text.split("\n");
   const characters = Array.from(lines[place[0] - 1] ?? "");
   const before = characters.slice(0, place[1] - 1).join("");
   const rest = characters.slice(place[1] - 1).join("");
-  const size = tokenSize(rest, old);
+  const size = scalarLength(rest, old);
   if (size < 0)
     return null;
   return { lines, before, token: rest.slice(0, size), after: rest.slice(size) };
@@ -100,25 +100,25 @@
 /* TEXT with the value OLD at PLACE replaced by VALUE, or null if OLD is not
    there. */
 export function replaceAt(text, place, old, value) {
-  const parts = cut(text, place, old);
+  const parts = splitAtValue(text, place, old);
   if (!parts)
     return null;
-  parts.lines[place[0] - 1] = parts.before + scalar(value) + parts.after;
+  parts.lines[place[0] - 1] = parts.before + formatScalar(value) + parts.after;
   return parts.lines.join("\n");
 }
 
-/* TEXT with KEY added after the member SIBLING, whose value OLD is at PLACE, in
-   the same style (block or flow) as that member; or null if that is not
+/* TEXT with KEY added after the member SIBLING, whose value OLD is at PLACE,
+   in the same style (block or flow) as that member; or null if that is not
    possible. */
 export function insertAfter(text, place, sibling, old, key, value) {
-  const parts = cut(text, place, old);
-  const lead = parts && new RegExp(`^(.*?)${sibling}: *$`).exec(parts.before);
-  if (!lead)
+  const parts = splitAtValue(text, place, old);
+  const match = parts && new RegExp(`^(.*?)${sibling}: *$`).exec(parts.before);
+  if (!match)
     return null;
-  const member = `${key}: ${scalar(value)}`;
-  if (/^\s*(- +)?$/.test(lead[1]))
-    parts.lines.splice(place[0], 0, " ".repeat(lead[1].length) + member);
-  else if (/[{,]\s*$/.test(lead[1]))
+  const member = `${key}: ${formatScalar(value)}`;
+  if (/^\s*(- +)?$/.test(match[1]))
+    parts.lines.splice(place[0], 0, " ".repeat(match[1].length) + member);
+  else if (/[{,]\s*$/.test(match[1]))
     parts.lines[place[0] - 1] = parts.before + parts.token + ", " + member +
       parts.after;
   else
@@ -128,7 +128,7 @@
 
 /* The lengths of the longest common subsequences of the suffixes of A and B,
    from each pair of lines on. */
-function commonLengths(a, b) {
+function subsequenceLengths(a, b) {
   const width = b.length + 1;
   const lengths = new Uint32Array((a.length + 1) * width);
   for (let i = a.length - 1; i >= 0; i--)
@@ -141,10 +141,10 @@
 
 /* Compare the lines between the common start and end. Beyond the limit, all of
    A is shown as removed and all of B as added. */
-function compareMiddle(a, b) {
-  if (a.length * b.length > PAIRS_MAX)
+function diffMiddle(a, b) {
+  if (a.length * b.length > MAX_COMPARED_PAIRS)
     return [...a.map((line) => ["-", line]), ...b.map((line) => ["+", line])];
-  const lengths = commonLengths(a, b);
+  const lengths = subsequenceLengths(a, b);
   const width = b.length + 1;
   const result = [];
   let i = 0;
@@ -163,7 +163,7 @@
 
 /* The line differences from OLD to CURRENT, as a list of [mark, line]; mark is
    " ", "-" or "+". */
-export function compare(old, current) {
+export function diffLines(old, current) {
   const a = old.split("\n");
   const b = current.split("\n");
   let start = 0;
@@ -175,7 +175,7 @@
     end++;
   const same = (line) => [" ", line];
   return [...a.slice(0, start).map(same),
-    ...compareMiddle(a.slice(start, a.length - end),
+    ...diffMiddle(a.slice(start, a.length - end),
       b.slice(start, b.length - end)),
     ...a.slice(a.length - end).map(same)];
 }
