--- a/bench/driver_fleet.c
+++ b/bench/driver_fleet.c
@@ -1,16 +1,17 @@
-/* driver_fleet: many guards in one process, speaking the real protocol to a
-   real entry, to measure what each costs the entry.
+/* driver_fleet: simulates many guards in one process, which speak the real
+   protocol to a real entry, to measure the cost of a guard to the entry.
 
-   Each announces a worker, sends heartbeats that ask for renewal, and runs
-   tasks in name only: a Start is reported RUNNING, after --run-ms SUCCEEDED,
-   until acknowledged.  Prints "ready" once all have announced themselves,
-   and a line of totals at the end.  */
+   Each guard announces a worker, sends heartbeats that request lease renewal,
+   and simulates tasks: it reports a Start as RUNNING, and after --run-ms as
+   SUCCEEDED.  Each report is sent once.  Prints "ready" once all guards have
+   announced themselves, and a line of totals at the end.  */
 
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "protocol/dialer.h"
 
+/* First heartbeats are spread over this many heartbeat intervals.  */
 #define FIRST_HEARTBEAT_SPREAD 1.0
 
 typedef struct
@@ -44,10 +45,10 @@
   GQueue running; /* of run_t, by end_at */
   gp_timer_t run_timer;
   gp_timer_t end_timer;
-  uint64_t heartbeats;
-  uint64_t renewed;
-  uint64_t starts;
-  uint64_t ends;
+  uint64_t heartbeats; /* sent */
+  uint64_t renewed;    /* replies that granted lease time */
+  uint64_t starts;     /* received */
+  uint64_t ends;       /* reported */
 } fleet_t;
 
 static void
@@ -141,8 +142,8 @@
     gp_timer_arm (&fleet->run_timer, run->end_at);
 }
 
-/* The oldest run whose end has come, or NULL.  All runs take as long, so
-   the queue is in order of their ends.  */
+/* Remove and return the oldest run that has ended by NOW, or NULL.  All runs
+   have the same duration, so the queue is ordered by end time.  */
 static run_t *
 take_ended (fleet_t *fleet, gp_time_t now)
 {
--- a/tests/unit/runner.c
+++ b/tests/unit/runner.c
@@ -1,4 +1,4 @@
-/* Runs the tests of one program quietly.  */
+/* Runs the tests of one program without writing to standard output.  */
 
 #include "runner.h"
 
