--- a/bench/driver_fleet.c
+++ b/bench/driver_fleet.c
@@ -12,7 +12,7 @@
 #include "protocol/dialer.h"
 
 /* First heartbeats are spread over this many heartbeat intervals.  */
-#define FIRST_HEARTBEAT_SPREAD 1.0
+#define FIRST_HEARTBEAT_INTERVALS 1.0
 
 typedef struct
 {
@@ -134,7 +134,7 @@
 }
 
 static void
-arm_runs (fleet_t *fleet)
+arm_run_timer (fleet_t *fleet)
 {
   const run_t *run = g_queue_peek_head (&fleet->running);
 
@@ -145,7 +145,7 @@
 /* Remove and return the oldest run that has ended by NOW, or NULL.  All runs
    have the same duration, so the queue is ordered by end time.  */
 static run_t *
-take_ended (fleet_t *fleet, gp_time_t now)
+pop_ended (fleet_t *fleet, gp_time_t now)
 {
   const run_t *run = g_queue_peek_head (&fleet->running);
 
@@ -155,21 +155,21 @@
 }
 
 static void
-on_runs (gp_timer_t *timer, void *data)
+on_run_timer (gp_timer_t *timer, void *data)
 {
   fleet_t *fleet = data;
   gp_time_t now = gp_loop_now (&fleet->loop);
   run_t *run;
 
   (void)timer;
-  while ((run = take_ended (fleet, now)) != NULL)
+  while ((run = pop_ended (fleet, now)) != NULL)
     {
       fleet->ends++;
       report (run->guard, run->task, run->epoch,
               GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
       g_free (run);
     }
-  arm_runs (fleet);
+  arm_run_timer (fleet);
 }
 
 static void
@@ -186,7 +186,7 @@
   g_queue_push_tail (&fleet->running, run);
   report (guard, run->task, run->epoch,
           GP__WIRE__TASK_STATE__TASK_STATE_RUNNING);
-  arm_runs (fleet);
+  arm_run_timer (fleet);
 }
 
 static void
@@ -231,7 +231,8 @@
                          .region = "r",
                          .zone = "a",
                          .address = "" };
-  double first = g_rand_double_range (fleet->rand, 0, FIRST_HEARTBEAT_SPREAD);
+  double first
+      = g_rand_double_range (fleet->rand, 0, FIRST_HEARTBEAT_INTERVALS);
 
   guard->fleet = fleet;
   g_snprintf (guard->name, sizeof guard->name, "fleet-%d", number);
@@ -294,7 +295,7 @@
     }
   fleet.rand = g_rand_new_with_seed (1);
   g_queue_init (&fleet.running);
-  gp_timer_init (&fleet.run_timer, &fleet.loop, on_runs, &fleet);
+  gp_timer_init (&fleet.run_timer, &fleet.loop, on_run_timer, &fleet);
   gp_timer_init (&fleet.end_timer, &fleet.loop, on_end, &fleet);
   gp_timer_arm (&fleet.end_timer,
                 gp_loop_now (&fleet.loop) + seconds * GP_SEC);
