--- a/src/cli/cmd_config.c
+++ b/src/cli/cmd_config.c
@@ -61,7 +61,7 @@
 
 /* The value of KEY in ITEMS, or NULL.  Owned by ITEMS.  */
 static GBytes *
-value_of (const GPtrArray *items, const char *key)
+find_item_value (const GPtrArray *items, const char *key)
 {
   for (guint i = 0; i < items->len; i++)
     {
@@ -109,7 +109,7 @@
   for (guint i = 0; i < delta->len; i++)
     {
       const gp_document_item_t *item = delta->pdata[i];
-      GBytes *old = value_of (base, item->key);
+      GBytes *old = find_item_value (base, item->key);
 
       if (!as_json)
         {
@@ -131,7 +131,7 @@
 /* Fetch the items of the document in force; an empty list if there is no
    document yet.  */
 static gp_cli_exit_t
-current_items (gp_cli_t *cli, GPtrArray **items)
+fetch_current_items (gp_cli_t *cli, GPtrArray **items)
 {
   GPtrArray *issues = gp_issues_new ();
   gp_document_t document;
@@ -182,7 +182,7 @@
       gp_cli_document_file_finish (&file);
       return status;
     }
-  status = current_items (cli, &current);
+  status = fetch_current_items (cli, &current);
   if (status == GP_CLI_OK
       && print_diff (current, file.document.items, cli->json))
     status = GP_CLI_REFUSED;
--- a/src/cli/log_lines.c
+++ b/src/cli/log_lines.c
@@ -13,7 +13,7 @@
 }
 
 static gint
-by_time (gconstpointer a, gconstpointer b)
+compare_time (gconstpointer a, gconstpointer b)
 {
   const gp_log_line_t *left = a;
   const gp_log_line_t *right = b;
@@ -74,7 +74,7 @@
         g_array_unref (lines);
         return NULL;
       }
-  g_array_sort (lines, by_time);
+  g_array_sort (lines, compare_time);
   return lines;
 }
 
--- a/src/cli/losses.c
+++ b/src/cli/losses.c
@@ -87,13 +87,13 @@
 
 typedef struct
 {
-  GHashTable *jobs;     /* id to job_t, owned */
-  GHashTable *runs;     /* active runs: "task run" to run_t, owned */
-  GHashTable *ends;     /* "queue how" to end_stats_t, owned */
-  GHashTable *answers;  /* "status why" to a count */
-  GHashTable *suspects; /* executor to executor_loss_t, owned */
-  GHashTable *restarts; /* executor to restart_stats_t, owned */
-  gp_time_t last;       /* time of the last line */
+  GHashTable *jobs;            /* id to job_t, owned */
+  GHashTable *runs;            /* active runs: "task run" to run_t, owned */
+  GHashTable *ends;            /* "queue how" to end_stats_t, owned */
+  GHashTable *answers;         /* "status why" to a count */
+  GHashTable *executor_losses; /* executor to executor_loss_t, owned */
+  GHashTable *restarts;        /* executor to restart_stats_t, owned */
+  gp_time_t last;              /* time of the last line */
 } loss_stats_t;
 
 static void
@@ -112,12 +112,13 @@
 }
 
 static void
-free_suspects (gpointer data)
+free_executor_loss (gpointer data)
 {
   g_free (((executor_loss_t *)data)->jobs);
   g_free (data);
 }
 
+/* The job ID.  A job that is not known yet is added as submitted at NOW.  */
 static job_t *
 find_or_add_job (loss_stats_t *stats, const char *id, gp_time_t now)
 {
@@ -232,18 +233,19 @@
 {
   const char *executor = gp_log_line_text (line, "executor");
   const char *jobs = gp_log_line_text (line, "suspects");
-  executor_loss_t *suspects = g_hash_table_lookup (stats->suspects, executor);
+  executor_loss_t *loss
+      = g_hash_table_lookup (stats->executor_losses, executor);
 
   if (*jobs == '\0')
     return;
-  if (suspects == NULL)
+  if (loss == NULL)
     {
-      suspects = g_new0 (executor_loss_t, 1);
-      suspects->at = line->time;
-      suspects->jobs = g_strdup (jobs);
-      g_hash_table_insert (stats->suspects, g_strdup (executor), suspects);
+      loss = g_new0 (executor_loss_t, 1);
+      loss->at = line->time;
+      loss->jobs = g_strdup (jobs);
+      g_hash_table_insert (stats->executor_losses, g_strdup (executor), loss);
     }
-  suspects->runs++;
+  loss->runs++;
 }
 
 static void
@@ -540,13 +542,13 @@
 }
 
 static gint
-by_time (gconstpointer a, gconstpointer b, gpointer data)
+compare_loss_time (gconstpointer a, gconstpointer b, gpointer data)
 {
-  GHashTable *suspects = data;
+  GHashTable *losses = data;
   const executor_loss_t *left
-      = g_hash_table_lookup (suspects, *(char *const *)a);
+      = g_hash_table_lookup (losses, *(char *const *)a);
   const executor_loss_t *right
-      = g_hash_table_lookup (suspects, *(char *const *)b);
+      = g_hash_table_lookup (losses, *(char *const *)b);
 
   if (left->at != right->at)
     return left->at < right->at ? -1 : 1;
@@ -560,20 +562,20 @@
 {
   json_t *rows = json_array ();
   guint count;
-  char **executors
-      = (char **)g_hash_table_get_keys_as_array (stats->suspects, &count);
+  char **executors = (char **)g_hash_table_get_keys_as_array (
+      stats->executor_losses, &count);
 
-  g_qsort_with_data (executors, (gint)count, sizeof *executors, by_time,
-                     stats->suspects);
+  g_qsort_with_data (executors, (gint)count, sizeof *executors,
+                     compare_loss_time, stats->executor_losses);
   for (guint i = 0; i < count; i++)
     {
-      const executor_loss_t *suspects
-          = g_hash_table_lookup (stats->suspects, executors[i]);
+      const executor_loss_t *loss
+          = g_hash_table_lookup (stats->executor_losses, executors[i]);
 
       json_array_append_new (rows, json_pack ("{s:s, s:i, s:s}", "executor",
                                               executors[i], "runs_lost",
-                                              (int)suspects->runs, "suspects",
-                                              suspects->jobs));
+                                              (int)loss->runs, "suspects",
+                                              loss->jobs));
     }
   g_free (executors);
   return rows;
@@ -608,8 +610,8 @@
     .runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_run),
     .ends = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free),
     .answers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
-    .suspects
-    = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_suspects),
+    .executor_losses = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                              free_executor_loss),
     .restarts
     = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free),
   };
@@ -629,7 +631,7 @@
   g_hash_table_destroy (stats.runs);
   g_hash_table_destroy (stats.ends);
   g_hash_table_destroy (stats.answers);
-  g_hash_table_destroy (stats.suspects);
+  g_hash_table_destroy (stats.executor_losses);
   g_hash_table_destroy (stats.restarts);
   return result;
 }
