--- a/src/cli/losses.c
+++ b/src/cli/losses.c
@@ -120,7 +120,7 @@
 
 /* The job ID.  A job that is not known yet is added as submitted at NOW.  */
 static job_t *
-find_or_add_job (loss_stats_t *stats, const char *id, gp_time_t now)
+get_or_add_job (loss_stats_t *stats, const char *id, gp_time_t now)
 {
   job_t *job = g_hash_table_lookup (stats->jobs, id);
 
@@ -147,8 +147,8 @@
 {
   int64_t status = gp_log_line_number (line, "status", 0);
   gp_time_t after = gp_log_line_number (line, "after_ms", 0) * GP_MSEC;
-  job_t *job = find_or_add_job (stats, gp_log_line_text (line, "job"),
-                                line->time - after);
+  job_t *job = get_or_add_job (stats, gp_log_line_text (line, "job"),
+                               line->time - after);
   char *key;
 
   if (status == 200)
@@ -173,7 +173,7 @@
 apply_run_assigned (loss_stats_t *stats, const gp_log_line_t *line)
 {
   char *id = g_strndup (gp_log_line_text (line, "task"), ID_SIZE);
-  job_t *job = find_or_add_job (stats, id, line->time);
+  job_t *job = get_or_add_job (stats, id, line->time);
   run_t *run = g_new (run_t, 1);
 
   if (job->queue == NULL)
@@ -215,7 +215,7 @@
 
   if (run != NULL)
     {
-      job = find_or_add_job (stats, run->job, line->time);
+      job = get_or_add_job (stats, run->job, line->time);
       count_end (stats, run, how, line->time - run->started);
       job->ended_duration += line->time - run->started;
       if (strcmp (how, "done") != 0)
@@ -269,7 +269,7 @@
 {
   const char *state = gp_log_line_text (line, "state");
   job_t *job
-      = find_or_add_job (stats, gp_log_line_text (line, "job"), line->time);
+      = get_or_add_job (stats, gp_log_line_text (line, "job"), line->time);
   int64_t objective = gp_log_line_number (line, "objective_ms", -1);
   int64_t took = gp_log_line_number (line, "took_ms", 0);
 
