--- a/bench/driver_fleet.c
+++ b/bench/driver_fleet.c
@@ -1,17 +1,18 @@
-/* driver_fleet: many guards in one process, speaking the real protocol to a
-   real entry, to measure what each costs the entry.
+/* driver_fleet: simulates many guards in one process, which speak the real
+   protocol to a real entry, to measure the cost of a guard to the entry.
 
-   Each announces a worker, sends heartbeats that ask for renewal, and runs
-   tasks in name only: a Start is reported RUNNING, after --run-ms SUCCEEDED,
-   until acknowledged.  Prints "ready" once all have announced themselves,
-   and a line of totals at the end.  */
+   Each guard announces a worker, sends heartbeats that request lease renewal,
+   and simulates tasks: it reports a Start as RUNNING, and after --run-ms as
+   SUCCEEDED.  Each report is sent once.  Prints "ready" once all guards have
+   announced themselves, and a line of totals at the end.  */
 
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "protocol/dialer.h"
 
-#define FIRST_HEARTBEAT_SPREAD 1.0
+/* First heartbeats are spread over this many heartbeat intervals.  */
+#define FIRST_HEARTBEAT_INTERVALS 1.0
 
 typedef struct
 {
@@ -44,10 +45,10 @@
   GQueue running; /* of run_t, by end_at */
   gp_timer_t run_timer;
   gp_timer_t end_timer;
-  uint64_t heartbeats;
-  uint64_t renewed;
-  uint64_t starts;
-  uint64_t ends;
+  uint64_t heartbeats; /* sent */
+  uint64_t renewed;    /* replies that granted lease time */
+  uint64_t starts;     /* received */
+  uint64_t ends;       /* reported */
 } fleet_t;
 
 static void
@@ -133,7 +134,7 @@
 }
 
 static void
-arm_runs (fleet_t *fleet)
+arm_run_timer (fleet_t *fleet)
 {
   const run_t *run = g_queue_peek_head (&fleet->running);
 
@@ -141,10 +142,10 @@
     gp_timer_arm (&fleet->run_timer, run->end_at);
 }
 
-/* The oldest run whose end has come, or NULL.  All runs take as long, so
-   the queue is in order of their ends.  */
+/* Remove and return the oldest run that has ended by NOW, or NULL.  All runs
+   have the same duration, so the queue is ordered by end time.  */
 static run_t *
-take_ended (fleet_t *fleet, gp_time_t now)
+pop_ended (fleet_t *fleet, gp_time_t now)
 {
   const run_t *run = g_queue_peek_head (&fleet->running);
 
@@ -154,21 +155,21 @@
 }
 
 static void
-on_runs (gp_timer_t *timer, void *data)
+on_run_timer (gp_timer_t *timer, void *data)
 {
   fleet_t *fleet = data;
   gp_time_t now = gp_loop_now (&fleet->loop);
   run_t *run;
 
   (void)timer;
-  while ((run = take_ended (fleet, now)) != NULL)
+  while ((run = pop_ended (fleet, now)) != NULL)
     {
       fleet->ends++;
       report (run->guard, run->task, run->epoch,
               GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
       g_free (run);
     }
-  arm_runs (fleet);
+  arm_run_timer (fleet);
 }
 
 static void
@@ -185,7 +186,7 @@
   g_queue_push_tail (&fleet->running, run);
   report (guard, run->task, run->epoch,
           GP__WIRE__TASK_STATE__TASK_STATE_RUNNING);
-  arm_runs (fleet);
+  arm_run_timer (fleet);
 }
 
 static void
@@ -230,7 +231,8 @@
                          .region = "r",
                          .zone = "a",
                          .address = "" };
-  double first = g_rand_double_range (fleet->rand, 0, FIRST_HEARTBEAT_SPREAD);
+  double first
+      = g_rand_double_range (fleet->rand, 0, FIRST_HEARTBEAT_INTERVALS);
 
   guard->fleet = fleet;
   g_snprintf (guard->name, sizeof guard->name, "fleet-%d", number);
@@ -293,7 +295,7 @@
     }
   fleet.rand = g_rand_new_with_seed (1);
   g_queue_init (&fleet.running);
-  gp_timer_init (&fleet.run_timer, &fleet.loop, on_runs, &fleet);
+  gp_timer_init (&fleet.run_timer, &fleet.loop, on_run_timer, &fleet);
   gp_timer_init (&fleet.end_timer, &fleet.loop, on_end, &fleet);
   gp_timer_arm (&fleet.end_timer,
                 gp_loop_now (&fleet.loop) + seconds * GP_SEC);
--- a/src/cli/call.c
+++ b/src/cli/call.c
@@ -1,4 +1,4 @@
-/* Calls of the operators' HTTP.  */
+/* Calls of the operators' HTTP API.  */
 
 #include "cli/call.h"
 
@@ -18,13 +18,13 @@
 #define HEADERS_MAX 3
 #define BODY_MAX_SIZE ((size_t)64 * 1024 * 1024)
 
-/* One call on its own loop.  */
+/* One HTTP exchange, run on its own event loop.  */
 typedef struct
 {
   gp_loop_t loop;
   gp_cli_answer_t *answer;
   GError *error;
-  bool sent;
+  bool sent; /* whether the entry may have received the request */
 } exchange_t;
 
 static void
@@ -90,7 +90,9 @@
   g_free (bearer);
 }
 
-/* One attempt: a GError of the transport, or an answer.  */
+/* Make the call once, at ENTRY.  Returns true with ANSWER set, or false with
+   the transport's ERROR.  *SENT tells whether the entry may have received the
+   request.  */
 static bool
 attempt (const gp_cli_t *cli, const char *entry, gp_time_t deadline,
          const gp_cli_request_t *request, gp_cli_answer_t *answer, bool *sent,
@@ -135,7 +137,7 @@
   answer->body = NULL;
 }
 
-/* Tell why ENTRY gave no answer.  */
+/* Print why ENTRY gave no answer; takes ownership of ERROR.  */
 static gp_cli_exit_t
 report_failure (const char *entry, const gp_cli_request_t *request, bool sent,
                 GError *error)
@@ -166,10 +168,11 @@
   return report_failure (entry, request, sent, error);
 }
 
-/* When to give up an entry that hangs: the others get their share of the
-   time, unless they may not be asked after it.  */
+/* The deadline of the attempt at ENTRY.  If the call may be repeated at the
+   remaining entries, the time left is divided evenly between them, so that an
+   entry that hangs does not use all of it.  */
 static gp_time_t
-share_of_time (const gp_cli_t *cli, char *const *entry, bool idempotent)
+attempt_deadline (const gp_cli_t *cli, char *const *entry, bool idempotent)
 {
   gp_time_t now = gp_time_now ();
 
@@ -186,7 +189,7 @@
 
   for (char **entry = cli->entries; entry && *entry; entry++)
     {
-      gp_time_t deadline = share_of_time (cli, entry, request->idempotent);
+      gp_time_t deadline = attempt_deadline (cli, entry, request->idempotent);
       GError *error = NULL;
       bool sent;
 
@@ -194,7 +197,7 @@
         {
           if (answer->status != HTTP_UNAVAILABLE || !entry[1])
             return GP_CLI_OK;
-          status = gp_cli_refusal (answer);
+          status = gp_cli_report_refusal (answer);
           gp_cli_answer_finish (answer);
           continue;
         }
@@ -220,7 +223,7 @@
 }
 
 static gp_cli_exit_t
-exit_of_status (int status)
+exit_code_for_status (int status)
 {
   switch (status)
     {
@@ -236,7 +239,7 @@
 }
 
 static const char *
-words_of_status (int status)
+default_message_for_status (int status)
 {
   switch (status)
     {
@@ -244,11 +247,11 @@
     case HTTP_FORBIDDEN:
       return "the token is not accepted";
     case HTTP_NOT_FOUND:
-      return "there is no such thing";
+      return "not found";
     case HTTP_CONFLICT:
       return "another revision came first";
     case HTTP_UNAVAILABLE:
-      return "not possible now; it did not run";
+      return "temporarily unavailable; the request did not run";
     case HTTP_TIMEOUT:
       return "the deadline passed";
     default:
@@ -257,7 +260,7 @@
 }
 
 gp_cli_exit_t
-gp_cli_refusal (const gp_cli_answer_t *answer)
+gp_cli_report_refusal (const gp_cli_answer_t *answer)
 {
   json_t *json = json_loadb (answer->body->str, answer->body->len, 0, NULL);
   const char *message = json_string_value (json_object_get (json, "message"));
@@ -266,11 +269,12 @@
   size_t i;
 
   gp_cli_error ("%s: %s (HTTP %d)", answer->entry,
-                message ? message : words_of_status (answer->status),
+                message ? message
+                        : default_message_for_status (answer->status),
                 answer->status);
   json_array_foreach (issues, i, issue) { report_issue (issue); }
   json_decref (json);
-  return exit_of_status (answer->status);
+  return exit_code_for_status (answer->status);
 }
 
 gp_cli_exit_t
@@ -285,7 +289,7 @@
     return status;
   if (!gp_cli_answer_ok (&answer))
     {
-      status = gp_cli_refusal (&answer);
+      status = gp_cli_report_refusal (&answer);
       gp_cli_answer_finish (&answer);
       return status;
     }
--- a/src/cli/cmd_timeline.c
+++ b/src/cli/cmd_timeline.c
@@ -1,4 +1,4 @@
-/* galenapier timeline: events of the site in their order.  */
+/* galenapier timeline: the merged events of all processes of the site.  */
 
 #include <stdio.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "cli/timeline_merge.h"
 
 #define FILES_MAX 1000
-/* Events of one answer.  */
+/* Events requested per answer.  */
 #define PAGE_SIZE 1000
 
 typedef struct
@@ -21,18 +21,18 @@
   gboolean trace;
 } timeline_options_t;
 
-/* One collection of events.  */
+/* State of collecting events from all entries.  */
 typedef struct
 {
   gp_cli_t *cli;
   const timeline_options_t *options;
   const gp_timeline_filter_t *filter;
   gp_timeline_merge_t *merge;
-  GHashTable *asked; /* names of processes */
+  GHashTable *requested; /* names of processes */
 } collection_t;
 
-/* The path of the page after sequence SINCE of PROCESS, NULL: of the entry
-   that is asked.  */
+/* The request path of the page after sequence SINCE of PROCESS, or of the
+   called entry itself if PROCESS is NULL.  Owned by the caller.  */
 static char *
 page_path (const char *process, guint64 since)
 {
@@ -48,7 +48,7 @@
   return g_string_free (path, FALSE);
 }
 
-/* The sequence of the last event of a page, 0 when it has none.  */
+/* The sequence of the last event in PAGE, or 0 if there is none.  */
 static guint64
 last_sequence (const GString *page)
 {
@@ -66,7 +66,8 @@
   return sequence > 0 ? (guint64)sequence : 0;
 }
 
-/* Add one page of events; *SINCE moves on, or stays at the end.  */
+/* Add one page of events.  Advances *SINCE to the last event of the page, or
+   leaves it as it is when there are no more events.  */
 static gp_cli_exit_t
 collect_page (const collection_t *collection, const char *entry,
               const char *process, guint64 *since)
@@ -88,41 +89,43 @@
       *since = MAX (*since, last_sequence (answer.body));
     }
   else
-    status = gp_cli_refusal (&answer);
+    status = gp_cli_report_refusal (&answer);
   gp_cli_answer_finish (&answer);
   return status;
 }
 
-/* Add all events of PROCESS, NULL: of ENTRY itself.  */
+/* Add all events of PROCESS, or of ENTRY itself if PROCESS is NULL.  */
 static gp_cli_exit_t
 collect (const collection_t *collection, const char *entry,
          const char *process)
 {
   guint64 since = 0;
-  guint64 before;
+  guint64 previous;
   gp_cli_exit_t status;
 
   if (collection->options->since)
     since = g_ascii_strtoull (collection->options->since, NULL, 10);
   do
     {
-      before = since;
+      previous = since;
       status = collect_page (collection, entry, process, &since);
     }
-  while (status == GP_CLI_OK && since > before);
+  while (status == GP_CLI_OK && since > previous);
   return status;
 }
 
+/* Whether to collect the events of process NAME: it passes the filter and was
+   not requested before.  Marks it as requested.  */
 static bool
-is_wanted (const collection_t *collection, const char *name)
+should_collect (const collection_t *collection, const char *name)
 {
   const char *only = collection->options->process;
 
   return (!only || strcmp (only, name) == 0)
-         && g_hash_table_add (collection->asked, g_strdup (name));
+         && g_hash_table_add (collection->requested, g_strdup (name));
 }
 
-/* Whether the entry can reach PROCESS.  */
+/* Whether the entry can reach PROCESS, an element of its status.  */
 static bool
 is_reachable (json_t *process)
 {
@@ -135,7 +138,8 @@
   return !json_is_false (connected);
 }
 
-/* Add the events of each process in LIST through ENTRY.  */
+/* Add the events of each reachable process in LIST, requested through ENTRY.
+   Returns the first failure, if any.  */
 static gp_cli_exit_t
 collect_list (const collection_t *collection, const char *entry, json_t *list)
 {
@@ -148,7 +152,7 @@
     const char *name = json_string_value (json_object_get (process, "name"));
     gp_cli_exit_t status = GP_CLI_OK;
 
-    if (name && is_reachable (process) && is_wanted (collection, name))
+    if (name && is_reachable (process) && should_collect (collection, name))
       status = collect (collection, entry, name);
     if (first == GP_CLI_OK)
       first = status;
@@ -156,9 +160,10 @@
   return first;
 }
 
-/* The status of ENTRY, NULL when it cannot be told.  */
+/* Fetch the status of ENTRY.  *JSON is owned by the caller, and NULL on
+   failure or if the answer is not JSON.  */
 static gp_cli_exit_t
-ask_status (gp_cli_t *cli, const char *entry, json_t **json)
+fetch_status (gp_cli_t *cli, const char *entry, json_t **json)
 {
   const gp_cli_request_t request
       = { .method = "GET", .path = "/v1/status", .idempotent = true };
@@ -171,25 +176,25 @@
   if (gp_cli_answer_ok (&answer))
     *json = json_loadb (answer.body->str, answer.body->len, 0, NULL);
   else
-    status = gp_cli_refusal (&answer);
+    status = gp_cli_report_refusal (&answer);
   gp_cli_answer_finish (&answer);
   return status;
 }
 
-/* Add the events of ENTRY and of all processes that it reaches and that no
-   entry before gave.  */
+/* Add the events of ENTRY and of all processes that it reaches, except those
+   already requested through an earlier entry.  */
 static gp_cli_exit_t
 collect_entry (const collection_t *collection, const char *entry)
 {
   json_t *json;
-  gp_cli_exit_t status = ask_status (collection->cli, entry, &json);
+  gp_cli_exit_t status = fetch_status (collection->cli, entry, &json);
   const char *name;
   gp_cli_exit_t first = GP_CLI_OK;
 
   if (status != GP_CLI_OK)
     return status;
   name = json_string_value (json_object_get (json, "entry"));
-  if (!name || is_wanted (collection, name))
+  if (!name || should_collect (collection, name))
     first = collect (collection, entry, NULL);
   status = collect_list (collection, entry, json_object_get (json, "entries"));
   if (first == GP_CLI_OK)
@@ -199,7 +204,7 @@
   return first == GP_CLI_OK ? status : first;
 }
 
-/* Add what was saved in a file with --json.  */
+/* Add events saved to a file with --json.  */
 static gp_cli_exit_t
 read_saved (const char *path, const gp_timeline_filter_t *filter,
             gp_timeline_merge_t *merge)
@@ -252,8 +257,9 @@
     gp_cli_error ("%zu lines are not events", merge->malformed);
 }
 
-/* Ask all entries, through them all processes, and read all files; what fails
-   is told, the rest is printed, and the first failure is the exit status.  */
+/* Collect events from all files, all entries and, through them, all processes.
+   Failures are printed to standard error and do not stop the collection; the
+   first one is the exit status.  */
 static gp_cli_exit_t
 merge_all (gp_cli_t *cli, const timeline_options_t *options, int argc,
            char **argv)
@@ -269,7 +275,7 @@
           .options = options,
           .filter = &filter,
           .merge = &merge,
-          .asked
+          .requested
           = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL) };
 
   gp_timeline_merge_init (&merge);
@@ -290,7 +296,7 @@
   gp_timeline_merge_sort (&merge);
   print_merge (cli, options, &merge);
   gp_timeline_merge_finish (&merge);
-  g_hash_table_unref (collection.asked);
+  g_hash_table_unref (collection.requested);
   return first;
 }
 
--- a/src/cli/log_lines.c
+++ b/src/cli/log_lines.c
@@ -1,4 +1,4 @@
-/* Lines of the logs that the processes write.  */
+/* Reads the JSON lines of process logs.  */
 
 #include "cli/log_lines.h"
 
@@ -13,7 +13,7 @@
 }
 
 static gint
-by_time (gconstpointer a, gconstpointer b)
+compare_time (gconstpointer a, gconstpointer b)
 {
   const gp_log_line_t *left = a;
   const gp_log_line_t *right = b;
@@ -23,7 +23,8 @@
   return left->time < right->time ? -1 : 1;
 }
 
-/* A log may hold other text, also before the object on a line.  */
+/* Parse the JSON object in TEXT; NULL if there is none.  Log files also
+   contain lines that are not JSON, and text before and after the object.  */
 static json_t *
 parse (const char *text)
 {
@@ -73,7 +74,7 @@
         g_array_unref (lines);
         return NULL;
       }
-  g_array_sort (lines, by_time);
+  g_array_sort (lines, compare_time);
   return lines;
 }
 
--- a/src/console/forms.js
+++ b/src/console/forms.js
@@ -1,17 +1,18 @@
-/* Forms of a document, made from its JSON Schema.
+/* Renders forms for a document from its JSON Schema.
 
-   Each input stands for one path.  A change is told by callbacks:
-   onValue (path, value) for a value, onShape (change, path) for one that
-   adds or takes away parts, after which the forms are made anew. */
+   Each input edits the value at one path.  Changes are reported by callbacks:
+   onValue (path, value) for a value, and onStructure (change) for one that
+   replaces a list or adds or removes an item of it; unless change.keepForms is
+   set, the caller renders the forms again after that. */
 
-import { fresh, get, join, parentOf, words } from "./model.js";
+import { get, initialValue, join, labelOf, parentOf } from "./model.js";
 
-const ORDER = ["version", "site", "time_zone", "services", "batch_jobs",
-  "watchers", "teams", "limits", "interference", "workers", "regions",
-  "evacuated_zones"];
-const LONG = new Set(["payload"]);
+const SECTION_ORDER = ["version", "site", "time_zone", "services",
+  "batch_jobs", "watchers", "teams", "limits", "interference", "workers",
+  "regions", "evacuated_zones"];
+const MULTILINE_KEYS = new Set(["payload"]);
 
-export function idOf(path) {
+export function elementId(path) {
   return `field-${path}`;
 }
 
@@ -24,9 +25,10 @@
   return node;
 }
 
-/* A text as a value: a number where one is meant, so that the check of the
-   entry tells what else is wrong. */
-function valueOf(text, schema) {
+/* Convert the text of an input to a value of the type in SCHEMA. Text that is
+   not of that type is kept as a string, so that the entry's check reports it
+   as an issue. */
+function parseValue(text, schema) {
   if (schema.type === "integer" && /^(0|[1-9]\d{0,15})$/.test(text))
     return Number(text);
   if (schema.type === "boolean")
@@ -36,11 +38,11 @@
   return text;
 }
 
-function textOf(value) {
+function formatValue(value) {
   return Array.isArray(value) ? value.join(", ") : String(value ?? "");
 }
 
-function choices(schema) {
+function allowedValues(schema) {
   if (schema.enum)
     return schema.enum;
   return schema.type === "boolean" ? ["true", "false"] : null;
@@ -52,19 +54,19 @@
     select.append(element("option", { value: "" }, "(not set)"));
   for (const option of options)
     select.append(element("option", { value: option }, option));
-  select.value = textOf(value);
+  select.value = formatValue(value);
   return select;
 }
 
 function makeInput(schema, key, value, required) {
-  const options = choices(schema);
+  const options = allowedValues(schema);
   if (options)
     return makeSelect(options, value, required);
-  const input = LONG.has(key) ? element("textarea", { rows: 2 })
+  const input = MULTILINE_KEYS.has(key) ? element("textarea", { rows: 2 })
     : element("input", { type: "text",
       inputmode: schema.type === "integer" ? "numeric" : undefined,
       placeholder: schema.default });
-  input.value = textOf(value);
+  input.value = formatValue(value);
   return input;
 }
 
@@ -78,7 +80,7 @@
 }
 
 function makeField(forms, schema, path, key, required) {
-  const id = idOf(path);
+  const id = elementId(path);
   const input = makeInput(schema, key, get(forms.model, path), required);
   const isList = schema.type === "array";
   input.id = id;
@@ -86,39 +88,39 @@
   input.spellcheck = false;
   input.setAttribute("aria-describedby", `${id}-note`);
   input.addEventListener("input", () => {
-    const value = valueOf(input.value, schema);
+    const value = parseValue(input.value, schema);
     if (isList)
-      forms.onShape({ keepForms: true, path, value });
+      forms.onStructure({ keepForms: true, path, value });
     else
       forms.onValue(path, value);
   });
-  /* An input that is left empty takes its key away. */
+  /* Leaving an optional input empty removes its key. */
   input.addEventListener("change", () => {
     if (input.value === "" && !required)
       forms.onValue(path, undefined);
   });
   return element("div", { class: "field" },
     element("label", { for: id, class: required ? "required" : undefined },
-      words(key)), input, element("p", { id: `${id}-note`, class: "note" }));
+      labelOf(key)), input, element("p", { id: `${id}-note`, class: "note" }));
 }
 
 function makeGroup(forms, schema, path, key) {
-  return element("fieldset", {}, element("legend", {}, words(key)),
+  return element("fieldset", {}, element("legend", {}, labelOf(key)),
     makeFields(forms, schema, path));
 }
 
-function summaryOf(item, index) {
+function itemTitle(item, index) {
   return item?.name ? String(item.name) : `number ${index + 1}`;
 }
 
 function makeItem(forms, schema, path, index) {
   const own = join(path, index);
-  const summary = element("summary", { id: idOf(own) },
-    summaryOf(get(forms.model, own), index));
+  const summary = element("summary", { id: elementId(own) },
+    itemTitle(get(forms.model, own), index));
   const remove = element("button", { type: "button" },
-    `Remove ${summaryOf(get(forms.model, own), index)}`);
+    `Remove ${itemTitle(get(forms.model, own), index)}`);
   remove.addEventListener("click", () =>
-    forms.onShape({ remove: index, path }));
+    forms.onStructure({ remove: index, path }));
   const details = element("details", { class: "item", "data-path": own },
     summary, makeFields(forms, schema, own), remove);
   details.open = forms.open.has(own);
@@ -129,12 +131,13 @@
 
 function makeList(forms, schema, path, key) {
   const items = get(forms.model, path) ?? [];
-  const add = element("button", { type: "button", id: `${idOf(path)}-add` },
-    `Add to ${words(key).toLowerCase()}`);
-  add.addEventListener("click", () => forms.onShape({ path,
-    add: fresh(schema.items, `new-${items.length + 1}`) }));
+  const add = element("button",
+    { type: "button", id: `${elementId(path)}-add` },
+    `Add to ${labelOf(key).toLowerCase()}`);
+  add.addEventListener("click", () => forms.onStructure({ path,
+    add: initialValue(schema.items, `new-${items.length + 1}`) }));
   const list = element("div", { class: "list" },
-    element("p", { id: `${idOf(path)}-note`, class: "note" }));
+    element("p", { id: `${elementId(path)}-note`, class: "note" }));
   if (Array.isArray(items))
     items.forEach((_, index) =>
       list.append(makeItem(forms, schema.items, path, index)));
@@ -142,17 +145,17 @@
   return list;
 }
 
-function makePart(forms, schema, path, key, required) {
+function makeControl(forms, schema, path, key, required) {
   if (schema.type === "object")
     return makeGroup(forms, schema, path, key);
   if (schema.type === "array" && schema.items.type === "object")
-    return element("fieldset", {}, element("legend", {}, words(key)),
+    return element("fieldset", {}, element("legend", {}, labelOf(key)),
       makeList(forms, schema, path, key));
   return makeField(forms, schema, path, key, required);
 }
 
-/* Required keys first. */
-function keysOf(schema) {
+/* The keys of SCHEMA, required ones first. */
+function orderedKeys(schema) {
   const required = schema.required ?? [];
   return [...required, ...Object.keys(schema.properties).filter(
     (key) => !required.includes(key))];
@@ -160,8 +163,8 @@
 
 function makeFields(forms, schema, path) {
   const fields = element("div", { class: "fields" });
-  for (const key of keysOf(schema))
-    fields.append(makePart(forms, schema.properties[key], join(path, key),
+  for (const key of orderedKeys(schema))
+    fields.append(makeControl(forms, schema.properties[key], join(path, key),
       key, (schema.required ?? []).includes(key)));
   return fields;
 }
@@ -172,18 +175,18 @@
   const content = schema.type === "array"
     ? makeList(forms, schema, key, key) : makeFields(forms, schema, key);
   const details = element("details", { class: "section", "data-path": key },
-    element("summary", { id: idOf(key) }, words(key) + count), content);
+    element("summary", { id: elementId(key) }, labelOf(key) + count), content);
   details.open = forms.open.has(key);
   details.addEventListener("toggle", () => details.open
     ? forms.open.add(key) : forms.open.delete(key));
   return details;
 }
 
-/* Fill NODE with forms of forms.model. */
+/* Replace the content of NODE by the forms for forms.model. */
 export function render(forms, node) {
   const head = element("div", { class: "fields" });
   const sections = [];
-  for (const key of ORDER) {
+  for (const key of SECTION_ORDER) {
     const schema = forms.schema.properties[key];
     if (schema.type === "array" || schema.type === "object")
       sections.push(makeSection(forms, key, schema));
@@ -194,25 +197,26 @@
   node.replaceChildren(head, ...sections);
 }
 
-function describe(issue) {
+function describeIssue(issue) {
   return issue.message + (issue.allowed ? ` (allowed: ${issue.allowed})` : "");
 }
 
-/* The nearest part with a note that holds PATH. */
-function noteOf(path) {
+/* The note of the innermost element for PATH or a parent of it; null if there
+   is none. */
+function findNote(path) {
   for (let own = path; own !== ""; own = parentOf(own)) {
-    const note = document.getElementById(`${idOf(own)}-note`);
+    const note = document.getElementById(`${elementId(own)}-note`);
     if (note)
       return note;
   }
   return null;
 }
 
-function markOne(issue) {
-  const note = noteOf(issue.path);
-  const input = document.getElementById(idOf(issue.path));
+function markIssue(issue) {
+  const note = findNote(issue.path);
+  const input = document.getElementById(elementId(issue.path));
   if (note) {
-    note.textContent += (note.textContent ? "; " : "") + describe(issue);
+    note.textContent += (note.textContent ? "; " : "") + describeIssue(issue);
     note.classList.add(issue.severity);
   }
   if (input && issue.severity === "error")
@@ -223,8 +227,8 @@
         item.classList.add("bad");
 }
 
-/* Show ISSUES beside their fields. */
-export function mark(node, issues) {
+/* Show ISSUES at their fields, replacing those shown before. */
+export function markIssues(node, issues) {
   for (const note of node.querySelectorAll(".note")) {
     note.textContent = "";
     note.className = "note";
@@ -233,14 +237,15 @@
     input.removeAttribute("aria-invalid");
   for (const item of node.querySelectorAll("details.bad"))
     item.classList.remove("bad");
-  issues.forEach(markOne);
+  issues.forEach(markIssue);
 }
 
-/* Open what holds PATH and put the focus there. */
+/* Open the sections that contain PATH and focus its input, or that of the
+   innermost parent that has one. Returns false if there is none. */
 export function reveal(forms, path) {
   let target = null;
   for (let own = path; own !== "" && !target; own = parentOf(own))
-    target = document.getElementById(idOf(own));
+    target = document.getElementById(elementId(own));
   if (!target)
     return false;
   for (let node = target.parentElement; node; node = node.parentElement)
