--- a/src/transport/endpoint.c
+++ b/src/transport/endpoint.c
@@ -1,4 +1,4 @@
-/* Addresses of the transport: "IP:port" to socket address.  */
+/* Parsing of "IP:port" addresses with a GError.  */
 
 #include "transport/endpoint.h"
 
--- a/src/transport/endpoint.h
+++ b/src/transport/endpoint.h
@@ -1,4 +1,4 @@
-/* Addresses of the transport: parsing with an error.  */
+/* Parsing of "IP:port" addresses with a GError.  */
 
 #ifndef GP_TRANSPORT_ENDPOINT_H
 #define GP_TRANSPORT_ENDPOINT_H
@@ -7,8 +7,8 @@
 
 #include "base/address.h"
 
-/* Parse TEXT; GP_TRANSPORT_ERROR_ADDRESS when it is not an IP literal with
-   a port.  */
+/* Parse TEXT into ADDRESS.  Fails with GP_TRANSPORT_ERROR_ADDRESS when TEXT is
+   not an IP literal with a port.  */
 bool gp_endpoint_parse (const char *text, struct sockaddr_storage *address,
                         GError **error);
 
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -1,13 +1,14 @@
-/* HTTP/1 client over h2o's client and socket pool.
+/* HTTP/1 client on top of h2o's client and socket pool.
 
-   A call waits in a list until one of the client's connections is free, is
-   then in the hands of h2o, and ends once.  h2o gives a connection back to
-   the pool only after its last callback for a call has returned; so the
-   next waiting call is started at the end of the phase, which finds that
-   connection in the pool.
+   A call waits in a list until one of the client's connections is free; then
+   h2o owns it until it ends, exactly once.  h2o returns a connection to the
+   pool only after its last callback for a call has returned.  The next waiting
+   call is therefore started at the end of the phase, when that connection is
+   in the pool.
 
-   h2o frees its side of a call when a callback returns a value that stops
-   it, and must not be told to from inside of one: IN_CALLBACK tells.  */
+   h2o frees its state of a call when a callback returns a value that stops the
+   call; h2o_http1client_cancel must not be called from inside a callback.
+   IN_CALLBACK marks that case.  */
 
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -19,32 +20,35 @@
 #include "transport/http_request.h"
 #include "transport/meter.h"
 
-/* A call that has got nothing yet waits on while answers of others take so
-   much of the link, in percent, but no longer than this: 1 MB before it takes
-   four seconds at 2 Mbit/s, and an answer that was lost never comes.  */
+/* Link utilization, in percent, at which the link counts as saturated, and how
+   long a call without a response waits past its deadline meanwhile: at 2
+   Mbit/s, 1 MB ahead of its response takes four seconds.  The wait is limited
+   because a response that was lost never arrives.  */
 #define FULL_PERCENT 50
 #define FULL_TIME (5 * GP_SEC)
-/* While they take so much, it waits for what may stand before its own: a
-   window of each of four connections, also of calls that were given up.  Given
-   up behind them it would leave one more.  */
+/* Link utilization, in percent, from which a call waits past its deadline for
+   the data that may be queued ahead of its response: one TCP window for each
+   of four connections, including those of cancelled calls.  Cancelling the
+   call would add one more such window to the queue.  */
 #define USED_PERCENT 10
 #define BYTES_BEFORE ((gp_time_t)256 * 1024)
 #define LOOK_TIME (200 * GP_MSEC)
-/* A loop that runs looks at a deadline within a few milliseconds; one that
-   looks so much later was held up ...  */
+/* An event loop that is not blocked handles a deadline within a few
+   milliseconds; a delay of this much means that the process was stalled.  */
 #define HELD_UP_TIME (50 * GP_MSEC)
-/* ... and reads what has come for so long, a few turns.  */
+/* Extra time after such a stall, a few loop iterations, to read data that has
+   already arrived.  */
 #define READ_TIME (5 * GP_MSEC)
 
-/* What a body callback of h2o returns to have the connection closed.  */
+/* Returned from a body callback to make h2o close the connection.  */
 #define STOP_CALL (-1)
 
 typedef enum
 {
   WAITING, /* for a connection */
   ACTIVE,  /* with h2o */
-  ENDING,  /* its end is known and is reported at the end of the phase */
-  HELD,    /* it came whole, and the user has paused it */
+  ENDING,  /* ended; reported at the end of the phase */
+  HELD,    /* response complete, but paused by the user */
   DONE     /* reported */
 } call_state_t;
 
@@ -55,21 +59,21 @@
   call_state_t state;
   gp_http_call_callbacks_t callbacks;
   void *data;
-  gp_timer_t timer; /* armed for a deadline, perhaps an earlier one */
+  gp_timer_t timer; /* may fire before DEADLINE, after an extension */
   gp_time_t deadline;
-  gp_time_t stall_time;     /* a duration, see gp_http_call_request_t */
-  gp_time_t alone_deadline; /* on a link that carries nothing else */
-  bool reads_first;         /* its deadline was put off for that */
+  gp_time_t stall_time;     /* duration, see gp_http_call_request_t */
+  gp_time_t alone_deadline; /* without extensions */
+  bool reads_first;         /* deadline extended to read after a stall */
   gp_deferred_t ending;
   GError *error;
   h2o_http1client_t *h2o;
-  h2o_socket_cb reader; /* while it is paused */
+  h2o_socket_cb reader; /* h2o's read callback, while paused */
   bool sent;
   bool is_head;
   bool chunked;
   bool paused;
   bool in_callback;
-  bool cancelled;         /* inside a callback */
+  bool cancelled;         /* from inside a callback */
   gp_traffic_t *traffic;  /* may be NULL */
   h2o_iovec_t request[2]; /* head and body */
   char head[];
@@ -80,9 +84,9 @@
   gp_closer_t closer;
   gp_loop_t *loop;
   h2o_socketpool_t pool;
-  uv_timer_t end; /* its close tells that the closes before are done */
+  uv_timer_t end; /* closed to wait for handles closed before it */
   size_t max_connections;
-  int64_t link_rate; /* bytes a second, 0: not known */
+  int64_t link_rate; /* bytes per second, 0 when unknown */
   size_t active;
   bool closed;
   gp_list_t waiting;
@@ -91,7 +95,7 @@
   char address[GP_ADDRESS_TEXT_SIZE];
 };
 
-/* Answers of all clients, which share the VM's link.  */
+/* Bytes received by all clients, which share the VM's link.  */
 static gp_meter_t answers_meter;
 
 static gp_counter_t calls_total
@@ -99,7 +103,7 @@
 static gp_counter_t failed_total
     = GP_COUNTER ("http_client_failed_total", "HTTP calls that failed.");
 
-/* The end of a call.  */
+/* Completion of calls.  */
 
 static void
 on_call_closed (uv_handle_t *handle)
@@ -119,7 +123,8 @@
   uv_close ((uv_handle_t *)&call->timer.uv, on_call_closed);
 }
 
-/* Report the end; ERROR, which may be NULL, is taken.  */
+/* Report the end of CALL and free it.  Takes ownership of ERROR, which may be
+   NULL.  */
 static void
 finish (gp_http_call_t *call, GError *error)
 {
@@ -138,7 +143,7 @@
                       call->client->address, message);
 }
 
-/* CALL no longer holds a connection.  */
+/* Detach CALL from its connection and schedule the next waiting call.  */
 static void
 release_connection (gp_http_call_t *call)
 {
@@ -148,7 +153,7 @@
     gp_deferred_schedule (&call->client->start_next, call->client->loop);
 }
 
-/* End CALL later, with ERROR, which is taken.  */
+/* End CALL at the end of the phase.  Takes ownership of ERROR.  */
 static void
 end_soon (gp_http_call_t *call, GError *error)
 {
@@ -167,7 +172,8 @@
   finish (call, error);
 }
 
-/* Take the connection from CALL, from outside of h2o's callbacks.  */
+/* Cancel the h2o side of CALL; inside an h2o callback only mark it for
+   cancellation.  */
 static void
 drop_connection (gp_http_call_t *call)
 {
@@ -184,7 +190,7 @@
   h2o_http1client_cancel (h2o);
 }
 
-/* The share of the link that answers take, in percent.  */
+/* Return the share of the link's bandwidth used by responses, in percent.  */
 static int64_t
 link_use (const gp_http_client_t *client)
 {
@@ -201,7 +207,8 @@
   return link_use (client) >= FULL_PERCENT;
 }
 
-/* How much longer than its deadline a call waits for the link.  */
+/* Return how long past its deadline a call waits because of traffic on the
+   link.  */
 static gp_time_t
 link_patience (const gp_http_client_t *client)
 {
@@ -214,11 +221,12 @@
   return 0;
 }
 
-/* The deadline of CALL is over: put it off if its answer stands behind others
-   on the link.  Giving it up would waste what has come, and the next try would
-   stand at the end again: after an outage four entries behind 2 Mbit/s had a
-   leader after 11.6 s, with this after 6.9 (one play each), for 700 KB that a
-   link carries in 2.8 s.  */
+/* Extend the expired deadline of CALL if its response may be queued behind
+   others on the link.  Cancelling the call would waste the data already
+   received, and a retry would queue at the end again: after an outage, four
+   entries behind links of 2 Mbit/s elected a leader after 11.6 s without this
+   and after 6.9 s with it (one run each), for 700 KB that the link carries in
+   2.8 s.  */
 static bool
 waits_on (gp_http_call_t *call)
 {
@@ -231,8 +239,8 @@
   return true;
 }
 
-/* Is the deadline of CALL over by so much that the process was held up?  Then
-   it reads what has come meanwhile before it gives an answer up.  */
+/* If the deadline of CALL expired so long ago that the process must have been
+   stalled, extend it once to read data that arrived during the stall.  */
 static bool
 reads_first (gp_http_call_t *call)
 {
@@ -260,9 +268,9 @@
   finish (call, call_error (call, GP_TRANSPORT_ERROR_TIMEOUT, "timeout"));
 }
 
-/* What h2o calls.  */
+/* Callbacks of h2o.  */
 
-/* SIZE bytes of the answer have arrived.  */
+/* Account for SIZE received bytes of the response and extend the deadline.  */
 static void
 note_progress (gp_http_call_t *call, size_t size)
 {
@@ -275,7 +283,7 @@
     call->deadline = MAX (call->deadline, now + call->stall_time);
 }
 
-/* h2o has ended CALL by itself.  */
+/* End CALL after h2o has reported a failure.  */
 static void
 fail (gp_http_call_t *call, const char *message)
 {
@@ -283,15 +291,17 @@
   finish (call, call_error (call, GP_TRANSPORT_ERROR_CLOSED, message));
 }
 
-/* h2o passes a connection that is closed between two chunks for the end of
-   the answer; no bytes were read then, as they are for the last chunk.  */
+/* Return whether the end of a chunked response is a truncation.  h2o reports a
+   connection that is closed between two chunks as the end of the response;
+   unlike with the last chunk, no bytes have been read then.  */
 static bool
 is_cut (const gp_http_call_t *call)
 {
   return call->chunked && call->h2o->sock->bytes_read == 0;
 }
 
-/* Hand over what has come; a resume from inside the callback counts.  */
+/* Pass the received data to the user, who may call gp_http_call_resume from
+   inside the callback.  */
 static void
 deliver (gp_http_call_t *call)
 {
@@ -360,7 +370,8 @@
                              .value_size = header->value.len };
 }
 
-/* Whether the end of the body can be told from a cut.  */
+/* Return whether a truncation of the body can be detected, i.e. it has a
+   length or is chunked.  */
 static bool
 find_framing (gp_http_call_t *call, const h2o_header_t *headers, size_t count)
 {
@@ -471,7 +482,7 @@
     start (GP_CONTAINER_OF (client->waiting.next, gp_http_call_t, link));
 }
 
-/* A call with its head in the same block.  */
+/* Allocate a call together with the head of its request.  */
 static gp_http_call_t *
 call_new (const gp_http_client_t *client,
           const gp_http_call_request_t *request)
@@ -599,9 +610,9 @@
   close_end_again (handle->data, on_pool_closed);
 }
 
-/* h2o has let go of the last call.  The pool closes a timer in its own
-   memory; END is closed in the same turn, in an order not told, and then
-   once more.  */
+/* h2o has released the last call.  The pool closes a timer in its own memory.
+   END is closed in the same loop iteration, but the order of the two callbacks
+   is not specified, so END is closed once more before the client is freed.  */
 static void
 on_calls_closed (uv_handle_t *handle)
 {
--- a/src/transport/http_exchange.c
+++ b/src/transport/http_exchange.c
@@ -1,13 +1,13 @@
-/* One request and its answer on the server's side.
+/* A request and its response on the server side.
 
-   An exchange lives in the memory pool of its h2o request.  The release of
-   that pool is the one sure sign that h2o is done with the request, be the
-   answer complete or the connection gone; on_gone and the count of open
-   exchanges hang on it.
+   An exchange is allocated in the memory pool of its h2o request.  Only the
+   release of that pool reliably indicates that h2o has finished with the
+   request, whether the response is complete or the connection was closed;
+   on_gone and the count of open exchanges are driven by it.
 
-   h2o calls back at once, and may go on to the next request of the
-   connection, when it is given nothing to write; so an empty last part and
-   an abort are put off to the end of the phase.  */
+   When h2o is given nothing to write, it calls back immediately and may
+   continue with the next request on the connection.  An empty last part and an
+   abort are therefore deferred to the end of the phase.  */
 
 #include <netdb.h>
 #include <netinet/in.h>
@@ -18,9 +18,9 @@
 #include "transport/http_private.h"
 
 #define HTTP_1_1 0x101
-/* Bytes of an answer's head, about: the library does not tell them.  */
+/* Approximate size of a response head in bytes; h2o does not report it.  */
 #define ANSWER_HEAD_SIZE 120
-/* Beside the fields of a request's head: what stands between them.  */
+/* Bytes of ": " and CRLF for each header of a request.  */
 #define HEADER_SEPARATORS 4
 
 static gp_counter_t requests_total
@@ -64,7 +64,7 @@
   h2o_send (exchange->request, &bytes, bytes.len > 0 ? 1 : 0, state);
 }
 
-/* h2o has written the last part.  */
+/* h2o has written the previous part.  */
 static void
 on_generator_proceed (h2o_generator_t *generator, h2o_req_t *request)
 {
@@ -205,7 +205,7 @@
   exchange->data = data;
 }
 
-/* h2o writes these itself.  */
+/* Return whether h2o generates HEADER itself.  */
 static bool
 is_of_server (const gp_http_header_t *header)
 {
@@ -267,8 +267,8 @@
   h2o_start_response (request, &exchange->generator);
 }
 
-/* A copy of a part that stays until it is written.  The last one goes into
-   the request's memory pool, the others share a buffer.  */
+/* Copy a part so that it stays valid until it is written.  The last part is
+   allocated in the request's memory pool, the others share a buffer.  */
 static h2o_iovec_t
 keep_part (gp_http_exchange_t *exchange, const void *bytes, size_t size,
            bool final)
@@ -305,8 +305,8 @@
   gp_http_exchange_part (exchange, body, size, true);
 }
 
-/* Have the far side see a reset and not a proper end of the stream, by
-   which an HTTP/1.0 answer would look whole.  */
+/* Make the close of the connection a TCP reset.  With a normal end of the
+   stream a truncated HTTP/1.0 response would look complete.  */
 static void
 reset_on_close (gp_http_exchange_t *exchange)
 {
@@ -353,7 +353,8 @@
   return socket->on_close.data;
 }
 
-/* The bytes of REQUEST, as far as they are kept.  */
+/* Return the approximate size of REQUEST in bytes, from the parts that h2o
+   keeps.  */
 static size_t
 request_size (const h2o_req_t *request)
 {
--- a/src/transport/http_header.c
+++ b/src/transport/http_header.c
@@ -1,5 +1,5 @@
-/* Rules on headers, texts that are not terminated, and the standard phrases of
-   statuses.  */
+/* Header validation, texts that are not NUL-terminated, and reason
+   phrases.  */
 
 #include "transport/http_header.h"
 
@@ -7,7 +7,8 @@
 
 #define DELETE_CHARACTER 0x7f
 #define HIGH_BIT 0x80
-/* A longer number is taken for none: no header or parameter needs it.  */
+/* Longer numbers are rejected: no header or parameter needs more digits, and
+   these cannot overflow an int64_t.  */
 #define NUMBER_DIGITS_MAX 15
 #define EACH_BYTE UINT64_C (0x0101010101010101)
 
@@ -48,8 +49,8 @@
   return (byte < ' ' && byte != '\t') || byte == DELETE_CHARACTER;
 }
 
-/* Whether one of the eight bytes of WORD may be a control character: it is
-   below a space, the delete character, or beyond ASCII.  */
+/* Return whether one of the eight bytes of WORD may be a control character:
+   less than a space, the delete character, or not ASCII.  */
 static bool
 may_have_control (uint64_t word)
 {
--- a/src/transport/http_header.h
+++ b/src/transport/http_header.h
@@ -1,11 +1,11 @@
-/* What the HTTP server and client have in common: rules on headers.  */
+/* Header validation shared by the HTTP server and client.  */
 
 #ifndef GP_TRANSPORT_HTTP_HEADER_H
 #define GP_TRANSPORT_HTTP_HEADER_H
 
 #include "transport/http.h"
 
-/* The name of a header, lower case.  */
+/* A header name in lower case.  */
 typedef struct
 {
   const char *text;
@@ -17,18 +17,20 @@
     literal, sizeof literal - 1                                               \
   }
 
-/* Whether the SIZE bytes of NAME, in any case, are one of COUNT names.  */
+/* Return whether the SIZE bytes of NAME, ignoring case, equal one of the COUNT
+   NAMES.  */
 bool gp_http_name_is_among (const char *name, size_t size,
                             const gp_http_name_t *names, size_t count);
 
-/* Whether HEADER says how the body or the connection is framed, which is
-   the transport's to say; such headers of a user are left out.  */
+/* Return whether HEADER frames the body or controls the connection.  The
+   transport generates these itself and omits those passed by the user.  */
 bool gp_http_header_is_framing (const gp_http_header_t *header);
 
-/* Whether HEADER can be written as it is: no control characters.  */
+/* Return whether HEADER can be sent: it has a name and no control
+   characters.  */
 bool gp_http_header_is_clean (const gp_http_header_t *header);
 
-/* The standard phrase for STATUS.  */
+/* Return the standard reason phrase for STATUS.  */
 const char *gp_http_reason (int status);
 
 #endif
--- a/src/transport/http_private.h
+++ b/src/transport/http_private.h
@@ -1,4 +1,4 @@
-/* What http_server.c and http_exchange.c share.  */
+/* Declarations shared by http_server.c and http_exchange.c.  */
 
 #ifndef GP_TRANSPORT_HTTP_PRIVATE_H
 #define GP_TRANSPORT_HTTP_PRIVATE_H
@@ -8,17 +8,17 @@
 
 typedef enum
 {
-  GP_HTTP_EXCHANGE_WAITING, /* for an answer */
-  GP_HTTP_EXCHANGE_STARTED, /* its head is out, parts may follow */
-  GP_HTTP_EXCHANGE_ENDED    /* the user is done with it */
+  GP_HTTP_EXCHANGE_WAITING, /* for a response */
+  GP_HTTP_EXCHANGE_STARTED, /* the head has been sent, parts may follow */
+  GP_HTTP_EXCHANGE_ENDED    /* the user has finished with it */
 } gp_http_exchange_state_t;
 
-/* What the deferred call of an exchange does.  */
+/* The action of an exchange's deferred call.  */
 typedef enum
 {
   GP_HTTP_TASK_NONE,
-  GP_HTTP_TASK_PROCEED, /* an empty part counts as written */
-  GP_HTTP_TASK_END,     /* an empty last part */
+  GP_HTTP_TASK_PROCEED, /* report an empty part as written */
+  GP_HTTP_TASK_END,     /* send an empty last part */
   GP_HTTP_TASK_ABORT
 } gp_http_exchange_task_t;
 
@@ -29,7 +29,7 @@
   h2o_socket_t *socket;
   size_t exchanges;
   gp_time_t accepted_at;
-  bool used; /* it has had a request */
+  bool used; /* has received a request */
 } gp_http_connection_t;
 
 struct gp_http_exchange
@@ -42,7 +42,7 @@
   gp_deferred_t deferred;
   gp_http_exchange_task_t task;
   gp_http_exchange_state_t state;
-  bool writing; /* h2o has a part that it has not asked to go on from */
+  bool writing; /* h2o has not called proceed for the last part yet */
   bool bodiless;
   GByteArray *part;
   void (*on_gone) (void *data);
@@ -56,7 +56,7 @@
   gp_loop_t *loop;
   gp_listener_t listener;
   bool listening;
-  bool retiring; /* each answer ends its connection */
+  bool retiring; /* each response ends its connection */
   bool closing;
   h2o_globalconf_t config;
   h2o_context_t context;
@@ -64,17 +64,18 @@
   gp_list_t connections;
   gp_list_t exchanges;
   size_t open_exchanges;
-  gp_timer_t idle_timer; /* when the next connection is idle, on closing */
+  gp_timer_t
+      idle_timer; /* when the next connection becomes idle during shutdown */
   gp_deferred_t done;
   gp_http_server_options_t options;
   void (*on_done) (void *data);
   void *done_data;
 };
 
-/* Hand REQUEST over to the user of SERVER.  */
+/* Create an exchange for REQUEST and pass it to the user of SERVER.  */
 void gp_http_exchange_begin (gp_http_server_t *server, h2o_req_t *request);
 
-/* The loop ends: tell the user and let go of the connection.  */
+/* Call on_gone and abort the exchange, because the loop is being finished.  */
 void gp_http_exchange_give_up (gp_http_exchange_t *exchange);
 
 #endif
--- a/src/transport/http_request.c
+++ b/src/transport/http_request.c
@@ -1,4 +1,4 @@
-/* The head of a client's request.  */
+/* Formatting of the head of a client request.  */
 
 #include "transport/http_request.h"
 
@@ -8,8 +8,8 @@
 
 #include "transport/http_header.h"
 
-/* Of the head of a request: room for what does not depend on it, its first
-   line's and the content-length's text.  */
+/* Upper limit for the constant parts of a request head: the rest of the
+   request line, the names of the generated headers and the content length.  */
 #define FIXED_HEAD_SIZE 128
 
 static bool
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -1,16 +1,17 @@
-/* HTTP/1 server: a h2o handler that hands requests over as exchanges.
+/* HTTP/1 server: an h2o handler that passes requests on as exchanges.
 
-   Each server has a h2o configuration and context of its own, since h2o
-   keeps the bounds on body and time there.  h2o_context_dispose turns the
-   loop, which must not be done from inside of it; so a server that was shut
-   down is freed by gp_loop_finish.
+   Each server has its own h2o configuration and context, because h2o keeps the
+   limits for body size and time there.  h2o_context_dispose runs the event
+   loop, which is not allowed from inside the loop; therefore a server that was
+   shut down is freed by gp_loop_finish.
 
-   A server that is shut down answers each request of which anything was
-   read, and each of a caller that was connected before the listener took
-   nobody new: a connection that has had no request yet is not idle until
-   FIRST_REQUEST_TIME after it was accepted.  What it can't save is a request
-   that crosses the end of a connection that was used and is idle; the
-   retirement before the stop leaves few of these.  */
+   A server that is shutting down answers every request of which any byte was
+   read, and every request of a client that was connected before the listener
+   began to drop new connections: a connection without a request counts as idle
+   only FIRST_REQUEST_TIME after it was accepted.  The one case it cannot cover
+   is a request that is sent while its idle, already used connection is being
+   closed; gp_http_server_retire, called before the shutdown, makes this
+   rare.  */
 
 #include <sys/socket.h>
 
@@ -18,9 +19,10 @@
 
 #define SERVER_NAME "galenapier"
 
-/* A caller that has connected is about to send: of 150 stops under load,
-   two closed a connection as idle 41 and 50 microseconds before its first
-   request.  This leaves time for a lost packet to be sent again.  */
+/* How long a new connection is kept for its first request during shutdown: in
+   two of 150 stops under load, a connection was closed as idle 41 and 50
+   microseconds before its first request arrived.  The value leaves time for
+   the retransmission of a lost packet.  */
 #define FIRST_REQUEST_TIME (500 * GP_MSEC)
 
 typedef struct
@@ -56,9 +58,9 @@
   g_free (handle);
 }
 
-/* The time from which CONNECTION counts as idle.  Nothing is lost with its
-   end then, but for a request that crosses it.  The library keeps a request
-   among the input until it is whole.  */
+/* Return the time from which CONNECTION counts as idle.  Closing it then loses
+   nothing but a request that is already on its way.  h2o keeps a request in
+   the input buffer until it is complete.  */
 static gp_time_t
 idle_from (const gp_http_connection_t *connection)
 {
@@ -69,8 +71,8 @@
   return connection->accepted_at + FIRST_REQUEST_TIME;
 }
 
-/* Idle connections see the end of their input: what has come already is
-   still read and answered.  */
+/* Shut down the receiving side of idle connections.  Data that has already
+   been received is still read and answered.  */
 static void
 close_idle (gp_http_server_t *server)
 {
@@ -162,7 +164,8 @@
   }
 }
 
-/* From now on each connection ends with its request, announced or not.  */
+/* From now on, every connection is closed after its current request, even if
+   the response has started without announcing it.  */
 static void
 begin_closing (gp_http_server_t *server)
 {
@@ -180,7 +183,7 @@
   close_idle (data);
 }
 
-/* The loop ends: nothing is waited for.  */
+/* The loop is being finished: close without waiting for open exchanges.  */
 static void
 on_closer_close (gp_closer_t *closer)
 {
--- a/src/transport/listener.c
+++ b/src/transport/listener.c
@@ -1,4 +1,5 @@
-/* A listening TCP socket that outlives a want of descriptors.  */
+/* A listening TCP socket that recovers from running out of file
+   descriptors.  */
 
 #include "transport/listener.h"
 
@@ -12,20 +13,20 @@
 #include "base/log.h"
 #include "transport/endpoint.h"
 
-/* Connections that wait to be accepted; the kernel clips it.  */
+/* Connections that may wait to be accepted; the kernel caps it.  */
 #define LISTEN_BACKLOG 1024
 
 #define RETRY_TIME (100 * GP_MSEC)
 
-/* Who was being connected when nobody new is taken any more is connected
-   after this.  The kernels alone take part in that, so it is a round trip of
-   a region several times over.  */
+/* After this time, the TCP handshakes that were in progress when draining
+   began are complete.  Only the kernels take part in a handshake; the value is
+   several round trips within a region.  */
 #define SETTLE_TIME (10 * GP_MSEC)
 
-/* Until it is looked again whether all were accepted.  */
+/* Interval for checking whether all connections have been accepted.  */
 #define DRAIN_TIME GP_MSEC
 
-/* The byte of a TCP header that holds its flags.  */
+/* Offset of the flags in a TCP header.  */
 #define FLAGS_OFFSET 13
 
 static gp_counter_t accept_errors_total = GP_COUNTER (
@@ -72,7 +73,7 @@
   close_tcp (listener);
 }
 
-/* 0, or libuv's error.  */
+/* Create, bind and, unless held, listen.  Return 0 or a libuv error.  */
 static int
 start (gp_listener_t *listener)
 {
@@ -98,8 +99,8 @@
   return fd;
 }
 
-/* Have the kernel drop each request to connect, and let through the packets
-   of those who are being connected.  */
+/* Attach a socket filter that drops SYN packets, so that no new connections
+   begin, and passes the packets of handshakes in progress.  */
 static void
 take_nobody_new (const gp_listener_t *listener)
 {
@@ -125,8 +126,8 @@
   return poll (&waiting, 1, 0) == 1 && (waiting.revents & POLLIN) != 0;
 }
 
-/* Libuv runs timers before it looks at descriptors, so who waits now is
-   accepted before the timer fires again.  */
+/* libuv runs timers before it polls descriptors, so the connections that wait
+   now are accepted before the timer fires again.  */
 static void
 go_on_draining (gp_listener_t *listener)
 {
@@ -193,7 +194,8 @@
   return take_address (listener, loop, address, true, on_connected, error);
 }
 
-/* A failure is treated as one to accept: the socket is opened again.  */
+/* A failure is handled like one to accept: the socket is closed and opened
+   again.  */
 void
 gp_listener_listen (gp_listener_t *listener)
 {
--- a/src/transport/listener.h
+++ b/src/transport/listener.h
@@ -1,14 +1,14 @@
 /* A listening TCP socket.
 
-   When connections cannot be accepted, for want of descriptors, libuv would
-   try again without end; the socket is closed instead, which turns the
-   waiting callers away, and opened again a moment later.
+   When connections cannot be accepted because the process has run out of
+   file descriptors, libuv would retry in a busy loop.  The socket is closed
+   instead, which refuses the waiting clients, and reopened shortly after.
 
-   The kernel connects callers before they are accepted, and resets those
-   that it has connected when the socket is closed: with what they have sent,
-   and without a word on whether it was read.  So a listener that is drained
-   first has the kernel take no one new, then accepts all that it took, and
-   then closes.  */
+   The kernel completes connections before they are accepted, and resets those
+   that are still waiting when the socket is closed; their clients cannot tell
+   whether the data they sent was read.  Draining therefore first makes the
+   kernel drop new connections, then accepts all that are waiting, and only
+   then closes the socket.  */
 
 #ifndef GP_TRANSPORT_LISTENER_H
 #define GP_TRANSPORT_LISTENER_H
@@ -25,37 +25,39 @@
 {
   uv_tcp_t tcp;
   gp_timer_t retry;
-  struct sockaddr_storage address; /* with the port that was bound */
+  struct sockaddr_storage address; /* with the bound port */
   void (*on_connection) (gp_listener_t *listener);
   void (*on_closed) (gp_listener_t *listener);
-  bool tcp_live; /* not closed yet */
+  bool tcp_live; /* the handle is not closed yet */
   bool retry_live;
   bool closing;
-  bool draining; /* takes nobody new, RETRY tells when to look again */
-  bool held;     /* bound, but not listening */
+  bool draining; /* new connections are dropped, RETRY polls */
+  bool held;     /* bound, not listening */
 };
 
-/* Listen on ADDRESS ("IP:port").  ON_CONNECTED takes one connection with
-   uv_accept from TCP.  On failure the listener must be closed as well.  */
+/* Listen on ADDRESS ("IP:port").  ON_CONNECTED must accept one connection from
+   TCP with uv_accept.  The listener must be closed even after a failure.  */
 bool gp_listener_open (gp_listener_t *listener, gp_loop_t *loop,
                        const char *address,
                        void (*on_connected) (gp_listener_t *listener),
                        GError **error);
 
-/* Take ADDRESS only; callers are turned away until gp_listener_listen.  */
+/* Bind to ADDRESS without listening: connections are refused until
+   gp_listener_listen.  */
 bool gp_listener_bind (gp_listener_t *listener, gp_loop_t *loop,
                        const char *address,
                        void (*on_connected) (gp_listener_t *listener),
                        GError **error);
 void gp_listener_listen (gp_listener_t *listener);
 
-/* Accept all who are connected, take nobody else, then close; ON_CLOSED as
-   below.  Who tries to connect meanwhile is not answered and is refused when
-   his system asks again, after a second as a rule.  */
+/* Accept all established connections, drop new ones, then close; ON_CLOSED as
+   below.  A client that tries to connect meanwhile gets no reply and is
+   refused when its kernel retries the SYN, usually after a second.  */
 void gp_listener_drain (gp_listener_t *listener,
                         void (*on_closed) (gp_listener_t *listener));
 
-/* Stop at once; ON_CLOSED, from the loop, says that the memory is free.  */
+/* Close immediately.  ON_CLOSED is called from the loop when the memory of
+   LISTENER may be reused.  */
 void gp_listener_close (gp_listener_t *listener,
                         void (*on_closed) (gp_listener_t *listener));
 
--- a/src/transport/log_client.c
+++ b/src/transport/log_client.c
@@ -1,4 +1,4 @@
-/* Client of the platform's log service: appends and the tail follower.  */
+/* Client of the platform's log service: appends and following the tail.  */
 
 #include "transport/log_client.h"
 
@@ -9,7 +9,7 @@
 #include "platform_log.pb-c.h"
 #include "transport/http.h"
 
-/* Records are followed by this much of their own framing at most.  */
+/* Upper limit for the encoding overhead of a read reply.  */
 #define REPLY_OVERHEAD ((size_t)64 * 1024)
 #define ACK_MAX_SIZE ((size_t)1024)
 #define IDLE_TIME (10 * GP_SEC)
@@ -20,7 +20,7 @@
 #define STATUS_GONE 410
 #define STATUS_TOO_LARGE 413
 
-/* The body of an answer as it comes.  */
+/* A response that is being received.  */
 typedef struct
 {
   int status;
@@ -33,7 +33,7 @@
 typedef struct
 {
   gp_list_t link;
-  gp_deferred_t refusal; /* of a record that is not sent */
+  gp_deferred_t refusal; /* fails a record of invalid size, not sent */
   answer_t answer;
   void (*on_done) (gp_append_result_t result, uint64_t offset,
                    const GError *error, void *data);
@@ -52,14 +52,14 @@
   char *path;
   gp_list_t appends;
   gp_timer_t retry;
-  gp_time_t retry_time; /* the next pause */
+  gp_time_t retry_time; /* pause before the next retry */
   gp_http_call_t *read; /* in progress */
   answer_t answer;
   gp_time_t sent_at;
   uint64_t from;
-  uint64_t turn; /* counts gp_stream_follow and gp_stream_unfollow */
+  uint64_t turn; /* counts calls of gp_stream_follow and gp_stream_unfollow */
   bool following;
-  bool fresh; /* do not wait: nothing was read since the start or an error */
+  bool fresh; /* no long poll: the first read after a start or an error */
 };
 
 static gp_counter_t appends_total
@@ -73,7 +73,7 @@
 static gp_counter_t records_total
     = GP_COUNTER ("log_records_total", "Records read from the log.");
 
-/* Answers.  */
+/* Responses.  */
 
 static void
 answer_init (answer_t *answer, size_t max_size)
@@ -106,9 +106,9 @@
 {
   if (answer->too_large)
     return g_error_new (GP_TRANSPORT_ERROR, GP_TRANSPORT_ERROR_SIZE,
-                        "%s: answer is too large", what);
+                        "%s: response is too large", what);
   return g_error_new (GP_TRANSPORT_ERROR, GP_TRANSPORT_ERROR_ANSWER,
-                      "%s: answer of status %d does not fit", what,
+                      "%s: unexpected response with status %d", what,
                       answer->status);
 }
 
@@ -188,10 +188,9 @@
 on_refusal (gp_deferred_t *deferred)
 {
   append_t *append = GP_CONTAINER_OF (deferred, append_t, refusal);
-  GError *error
-      = g_error_new (GP_TRANSPORT_ERROR, GP_TRANSPORT_ERROR_SIZE,
-                     "append: a record has at most %zu bytes and is not empty",
-                     GP_STREAM_RECORD_MAX);
+  GError *error = g_error_new (GP_TRANSPORT_ERROR, GP_TRANSPORT_ERROR_SIZE,
+                               "append: a record must have 1 to %zu bytes",
+                               GP_STREAM_RECORD_MAX);
 
   end_append (append, GP_APPEND_REFUSED, 0, error);
   g_error_free (error);
@@ -233,7 +232,7 @@
   start_read (data);
 }
 
-/* Report ERROR, which is taken, and repeat the read later.  */
+/* Report ERROR, taking ownership of it, and schedule another read.  */
 static void
 fail_read (gp_stream_t *stream, GError *error)
 {
@@ -255,7 +254,8 @@
   stream->callbacks.on_gap (stream->from, first_offset, stream->data);
 }
 
-/* The records of REPLY from FROM on; NULL when they are not dense.  */
+/* Convert the records of REPLY, which must have consecutive offsets that start
+   with FROM; NULL when they do not.  */
 static gp_stream_record_t *
 convert_records (const Gp__Log__ReadReply *reply, uint64_t from)
 {
@@ -278,8 +278,8 @@
   return records;
 }
 
-/* Whether an empty read did not wait as it should; such a service is not
-   asked again at once.  */
+/* Return whether a long poll without records returned too early.  The next
+   read is then delayed, so as not to loop on such a service.  */
 static bool
 came_early (const gp_stream_t *stream)
 {
@@ -287,7 +287,8 @@
          || stream->options.poll_time == 0;
 }
 
-/* Report the read and go on, unless the user has stopped it meanwhile.  */
+/* Report the read and start the next one, unless the callback stopped or
+   restarted following.  */
 static void
 report_read (gp_stream_t *stream, const Gp__Log__ReadReply *reply,
              const gp_stream_record_t *records)
@@ -489,7 +490,7 @@
   if (!name_is_allowed (options->name))
     {
       g_set_error (error, GP_TRANSPORT_ERROR, GP_TRANSPORT_ERROR_ADDRESS,
-                   "'%s' is not a name of a stream", options->name);
+                   "'%s' is not a valid stream name", options->name);
       return NULL;
     }
   reader = new_client (loop, options, 1, error);
--- a/src/transport/loop.c
+++ b/src/transport/loop.c
@@ -1,4 +1,4 @@
-/* The event loop: set-up and end, deferred calls, time and timers.  */
+/* The event loop: setup and cleanup, deferred calls, time and timers.  */
 
 #include "transport/loop.h"
 
@@ -6,7 +6,7 @@
 
 #include "base/error.h"
 
-/* The HTTP client's own timeout is out of the way: each call has its
+/* h2o's own I/O timeout is effectively disabled: each call has its
    deadline.  */
 #define CLIENT_IO_TIMEOUT_MS ((uint64_t)24 * 3600 * 1000)
 
@@ -41,7 +41,8 @@
   loop->now_uv = 0;
 }
 
-/* There is no disk: keep h2o from mapping large buffers to files.  */
+/* Keep h2o from backing large buffers with memory-mapped files: there is no
+   disk.  */
 static void
 keep_buffers_in_memory (void)
 {
@@ -49,8 +50,8 @@
   h2o_socket_buffer_prototype.mmap_settings = NULL;
 }
 
-/* BEFORE_WAIT counts as a reason to run, so that the loop ends only when it
-   is stopped.  */
+/* BEFORE_WAIT stays referenced, which keeps the loop running until it is
+   stopped.  */
 static void
 init_phases (gp_loop_t *loop)
 {
@@ -116,7 +117,8 @@
     uv_run (&loop->uv, UV_RUN_NOWAIT);
 }
 
-/* Turns that a handle needs at most from its close to its last callback.  */
+/* Upper limit for the loop iterations from the close of a handle to its last
+   callback.  */
 #define FINISH_TURNS 8
 
 void
@@ -252,8 +254,8 @@
                   (uint64_t)((wait + GP_MSEC - 1) / GP_MSEC), 0);
 }
 
-/* The loop's own clock has milliseconds and leaves out suspended time, so
-   the deadline is looked at again.  */
+/* libuv's clock has a resolution of milliseconds and does not count suspended
+   time, so the deadline is compared again with our clock.  */
 static void
 on_timer (uv_timer_t *handle)
 {
@@ -281,9 +283,9 @@
   timer->data = data;
 }
 
-/* A timer that wakes before its new deadline is left as it is: it looks at
-   the deadline when it wakes.  Timers that move on with each request are
-   started anew once a period only.  */
+/* A libuv timer that fires before the new deadline is left as it is, because
+   on_timer compares the deadline again.  So a timer whose deadline moves with
+   every request is restarted only once per period.  */
 void
 gp_timer_arm (gp_timer_t *timer, gp_time_t deadline)
 {
--- a/src/transport/meter.c
+++ b/src/transport/meter.c
@@ -1,4 +1,4 @@
-/* How many bytes have passed lately.  */
+/* Measurement of a recent data rate.  */
 
 #include "transport/meter.h"
 
--- a/src/transport/meter.h
+++ b/src/transport/meter.h
@@ -1,7 +1,8 @@
-/* How many bytes have passed lately.
+/* Measurement of a recent data rate.
 
-   Counts in windows of GP_METER_TIME; what is told is the last whole window or
-   the present one, whichever has more.  Pure: bytes and NOW in.  */
+   Bytes are counted in windows of GP_METER_TIME.  The rate is that of the
+   previous or of the current window, whichever has more bytes.  The meter
+   reads no clock: NOW is passed in.  */
 
 #ifndef GP_TRANSPORT_METER_H
 #define GP_TRANSPORT_METER_H
@@ -14,15 +15,15 @@
 
 typedef struct
 {
-  gp_time_t end; /* of the present window */
-  size_t now;    /* bytes in it ... */
-  size_t before; /* ... and in the one before */
+  gp_time_t end; /* of the current window */
+  size_t now;    /* bytes in the current window */
+  size_t before; /* bytes in the previous window */
 } gp_meter_t;
 
-/* SIZE bytes have passed.  */
+/* Count SIZE bytes.  */
 void gp_meter_add (gp_meter_t *meter, size_t size, gp_time_t now);
 
-/* Bytes a second.  */
+/* Return the rate in bytes per second.  */
 int64_t gp_meter_rate (gp_meter_t *meter, gp_time_t now);
 
 #endif
--- a/src/transport/peer.c
+++ b/src/transport/peer.c
@@ -1,24 +1,24 @@
 /* One framed connection.
 
-   Writing (peer_write.c).  Frames are appended to PENDING.  At the end of the
-   phase they are handed to the kernel in one write: without TLS the buffers
-   PENDING and INFLIGHT change places, with TLS the encryption moves the bytes.
-   While the kernel has not taken INFLIGHT whole, the next frames gather in
-   PENDING.
+   Writing (peer_write.c).  Frames are appended to PENDING.  At the end of
+   the phase they are passed to the kernel in one write: without TLS the
+   buffers PENDING and INFLIGHT are swapped, with TLS the encryption moves the
+   bytes.  While the kernel has not accepted all of INFLIGHT, further frames
+   collect in PENDING.
 
    Reading (peer_read.c).  All peers read into one buffer of the loop, and
-   frames are handed over from there without a copy; only the begin of a frame
-   that has not come whole is kept, in INPUT.  An idle peer thus holds no
-   buffer.
+   frames are passed to the user from there without a copy.  Only an
+   incomplete frame is kept, in INPUT, so an idle peer holds no buffer.
 
-   The end.  Every way out leads to gp_peer_destroy, which closes the
-   handles; the last of their callbacks, which come from the loop, calls
-   on_close and frees the peer.  So a peer stays valid in any callback that
-   closes it, and on_close is never called from inside a caller's call.
+   Closing.  Every path ends in gp_peer_destroy, which closes the handles.
+   Their close callbacks are called from the loop; the last one calls on_close
+   and frees the peer.  So a peer stays valid in any callback that closes it,
+   and on_close is never called before a function of the user's returns.
 
-   TLS is OpenSSL over memory and not the TLS of h2o's sockets: its reader
-   takes an empty read, which libuv reports after a read that filled the
-   buffer, for an error, and it leaves out the name of a TLS 1.3 server.  */
+   TLS uses OpenSSL with memory buffers and not the TLS of h2o's sockets.
+   h2o's reader treats an empty read, which libuv reports after a read that
+   filled the buffer, as an error, and it omits the server name with
+   TLS 1.3.  */
 
 #include "transport/peer.h"
 
@@ -26,7 +26,7 @@
 #include "base/error.h"
 #include "transport/peer_private.h"
 
-/* Buffers of up to this size are kept for the next frames.  */
+/* Buffers up to this size are kept for reuse.  */
 #define KEEP_SIZE 4096
 
 static gp_counter_t opened_total
@@ -35,7 +35,7 @@
     = GP_COUNTER ("peer_failed_total",
                   "Peer connections ended by the far side or an error.");
 
-/* The end.  */
+/* Closing.  */
 
 static void
 release (gp_peer_t *peer)
@@ -101,7 +101,8 @@
 static void
 on_timeout (gp_timer_t *timer, void *data)
 {
-  gp_peer_fail (data, GP_TRANSPORT_ERROR_TIMEOUT, "not open in time");
+  gp_peer_fail (data, GP_TRANSPORT_ERROR_TIMEOUT,
+                "connection not established in time");
 }
 
 void
@@ -206,7 +207,7 @@
   return peer;
 }
 
-/* For the users of a peer.  */
+/* Public functions for open peers.  */
 
 void
 gp_peer_close (gp_peer_t *peer, bool abort_now)
--- a/src/transport/peer_private.h
+++ b/src/transport/peer_private.h
@@ -1,4 +1,4 @@
-/* What the files of the peers share; see peer.c.  */
+/* Declarations shared by the peer_*.c files; see peer.c.  */
 
 #ifndef GP_TRANSPORT_PEER_PRIVATE_H
 #define GP_TRANSPORT_PEER_PRIVATE_H
@@ -12,9 +12,9 @@
   GP_PEER_CONNECTING,
   GP_PEER_HANDSHAKING,
   GP_PEER_OPEN,
-  GP_PEER_CLOSING,   /* writing the rest; what comes in is dropped */
-  GP_PEER_LINGERING, /* all written and said so; waits for the far side */
-  GP_PEER_CLOSED     /* its handles are being closed */
+  GP_PEER_CLOSING,   /* writing what is queued; input is discarded */
+  GP_PEER_LINGERING, /* sent the end of stream, waits for the remote's */
+  GP_PEER_CLOSED     /* the handles are being closed */
 } gp_peer_state_t;
 
 struct gp_peer
@@ -26,21 +26,21 @@
   uv_connect_t connect;
   uv_write_t write;
   uv_shutdown_t shutdown;
-  gp_timer_t timer;     /* to be open by, then to be closed by */
-  gp_deferred_t flush;  /* write what this phase has queued */
-  gp_deferred_t replay; /* go on after a pause */
+  gp_timer_t timer;     /* limit for opening, then for closing */
+  gp_deferred_t flush;  /* writes the frames queued in this phase */
+  gp_deferred_t replay; /* continues reading after a pause */
   gp_secure_t secure;   /* ssl is NULL without TLS */
-  GByteArray *input;    /* the begin of a frame, or what a pause holds */
-  GByteArray *pending;  /* frames to be written */
-  GByteArray *inflight; /* bytes that the kernel has taken in part */
-  bool writing;         /* a write of INFLIGHT is under way */
+  GByteArray *input;    /* incomplete frame, or input held by a pause */
+  GByteArray *pending;  /* frames to write */
+  GByteArray *inflight; /* bytes being written */
+  bool writing;         /* a write of INFLIGHT is in progress */
   bool paused;
   bool congested;
-  bool input_ended; /* the far side writes no more */
-  bool announced;   /* the callbacks know this peer */
-  int handles;      /* that are not closed yet */
+  bool input_ended; /* the peer has ended its stream */
+  bool announced;   /* the user knows this peer and gets on_close */
+  int handles;      /* number of handles not closed yet */
   GError *reason;
-  gp_peer_server_t *server; /* until it is open, for accepted peers */
+  gp_peer_server_t *server; /* of an accepted peer until it is open */
   gp_list_t server_link;
   gp_peer_callbacks_t callbacks;
   void *data;
@@ -60,33 +60,36 @@
   gp_list_t unopened;       /* peers that have not finished the handshake */
 };
 
-/* A peer on which no connection is open yet.  */
+/* Create a peer without a connection.  */
 gp_peer_t *gp_peer_new (gp_loop_t *loop, const gp_peer_callbacks_t *callbacks);
 
-/* Begin on PEER, whose connection is up, as its SERVER or client.  */
+/* Start reading and the TLS handshake on PEER, which is connected, as SERVER
+   or client.  */
 void gp_peer_begin (gp_peer_t *peer, gp_tls_t *tls, bool server);
 
-/* Close at once.  */
+/* Close immediately.  */
 void gp_peer_destroy (gp_peer_t *peer);
 
-/* Close at once for the reason CODE and MESSAGE.  */
+/* Close immediately with an error of CODE and MESSAGE as the reason.  */
 void gp_peer_fail (gp_peer_t *peer, gp_transport_error_t code,
                    const char *message);
 
-/* Keep ERROR, which is taken, as the reason of the end if there is none.  */
+/* Set ERROR as the reason for closing unless there already is one.  Takes
+   ownership of ERROR.  */
 void gp_peer_set_reason (gp_peer_t *peer, GError *error);
 
-/* The connection is up and verified.  */
+/* Mark the connection as established and verified, and notify the user.  */
 void gp_peer_set_open (gp_peer_t *peer);
 
-/* Empty BUFFER and give back what is large.  */
+/* Empty BUFFER, freeing its memory if it is large.  */
 void gp_peer_reset_buffer (GByteArray **buffer);
 
 /* Writing.  */
 void gp_peer_init_writing (gp_peer_t *peer);
-/* Give what is queued to the kernel.  */
+/* Pass the queued frames to the kernel.  */
 void gp_peer_flush (gp_peer_t *peer);
-/* Write the rest, tell the far side, wait for it to close, then close.  */
+/* Write the queued frames, send the end of the stream, wait for the remote
+   side to close, then close.  */
 void gp_peer_start_closing (gp_peer_t *peer);
 
 /* Reading.  */
--- a/src/transport/peer_read.c
+++ b/src/transport/peer_read.c
@@ -1,5 +1,4 @@
-/* The reading of a framed connection, its handshake included; see
-   peer.c.  */
+/* Reading from a framed connection, including the handshake; see peer.c.  */
 
 #include <arpa/inet.h>
 #include <string.h>
@@ -24,7 +23,8 @@
   return ntohl (size);
 }
 
-/* Hand over the whole frames at BYTES; returns the bytes that are used.  */
+/* Pass the complete frames at BYTES to the user and return the number of bytes
+   consumed.  */
 static size_t
 parse (gp_peer_t *peer, const uint8_t *bytes, size_t size)
 {
@@ -38,8 +38,7 @@
 
       if (frame == 0 || frame > GP_FRAME_MAX_SIZE)
         {
-          gp_peer_fail (peer, GP_TRANSPORT_ERROR_SIZE,
-                        "frame of a size not allowed");
+          gp_peer_fail (peer, GP_TRANSPORT_ERROR_SIZE, "invalid frame size");
           break;
         }
       if (size - used - GP_FRAME_HEADER_SIZE < frame)
@@ -110,7 +109,7 @@
     }
 }
 
-/* Decrypt and hand over what has come.  */
+/* Decrypt and process received bytes.  */
 static void
 read_secure (gp_peer_t *peer)
 {
@@ -224,7 +223,7 @@
   if (gp_secure_init (&peer->secure, tls, server))
     proceed_handshake (peer);
   else
-    gp_peer_fail (peer, GP_TRANSPORT_ERROR_TLS, "no memory");
+    gp_peer_fail (peer, GP_TRANSPORT_ERROR_TLS, "out of memory");
 }
 
 void
--- a/src/transport/peer_server.c
+++ b/src/transport/peer_server.c
@@ -1,4 +1,4 @@
-/* Accepting framed connections.  */
+/* Server side of framed connections.  */
 
 #include "base/error.h"
 #include "transport/peer_private.h"
--- a/src/transport/peer_write.c
+++ b/src/transport/peer_write.c
@@ -1,4 +1,4 @@
-/* The writing of a framed connection, and its orderly end; see peer.c.  */
+/* Writing to a framed connection, and its orderly shutdown; see peer.c.  */
 
 #include <arpa/inet.h>
 #include <string.h>
@@ -9,10 +9,10 @@
 
 #define BACKLOG_HIGH ((size_t)1024 * 1024)
 #define BACKLOG_LOW ((size_t)256 * 1024)
-/* A peer that has let this much gather is given up.  */
+/* A peer with a larger backlog is closed.  */
 #define BACKLOG_MAX ((size_t)16 * 1024 * 1024)
 
-/* Enough for the alert that ends a TLS connection.  */
+/* Sufficient for the close_notify alert that ends a TLS connection.  */
 #define SECURE_END_SIZE 256
 
 #define LINGER_TIME (5 * GP_SEC)
@@ -31,7 +31,8 @@
     gp_peer_destroy (peer);
 }
 
-/* Without it the far side could not tell the end from a cut.  */
+/* Send the close_notify alert, without which the peer could not
+   distinguish the end from a truncation.  */
 static void
 write_secure_end (gp_peer_t *peer)
 {
@@ -101,7 +102,8 @@
     gp_peer_flush (peer);
 }
 
-/* Give INFLIGHT to the kernel; what it does not take now follows.  */
+/* Pass INFLIGHT to the kernel; what does not fit now is written
+   asynchronously.  */
 static void
 write_inflight (gp_peer_t *peer)
 {
@@ -189,7 +191,7 @@
   if (gp_peer_backlog (peer) + size > BACKLOG_MAX)
     {
       gp_peer_fail (peer, GP_TRANSPORT_ERROR_SIZE,
-                    "does not take what is sent");
+                    "write backlog over the limit");
       return NULL;
     }
   g_byte_array_set_size (peer->pending,
--- a/src/transport/probe.c
+++ b/src/transport/probe.c
@@ -1,4 +1,4 @@
-/* Whether an address takes TCP connections.  */
+/* Checks whether an address accepts TCP connections.  */
 
 #include "transport/probe.h"
 
--- a/src/transport/probe.h
+++ b/src/transport/probe.h
@@ -1,4 +1,4 @@
-/* Whether an address takes TCP connections, asked again and again until it
+/* Checks whether an address accepts TCP connections, retrying until it
    does.  */
 
 #ifndef GP_TRANSPORT_PROBE_H
@@ -13,20 +13,21 @@
   gp_timer_t timer;
   uv_tcp_t tcp;
   uv_connect_t connect;
-  bool open; /* TCP is a handle of the loop */
+  bool open; /* TCP is an initialized handle of the loop */
   bool running;
-  bool answered; /* by the connection that is being closed */
+  bool answered; /* the last attempt connected; it is being closed */
   void (*on_answer) (void *data);
   void *data;
 } gp_probe_t;
 
-/* ADDRESS ("IP:port") must stay valid.  ON_ANSWER is called once for each
-   start, when a connection was made; it is closed at once.  */
+/* Initialize PROBE.  ADDRESS ("IP:port") must stay valid.  ON_ANSWER is called
+   once for each start, after a connection was established and closed
+   again.  */
 void gp_probe_init (gp_probe_t *probe, gp_loop_t *loop, const char *address,
                     void (*on_answer) (void *data), void *data);
 void gp_probe_finish (gp_probe_t *probe);
 
-/* Start, unless it is under way.  */
+/* Start probing, unless it is already running.  */
 void gp_probe_start (gp_probe_t *probe);
 
 #endif
--- a/src/transport/tls.c
+++ b/src/transport/tls.c
@@ -1,9 +1,9 @@
 /* The security context of a process and the TLS state of a connection.
 
-   The name is checked by OpenSSL during the handshake on both sides, as a
-   parameter of the verification, so there is no moment at which a peer of
-   another name counts as verified.  Resumption is off: connections live
-   long, and each one is verified in full.  */
+   Both sides let OpenSSL check the peer's name during the handshake, as a
+   verification parameter, so a peer with another name never counts as
+   verified.  Session resumption is disabled: connections are long-lived, and
+   each one is fully verified.  */
 
 #include "transport/tls.h"
 
@@ -148,7 +148,8 @@
   BIO_write (secure->from_peer, bytes, (int)size);
 }
 
-/* The meaning of RC of the last call on SECURE, which was WHAT.  */
+/* Convert RC, returned by the last SSL call on SECURE, to a result.  WHAT
+   names the operation in ERROR.  */
 static gp_secure_result_t
 result (gp_secure_t *secure, int rc, const char *what, GError **error)
 {
--- a/src/transport/tls.h
+++ b/src/transport/tls.h
@@ -1,8 +1,8 @@
 /* Mutual TLS between the site's own processes (OpenSSL).
 
-   gp_tls_t is what a process presents and trusts; gp_secure_t is the TLS
-   state of one connection, which does no I/O: encrypted bytes are fed in
-   and taken out.  */
+   gp_tls_t holds the certificate that a process presents and the authority
+   that it trusts; gp_secure_t is the TLS state of one connection.  It does no
+   I/O: the caller moves encrypted bytes between it and the socket.  */
 
 #ifndef GP_TRANSPORT_TLS_H
 #define GP_TRANSPORT_TLS_H
@@ -14,8 +14,8 @@
 
 typedef struct gp_tls gp_tls_t;
 
-/* Name that every certificate of a site carries; a peer is checked for it
-   in place of a host name, since processes go by IP numbers.  */
+/* Name in every certificate of a site.  It is verified in place of a host
+   name, because processes are addressed by IP.  */
 #define GP_TLS_SITE_NAME "galenapier"
 
 /* Load the site's authority and this process's certificate and key from
@@ -27,40 +27,43 @@
 typedef struct
 {
   SSL *ssl;
-  BIO *from_peer; /* encrypted bytes that were fed */
-  BIO *to_peer;   /* encrypted bytes to be taken */
+  BIO *from_peer; /* received encrypted bytes */
+  BIO *to_peer;   /* encrypted bytes to send */
 } gp_secure_t;
 
 typedef enum
 {
   GP_SECURE_DONE,   /* the handshake is complete, or SIZE bytes were read */
   GP_SECURE_WAIT,   /* more encrypted bytes are needed */
-  GP_SECURE_CLOSED, /* the far side has ended the connection properly */
+  GP_SECURE_CLOSED, /* the peer has sent close_notify */
   GP_SECURE_FAILED
 } gp_secure_result_t;
 
-/* Begin a connection as its SERVER or client.  Both sides must show a
-   certificate of the site's authority with the site's name.  */
+/* Initialize the TLS state of a connection as SERVER or client.  Both sides
+   must present a certificate from the site's authority with the site's name.
+   False when out of memory.  */
 bool gp_secure_init (gp_secure_t *secure, gp_tls_t *tls, bool server);
 void gp_secure_finish (gp_secure_t *secure);
 
-/* Encrypted bytes have come from the far side.  */
+/* Add encrypted bytes received from the peer.  */
 void gp_secure_feed (gp_secure_t *secure, const void *bytes, size_t size);
 
-/* Go on with the handshake.  A client may find only when it reads that its
-   certificate was refused (TLS 1.3).  */
+/* Continue the handshake.  With TLS 1.3, a client may learn only on reading
+   that its certificate was rejected.  */
 gp_secure_result_t gp_secure_handshake (gp_secure_t *secure, GError **error);
 
-/* Read decrypted bytes into BUFFER; *GOT of at most SIZE.  */
+/* Read at most SIZE decrypted bytes into BUFFER and set *GOT to their
+   number.  */
 gp_secure_result_t gp_secure_read (gp_secure_t *secure, void *buffer,
                                    size_t size, size_t *got, GError **error);
 
-/* Encrypt; false when the connection can no longer be written.  */
+/* Encrypt SIZE bytes; false when the connection is no longer writable.  */
 bool gp_secure_write (gp_secure_t *secure, const void *bytes, size_t size);
-/* Say that nothing more will be written.  */
+/* Queue the close_notify alert: nothing more will be written.  */
 void gp_secure_shutdown (gp_secure_t *secure);
 
-/* Encrypted bytes that are to be sent, and taking them.  */
+/* Return the number of encrypted bytes to send, and move at most SIZE of them
+   to BUFFER.  */
 size_t gp_secure_pending (const gp_secure_t *secure);
 size_t gp_secure_take (gp_secure_t *secure, void *buffer, size_t size);
 
--- a/src/transport/traffic.c
+++ b/src/transport/traffic.c
@@ -1,4 +1,4 @@
-/* Bytes that a process sends and receives, by purpose.  */
+/* Accounting of bytes sent and received, by purpose.  */
 
 #include "transport/traffic.h"
 
@@ -32,7 +32,7 @@
     gp_counter_add (&traffic->out, (int64_t)size);
 }
 
-/* Add to FIELDS what COUNTER has grown by since LOGGED, if it has.  */
+/* Add the increase of COUNTER since *LOGGED to FIELDS, unless it is zero.  */
 static void
 add_growth (GArray *fields, const char *name, const gp_counter_t *counter,
             int64_t *logged)
