--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -253,7 +253,7 @@
 
   return (gp_http_server_options_t){
     .address = settings->callers,
-    .held = true,
+    .bind_only = true,
     .max_body_size = settings->max_body_kib * 1024UL,
     .header_timeout = entry->settings->timings.header_ms * GP_MSEC,
     .on_request = on_caller,
@@ -301,7 +301,7 @@
   entry->callers = gp_http_server_new (&entry->loop, &options, error);
   if (entry->callers == NULL)
     return false;
-  options.held = false;
+  options.bind_only = false;
   if (entry->settings->entry->operators == NULL)
     return true;
   options.address = entry->settings->entry->operators;
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -56,8 +56,8 @@
   size_t max_body_size;     /* bytes; larger bodies get 413 */
   gp_time_t header_timeout; /* duration: limit for receiving a complete
                                request, and idle timeout */
-  bool held;                /* connections are refused until
-                               gp_http_server_open */
+  bool bind_only;           /* connections are refused until
+                          gp_http_server_open */
   gp_traffic_t *traffic;    /* counts requests and responses, may be NULL */
   void (*on_request) (gp_http_exchange_t *exchange, void *data);
   void *data;
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -24,32 +24,32 @@
    long a call without a response waits past its deadline meanwhile: at 2
    Mbit/s, 1 MB ahead of its response takes four seconds.  The wait is limited
    because a response that was lost never arrives.  */
-#define FULL_PERCENT 50
-#define FULL_TIME (5 * GP_SEC)
+#define SATURATED_PERCENT 50
+#define SATURATED_WAIT_TIME (5 * GP_SEC)
 /* Link utilization, in percent, from which a call waits past its deadline for
    the data that may be queued ahead of its response: one TCP window for each
    of four connections, including those of cancelled calls.  Cancelling the
    call would add one more such window to the queue.  */
-#define USED_PERCENT 10
-#define BYTES_BEFORE ((gp_time_t)256 * 1024)
-#define LOOK_TIME (200 * GP_MSEC)
+#define BUSY_PERCENT 10
+#define QUEUED_BYTES ((gp_time_t)256 * 1024)
+#define RECHECK_TIME (200 * GP_MSEC)
 /* An event loop that is not blocked handles a deadline within a few
    milliseconds; a delay of this much means that the process was stalled.  */
-#define HELD_UP_TIME (50 * GP_MSEC)
+#define STALL_DETECT_TIME (50 * GP_MSEC)
 /* Extra time after such a stall, a few loop iterations, to read data that has
    already arrived.  */
-#define READ_TIME (5 * GP_MSEC)
+#define STALL_GRACE_TIME (5 * GP_MSEC)
 
 /* Returned from a body callback to make h2o close the connection.  */
 #define STOP_CALL (-1)
 
 typedef enum
 {
-  WAITING, /* for a connection */
-  ACTIVE,  /* with h2o */
-  ENDING,  /* ended; reported at the end of the phase */
-  HELD,    /* response complete, but paused by the user */
-  DONE     /* reported */
+  WAITING,         /* for a connection */
+  ACTIVE,          /* with h2o */
+  ENDING,          /* ended; reported at the end of the phase */
+  COMPLETE_PAUSED, /* response complete, but paused by the user */
+  DONE             /* reported */
 } call_state_t;
 
 struct gp_http_call
@@ -61,9 +61,9 @@
   void *data;
   gp_timer_t timer; /* may fire before DEADLINE, after an extension */
   gp_time_t deadline;
-  gp_time_t stall_time;     /* duration, see gp_http_call_request_t */
-  gp_time_t alone_deadline; /* without extensions */
-  bool reads_first;         /* deadline extended to read after a stall */
+  gp_time_t stall_time;        /* duration, see gp_http_call_request_t */
+  gp_time_t original_deadline; /* without extensions */
+  bool stall_extended;         /* deadline extended to read after a stall */
   gp_deferred_t ending;
   GError *error;
   h2o_http1client_t *h2o;
@@ -84,7 +84,7 @@
   gp_closer_t closer;
   gp_loop_t *loop;
   h2o_socketpool_t pool;
-  uv_timer_t end; /* closed to wait for handles closed before it */
+  uv_timer_t barrier; /* closed to wait for handles closed before it */
   size_t max_connections;
   int64_t link_rate; /* bytes per second, 0 when unknown */
   size_t active;
@@ -96,7 +96,7 @@
 };
 
 /* Bytes received by all clients, which share the VM's link.  */
-static gp_meter_t answers_meter;
+static gp_meter_t response_meter;
 
 static gp_counter_t calls_total
     = GP_COUNTER ("http_client_calls_total", "HTTP calls made.");
@@ -198,26 +198,27 @@
 
   if (client->link_rate <= 0)
     return 0;
-  return gp_meter_rate (&answers_meter, now) * 100 / client->link_rate;
+  return gp_meter_rate (&response_meter, now) * 100 / client->link_rate;
 }
 
 bool
 gp_http_client_is_full (const gp_http_client_t *client)
 {
-  return link_use (client) >= FULL_PERCENT;
+  return link_use (client) >= SATURATED_PERCENT;
 }
 
 /* Return how long past its deadline a call waits because of traffic on the
    link.  */
 static gp_time_t
-link_patience (const gp_http_client_t *client)
+link_grace_time (const gp_http_client_t *client)
 {
   int64_t use = link_use (client);
 
-  if (use >= FULL_PERCENT)
-    return FULL_TIME;
-  if (use >= USED_PERCENT)
-    return MIN (BYTES_BEFORE * GP_SEC / client->link_rate, FULL_TIME);
+  if (use >= SATURATED_PERCENT)
+    return SATURATED_WAIT_TIME;
+  if (use >= BUSY_PERCENT)
+    return MIN (QUEUED_BYTES * GP_SEC / client->link_rate,
+                SATURATED_WAIT_TIME);
   return 0;
 }
 
@@ -228,28 +229,28 @@
    and after 6.9 s with it (one run each), for 700 KB that the link carries in
    2.8 s.  */
 static bool
-waits_on (gp_http_call_t *call)
+extend_for_link (gp_http_call_t *call)
 {
   gp_time_t now = gp_loop_now (call->client->loop);
-  gp_time_t end = call->alone_deadline + link_patience (call->client);
+  gp_time_t end = call->original_deadline + link_grace_time (call->client);
 
   if (call->stall_time == 0 || now >= end)
     return false;
-  call->deadline = MIN (now + LOOK_TIME, end);
+  call->deadline = MIN (now + RECHECK_TIME, end);
   return true;
 }
 
 /* If the deadline of CALL expired so long ago that the process must have been
    stalled, extend it once to read data that arrived during the stall.  */
 static bool
-reads_first (gp_http_call_t *call)
+extend_after_stall (gp_http_call_t *call)
 {
   gp_time_t now = gp_loop_now (call->client->loop);
 
-  if (call->reads_first || now - call->deadline < HELD_UP_TIME)
+  if (call->stall_extended || now - call->deadline < STALL_DETECT_TIME)
     return false;
-  call->reads_first = true;
-  call->deadline = now + READ_TIME;
+  call->stall_extended = true;
+  call->deadline = now + STALL_GRACE_TIME;
   return true;
 }
 
@@ -258,8 +259,8 @@
 {
   gp_http_call_t *call = data;
 
-  if (gp_loop_now (call->client->loop) < call->deadline || waits_on (call)
-      || reads_first (call))
+  if (gp_loop_now (call->client->loop) < call->deadline
+      || extend_for_link (call) || extend_after_stall (call))
     {
       gp_timer_arm (timer, call->deadline);
       return;
@@ -272,13 +273,13 @@
 
 /* Account for SIZE received bytes of the response and extend the deadline.  */
 static void
-note_progress (gp_http_call_t *call, size_t size)
+record_progress (gp_http_call_t *call, size_t size)
 {
   gp_time_t now = gp_loop_now (call->client->loop);
 
   gp_traffic_received (call->traffic, size);
-  gp_meter_add (&answers_meter, size, now);
-  call->reads_first = false;
+  gp_meter_add (&response_meter, size, now);
+  call->stall_extended = false;
   if (call->stall_time > 0)
     call->deadline = MAX (call->deadline, now + call->stall_time);
 }
@@ -295,7 +296,7 @@
    connection that is closed between two chunks as the end of the response;
    unlike with the last chunk, no bytes have been read then.  */
 static bool
-is_cut (const gp_http_call_t *call)
+is_truncated (const gp_http_call_t *call)
 {
   return call->chunked && call->h2o->sock->bytes_read == 0;
 }
@@ -311,7 +312,7 @@
 
   if (size == 0)
     return;
-  note_progress (call, size);
+  record_progress (call, size);
   call->in_callback = true;
   call->paused = true;
   go_on = call->callbacks.on_body ((*input)->bytes, size, call->data);
@@ -321,11 +322,11 @@
 }
 
 static void
-end_whole (gp_http_call_t *call)
+end_complete (gp_http_call_t *call)
 {
   release_connection (call);
   if (call->paused)
-    call->state = HELD;
+    call->state = COMPLETE_PAUSED;
   else
     finish (call, NULL);
 }
@@ -336,7 +337,7 @@
   gp_http_call_t *call = h2o->data;
   bool ended = failure == h2o_http1client_error_is_eos;
 
-  if (ended && is_cut (call))
+  if (ended && is_truncated (call))
     failure = "closed before the last chunk";
   else if (ended)
     failure = NULL;
@@ -352,7 +353,7 @@
       return STOP_CALL;
     }
   if (ended)
-    end_whole (call);
+    end_complete (call);
   else if (call->paused)
     {
       call->reader = h2o->sock->_cb.read;
@@ -362,7 +363,7 @@
 }
 
 static gp_http_header_t
-header_of (const h2o_header_t *header)
+convert_header (const h2o_header_t *header)
 {
   return (gp_http_header_t){ .name = header->name->base,
                              .name_size = header->name->len,
@@ -399,7 +400,7 @@
 
   count = MIN (count, H2O_MAX_HEADERS);
   for (size_t i = 0; i < count; i++)
-    converted[i] = header_of (&headers[i]);
+    converted[i] = convert_header (&headers[i]);
   call->in_callback = true;
   call->callbacks.on_head (status, converted, count, call->data);
   call->in_callback = false;
@@ -413,7 +414,7 @@
   gp_http_call_t *call = h2o->data;
   bool bodiless = failure == h2o_http1client_error_is_eos;
 
-  note_progress (call, (size_t)MAX (head_size, 0));
+  record_progress (call, (size_t)MAX (head_size, 0));
   if (failure == NULL && !find_framing (call, headers, count))
     failure = "answer without a length";
   if (failure != NULL && !bodiless)
@@ -516,7 +517,7 @@
   call->timer.uv.data = call;
   call->deadline = request->deadline;
   call->stall_time = request->stall_time;
-  call->alone_deadline = request->deadline;
+  call->original_deadline = request->deadline;
   gp_timer_arm (&call->timer, call->deadline);
   gp_list_init (&call->link);
   if (client->closed)
@@ -536,7 +537,7 @@
   if (!call->paused)
     return;
   call->paused = false;
-  if (call->state == HELD)
+  if (call->state == COMPLETE_PAUSED)
     end_soon (call, NULL);
   else if (call->state == ACTIVE && !call->in_callback)
     h2o_socket_read_start (call->h2o->sock, call->reader);
@@ -578,8 +579,8 @@
   gp_list_init (&client->waiting);
   gp_list_init (&client->started);
   gp_deferred_init (&client->start_next, on_start_next);
-  uv_timer_init (&loop->uv, &client->end);
-  client->end.data = client;
+  uv_timer_init (&loop->uv, &client->barrier);
+  client->barrier.data = client;
   h2o_socketpool_init_by_address (&client->pool, (struct sockaddr *)&address,
                                   gp_address_size (&address), 0,
                                   options->max_connections);
@@ -598,28 +599,29 @@
 }
 
 static void
-close_end_again (gp_http_client_t *client, uv_close_cb cb)
+close_barrier (gp_http_client_t *client, uv_close_cb cb)
 {
-  uv_timer_init (&client->loop->uv, &client->end);
-  uv_close ((uv_handle_t *)&client->end, cb);
+  uv_timer_init (&client->loop->uv, &client->barrier);
+  uv_close ((uv_handle_t *)&client->barrier, cb);
 }
 
 static void
 on_pool_closing (uv_handle_t *handle)
 {
-  close_end_again (handle->data, on_pool_closed);
+  close_barrier (handle->data, on_pool_closed);
 }
 
 /* h2o has released the last call.  The pool closes a timer in its own memory.
-   END is closed in the same loop iteration, but the order of the two callbacks
-   is not specified, so END is closed once more before the client is freed.  */
+   BARRIER is closed in the same loop iteration, but the order of the two
+   callbacks is not specified, so BARRIER is closed once more before the client
+   is freed.  */
 static void
-on_calls_closed (uv_handle_t *handle)
+on_calls_released (uv_handle_t *handle)
 {
   gp_http_client_t *client = handle->data;
 
   h2o_socketpool_dispose (&client->pool);
-  close_end_again (client, on_pool_closing);
+  close_barrier (client, on_pool_closing);
 }
 
 static void
@@ -647,5 +649,5 @@
   end_all (&client->waiting);
   end_all (&client->started);
   gp_deferred_cancel (&client->start_next);
-  uv_close ((uv_handle_t *)&client->end, on_calls_closed);
+  uv_close ((uv_handle_t *)&client->barrier, on_calls_released);
 }
--- a/src/transport/http_exchange.c
+++ b/src/transport/http_exchange.c
@@ -19,7 +19,7 @@
 
 #define HTTP_1_1 0x101
 /* Approximate size of a response head in bytes; h2o does not report it.  */
-#define ANSWER_HEAD_SIZE 120
+#define RESPONSE_HEAD_SIZE 120
 /* Bytes of ": " and CRLF for each header of a request.  */
 #define HEADER_SEPARATORS 4
 
@@ -35,7 +35,7 @@
   bool gone = exchange->state != GP_HTTP_EXCHANGE_ENDED;
 
   gp_traffic_sent (exchange->server->options.traffic,
-                   ANSWER_HEAD_SIZE + exchange->request->bytes_sent);
+                   RESPONSE_HEAD_SIZE + exchange->request->bytes_sent);
   gp_deferred_cancel (&exchange->deferred);
   gp_list_remove (&exchange->link);
   exchange->server->open_exchanges--;
@@ -207,7 +207,7 @@
 
 /* Return whether h2o generates HEADER itself.  */
 static bool
-is_of_server (const gp_http_header_t *header)
+is_generated_by_h2o (const gp_http_header_t *header)
 {
   return h2o_lcstris (header->name, header->name_size, H2O_STRLIT ("date"))
          || h2o_lcstris (header->name, header->name_size,
@@ -223,7 +223,7 @@
   h2o_iovec_t value;
 
   if (gp_http_header_is_framing (header) || !gp_http_header_is_clean (header)
-      || is_of_server (header))
+      || is_generated_by_h2o (header))
     return;
   value = h2o_strdup (&request->pool, header->value, header->value_size);
   token = h2o_lookup_token (header->name, header->name_size);
@@ -270,7 +270,7 @@
 /* Copy a part so that it stays valid until it is written.  The last part is
    allocated in the request's memory pool, the others share a buffer.  */
 static h2o_iovec_t
-keep_part (gp_http_exchange_t *exchange, const void *bytes, size_t size,
+copy_part (gp_http_exchange_t *exchange, const void *bytes, size_t size,
            bool final)
 {
   if (final)
@@ -292,7 +292,7 @@
   if (exchange->bodiless || size == 0)
     defer (exchange, final ? GP_HTTP_TASK_END : GP_HTTP_TASK_PROCEED);
   else
-    send_part (exchange, keep_part (exchange, bytes, size, final),
+    send_part (exchange, copy_part (exchange, bytes, size, final),
                final ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_IN_PROGRESS);
 }
 
@@ -386,7 +386,7 @@
   gp_counter_register (&requests_total);
   gp_counter_register (&gone_total);
   gp_counter_add (&requests_total, 1);
-  if (server->retiring)
+  if (server->keepalive_disabled)
     request->http1_is_persistent = 0;
   gp_traffic_received (server->options.traffic, request_size (request));
   server->options.on_request (exchange, server->options.data);
--- a/src/transport/http_private.h
+++ b/src/transport/http_private.h
@@ -56,7 +56,7 @@
   gp_loop_t *loop;
   gp_listener_t listener;
   bool listening;
-  bool retiring; /* each response ends its connection */
+  bool keepalive_disabled; /* each response ends its connection */
   bool closing;
   h2o_globalconf_t config;
   h2o_context_t context;
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -153,7 +153,7 @@
 void
 gp_http_server_retire (gp_http_server_t *server)
 {
-  server->retiring = true;
+  server->keepalive_disabled = true;
   GP_LIST_FOREACH (pos, &server->exchanges)
   {
     gp_http_exchange_t *exchange
@@ -170,7 +170,7 @@
 begin_closing (gp_http_server_t *server)
 {
   server->closing = true;
-  server->retiring = true;
+  server->keepalive_disabled = true;
   GP_LIST_FOREACH (pos, &server->exchanges)
   GP_CONTAINER_OF (pos, gp_http_exchange_t, link)->request->http1_is_persistent
       = 0;
@@ -266,7 +266,7 @@
   configure (server);
   gp_closer_add (&server->closer, loop, on_closer_close, on_closer_dispose);
   server->listening = true;
-  if (options->held
+  if (options->bind_only
           ? gp_listener_bind (&server->listener, loop, options->address,
                               on_connection, error)
           : gp_listener_open (&server->listener, loop, options->address,
--- a/src/transport/listener.c
+++ b/src/transport/listener.c
@@ -21,10 +21,10 @@
 /* After this time, the TCP handshakes that were in progress when draining
    began are complete.  Only the kernels take part in a handshake; the value is
    several round trips within a region.  */
-#define SETTLE_TIME (10 * GP_MSEC)
+#define HANDSHAKE_SETTLE_TIME (10 * GP_MSEC)
 
 /* Interval for checking whether all connections have been accepted.  */
-#define DRAIN_TIME GP_MSEC
+#define DRAIN_POLL_TIME GP_MSEC
 
 /* Offset of the flags in a TCP header.  */
 #define FLAGS_OFFSET 13
@@ -73,7 +73,7 @@
   close_tcp (listener);
 }
 
-/* Create, bind and, unless held, listen.  Return 0 or a libuv error.  */
+/* Create, bind and, unless BIND_ONLY, listen.  Return 0 or a libuv error.  */
 static int
 start (gp_listener_t *listener)
 {
@@ -84,7 +84,7 @@
   if (rc == 0)
     rc = uv_tcp_bind (&listener->tcp, (struct sockaddr *)&listener->address,
                       0);
-  if (rc == 0 && !listener->held)
+  if (rc == 0 && !listener->bind_only)
     rc = uv_listen ((uv_stream_t *)&listener->tcp, LISTEN_BACKLOG,
                     on_connection);
   return rc;
@@ -102,7 +102,7 @@
 /* Attach a socket filter that drops SYN packets, so that no new connections
    begin, and passes the packets of handshakes in progress.  */
 static void
-take_nobody_new (const gp_listener_t *listener)
+drop_new_connections (const gp_listener_t *listener)
 {
   struct sock_filter steps[]
       = { BPF_STMT (BPF_LD | BPF_B | BPF_ABS, FLAGS_OFFSET),
@@ -119,7 +119,7 @@
 }
 
 static bool
-has_waiting (const gp_listener_t *listener)
+has_waiting_connection (const gp_listener_t *listener)
 {
   struct pollfd waiting = { .fd = descriptor (listener), .events = POLLIN };
 
@@ -129,10 +129,10 @@
 /* libuv runs timers before it polls descriptors, so the connections that wait
    now are accepted before the timer fires again.  */
 static void
-go_on_draining (gp_listener_t *listener)
+continue_draining (gp_listener_t *listener)
 {
-  if (listener->tcp_live && has_waiting (listener))
-    gp_timer_arm (&listener->retry, gp_time_now () + DRAIN_TIME);
+  if (listener->tcp_live && has_waiting_connection (listener))
+    gp_timer_arm (&listener->retry, gp_time_now () + DRAIN_POLL_TIME);
   else
     gp_listener_close (listener, listener->on_closed);
 }
@@ -143,14 +143,14 @@
   gp_listener_t *listener = data;
 
   if (listener->draining)
-    go_on_draining (listener);
+    continue_draining (listener);
   else if (start (listener) != 0)
     close_tcp (listener);
 }
 
 static bool
-take_address (gp_listener_t *listener, gp_loop_t *loop, const char *address,
-              bool held, void (*on_connected) (gp_listener_t *listener),
+bind_address (gp_listener_t *listener, gp_loop_t *loop, const char *address,
+              bool bind_only, void (*on_connected) (gp_listener_t *listener),
               GError **error)
 {
   int size = sizeof listener->address;
@@ -158,7 +158,7 @@
 
   gp_counter_register (&accept_errors_total);
   memset (listener, 0, sizeof *listener);
-  listener->held = held;
+  listener->bind_only = bind_only;
   listener->on_connection = on_connected;
   gp_timer_init (&listener->retry, loop, on_retry, listener);
   listener->retry.uv.data = listener;
@@ -182,7 +182,7 @@
                   void (*on_connected) (gp_listener_t *listener),
                   GError **error)
 {
-  return take_address (listener, loop, address, false, on_connected, error);
+  return bind_address (listener, loop, address, false, on_connected, error);
 }
 
 bool
@@ -191,7 +191,7 @@
                   void (*on_connected) (gp_listener_t *listener),
                   GError **error)
 {
-  return take_address (listener, loop, address, true, on_connected, error);
+  return bind_address (listener, loop, address, true, on_connected, error);
 }
 
 /* A failure is handled like one to accept: the socket is closed and opened
@@ -199,9 +199,9 @@
 void
 gp_listener_listen (gp_listener_t *listener)
 {
-  if (!listener->held)
+  if (!listener->bind_only)
     return;
-  listener->held = false;
+  listener->bind_only = false;
   if (uv_listen ((uv_stream_t *)&listener->tcp, LISTEN_BACKLOG, on_connection)
       != 0)
     close_tcp (listener);
@@ -220,15 +220,15 @@
 gp_listener_drain (gp_listener_t *listener,
                    void (*on_closed) (gp_listener_t *listener))
 {
-  if (!listener->tcp_live || listener->held)
+  if (!listener->tcp_live || listener->bind_only)
     {
       gp_listener_close (listener, on_closed);
       return;
     }
   listener->draining = true;
   listener->on_closed = on_closed;
-  take_nobody_new (listener);
-  gp_timer_arm (&listener->retry, gp_time_now () + SETTLE_TIME);
+  drop_new_connections (listener);
+  gp_timer_arm (&listener->retry, gp_time_now () + HANDSHAKE_SETTLE_TIME);
 }
 
 void
--- a/src/transport/listener.h
+++ b/src/transport/listener.h
@@ -31,8 +31,8 @@
   bool tcp_live; /* the handle is not closed yet */
   bool retry_live;
   bool closing;
-  bool draining; /* new connections are dropped, RETRY polls */
-  bool held;     /* bound, not listening */
+  bool draining;  /* new connections are dropped, RETRY polls */
+  bool bind_only; /* bound, not listening */
 };
 
 /* Listen on ADDRESS ("IP:port").  ON_CONNECTED must accept one connection from
--- a/src/transport/log_client.c
+++ b/src/transport/log_client.c
@@ -27,14 +27,14 @@
   GByteArray *body;
   size_t max_size;
   bool too_large;
-} answer_t;
+} response_t;
 
 /* An append in progress.  */
 typedef struct
 {
   gp_list_t link;
   gp_deferred_t refusal; /* fails a record of invalid size, not sent */
-  answer_t answer;
+  response_t response;
   void (*on_done) (gp_append_result_t result, uint64_t offset,
                    const GError *error, void *data);
   void *data;
@@ -54,12 +54,13 @@
   gp_timer_t retry;
   gp_time_t retry_time; /* pause before the next retry */
   gp_http_call_t *read; /* in progress */
-  answer_t answer;
+  response_t response;
   gp_time_t sent_at;
   uint64_t from;
-  uint64_t turn; /* counts calls of gp_stream_follow and gp_stream_unfollow */
+  uint64_t follow_generation; /* counts calls of gp_stream_follow and
+                                 gp_stream_unfollow */
   bool following;
-  bool fresh; /* no long poll: the first read after a start or an error */
+  bool poll_at_once; /* no long poll: first read after a start or error */
 };
 
 static gp_counter_t appends_total
@@ -76,40 +77,40 @@
 /* Responses.  */
 
 static void
-answer_init (answer_t *answer, size_t max_size)
+response_init (response_t *response, size_t max_size)
 {
-  answer->status = 0;
-  answer->body = g_byte_array_new ();
-  answer->max_size = max_size;
-  answer->too_large = false;
+  response->status = 0;
+  response->body = g_byte_array_new ();
+  response->max_size = max_size;
+  response->too_large = false;
 }
 
 static void
-answer_finish (answer_t *answer)
+response_finish (response_t *response)
 {
-  if (answer->body != NULL)
-    g_byte_array_unref (answer->body);
-  answer->body = NULL;
+  if (response->body != NULL)
+    g_byte_array_unref (response->body);
+  response->body = NULL;
 }
 
 static void
-answer_add (answer_t *answer, const void *bytes, size_t size)
+response_append (response_t *response, const void *bytes, size_t size)
 {
-  if (answer->body->len + size > answer->max_size)
-    answer->too_large = true;
+  if (response->body->len + size > response->max_size)
+    response->too_large = true;
   else
-    g_byte_array_append (answer->body, bytes, (guint)size);
+    g_byte_array_append (response->body, bytes, (guint)size);
 }
 
 static GError *
-answer_error (const answer_t *answer, const char *what)
+response_error (const response_t *response, const char *what)
 {
-  if (answer->too_large)
+  if (response->too_large)
     return g_error_new (GP_TRANSPORT_ERROR, GP_TRANSPORT_ERROR_SIZE,
                         "%s: response is too large", what);
   return g_error_new (GP_TRANSPORT_ERROR, GP_TRANSPORT_ERROR_ANSWER,
                       "%s: unexpected response with status %d", what,
-                      answer->status);
+                      response->status);
 }
 
 /* Appends.  */
@@ -123,7 +124,7 @@
   if (result != GP_APPEND_DONE)
     gp_counter_add (&append_failures_total, 1);
   append->on_done (result, offset, error, append->data);
-  answer_finish (&append->answer);
+  response_finish (&append->response);
   g_free (append);
 }
 
@@ -133,7 +134,7 @@
 {
   append_t *append = data;
 
-  append->answer.status = status;
+  append->response.status = status;
 }
 
 static bool
@@ -141,29 +142,29 @@
 {
   append_t *append = data;
 
-  answer_add (&append->answer, bytes, size);
+  response_append (&append->response, bytes, size);
   return true;
 }
 
 static void
-on_append_answer (append_t *append)
+on_append_response (append_t *append)
 {
-  const answer_t *answer = &append->answer;
-  bool refused = answer->status == STATUS_BAD_REQUEST
-                 || answer->status == STATUS_TOO_LARGE;
+  const response_t *response = &append->response;
+  bool refused = response->status == STATUS_BAD_REQUEST
+                 || response->status == STATUS_TOO_LARGE;
   Gp__Log__AppendReply *reply = NULL;
   GError *error = NULL;
 
-  if (answer->status == STATUS_CREATED && !answer->too_large)
-    reply = gp__log__append_reply__unpack (NULL, answer->body->len,
-                                           answer->body->data);
+  if (response->status == STATUS_CREATED && !response->too_large)
+    reply = gp__log__append_reply__unpack (NULL, response->body->len,
+                                           response->body->data);
   if (reply != NULL)
     {
       end_append (append, GP_APPEND_DONE, reply->offset, NULL);
       gp__log__append_reply__free_unpacked (reply, NULL);
       return;
     }
-  error = answer_error (answer, "append");
+  error = response_error (response, "append");
   end_append (append, refused ? GP_APPEND_REFUSED : GP_APPEND_UNKNOWN, 0,
               error);
   g_error_free (error);
@@ -175,7 +176,7 @@
   append_t *append = data;
 
   if (error == NULL)
-    on_append_answer (append);
+    on_append_response (append);
   else
     end_append (append, sent ? GP_APPEND_UNKNOWN : GP_APPEND_REFUSED, 0,
                 error);
@@ -212,7 +213,7 @@
 
   append->on_done = on_done;
   append->data = data;
-  answer_init (&append->answer, ACK_MAX_SIZE);
+  response_init (&append->response, ACK_MAX_SIZE);
   gp_deferred_init (&append->refusal, on_refusal);
   gp_list_push_back (&stream->appends, &append->link);
   gp_counter_add (&appends_total, 1);
@@ -238,7 +239,7 @@
 {
   gp_time_t pause = stream->retry_time;
 
-  stream->fresh = true;
+  stream->poll_at_once = true;
   gp_counter_add (&read_failures_total, 1);
   stream->retry_time
       = MIN (2 * stream->retry_time, stream->options.retry_time_max);
@@ -281,7 +282,7 @@
 /* Return whether a long poll without records returned too early.  The next
    read is then delayed, so as not to loop on such a service.  */
 static bool
-came_early (const gp_stream_t *stream)
+returned_early (const gp_stream_t *stream)
 {
   return gp_time_now () - stream->sent_at < stream->options.poll_time / 2
          || stream->options.poll_time == 0;
@@ -293,9 +294,9 @@
 report_read (gp_stream_t *stream, const Gp__Log__ReadReply *reply,
              const gp_stream_record_t *records)
 {
-  uint64_t turn = stream->turn;
+  uint64_t follow_generation = stream->follow_generation;
   uint64_t read_up_to = stream->from + reply->n_records;
-  bool waited = !stream->fresh;
+  bool waited = !stream->poll_at_once;
   gp_stream_read_t read = { .sent_at = stream->sent_at,
                             .from = stream->from,
                             .first_offset = reply->first_offset,
@@ -308,18 +309,18 @@
   gp_counter_add (&records_total, (int64_t)reply->n_records);
   stream->retry_time = stream->options.retry_time;
   stream->from = read_up_to;
-  stream->fresh = false;
+  stream->poll_at_once = false;
   stream->callbacks.on_read (&read, stream->data);
-  if (stream->turn != turn)
+  if (stream->follow_generation != follow_generation)
     return;
-  if (reply->n_records == 0 && waited && came_early (stream))
+  if (reply->n_records == 0 && waited && returned_early (stream))
     gp_timer_arm (&stream->retry, gp_time_now () + stream->retry_time);
   else
     start_read (stream);
 }
 
 static void
-take_reply (gp_stream_t *stream, const Gp__Log__ReadReply *reply)
+process_reply (gp_stream_t *stream, const Gp__Log__ReadReply *reply)
 {
   gp_stream_record_t *records;
 
@@ -339,23 +340,24 @@
 }
 
 static void
-on_read_answer (gp_stream_t *stream, const answer_t *answer)
+on_read_response (gp_stream_t *stream, const response_t *response)
 {
-  bool expected = answer->status == STATUS_OK || answer->status == STATUS_GONE;
+  bool expected
+      = response->status == STATUS_OK || response->status == STATUS_GONE;
   Gp__Log__ReadReply *reply = NULL;
 
-  if (expected && !answer->too_large)
-    reply = gp__log__read_reply__unpack (NULL, answer->body->len,
-                                         answer->body->data);
+  if (expected && !response->too_large)
+    reply = gp__log__read_reply__unpack (NULL, response->body->len,
+                                         response->body->data);
   if (reply == NULL)
     {
-      fail_read (stream, answer_error (answer, "read"));
+      fail_read (stream, response_error (response, "read"));
       return;
     }
-  if (answer->status == STATUS_GONE)
+  if (response->status == STATUS_GONE)
     report_gap (stream, reply->first_offset);
   else
-    take_reply (stream, reply);
+    process_reply (stream, reply);
   gp__log__read_reply__free_unpacked (reply, NULL);
 }
 
@@ -365,7 +367,7 @@
 {
   gp_stream_t *stream = data;
 
-  stream->answer.status = status;
+  stream->response.status = status;
 }
 
 static bool
@@ -373,7 +375,7 @@
 {
   gp_stream_t *stream = data;
 
-  answer_add (&stream->answer, bytes, size);
+  response_append (&stream->response, bytes, size);
   return true;
 }
 
@@ -381,15 +383,15 @@
 on_read_done (const GError *error, bool sent, void *data)
 {
   gp_stream_t *stream = data;
-  answer_t answer = stream->answer;
+  response_t response = stream->response;
 
   stream->read = NULL;
-  stream->answer.body = NULL;
+  stream->response.body = NULL;
   if (error != NULL)
     fail_read (stream, g_error_copy (error));
   else
-    on_read_answer (stream, &answer);
-  answer_finish (&answer);
+    on_read_response (stream, &response);
+  response_finish (&response);
 }
 
 static const gp_http_call_callbacks_t read_callbacks
@@ -399,14 +401,15 @@
 start_read (gp_stream_t *stream)
 {
   const gp_stream_options_t *options = &stream->options;
-  gp_time_t wait = stream->fresh ? 0 : options->poll_time;
+  gp_time_t wait = stream->poll_at_once ? 0 : options->poll_time;
   char *path = g_strdup_printf (
       "%s?from=%" PRIu64 "&max_bytes=%zu&wait_ms=%" PRId64, stream->path,
       stream->from, options->max_read_size, (int64_t)(wait / GP_MSEC));
   gp_http_call_request_t request = { .method = "GET", .path = path };
 
-  answer_init (&stream->answer,
-               options->max_read_size + GP_STREAM_RECORD_MAX + REPLY_OVERHEAD);
+  response_init (&stream->response, options->max_read_size
+                                        + GP_STREAM_RECORD_MAX
+                                        + REPLY_OVERHEAD);
   stream->sent_at = gp_time_now ();
   request.deadline
       = stream->sent_at + options->poll_time + options->read_timeout;
@@ -418,14 +421,14 @@
 void
 gp_stream_unfollow (gp_stream_t *stream)
 {
-  stream->turn++;
+  stream->follow_generation++;
   stream->following = false;
   gp_timer_disarm (&stream->retry);
   if (stream->read == NULL)
     return;
   gp_http_call_cancel (stream->read);
   stream->read = NULL;
-  answer_finish (&stream->answer);
+  response_finish (&stream->response);
 }
 
 void
@@ -434,7 +437,7 @@
   gp_stream_unfollow (stream);
   stream->from = from;
   stream->following = true;
-  stream->fresh = true;
+  stream->poll_at_once = true;
   stream->retry_time = stream->options.retry_time;
   start_read (stream);
 }
@@ -442,7 +445,7 @@
 /* The stream.  */
 
 static bool
-name_is_allowed (const char *name)
+is_valid_name (const char *name)
 {
   if (name[0] == '\0')
     return false;
@@ -487,7 +490,7 @@
   gp_http_client_t *reader;
   gp_stream_t *stream;
 
-  if (!name_is_allowed (options->name))
+  if (!is_valid_name (options->name))
     {
       g_set_error (error, GP_TRANSPORT_ERROR, GP_TRANSPORT_ERROR_ADDRESS,
                    "'%s' is not a valid stream name", options->name);
--- a/src/transport/loop.c
+++ b/src/transport/loop.c
@@ -111,15 +111,15 @@
 }
 
 static void
-drain (gp_loop_t *loop, int turns)
+run_iterations (gp_loop_t *loop, int iterations)
 {
-  while (turns-- > 0)
+  while (iterations-- > 0)
     uv_run (&loop->uv, UV_RUN_NOWAIT);
 }
 
 /* Upper limit for the loop iterations from the close of a handle to its last
    callback.  */
-#define FINISH_TURNS 8
+#define FINISH_ITERATIONS 8
 
 void
 gp_loop_finish (gp_loop_t *loop)
@@ -136,7 +136,7 @@
         gp_list_push_back (&disposable, link);
       closer->close (closer);
     }
-  drain (loop, FINISH_TURNS);
+  run_iterations (loop, FINISH_ITERATIONS);
   while ((link = gp_list_pop_front (&disposable)) != NULL)
     {
       gp_closer_t *closer = GP_CONTAINER_OF (link, gp_closer_t, link);
@@ -145,7 +145,7 @@
     }
   h2o_timeout_dispose (&loop->uv, &loop->http_client_timeout);
   uv_walk (&loop->uv, close_handle, NULL);
-  drain (loop, FINISH_TURNS);
+  run_iterations (loop, FINISH_ITERATIONS);
   uv_loop_close (&loop->uv);
   g_free (loop->read_buffer);
   g_free (loop->plain_buffer);
@@ -248,7 +248,7 @@
 {
   gp_time_t wait = MAX (timer->deadline - now, 0);
 
-  timer->wakes_at = timer->deadline;
+  timer->uv_deadline = timer->deadline;
   uv_update_time (&timer->loop->uv);
   uv_timer_start (&timer->uv, on_timer,
                   (uint64_t)((wait + GP_MSEC - 1) / GP_MSEC), 0);
@@ -278,7 +278,7 @@
   uv_timer_init (&loop->uv, &timer->uv);
   timer->loop = loop;
   timer->deadline = GP_TIME_NEVER;
-  timer->wakes_at = GP_TIME_NEVER;
+  timer->uv_deadline = GP_TIME_NEVER;
   timer->cb = cb;
   timer->data = data;
 }
@@ -293,7 +293,7 @@
   if (deadline == GP_TIME_NEVER)
     uv_timer_stop (&timer->uv);
   else if (!uv_is_active ((uv_handle_t *)&timer->uv)
-           || deadline < timer->wakes_at)
+           || deadline < timer->uv_deadline)
     start_timer (timer, gp_time_now ());
 }
 
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -75,7 +75,7 @@
   uv_timer_t uv;
   gp_loop_t *loop;
   gp_time_t deadline;
-  gp_time_t wakes_at; /* deadline for which the libuv timer was started */
+  gp_time_t uv_deadline; /* deadline for which the libuv timer was started */
   gp_timer_cb_t cb;
   void *data;
 };
--- a/src/transport/meter.c
+++ b/src/transport/meter.c
@@ -5,25 +5,27 @@
 #include <glib.h>
 
 static void
-turn_to (gp_meter_t *meter, gp_time_t now)
+advance_window (gp_meter_t *meter, gp_time_t now)
 {
-  if (now < meter->end)
+  if (now < meter->window_end)
     return;
-  meter->before = now < meter->end + GP_METER_TIME ? meter->now : 0;
-  meter->now = 0;
-  meter->end = now + GP_METER_TIME;
+  meter->previous
+      = now < meter->window_end + GP_METER_TIME ? meter->current : 0;
+  meter->current = 0;
+  meter->window_end = now + GP_METER_TIME;
 }
 
 void
 gp_meter_add (gp_meter_t *meter, size_t size, gp_time_t now)
 {
-  turn_to (meter, now);
-  meter->now += size;
+  advance_window (meter, now);
+  meter->current += size;
 }
 
 int64_t
 gp_meter_rate (gp_meter_t *meter, gp_time_t now)
 {
-  turn_to (meter, now);
-  return (int64_t)MAX (meter->now, meter->before) * GP_SEC / GP_METER_TIME;
+  advance_window (meter, now);
+  return (int64_t)MAX (meter->current, meter->previous) * GP_SEC
+         / GP_METER_TIME;
 }
--- a/src/transport/meter.h
+++ b/src/transport/meter.h
@@ -15,9 +15,9 @@
 
 typedef struct
 {
-  gp_time_t end; /* of the current window */
-  size_t now;    /* bytes in the current window */
-  size_t before; /* bytes in the previous window */
+  gp_time_t window_end; /* of the current window */
+  size_t current;       /* bytes in the current window */
+  size_t previous;      /* bytes in the previous window */
 } gp_meter_t;
 
 /* Count SIZE bytes.  */
--- a/src/transport/peer.c
+++ b/src/transport/peer.c
@@ -27,7 +27,7 @@
 #include "transport/peer_private.h"
 
 /* Buffers up to this size are kept for reuse.  */
-#define KEEP_SIZE 4096
+#define RETAINED_BUFFER_SIZE 4096
 
 static gp_counter_t opened_total
     = GP_COUNTER ("peer_opened_total", "Peer connections opened.");
@@ -40,7 +40,7 @@
 static void
 release (gp_peer_t *peer)
 {
-  if (peer->announced)
+  if (peer->user_notified)
     peer->callbacks.on_close (peer, peer->reason, peer->data);
   if (peer->secure.ssl != NULL)
     gp_secure_finish (&peer->secure);
@@ -69,7 +69,7 @@
   gp_closer_remove (&peer->closer);
   gp_list_remove (&peer->server_link);
   gp_deferred_cancel (&peer->flush);
-  gp_deferred_cancel (&peer->replay);
+  gp_deferred_cancel (&peer->resume);
   peer->handles = 2;
   uv_close ((uv_handle_t *)&peer->tcp, on_handle_closed);
   uv_close ((uv_handle_t *)&peer->timer.uv, on_handle_closed);
@@ -108,7 +108,7 @@
 void
 gp_peer_reset_buffer (GByteArray **buffer)
 {
-  if ((*buffer)->len <= KEEP_SIZE)
+  if ((*buffer)->len <= RETAINED_BUFFER_SIZE)
     {
       g_byte_array_set_size (*buffer, 0);
       return;
@@ -130,7 +130,7 @@
     uv_read_stop ((uv_stream_t *)&peer->tcp);
   if (peer->server != NULL)
     {
-      peer->announced = true;
+      peer->user_notified = true;
       peer->data = peer->server->on_accept (peer, peer->server->data);
       peer->server = NULL;
     }
@@ -195,7 +195,7 @@
     return NULL;
   peer = gp_peer_new (loop, callbacks);
   gp_closer_add (&peer->closer, loop, on_closer, NULL);
-  peer->announced = true;
+  peer->user_notified = true;
   peer->data = data;
   gp_address_format (&target, peer->address, sizeof peer->address);
   gp_timer_arm (&peer->timer, deadline);
--- a/src/transport/peer_private.h
+++ b/src/transport/peer_private.h
@@ -13,7 +13,7 @@
   GP_PEER_HANDSHAKING,
   GP_PEER_OPEN,
   GP_PEER_CLOSING,   /* writing what is queued; input is discarded */
-  GP_PEER_LINGERING, /* sent the end of stream, waits for the remote's */
+  GP_PEER_LINGERING, /* sent the end of stream, waits for the peer's */
   GP_PEER_CLOSED     /* the handles are being closed */
 } gp_peer_state_t;
 
@@ -28,7 +28,7 @@
   uv_shutdown_t shutdown;
   gp_timer_t timer;     /* limit for opening, then for closing */
   gp_deferred_t flush;  /* writes the frames queued in this phase */
-  gp_deferred_t replay; /* continues reading after a pause */
+  gp_deferred_t resume; /* continues reading after a pause */
   gp_secure_t secure;   /* ssl is NULL without TLS */
   GByteArray *input;    /* incomplete frame, or input held by a pause */
   GByteArray *pending;  /* frames to write */
@@ -36,9 +36,9 @@
   bool writing;         /* a write of INFLIGHT is in progress */
   bool paused;
   bool congested;
-  bool input_ended; /* the peer has ended its stream */
-  bool announced;   /* the user knows this peer and gets on_close */
-  int handles;      /* number of handles not closed yet */
+  bool input_ended;   /* the peer has ended its stream */
+  bool user_notified; /* the user knows this peer and gets on_close */
+  int handles;        /* number of handles not closed yet */
   GError *reason;
   gp_peer_server_t *server; /* of an accepted peer until it is open */
   gp_list_t server_link;
@@ -57,7 +57,7 @@
   void *(*on_accept) (gp_peer_t *peer, void *data);
   void *data;
   gp_time_t handshake_time; /* duration */
-  gp_list_t unopened;       /* peers that have not finished the handshake */
+  gp_list_t handshaking;    /* peers that have not finished the handshake */
 };
 
 /* Create a peer without a connection.  */
@@ -88,8 +88,8 @@
 void gp_peer_init_writing (gp_peer_t *peer);
 /* Pass the queued frames to the kernel.  */
 void gp_peer_flush (gp_peer_t *peer);
-/* Write the queued frames, send the end of the stream, wait for the remote
-   side to close, then close.  */
+/* Write the queued frames, send the end of the stream, wait for the peer
+   to close, then close.  */
 void gp_peer_start_closing (gp_peer_t *peer);
 
 /* Reading.  */
--- a/src/transport/peer_read.c
+++ b/src/transport/peer_read.c
@@ -26,7 +26,7 @@
 /* Pass the complete frames at BYTES to the user and return the number of bytes
    consumed.  */
 static size_t
-parse (gp_peer_t *peer, const uint8_t *bytes, size_t size)
+parse_frames (gp_peer_t *peer, const uint8_t *bytes, size_t size)
 {
   size_t used = 0;
 
@@ -53,7 +53,7 @@
 static void
 parse_input (gp_peer_t *peer)
 {
-  size_t used = parse (peer, peer->input->data, peer->input->len);
+  size_t used = parse_frames (peer, peer->input->data, peer->input->len);
 
   if (used == peer->input->len)
     gp_peer_reset_buffer (&peer->input);
@@ -62,7 +62,7 @@
 }
 
 static void
-take_bytes (gp_peer_t *peer, const uint8_t *bytes, size_t size)
+process_bytes (gp_peer_t *peer, const uint8_t *bytes, size_t size)
 {
   size_t used = 0;
 
@@ -72,12 +72,12 @@
       parse_input (peer);
       return;
     }
-  used = parse (peer, bytes, size);
+  used = parse_frames (peer, bytes, size);
   g_byte_array_append (peer->input, bytes + used, (guint)(size - used));
 }
 
 static void
-end_secure (gp_peer_t *peer, GError *error)
+fail_tls (gp_peer_t *peer, GError *error)
 {
   g_prefix_error (&error, "%s: ", peer->address);
   gp_peer_set_reason (peer, error);
@@ -86,7 +86,7 @@
 }
 
 static void
-proceed_handshake (gp_peer_t *peer)
+continue_handshake (gp_peer_t *peer)
 {
   GError *error = NULL;
 
@@ -104,14 +104,14 @@
       gp_peer_fail (peer, GP_TRANSPORT_ERROR_TLS, "refused");
       break;
     case GP_SECURE_FAILED:
-      end_secure (peer, error);
+      fail_tls (peer, error);
       break;
     }
 }
 
 /* Decrypt and process received bytes.  */
 static void
-read_secure (gp_peer_t *peer)
+read_tls (gp_peer_t *peer)
 {
   uint8_t *buffer = peer->loop->plain_buffer;
   gp_secure_result_t result = GP_SECURE_DONE;
@@ -125,12 +125,12 @@
       result = gp_secure_read (&peer->secure, buffer, GP_LOOP_BUFFER_SIZE,
                                &got, &error);
       if (result == GP_SECURE_DONE)
-        take_bytes (peer, buffer, got);
+        process_bytes (peer, buffer, got);
     }
   if (result == GP_SECURE_CLOSED)
     gp_peer_fail (peer, GP_TRANSPORT_ERROR_CLOSED, "closed by the peer");
   if (result == GP_SECURE_FAILED)
-    end_secure (peer, error);
+    fail_tls (peer, error);
   if (peer->state == GP_PEER_OPEN && gp_secure_pending (&peer->secure) > 0)
     gp_deferred_schedule (&peer->flush, peer->loop);
 }
@@ -172,13 +172,13 @@
     return;
   if (peer->secure.ssl == NULL)
     {
-      take_bytes (peer, (uint8_t *)buffer->base, (size_t)got);
+      process_bytes (peer, (uint8_t *)buffer->base, (size_t)got);
       return;
     }
   gp_secure_feed (&peer->secure, buffer->base, (size_t)got);
   if (peer->state == GP_PEER_HANDSHAKING)
-    proceed_handshake (peer);
-  read_secure (peer);
+    continue_handshake (peer);
+  read_tls (peer);
 }
 
 void
@@ -188,14 +188,14 @@
 }
 
 static void
-on_replay (gp_deferred_t *deferred)
+on_resume (gp_deferred_t *deferred)
 {
-  gp_peer_t *peer = GP_CONTAINER_OF (deferred, gp_peer_t, replay);
+  gp_peer_t *peer = GP_CONTAINER_OF (deferred, gp_peer_t, resume);
 
   if (peer->input->len > 0)
     parse_input (peer);
   if (peer->secure.ssl != NULL)
-    read_secure (peer);
+    read_tls (peer);
   if (peer->state == GP_PEER_OPEN && !peer->paused)
     gp_peer_start_reading (peer);
 }
@@ -205,7 +205,7 @@
 {
   gp_counter_register (&frames_in_total);
   gp_counter_register (&bytes_in_total);
-  gp_deferred_init (&peer->replay, on_replay);
+  gp_deferred_init (&peer->resume, on_resume);
 }
 
 void
@@ -221,7 +221,7 @@
     }
   peer->state = GP_PEER_HANDSHAKING;
   if (gp_secure_init (&peer->secure, tls, server))
-    proceed_handshake (peer);
+    continue_handshake (peer);
   else
     gp_peer_fail (peer, GP_TRANSPORT_ERROR_TLS, "out of memory");
 }
@@ -241,5 +241,5 @@
     return;
   peer->paused = false;
   if (peer->state == GP_PEER_OPEN)
-    gp_deferred_schedule (&peer->replay, peer->loop);
+    gp_deferred_schedule (&peer->resume, peer->loop);
 }
--- a/src/transport/peer_server.c
+++ b/src/transport/peer_server.c
@@ -12,7 +12,7 @@
 }
 
 static void
-name_peer (gp_peer_t *peer)
+set_peer_address (gp_peer_t *peer)
 {
   struct sockaddr_storage address = { 0 };
   int size = sizeof address;
@@ -34,9 +34,9 @@
       gp_peer_destroy (peer);
       return;
     }
-  name_peer (peer);
+  set_peer_address (peer);
   peer->server = server;
-  gp_list_push_back (&server->unopened, &peer->server_link);
+  gp_list_push_back (&server->handshaking, &peer->server_link);
   gp_timer_arm (&peer->timer,
                 gp_loop_now (server->loop) + server->handshake_time);
   gp_peer_begin (peer, server->tls, true);
@@ -62,7 +62,7 @@
   server->on_accept = on_accept;
   server->data = data;
   server->handshake_time = HANDSHAKE_TIME;
-  gp_list_init (&server->unopened);
+  gp_list_init (&server->handshaking);
   gp_closer_add (&server->closer, loop, on_closer, NULL);
   if (gp_listener_open (&server->listener, loop, address, on_connection,
                         error))
@@ -81,7 +81,7 @@
 gp_peer_server_close (gp_peer_server_t *server)
 {
   gp_closer_remove (&server->closer);
-  GP_LIST_FOREACH_SAFE (pos, &server->unopened)
+  GP_LIST_FOREACH_SAFE (pos, &server->handshaking)
   gp_peer_destroy (GP_CONTAINER_OF (pos, gp_peer_t, server_link));
   gp_listener_close (&server->listener, on_listener_closed);
 }
--- a/src/transport/peer_write.c
+++ b/src/transport/peer_write.c
@@ -13,7 +13,7 @@
 #define BACKLOG_MAX ((size_t)16 * 1024 * 1024)
 
 /* Sufficient for the close_notify alert that ends a TLS connection.  */
-#define SECURE_END_SIZE 256
+#define CLOSE_NOTIFY_SIZE 256
 
 #define LINGER_TIME (5 * GP_SEC)
 
@@ -34,9 +34,9 @@
 /* Send the close_notify alert, without which the peer could not
    distinguish the end from a truncation.  */
 static void
-write_secure_end (gp_peer_t *peer)
+send_close_notify (gp_peer_t *peer)
 {
-  uint8_t bytes[SECURE_END_SIZE];
+  uint8_t bytes[CLOSE_NOTIFY_SIZE];
   uv_buf_t buffer;
   size_t size;
 
@@ -52,7 +52,7 @@
 {
   peer->state = GP_PEER_LINGERING;
   if (peer->secure.ssl != NULL)
-    write_secure_end (peer);
+    send_close_notify (peer);
   if (uv_shutdown (&peer->shutdown, (uv_stream_t *)&peer->tcp, on_shutdown)
       < 0)
     gp_peer_destroy (peer);
--- a/src/transport/probe.c
+++ b/src/transport/probe.c
@@ -11,10 +11,10 @@
 {
   gp_probe_t *probe = handle->data;
 
-  probe->open = false;
+  probe->tcp_open = false;
   if (!probe->running)
     return;
-  if (!probe->answered)
+  if (!probe->connected)
     {
       gp_timer_arm (&probe->timer, gp_loop_now (probe->loop) + INTERVAL);
       return;
@@ -28,7 +28,7 @@
 {
   gp_probe_t *probe = connect->data;
 
-  probe->answered = status == 0;
+  probe->connected = status == 0;
   if (!uv_is_closing ((uv_handle_t *)&probe->tcp))
     uv_close ((uv_handle_t *)&probe->tcp, on_closed);
 }
@@ -42,9 +42,9 @@
   (void)timer;
   if (!gp_endpoint_parse (probe->address, &address, NULL))
     return;
-  probe->answered = false;
-  probe->open = uv_tcp_init (&probe->loop->uv, &probe->tcp) == 0;
-  if (!probe->open)
+  probe->connected = false;
+  probe->tcp_open = uv_tcp_init (&probe->loop->uv, &probe->tcp) == 0;
+  if (!probe->tcp_open)
     return;
   probe->tcp.data = probe;
   probe->connect.data = probe;
@@ -78,6 +78,6 @@
 {
   probe->running = false;
   gp_timer_finish (&probe->timer);
-  if (probe->open && !uv_is_closing ((uv_handle_t *)&probe->tcp))
+  if (probe->tcp_open && !uv_is_closing ((uv_handle_t *)&probe->tcp))
     uv_close ((uv_handle_t *)&probe->tcp, on_closed);
 }
--- a/src/transport/probe.h
+++ b/src/transport/probe.h
@@ -13,9 +13,9 @@
   gp_timer_t timer;
   uv_tcp_t tcp;
   uv_connect_t connect;
-  bool open; /* TCP is an initialized handle of the loop */
+  bool tcp_open; /* TCP is an initialized handle of the loop */
   bool running;
-  bool answered; /* the last attempt connected; it is being closed */
+  bool connected; /* the last attempt connected; it is being closed */
   void (*on_answer) (void *data);
   void *data;
 } gp_probe_t;
--- a/src/transport/tls.c
+++ b/src/transport/tls.c
@@ -151,7 +151,7 @@
 /* Convert RC, returned by the last SSL call on SECURE, to a result.  WHAT
    names the operation in ERROR.  */
 static gp_secure_result_t
-result (gp_secure_t *secure, int rc, const char *what, GError **error)
+convert_result (gp_secure_t *secure, int rc, const char *what, GError **error)
 {
   switch (SSL_get_error (secure->ssl, rc))
     {
@@ -172,8 +172,8 @@
 gp_secure_handshake (gp_secure_t *secure, GError **error)
 {
   ERR_clear_error ();
-  return result (secure, SSL_do_handshake (secure->ssl), "TLS handshake",
-                 error);
+  return convert_result (secure, SSL_do_handshake (secure->ssl),
+                         "TLS handshake", error);
 }
 
 gp_secure_result_t
@@ -184,7 +184,7 @@
 
   ERR_clear_error ();
   rc = SSL_read_ex (secure->ssl, buffer, size, got);
-  return result (secure, rc, "TLS", error);
+  return convert_result (secure, rc, "TLS", error);
 }
 
 bool
