--- a/src/base/address.c
+++ b/src/base/address.c
@@ -1,4 +1,4 @@
-/* Addresses of processes.  */
+/* Parsing and formatting of process addresses.  */
 
 #include "base/address.h"
 
--- a/src/base/arena.c
+++ b/src/base/arena.c
@@ -1,4 +1,4 @@
-/* Bump allocator over a chain of blocks.  */
+/* Bump allocator over a linked list of blocks.  */
 
 #include "base/arena.h"
 
--- a/src/base/arena.h
+++ b/src/base/arena.h
@@ -1,7 +1,8 @@
-/* Bump allocator for objects that die together, such as one decoded frame.
+/* Bump allocator for objects that are freed together, such as those of one
+   decoded frame.
 
-   Blocks are kept across gp_arena_reset, so a steady load allocates
-   nothing.  */
+   Blocks are kept across gp_arena_reset, so a steady load causes no
+   allocations.  */
 
 #ifndef GP_BASE_ARENA_H
 #define GP_BASE_ARENA_H
@@ -19,10 +20,11 @@
 void gp_arena_init (gp_arena_t *arena);
 void gp_arena_finish (gp_arena_t *arena);
 
-/* SIZE bytes, aligned for any type, valid until the next reset.  */
+/* Allocate SIZE bytes, aligned for any type and valid until the next
+   reset.  */
 void *gp_arena_alloc (gp_arena_t *arena, size_t size);
 
-/* Give up all objects.  Blocks larger than the usual are freed.  */
+/* Release all objects.  Blocks larger than the default size are freed.  */
 void gp_arena_reset (gp_arena_t *arena);
 
 #endif
--- a/src/base/counters.c
+++ b/src/base/counters.c
@@ -1,4 +1,4 @@
-/* Registry of counters and its text exposition.  */
+/* Registry of counters and its output in the text exposition format.  */
 
 #include "base/counters.h"
 
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -1,8 +1,9 @@
 /* Counters and gauges of one process.
 
-   A counter is a static gp_counter_t registered once; adding to it is one
-   plain addition (one thread, no lock).  The registry is an intrusive list,
-   printed in the text exposition format by gp_counters_format.  */
+   A counter is a static gp_counter_t that is registered once.  Processes are
+   single-threaded, so adding to it is a plain addition without a lock.  The
+   registry is an intrusive list; gp_counters_format writes it in the text
+   exposition format.  */
 
 #ifndef GP_BASE_COUNTERS_H
 #define GP_BASE_COUNTERS_H
@@ -14,8 +15,8 @@
 
 typedef enum
 {
-  GP_COUNTER_COUNTER, /* only grows */
-  GP_COUNTER_GAUGE    /* a level */
+  GP_COUNTER_COUNTER, /* only increases */
+  GP_COUNTER_GAUGE    /* current value */
 } gp_counter_kind_t;
 
 typedef struct
@@ -27,7 +28,8 @@
   int64_t value;
 } gp_counter_t;
 
-/* A static counter, to be passed to gp_counter_register.  */
+/* Initializers of a static counter or gauge, to be passed to
+   gp_counter_register.  */
 #define GP_COUNTER(name_, help_)                                              \
   {                                                                           \
     { NULL, NULL }, (name_), (help_), GP_COUNTER_COUNTER, 0                   \
@@ -37,7 +39,7 @@
     { NULL, NULL }, (name_), (help_), GP_COUNTER_GAUGE, 0                     \
   }
 
-/* Make COUNTER visible; a second call for the same counter does nothing.  */
+/* Add COUNTER to the registry; repeated calls have no effect.  */
 void gp_counter_register (gp_counter_t *counter);
 
 static inline void
@@ -55,7 +57,7 @@
 /* Append all registered counters to OUT in the text exposition format.  */
 void gp_counters_format (GString *out);
 
-/* Call VISIT for each registered counter in the order of registration.  */
+/* Call VISIT for each registered counter, in the order of registration.  */
 void gp_counters_foreach (void (*visit) (const gp_counter_t *counter,
                                          void *data),
                           void *data);
--- a/src/base/error.c
+++ b/src/base/error.c
@@ -1,4 +1,4 @@
-/* Error domains of the layers and the turn from one to the next.  */
+/* Error domains of the layers and conversion between them.  */
 
 #include "base/error.h"
 
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,8 +1,7 @@
 /* Error domains, one for each layer.
 
-   A layer reports errors of its own domain only; an error from the layer
-   below is turned with gp_error_convert, which keeps the message as
-   context.  */
+   A layer reports errors of its own domain only.  gp_error_convert converts an
+   error from the layer below and keeps its message.  */
 
 #ifndef GP_BASE_ERROR_H
 #define GP_BASE_ERROR_H
@@ -18,25 +17,25 @@
 typedef enum
 {
   GP_TRANSPORT_ERROR_ADDRESS, /* not an IP literal with a port */
-  GP_TRANSPORT_ERROR_CONNECT, /* the peer does not answer */
-  GP_TRANSPORT_ERROR_CLOSED,  /* the peer closed or reset */
+  GP_TRANSPORT_ERROR_CONNECT, /* connecting or listening failed */
+  GP_TRANSPORT_ERROR_CLOSED,  /* the peer closed or reset the connection */
   GP_TRANSPORT_ERROR_TLS,     /* certificate, key or handshake */
-  GP_TRANSPORT_ERROR_SIZE,    /* a frame or body over its bound */
+  GP_TRANSPORT_ERROR_SIZE,    /* a frame, body or backlog over its limit */
   GP_TRANSPORT_ERROR_TIMEOUT,
-  GP_TRANSPORT_ERROR_ANSWER /* a service answers otherwise than agreed */
+  GP_TRANSPORT_ERROR_ANSWER /* a service sent an invalid response */
 } gp_transport_error_t;
 
 typedef enum
 {
-  GP_PROTOCOL_ERROR_MALFORMED,  /* bytes that do not decode */
-  GP_PROTOCOL_ERROR_VERSION,    /* a version that is not spoken here */
-  GP_PROTOCOL_ERROR_UNEXPECTED, /* a message out of its turn */
+  GP_PROTOCOL_ERROR_MALFORMED,  /* undecodable bytes */
+  GP_PROTOCOL_ERROR_VERSION,    /* unsupported protocol version */
+  GP_PROTOCOL_ERROR_UNEXPECTED, /* a message in the wrong state */
   GP_PROTOCOL_ERROR_PEER        /* the transport below failed */
 } gp_protocol_error_t;
 
 typedef enum
 {
-  GP_COORDINATION_ERROR_NO_CANDIDATE, /* nobody can take the work */
+  GP_COORDINATION_ERROR_NO_CANDIDATE, /* no process can accept the work */
   GP_COORDINATION_ERROR_LIMIT,        /* a limit or quota is reached */
   GP_COORDINATION_ERROR_DEADLINE,
   GP_COORDINATION_ERROR_FENCED, /* the lease or epoch has ended */
@@ -45,18 +44,18 @@
 
 typedef enum
 {
-  GP_STATE_ERROR_CORRUPT,  /* a record that does not decode */
+  GP_STATE_ERROR_CORRUPT,  /* an undecodable record */
   GP_STATE_ERROR_GAP,      /* records were lost to retention */
-  GP_STATE_ERROR_CONFLICT, /* the base is not current */
-  GP_STATE_ERROR_INVALID,  /* a document or record breaks a rule */
-  GP_STATE_ERROR_UNKNOWN,  /* a record under a key that is none of ours */
+  GP_STATE_ERROR_CONFLICT, /* the base revision is not current */
+  GP_STATE_ERROR_INVALID,  /* a document or record violates a rule */
+  GP_STATE_ERROR_UNKNOWN,  /* a record under an unknown key */
   GP_STATE_ERROR_UNAVAILABLE
 } gp_state_error_t;
 
 typedef enum
 {
   GP_SETTINGS_ERROR_FILE,   /* cannot be read */
-  GP_SETTINGS_ERROR_SYNTAX, /* not YAML */
+  GP_SETTINGS_ERROR_SYNTAX, /* not valid YAML */
   GP_SETTINGS_ERROR_SCHEMA  /* a key or value that is not allowed */
 } gp_settings_error_t;
 
@@ -66,8 +65,8 @@
 GQuark gp_state_error_quark (void);
 GQuark gp_settings_error_quark (void);
 
-/* Report BELOW, which is freed, through ERROR as CODE of DOMAIN; the
-   message becomes "CONTEXT: message of BELOW".  */
+/* Set ERROR to CODE of DOMAIN with the message "CONTEXT: message of BELOW".
+   Frees BELOW.  */
 void gp_error_convert (GError **error, GError *below, GQuark domain, int code,
                        const char *context);
 
--- a/src/base/heap.c
+++ b/src/base/heap.c
@@ -1,10 +1,10 @@
 /* Intrusive pairing heap.
 
-   Each node comes no later than its children.  Two trees are melded by
-   making the later root the leftmost child of the other.  The orphaned
-   children of a removed node are melded in pairs from left to right and the
-   pairs then from right to left, which gives the amortized bound.  Nothing
-   recurses, so a long list of children costs no stack.  */
+   No node sorts after any of its children.  Two trees are melded by making
+   the root that sorts later the leftmost child of the other.  The children of
+   a removed node are melded in pairs from left to right, and then the pairs
+   from right to left, which gives the amortized bound.  No function recurses,
+   so a long list of children needs no stack.  */
 
 #include "base/heap.h"
 
@@ -26,7 +26,7 @@
   upper->child = lower;
 }
 
-/* Join two trees, either of which may be NULL, and return the root.  */
+/* Meld two trees, either of which may be NULL, and return the root.  */
 static gp_heap_node_t *
 meld (const gp_heap_t *heap, gp_heap_node_t *a, gp_heap_node_t *b)
 {
@@ -43,7 +43,7 @@
   return a;
 }
 
-/* Join the siblings from FIRST on into one tree.  */
+/* Meld FIRST and the siblings after it into one tree and return its root.  */
 static gp_heap_node_t *
 meld_siblings (const gp_heap_t *heap, gp_heap_node_t *first)
 {
@@ -84,7 +84,7 @@
   heap->root = meld (heap, heap->root, node);
 }
 
-/* Take NODE with its children out of the list of its siblings.  */
+/* Unlink NODE, with its children, from its parent and siblings.  */
 static void
 cut (gp_heap_node_t *node)
 {
--- a/src/base/hlc.c
+++ b/src/base/hlc.c
@@ -1,7 +1,8 @@
 /* Hybrid logical clock.
 
-   Time and counter are one number, so the greatest of the inputs plus one is
-   the next stamp; a counter that overflows carries into the milliseconds.  */
+   Time and counter form one number, so the next stamp is the maximum of the
+   wall time and the last stamp plus one; a counter that overflows carries into
+   the milliseconds.  */
 
 #include "base/hlc.h"
 
--- a/src/base/hlc.h
+++ b/src/base/hlc.h
@@ -1,13 +1,13 @@
 /* Hybrid logical clock.
 
-   A stamp is 64 bits: 48 bits of wall time in milliseconds since the epoch
-   and a counter of 16 bits.  Stamps of one clock grow strictly; the stamp of
-   a received message's event is greater than the stamp in the message; and
-   the wall part stays near the wall clock.  So events of all processes sort
-   by stamp in an order that agrees with cause and effect.
+   A stamp has 64 bits: 48 bits of wall time in milliseconds since the epoch
+   and a counter of 16 bits.  The stamps of one clock increase strictly, the
+   stamp for receiving a message is greater than the stamp in the message, and
+   the wall part stays close to the wall clock.  Sorting the events of all
+   processes by stamp therefore preserves causality.
 
-   The clock is pure: WALL is passed in (gp_time_wall), in microseconds since
-   the epoch, and may step back.  */
+   The clock reads no system clock: WALL is passed in (gp_time_wall), in
+   microseconds since the epoch, and may step back.  */
 
 #ifndef GP_BASE_HLC_H
 #define GP_BASE_HLC_H
@@ -24,17 +24,18 @@
 
 #define GP_HLC_COUNTER_BITS 16
 
-/* A remote stamp further ahead of WALL than this many milliseconds comes
-   from a broken clock and is not followed.  */
+/* A remote stamp that is more than this many milliseconds ahead of WALL is
+   taken to come from a wrong clock and is ignored.  */
 #define GP_HLC_MAX_AHEAD_MS 60000
 
 void gp_hlc_init (gp_hlc_t *clock);
 
-/* The stamp of an event here, also of sending a message.  */
+/* Return the stamp of a local event, including the sending of a message.  */
 gp_hlc_stamp_t gp_hlc_tick (gp_hlc_t *clock, int64_t wall);
 
-/* The stamp of receiving a message that carries REMOTE.  False, and a plain
-   tick in STAMP, when REMOTE is too far ahead.  */
+/* Set STAMP to the stamp for receiving a message that carries REMOTE.  When
+   REMOTE is too far ahead, it is ignored: STAMP is that of a local event, and
+   false is returned.  */
 bool gp_hlc_receive (gp_hlc_t *clock, gp_hlc_stamp_t remote, int64_t wall,
                      gp_hlc_stamp_t *stamp);
 
--- a/src/base/idpool.c
+++ b/src/base/idpool.c
@@ -1,4 +1,4 @@
-/* Handles with generations over a growing array and a free list.  */
+/* Handles with generations, on a growing array with a free list.  */
 
 #include "base/idpool.h"
 
--- a/src/base/idpool.h
+++ b/src/base/idpool.h
@@ -1,8 +1,8 @@
-/* Table from small integer handles to objects.
+/* Table that maps integer handles to objects.
 
-   A handle carries the generation of its place, so a late message for an
-   exchange that has ended finds nothing, even after the place was used
-   again.  All operations are constant time.  */
+   A handle contains the generation of its slot, so a late message for an
+   exchange that has ended finds no object, even if the slot has been reused.
+   All operations take constant time, apart from growing the table.  */
 
 #ifndef GP_BASE_IDPOOL_H
 #define GP_BASE_IDPOOL_H
@@ -29,16 +29,17 @@
 void gp_idpool_init (gp_idpool_t *pool);
 void gp_idpool_finish (gp_idpool_t *pool);
 
-/* A handle for OBJECT, never 0.  */
+/* Add OBJECT and return its handle, which is never 0.  */
 uint64_t gp_idpool_add (gp_idpool_t *pool, void *object);
 
-/* The object of HANDLE, or NULL when it was removed or never given.  */
+/* Return the object of HANDLE, or NULL when HANDLE was removed or never
+   existed.  */
 void *gp_idpool_get (const gp_idpool_t *pool, uint64_t handle);
 
-/* Forget HANDLE; an unknown one is ignored.  */
+/* Remove HANDLE; an unknown handle is ignored.  */
 void gp_idpool_remove (gp_idpool_t *pool, uint64_t handle);
 
-/* Call VISIT for each object.  VISIT may remove its own handle.  */
+/* Call VISIT for each object.  VISIT may remove the handle of its object.  */
 void gp_idpool_foreach (gp_idpool_t *pool,
                         void (*visit) (void *object, void *data), void *data);
 
--- a/src/base/issue.c
+++ b/src/base/issue.c
@@ -1,4 +1,4 @@
-/* Lists of faults in a text.  */
+/* Lists of errors and warnings about a text.  */
 
 #include "base/issue.h"
 
@@ -51,8 +51,8 @@
   return 0;
 }
 
-/* An insertion sort keeps equal places in order, which the library's sort
-   does not promise; lists are short and nearly sorted.  */
+/* An insertion sort, because it is stable, which GLib's sort does not
+   guarantee; lists are short and nearly sorted.  */
 void
 gp_issues_sort (GPtrArray *issues)
 {
--- a/src/base/issue.h
+++ b/src/base/issue.h
@@ -1,7 +1,7 @@
-/* Faults found in a text that a person wrote.
+/* Errors and warnings about a text written by a person.
 
-   A check gathers every fault it can find in a list, each with its place,
-   so that a person mends them in one go.  */
+   A check collects all errors it can find in a list, each with its position,
+   so that a person can correct them at once.  */
 
 #ifndef GP_BASE_ISSUE_H
 #define GP_BASE_ISSUE_H
@@ -11,45 +11,45 @@
 
 typedef enum
 {
-  GP_ISSUE_WARNING, /* accepted, but likely not what was meant */
+  GP_ISSUE_WARNING, /* accepted, but probably not intended */
   GP_ISSUE_ERROR
 } gp_issue_severity_t;
 
 typedef struct
 {
   gp_issue_severity_t severity;
-  unsigned line;   /* from 1; 0: the text as a whole */
+  unsigned line;   /* from 1; 0 for the whole text */
   unsigned column; /* from 1 */
-  char *path;      /* "services[0].slots"; empty for the whole */
-  char *value;     /* what stands there; NULL when it has no single value */
+  char *path;      /* "services[0].slots"; empty for the whole text */
+  char *value;     /* the value at PATH; NULL when it is not a scalar */
   char *message;   /* what is wrong */
-  char *allowed;   /* what may stand there; NULL when the message says it */
+  char *allowed;   /* allowed values; NULL when the message is sufficient */
 } gp_issue_t;
 
-/* Issues that a list takes; more are dropped.  */
+/* Maximum length of a list; further issues are dropped.  */
 #define GP_ISSUES_MAX 1000
 
-/* A list of gp_issue_t that owns them.  */
+/* Create a list of gp_issue_t that owns its elements.  */
 GPtrArray *gp_issues_new (void);
 
 /* Append an issue; the strings are copied.  */
 void gp_issues_add (GPtrArray *issues, const gp_issue_t *issue);
 
-/* Order by place; equal places keep their order.  */
+/* Sort by position; the sort is stable.  */
 void gp_issues_sort (GPtrArray *issues);
 
 size_t gp_issues_count (const GPtrArray *issues, gp_issue_severity_t severity);
 
 /* Append "NAME:LINE:COLUMN: error: PATH: message (allowed: ...)" to OUT,
-   without an end of line.  */
+   without a newline.  */
 void gp_issue_format (const gp_issue_t *issue, const char *name, GString *out);
 
-/* All of ISSUES, a line each.  */
+/* Append all ISSUES to OUT, one per line.  */
 void gp_issues_format (const GPtrArray *issues, const char *name,
                        GString *out);
 
-/* All of ISSUES as a JSON array of objects with the members of gp_issue_t;
-   severity is "error" or "warning", NULL strings are left out.  */
+/* Return all ISSUES as a JSON array of objects with the members of gp_issue_t;
+   severity is "error" or "warning", and NULL strings are omitted.  */
 json_t *gp_issues_json (const GPtrArray *issues);
 
 #endif
--- a/src/base/list.h
+++ b/src/base/list.h
@@ -1,8 +1,8 @@
 /* Intrusive doubly linked list.
 
-   A list is a ring of links through a head; an element embeds a
-   gp_list_t and is found again with GP_CONTAINER_OF.  No memory is
-   allocated and every operation is constant time.  */
+   A list is a ring of links that includes a head.  An element embeds a
+   gp_list_t; GP_CONTAINER_OF converts the link back to the element.  No memory
+   is allocated, and every operation takes constant time.  */
 
 #ifndef GP_BASE_LIST_H
 #define GP_BASE_LIST_H
@@ -18,15 +18,15 @@
   gp_list_t *prev;
 };
 
-/* The structure of type TYPE whose field MEMBER is at PTR.  */
+/* Return the structure of type TYPE whose field MEMBER is at PTR.  */
 #define GP_CONTAINER_OF(ptr, type, member)                                    \
   ((type *)(void *)((char *)(ptr)-offsetof (type, member)))
 
-/* Visit each link POS of HEAD; POS must not be removed in the body.  */
+/* Iterate over the links of HEAD; POS must not be removed in the body.  */
 #define GP_LIST_FOREACH(pos, head)                                            \
   for (gp_list_t *pos = (head)->next; pos != (head); pos = pos->next)
 
-/* As GP_LIST_FOREACH, but POS may be removed in the body.  */
+/* Like GP_LIST_FOREACH, but POS may be removed in the body.  */
 #define GP_LIST_FOREACH_SAFE(pos, head)                                       \
   for (gp_list_t *pos = (head)->next, *pos##_next = pos->next; pos != (head); \
        pos = pos##_next, pos##_next = pos->next)
@@ -65,8 +65,8 @@
   gp_list_insert_before (head->next, link);
 }
 
-/* Unlink LINK and leave it an empty list, so that a second removal is
-   harmless.  */
+/* Unlink LINK and make it an empty list, so that removing it again has no
+   effect.  */
 static inline void
 gp_list_remove (gp_list_t *link)
 {
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -1,9 +1,9 @@
-/* Structured log lines: one JSON object a line.
+/* Structured log: one JSON object per line.
 
-   A line goes out in one write of at most PIPE_BUF bytes, and only when the
-   kernel takes it at once, so that a reader that is slow or gone never holds
-   a process up.  What is left out, for that reason or because an event came
-   too often within a second, is counted and told with the next line.  */
+   A line is written with one write of at most PIPE_BUF bytes, and only when it
+   does not block, so that a slow or missing reader never stalls a process.
+   Lines that are dropped, for that reason or because an event exceeded its
+   rate limit, are counted, and the next line reports their number.  */
 
 #include "base/log.h"
 
@@ -19,13 +19,14 @@
 #include "base/counters.h"
 #include "base/time.h"
 
-/* Lines of one event that go out in a second: at the peak of the sites known
-   an entry decides on some 150 runs a second.  */
+/* Maximum number of lines of one event per second.  The peak at known sites is
+   about 150 run decisions per second on one entry.  */
 #define LINES_A_SECOND 400
-/* Events that are told apart; further ones share the last place.  */
+/* Number of events with a limit of their own; further events share the last
+   one.  */
 #define EVENTS_MAX 96
 
-/* The lines of one event in the present second.  */
+/* The number of lines of an event in the current second.  */
 typedef struct
 {
   const char *event;
@@ -37,7 +38,7 @@
 static gp_log_level_t log_threshold = GP_LOG_INFO;
 static int log_descriptor = STDERR_FILENO;
 static budget_t budgets[EVENTS_MAX];
-static int64_t left_out; /* since the last line */
+static int64_t left_out; /* lines dropped since the last written line */
 
 static gp_counter_t lines_count
     = GP_COUNTER ("log_lines_total", "Log lines written");
@@ -75,7 +76,7 @@
   return &budgets[i];
 }
 
-/* May one more line of EVENT go out?  */
+/* Count a line of EVENT and return whether it is within the limit.  */
 static bool
 take_budget (const char *event, int64_t wall)
 {
@@ -116,8 +117,8 @@
   return poll (&descriptor, 1, 0) == 1 && (descriptor.revents & POLLOUT) != 0;
 }
 
-/* Write TEXT and an end of line; false when it could not be written whole at
-   once.  */
+/* Write TEXT and a newline; false when they could not be written completely
+   without blocking.  */
 static bool
 write_line (const char *text)
 {
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,10 +1,10 @@
-/* Structured log lines.
+/* Structured log.
 
-   One line of JSON for each change of state or decision: time, level,
-   process, event and typed fields, on standard error or, where that is asked
-   for, on standard output.  Writing never blocks, and the lines of an event
-   are bounded in each second; what was left out is told with the next line
-   (`lines_left_out') and counted.  */
+   Each state change or decision is one line of JSON with time, level, process,
+   event and typed fields, on standard error or, after gp_log_to_stdout, on
+   standard output.  Writing never blocks, and the lines per second of each
+   event are limited.  Dropped lines are counted, and the next line reports
+   their number (`lines_left_out').  */
 
 #ifndef GP_BASE_LOG_H
 #define GP_BASE_LOG_H
@@ -26,7 +26,7 @@
   GP_LOG_FIELD_INTEGER
 } gp_log_field_kind_t;
 
-/* One typed field of a line.  */
+/* A typed field of a line.  */
 typedef struct
 {
   gp_log_field_kind_t kind;
@@ -45,18 +45,19 @@
   ((gp_log_field_t){                                                          \
       .kind = GP_LOG_FIELD_INTEGER, .name = (n), .u.integer = (int64_t)(v) })
 
-/* Name this process in its lines and drop lines below LEVEL.  PROCESS must
-   stay valid.  */
+/* Set the process name in log lines and the minimum LEVEL.  PROCESS must stay
+   valid.  */
 void gp_log_init (const char *process, gp_log_level_t level);
 
 /* Write to standard output from now on.  */
 void gp_log_to_stdout (void);
 
-/* Write one line.  FIELDS ends with a field of kind GP_LOG_FIELD_END.  */
+/* Write a line.  FIELDS ends with a field of kind GP_LOG_FIELD_END.  */
 void gp_log_write (gp_log_level_t level, const char *event,
                    const gp_log_field_t *fields);
 
-/* gp_log (GP_LOG_INFO, "peer.up", GP_LOG_S ("peer", name)).  */
+/* Write a line, for example gp_log (GP_LOG_INFO, "peer.up", GP_LOG_S ("peer",
+   name)).  */
 #define gp_log(level, event, ...)                                             \
   gp_log_write ((level), (event),                                             \
                 (const gp_log_field_t[]){ __VA_ARGS__ __VA_OPT__ (, ){        \
--- a/src/base/repeats.c
+++ b/src/base/repeats.c
@@ -1,12 +1,12 @@
-/* What happens again and again: when to write a line of it.  */
+/* Sampling of repeated log lines by key.  */
 
 #include "base/repeats.h"
 
 #include <stdbool.h>
 
-/* A line is due with the first and with each power of this.  */
+/* Occurrences are logged at the powers of this number, starting with 1.  */
 #define LINE_FACTOR 10
-/* The key of all beyond the bound.  */
+/* Common key for all keys beyond the limit.  */
 #define OTHERS "others"
 
 void
@@ -23,7 +23,7 @@
   g_hash_table_destroy (repeats->counts);
 }
 
-/* The count of KEY, made when there is none.  */
+/* Return the count of KEY, creating it if necessary.  */
 static uint64_t *
 count_of (gp_repeats_t *repeats, const char *key)
 {
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -1,5 +1,5 @@
-/* Reading of settings: tree, schema, typed structure, then the checks that
-   a schema cannot tell.  */
+/* Loading of settings: YAML tree, schema check, typed structure, and then the
+   checks that a schema cannot express.  */
 
 #include "base/settings.h"
 
@@ -36,7 +36,7 @@
   return strcmp (gp_settings_config_stream (log), log->stream) != 0;
 }
 
-/* Whether no entry before PLACE is in its region.  */
+/* Return whether the entry at index PLACE is the first one of its region.  */
 static bool
 is_first_of_region (const gp_settings_t *settings, uint32_t place)
 {
@@ -75,7 +75,7 @@
 void
 gp_settings_finish (gp_settings_t *settings)
 {
-  /* libcyaml frees the outermost structure too.  */
+  /* libcyaml also frees the outermost structure.  */
   gp_settings_t *whole = g_memdup2 (settings, sizeof *settings);
 
   gp_yaml_unload (whole, &gp_settings_schema);
@@ -96,7 +96,7 @@
   g_string_free (text, TRUE);
 }
 
-/* Load what fits the schema and check the rest.  */
+/* Check ROOT against the schema, load SETTINGS and check them.  */
 static bool
 load_checked (gp_settings_t *settings, const char *text, size_t size,
               const gp_yaml_node_t *root, GPtrArray *issues)
@@ -147,7 +147,8 @@
   return false;
 }
 
-/* Put the first line of the token's file in place of the token.  */
+/* Set the token to the content of its file, without surrounding
+   whitespace.  */
 static bool
 load_token (gp_settings_entry_t *entry, GError **error)
 {
--- a/src/base/settings_check.c
+++ b/src/base/settings_check.c
@@ -1,4 +1,4 @@
-/* Defaults and checks of settings that a schema cannot tell.  */
+/* Defaults and checks of settings that a schema cannot express.  */
 
 #include "base/settings_check.h"
 
@@ -19,7 +19,7 @@
   gp_yaml_report ((check)->root, (check)->issues, GP_ISSUE_ERROR, (path),     \
                   (allowed), __VA_ARGS__)
 
-/* Read TEXT at PATH; false after a report.  */
+/* Parse the value TEXT at PATH; false after reporting an error.  */
 static bool
 check_address (check_t *check, const char *path, const char *text,
                struct sockaddr_storage *address)
@@ -31,7 +31,8 @@
   return false;
 }
 
-/* An address to connect to: a port and no wildcard.  */
+/* Check an address to connect to: it needs a port and must not be a
+   wildcard.  */
 static bool
 check_target (check_t *check, const char *path, const char *text,
               struct sockaddr_storage *address)
@@ -45,7 +46,8 @@
   return false;
 }
 
-/* An address of the site's own protocol: plain only on loopback.  */
+/* Check an address of the site's protocol: without TLS it must be
+   loopback.  */
 static void
 check_protected (check_t *check, const char *path,
                  const struct sockaddr_storage *address)
@@ -119,7 +121,8 @@
     }
 }
 
-/* The entry's own line in the list must lead to where it listens.  */
+/* Check that the list `entries' has this entry with the address on which it
+   listens.  */
 static void
 check_own_line (check_t *check, const struct sockaddr_storage *listened)
 {
@@ -148,8 +151,8 @@
            own->name, own->peers, settings->entry->peers);
 }
 
-/* An entry vouches to those of its region only, and fences the guards of
-   its stream, so a stream may not serve two regions.  */
+/* Check that a stream does not serve two regions: an entry vouches only to the
+   entries of its region, and fences the guards of its stream.  */
 static void
 check_log (check_t *check, const gp_settings_platform_log_t *log)
 {
@@ -257,7 +260,7 @@
            "there is nothing to guard");
 }
 
-/* Timings that only work together.  */
+/* Check timings that depend on each other.  */
 static void
 check_timings (check_t *check, gp_settings_timings_t *values)
 {
--- a/src/base/settings_check.h
+++ b/src/base/settings_check.h
@@ -1,4 +1,4 @@
-/* Checks of loaded settings beyond their schema; see settings.h.  */
+/* Checks of loaded settings that a schema cannot express; see settings.h.  */
 
 #ifndef GP_BASE_SETTINGS_CHECK_H
 #define GP_BASE_SETTINGS_CHECK_H
@@ -6,8 +6,8 @@
 #include "base/settings.h"
 #include "base/yaml.h"
 
-/* Give SETTINGS, loaded from ROOT, its defaults and add what breaks a rule
-   to ISSUES.  */
+/* Set the remaining defaults of SETTINGS, which were loaded from ROOT, and add
+   violations of rules to ISSUES.  */
 void gp_settings_check (gp_settings_t *settings, const gp_yaml_node_t *root,
                         GPtrArray *issues);
 
--- a/src/base/settings_schema.c
+++ b/src/base/settings_schema.c
@@ -1,4 +1,4 @@
-/* The schema of the settings, as libcyaml reads it.  */
+/* The libcyaml schema of the settings and its additional rules.  */
 
 #include "base/settings_schema.h"
 
--- a/src/base/settings_schema.h
+++ b/src/base/settings_schema.h
@@ -1,4 +1,4 @@
-/* The schema of the settings ; see settings.h.  */
+/* The schema of the settings; see settings.h.  */
 
 #ifndef GP_BASE_SETTINGS_SCHEMA_H
 #define GP_BASE_SETTINGS_SCHEMA_H
--- a/src/base/time.c
+++ b/src/base/time.c
@@ -1,4 +1,4 @@
-/* Points in time: reading the clocks.  */
+/* Reading of the clocks.  */
 
 #include "base/time.h"
 
--- a/src/base/timeline.c
+++ b/src/base/timeline.c
@@ -1,4 +1,4 @@
-/* Time line: the last events of one process.  */
+/* Timeline: the last events of one process.  */
 
 #include "base/timeline.h"
 
@@ -28,7 +28,7 @@
   timeline->size = size;
 }
 
-/* Copy FROM, cut between two characters of UTF-8 if it is too long.  */
+/* Copy FROM, truncated between two UTF-8 characters if it is too long.  */
 static void
 copy_text (char *to, size_t size, const char *from)
 {
@@ -84,7 +84,8 @@
 
 /* Export.  */
 
-/* Identifiers are text, as 64 bits don't fit into a number of JSON.  */
+/* Identifiers are exported as text, because JSON numbers cannot hold 64
+   bits.  */
 static void
 set_id (json_t *line, const char *key, uint64_t id)
 {
@@ -156,7 +157,7 @@
   uint64_t end;
 
   if (since > last)
-    since = 0; /* the cursor is of an earlier start of this process */
+    since = 0; /* the cursor is from a previous start of this process */
   if (since + 1 < oldest)
     {
       json_t *line = new_line (timeline);
--- a/src/base/timeline.h
+++ b/src/base/timeline.h
@@ -1,8 +1,8 @@
-/* Time line: the last events of one process.
+/* Timeline: the last events of one process.
 
-   A ring of fixed size on memory of the caller.  Appending copies one event
-   of fixed size and allocates nothing, so it may stand on any path.  An
-   operator collects the time lines of all processes and merges them by stamp
+   A ring buffer of fixed size, allocated by the caller.  Appending copies one
+   event of fixed size and allocates nothing, so it may be used on hot paths.
+   An operator collects the timelines of all processes and merges them by stamp
    (base/hlc.h).  */
 
 #ifndef GP_BASE_TIMELINE_H
@@ -14,7 +14,7 @@
 
 #include "base/hlc.h"
 
-/* Each kind with its name in the exported form.  */
+/* Kinds of events with their exported names.  */
 #define GP_TIMELINE_KINDS(X)                                                  \
   X (PROCESS_START, "process.start")                                          \
   X (PROCESS_STOP, "process.stop")                                            \
@@ -62,13 +62,13 @@
 #define GP_TIMELINE_NAME_SIZE 32
 #define GP_TIMELINE_TEXT_SIZE 48
 
-/* What an event is about; zero and NULL for what does not apply.  */
+/* The subject of an event; zero or NULL where a field does not apply.  */
 typedef struct
 {
   uint64_t request;
   uint64_t task;
   uint64_t epoch;
-  const char *vm; /* cut to GP_TIMELINE_NAME_SIZE - 1 bytes */
+  const char *vm; /* truncated to GP_TIMELINE_NAME_SIZE - 1 bytes */
 } gp_timeline_subject_t;
 
 typedef struct
@@ -93,31 +93,34 @@
   size_t size;
 } gp_timeline_t;
 
-/* A time line that keeps the last SIZE events, at least one, in EVENTS.
+/* Initialize TIMELINE to keep the last SIZE events, at least one, in EVENTS.
    PROCESS and EVENTS must stay valid.  */
 void gp_timeline_init (gp_timeline_t *timeline, const char *process,
                        uint64_t incarnation, gp_timeline_event_t *events,
                        size_t size);
 
-/* Append an event; TEXT (may be NULL) is cut to its field.  Returns its
-   stamp, to be sent with a message that the event causes.  */
+/* Append an event; TEXT, which may be NULL, is truncated to the size of its
+   field.  Return the event's stamp, to be sent with a message that the event
+   causes.  */
 gp_hlc_stamp_t gp_timeline_append (gp_timeline_t *timeline,
                                    gp_timeline_kind_t kind,
                                    const gp_timeline_subject_t *subject,
                                    const char *text, int64_t wall);
 
-/* A message with stamp REMOTE has come: later events sort after it.  */
+/* Record the receipt of a message with stamp REMOTE, so that later events sort
+   after it.  */
 void gp_timeline_receive (gp_timeline_t *timeline, gp_hlc_stamp_t remote,
                           int64_t wall);
 
-/* The event with SEQUENCE, or NULL when it is overwritten or to come.  */
+/* Return the event with SEQUENCE, or NULL when it was overwritten or does not
+   exist yet.  */
 const gp_timeline_event_t *gp_timeline_get (const gp_timeline_t *timeline,
                                             uint64_t sequence);
 
-/* Append to OUT a JSON line for each event after sequence SINCE, MAX at most.
-   Events that are overwritten are told by a first line with "lost".  A
-   SINCE that is yet to come is taken as 0.  Returns the sequence to pass as
-   SINCE next.  */
+/* Append to OUT a JSON line for each event after sequence SINCE, at most MAX.
+   If events in that range were overwritten, the first line has their number as
+   "lost".  A SINCE in the future is treated as 0.  Return the sequence to pass
+   as SINCE next time.  */
 uint64_t gp_timeline_export (const gp_timeline_t *timeline, uint64_t since,
                              size_t max, GString *out);
 
--- a/src/base/yaml.c
+++ b/src/base/yaml.c
@@ -1,4 +1,4 @@
-/* Trees of YAML nodes, read from the events of libyaml.  */
+/* Parsing of YAML into trees of nodes, based on libyaml events.  */
 
 #include "base/yaml.h"
 
@@ -11,7 +11,7 @@
 {
   yaml_parser_t yaml;
   GPtrArray *issues;
-  bool broken; /* the text cannot be read further */
+  bool broken; /* parsing cannot continue */
 } reader_t;
 
 static gp_yaml_node_t *read_node (reader_t *reader, const yaml_event_t *event,
@@ -55,7 +55,7 @@
   reader->broken = true;
 }
 
-/* Take the next event; false when the text is not YAML.  */
+/* Read the next event; false when the text is not valid YAML.  */
 static bool
 next_event (reader_t *reader, yaml_event_t *event)
 {
@@ -134,7 +134,7 @@
   return NULL;
 }
 
-/* Read the value of KEY and put it into NODE.  */
+/* Read the value of KEY and add it to the mapping NODE.  */
 static void
 read_member (reader_t *reader, gp_yaml_node_t *node, const yaml_event_t *key,
              unsigned depth)
@@ -186,7 +186,7 @@
   return node;
 }
 
-/* The node that starts with EVENT, NULL when there is none to keep.  */
+/* Read the node that starts with EVENT; NULL after reporting an error.  */
 static gp_yaml_node_t *
 read_node (reader_t *reader, const yaml_event_t *event, unsigned depth)
 {
@@ -212,7 +212,7 @@
     }
 }
 
-/* Read all documents; the first is kept.  */
+/* Read the stream and return its first document; a second one is an error.  */
 static gp_yaml_node_t *
 read_stream (reader_t *reader)
 {
@@ -260,7 +260,8 @@
   return NULL;
 }
 
-/* One step of a path: the child of NODE, and *PATH is moved on.  */
+/* Return the child of NODE for the first component of *PATH, and advance *PATH
+   past it.  */
 static const gp_yaml_node_t *
 step (const gp_yaml_node_t *node, const char **path)
 {
@@ -286,8 +287,8 @@
   return child_of_key (node, at, size);
 }
 
-/* The deepest node of PATH that is there; *WHOLE tells whether it is the
-   one that was asked for.  */
+/* Return the deepest existing node on PATH; *WHOLE is set to whether it is the
+   node at the end of PATH.  */
 static const gp_yaml_node_t *
 deepest (const gp_yaml_node_t *root, const char *path, bool *whole)
 {
--- a/src/base/yaml.h
+++ b/src/base/yaml.h
@@ -1,8 +1,8 @@
-/* Trees of YAML nodes, each with its place.
+/* Trees of YAML nodes with their positions.
 
-   A text is read with libyaml, more strictly than YAML asks: no aliases, no
-   doubled keys, one document, bounded size and depth.  Types are the matter
-   of base/yaml_schema.h.  */
+   Texts are parsed with libyaml and additional restrictions: no aliases, no
+   duplicate keys, a single document, limited size and depth.  Types are
+   checked by base/yaml_schema.h.  */
 
 #ifndef GP_BASE_YAML_H
 #define GP_BASE_YAML_H
@@ -13,7 +13,7 @@
 
 #include "base/issue.h"
 
-/* Bounds of a text; beyond them it is refused.  */
+/* Limits for a text; larger ones are rejected.  */
 #define GP_YAML_MAX_SIZE ((size_t)8 * 1024 * 1024)
 #define GP_YAML_MAX_DEPTH 16
 #define GP_YAML_MAX_KEYS 256 /* of one mapping */
@@ -40,36 +40,37 @@
   GPtrArray *children; /* of gp_yaml_node_t; NULL for a scalar */
 };
 
-/* Read TEXT into a tree, to be freed with gp_yaml_node_free.  NULL when it
-   cannot be read at all; what is wrong is added to ISSUES either way.  */
+/* Parse TEXT into a tree, to be freed with gp_yaml_node_free.  NULL when it
+   cannot be parsed.  Errors are added to ISSUES in either case.  */
 gp_yaml_node_t *gp_yaml_parse (const char *text, size_t size,
                                GPtrArray *issues);
 void gp_yaml_node_free (gp_yaml_node_t *node);
 
-/* The node at PATH ("services[0].slots") under ROOT, or NULL.  */
+/* Return the node at PATH ("services[0].slots") below ROOT, or NULL.  */
 const gp_yaml_node_t *gp_yaml_find (const gp_yaml_node_t *root,
                                     const char *path);
 
-/* Add an issue of SEVERITY at PATH: the place is that of the deepest node
-   that is there.  ALLOWED may be NULL.  */
+/* Add an issue of SEVERITY for PATH.  Its position is that of the deepest
+   existing node on PATH.  ALLOWED may be NULL.  */
 void gp_yaml_report (const gp_yaml_node_t *root, GPtrArray *issues,
                      gp_issue_severity_t severity, const char *path,
                      const char *allowed, const char *format, ...)
     G_GNUC_PRINTF (6, 7);
 
-/* The child of mapping NODE that has KEY, or NULL; also when NODE is not a
-   mapping.  */
+/* Return the child of mapping NODE with KEY.  NULL when there is none or NODE
+   is not a mapping.  */
 const gp_yaml_node_t *gp_yaml_member (const gp_yaml_node_t *node,
                                       const char *key);
 
 typedef enum
 {
-  GP_YAML_FLOW, /* one line, as it is hashed and sent */
-  GP_YAML_BLOCK /* lines, as a person reads it */
+  GP_YAML_FLOW, /* one line, for hashing and sending */
+  GP_YAML_BLOCK /* indented lines, for people */
 } gp_yaml_style_t;
 
-/* Append NODE as YAML to OUT.  A plain scalar is written as it is, others
-   are quoted where STYLE needs it.  */
+/* Append NODE as YAML to OUT.  Plain scalars are written without quotes,
+   others with quotes; in block style, words that need no quotes are written
+   without them.  */
 void gp_yaml_emit (const gp_yaml_node_t *node, gp_yaml_style_t style,
                    GString *out);
 
--- a/src/base/yaml_emit.c
+++ b/src/base/yaml_emit.c
@@ -1,12 +1,12 @@
-/* YAML written from trees, by the emitter of libyaml.  */
+/* Writing of trees as YAML with the emitter of libyaml.  */
 
 #include <string.h>
 #include <yaml.h>
 
 #include "base/yaml.h"
 
-/* Characters that a word without quotes may hold: none of them has a
-   meaning in YAML.  */
+/* Characters allowed in a word without quotes: none of them is special in
+   YAML.  */
 #define WORD_START "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ/"
 #define WORD_CHARACTERS WORD_START "0123456789-_."
 
@@ -25,7 +25,8 @@
              emitter->problem ? emitter->problem : "out of memory");
 }
 
-/* Words that some reader of YAML takes for something else than text.  */
+/* Return whether TEXT is a word that some YAML parsers do not read as a
+   string.  */
 static bool
 is_reserved (const char *text)
 {
--- a/src/base/yaml_json.c
+++ b/src/base/yaml_json.c
@@ -1,4 +1,4 @@
-/* A schema as JSON Schema, for forms and editors.  */
+/* Conversion of a schema to JSON Schema, for forms and editors.  */
 
 #include <string.h>
 
--- a/src/base/yaml_load.c
+++ b/src/base/yaml_load.c
@@ -1,4 +1,4 @@
-/* Checked trees into typed structures and into their one form.  */
+/* Loading of checked YAML into typed structures, and its canonical form.  */
 
 #include <string.h>
 
@@ -26,8 +26,8 @@
   return NULL;
 }
 
-/* Filling in of what is left out.  A mapping that is part of its parent is
-   filled also when its key is absent (NODE is NULL).  */
+/* Defaults for omitted fields.  A mapping that is embedded in its parent gets
+   defaults even when its key is absent (NODE is NULL).  */
 
 static void fill_mapping (const gp_yaml_schema_t *schema,
                           const cyaml_schema_field_t *fields,
--- a/src/base/yaml_schema.c
+++ b/src/base/yaml_schema.c
@@ -1,17 +1,17 @@
-/* Trees of YAML nodes against a schema.  */
+/* Checking of YAML trees against a schema.  */
 
 #include "base/yaml_schema.h"
 
 #include <string.h>
 
-/* Most names listed as allowed in one message.  */
+/* Maximum number of names listed as allowed in a message.  */
 #define LISTED_MAX 24
 
 typedef struct
 {
   const gp_yaml_schema_t *schema;
   GPtrArray *issues;
-  GString *path;        /* of the node that is checked */
+  GString *path;        /* of the node being checked */
   GHashTable *compiled; /* pattern -> GRegex */
 } checker_t;
 
@@ -69,14 +69,14 @@
   return text[0] != '\0' && strspn (text, "0123456789") == strlen (text);
 }
 
-/* The largest number that SIZE bytes hold.  */
+/* Return the largest unsigned number that fits into SIZE bytes.  */
 static guint64
 largest (unsigned size)
 {
   return size >= 8 ? G_MAXUINT64 : (G_GUINT64_CONSTANT (1) << (size * 8)) - 1;
 }
 
-/* Whether TEXT is a decimal number from MIN to MAX.  */
+/* Return whether TEXT is a decimal number from MIN to MAX.  */
 static bool
 is_number (const char *text, guint64 min, guint64 max)
 {
@@ -112,7 +112,8 @@
     report_value (checker, node, "true or false");
 }
 
-/* No control characters but tab and line feed, which every form shows.  */
+/* Return whether TEXT has no control characters except tab and newline, which
+   every form can display.  */
 static bool
 is_printable (const char *text)
 {
