--- a/src/base/arena.c
+++ b/src/base/arena.c
@@ -59,7 +59,7 @@
 }
 
 static gp_arena_block_t *
-block_with_room (gp_arena_t *arena, size_t size)
+find_block (gp_arena_t *arena, size_t size)
 {
   gp_arena_block_t *block = arena->current;
 
@@ -78,7 +78,7 @@
 {
   size_t rounded
       = (size + alignof (max_align_t) - 1) & ~(alignof (max_align_t) - 1);
-  gp_arena_block_t *block = block_with_room (arena, rounded);
+  gp_arena_block_t *block = find_block (arena, rounded);
   void *object = block->bytes + block->used;
 
   block->used += rounded;
--- a/src/base/heap.c
+++ b/src/base/heap.c
@@ -17,7 +17,7 @@
 
 /* Make the root LOWER the leftmost child of the root UPPER.  */
 static void
-adopt (gp_heap_node_t *upper, gp_heap_node_t *lower)
+attach_child (gp_heap_node_t *upper, gp_heap_node_t *lower)
 {
   lower->next = upper->child;
   if (lower->next != NULL)
@@ -36,10 +36,10 @@
     return a;
   if (heap->before (b, a))
     {
-      adopt (b, a);
+      attach_child (b, a);
       return b;
     }
-  adopt (a, b);
+  attach_child (a, b);
   return a;
 }
 
@@ -47,7 +47,7 @@
 static gp_heap_node_t *
 meld_siblings (const gp_heap_t *heap, gp_heap_node_t *first)
 {
-  gp_heap_node_t *pairs = NULL;
+  gp_heap_node_t *melded_pairs = NULL;
   gp_heap_node_t *root = NULL;
 
   while (first != NULL)
@@ -60,17 +60,17 @@
       if (second != NULL)
         second->next = NULL;
       pair = meld (heap, first, second);
-      pair->next = pairs;
-      pairs = pair;
+      pair->next = melded_pairs;
+      melded_pairs = pair;
       first = rest;
     }
-  while (pairs != NULL)
+  while (melded_pairs != NULL)
     {
-      gp_heap_node_t *rest = pairs->next;
+      gp_heap_node_t *rest = melded_pairs->next;
 
-      pairs->next = NULL;
-      root = meld (heap, root, pairs);
-      pairs = rest;
+      melded_pairs->next = NULL;
+      root = meld (heap, root, melded_pairs);
+      melded_pairs = rest;
     }
   if (root != NULL)
     root->prev = NULL;
@@ -86,7 +86,7 @@
 
 /* Unlink NODE, with its children, from its parent and siblings.  */
 static void
-cut (gp_heap_node_t *node)
+unlink_subtree (gp_heap_node_t *node)
 {
   if (node->prev->child == node)
     node->prev->child = node->next;
@@ -99,7 +99,7 @@
 void
 gp_heap_remove (gp_heap_t *heap, gp_heap_node_t *node)
 {
-  gp_heap_node_t *orphans;
+  gp_heap_node_t *children;
 
   if (node == heap->root)
     {
@@ -107,9 +107,9 @@
     }
   else
     {
-      cut (node);
-      orphans = meld_siblings (heap, node->child);
-      heap->root = meld (heap, heap->root, orphans);
+      unlink_subtree (node);
+      children = meld_siblings (heap, node->child);
+      heap->root = meld (heap, heap->root, children);
     }
   *node = (gp_heap_node_t){ NULL, NULL, NULL };
 }
--- a/src/base/histogram.c
+++ b/src/base/histogram.c
@@ -4,7 +4,7 @@
 
 #include <inttypes.h>
 
-static const gp_time_t bounds_ms[GP_HISTOGRAM_BUCKETS]
+static const gp_time_t bucket_limits_ms[GP_HISTOGRAM_BUCKETS]
     = { 1,   2,    5,    10,   20,    50,    100,  200,
         500, 1000, 2000, 5000, 10000, 20000, 30000 };
 
@@ -23,7 +23,7 @@
 {
   unsigned i = 0;
 
-  while (i < GP_HISTOGRAM_BUCKETS && duration > bounds_ms[i] * GP_MSEC)
+  while (i < GP_HISTOGRAM_BUCKETS && duration > bucket_limits_ms[i] * GP_MSEC)
     i++;
   histogram->counts[i]++;
   histogram->sum += duration;
@@ -44,7 +44,7 @@
       total += histogram->counts[i];
       g_string_append_printf (
           out, "galenapier_%s_seconds_bucket{le=\"%g\"} %" PRIu64 "\n", name,
-          (double)bounds_ms[i] / 1000.0, total);
+          (double)bucket_limits_ms[i] / 1000.0, total);
     }
   total += histogram->counts[GP_HISTOGRAM_BUCKETS];
   g_string_append_printf (
--- a/src/base/hlc.c
+++ b/src/base/hlc.c
@@ -34,12 +34,12 @@
 gp_hlc_receive (gp_hlc_t *clock, gp_hlc_stamp_t remote, int64_t wall,
                 gp_hlc_stamp_t *stamp)
 {
-  gp_hlc_stamp_t bound
+  gp_hlc_stamp_t limit
       = stamp_of_wall (wall + GP_HLC_MAX_AHEAD_MS * USEC_PER_MSEC);
-  bool followed = remote <= bound;
+  bool accepted = remote <= limit;
 
-  if (followed)
+  if (accepted)
     clock->last = MAX (clock->last, remote);
   *stamp = gp_hlc_tick (clock, wall);
-  return followed;
+  return accepted;
 }
--- a/src/base/idpool.c
+++ b/src/base/idpool.c
@@ -4,87 +4,87 @@
 
 #include <glib.h>
 
-#define NO_PLACE UINT32_MAX
-#define FIRST_SIZE 64
+#define NO_SLOT UINT32_MAX
+#define INITIAL_SIZE 64
 
 void
 gp_idpool_init (gp_idpool_t *pool)
 {
-  *pool = (gp_idpool_t){ .first_free = NO_PLACE };
+  *pool = (gp_idpool_t){ .first_free = NO_SLOT };
 }
 
 void
 gp_idpool_finish (gp_idpool_t *pool)
 {
-  g_free (pool->places);
+  g_free (pool->slots);
   gp_idpool_init (pool);
 }
 
 static uint32_t
-take_place (gp_idpool_t *pool)
+allocate_slot (gp_idpool_t *pool)
 {
   uint32_t index = pool->first_free;
 
-  if (index != NO_PLACE)
+  if (index != NO_SLOT)
     {
-      pool->first_free = pool->places[index].next_free;
+      pool->first_free = pool->slots[index].next_free;
       return index;
     }
   if (pool->used == pool->size)
     {
-      pool->size = pool->size == 0 ? FIRST_SIZE : pool->size * 2;
-      pool->places = g_renew (gp_idpool_place_t, pool->places, pool->size);
+      pool->size = pool->size == 0 ? INITIAL_SIZE : pool->size * 2;
+      pool->slots = g_renew (gp_idpool_place_t, pool->slots, pool->size);
     }
   index = pool->used++;
-  pool->places[index] = (gp_idpool_place_t){ .generation = 1 };
+  pool->slots[index] = (gp_idpool_place_t){ .generation = 1 };
   return index;
 }
 
 uint64_t
 gp_idpool_add (gp_idpool_t *pool, void *object)
 {
-  uint32_t index = take_place (pool);
-  gp_idpool_place_t *place = &pool->places[index];
+  uint32_t index = allocate_slot (pool);
+  gp_idpool_place_t *slot = &pool->slots[index];
 
-  place->object = object;
+  slot->object = object;
   pool->count++;
-  return (uint64_t)place->generation << 32 | index;
+  return (uint64_t)slot->generation << 32 | index;
 }
 
 static gp_idpool_place_t *
-find_place (const gp_idpool_t *pool, uint64_t handle)
+find_slot (const gp_idpool_t *pool, uint64_t handle)
 {
   uint32_t index = (uint32_t)handle;
-  gp_idpool_place_t *place;
+  gp_idpool_place_t *slot;
 
   if (index >= pool->used)
     return NULL;
-  place = &pool->places[index];
-  if (place->generation != handle >> 32 || place->object == NULL)
+  slot = &pool->slots[index];
+  if (slot->generation != handle >> 32 || slot->object == NULL)
     return NULL;
-  return place;
+  return slot;
 }
 
 void *
 gp_idpool_get (const gp_idpool_t *pool, uint64_t handle)
 {
-  gp_idpool_place_t *place = find_place (pool, handle);
+  gp_idpool_place_t *slot = find_slot (pool, handle);
 
-  return place == NULL ? NULL : place->object;
+  return slot == NULL ? NULL : slot->object;
 }
 
 void
 gp_idpool_remove (gp_idpool_t *pool, uint64_t handle)
 {
-  gp_idpool_place_t *place = find_place (pool, handle);
+  gp_idpool_place_t *slot = find_slot (pool, handle);
 
-  if (place == NULL)
+  if (slot == NULL)
     return;
-  place->object = NULL;
-  place->generation++;
-  if (place->generation == 0)
-    place->generation = 1;
-  place->next_free = pool->first_free;
+  slot->object = NULL;
+  slot->generation++;
+  if (slot->generation == 0)
+    slot->generation = 1;
+  slot->next_free = pool->first_free;
   pool->first_free = (uint32_t)handle;
   pool->count--;
 }
@@ -94,6 +94,6 @@
                    void *data)
 {
   for (uint32_t i = 0; i < pool->used; i++)
-    if (pool->places[i].object != NULL)
-      visit (pool->places[i].object, data);
+    if (pool->slots[i].object != NULL)
+      visit (pool->slots[i].object, data);
 }
--- a/src/base/idpool.h
+++ b/src/base/idpool.h
@@ -19,7 +19,7 @@
 
 typedef struct
 {
-  gp_idpool_place_t *places;
+  gp_idpool_place_t *slots;
   uint32_t size;
   uint32_t used;
   uint32_t first_free;
--- a/src/base/issue.c
+++ b/src/base/issue.c
@@ -39,7 +39,7 @@
 }
 
 static gint
-compare_place (gconstpointer left, gconstpointer right)
+compare_position (gconstpointer left, gconstpointer right)
 {
   const gp_issue_t *a = *(const gp_issue_t *const *)left;
   const gp_issue_t *b = *(const gp_issue_t *const *)right;
@@ -61,7 +61,8 @@
       gpointer moved = issues->pdata[i];
       guint hole = i;
 
-      while (hole > 0 && compare_place (&issues->pdata[hole - 1], &moved) > 0)
+      while (hole > 0
+             && compare_position (&issues->pdata[hole - 1], &moved) > 0)
         {
           issues->pdata[hole] = issues->pdata[hole - 1];
           hole--;
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -21,10 +21,10 @@
 
 /* Maximum number of lines of one event per second.  The peak at known sites is
    about 150 run decisions per second on one entry.  */
-#define LINES_A_SECOND 400
+#define MAX_LINES_PER_SECOND 400
 /* Number of events with a limit of their own; further events share the last
    one.  */
-#define EVENTS_MAX 96
+#define MAX_EVENTS 96
 
 /* The number of lines of an event in the current second.  */
 typedef struct
@@ -32,17 +32,17 @@
   const char *event;
   gp_time_t second;
   unsigned lines;
-} budget_t;
+} rate_limit_t;
 
 static const char *log_process = "galenapier";
 static gp_log_level_t log_threshold = GP_LOG_INFO;
 static int log_descriptor = STDERR_FILENO;
-static budget_t budgets[EVENTS_MAX];
-static int64_t left_out; /* lines dropped since the last written line */
+static rate_limit_t rate_limits[MAX_EVENTS];
+static int64_t dropped; /* lines dropped since the last written line */
 
 static gp_counter_t lines_count
     = GP_COUNTER ("log_lines_total", "Log lines written");
-static gp_counter_t left_out_count = GP_COUNTER (
+static gp_counter_t dropped_count = GP_COUNTER (
     "log_lines_left_out_total", "Log lines over the budget or not taken");
 
 static const char *const level_names[]
@@ -54,7 +54,7 @@
   log_process = process;
   log_threshold = level;
   gp_counter_register (&lines_count);
-  gp_counter_register (&left_out_count);
+  gp_counter_register (&dropped_count);
 }
 
 void
@@ -63,32 +63,32 @@
   log_descriptor = STDOUT_FILENO;
 }
 
-static budget_t *
-budget_of (const char *event)
+static rate_limit_t *
+find_rate_limit (const char *event)
 {
   unsigned i = 0;
 
-  while (i < EVENTS_MAX - 1 && budgets[i].event != NULL
-         && strcmp (budgets[i].event, event) != 0)
+  while (i < MAX_EVENTS - 1 && rate_limits[i].event != NULL
+         && strcmp (rate_limits[i].event, event) != 0)
     i++;
-  if (budgets[i].event == NULL)
-    budgets[i].event = event;
-  return &budgets[i];
+  if (rate_limits[i].event == NULL)
+    rate_limits[i].event = event;
+  return &rate_limits[i];
 }
 
 /* Count a line of EVENT and return whether it is within the limit.  */
 static bool
-take_budget (const char *event, int64_t wall)
+check_rate_limit (const char *event, int64_t wall)
 {
-  budget_t *budget = budget_of (event);
+  rate_limit_t *limit = find_rate_limit (event);
   gp_time_t second = wall / GP_SEC;
 
-  if (budget->second != second)
+  if (limit->second != second)
     {
-      budget->second = second;
-      budget->lines = 0;
+      limit->second = second;
+      limit->lines = 0;
     }
-  return ++budget->lines <= LINES_A_SECOND;
+  return ++limit->lines <= MAX_LINES_PER_SECOND;
 }
 
 static void
@@ -110,7 +110,7 @@
 }
 
 static bool
-is_taken_at_once (void)
+is_writable (void)
 {
   struct pollfd descriptor = { .fd = log_descriptor, .events = POLLOUT };
 
@@ -126,7 +126,7 @@
   struct iovec parts[] = { { (void *)text, size }, { (void *)"\n", 1 } };
   ssize_t written;
 
-  if (size + 1 > PIPE_BUF || !is_taken_at_once ())
+  if (size + 1 > PIPE_BUF || !is_writable ())
     return false;
   do
     written = writev (log_descriptor, parts, G_N_ELEMENTS (parts));
@@ -145,10 +145,10 @@
   if (level < log_threshold)
     return;
   wall = gp_time_wall ();
-  if (!take_budget (event, wall))
+  if (!check_rate_limit (event, wall))
     {
-      left_out++;
-      gp_counter_add (&left_out_count, 1);
+      dropped++;
+      gp_counter_add (&dropped_count, 1);
       return;
     }
   line = json_object ();
@@ -158,18 +158,18 @@
   json_object_set_new (line, "event", json_string (event));
   for (; fields->kind != GP_LOG_FIELD_END; fields++)
     set_field (line, fields);
-  if (left_out > 0)
-    json_object_set_new (line, "lines_left_out", json_integer (left_out));
+  if (dropped > 0)
+    json_object_set_new (line, "lines_left_out", json_integer (dropped));
   text = json_dumps (line, JSON_COMPACT);
   if (text != NULL && write_line (text))
     {
-      left_out = 0;
+      dropped = 0;
       gp_counter_add (&lines_count, 1);
     }
   else
     {
-      left_out++;
-      gp_counter_add (&left_out_count, 1);
+      dropped++;
+      gp_counter_add (&dropped_count, 1);
     }
   free (text);
   json_decref (line);
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -36,12 +36,12 @@
   return strcmp (gp_settings_config_stream (log), log->stream) != 0;
 }
 
-/* Return whether the entry at index PLACE is the first one of its region.  */
+/* Return whether the entry at index INDEX is the first one of its region.  */
 static bool
-is_first_of_region (const gp_settings_t *settings, uint32_t place)
+is_first_in_region (const gp_settings_t *settings, uint32_t index)
 {
-  for (uint32_t i = 0; i < place; i++)
-    if (strcmp (settings->entries[i].region, settings->entries[place].region)
+  for (uint32_t i = 0; i < index; i++)
+    if (strcmp (settings->entries[i].region, settings->entries[index].region)
         == 0)
       return false;
   return true;
@@ -53,7 +53,7 @@
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < settings->entries_count; i++)
-    count += is_first_of_region (settings, i);
+    count += is_first_in_region (settings, i);
   return count;
 }
 
@@ -64,7 +64,7 @@
   uint32_t index = 0;
 
   for (uint32_t i = 0; i < settings->entries_count; i++)
-    if (is_first_of_region (settings, i)
+    if (is_first_in_region (settings, i)
         && strcmp (settings->entries[i].region, settings->region) < 0)
       index++;
   if (count < 2 || total == UINT32_MAX)
@@ -76,9 +76,9 @@
 gp_settings_finish (gp_settings_t *settings)
 {
   /* libcyaml also frees the outermost structure.  */
-  gp_settings_t *whole = g_memdup2 (settings, sizeof *settings);
+  gp_settings_t *copy = g_memdup2 (settings, sizeof *settings);
 
-  gp_yaml_unload (whole, &gp_settings_schema);
+  gp_yaml_unload (copy, &gp_settings_schema);
   memset (settings, 0, sizeof *settings);
 }
 
--- a/src/base/settings_check.c
+++ b/src/base/settings_check.c
@@ -34,8 +34,8 @@
 /* Check an address to connect to: it needs a port and must not be a
    wildcard.  */
 static bool
-check_target (check_t *check, const char *path, const char *text,
-              struct sockaddr_storage *address)
+check_connect_address (check_t *check, const char *path, const char *text,
+                       struct sockaddr_storage *address)
 {
   if (!check_address (check, path, text, address))
     return false;
@@ -49,7 +49,7 @@
 /* Check an address of the site's protocol: without TLS it must be
    loopback.  */
 static void
-check_protected (check_t *check, const char *path,
+check_needs_tls (check_t *check, const char *path,
                  const struct sockaddr_storage *address)
 {
   if (!check->settings->tls && !gp_address_is_loopback (address))
@@ -76,8 +76,8 @@
 }
 
 static void
-check_place (check_t *check, const char *prefix, const char *region_name,
-             const char *zone)
+check_location (check_t *check, const char *prefix, const char *region_name,
+                const char *zone)
 {
   const gp_settings_t *settings = check->settings;
   const gp_settings_region_t *region = find_region (settings, region_name);
@@ -114,17 +114,17 @@
       if (gp_settings_find_entry (settings, member->name) != member)
         ERROR (check, path, NULL, "\"%s\" is used twice", member->name);
       g_snprintf (path, sizeof path, "entries[%u].", i);
-      check_place (check, path, member->region, member->zone);
+      check_location (check, path, member->region, member->zone);
       g_snprintf (path, sizeof path, "entries[%u].peers", i);
-      if (check_target (check, path, member->peers, &address))
-        check_protected (check, path, &address);
+      if (check_connect_address (check, path, member->peers, &address))
+        check_needs_tls (check, path, &address);
     }
 }
 
 /* Check that the list `entries' has this entry with the address on which it
    listens.  */
 static void
-check_own_line (check_t *check, const struct sockaddr_storage *listened)
+check_own_entry (check_t *check, const struct sockaddr_storage *listened)
 {
   const gp_settings_t *settings = check->settings;
   const gp_settings_member_t *own
@@ -154,20 +154,21 @@
 /* Check that a stream does not serve two regions: an entry vouches only to the
    entries of its region, and fences the guards of its stream.  */
 static void
-check_log (check_t *check, const gp_settings_platform_log_t *log)
+check_platform_log (check_t *check, const gp_settings_platform_log_t *log)
 {
   const gp_settings_t *settings = check->settings;
   struct sockaddr_storage address;
-  bool alone = true;
+  bool single_region = true;
 
-  check_target (check, "platform_log.address", log->address, &address);
+  check_connect_address (check, "platform_log.address", log->address,
+                         &address);
   if (log->config_address != NULL)
-    check_target (check, "platform_log.config_address", log->config_address,
-                  &address);
+    check_connect_address (check, "platform_log.config_address",
+                           log->config_address, &address);
   for (uint32_t i = 0; i < settings->entries_count; i++)
     if (strcmp (settings->entries[i].region, settings->region) != 0)
-      alone = false;
-  if (!alone && !gp_settings_config_apart (log))
+      single_region = false;
+  if (!single_region && !gp_settings_config_apart (log))
     ERROR (check, "platform_log.config_stream",
            "a stream that no region has as its `stream'",
            "with entries in several regions the configuration needs a stream "
@@ -186,8 +187,8 @@
   check_address (check, "entry.operators", entry->operators, &address);
   if (check_address (check, "entry.peers", entry->peers, &address))
     {
-      check_protected (check, "entry.peers", &address);
-      check_own_line (check, &address);
+      check_needs_tls (check, "entry.peers", &address);
+      check_own_entry (check, &address);
     }
   if (!entry->operator_token == !entry->operator_token_file)
     ERROR (check, "entry", "operator_token or operator_token_file", "%s",
@@ -202,7 +203,8 @@
 {
   struct sockaddr_storage address;
 
-  check_target (check, "guard.upstream.address", upstream->address, &address);
+  check_connect_address (check, "guard.upstream.address", upstream->address,
+                         &address);
   if (upstream->connections < upstream->slots)
     ERROR (check, "guard.upstream.connections", "at least the slots",
            "%u connections cannot serve %u slots", upstream->connections,
@@ -214,15 +216,16 @@
 {
   struct sockaddr_storage address;
 
-  if (check_target (check, "guard.worker.runtime", worker->runtime, &address)
+  if (check_connect_address (check, "guard.worker.runtime", worker->runtime,
+                             &address)
       && !gp_address_is_loopback (&address))
     ERROR (check, "guard.worker.runtime", "a loopback address",
            "the worker runtime must be on the guard's own VM");
 }
 
 static void
-check_one_reserve (check_t *check, const char *path, uint32_t reserve,
-                   uint32_t capacity)
+check_reserve_limit (check_t *check, const char *path, uint32_t reserve,
+                     uint32_t capacity)
 {
   if (reserve > capacity)
     ERROR (check, path, NULL, "%u is more than the worker's %u", reserve,
@@ -233,12 +236,12 @@
 check_reserve (check_t *check, const gp_settings_resources_t *reserve,
                const gp_settings_worker_t *worker)
 {
-  check_one_reserve (check, "guard.upstream.reserve.millicores",
-                     reserve->millicores, worker->millicores);
-  check_one_reserve (check, "guard.upstream.reserve.memory_mib",
-                     reserve->memory_mib, worker->memory_mib);
-  check_one_reserve (check, "guard.upstream.reserve.accelerators",
-                     reserve->accelerators, worker->accelerators);
+  check_reserve_limit (check, "guard.upstream.reserve.millicores",
+                       reserve->millicores, worker->millicores);
+  check_reserve_limit (check, "guard.upstream.reserve.memory_mib",
+                       reserve->memory_mib, worker->memory_mib);
+  check_reserve_limit (check, "guard.upstream.reserve.accelerators",
+                       reserve->accelerators, worker->accelerators);
 }
 
 static void
@@ -248,7 +251,7 @@
 
   if (guard->peers
       && check_address (check, "guard.peers", guard->peers, &address))
-    check_protected (check, "guard.peers", &address);
+    check_needs_tls (check, "guard.peers", &address);
   if (guard->upstream)
     check_upstream (check, guard->upstream);
   if (guard->worker)
@@ -292,10 +295,10 @@
 
   if (!gp_yaml_find (root, "log_level"))
     settings->log_level = GP_LOG_INFO;
-  check_place (&check, "", settings->region, settings->zone);
+  check_location (&check, "", settings->region, settings->zone);
   check_entries (&check);
   if (settings->platform_log)
-    check_log (&check, settings->platform_log);
+    check_platform_log (&check, settings->platform_log);
   if (!settings->entry == !settings->guard)
     ERROR (&check, "", "an `entry' section or a `guard' section", "%s",
            settings->entry ? "both sections are given"
--- a/src/base/settings_schema.c
+++ b/src/base/settings_schema.c
@@ -151,7 +151,7 @@
 #define ACCELERATORS_MAX 1024
 
 #define RANGE GP_YAML_RULE_RANGE
-#define RANGE_OF_TIMING(name, min, max, fallback)                             \
+#define TIMING_RANGE(name, min, max, fallback)                                \
   GP_YAML_RULE_RANGE (timings_fields, #name, min, max, fallback)
 
 static const gp_yaml_rule_t rules[] = {
@@ -178,22 +178,22 @@
   RANGE (worker_fields, "millicores", 1, MILLICORES_MAX, 0),
   RANGE (worker_fields, "memory_mib", 1, MEMORY_MIB_MAX, 0),
   RANGE (worker_fields, "accelerators", 0, ACCELERATORS_MAX, 0),
-  RANGE_OF_TIMING (heartbeat_ms, 10, 60000, 2000),
-  RANGE_OF_TIMING (lease_ms, 100, 600000, 15000),
-  RANGE_OF_TIMING (vouch_ms, 100, 600000, 15000),
-  RANGE_OF_TIMING (margin_ms, 1, 60000, 500),
-  RANGE_OF_TIMING (drift_ppm, 1, 100000, 1000),
-  RANGE_OF_TIMING (suspect_ms, 50, 600000, 10000),
-  RANGE_OF_TIMING (connect_ms, 10, 60000, 2000),
-  RANGE_OF_TIMING (reconnect_min_ms, 1, 60000, 100),
-  RANGE_OF_TIMING (reconnect_max_ms, 1, 600000, 5000),
-  RANGE_OF_TIMING (log_wait_ms, 1, 60000, 5000),
-  RANGE_OF_TIMING (log_timeout_ms, 10, 60000, 3000),
-  RANGE_OF_TIMING (log_batch_ms, 1, 1000, 20),
-  RANGE_OF_TIMING (usage_ms, 10, 60000, 1000),
-  RANGE_OF_TIMING (leave_ms, 1, 600000, 5000),
-  RANGE_OF_TIMING (header_ms, 100, 600000, 10000),
-  RANGE_OF_TIMING (stall_ms, 100, 600000, 30000),
+  TIMING_RANGE (heartbeat_ms, 10, 60000, 2000),
+  TIMING_RANGE (lease_ms, 100, 600000, 15000),
+  TIMING_RANGE (vouch_ms, 100, 600000, 15000),
+  TIMING_RANGE (margin_ms, 1, 60000, 500),
+  TIMING_RANGE (drift_ppm, 1, 100000, 1000),
+  TIMING_RANGE (suspect_ms, 50, 600000, 10000),
+  TIMING_RANGE (connect_ms, 10, 60000, 2000),
+  TIMING_RANGE (reconnect_min_ms, 1, 60000, 100),
+  TIMING_RANGE (reconnect_max_ms, 1, 600000, 5000),
+  TIMING_RANGE (log_wait_ms, 1, 60000, 5000),
+  TIMING_RANGE (log_timeout_ms, 10, 60000, 3000),
+  TIMING_RANGE (log_batch_ms, 1, 1000, 20),
+  TIMING_RANGE (usage_ms, 10, 60000, 1000),
+  TIMING_RANGE (leave_ms, 1, 600000, 5000),
+  TIMING_RANGE (header_ms, 100, 600000, 10000),
+  TIMING_RANGE (stall_ms, 100, 600000, 30000),
 };
 
 const gp_yaml_schema_t gp_settings_schema
--- a/src/base/timeline.c
+++ b/src/base/timeline.c
@@ -127,7 +127,7 @@
 }
 
 static json_t *
-line_of_event (const gp_timeline_t *timeline, const gp_timeline_event_t *event)
+event_to_json (const gp_timeline_t *timeline, const gp_timeline_event_t *event)
 {
   json_t *line = new_line (timeline);
 
@@ -172,7 +172,7 @@
     {
       since++;
       append_line (
-          out, line_of_event (timeline, gp_timeline_get (timeline, since)));
+          out, event_to_json (timeline, gp_timeline_get (timeline, since)));
     }
   return end;
 }
--- a/src/base/yaml.c
+++ b/src/base/yaml.c
@@ -11,10 +11,10 @@
 {
   yaml_parser_t yaml;
   GPtrArray *issues;
-  bool broken; /* parsing cannot continue */
-} reader_t;
+  bool failed; /* parsing cannot continue */
+} parser_t;
 
-static gp_yaml_node_t *read_node (reader_t *reader, const yaml_event_t *event,
+static gp_yaml_node_t *read_node (parser_t *parser, const yaml_event_t *event,
                                   unsigned depth);
 
 void
@@ -36,7 +36,7 @@
 }
 
 static void
-add_issue (reader_t *reader, const yaml_mark_t *mark, const char *path,
+add_issue (parser_t *parser, const yaml_mark_t *mark, const char *path,
            const char *message)
 {
   gp_issue_t issue = { .severity = GP_ISSUE_ERROR,
@@ -45,30 +45,30 @@
                        .path = (char *)path,
                        .message = (char *)message };
 
-  gp_issues_add (reader->issues, &issue);
+  gp_issues_add (parser->issues, &issue);
 }
 
 static void
-give_up (reader_t *reader, const yaml_mark_t *mark, const char *message)
+fail_at (parser_t *parser, const yaml_mark_t *mark, const char *message)
 {
-  add_issue (reader, mark, "", message);
-  reader->broken = true;
+  add_issue (parser, mark, "", message);
+  parser->failed = true;
 }
 
 /* Read the next event; false when the text is not valid YAML.  */
 static bool
-next_event (reader_t *reader, yaml_event_t *event)
+next_event (parser_t *parser, yaml_event_t *event)
 {
   const char *problem;
   char *message;
 
-  if (reader->broken)
+  if (parser->failed)
     return false;
-  if (yaml_parser_parse (&reader->yaml, event))
+  if (yaml_parser_parse (&parser->yaml, event))
     return true;
-  problem = reader->yaml.problem ? reader->yaml.problem : "out of memory";
+  problem = parser->yaml.problem ? parser->yaml.problem : "out of memory";
   message = g_strdup_printf ("not YAML: %s", problem);
-  give_up (reader, &reader->yaml.problem_mark, message);
+  fail_at (parser, &parser->yaml.problem_mark, message);
   g_free (message);
   return false;
 }
@@ -87,33 +87,33 @@
 }
 
 static gp_yaml_node_t *
-read_scalar (reader_t *reader, const yaml_event_t *event)
+read_scalar (parser_t *parser, const yaml_event_t *event)
 {
   gp_yaml_node_t *node = new_node (GP_YAML_SCALAR, event);
   const char *value = (const char *)event->data.scalar.value;
   size_t size = event->data.scalar.length;
 
   if (strlen (value) != size)
-    give_up (reader, &event->start_mark, "a value holds a NUL character");
+    fail_at (parser, &event->start_mark, "a value holds a NUL character");
   node->value = g_strndup (value, size);
   node->plain = event->data.scalar.style == YAML_PLAIN_SCALAR_STYLE;
   return node;
 }
 
 static gp_yaml_node_t *
-read_sequence (reader_t *reader, const yaml_event_t *start, unsigned depth)
+read_sequence (parser_t *parser, const yaml_event_t *start, unsigned depth)
 {
   gp_yaml_node_t *node = new_node (GP_YAML_SEQUENCE, start);
   yaml_event_t event;
   bool end = false;
 
-  while (!end && next_event (reader, &event))
+  while (!end && next_event (parser, &event))
     {
       gp_yaml_node_t *child = NULL;
 
       end = event.type == YAML_SEQUENCE_END_EVENT;
       if (!end)
-        child = read_node (reader, &event, depth + 1);
+        child = read_node (parser, &event, depth + 1);
       if (child)
         g_ptr_array_add (node->children, child);
       yaml_event_delete (&event);
@@ -122,7 +122,7 @@
 }
 
 static const gp_yaml_node_t *
-child_of_key (const gp_yaml_node_t *node, const char *key, size_t size)
+find_child (const gp_yaml_node_t *node, const char *key, size_t size)
 {
   for (guint i = 0; i < node->children->len; i++)
     {
@@ -136,28 +136,28 @@
 
 /* Read the value of KEY and add it to the mapping NODE.  */
 static void
-read_member (reader_t *reader, gp_yaml_node_t *node, const yaml_event_t *key,
+read_member (parser_t *parser, gp_yaml_node_t *node, const yaml_event_t *key,
              unsigned depth)
 {
   const char *name = (const char *)key->data.scalar.value;
-  const gp_yaml_node_t *earlier = child_of_key (node, name, strlen (name));
+  const gp_yaml_node_t *previous = find_child (node, name, strlen (name));
   gp_yaml_node_t *child = NULL;
   yaml_event_t event;
 
   if (node->children->len >= GP_YAML_MAX_KEYS)
-    give_up (reader, &key->start_mark, "a mapping has too many keys");
-  if (earlier)
+    fail_at (parser, &key->start_mark, "a mapping has too many keys");
+  if (previous)
     {
       char *message
           = g_strdup_printf ("the key is given twice; the first is in line %u",
-                             earlier->key_line);
+                             previous->key_line);
 
-      add_issue (reader, &key->start_mark, name, message);
+      add_issue (parser, &key->start_mark, name, message);
       g_free (message);
     }
-  if (!next_event (reader, &event))
+  if (!next_event (parser, &event))
     return;
-  child = read_node (reader, &event, depth + 1);
+  child = read_node (parser, &event, depth + 1);
   yaml_event_delete (&event);
   if (!child)
     return;
@@ -168,19 +168,19 @@
 }
 
 static gp_yaml_node_t *
-read_mapping (reader_t *reader, const yaml_event_t *start, unsigned depth)
+read_mapping (parser_t *parser, const yaml_event_t *start, unsigned depth)
 {
   gp_yaml_node_t *node = new_node (GP_YAML_MAPPING, start);
   yaml_event_t event;
   bool end = false;
 
-  while (!end && next_event (reader, &event))
+  while (!end && next_event (parser, &event))
     {
       end = event.type == YAML_MAPPING_END_EVENT;
       if (!end && event.type == YAML_SCALAR_EVENT)
-        read_member (reader, node, &event, depth);
+        read_member (parser, node, &event, depth);
       else if (!end)
-        give_up (reader, &event.start_mark, "a key must be a word");
+        fail_at (parser, &event.start_mark, "a key must be a word");
       yaml_event_delete (&event);
     }
   return node;
@@ -188,39 +188,39 @@
 
 /* Read the node that starts with EVENT; NULL after reporting an error.  */
 static gp_yaml_node_t *
-read_node (reader_t *reader, const yaml_event_t *event, unsigned depth)
+read_node (parser_t *parser, const yaml_event_t *event, unsigned depth)
 {
   if (depth > GP_YAML_MAX_DEPTH)
     {
-      give_up (reader, &event->start_mark, "nested too deeply");
+      fail_at (parser, &event->start_mark, "nested too deeply");
       return NULL;
     }
   switch ((int)event->type)
     {
     case YAML_SCALAR_EVENT:
-      return read_scalar (reader, event);
+      return read_scalar (parser, event);
     case YAML_SEQUENCE_START_EVENT:
-      return read_sequence (reader, event, depth);
+      return read_sequence (parser, event, depth);
     case YAML_MAPPING_START_EVENT:
-      return read_mapping (reader, event, depth);
+      return read_mapping (parser, event, depth);
     case YAML_ALIAS_EVENT:
-      give_up (reader, &event->start_mark, "aliases are not allowed");
+      fail_at (parser, &event->start_mark, "aliases are not allowed");
       return NULL;
     default:
-      give_up (reader, &event->start_mark, "not a value");
+      fail_at (parser, &event->start_mark, "not a value");
       return NULL;
     }
 }
 
 /* Read the stream and return its first document; a second one is an error.  */
 static gp_yaml_node_t *
-read_stream (reader_t *reader)
+read_stream (parser_t *parser)
 {
   gp_yaml_node_t *root = NULL;
   yaml_event_t event;
   bool end = false;
 
-  while (!end && next_event (reader, &event))
+  while (!end && next_event (parser, &event))
     {
       bool structure = event.type == YAML_STREAM_START_EVENT
                        || event.type == YAML_DOCUMENT_START_EVENT
@@ -228,9 +228,9 @@
 
       end = event.type == YAML_STREAM_END_EVENT;
       if (!end && !structure && root)
-        give_up (reader, &event.start_mark, "more than one YAML document");
+        fail_at (parser, &event.start_mark, "more than one YAML document");
       else if (!end && !structure)
-        root = read_node (reader, &event, 0);
+        root = read_node (parser, &event, 0);
       yaml_event_delete (&event);
     }
   return root;
@@ -239,22 +239,22 @@
 gp_yaml_node_t *
 gp_yaml_parse (const char *text, size_t size, GPtrArray *issues)
 {
-  reader_t reader = { .issues = issues };
+  parser_t parser = { .issues = issues };
   const yaml_mark_t start = { 0, 0, 0 };
   gp_yaml_node_t *root = NULL;
 
-  if (!yaml_parser_initialize (&reader.yaml))
+  if (!yaml_parser_initialize (&parser.yaml))
     g_error ("out of memory");
-  yaml_parser_set_input_string (&reader.yaml, (const unsigned char *)text,
+  yaml_parser_set_input_string (&parser.yaml, (const unsigned char *)text,
                                 size);
   if (size > GP_YAML_MAX_SIZE)
-    give_up (&reader, &start, "larger than 8 MiB");
+    fail_at (&parser, &start, "larger than 8 MiB");
   else
-    root = read_stream (&reader);
-  if (!root && !reader.broken)
-    give_up (&reader, &start, "empty");
-  yaml_parser_delete (&reader.yaml);
-  if (!reader.broken)
+    root = read_stream (&parser);
+  if (!root && !parser.failed)
+    fail_at (&parser, &start, "empty");
+  yaml_parser_delete (&parser.yaml);
+  if (!parser.failed)
     return root;
   gp_yaml_node_free (root);
   return NULL;
@@ -263,7 +263,7 @@
 /* Return the child of NODE for the first component of *PATH, and advance *PATH
    past it.  */
 static const gp_yaml_node_t *
-step (const gp_yaml_node_t *node, const char **path)
+next_component (const gp_yaml_node_t *node, const char **path)
 {
   const char *at = *path;
   size_t size;
@@ -284,24 +284,24 @@
   *path = at + size;
   if (node->kind != GP_YAML_MAPPING || size == 0)
     return NULL;
-  return child_of_key (node, at, size);
+  return find_child (node, at, size);
 }
 
-/* Return the deepest existing node on PATH; *WHOLE is set to whether it is the
-   node at the end of PATH.  */
+/* Return the deepest existing node on PATH; *COMPLETE is set to whether it is
+   the node at the end of PATH.  */
 static const gp_yaml_node_t *
-deepest (const gp_yaml_node_t *root, const char *path, bool *whole)
+find_deepest (const gp_yaml_node_t *root, const char *path, bool *complete)
 {
   const gp_yaml_node_t *node = root;
 
-  *whole = true;
+  *complete = true;
   while (node && *path != '\0')
     {
-      const gp_yaml_node_t *child = step (node, &path);
+      const gp_yaml_node_t *child = next_component (node, &path);
 
       if (!child)
         {
-          *whole = false;
+          *complete = false;
           return node;
         }
       node = child;
@@ -312,10 +312,10 @@
 const gp_yaml_node_t *
 gp_yaml_find (const gp_yaml_node_t *root, const char *path)
 {
-  bool whole;
-  const gp_yaml_node_t *node = deepest (root, path, &whole);
+  bool complete;
+  const gp_yaml_node_t *node = find_deepest (root, path, &complete);
 
-  return whole ? node : NULL;
+  return complete ? node : NULL;
 }
 
 const gp_yaml_node_t *
@@ -323,7 +323,7 @@
 {
   if (!node || node->kind != GP_YAML_MAPPING)
     return NULL;
-  return child_of_key (node, key, strlen (key));
+  return find_child (node, key, strlen (key));
 }
 
 void
@@ -331,8 +331,8 @@
                 gp_issue_severity_t severity, const char *path,
                 const char *allowed, const char *format, ...)
 {
-  bool whole;
-  const gp_yaml_node_t *node = deepest (root, path, &whole);
+  bool complete;
+  const gp_yaml_node_t *node = find_deepest (root, path, &complete);
   gp_issue_t issue = { .severity = severity,
                        .path = (char *)path,
                        .allowed = (char *)allowed };
@@ -342,7 +342,7 @@
     {
       issue.line = node->key ? node->key_line : node->line;
       issue.column = node->key ? node->key_column : node->column;
-      issue.value = whole ? node->value : NULL;
+      issue.value = complete ? node->value : NULL;
     }
   va_start (arguments, format);
   issue.message = g_strdup_vprintf (format, arguments);
--- a/src/base/yaml_emit.c
+++ b/src/base/yaml_emit.c
@@ -18,7 +18,7 @@
 }
 
 static void
-send (yaml_emitter_t *emitter, yaml_event_t *event, int made)
+emit_event (yaml_emitter_t *emitter, yaml_event_t *event, int made)
 {
   if (!made || !yaml_emitter_emit (emitter, event))
     g_error ("YAML emitter: %s",
@@ -40,7 +40,7 @@
 }
 
 static bool
-is_word (const char *text)
+is_plain_word (const char *text)
 {
   return text[0] != '\0' && strchr (WORD_START, text[0])
          && strspn (text, WORD_CHARACTERS) == strlen (text)
@@ -54,10 +54,10 @@
   yaml_scalar_style_t style
       = plain ? YAML_PLAIN_SCALAR_STYLE : YAML_DOUBLE_QUOTED_SCALAR_STYLE;
 
-  send (emitter, &event,
-        yaml_scalar_event_initialize (
-            &event, NULL, NULL, (const yaml_char_t *)text, (int)strlen (text),
-            plain, !plain, style));
+  emit_event (emitter, &event,
+              yaml_scalar_event_initialize (
+                  &event, NULL, NULL, (const yaml_char_t *)text,
+                  (int)strlen (text), plain, !plain, style));
 }
 
 static void emit_node (yaml_emitter_t *emitter, const gp_yaml_node_t *node,
@@ -69,14 +69,14 @@
 {
   yaml_event_t event;
 
-  send (emitter, &event,
-        yaml_sequence_start_event_initialize (
-            &event, NULL, NULL, 1,
-            style == GP_YAML_FLOW ? YAML_FLOW_SEQUENCE_STYLE
-                                  : YAML_BLOCK_SEQUENCE_STYLE));
+  emit_event (emitter, &event,
+              yaml_sequence_start_event_initialize (
+                  &event, NULL, NULL, 1,
+                  style == GP_YAML_FLOW ? YAML_FLOW_SEQUENCE_STYLE
+                                        : YAML_BLOCK_SEQUENCE_STYLE));
   for (guint i = 0; i < node->children->len; i++)
     emit_node (emitter, node->children->pdata[i], style);
-  send (emitter, &event, yaml_sequence_end_event_initialize (&event));
+  emit_event (emitter, &event, yaml_sequence_end_event_initialize (&event));
 }
 
 static void
@@ -85,19 +85,19 @@
 {
   yaml_event_t event;
 
-  send (emitter, &event,
-        yaml_mapping_start_event_initialize (&event, NULL, NULL, 1,
-                                             style == GP_YAML_FLOW
-                                                 ? YAML_FLOW_MAPPING_STYLE
-                                                 : YAML_BLOCK_MAPPING_STYLE));
+  emit_event (emitter, &event,
+              yaml_mapping_start_event_initialize (
+                  &event, NULL, NULL, 1,
+                  style == GP_YAML_FLOW ? YAML_FLOW_MAPPING_STYLE
+                                        : YAML_BLOCK_MAPPING_STYLE));
   for (guint i = 0; i < node->children->len; i++)
     {
       const gp_yaml_node_t *child = node->children->pdata[i];
 
-      emit_text (emitter, child->key, is_word (child->key));
+      emit_text (emitter, child->key, is_plain_word (child->key));
       emit_node (emitter, child, style);
     }
-  send (emitter, &event, yaml_mapping_end_event_initialize (&event));
+  emit_event (emitter, &event, yaml_mapping_end_event_initialize (&event));
 }
 
 static void
@@ -107,9 +107,10 @@
   switch (node->kind)
     {
     case GP_YAML_SCALAR:
-      emit_text (emitter, node->value,
-                 node->plain
-                     || (style == GP_YAML_BLOCK && is_word (node->value)));
+      emit_text (
+          emitter, node->value,
+          node->plain
+              || (style == GP_YAML_BLOCK && is_plain_word (node->value)));
       break;
     case GP_YAML_SEQUENCE:
       emit_sequence (emitter, node, style);
@@ -131,12 +132,14 @@
   yaml_emitter_set_output (&emitter, append, out);
   yaml_emitter_set_width (&emitter, -1);
   yaml_emitter_set_unicode (&emitter, style == GP_YAML_BLOCK);
-  send (&emitter, &event,
-        yaml_stream_start_event_initialize (&event, YAML_UTF8_ENCODING));
-  send (&emitter, &event,
-        yaml_document_start_event_initialize (&event, NULL, NULL, NULL, 1));
+  emit_event (&emitter, &event,
+              yaml_stream_start_event_initialize (&event, YAML_UTF8_ENCODING));
+  emit_event (
+      &emitter, &event,
+      yaml_document_start_event_initialize (&event, NULL, NULL, NULL, 1));
   emit_node (&emitter, node, style);
-  send (&emitter, &event, yaml_document_end_event_initialize (&event, 1));
-  send (&emitter, &event, yaml_stream_end_event_initialize (&event));
+  emit_event (&emitter, &event,
+              yaml_document_end_event_initialize (&event, 1));
+  emit_event (&emitter, &event, yaml_stream_end_event_initialize (&event));
   yaml_emitter_delete (&emitter);
 }
--- a/src/base/yaml_load.c
+++ b/src/base/yaml_load.c
@@ -8,13 +8,13 @@
 capture_log (cyaml_log_t level, void *context, const char *format,
              va_list arguments)
 {
-  GString *said = context;
+  GString *messages = context;
 
-  if (said->len > 0)
-    g_string_append (said, "; ");
-  g_string_append_vprintf (said, format, arguments);
-  while (said->len > 0 && said->str[said->len - 1] == '\n')
-    g_string_truncate (said, said->len - 1);
+  if (messages->len > 0)
+    g_string_append (messages, "; ");
+  g_string_append_vprintf (messages, format, arguments);
+  while (messages->len > 0 && messages->str[messages->len - 1] == '\n')
+    g_string_truncate (messages, messages->len - 1);
 }
 
 static void *
@@ -29,45 +29,47 @@
 /* Defaults for omitted fields.  A mapping that is embedded in its parent gets
    defaults even when its key is absent (NODE is NULL).  */
 
-static void fill_mapping (const gp_yaml_schema_t *schema,
-                          const cyaml_schema_field_t *fields,
-                          const gp_yaml_node_t *node, char *data);
+static void set_mapping_defaults (const gp_yaml_schema_t *schema,
+                                  const cyaml_schema_field_t *fields,
+                                  const gp_yaml_node_t *node, char *data);
 
 static void
-fill_sequence (const gp_yaml_schema_t *schema,
-               const cyaml_schema_value_t *value, const gp_yaml_node_t *node,
-               char *items)
+set_sequence_defaults (const gp_yaml_schema_t *schema,
+                       const cyaml_schema_value_t *value,
+                       const gp_yaml_node_t *node, char *items)
 {
   const cyaml_schema_value_t *entry = value->sequence.entry;
 
   if (entry->type != CYAML_MAPPING)
     return;
   for (guint i = 0; i < node->children->len; i++)
-    fill_mapping (schema, entry->mapping.fields, node->children->pdata[i],
-                  items + (size_t)i * entry->data_size);
+    set_mapping_defaults (schema, entry->mapping.fields,
+                          node->children->pdata[i],
+                          items + (size_t)i * entry->data_size);
 }
 
 static void
-fill_field (const gp_yaml_schema_t *schema, const cyaml_schema_field_t *field,
-            const gp_yaml_node_t *node, char *place)
+set_field_defaults (const gp_yaml_schema_t *schema,
+                    const cyaml_schema_field_t *field,
+                    const gp_yaml_node_t *node, char *location)
 {
   bool pointer = field->value.flags & CYAML_FLAG_POINTER;
-  char *target = place;
+  char *target = location;
 
   if (pointer && !node)
     return;
   if (pointer)
-    memcpy (&target, place, sizeof (char *));
+    memcpy (&target, location, sizeof (char *));
   if (field->value.type == CYAML_MAPPING)
-    fill_mapping (schema, field->value.mapping.fields, node, target);
+    set_mapping_defaults (schema, field->value.mapping.fields, node, target);
   else if (field->value.type == CYAML_SEQUENCE && node)
-    fill_sequence (schema, &field->value, node, target);
+    set_sequence_defaults (schema, &field->value, node, target);
 }
 
 static void
-fill_mapping (const gp_yaml_schema_t *schema,
-              const cyaml_schema_field_t *fields, const gp_yaml_node_t *node,
-              char *data)
+set_mapping_defaults (const gp_yaml_schema_t *schema,
+                      const cyaml_schema_field_t *fields,
+                      const gp_yaml_node_t *node, char *data)
 {
   for (size_t i = 0; i < schema->rule_count; i++)
     {
@@ -82,17 +84,17 @@
                   sizeof rule->fallback);
     }
   for (; fields->key; fields++)
-    fill_field (schema, fields, gp_yaml_member (node, fields->key),
-                data + fields->data_offset);
+    set_field_defaults (schema, fields, gp_yaml_member (node, fields->key),
+                        data + fields->data_offset);
 }
 
 void *
 gp_yaml_load (const char *text, size_t size, const gp_yaml_node_t *root,
               const gp_yaml_schema_t *schema, GPtrArray *issues)
 {
-  GString *said = g_string_new (NULL);
+  GString *messages = g_string_new (NULL);
   cyaml_config_t config = { .log_fn = capture_log,
-                            .log_ctx = said,
+                            .log_ctx = messages,
                             .mem_fn = allocate,
                             .log_level = CYAML_LOG_ERROR,
                             .flags = CYAML_CFG_NO_ALIAS };
@@ -102,14 +104,14 @@
   result = cyaml_load_data ((const uint8_t *)text, size, &config,
                             schema->value, &data, NULL);
   if (result == CYAML_OK)
-    fill_mapping (schema, schema->value->mapping.fields, root, data);
+    set_mapping_defaults (schema, schema->value->mapping.fields, root, data);
   else
     {
       gp_yaml_report (root, issues, GP_ISSUE_ERROR, "", NULL, "%s: %s",
-                      cyaml_strerror (result), said->str);
+                      cyaml_strerror (result), messages->str);
       data = NULL;
     }
-  g_string_free (said, TRUE);
+  g_string_free (messages, TRUE);
   return data;
 }
 
--- a/src/base/yaml_schema.c
+++ b/src/base/yaml_schema.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 /* Maximum number of names listed as allowed in a message.  */
-#define LISTED_MAX 24
+#define MAX_LISTED_NAMES 24
 
 typedef struct
 {
@@ -64,14 +64,14 @@
 }
 
 static bool
-all_digits (const char *text)
+is_all_digits (const char *text)
 {
   return text[0] != '\0' && strspn (text, "0123456789") == strlen (text);
 }
 
 /* Return the largest unsigned number that fits into SIZE bytes.  */
 static guint64
-largest (unsigned size)
+max_unsigned (unsigned size)
 {
   return size >= 8 ? G_MAXUINT64 : (G_GUINT64_CONSTANT (1) << (size * 8)) - 1;
 }
@@ -80,7 +80,7 @@
 static bool
 is_number (const char *text, guint64 min, guint64 max)
 {
-  if (!all_digits (text) || (text[0] == '0' && text[1] != '\0'))
+  if (!is_all_digits (text) || (text[0] == '0' && text[1] != '\0'))
     return false;
   return g_ascii_string_to_unsigned (text, 10, min, max, NULL, NULL);
 }
@@ -90,7 +90,7 @@
               const cyaml_schema_value_t *schema, const gp_yaml_rule_t *rule)
 {
   guint64 min = rule ? rule->min : 0;
-  guint64 max = rule ? rule->max : largest (schema->data_size);
+  guint64 max = rule ? rule->max : max_unsigned (schema->data_size);
   char *allowed;
 
   if (node->kind == GP_YAML_SCALAR && node->plain
@@ -132,13 +132,13 @@
 compiled_pattern (checker_t *checker, const char *pattern)
 {
   GRegex *regex = g_hash_table_lookup (checker->compiled, pattern);
-  char *whole;
+  char *anchored;
 
   if (regex)
     return regex;
-  whole = g_strdup_printf ("^(?:%s)$", pattern);
-  regex = g_regex_new (whole, G_REGEX_DOLLAR_ENDONLY, 0, NULL);
-  g_free (whole);
+  anchored = g_strdup_printf ("^(?:%s)$", pattern);
+  regex = g_regex_new (anchored, G_REGEX_DOLLAR_ENDONLY, 0, NULL);
+  g_free (anchored);
   g_hash_table_insert (checker->compiled, (char *)pattern, regex);
   return regex;
 }
@@ -190,7 +190,7 @@
 }
 
 static const cyaml_schema_field_t *
-field_of_key (const cyaml_schema_field_t *fields, const char *key)
+find_field (const cyaml_schema_field_t *fields, const char *key)
 {
   for (; fields->key; fields++)
     if (strcmp (fields->key, key) == 0)
@@ -204,7 +204,7 @@
 {
   GString *allowed = g_string_new (NULL);
 
-  for (int i = 0; fields[i].key && i < LISTED_MAX; i++)
+  for (int i = 0; fields[i].key && i < MAX_LISTED_NAMES; i++)
     g_string_append_printf (allowed, "%s%s", i > 0 ? ", " : "", fields[i].key);
   report (checker, node, allowed->str, "unknown key");
   g_string_free (allowed, TRUE);
@@ -219,7 +219,7 @@
   for (guint i = 0; i < node->children->len; i++)
     {
       const gp_yaml_node_t *child = node->children->pdata[i];
-      const cyaml_schema_field_t *field = field_of_key (fields, child->key);
+      const cyaml_schema_field_t *field = find_field (fields, child->key);
 
       g_string_append_printf (checker->path, "%s%s", size > 0 ? "." : "",
                               child->key);
