--- a/src/base/idpool.c
+++ b/src/base/idpool.c
@@ -33,10 +33,10 @@
   if (pool->used == pool->size)
     {
       pool->size = pool->size == 0 ? INITIAL_SIZE : pool->size * 2;
-      pool->slots = g_renew (gp_idpool_place_t, pool->slots, pool->size);
+      pool->slots = g_renew (gp_idpool_slot_t, pool->slots, pool->size);
     }
   index = pool->used++;
-  pool->slots[index] = (gp_idpool_place_t){ .generation = 1 };
+  pool->slots[index] = (gp_idpool_slot_t){ .generation = 1 };
   return index;
 }
 
@@ -44,18 +44,18 @@
 gp_idpool_add (gp_idpool_t *pool, void *object)
 {
   uint32_t index = allocate_slot (pool);
-  gp_idpool_place_t *slot = &pool->slots[index];
+  gp_idpool_slot_t *slot = &pool->slots[index];
 
   slot->object = object;
   pool->count++;
   return (uint64_t)slot->generation << 32 | index;
 }
 
-static gp_idpool_place_t *
+static gp_idpool_slot_t *
 find_slot (const gp_idpool_t *pool, uint64_t handle)
 {
   uint32_t index = (uint32_t)handle;
-  gp_idpool_place_t *slot;
+  gp_idpool_slot_t *slot;
 
   if (index >= pool->used)
     return NULL;
@@ -68,7 +68,7 @@
 void *
 gp_idpool_get (const gp_idpool_t *pool, uint64_t handle)
 {
-  gp_idpool_place_t *slot = find_slot (pool, handle);
+  gp_idpool_slot_t *slot = find_slot (pool, handle);
 
   return slot == NULL ? NULL : slot->object;
 }
@@ -76,7 +76,7 @@
 void
 gp_idpool_remove (gp_idpool_t *pool, uint64_t handle)
 {
-  gp_idpool_place_t *slot = find_slot (pool, handle);
+  gp_idpool_slot_t *slot = find_slot (pool, handle);
 
   if (slot == NULL)
     return;
--- a/src/base/idpool.h
+++ b/src/base/idpool.h
@@ -15,11 +15,11 @@
   void *object;
   uint32_t generation;
   uint32_t next_free;
-} gp_idpool_place_t;
+} gp_idpool_slot_t;
 
 typedef struct
 {
-  gp_idpool_place_t *slots;
+  gp_idpool_slot_t *slots;
   uint32_t size;
   uint32_t used;
   uint32_t first_free;
--- a/src/base/repeats.c
+++ b/src/base/repeats.c
@@ -5,55 +5,56 @@
 #include <stdbool.h>
 
 /* Occurrences are logged at the powers of this number, starting with 1.  */
-#define LINE_FACTOR 10
+#define SAMPLING_FACTOR 10
 /* Common key for all keys beyond the limit.  */
-#define OTHERS "others"
+#define OTHER_KEYS "others"
 
 void
-gp_repeats_init (gp_repeats_t *repeats, guint most)
+gp_log_sampler_init (gp_log_sampler_t *sampler, guint max_keys)
 {
-  repeats->counts
+  sampler->counts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  repeats->most = most;
+  sampler->max_keys = max_keys;
 }
 
 void
-gp_repeats_finish (gp_repeats_t *repeats)
+gp_log_sampler_finish (gp_log_sampler_t *sampler)
 {
-  g_hash_table_destroy (repeats->counts);
+  g_hash_table_destroy (sampler->counts);
 }
 
 /* Return the count of KEY, creating it if necessary.  */
 static uint64_t *
-count_of (gp_repeats_t *repeats, const char *key)
+find_count (gp_log_sampler_t *sampler, const char *key)
 {
-  uint64_t *count = g_hash_table_lookup (repeats->counts, key);
+  uint64_t *count = g_hash_table_lookup (sampler->counts, key);
 
-  if (count == NULL && g_hash_table_size (repeats->counts) >= repeats->most)
+  if (count == NULL
+      && g_hash_table_size (sampler->counts) >= sampler->max_keys)
     {
-      key = OTHERS;
-      count = g_hash_table_lookup (repeats->counts, key);
+      key = OTHER_KEYS;
+      count = g_hash_table_lookup (sampler->counts, key);
     }
   if (count == NULL)
     {
       count = g_new0 (uint64_t, 1);
-      g_hash_table_insert (repeats->counts, g_strdup (key), count);
+      g_hash_table_insert (sampler->counts, g_strdup (key), count);
     }
   return count;
 }
 
 static bool
-is_power (uint64_t number)
+is_power_of_factor (uint64_t number)
 {
-  while (number % LINE_FACTOR == 0)
-    number /= LINE_FACTOR;
+  while (number % SAMPLING_FACTOR == 0)
+    number /= SAMPLING_FACTOR;
   return number == 1;
 }
 
 uint64_t
-gp_repeats_note (gp_repeats_t *repeats, const char *key)
+gp_log_sampler_count (gp_log_sampler_t *sampler, const char *key)
 {
-  uint64_t count = ++*count_of (repeats, key);
+  uint64_t count = ++*find_count (sampler, key);
 
-  return is_power (count) ? count : 0;
+  return is_power_of_factor (count) ? count : 0;
 }
--- a/src/base/repeats.h
+++ b/src/base/repeats.h
@@ -5,8 +5,8 @@
    counted as one, so that a sender that invents keys cannot exhaust
    memory.  */
 
-#ifndef GP_BASE_REPEATS_H
-#define GP_BASE_REPEATS_H
+#ifndef GP_BASE_LOG_SAMPLER_H
+#define GP_BASE_LOG_SAMPLER_H
 
 #include <glib.h>
 #include <stdint.h>
@@ -14,14 +14,14 @@
 typedef struct
 {
   GHashTable *counts; /* key to uint64_t, both owned */
-  guint most;         /* number of keys with a count of their own */
-} gp_repeats_t;
+  guint max_keys;     /* number of keys with a count of their own */
+} gp_log_sampler_t;
 
-void gp_repeats_init (gp_repeats_t *repeats, guint most);
-void gp_repeats_finish (gp_repeats_t *repeats);
+void gp_log_sampler_init (gp_log_sampler_t *sampler, guint max_keys);
+void gp_log_sampler_finish (gp_log_sampler_t *sampler);
 
 /* Count an occurrence of KEY.  Return the count when the occurrence is to be
    logged, otherwise 0.  */
-uint64_t gp_repeats_note (gp_repeats_t *repeats, const char *key);
+uint64_t gp_log_sampler_count (gp_log_sampler_t *sampler, const char *key);
 
 #endif
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -31,7 +31,7 @@
 }
 
 bool
-gp_settings_config_apart (const gp_settings_platform_log_t *log)
+gp_settings_has_config_stream (const gp_settings_platform_log_t *log)
 {
   return strcmp (gp_settings_config_stream (log), log->stream) != 0;
 }
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -136,7 +136,7 @@
    that stream differs from the region's.  */
 const char *gp_settings_config_address (const gp_settings_platform_log_t *log);
 const char *gp_settings_config_stream (const gp_settings_platform_log_t *log);
-bool gp_settings_config_apart (const gp_settings_platform_log_t *log);
+bool gp_settings_has_config_stream (const gp_settings_platform_log_t *log);
 
 /* Return the number of regions that have entries.  */
 uint32_t gp_settings_region_count (const gp_settings_t *settings);
--- a/src/base/settings_check.c
+++ b/src/base/settings_check.c
@@ -168,12 +168,12 @@
   for (uint32_t i = 0; i < settings->entries_count; i++)
     if (strcmp (settings->entries[i].region, settings->region) != 0)
       single_region = false;
-  if (!single_region && !gp_settings_config_apart (log))
+  if (!single_region && !gp_settings_has_config_stream (log))
     ERROR (check, "platform_log.config_stream",
            "a stream that no region has as its `stream'",
            "with entries in several regions the configuration needs a stream "
            "of its own");
-  if (log->config_address != NULL && !gp_settings_config_apart (log))
+  if (log->config_address != NULL && !gp_settings_has_config_stream (log))
     ERROR (check, "platform_log.config_address", "only with a config_stream",
            "the configuration is on the region's stream");
 }
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -401,7 +401,7 @@
   const gp_settings_t *settings = entry->settings;
 
   entry->config_store = entry->store;
-  if (gp_settings_config_apart (settings->platform_log))
+  if (gp_settings_has_config_stream (settings->platform_log))
     entry->config_store
         = gp_store_new_config (&entry->loop, settings, entry->incarnation,
                                entry->rand, &entry->timeline, error);
--- a/src/jobsd/refusals.c
+++ b/src/jobsd/refusals.c
@@ -32,7 +32,7 @@
 void
 gp_refusals_init (gp_refusals_t *refusals)
 {
-  gp_repeats_init (&refusals->repeats, COUNTS_MAX);
+  gp_log_sampler_init (&refusals->repeats, COUNTS_MAX);
   gp_counter_register (&undecodable_count);
   gp_counter_register (&invalid_count);
   gp_counter_register (&unknown_count);
@@ -45,7 +45,7 @@
 void
 gp_refusals_finish (gp_refusals_t *refusals)
 {
-  gp_repeats_finish (&refusals->repeats);
+  gp_log_sampler_finish (&refusals->repeats);
 }
 
 /* Count one more refusal of WHAT at ORIGIN.  The number, or 0 when there is
@@ -54,7 +54,7 @@
 count_up (gp_refusals_t *refusals, const char *what, const char *origin)
 {
   char *key = g_strdup_printf ("%s %s", what, origin);
-  uint64_t count = gp_repeats_note (&refusals->repeats, key);
+  uint64_t count = gp_log_sampler_count (&refusals->repeats, key);
 
   g_free (key);
   return count;
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -196,7 +196,7 @@
   CU_ASSERT_FATAL (gp_settings_load_text (&settings, "x", HEAD ENTRY,
                                           strlen (HEAD ENTRY), NULL));
   CU_ASSERT_EQUAL (gp_settings_region_share (&settings, 7), 7);
-  CU_ASSERT_FALSE (gp_settings_config_apart (settings.platform_log));
+  CU_ASSERT_FALSE (gp_settings_has_config_stream (settings.platform_log));
   CU_ASSERT_STRING_EQUAL (gp_settings_config_stream (settings.platform_log),
                           "s");
   CU_ASSERT_STRING_EQUAL (gp_settings_config_address (settings.platform_log),
