--- a/src/base/repeats.c
+++ b/src/base/log_sampler.c
@@ -1,6 +1,6 @@
 /* Sampling of repeated log lines by key.  */
 
-#include "base/repeats.h"
+#include "base/log_sampler.h"
 
 #include <stdbool.h>
 
--- a/src/jobsd/refusals.h
+++ b/src/jobsd/refusals.h
@@ -9,7 +9,7 @@
 
 #include <glib.h>
 
-#include "base/repeats.h"
+#include "base/log_sampler.h"
 #include "jobs/records.h"
 #include "platform/store.h"
 
