--- a/bench/bench_transport.c
+++ b/bench/bench_transport.c
@@ -1,7 +1,7 @@
-/* Cost of the transport on one core: both ends run on one loop.
+/* Benchmark of the transport on one core: both ends run on one event loop.
 
-   Prints frames a second one way and as echoes, plain and with TLS, the
-   memory of an idle connection, and HTTP requests a second.  */
+   Prints frames per second in one direction and echoed, with and without TLS,
+   the memory of an idle connection, and HTTP requests per second.  */
 
 #include <glib/gstdio.h>
 #include <malloc.h>
@@ -28,7 +28,7 @@
   bool echo;
   gp_peer_t *near;
   int opened;
-  guint64 frames; /* one way, or echoes that came back */
+  guint64 frames; /* received in one direction, or echoes returned */
   guint64 answers;
   gp_http_client_t *client;
 } bench_t;
@@ -43,7 +43,7 @@
   gp_loop_stop (&bench.loop);
 }
 
-/* Run for RUN_TIME; the seconds of processor time that were used.  */
+/* Run the loop for RUN_TIME and return the CPU time used in seconds.  */
 static double
 run (void)
 {
@@ -240,7 +240,7 @@
   gp_loop_finish (&bench.loop);
 }
 
-/* A certificate that is its own authority.  */
+/* Create a context with a self-signed certificate.  */
 static gp_tls_t *
 make_tls (void)
 {
--- a/tests/unit/test_heap.c
+++ b/tests/unit/test_heap.c
@@ -1,4 +1,4 @@
-/* Tests of the pairing heap against a plain scan.  */
+/* Tests of the pairing heap against a linear search.  */
 
 #include <glib.h>
 
@@ -11,7 +11,7 @@
   ITEMS = 300,
   STEPS = 20000,
   SEEDS = 8,
-  KEYS = 50 /* few, so that keys are often equal */
+  KEYS = 50 /* few, so that equal keys are frequent */
 };
 
 typedef struct
@@ -28,7 +28,7 @@
          < GP_CONTAINER_OF (b, item_t, node)->key;
 }
 
-/* The least key that is inside, or KEYS.  */
+/* Return the smallest key in the heap, or KEYS when it is empty.  */
 static int
 least_key (const item_t *items)
 {
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -1,5 +1,5 @@
-/* Settings: the examples load, and each fault is told with its place.  The
-   transcript is compared with test_settings.expected.  */
+/* Tests of the settings: the examples load, and every error is reported with
+   its position.  The output is compared with test_settings.expected.  */
 
 #include <glib/gstdio.h>
 #include <stdio.h>
@@ -132,7 +132,8 @@
   gp_settings_finish (&settings);
 }
 
-/* The guard's example loads as it stands; the entry's needs its token.  */
+/* The example of the guard loads unchanged; that of the entry fails because
+   its token file does not exist.  */
 static void
 test_examples (void)
 {
@@ -157,7 +158,7 @@
   g_clear_error (&error);
 }
 
-/* Regions share a number without a rest, whoever of them asks.  */
+/* The shares of all regions add up to the total.  */
 static void
 test_region_share (void)
 {
@@ -187,7 +188,7 @@
     }
 }
 
-/* A site of one region keeps all, and one stream.  */
+/* A site with one region gets the whole total and has one stream.  */
 static void
 test_one_region (void)
 {
@@ -204,7 +205,7 @@
   gp_settings_finish (&settings);
 }
 
-/* The token comes from its file, without the white space around it.  */
+/* The token is read from its file without surrounding whitespace.  */
 static void
 test_token_file (void)
 {
--- a/tests/unit/test_timeline.c
+++ b/tests/unit/test_timeline.c
@@ -1,4 +1,4 @@
-/* Tests of the time line and the hybrid logical clock.  */
+/* Tests of the timeline and the hybrid logical clock.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -17,8 +17,8 @@
 
 #define WALL (INT64_C (1700000000000) * 1000) /* us */
 
-/* Random events and messages among clocks that are wrong by up to a second
-   and step back: stamps grow and follow cause and effect.  */
+/* Random events and messages between processes whose wall clocks are wrong by
+   up to a second and step back: stamps increase and preserve causality.  */
 static void
 test_clock_order (void)
 {
--- a/tests/unit/test_transport_client.c
+++ b/tests/unit/test_transport_client.c
@@ -1,4 +1,4 @@
-/* Tests of the HTTP client: bounds, far sides that misbehave, its end.  */
+/* Tests of the HTTP client: limits, invalid responses, closing the client.  */
 
 #include <string.h>
 #include <unistd.h>
@@ -53,7 +53,7 @@
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.requests, 2));
   run_turns (&fixture.loop, 20);
   CU_ASSERT_EQUAL (fixture.requests, 2);
-  /* The exchange that came last is the one that is held.  */
+  /* fixture.held is the last exchange.  */
   gp_http_exchange_answer (fixture.held, 200, NULL, 0, NULL, 0);
   for (int i = 2; i < MANY_CALLS; i++)
     {
@@ -61,7 +61,7 @@
       CU_ASSERT_EQUAL (calls[i].code, -1);
     }
   CU_ASSERT_EQUAL (fixture.requests, MANY_CALLS);
-  /* The end of the client ends what is open.  */
+  /* Freeing the client ends its open calls.  */
   gp_http_client_free (fixture.client);
   CU_ASSERT_EQUAL (calls[0].done + calls[1].done, 2);
   CU_ASSERT_TRUE (calls[0].code == -1 || calls[1].code == -1);
@@ -70,7 +70,7 @@
   gp_loop_finish (&fixture.loop);
 }
 
-/* A call to a server that answers TEXT and closes.  */
+/* Call a server that sends TEXT as its response and closes the connection.  */
 static void
 call_raw_server (const char *text, call_t *call)
 {
@@ -148,7 +148,8 @@
   http_teardown (&fixture);
 }
 
-/* A retry from inside of the end of the client fails, and fails later.  */
+/* A call that on_done starts while the client is being freed fails, but not
+   before gp_http_client_call returns.  */
 static void
 test_call_at_client_end (void)
 {
--- a/tests/unit/test_transport_endpoint.c
+++ b/tests/unit/test_transport_endpoint.c
@@ -1,4 +1,4 @@
-/* Tests of addresses as text.  */
+/* Tests of parsing and formatting addresses.  */
 
 #include <glib.h>
 
--- a/tests/unit/test_transport_header.c
+++ b/tests/unit/test_transport_header.c
@@ -1,11 +1,11 @@
-/* Tests of the rules on headers.  */
+/* Tests of header validation.  */
 
 #include <string.h>
 
 #include "transport/http_header.h"
 #include "runner.h"
 
-/* Bytes of a header that would begin another are not sent.  */
+/* Header injection: a value with a line break is invalid.  */
 static void
 test_unclean_headers (void)
 {
@@ -20,7 +20,8 @@
   CU_ASSERT_FALSE (gp_http_header_is_framing (&clean));
 }
 
-/* Each byte at each place of a value, against the rule byte by byte.  */
+/* Compare the check, which processes eight bytes at a time, with a check of
+   single bytes, for each byte at each position of a value.  */
 static void
 test_clean_bytes (void)
 {
--- a/tests/unit/test_transport_http.c
+++ b/tests/unit/test_transport_http.c
@@ -1,4 +1,4 @@
-/* Tests of the HTTP server and client against each other on loopback.  */
+/* Tests of the HTTP server with the HTTP client on loopback.  */
 
 #include <errno.h>
 #include <string.h>
@@ -41,7 +41,7 @@
   http_teardown (&fixture);
 }
 
-/* Run until the server can send no more.  */
+/* Run until back-pressure stops the server from sending.  */
 static void
 run_until_stalled (fixture_t *fixture)
 {
@@ -55,7 +55,7 @@
 }
 
 #define LARGE_PARTS 2000
-/* What the kernel may hold between the two sides.  */
+/* Upper limit for the data in the kernel's socket buffers.  */
 #define KERNEL_BYTES ((size_t)16 * 1024 * 1024)
 
 static void
@@ -73,7 +73,7 @@
   run_until_stalled (&fixture);
   CU_ASSERT_EQUAL (call.pauses, 1);
   CU_ASSERT_TRUE ((size_t)fixture.parts_sent * PART_SIZE < KERNEL_BYTES);
-  /* The last pause holds back the end.  */
+  /* The last pause delays on_done.  */
   while (call.received < LARGE_PARTS * PART_SIZE)
     {
       int pauses = call.pauses;
@@ -141,8 +141,8 @@
   check_aborted ("/sized", true);
 }
 
-/* A HTTP/1.0 answer ends with its connection; an abort must not look like
-   that end.  */
+/* The end of an HTTP/1.0 response is the close of its connection; an abort
+   must be distinguishable from it.  */
 static void
 test_abort_http_1_0 (void)
 {
@@ -185,7 +185,7 @@
   CU_ASSERT_EQUAL (call.done, 0);
   CU_ASSERT_EQUAL (gp_http_server_open_exchanges (fixture.server), 0);
   call_finish (&call);
-  /* The one connection is free for the next call.  */
+  /* The only connection is available for the next call.  */
   call_run (&fixture, &call, "GET", "/echo", NULL, 0);
   CU_ASSERT_EQUAL (call.code, -1);
   call_finish (&call);
@@ -242,8 +242,8 @@
   fixture->shut_down = true;
 }
 
-/* One connection is idle, one has a request half sent, one waits for its
-   answer: the first is closed, the others are served.  */
+/* During a shutdown, an idle connection is closed; a connection with a partly
+   sent request and one that waits for its response are served.  */
 static void
 test_shutdown (void)
 {
@@ -301,7 +301,7 @@
   http_teardown (&fixture);
 }
 
-/* The end of the loop ends what is open, and the users are told.  */
+/* gp_loop_finish ends the open exchange and call and notifies their users.  */
 static void
 test_loop_end (void)
 {
@@ -318,7 +318,8 @@
   call_finish (&call);
 }
 
-/* Accepting goes on once there are descriptors again.  */
+/* The server accepts connections again after file descriptors were
+   exhausted.  */
 static void
 test_without_descriptors (void)
 {
--- a/tests/unit/test_transport_log.c
+++ b/tests/unit/test_transport_log.c
@@ -1,4 +1,4 @@
-/* Tests of the log client against a small log in memory.  */
+/* Tests of the log client with a simple in-memory log service.  */
 
 #include <stdlib.h>
 #include <string.h>
@@ -16,17 +16,17 @@
 typedef struct
 {
   gp_loop_t loop;
-  /* The log.  */
+  /* The log service.  */
   gp_http_server_t *server;
   GPtrArray *records; /* of GString */
   uint64_t first_offset;
-  gp_http_exchange_t *poll; /* a read that waits */
+  gp_http_exchange_t *poll; /* the pending long poll */
   size_t records_a_read;
-  int fail_status; /* answer all with it */
+  int fail_status; /* status of all responses unless 0 */
   bool lose_ack;
-  bool skip_record; /* in reads */
+  bool skip_record; /* in reads, by shifting the offsets */
   int reads_asked;
-  /* What the client has reported.  */
+  /* Events reported by the client.  */
   gp_stream_t *stream;
   int reads;
   int complete_reads;
@@ -50,7 +50,7 @@
   int code;
 } append_t;
 
-/* The log.  */
+/* The log service.  */
 
 static uint64_t
 parameter (gp_http_exchange_t *exchange, const char *name)
@@ -165,7 +165,7 @@
     take_read (fixture, exchange);
 }
 
-/* The client's side.  */
+/* The client.  */
 
 static void
 on_read (const gp_stream_read_t *read, void *data)
@@ -306,8 +306,8 @@
   CU_ASSERT_TRUE (fixture.last.complete);
   CU_ASSERT_STRING_EQUAL (fixture.text->str, "abc");
   CU_ASSERT_EQUAL (fixture.last.next_offset, 3);
-  /* The poll that waits now brings the next record; its time is that of
-     its sending, before the append.  */
+  /* The pending poll returns the next record; its sent_at is the time of the
+     request, before the append.  */
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads_asked, 3));
   between = gp_time_now ();
   append_run (&fixture, &append, "d", 1);
@@ -315,7 +315,7 @@
   CU_ASSERT_TRUE (fixture.last.sent_at < between);
   CU_ASSERT_TRUE (fixture.last.complete);
   CU_ASSERT_STRING_EQUAL (fixture.text->str, "abcd");
-  /* An empty poll is reported too.  */
+  /* A poll without records is reported as well.  */
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads_asked, 4));
   answer_poll (&fixture);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads, 4));
@@ -326,8 +326,8 @@
   teardown (&fixture);
 }
 
-/* An append whose acknowledgement is lost is unknown, and a retry makes a
-   second record, to be dropped by the readers.  */
+/* The result of an append whose acknowledgement is lost is unknown.  A retry
+   adds a second record, which readers must discard.  */
 static void
 test_lost_ack (void)
 {
@@ -412,7 +412,7 @@
   CU_ASSERT_EQUAL (fixture.reads + fixture.errors, 0);
   run_turns (&fixture.loop, 10);
   CU_ASSERT_EQUAL (fixture.reads_asked, 1);
-  /* The user goes on from where the log begins.  */
+  /* The user continues from the oldest retained record.  */
   gp_stream_follow (fixture.stream, first_offset);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads, 1));
   CU_ASSERT_EQUAL (fixture.records_read, 8 - (int)first_offset);
@@ -465,7 +465,7 @@
   teardown (&fixture);
 }
 
-/* The loop ends before its users: no error is reported for that.  */
+/* Finishing the loop while a read is pending reports no error.  */
 static void
 test_loop_end (void)
 {
--- a/tests/unit/test_transport_peer.c
+++ b/tests/unit/test_transport_peer.c
@@ -14,7 +14,7 @@
   peer_setup (&fixture, server_tls);
   fixture.far.echo = true;
   connect_near (&fixture, client_tls);
-  /* Queued before the connection is open.  */
+  /* This frame is queued before the connection is open.  */
   send_numbered (fixture.near.peer, 1, 100);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.frames, 1));
   for (int i = 0; i < 1000; i++)
@@ -84,7 +84,8 @@
 #define RANDOM_FRAME_MAX 9000
 #define RANDOM_SEED 7
 
-/* A stream of random frames, and the sum that its reader should find.  */
+/* Return a stream of random frames, and the checksum expected from the reader
+   in SUM.  */
 static GByteArray *
 random_stream (GRand *rand, uint32_t *sum)
 {
@@ -106,7 +107,8 @@
   return stream;
 }
 
-/* Cuts and pauses at random places change nothing in what is read.  */
+/* Splitting the stream and pausing at random positions does not change the
+   received frames.  */
 static void
 test_random_cuts_and_pauses (void)
 {
@@ -216,7 +218,8 @@
   peer_teardown (&fixture);
 }
 
-/* Fill the way to a far side that does not read, until it is congested.  */
+/* Send to a peer that does not read until the connection is congested; return
+   the number of frames.  */
 static int
 send_until_congested (fixture_t *fixture)
 {
@@ -263,7 +266,8 @@
   test_site_free (site);
 }
 
-/* A sender that heeds nothing is cut off, and its memory is bounded.  */
+/* A sender that ignores congestion is disconnected, and its backlog is
+   limited.  */
 static void
 test_backlog_bound (void)
 {
@@ -289,7 +293,7 @@
   peer_teardown (&fixture);
 }
 
-/* What was queued before a close arrives whole.  */
+/* Frames queued before a close are delivered completely.  */
 static void
 check_close (gp_tls_t *tls)
 {
@@ -323,8 +327,9 @@
   test_site_free (site);
 }
 
-/* The far side has ended its writing before the rest is written: the close
-   does not wait for that end once more, nor for its time to run out.  */
+/* If the peer ends its stream before the queued frames are written, the close
+   completes without waiting for another end of the stream or for the
+   timeout.  */
 static void
 test_close_on_both_sides (void)
 {
@@ -349,7 +354,7 @@
   peer_teardown (&fixture);
 }
 
-/* A callback may close or pause the peer between two frames of one read.  */
+/* A callback may pause or close the peer between two frames of one read.  */
 static void
 test_close_and_pause_between_frames (void)
 {
@@ -373,7 +378,8 @@
   peer_teardown (&fixture);
 }
 
-/* Accepting goes on once there are descriptors again.  */
+/* The server accepts connections again after file descriptors were
+   exhausted.  */
 static void
 test_without_descriptors (void)
 {
--- a/tests/unit/test_transport_progress.c
+++ b/tests/unit/test_transport_progress.c
@@ -1,5 +1,5 @@
-/* Tests of calls whose answer arrives slowly: they last as long as there is
-   progress, and no longer.  */
+/* Tests of calls whose response arrives slowly: they continue past their
+   deadline only as long as there is progress.  */
 
 #include <string.h>
 
@@ -8,18 +8,18 @@
 #include "transport_support.h"
 #include "runner.h"
 
-/* A part comes each PART_TIME, so that PARTS of them take longer than
+/* A part is sent every PART_TIME, so that PARTS parts take longer than
    DEADLINE_TIME.  */
 #define PART "0123456789"
 #define PART_TIME (20 * GP_MSEC)
 #define DEADLINE_TIME (50 * GP_MSEC)
 #define PARTS 8
-/* The same where the process is held up, which is so after HOLD_AFTER_TIME:
-   the call is on its way then, and no part has come.  */
+/* Likewise for the test that blocks the process.  It is blocked after
+   HOLD_AFTER_TIME, when the call has been sent and no part has arrived.  */
 #define HELD_PART_TIME (100 * GP_MSEC)
 #define HELD_DEADLINE_TIME (400 * GP_MSEC)
 #define HOLD_AFTER_TIME (HELD_PART_TIME / 2)
-/* Far longer than a part is late on a busy machine.  */
+/* Much longer than a part is delayed on a busy machine.  */
 #define PATIENT_TIME (10 * GP_SEC)
 
 typedef struct
@@ -30,13 +30,14 @@
   gp_http_exchange_t *exchange;
   gp_timer_t timer;
   gp_timer_t hold;
-  gp_time_t held_until; /* the process is held up, 0: it is not */
-  gp_time_t part_time;  /* between two parts */
-  int parts;            /* to be sent */
-  bool stall;           /* nothing follows them */
+  gp_time_t
+      held_until; /* until when the process is blocked, 0 for not at all */
+  gp_time_t part_time; /* interval between parts */
+  int parts;           /* left to send */
+  bool stall;          /* the response does not end after them */
   size_t received;
   int done;
-  int code; /* of the error, -1: none */
+  int code; /* of the error, -1 for success */
 } fixture_t;
 
 static void
@@ -92,8 +93,7 @@
   fixture->code = error != NULL ? error->code : -1;
 }
 
-/* The process does nothing until then, as one that is stopped or gets no
-   processor.  */
+/* Block the process, as if it were stopped or not scheduled.  */
 static void
 on_hold (gp_timer_t *timer, void *data)
 {
@@ -103,8 +103,8 @@
     continue;
 }
 
-/* The outcome of a call whose answer comes in PARTS parts; beyond its deadline
-   the process is HELD up.  */
+/* Make a call whose response has PARTS parts and return the error code, or -1.
+   If HELD, the process is blocked until after the deadline of the call.  */
 static int
 call_of (bool stall, gp_time_t stall_time, bool held, size_t *received)
 {
@@ -158,16 +158,16 @@
 {
   size_t received;
 
-  /* Without a limit on progress the deadline holds.  */
+  /* Without a stall time the deadline is final.  */
   CU_ASSERT_EQUAL (call (false, 0, &received), GP_TRANSPORT_ERROR_TIMEOUT);
   CU_ASSERT_TRUE (received < PARTS * strlen (PART));
-  /* With one the answer is waited for.  */
+  /* With a stall time the call waits for the rest of the response.  */
   CU_ASSERT_EQUAL (call (false, PATIENT_TIME, &received), -1);
   CU_ASSERT_EQUAL (received, PARTS * strlen (PART));
 }
 
-/* A process that is held up beyond the deadline does not give up an answer
-   that has come meanwhile.  */
+/* A process that was blocked until after the deadline still reads a response
+   that has arrived meanwhile.  */
 static void
 test_held_up (void)
 {
@@ -177,7 +177,7 @@
   CU_ASSERT_EQUAL (received, PARTS * strlen (PART));
 }
 
-/* An answer that stops coming ends the call.  */
+/* The call fails when the response makes no more progress.  */
 static void
 test_stall (void)
 {
@@ -188,13 +188,13 @@
   CU_ASSERT_TRUE (received > 0);
 }
 
-/* A call whose answer has not begun while that of another takes the link: it
-   waits on, where the link is known to be thin, and what it waits for is the
-   other's end.  */
+/* A call without a response, while the response of another call uses the link.
+   If the link is known to be slow, it waits past its deadline until the other
+   response is complete.  */
 typedef struct
 {
   fixture_t bulk;
-  gp_http_exchange_t *behind; /* the call that waits */
+  gp_http_exchange_t *behind; /* the request of the waiting call */
   int behind_done;
   int behind_code;
 } pair_t;
@@ -235,7 +235,7 @@
   return true;
 }
 
-/* The outcome of the call that waits.  */
+/* Return the error code of the waiting call, or -1.  */
 static int
 call_behind (int64_t link_rate)
 {
@@ -280,7 +280,7 @@
 test_behind (void)
 {
   CU_ASSERT_EQUAL (call_behind (0), GP_TRANSPORT_ERROR_TIMEOUT);
-  /* So thin that the parts fill it.  */
+  /* The bandwidth is so low that the parts saturate the link.  */
   CU_ASSERT_EQUAL (call_behind (strlen (PART)), -1);
 }
 
--- a/tests/unit/test_transport_stop.c
+++ b/tests/unit/test_transport_stop.c
@@ -1,6 +1,6 @@
-/* Tests of the planned stop of an HTTP server: what a caller began before it
-   is answered, at whatever point the stop finds it.  The far side is a plain
-   socket, so that each point is reached for certain.  */
+/* Tests of the planned shutdown of an HTTP server: a request that was begun
+   before the shutdown is answered, however far it has got.  The client is a
+   raw socket, so that each state is reached deterministically.  */
 
 #include <errno.h>
 #include <string.h>
@@ -79,7 +79,8 @@
   return raw_connect (gp_http_server_port (fixture->server));
 }
 
-/* A refusal to take it is one of the failures that are tested for.  */
+/* Send TEXT; a failure to send is one of the faults that these tests
+   detect.  */
 static void
 offer (int fd, const char *text)
 {
@@ -94,8 +95,8 @@
   gp_http_server_shutdown (fixture->server, on_shut_down, fixture);
 }
 
-/* The answer on FD is BODY and says that the connection ends with it; FD is
-   closed.  */
+/* Check that the response on FD has BODY and announces the close of the
+   connection; close FD.  */
 static void
 expect_last_answer (fixture_t *fixture, int fd)
 {
@@ -108,7 +109,7 @@
   close (fd);
 }
 
-/* One whole request, after which the connection stays open.  */
+/* Make a complete request, after which the connection stays open.  */
 static void
 use_once (fixture_t *fixture, int fd)
 {
@@ -120,8 +121,8 @@
   g_string_free (out, TRUE);
 }
 
-/* A caller whom the kernel has connected, but whom the server has not taken
-   yet, is served.  */
+/* A connection that the kernel has established, but the server has not
+   accepted yet, is served.  */
 static void
 test_not_accepted (void)
 {
@@ -138,8 +139,8 @@
   teardown (&fixture);
 }
 
-/* The same when its request comes after the stop has begun: who has just
-   connected is about to send.  */
+/* Likewise an accepted connection whose first request arrives after the
+   shutdown has begun: a client that has just connected is about to send.  */
 static void
 test_accepted (void)
 {
@@ -157,8 +158,8 @@
   teardown (&fixture);
 }
 
-/* The first part of a request is read, then the server stops, then the
-   caller sends the rest.  */
+/* The server reads the first part of a request, then its shutdown begins, then
+   the client sends the rest.  */
 static void
 check_begun (const char *begin, const char *rest)
 {
@@ -179,8 +180,9 @@
   teardown (&fixture);
 }
 
-/* What was read of a request is a request, also before the first byte of its
-   body, between two chunks, and on a connection that served others.  */
+/* A request of which any part was read is served: with an incomplete head,
+   before the first byte of the body, between two chunks, and on a connection
+   that was used before.  */
 static void
 test_begun (void)
 {
@@ -192,8 +194,8 @@
   check_begun (CHUNKED_HEAD "1\r\na\r\n", "1\r\nb\r\n0\r\n\r\n");
 }
 
-/* A connection that served a request, and one that never had any, are
-   closed; neither holds the stop up for good.  */
+/* An idle connection that was used and one that never had a request are
+   closed; neither delays the shutdown indefinitely.  */
 static void
 test_idle (void)
 {
@@ -217,8 +219,8 @@
   teardown (&fixture);
 }
 
-/* Who connects while the server stops is turned away, never connected and
-   then cut off.  */
+/* A client that connects during the shutdown is refused; its connection is
+   never established and then reset.  */
 static void
 test_late_connect (void)
 {
@@ -241,8 +243,9 @@
   teardown (&fixture);
 }
 
-/* An answer whose head is out without "close" keeps its connection when the
-   server retires: the caller may send the next request on it.  */
+/* If the head of a response was sent without "connection: close" before
+   keep-alive was disabled, the connection stays open: the client may send the
+   next request on it.  */
 static void
 test_retire_begun_answer (void)
 {
--- a/tests/unit/test_transport_tls.c
+++ b/tests/unit/test_transport_tls.c
@@ -1,5 +1,5 @@
-/* Tests of the handshake of framed connections: far sides that are silent or
-   carry a wrong certificate.  */
+/* Tests of the handshake of framed connections: peers that are silent or have
+   a wrong certificate.  */
 
 #include <unistd.h>
 
@@ -7,7 +7,7 @@
 #include "transport_peer_support.h"
 #include "runner.h"
 
-/* The far side accepts the connection and then says nothing.  */
+/* The server accepts the connection and sends nothing.  */
 static void
 test_silent_far_side (void)
 {
@@ -33,7 +33,8 @@
   test_site_free (site);
 }
 
-/* A caller that never begins its handshake is closed and not reported.  */
+/* A client that does not start the handshake is disconnected and not reported
+   to the user.  */
 static void
 test_silent_near_side (void)
 {
@@ -56,7 +57,8 @@
   test_site_free (site);
 }
 
-/* A client whose certificate is wrong learns it after its own handshake.  */
+/* A client with a wrong certificate is rejected, but learns it only after its
+   own side of the handshake is complete.  */
 static void
 expect_refused_client (test_site_t *site, gp_tls_t *client,
                        gp_transport_error_t code)
@@ -101,8 +103,8 @@
   test_site_free (site);
 }
 
-/* The client refuses a server of another name, or of another authority,
-   before it sends anything.  */
+/* The client rejects a server with another name or from another authority
+   before it sends any frame.  */
 static void
 test_tls_server_refused (void)
 {
--- a/tests/unit/transport_http_support.c
+++ b/tests/unit/transport_http_support.c
@@ -1,4 +1,4 @@
-/* A HTTP server and client for the tests of the transport.  */
+/* An HTTP server and client for the tests of the transport.  */
 
 #include "transport_http_support.h"
 
@@ -7,7 +7,7 @@
 #include "base/error.h"
 #include "runner.h"
 
-/* The server's side.  */
+/* Server.  */
 
 static void
 on_gone (void *data)
@@ -83,7 +83,7 @@
     answer_echo (exchange);
 }
 
-/* The client's side.  */
+/* Client.  */
 
 static void
 on_head (int status, const gp_http_header_t *headers, size_t count, void *data)
--- a/tests/unit/transport_http_support.h
+++ b/tests/unit/transport_http_support.h
@@ -1,8 +1,9 @@
-/* What the tests of the HTTP server and client share: a server with a few
-   paths, a client that calls it, and what a call has seen.
+/* Support for the tests of the HTTP server and client: a server with a few
+   paths, a client that calls it, and a record of the events of a call.
 
-   /hold keeps the exchange, /stream and /sized answer in parts, with chunks
-   and with a length, /empty is 204, and all else is an echo.  */
+   /hold leaves the request unanswered, /stream and /sized respond in parts,
+   chunked and with a content length, /empty responds with 204, and every other
+   path echoes the body.  */
 
 #ifndef GP_TESTS_TRANSPORT_HTTP_SUPPORT_H
 #define GP_TESTS_TRANSPORT_HTTP_SUPPORT_H
@@ -19,8 +20,8 @@
   gp_loop_t loop;
   gp_http_server_t *server;
   gp_http_client_t *client;
-  gp_http_exchange_t *held; /* by the path /hold */
-  int parts_left;           /* of the answer to /stream */
+  gp_http_exchange_t *held; /* the last request to /hold, /stream or /sized */
+  int parts_left;           /* of the response to /stream or /sized */
   int parts_sent;
   bool abort_after_parts;
   int requests;
@@ -29,7 +30,7 @@
   char address[32];
 } fixture_t;
 
-/* One call: what it has seen.  */
+/* A call and a record of its events.  */
 typedef struct
 {
   gp_http_call_t *call;
@@ -37,14 +38,14 @@
   int status;
   GString *body;
   size_t received;
-  bool pause; /* at each piece of the body */
+  bool pause; /* after each piece of the body */
   int pauses;
   bool cancel_in_body;
   int done;
-  int code; /* of the error, -1 without */
+  int code; /* of the error, -1 for success */
   bool sent;
-  fixture_t *again; /* call once more from on_done */
-  gp_time_t time;   /* until its deadline, 0: CALL_TIME */
+  fixture_t *again; /* repeat the call from on_done */
+  gp_time_t time;   /* until the deadline, 0 for CALL_TIME */
   char header[32];  /* value of "x-answer" */
 } call_t;
 
@@ -54,11 +55,11 @@
 void call_init (call_t *call);
 void call_finish (call_t *call);
 
-/* Start CALL; it does not end inside.  */
+/* Start CALL and check that it does not end before this function returns.  */
 void call_start (fixture_t *fixture, call_t *call, const char *method,
                  const char *path, const void *body, size_t size);
 
-/* Make one call and wait for its end.  */
+/* Make a call and run the loop until it ends.  */
 void call_run (fixture_t *fixture, call_t *call, const char *method,
                const char *path, const void *body, size_t size);
 
--- a/tests/unit/transport_peer_support.c
+++ b/tests/unit/transport_peer_support.c
@@ -1,4 +1,4 @@
-/* Two ends of a framed connection for the tests of the transport.  */
+/* Both ends of a framed connection for the tests of the transport.  */
 
 #include "transport_peer_support.h"
 
--- a/tests/unit/transport_peer_support.h
+++ b/tests/unit/transport_peer_support.h
@@ -1,5 +1,5 @@
-/* What the tests of framed connections share: a server, and two ends that
-   count what they see.  */
+/* Support for the tests of framed connections: a server, and two ends that
+   count their callbacks.  */
 
 #ifndef GP_TESTS_TRANSPORT_PEER_SUPPORT_H
 #define GP_TESTS_TRANSPORT_PEER_SUPPORT_H
@@ -8,7 +8,7 @@
 #include "transport/peer_private.h"
 #include "transport_support.h"
 
-/* One end: what it has seen.  */
+/* One end of a connection and a record of its events.  */
 typedef struct
 {
   gp_peer_t *peer;
@@ -16,9 +16,9 @@
   int frames;
   int closes;
   int drains;
-  int code; /* of the reason of its end, -1 without */
+  int code; /* of the reason for closing, -1 when there is none */
   bool echo;
-  int close_after; /* frames, 0: never */
+  int close_after; /* this many frames, 0 for never */
   int pause_after;
   size_t last_size;
   uint32_t last_sum;
@@ -34,20 +34,20 @@
   char address[32];
 } fixture_t;
 
-/* What an end_t notes of the bytes of a frame.  */
+/* Return the checksum that an end_t records for a frame.  */
 uint32_t sum_bytes (const uint8_t *bytes, size_t size);
 
-/* The callbacks of an end_t.  */
+/* Callbacks whose data is an end_t.  */
 extern const gp_peer_callbacks_t end_callbacks;
 
-/* Listen; the one connection that is accepted is FAR.  */
+/* Start the server; the accepted connection is stored in FAR.  */
 void peer_setup (fixture_t *fixture, gp_tls_t *tls);
 void peer_teardown (fixture_t *fixture);
 
-/* Start to connect NEAR to the server.  */
+/* Start connecting NEAR to the server.  */
 void connect_near (fixture_t *fixture, gp_tls_t *tls);
 
-/* Send SIZE bytes that follow from NUMBER.  */
+/* Send a frame of SIZE bytes that are generated from NUMBER.  */
 void send_numbered (gp_peer_t *peer, int number, size_t size);
 
 #endif
--- a/tests/unit/transport_support.c
+++ b/tests/unit/transport_support.c
@@ -1,4 +1,5 @@
-/* Loops and certificates for the tests of the transport.  */
+/* Event loops, raw sockets and certificates for the tests of the
+   transport.  */
 
 #include "transport_support.h"
 
@@ -24,8 +25,8 @@
   int issued;
 };
 
-/* Turns do not wait: what is waited for may happen in the deferred calls,
-   after which the loop would wait for something else.  */
+/* The loop runs without blocking: the condition may become true in a deferred
+   call, after which a blocking iteration would wait for another event.  */
 bool
 run_until_count (gp_loop_t *loop, const int *count, int target)
 {
