--- a/bench/bench_transport.c
+++ b/bench/bench_transport.c
@@ -26,7 +26,7 @@
   gp_timer_t end;
   bool ended;
   bool echo;
-  gp_peer_t *near;
+  gp_peer_t *initiator;
   int opened;
   guint64 frames; /* received in one direction, or echoes returned */
   guint64 answers;
@@ -68,7 +68,7 @@
 on_open (gp_peer_t *peer, void *data)
 {
   bench.opened++;
-  if (peer != bench.near)
+  if (peer != bench.initiator)
     return;
   if (!bench.echo)
     fill (peer);
@@ -84,7 +84,7 @@
       bench.frames++;
       return;
     }
-  if (peer == bench.near)
+  if (peer == bench.initiator)
     bench.frames++;
   gp_peer_send (peer, bytes, size);
 }
@@ -92,7 +92,7 @@
 static void
 on_drain (gp_peer_t *peer, void *data)
 {
-  if (peer == bench.near && !bench.echo)
+  if (peer == bench.initiator && !bench.echo)
     fill (peer);
 }
 
@@ -130,8 +130,8 @@
   gp_loop_init (&bench.loop, NULL);
   bench.echo = echo;
   listen_peers (tls, address, sizeof address);
-  bench.near = gp_peer_connect (&bench.loop, address, tls, GP_TIME_NEVER,
-                                &callbacks, NULL, NULL);
+  bench.initiator = gp_peer_connect (&bench.loop, address, tls, GP_TIME_NEVER,
+                                     &callbacks, NULL, NULL);
   seconds = run ();
   printf ("%-22s %10.0f frames/s of %d bytes, %.2f us each\n", name,
           (double)bench.frames / seconds, FRAME_SIZE,
--- a/tests/unit/test_heap.c
+++ b/tests/unit/test_heap.c
@@ -18,7 +18,7 @@
 {
   gp_heap_node_t node;
   int key;
-  bool inside;
+  bool in_heap;
 } item_t;
 
 static bool
@@ -36,7 +36,7 @@
 
   for (int i = 0; i < ITEMS; i++)
     {
-      if (items[i].inside && items[i].key < least)
+      if (items[i].in_heap && items[i].key < least)
         least = items[i].key;
     }
   return least;
@@ -56,7 +56,7 @@
   GRand *random = g_rand_new_with_seed (seed);
   item_t items[ITEMS] = { 0 };
   gp_heap_t heap;
-  int wrong = 0;
+  int n_wrong = 0;
 
   gp_heap_init (&heap, item_before);
   for (int step = 0; step < STEPS; step++)
@@ -65,25 +65,25 @@
 
       if (g_rand_int_range (random, 0, 8) == 0 && !gp_heap_empty (&heap))
         item = GP_CONTAINER_OF (gp_heap_first (&heap), item_t, node);
-      if (item->inside)
+      if (item->in_heap)
         gp_heap_remove (&heap, &item->node);
       else
         {
           item->key = g_rand_int_range (random, 0, KEYS);
           gp_heap_insert (&heap, &item->node);
         }
-      item->inside = !item->inside;
-      wrong += first_key (&heap) != least_key (items);
+      item->in_heap = !item->in_heap;
+      n_wrong += first_key (&heap) != least_key (items);
     }
   while (!gp_heap_empty (&heap))
     {
       int least = least_key (items);
       item_t *item = GP_CONTAINER_OF (gp_heap_pop (&heap), item_t, node);
 
-      wrong += item->key != least;
-      item->inside = false;
+      n_wrong += item->key != least;
+      item->in_heap = false;
     }
-  CU_ASSERT_EQUAL (wrong, 0);
+  CU_ASSERT_EQUAL (n_wrong, 0);
   CU_ASSERT_EQUAL (least_key (items), KEYS);
   CU_ASSERT_PTR_NULL (gp_heap_pop (&heap));
   g_rand_free (random);
--- a/tests/unit/test_timeline.c
+++ b/tests/unit/test_timeline.c
@@ -27,7 +27,7 @@
       GRand *random = g_rand_new_with_seed (seed);
       gp_hlc_t clocks[PROCESSES];
       int64_t wall = WALL;
-      int wrong = 0;
+      int n_wrong = 0;
 
       for (int i = 0; i < PROCESSES; i++)
         gp_hlc_init (&clocks[i]);
@@ -40,15 +40,15 @@
           gp_hlc_stamp_t sent = gp_hlc_tick (from, wall + error);
           gp_hlc_stamp_t received;
 
-          wrong += sent <= before;
+          n_wrong += sent <= before;
           before = to->last;
-          wrong += !gp_hlc_receive (to, sent, wall - error, &received);
-          wrong += received <= sent || received <= before;
-          wrong += gp_hlc_stamp_ms (received)
-                   > (uint64_t)(wall + GP_SEC) / GP_MSEC;
+          n_wrong += !gp_hlc_receive (to, sent, wall - error, &received);
+          n_wrong += received <= sent || received <= before;
+          n_wrong += gp_hlc_stamp_ms (received)
+                     > (uint64_t)(wall + GP_SEC) / GP_MSEC;
           wall += g_rand_int_range (random, 0, 3000);
         }
-      CU_ASSERT_EQUAL (wrong, 0);
+      CU_ASSERT_EQUAL (n_wrong, 0);
       g_rand_free (random);
     }
 }
--- a/tests/unit/test_transport_client.c
+++ b/tests/unit/test_transport_client.c
@@ -11,27 +11,27 @@
 test_timeout (void)
 {
   fixture_t fixture;
-  call_t held;
+  call_t active;
   call_t waiting;
 
   http_setup (&fixture, 1);
-  call_init (&held);
-  held.time = 20 * GP_MSEC;
-  call_start (&fixture, &held, "GET", "/hold", NULL, 0);
+  call_init (&active);
+  active.time = 20 * GP_MSEC;
+  call_start (&fixture, &active, "GET", "/hold", NULL, 0);
   call_init (&waiting);
   waiting.time = 10 * GP_MSEC;
   call_start (&fixture, &waiting, "GET", "/echo", NULL, 0);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &held.done, 1));
-  CU_ASSERT_EQUAL (held.code, GP_TRANSPORT_ERROR_TIMEOUT);
-  CU_ASSERT_TRUE (held.sent);
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &active.done, 1));
+  CU_ASSERT_EQUAL (active.code, GP_TRANSPORT_ERROR_TIMEOUT);
+  CU_ASSERT_TRUE (active.sent);
   CU_ASSERT_EQUAL (waiting.code, GP_TRANSPORT_ERROR_TIMEOUT);
   CU_ASSERT_FALSE (waiting.sent);
   CU_ASSERT_EQUAL (fixture.requests, 1);
-  call_finish (&held);
+  call_finish (&active);
   call_finish (&waiting);
-  call_run (&fixture, &held, "GET", "/echo", NULL, 0);
-  CU_ASSERT_EQUAL (held.code, -1);
-  call_finish (&held);
+  call_run (&fixture, &active, "GET", "/echo", NULL, 0);
+  CU_ASSERT_EQUAL (active.code, -1);
+  call_finish (&active);
   http_teardown (&fixture);
 }
 
@@ -53,8 +53,8 @@
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.requests, 2));
   run_turns (&fixture.loop, 20);
   CU_ASSERT_EQUAL (fixture.requests, 2);
-  /* fixture.held is the last exchange.  */
-  gp_http_exchange_answer (fixture.held, 200, NULL, 0, NULL, 0);
+  /* fixture.open_exchange is the last exchange.  */
+  gp_http_exchange_answer (fixture.open_exchange, 200, NULL, 0, NULL, 0);
   for (int i = 2; i < MANY_CALLS; i++)
     {
       CU_ASSERT_TRUE (run_until_count (&fixture.loop, &calls[i].done, 1));
--- a/tests/unit/test_transport_http.c
+++ b/tests/unit/test_transport_http.c
@@ -9,7 +9,7 @@
 #include "runner.h"
 
 static void
-test_whole_answers (void)
+test_complete_responses (void)
 {
   fixture_t fixture;
   call_t call;
@@ -117,7 +117,7 @@
     {
       CU_ASSERT_TRUE (run_until_count (&fixture.loop, &call.pauses, 1));
       run_until_stalled (&fixture);
-      gp_http_exchange_abort (fixture.held);
+      gp_http_exchange_abort (fixture.open_exchange);
       call.pause = false;
       gp_http_call_resume (call.call);
     }
@@ -273,7 +273,7 @@
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, slow, rest, NULL), 0);
   CU_ASSERT_PTR_NOT_NULL (strstr (rest->str, "\r\n\r\nab"));
   CU_ASSERT_FALSE (fixture.shut_down);
-  gp_http_exchange_answer (fixture.held, 200, NULL, 0, "whole", 5);
+  gp_http_exchange_answer (fixture.open_exchange, 200, NULL, 0, "whole", 5);
   CU_ASSERT_TRUE (run_until (&fixture.loop, &fixture.shut_down));
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &call.done, 1));
   CU_ASSERT_EQUAL (call.code, -1);
@@ -338,7 +338,7 @@
 main (void)
 {
   static CU_TestInfo tests[]
-      = { { "whole answers", test_whole_answers },
+      = { { "whole answers", test_complete_responses },
           { "large answer", test_large_answer },
           { "abort", test_abort },
           { "abort, HTTP/1.0", test_abort_http_1_0 },
--- a/tests/unit/test_transport_log.c
+++ b/tests/unit/test_transport_log.c
@@ -21,11 +21,11 @@
   GPtrArray *records; /* of GString */
   uint64_t first_offset;
   gp_http_exchange_t *poll; /* the pending long poll */
-  size_t records_a_read;
+  size_t records_per_read;
   int fail_status; /* status of all responses unless 0 */
   bool lose_ack;
   bool skip_record; /* in reads, by shifting the offsets */
-  int reads_asked;
+  int reads_requested;
   /* Events reported by the client.  */
   gp_stream_t *stream;
   int reads;
@@ -80,7 +80,7 @@
   reply.next_offset = fixture->records->len;
   reply.records = pointers;
   for (uint64_t i = from; i >= fixture->first_offset && i < reply.next_offset
-                          && reply.n_records < fixture->records_a_read;
+                          && reply.n_records < fixture->records_per_read;
        i++)
     {
       GString *data = g_ptr_array_index (fixture->records, i);
@@ -106,9 +106,9 @@
 }
 
 static void
-take_read (fixture_t *fixture, gp_http_exchange_t *exchange)
+handle_read (fixture_t *fixture, gp_http_exchange_t *exchange)
 {
-  fixture->reads_asked++;
+  fixture->reads_requested++;
   if (parameter (exchange, "from") == fixture->records->len)
     {
       fixture->poll = exchange;
@@ -129,7 +129,7 @@
 }
 
 static void
-take_append (fixture_t *fixture, gp_http_exchange_t *exchange)
+handle_append (fixture_t *fixture, gp_http_exchange_t *exchange)
 {
   gp_http_text_t body = gp_http_exchange_body (exchange);
   Gp__Log__AppendReply reply = GP__LOG__APPEND_REPLY__INIT;
@@ -160,9 +160,9 @@
   if (fixture->fail_status != 0)
     gp_http_exchange_answer (exchange, fixture->fail_status, NULL, 0, NULL, 0);
   else if (gp_http_exchange_method (exchange).base[0] == 'P')
-    take_append (fixture, exchange);
+    handle_append (fixture, exchange);
   else
-    take_read (fixture, exchange);
+    handle_read (fixture, exchange);
 }
 
 /* The client.  */
@@ -261,7 +261,7 @@
   memset (fixture, 0, sizeof *fixture);
   gp_loop_init (&fixture->loop, NULL);
   fixture->records = g_ptr_array_new_with_free_func (free_record);
-  fixture->records_a_read = 10;
+  fixture->records_per_read = 10;
   fixture->text = g_string_new (NULL);
   fixture->server = gp_http_server_new (&fixture->loop, &server, NULL);
   g_snprintf (address, sizeof address, "127.0.0.1:%d",
@@ -299,7 +299,7 @@
       CU_ASSERT_EQUAL (append.result, GP_APPEND_DONE);
       CU_ASSERT_EQUAL (append.offset, (uint64_t)i);
     }
-  fixture.records_a_read = 2;
+  fixture.records_per_read = 2;
   gp_stream_follow (fixture.stream, 0);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads, 2));
   CU_ASSERT_EQUAL (fixture.complete_reads, 1);
@@ -308,7 +308,8 @@
   CU_ASSERT_EQUAL (fixture.last.next_offset, 3);
   /* The pending poll returns the next record; its sent_at is the time of the
      request, before the append.  */
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads_asked, 3));
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.reads_requested, 3));
   between = gp_time_now ();
   append_run (&fixture, &append, "d", 1);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads, 3));
@@ -316,7 +317,8 @@
   CU_ASSERT_TRUE (fixture.last.complete);
   CU_ASSERT_STRING_EQUAL (fixture.text->str, "abcd");
   /* A poll without records is reported as well.  */
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads_asked, 4));
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.reads_requested, 4));
   answer_poll (&fixture);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads, 4));
   CU_ASSERT_TRUE (fixture.last.sent_at >= between);
@@ -411,7 +413,7 @@
   CU_ASSERT_EQUAL (fixture.gap_to, first_offset);
   CU_ASSERT_EQUAL (fixture.reads + fixture.errors, 0);
   run_turns (&fixture.loop, 10);
-  CU_ASSERT_EQUAL (fixture.reads_asked, 1);
+  CU_ASSERT_EQUAL (fixture.reads_requested, 1);
   /* The user continues from the oldest retained record.  */
   gp_stream_follow (fixture.stream, first_offset);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads, 1));
@@ -455,13 +457,13 @@
   gp_stream_follow (fixture.stream, 0);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads, 1));
   run_turns (&fixture.loop, 10);
-  CU_ASSERT_EQUAL (fixture.reads_asked, 1);
+  CU_ASSERT_EQUAL (fixture.reads_requested, 1);
   fixture.stop_in_read = false;
   fixture.free_in_read = true;
   gp_stream_follow (fixture.stream, 0);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads, 2));
   run_turns (&fixture.loop, 10);
-  CU_ASSERT_EQUAL (fixture.reads_asked, 2);
+  CU_ASSERT_EQUAL (fixture.reads_requested, 2);
   teardown (&fixture);
 }
 
@@ -473,7 +475,8 @@
 
   setup (&fixture);
   gp_stream_follow (fixture.stream, 0);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads_asked, 1));
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.reads_requested, 1));
   teardown (&fixture);
   CU_ASSERT_EQUAL (fixture.errors, 0);
 }
--- a/tests/unit/test_transport_peer.c
+++ b/tests/unit/test_transport_peer.c
@@ -12,23 +12,25 @@
   fixture_t fixture;
 
   peer_setup (&fixture, server_tls);
-  fixture.far.echo = true;
-  connect_near (&fixture, client_tls);
+  fixture.acceptor.echo = true;
+  connect_initiator (&fixture, client_tls);
   /* This frame is queued before the connection is open.  */
-  send_numbered (fixture.near.peer, 1, 100);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.frames, 1));
+  send_numbered (fixture.initiator.peer, 1, 100);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.frames, 1));
   for (int i = 0; i < 1000; i++)
-    send_numbered (fixture.near.peer, i, 1 + (size_t)(i % 300));
-  send_numbered (fixture.near.peer, 3, GP_FRAME_MAX_SIZE);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.frames, 1002));
-  CU_ASSERT_EQUAL (fixture.far.frames, 1002);
-  CU_ASSERT_EQUAL (fixture.far.sum, fixture.near.sum);
-  CU_ASSERT_EQUAL (fixture.near.last_size, GP_FRAME_MAX_SIZE);
-  CU_ASSERT_EQUAL (fixture.near.opens, 1);
-  CU_ASSERT_EQUAL (fixture.far.opens, 1);
+    send_numbered (fixture.initiator.peer, i, 1 + (size_t)(i % 300));
+  send_numbered (fixture.initiator.peer, 3, GP_FRAME_MAX_SIZE);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.frames, 1002));
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 1002);
+  CU_ASSERT_EQUAL (fixture.acceptor.sum, fixture.initiator.sum);
+  CU_ASSERT_EQUAL (fixture.initiator.last_size, GP_FRAME_MAX_SIZE);
+  CU_ASSERT_EQUAL (fixture.initiator.opens, 1);
+  CU_ASSERT_EQUAL (fixture.acceptor.opens, 1);
   peer_teardown (&fixture);
-  CU_ASSERT_EQUAL (fixture.near.closes, 1);
-  CU_ASSERT_EQUAL (fixture.far.closes, 1);
+  CU_ASSERT_EQUAL (fixture.initiator.closes, 1);
+  CU_ASSERT_EQUAL (fixture.acceptor.closes, 1);
 }
 
 static void
@@ -65,18 +67,22 @@
       raw_send (fd, bytes + i, 1);
       run_turns (&fixture.loop, 2);
     }
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.frames, 4));
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.frames, 4));
   raw_send (fd, bytes, size);
   raw_send (fd, bytes, size - 2);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.frames, 11));
-  CU_ASSERT_EQUAL (fixture.far.last_size, 2);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.frames, 11));
+  CU_ASSERT_EQUAL (fixture.acceptor.last_size, 2);
   raw_send (fd, bytes + size - 2, 2);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.frames, 12));
-  CU_ASSERT_EQUAL (fixture.far.last_sum,
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.frames, 12));
+  CU_ASSERT_EQUAL (fixture.acceptor.last_sum,
                    sum_bytes ((const uint8_t *)"ghij", 4));
   close (fd);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
-  CU_ASSERT_EQUAL (fixture.far.code, GP_TRANSPORT_ERROR_CLOSED);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
+  CU_ASSERT_EQUAL (fixture.acceptor.code, GP_TRANSPORT_ERROR_CLOSED);
   peer_teardown (&fixture);
 }
 
@@ -121,7 +127,7 @@
 
   peer_setup (&fixture, NULL);
   fd = raw_connect (gp_peer_server_port (fixture.server));
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.opens, 1));
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.acceptor.opens, 1));
   while (sent < stream->len)
     {
       guint size = (guint)g_rand_int_range (rand, 1, RANDOM_FRAME_MAX);
@@ -129,18 +135,18 @@
       size = MIN (size, stream->len - sent);
       raw_send (fd, stream->data + sent, size);
       sent += size;
-      gp_peer_resume (fixture.far.peer);
+      gp_peer_resume (fixture.acceptor.peer);
       if (g_rand_boolean (rand))
-        fixture.far.pause_after = fixture.far.frames + 1;
+        fixture.acceptor.pause_after = fixture.acceptor.frames + 1;
       if (g_rand_boolean (rand))
-        gp_peer_pause (fixture.far.peer);
+        gp_peer_pause (fixture.acceptor.peer);
       run_turns (&fixture.loop, 1);
     }
-  fixture.far.pause_after = 0;
-  gp_peer_resume (fixture.far.peer);
-  CU_ASSERT_TRUE (
-      run_until_count (&fixture.loop, &fixture.far.frames, RANDOM_FRAMES));
-  CU_ASSERT_EQUAL (fixture.far.sum, sum);
+  fixture.acceptor.pause_after = 0;
+  gp_peer_resume (fixture.acceptor.peer);
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.acceptor.frames,
+                                   RANDOM_FRAMES));
+  CU_ASSERT_EQUAL (fixture.acceptor.sum, sum);
   close (fd);
   peer_teardown (&fixture);
   g_byte_array_unref (stream);
@@ -156,12 +162,13 @@
   peer_setup (&fixture, NULL);
   fd = raw_connect (gp_peer_server_port (fixture.server));
   raw_send (fd, bytes, size);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
-  CU_ASSERT_EQUAL (fixture.far.code, GP_TRANSPORT_ERROR_SIZE);
-  CU_ASSERT_EQUAL (fixture.far.frames, 1);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
+  CU_ASSERT_EQUAL (fixture.acceptor.code, GP_TRANSPORT_ERROR_SIZE);
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 1);
   close (fd);
   peer_teardown (&fixture);
-  CU_ASSERT_EQUAL (fixture.far.closes, 1);
+  CU_ASSERT_EQUAL (fixture.acceptor.closes, 1);
 }
 
 static void
@@ -173,10 +180,10 @@
   expect_refused_frame ("\0\0\0\1a\xff\xff\xff\xff", 9);
   expect_refused_frame ("\0\0\0\1a\0\0\0\0\0\0\0\1a", 14);
   peer_setup (&fixture, NULL);
-  connect_near (&fixture, NULL);
-  CU_ASSERT_PTR_NULL (gp_peer_reserve (fixture.near.peer, 0));
+  connect_initiator (&fixture, NULL);
+  CU_ASSERT_PTR_NULL (gp_peer_reserve (fixture.initiator.peer, 0));
   CU_ASSERT_PTR_NULL (
-      gp_peer_reserve (fixture.near.peer, GP_FRAME_MAX_SIZE + 1));
+      gp_peer_reserve (fixture.initiator.peer, GP_FRAME_MAX_SIZE + 1));
   peer_teardown (&fixture);
 }
 
@@ -189,10 +196,11 @@
   peer_setup (&fixture, NULL);
   gp_peer_server_close (fixture.server);
   run_turns (&fixture.loop, 3);
-  connect_near (&fixture, NULL);
-  CU_ASSERT_EQUAL (fixture.near.closes, 0);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.closes, 1));
-  CU_ASSERT_EQUAL (fixture.near.code, GP_TRANSPORT_ERROR_CONNECT);
+  connect_initiator (&fixture, NULL);
+  CU_ASSERT_EQUAL (fixture.initiator.closes, 0);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.closes, 1));
+  CU_ASSERT_EQUAL (fixture.initiator.code, GP_TRANSPORT_ERROR_CONNECT);
   CU_ASSERT_PTR_NULL (gp_peer_connect (&fixture.loop, "localhost:1", NULL, 0,
                                        &end_callbacks, NULL, &error));
   CU_ASSERT_TRUE (
@@ -211,9 +219,10 @@
   fd = raw_connect (gp_peer_server_port (fixture.server));
   raw_send (fd, "\0\0\0\5ab", 6);
   shutdown (fd, SHUT_WR);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
-  CU_ASSERT_EQUAL (fixture.far.code, GP_TRANSPORT_ERROR_CLOSED);
-  CU_ASSERT_EQUAL (fixture.far.frames, 0);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
+  CU_ASSERT_EQUAL (fixture.acceptor.code, GP_TRANSPORT_ERROR_CLOSED);
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 0);
   close (fd);
   peer_teardown (&fixture);
 }
@@ -225,9 +234,9 @@
 {
   int sent = 0;
 
-  while (!gp_peer_congested (fixture->near.peer))
+  while (!gp_peer_congested (fixture->initiator.peer))
     {
-      send_numbered (fixture->near.peer, sent++, (size_t)100 * 1024);
+      send_numbered (fixture->initiator.peer, sent++, (size_t)100 * 1024);
       run_turns (&fixture->loop, 1);
     }
   return sent;
@@ -240,17 +249,19 @@
   int sent;
 
   peer_setup (&fixture, tls);
-  fixture.far.pause_after = 2;
-  connect_near (&fixture, tls);
+  fixture.acceptor.pause_after = 2;
+  connect_initiator (&fixture, tls);
   sent = send_until_congested (&fixture);
-  CU_ASSERT_EQUAL (fixture.far.frames, 2);
-  CU_ASSERT_EQUAL (fixture.near.drains, 0);
-  gp_peer_resume (fixture.far.peer);
-  CU_ASSERT_EQUAL (fixture.far.frames, 2);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.frames, sent));
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.drains, 1));
-  CU_ASSERT_FALSE (gp_peer_congested (fixture.near.peer));
-  CU_ASSERT_EQUAL (gp_peer_backlog (fixture.near.peer), 0);
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 2);
+  CU_ASSERT_EQUAL (fixture.initiator.drains, 0);
+  gp_peer_resume (fixture.acceptor.peer);
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 2);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.frames, sent));
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.drains, 1));
+  CU_ASSERT_FALSE (gp_peer_congested (fixture.initiator.peer));
+  CU_ASSERT_EQUAL (gp_peer_backlog (fixture.initiator.peer), 0);
   peer_teardown (&fixture);
 }
 
@@ -276,20 +287,22 @@
   int sent = 0;
 
   peer_setup (&fixture, NULL);
-  fixture.far.pause_after = 1;
-  connect_near (&fixture, NULL);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.opens, 1));
-  while (gp_peer_send (fixture.near.peer, bytes, sizeof bytes) && sent < 100)
+  fixture.acceptor.pause_after = 1;
+  connect_initiator (&fixture, NULL);
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.acceptor.opens, 1));
+  while (gp_peer_send (fixture.initiator.peer, bytes, sizeof bytes)
+         && sent < 100)
     {
-      CU_ASSERT_TRUE (gp_peer_backlog (fixture.near.peer)
+      CU_ASSERT_TRUE (gp_peer_backlog (fixture.initiator.peer)
                       <= 17 * GP_FRAME_MAX_SIZE);
       sent++;
       run_turns (&fixture.loop, 1);
     }
   CU_ASSERT_TRUE (sent < 100);
-  CU_ASSERT_EQUAL (fixture.near.closes, 0);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.closes, 1));
-  CU_ASSERT_EQUAL (fixture.near.code, GP_TRANSPORT_ERROR_SIZE);
+  CU_ASSERT_EQUAL (fixture.initiator.closes, 0);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.closes, 1));
+  CU_ASSERT_EQUAL (fixture.initiator.code, GP_TRANSPORT_ERROR_SIZE);
   peer_teardown (&fixture);
 }
 
@@ -300,18 +313,20 @@
   fixture_t fixture;
 
   peer_setup (&fixture, tls);
-  connect_near (&fixture, tls);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.opens, 1));
+  connect_initiator (&fixture, tls);
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.acceptor.opens, 1));
   for (int i = 0; i < 100; i++)
-    send_numbered (fixture.near.peer, i, 50000);
-  gp_peer_close (fixture.near.peer, false);
-  CU_ASSERT_FALSE (gp_peer_send (fixture.near.peer, (uint8_t *)"a", 1));
-  CU_ASSERT_EQUAL (fixture.near.closes, 0);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
-  CU_ASSERT_EQUAL (fixture.far.frames, 100);
-  CU_ASSERT_EQUAL (fixture.far.code, GP_TRANSPORT_ERROR_CLOSED);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.closes, 1));
-  CU_ASSERT_EQUAL (fixture.near.code, -1);
+    send_numbered (fixture.initiator.peer, i, 50000);
+  gp_peer_close (fixture.initiator.peer, false);
+  CU_ASSERT_FALSE (gp_peer_send (fixture.initiator.peer, (uint8_t *)"a", 1));
+  CU_ASSERT_EQUAL (fixture.initiator.closes, 0);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 100);
+  CU_ASSERT_EQUAL (fixture.acceptor.code, GP_TRANSPORT_ERROR_CLOSED);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.closes, 1));
+  CU_ASSERT_EQUAL (fixture.initiator.code, -1);
   peer_teardown (&fixture);
 }
 
@@ -339,16 +354,17 @@
 
   peer_setup (&fixture, NULL);
   fd = raw_connect (gp_peer_server_port (fixture.server));
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.opens, 1));
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.acceptor.opens, 1));
   for (int i = 0; i < 15; i++)
-    send_numbered (fixture.far.peer, i, GP_FRAME_MAX_SIZE);
-  gp_peer_close (fixture.far.peer, false);
-  gp_timer_disarm (&fixture.far.peer->timer);
+    send_numbered (fixture.acceptor.peer, i, GP_FRAME_MAX_SIZE);
+  gp_peer_close (fixture.acceptor.peer, false);
+  gp_timer_disarm (&fixture.acceptor.peer->timer);
   shutdown (fd, SHUT_WR);
   run_turns (&fixture.loop, 5);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, fd, out, NULL), 0);
   CU_ASSERT_EQUAL (out->len, 15 * (GP_FRAME_MAX_SIZE + GP_FRAME_HEADER_SIZE));
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
   close (fd);
   g_string_free (out, TRUE);
   peer_teardown (&fixture);
@@ -363,17 +379,19 @@
   int fd;
 
   peer_setup (&fixture, NULL);
-  fixture.far.pause_after = 1;
-  fixture.far.close_after = 2;
+  fixture.acceptor.pause_after = 1;
+  fixture.acceptor.close_after = 2;
   fd = raw_connect (gp_peer_server_port (fixture.server));
   raw_send (fd, bytes, sizeof bytes - 1);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.frames, 1));
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.frames, 1));
   run_turns (&fixture.loop, 5);
-  CU_ASSERT_EQUAL (fixture.far.frames, 1);
-  gp_peer_resume (fixture.far.peer);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
-  CU_ASSERT_EQUAL (fixture.far.frames, 2);
-  CU_ASSERT_EQUAL (fixture.far.code, -1);
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 1);
+  gp_peer_resume (fixture.acceptor.peer);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 2);
+  CU_ASSERT_EQUAL (fixture.acceptor.code, -1);
   close (fd);
   peer_teardown (&fixture);
 }
@@ -389,12 +407,12 @@
   peer_setup (&fixture, NULL);
   raw_connect_without_descriptors (&fixture.loop, &fixture.server->listener);
   run_turns (&fixture.loop, 5);
-  opens = fixture.far.opens;
-  CU_ASSERT_EQUAL (fixture.far.closes, opens);
-  connect_near (&fixture, NULL);
+  opens = fixture.acceptor.opens;
+  CU_ASSERT_EQUAL (fixture.acceptor.closes, opens);
+  connect_initiator (&fixture, NULL);
   CU_ASSERT_TRUE (
-      run_until_count (&fixture.loop, &fixture.far.opens, opens + 1));
-  CU_ASSERT_EQUAL (fixture.near.opens, 1);
+      run_until_count (&fixture.loop, &fixture.acceptor.opens, opens + 1));
+  CU_ASSERT_EQUAL (fixture.initiator.opens, 1);
   peer_teardown (&fixture);
 }
 
--- a/tests/unit/test_transport_progress.c
+++ b/tests/unit/test_transport_progress.c
@@ -15,12 +15,12 @@
 #define DEADLINE_TIME (50 * GP_MSEC)
 #define PARTS 8
 /* Likewise for the test that blocks the process.  It is blocked after
-   HOLD_AFTER_TIME, when the call has been sent and no part has arrived.  */
-#define HELD_PART_TIME (100 * GP_MSEC)
-#define HELD_DEADLINE_TIME (400 * GP_MSEC)
-#define HOLD_AFTER_TIME (HELD_PART_TIME / 2)
+   BLOCK_AFTER_TIME, when the call has been sent and no part has arrived.  */
+#define BLOCKED_PART_TIME (100 * GP_MSEC)
+#define BLOCKED_DEADLINE_TIME (400 * GP_MSEC)
+#define BLOCK_AFTER_TIME (BLOCKED_PART_TIME / 2)
 /* Much longer than a part is delayed on a busy machine.  */
-#define PATIENT_TIME (10 * GP_SEC)
+#define LONG_STALL_TIME (10 * GP_SEC)
 
 typedef struct
 {
@@ -29,12 +29,11 @@
   gp_http_client_t *client;
   gp_http_exchange_t *exchange;
   gp_timer_t timer;
-  gp_timer_t hold;
-  gp_time_t
-      held_until; /* until when the process is blocked, 0 for not at all */
-  gp_time_t part_time; /* interval between parts */
-  int parts;           /* left to send */
-  bool stall;          /* the response does not end after them */
+  gp_timer_t block_timer;
+  gp_time_t blocked_until; /* 0: the process is not blocked */
+  gp_time_t part_time;     /* interval between parts */
+  int parts;               /* left to send */
+  bool stall;              /* the response does not end after them */
   size_t received;
   int done;
   int code; /* of the error, -1 for success */
@@ -95,24 +94,24 @@
 
 /* Block the process, as if it were stopped or not scheduled.  */
 static void
-on_hold (gp_timer_t *timer, void *data)
+on_block_timer (gp_timer_t *timer, void *data)
 {
   const fixture_t *fixture = data;
 
-  while (gp_time_now () < fixture->held_until)
+  while (gp_time_now () < fixture->blocked_until)
     continue;
 }
 
 /* Make a call whose response has PARTS parts and return the error code, or -1.
-   If HELD, the process is blocked until after the deadline of the call.  */
+   If BLOCKED, the process is blocked until after the deadline of the call.  */
 static int
-call_of (bool stall, gp_time_t stall_time, bool held, size_t *received)
+run_call (bool stall, gp_time_t stall_time, bool blocked, size_t *received)
 {
   static const gp_http_call_callbacks_t callbacks
       = { on_head, on_body, on_done };
   fixture_t fixture = { .parts = PARTS,
                         .stall = stall,
-                        .part_time = held ? HELD_PART_TIME : PART_TIME };
+                        .part_time = blocked ? BLOCKED_PART_TIME : PART_TIME };
   const gp_http_server_options_t server = { .address = "127.0.0.1:0",
                                             .header_timeout = 20 * GP_SEC,
                                             .on_request = on_request,
@@ -125,7 +124,8 @@
 
   CU_ASSERT_TRUE_FATAL (gp_loop_init (&fixture.loop, NULL));
   gp_timer_init (&fixture.timer, &fixture.loop, on_part_due, &fixture);
-  gp_timer_init (&fixture.hold, &fixture.loop, on_hold, &fixture);
+  gp_timer_init (&fixture.block_timer, &fixture.loop, on_block_timer,
+                 &fixture);
   fixture.server = gp_http_server_new (&fixture.loop, &server, NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (fixture.server);
   address
@@ -133,24 +133,25 @@
   client.address = address;
   fixture.client = gp_http_client_new (&fixture.loop, &client, NULL);
   request.deadline = gp_loop_now (&fixture.loop)
-                     + (held ? HELD_DEADLINE_TIME : DEADLINE_TIME);
+                     + (blocked ? BLOCKED_DEADLINE_TIME : DEADLINE_TIME);
   gp_http_client_call (fixture.client, &request, &callbacks, &fixture);
-  fixture.held_until = held ? request.deadline + HELD_PART_TIME : 0;
-  gp_timer_arm (&fixture.hold, gp_loop_now (&fixture.loop) + HOLD_AFTER_TIME);
+  fixture.blocked_until = blocked ? request.deadline + BLOCKED_PART_TIME : 0;
+  gp_timer_arm (&fixture.block_timer,
+                gp_loop_now (&fixture.loop) + BLOCK_AFTER_TIME);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.done, 1));
   if (fixture.exchange != NULL && fixture.parts > 0)
     gp_http_exchange_abort (fixture.exchange);
   gp_timer_finish (&fixture.timer);
-  gp_timer_finish (&fixture.hold);
+  gp_timer_finish (&fixture.block_timer);
   gp_loop_finish (&fixture.loop);
   *received = fixture.received;
   return fixture.code;
 }
 
 static int
-call (bool stall, gp_time_t stall_time, size_t *received)
+run_unblocked_call (bool stall, gp_time_t stall_time, size_t *received)
 {
-  return call_of (stall, stall_time, false, received);
+  return run_call (stall, stall_time, false, received);
 }
 
 static void
@@ -159,21 +160,22 @@
   size_t received;
 
   /* Without a stall time the deadline is final.  */
-  CU_ASSERT_EQUAL (call (false, 0, &received), GP_TRANSPORT_ERROR_TIMEOUT);
+  CU_ASSERT_EQUAL (run_unblocked_call (false, 0, &received),
+                   GP_TRANSPORT_ERROR_TIMEOUT);
   CU_ASSERT_TRUE (received < PARTS * strlen (PART));
   /* With a stall time the call waits for the rest of the response.  */
-  CU_ASSERT_EQUAL (call (false, PATIENT_TIME, &received), -1);
+  CU_ASSERT_EQUAL (run_unblocked_call (false, LONG_STALL_TIME, &received), -1);
   CU_ASSERT_EQUAL (received, PARTS * strlen (PART));
 }
 
 /* A process that was blocked until after the deadline still reads a response
    that has arrived meanwhile.  */
 static void
-test_held_up (void)
+test_blocked (void)
 {
   size_t received;
 
-  CU_ASSERT_EQUAL (call_of (false, PATIENT_TIME, true, &received), -1);
+  CU_ASSERT_EQUAL (run_call (false, LONG_STALL_TIME, true, &received), -1);
   CU_ASSERT_EQUAL (received, PARTS * strlen (PART));
 }
 
@@ -183,7 +185,7 @@
 {
   size_t received;
 
-  CU_ASSERT_EQUAL (call (true, 3 * PART_TIME, &received),
+  CU_ASSERT_EQUAL (run_unblocked_call (true, 3 * PART_TIME, &received),
                    GP_TRANSPORT_ERROR_TIMEOUT);
   CU_ASSERT_TRUE (received > 0);
 }
@@ -194,9 +196,9 @@
 typedef struct
 {
   fixture_t bulk;
-  gp_http_exchange_t *behind; /* the request of the waiting call */
-  int behind_done;
-  int behind_code;
+  gp_http_exchange_t *waiting; /* the request of the waiting call */
+  int waiting_done;
+  int waiting_code;
 } pair_t;
 
 static void
@@ -207,16 +209,16 @@
   if (gp_http_text_equal (gp_http_exchange_path (exchange), "/bulk"))
     on_request (exchange, &pair->bulk);
   else
-    pair->behind = exchange;
+    pair->waiting = exchange;
 }
 
 static void
-on_behind_done (const GError *error, bool sent, void *data)
+on_waiting_done (const GError *error, bool sent, void *data)
 {
   pair_t *pair = data;
 
-  pair->behind_done++;
-  pair->behind_code = error != NULL ? error->code : -1;
+  pair->waiting_done++;
+  pair->waiting_code = error != NULL ? error->code : -1;
 }
 
 static void
@@ -225,8 +227,8 @@
   pair_t *pair = data;
 
   pair->bulk.done++;
-  if (pair->behind_done == 0)
-    gp_http_exchange_answer (pair->behind, 200, NULL, 0, "", 0);
+  if (pair->waiting_done == 0)
+    gp_http_exchange_answer (pair->waiting, 200, NULL, 0, "", 0);
 }
 
 static bool
@@ -237,12 +239,12 @@
 
 /* Return the error code of the waiting call, or -1.  */
 static int
-call_behind (int64_t link_rate)
+run_waiting_call (int64_t link_rate)
 {
   static const gp_http_call_callbacks_t bulk_callbacks
       = { on_head, on_bulk, on_bulk_done };
-  static const gp_http_call_callbacks_t behind_callbacks
-      = { on_head, on_bulk, on_behind_done };
+  static const gp_http_call_callbacks_t waiting_callbacks
+      = { on_head, on_bulk, on_waiting_done };
   pair_t pair = { .bulk = { .parts = PARTS, .part_time = PART_TIME } };
   fixture_t *bulk = &pair.bulk;
   const gp_http_server_options_t server = { .address = "127.0.0.1:0",
@@ -253,7 +255,7 @@
                                       .idle_timeout = 20 * GP_SEC,
                                       .link_rate = link_rate };
   gp_http_call_request_t request
-      = { .method = "GET", .path = "/bulk", .stall_time = PATIENT_TIME };
+      = { .method = "GET", .path = "/bulk", .stall_time = LONG_STALL_TIME };
   g_autofree char *address = NULL;
 
   CU_ASSERT_TRUE_FATAL (gp_loop_init (&bulk->loop, NULL));
@@ -264,33 +266,33 @@
       = g_strdup_printf ("127.0.0.1:%d", gp_http_server_port (bulk->server));
   client.address = address;
   bulk->client = gp_http_client_new (&bulk->loop, &client, NULL);
-  request.deadline = gp_loop_now (&bulk->loop) + PATIENT_TIME;
+  request.deadline = gp_loop_now (&bulk->loop) + LONG_STALL_TIME;
   gp_http_client_call (bulk->client, &request, &bulk_callbacks, &pair);
   request.path = "/behind";
   request.deadline = gp_loop_now (&bulk->loop) + 3 * PART_TIME;
-  gp_http_client_call (bulk->client, &request, &behind_callbacks, &pair);
+  gp_http_client_call (bulk->client, &request, &waiting_callbacks, &pair);
   CU_ASSERT_TRUE (run_until_count (&bulk->loop, &bulk->done, 1));
-  CU_ASSERT_TRUE (run_until_count (&bulk->loop, &pair.behind_done, 1));
+  CU_ASSERT_TRUE (run_until_count (&bulk->loop, &pair.waiting_done, 1));
   gp_timer_finish (&bulk->timer);
   gp_loop_finish (&bulk->loop);
-  return pair.behind_code;
+  return pair.waiting_code;
 }
 
 static void
-test_behind (void)
+test_waiting_call (void)
 {
-  CU_ASSERT_EQUAL (call_behind (0), GP_TRANSPORT_ERROR_TIMEOUT);
+  CU_ASSERT_EQUAL (run_waiting_call (0), GP_TRANSPORT_ERROR_TIMEOUT);
   /* The bandwidth is so low that the parts saturate the link.  */
-  CU_ASSERT_EQUAL (call_behind (strlen (PART)), -1);
+  CU_ASSERT_EQUAL (run_waiting_call (strlen (PART)), -1);
 }
 
 int
 main (void)
 {
   static CU_TestInfo tests[] = { { "progress", test_progress },
-                                 { "held up", test_held_up },
+                                 { "held up", test_blocked },
                                  { "stall", test_stall },
-                                 { "behind", test_behind },
+                                 { "behind", test_waiting_call },
                                  CU_TEST_INFO_NULL };
 
   return runner_main ("transport/progress", tests);
--- a/tests/unit/test_transport_stop.c
+++ b/tests/unit/test_transport_stop.c
@@ -12,7 +12,7 @@
 #include "runner.h"
 
 #define MAX_BODY 1000
-#define TURNS 5
+#define ITERATIONS 5
 
 #define HEAD                                                                  \
   "POST /echo HTTP/1.1\r\nhost: a\r\n"                                        \
@@ -25,7 +25,7 @@
 {
   gp_loop_t loop;
   gp_http_server_t *server;
-  gp_http_exchange_t *held; /* by the path /hold */
+  gp_http_exchange_t *open_exchange; /* by the path /hold */
   int requests;
   bool shut_down;
 } fixture_t;
@@ -38,7 +38,7 @@
 
   fixture->requests++;
   if (gp_http_text_equal (gp_http_exchange_path (exchange), "/hold"))
-    fixture->held = exchange;
+    fixture->open_exchange = exchange;
   else
     gp_http_exchange_answer (exchange, 200, NULL, 0, body.base, body.size);
 }
@@ -74,7 +74,7 @@
 }
 
 static int
-connect_to (const fixture_t *fixture)
+connect_client (const fixture_t *fixture)
 {
   return raw_connect (gp_http_server_port (fixture->server));
 }
@@ -82,7 +82,7 @@
 /* Send TEXT; a failure to send is one of the faults that these tests
    detect.  */
 static void
-offer (int fd, const char *text)
+send_text (int fd, const char *text)
 {
   size_t size = strlen (text);
 
@@ -98,7 +98,7 @@
 /* Check that the response on FD has BODY and announces the close of the
    connection; close FD.  */
 static void
-expect_last_answer (fixture_t *fixture, int fd)
+expect_last_response (fixture_t *fixture, int fd)
 {
   GString *out = g_string_new (NULL);
 
@@ -111,11 +111,11 @@
 
 /* Make a complete request, after which the connection stays open.  */
 static void
-use_once (fixture_t *fixture, int fd)
+run_one_request (fixture_t *fixture, int fd)
 {
   GString *out = g_string_new (NULL);
 
-  offer (fd, HEAD BODY);
+  send_text (fd, HEAD BODY);
   CU_ASSERT_EQUAL (raw_read (&fixture->loop, fd, out, "\r\n\r\n" BODY), 0);
   CU_ASSERT_PTR_NULL (strstr (out->str, "onnection: close"));
   g_string_free (out, TRUE);
@@ -130,10 +130,10 @@
   int fd;
 
   setup (&fixture);
-  fd = connect_to (&fixture);
+  fd = connect_client (&fixture);
   stop (&fixture);
-  offer (fd, HEAD BODY);
-  expect_last_answer (&fixture, fd);
+  send_text (fd, HEAD BODY);
+  expect_last_response (&fixture, fd);
   CU_ASSERT_EQUAL (fixture.requests, 1);
   CU_ASSERT_TRUE (run_until (&fixture.loop, &fixture.shut_down));
   teardown (&fixture);
@@ -148,12 +148,12 @@
   int fd;
 
   setup (&fixture);
-  fd = connect_to (&fixture);
-  run_turns (&fixture.loop, TURNS);
+  fd = connect_client (&fixture);
+  run_turns (&fixture.loop, ITERATIONS);
   stop (&fixture);
-  run_turns (&fixture.loop, TURNS);
-  offer (fd, HEAD BODY);
-  expect_last_answer (&fixture, fd);
+  run_turns (&fixture.loop, ITERATIONS);
+  send_text (fd, HEAD BODY);
+  expect_last_response (&fixture, fd);
   CU_ASSERT_TRUE (run_until (&fixture.loop, &fixture.shut_down));
   teardown (&fixture);
 }
@@ -161,21 +161,21 @@
 /* The server reads the first part of a request, then its shutdown begins, then
    the client sends the rest.  */
 static void
-check_begun (const char *begin, const char *rest)
+check_partial_request (const char *first_part, const char *rest)
 {
   fixture_t fixture;
   int fd;
 
   setup (&fixture);
-  fd = connect_to (&fixture);
-  use_once (&fixture, fd);
-  offer (fd, begin);
-  run_turns (&fixture.loop, TURNS);
+  fd = connect_client (&fixture);
+  run_one_request (&fixture, fd);
+  send_text (fd, first_part);
+  run_turns (&fixture.loop, ITERATIONS);
   stop (&fixture);
-  run_turns (&fixture.loop, TURNS);
+  run_turns (&fixture.loop, ITERATIONS);
   CU_ASSERT_FALSE (fixture.shut_down);
-  offer (fd, rest);
-  expect_last_answer (&fixture, fd);
+  send_text (fd, rest);
+  expect_last_response (&fixture, fd);
   CU_ASSERT_TRUE (run_until (&fixture.loop, &fixture.shut_down));
   teardown (&fixture);
 }
@@ -186,12 +186,12 @@
 static void
 test_begun (void)
 {
-  check_begun ("POST /ec", "ho HTTP/1.1\r\nhost: a\r\n"
-                           "content-length: 2\r\n\r\n" BODY);
-  check_begun (HEAD, BODY);
-  check_begun (HEAD "a", "b");
-  check_begun (CHUNKED_HEAD, "2\r\n" BODY "\r\n0\r\n\r\n");
-  check_begun (CHUNKED_HEAD "1\r\na\r\n", "1\r\nb\r\n0\r\n\r\n");
+  check_partial_request ("POST /ec", "ho HTTP/1.1\r\nhost: a\r\n"
+                                     "content-length: 2\r\n\r\n" BODY);
+  check_partial_request (HEAD, BODY);
+  check_partial_request (HEAD "a", "b");
+  check_partial_request (CHUNKED_HEAD, "2\r\n" BODY "\r\n0\r\n\r\n");
+  check_partial_request (CHUNKED_HEAD "1\r\na\r\n", "1\r\nb\r\n0\r\n\r\n");
 }
 
 /* An idle connection that was used and one that never had a request are
@@ -205,9 +205,9 @@
   int unused;
 
   setup (&fixture);
-  used = connect_to (&fixture);
-  unused = connect_to (&fixture);
-  use_once (&fixture, used);
+  used = connect_client (&fixture);
+  unused = connect_client (&fixture);
+  run_one_request (&fixture, used);
   stop (&fixture);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, used, out, NULL), 0);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, unused, out, NULL), 0);
@@ -247,7 +247,7 @@
    keep-alive was disabled, the connection stays open: the client may send the
    next request on it.  */
 static void
-test_retire_begun_answer (void)
+test_disable_keepalive_in_response (void)
 {
   static const char hold[] = "GET /hold HTTP/1.1\r\nhost: a\r\n\r\n";
   GString *out = g_string_new (NULL);
@@ -255,20 +255,20 @@
   int fd;
 
   setup (&fixture);
-  fd = connect_to (&fixture);
-  offer (fd, hold);
+  fd = connect_client (&fixture);
+  send_text (fd, hold);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.requests, 1));
-  gp_http_exchange_start (fixture.held, 200, NULL, 0, 6);
-  gp_http_exchange_part (fixture.held, "one", 3, false);
+  gp_http_exchange_start (fixture.open_exchange, 200, NULL, 0, 6);
+  gp_http_exchange_part (fixture.open_exchange, "one", 3, false);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, fd, out, "one"), 0);
-  run_turns (&fixture.loop, TURNS);
+  run_turns (&fixture.loop, ITERATIONS);
   gp_http_server_disable_keepalive (fixture.server);
-  gp_http_exchange_part (fixture.held, "two", 3, true);
+  gp_http_exchange_part (fixture.open_exchange, "two", 3, true);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, fd, out, "onetwo"), 0);
   CU_ASSERT_PTR_NULL (strstr (out->str, "onnection: close"));
-  run_turns (&fixture.loop, TURNS);
-  offer (fd, HEAD BODY);
-  expect_last_answer (&fixture, fd);
+  run_turns (&fixture.loop, ITERATIONS);
+  send_text (fd, HEAD BODY);
+  expect_last_response (&fixture, fd);
   g_string_free (out, TRUE);
   teardown (&fixture);
 }
@@ -282,7 +282,7 @@
           { "begun", test_begun },
           { "idle", test_idle },
           { "late connect", test_late_connect },
-          { "retire within an answer", test_retire_begun_answer },
+          { "retire within an answer", test_disable_keepalive_in_response },
           CU_TEST_INFO_NULL };
 
   return runner_main ("transport/stop", tests);
--- a/tests/unit/test_transport_tls.c
+++ b/tests/unit/test_transport_tls.c
@@ -9,7 +9,7 @@
 
 /* The server accepts the connection and sends nothing.  */
 static void
-test_silent_far_side (void)
+test_silent_server (void)
 {
   test_site_t *site = test_site_new ();
   gp_tls_t *tls = test_site_issue (site, GP_TLS_SITE_NAME);
@@ -20,13 +20,14 @@
   peer_setup (&fixture, tls);
   listener = raw_listen (&port);
   g_snprintf (fixture.address, sizeof fixture.address, "127.0.0.1:%d", port);
-  fixture.near.peer
+  fixture.initiator.peer
       = gp_peer_connect (&fixture.loop, fixture.address, tls,
                          gp_loop_now (&fixture.loop) + 20 * GP_MSEC,
-                         &end_callbacks, &fixture.near, NULL);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.closes, 1));
-  CU_ASSERT_EQUAL (fixture.near.code, GP_TRANSPORT_ERROR_TIMEOUT);
-  CU_ASSERT_EQUAL (fixture.near.opens, 0);
+                         &end_callbacks, &fixture.initiator, NULL);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.closes, 1));
+  CU_ASSERT_EQUAL (fixture.initiator.code, GP_TRANSPORT_ERROR_TIMEOUT);
+  CU_ASSERT_EQUAL (fixture.initiator.opens, 0);
   close (listener);
   peer_teardown (&fixture);
   gp_tls_free (tls);
@@ -36,7 +37,7 @@
 /* A client that does not start the handshake is disconnected and not reported
    to the user.  */
 static void
-test_silent_near_side (void)
+test_silent_client (void)
 {
   test_site_t *site = test_site_new ();
   gp_tls_t *tls = test_site_issue (site, GP_TLS_SITE_NAME);
@@ -49,7 +50,7 @@
   fd = raw_connect (gp_peer_server_port (fixture.server));
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, fd, out, NULL), 0);
   CU_ASSERT_EQUAL (out->len, 0);
-  CU_ASSERT_EQUAL (fixture.far.opens + fixture.far.closes, 0);
+  CU_ASSERT_EQUAL (fixture.acceptor.opens + fixture.acceptor.closes, 0);
   close (fd);
   peer_teardown (&fixture);
   g_string_free (out, TRUE);
@@ -67,13 +68,14 @@
   fixture_t fixture;
 
   peer_setup (&fixture, server);
-  connect_near (&fixture, client);
-  send_numbered (fixture.near.peer, 1, 10);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.closes, 1));
-  CU_ASSERT_EQUAL (fixture.near.code, (int)code);
-  CU_ASSERT_EQUAL (fixture.far.opens + fixture.far.frames, 0);
+  connect_initiator (&fixture, client);
+  send_numbered (fixture.initiator.peer, 1, 10);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.closes, 1));
+  CU_ASSERT_EQUAL (fixture.initiator.code, (int)code);
+  CU_ASSERT_EQUAL (fixture.acceptor.opens + fixture.acceptor.frames, 0);
   peer_teardown (&fixture);
-  CU_ASSERT_EQUAL (fixture.far.closes, 0);
+  CU_ASSERT_EQUAL (fixture.acceptor.closes, 0);
   gp_tls_free (client);
   gp_tls_free (server);
 }
@@ -95,7 +97,7 @@
   peer_setup (&fixture, server);
   fd = raw_connect (gp_peer_server_port (fixture.server));
   CU_ASSERT_FALSE (test_site_anonymous (&fixture.loop, fd));
-  CU_ASSERT_EQUAL (fixture.far.opens, 0);
+  CU_ASSERT_EQUAL (fixture.acceptor.opens, 0);
   close (fd);
   peer_teardown (&fixture);
   gp_tls_free (server);
@@ -119,11 +121,11 @@
       fixture_t fixture;
 
       peer_setup (&fixture, servers[i]);
-      connect_near (&fixture, client);
+      connect_initiator (&fixture, client);
       CU_ASSERT_TRUE (
-          run_until_count (&fixture.loop, &fixture.near.closes, 1));
-      CU_ASSERT_EQUAL (fixture.near.code, GP_TRANSPORT_ERROR_TLS);
-      CU_ASSERT_EQUAL (fixture.near.opens + fixture.far.opens, 0);
+          run_until_count (&fixture.loop, &fixture.initiator.closes, 1));
+      CU_ASSERT_EQUAL (fixture.initiator.code, GP_TRANSPORT_ERROR_TLS);
+      CU_ASSERT_EQUAL (fixture.initiator.opens + fixture.acceptor.opens, 0);
       peer_teardown (&fixture);
       gp_tls_free (servers[i]);
     }
@@ -136,8 +138,8 @@
 main (void)
 {
   static CU_TestInfo tests[]
-      = { { "silent far side", test_silent_far_side },
-          { "silent near side", test_silent_near_side },
+      = { { "silent far side", test_silent_server },
+          { "silent near side", test_silent_client },
           { "TLS client refused", test_tls_client_refused },
           { "TLS server refused", test_tls_server_refused },
           CU_TEST_INFO_NULL };
--- a/tests/unit/transport_http_support.c
+++ b/tests/unit/transport_http_support.c
@@ -15,7 +15,7 @@
   fixture_t *fixture = data;
 
   fixture->gone++;
-  fixture->held = NULL;
+  fixture->open_exchange = NULL;
 }
 
 static void
@@ -24,16 +24,16 @@
   static const char zeros[PART_SIZE];
   fixture_t *fixture = data;
 
-  if (fixture->held == NULL)
+  if (fixture->open_exchange == NULL)
     return;
   fixture->parts_left--;
   if (fixture->parts_left == 0 && fixture->abort_after_parts)
     {
-      gp_http_exchange_abort (fixture->held);
+      gp_http_exchange_abort (fixture->open_exchange);
       return;
     }
   fixture->parts_sent++;
-  gp_http_exchange_part (fixture->held, zeros, sizeof zeros,
+  gp_http_exchange_part (fixture->open_exchange, zeros, sizeof zeros,
                          fixture->parts_left == 0);
 }
 
@@ -41,7 +41,7 @@
 start_stream (fixture_t *fixture, gp_http_exchange_t *exchange,
               int64_t content_length)
 {
-  fixture->held = exchange;
+  fixture->open_exchange = exchange;
   gp_http_exchange_watch (exchange, on_gone, on_proceed, fixture);
   gp_http_exchange_start (exchange, 200, NULL, 0, content_length);
   gp_http_exchange_part (exchange, NULL, 0, false);
@@ -70,7 +70,7 @@
   fixture->requests++;
   if (gp_http_text_equal (path, "/hold"))
     {
-      fixture->held = exchange;
+      fixture->open_exchange = exchange;
       gp_http_exchange_watch (exchange, on_gone, NULL, fixture);
     }
   else if (gp_http_text_equal (path, "/stream"))
--- a/tests/unit/transport_http_support.h
+++ b/tests/unit/transport_http_support.h
@@ -20,8 +20,9 @@
   gp_loop_t loop;
   gp_http_server_t *server;
   gp_http_client_t *client;
-  gp_http_exchange_t *held; /* the last request to /hold, /stream or /sized */
-  int parts_left;           /* of the response to /stream or /sized */
+  gp_http_exchange_t
+      *open_exchange; /* the last request to /hold, /stream or /sized */
+  int parts_left;     /* of the response to /stream or /sized */
   int parts_sent;
   bool abort_after_parts;
   int requests;
--- a/tests/unit/transport_peer_support.c
+++ b/tests/unit/transport_peer_support.c
@@ -67,8 +67,8 @@
 {
   fixture_t *fixture = data;
 
-  fixture->far.peer = peer;
-  return &fixture->far;
+  fixture->acceptor.peer = peer;
+  return &fixture->acceptor;
 }
 
 void
@@ -87,14 +87,14 @@
 }
 
 void
-connect_near (fixture_t *fixture, gp_tls_t *tls)
+connect_initiator (fixture_t *fixture, gp_tls_t *tls)
 {
   gp_time_t deadline = gp_loop_now (&fixture->loop) + CONNECT_TIME;
 
-  fixture->near.peer
+  fixture->initiator.peer
       = gp_peer_connect (&fixture->loop, fixture->address, tls, deadline,
-                         &end_callbacks, &fixture->near, NULL);
-  CU_ASSERT_PTR_NOT_NULL_FATAL (fixture->near.peer);
+                         &end_callbacks, &fixture->initiator, NULL);
+  CU_ASSERT_PTR_NOT_NULL_FATAL (fixture->initiator.peer);
 }
 
 void
--- a/tests/unit/transport_peer_support.h
+++ b/tests/unit/transport_peer_support.h
@@ -29,8 +29,8 @@
 {
   gp_loop_t loop;
   gp_peer_server_t *server;
-  end_t near; /* the side that connects */
-  end_t far;  /* the side that accepts */
+  end_t initiator; /* the side that connects */
+  end_t acceptor;  /* the side that accepts */
   char address[32];
 } fixture_t;
 
@@ -40,12 +40,12 @@
 /* Callbacks whose data is an end_t.  */
 extern const gp_peer_callbacks_t end_callbacks;
 
-/* Start the server; the accepted connection is stored in FAR.  */
+/* Start the server; the accepted connection is stored in ACCEPTOR.  */
 void peer_setup (fixture_t *fixture, gp_tls_t *tls);
 void peer_teardown (fixture_t *fixture);
 
-/* Start connecting NEAR to the server.  */
-void connect_near (fixture_t *fixture, gp_tls_t *tls);
+/* Start connecting INITIATOR to the server.  */
+void connect_initiator (fixture_t *fixture, gp_tls_t *tls);
 
 /* Send a frame of SIZE bytes that are generated from NUMBER.  */
 void send_numbered (gp_peer_t *peer, int number, size_t size);
