--- a/tests/unit/task_site.c
+++ b/tests/unit/task_site.c
@@ -238,7 +238,7 @@
                                      < n))
     uv_run (&site->guard.loop.uv, UV_RUN_ONCE);
   gp_timer_finish (&timer);
-  run_turns (&site->guard.loop, 2);
+  run_loop_iterations (&site->guard.loop, 2);
   return !late;
 }
 
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -239,7 +239,7 @@
 {
   gp_store_free (fixture->store);
   answer_poll (fixture);
-  run_turns (&fixture->loop, TURNS);
+  run_loop_iterations (&fixture->loop, TURNS);
   gp_loop_finish (&fixture->loop);
   g_ptr_array_unref (fixture->records);
   g_rand_free (fixture->rand);
@@ -370,7 +370,7 @@
   end = gp_time_now () + FAR;
   while (available (&fixture) && gp_time_now () < end)
     {
-      run_turns (&fixture.loop, 1);
+      run_loop_iterations (&fixture.loop, 1);
       answer_poll (&fixture);
     }
   CU_ASSERT (propose (&fixture, "bbbbbbbbbbbbbbbb", GP_WRITER_URGENT, FAR,
--- a/tests/unit/test_transport_client.c
+++ b/tests/unit/test_transport_client.c
@@ -51,7 +51,7 @@
                   0);
     }
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.requests, 2));
-  run_turns (&fixture.loop, 20);
+  run_loop_iterations (&fixture.loop, 20);
   CU_ASSERT_EQUAL (fixture.requests, 2);
   /* fixture.open_exchange is the last exchange.  */
   gp_http_exchange_answer (fixture.open_exchange, 200, NULL, 0, NULL, 0);
@@ -140,7 +140,7 @@
 
   http_setup (&fixture, 1);
   gp_http_server_shutdown (fixture.server, NULL, NULL);
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   call_run (&fixture, &call, "GET", "/echo", NULL, 0);
   CU_ASSERT_EQUAL (call.code, GP_TRANSPORT_ERROR_CONNECT);
   CU_ASSERT_FALSE (call.sent);
--- a/tests/unit/test_transport_http.c
+++ b/tests/unit/test_transport_http.c
@@ -50,7 +50,7 @@
   while (before != fixture->parts_sent)
     {
       before = fixture->parts_sent;
-      run_turns (&fixture->loop, 50);
+      run_loop_iterations (&fixture->loop, 50);
     }
 }
 
@@ -125,7 +125,7 @@
   CU_ASSERT_EQUAL (call.code, GP_TRANSPORT_ERROR_CLOSED);
   CU_ASSERT_EQUAL (call.status, 200);
   CU_ASSERT_TRUE (call.sent);
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   CU_ASSERT_EQUAL (gp_http_server_open_exchanges (fixture.server), 0);
   CU_ASSERT_EQUAL (fixture.gone, 0);
   call_finish (&call);
@@ -263,7 +263,7 @@
   call_init (&call);
   call_start (&fixture, &call, "GET", "/hold", NULL, 0);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.requests, 1));
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   gp_http_server_shutdown (fixture.server, on_shut_down, &fixture);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, idle, out, NULL), 0);
   CU_ASSERT_EQUAL (out->len, 0);
--- a/tests/unit/test_transport_log.c
+++ b/tests/unit/test_transport_log.c
@@ -371,7 +371,7 @@
   CU_ASSERT_EQUAL (append.result, GP_APPEND_UNKNOWN);
   CU_ASSERT_EQUAL (append.code, GP_TRANSPORT_ERROR_ANSWER);
   gp_http_server_shutdown (fixture.server, NULL, NULL);
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   append_run (&fixture, &append, "a", 1);
   CU_ASSERT_EQUAL (append.result, GP_APPEND_REFUSED);
   CU_ASSERT_EQUAL (append.code, GP_TRANSPORT_ERROR_CONNECT);
@@ -412,7 +412,7 @@
   CU_ASSERT_EQUAL (fixture.gap_from, from);
   CU_ASSERT_EQUAL (fixture.gap_to, first_offset);
   CU_ASSERT_EQUAL (fixture.reads + fixture.errors, 0);
-  run_turns (&fixture.loop, 10);
+  run_loop_iterations (&fixture.loop, 10);
   CU_ASSERT_EQUAL (fixture.reads_requested, 1);
   /* The user continues from the oldest retained record.  */
   gp_stream_follow (fixture.stream, first_offset);
@@ -456,13 +456,13 @@
   fixture.stop_in_read = true;
   gp_stream_follow (fixture.stream, 0);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads, 1));
-  run_turns (&fixture.loop, 10);
+  run_loop_iterations (&fixture.loop, 10);
   CU_ASSERT_EQUAL (fixture.reads_requested, 1);
   fixture.stop_in_read = false;
   fixture.free_in_read = true;
   gp_stream_follow (fixture.stream, 0);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.reads, 2));
-  run_turns (&fixture.loop, 10);
+  run_loop_iterations (&fixture.loop, 10);
   CU_ASSERT_EQUAL (fixture.reads_requested, 2);
   teardown (&fixture);
 }
--- a/tests/unit/test_transport_peer.c
+++ b/tests/unit/test_transport_peer.c
@@ -65,7 +65,7 @@
   for (size_t i = 0; i < size; i++)
     {
       raw_send (fd, bytes + i, 1);
-      run_turns (&fixture.loop, 2);
+      run_loop_iterations (&fixture.loop, 2);
     }
   CU_ASSERT_TRUE (
       run_until_count (&fixture.loop, &fixture.acceptor.frames, 4));
@@ -140,7 +140,7 @@
         fixture.acceptor.pause_after = fixture.acceptor.frames + 1;
       if (g_rand_boolean (rand))
         gp_peer_pause (fixture.acceptor.peer);
-      run_turns (&fixture.loop, 1);
+      run_loop_iterations (&fixture.loop, 1);
     }
   fixture.acceptor.pause_after = 0;
   gp_peer_resume (fixture.acceptor.peer);
@@ -195,7 +195,7 @@
 
   peer_setup (&fixture, NULL);
   gp_peer_server_close (fixture.server);
-  run_turns (&fixture.loop, 3);
+  run_loop_iterations (&fixture.loop, 3);
   connect_initiator (&fixture, NULL);
   CU_ASSERT_EQUAL (fixture.initiator.closes, 0);
   CU_ASSERT_TRUE (
@@ -237,7 +237,7 @@
   while (!gp_peer_congested (fixture->initiator.peer))
     {
       send_numbered (fixture->initiator.peer, sent++, (size_t)100 * 1024);
-      run_turns (&fixture->loop, 1);
+      run_loop_iterations (&fixture->loop, 1);
     }
   return sent;
 }
@@ -296,7 +296,7 @@
       CU_ASSERT_TRUE (gp_peer_backlog (fixture.initiator.peer)
                       <= 17 * GP_FRAME_MAX_SIZE);
       sent++;
-      run_turns (&fixture.loop, 1);
+      run_loop_iterations (&fixture.loop, 1);
     }
   CU_ASSERT_TRUE (sent < 100);
   CU_ASSERT_EQUAL (fixture.initiator.closes, 0);
@@ -360,7 +360,7 @@
   gp_peer_close (fixture.acceptor.peer, false);
   gp_timer_disarm (&fixture.acceptor.peer->timer);
   shutdown (fd, SHUT_WR);
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, fd, out, NULL), 0);
   CU_ASSERT_EQUAL (out->len, 15 * (GP_FRAME_MAX_SIZE + GP_FRAME_HEADER_SIZE));
   CU_ASSERT_TRUE (
@@ -385,7 +385,7 @@
   raw_send (fd, bytes, sizeof bytes - 1);
   CU_ASSERT_TRUE (
       run_until_count (&fixture.loop, &fixture.acceptor.frames, 1));
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   CU_ASSERT_EQUAL (fixture.acceptor.frames, 1);
   gp_peer_resume (fixture.acceptor.peer);
   CU_ASSERT_TRUE (
@@ -406,7 +406,7 @@
 
   peer_setup (&fixture, NULL);
   raw_connect_without_descriptors (&fixture.loop, &fixture.server->listener);
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   opens = fixture.acceptor.opens;
   CU_ASSERT_EQUAL (fixture.acceptor.closes, opens);
   connect_initiator (&fixture, NULL);
--- a/tests/unit/test_transport_stop.c
+++ b/tests/unit/test_transport_stop.c
@@ -149,9 +149,9 @@
 
   setup (&fixture);
   fd = connect_client (&fixture);
-  run_turns (&fixture.loop, ITERATIONS);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
   stop (&fixture);
-  run_turns (&fixture.loop, ITERATIONS);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
   send_text (fd, HEAD BODY);
   expect_last_response (&fixture, fd);
   CU_ASSERT_TRUE (run_until (&fixture.loop, &fixture.shut_down));
@@ -170,9 +170,9 @@
   fd = connect_client (&fixture);
   run_one_request (&fixture, fd);
   send_text (fd, first_part);
-  run_turns (&fixture.loop, ITERATIONS);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
   stop (&fixture);
-  run_turns (&fixture.loop, ITERATIONS);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
   CU_ASSERT_FALSE (fixture.shut_down);
   send_text (fd, rest);
   expect_last_response (&fixture, fd);
@@ -261,12 +261,12 @@
   gp_http_exchange_start (fixture.open_exchange, 200, NULL, 0, 6);
   gp_http_exchange_part (fixture.open_exchange, "one", 3, false);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, fd, out, "one"), 0);
-  run_turns (&fixture.loop, ITERATIONS);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
   gp_http_server_disable_keepalive (fixture.server);
   gp_http_exchange_part (fixture.open_exchange, "two", 3, true);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, fd, out, "onetwo"), 0);
   CU_ASSERT_PTR_NULL (strstr (out->str, "onnection: close"));
-  run_turns (&fixture.loop, ITERATIONS);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
   send_text (fd, HEAD BODY);
   expect_last_response (&fixture, fd);
   g_string_free (out, TRUE);
--- a/tests/unit/test_views.c
+++ b/tests/unit/test_views.c
@@ -251,12 +251,12 @@
   world->g.silent = true;
   ask (&world->a, "b", "g", TIMEOUT, &seen);
   while (gp_list_empty (&world->b.views.forwards))
-    run_turns (&world->loop, 1);
+    run_loop_iterations (&world->loop, 1);
   gp_session_host_close (&world->a.host);
   run_until_count (&world->loop, &seen.calls, 1);
   CU_ASSERT_EQUAL (seen.result, GP_VIEW_LOST);
   for (int i = 0; i < 1000 && world->b.ready > 1; i++)
-    run_turns (&world->loop, 1);
+    run_loop_iterations (&world->loop, 1);
   gone = gp_list_empty (&world->b.views.forwards);
   CU_ASSERT_TRUE (gone);
   world_finish (world);
--- a/tests/unit/transport_support.c
+++ b/tests/unit/transport_support.c
@@ -33,8 +33,8 @@
   gp_time_t end = gp_time_now () + GUARD_TIME;
 
   while (*(volatile const int *)count < target && gp_time_now () < end)
-    run_turns (loop, 1);
-  run_turns (loop, 2);
+    run_loop_iterations (loop, 1);
+  run_loop_iterations (loop, 2);
   return *count >= target;
 }
 
@@ -44,15 +44,15 @@
   gp_time_t end = gp_time_now () + GUARD_TIME;
 
   while (!*(volatile const bool *)flag && gp_time_now () < end)
-    run_turns (loop, 1);
-  run_turns (loop, 2);
+    run_loop_iterations (loop, 1);
+  run_loop_iterations (loop, 2);
   return *flag;
 }
 
 void
-run_turns (gp_loop_t *loop, int turns)
+run_loop_iterations (gp_loop_t *loop, int iterations)
 {
-  while (turns-- > 0)
+  while (iterations-- > 0)
     uv_run (&loop->uv, UV_RUN_NOWAIT);
 }
 
@@ -99,7 +99,7 @@
 
   while (fd < 0 && gp_time_now () < end)
     {
-      run_turns (loop, 1);
+      run_loop_iterations (loop, 1);
       fd = accept4 (listener, NULL, NULL, SOCK_NONBLOCK);
     }
   return fd;
@@ -130,7 +130,7 @@
         g_string_append_len (out, bytes, got);
       if (stop != NULL && strstr (out->str, stop) != NULL)
         return 0;
-      run_turns (loop, 1);
+      run_loop_iterations (loop, 1);
     }
   return ETIMEDOUT;
 }
@@ -152,7 +152,7 @@
   none = limit;
   none.rlim_cur = 0;
   setrlimit (RLIMIT_NOFILE, &none);
-  run_turns (loop, 5);
+  run_loop_iterations (loop, 5);
   setrlimit (RLIMIT_NOFILE, &limit);
   while (!listener->tcp_live || !uv_is_active (handle))
     uv_run (&loop->uv, UV_RUN_ONCE);
@@ -303,7 +303,7 @@
   SSL_set_connect_state (ssl);
   while (code == SSL_ERROR_WANT_READ && gp_time_now () < end)
     {
-      run_turns (loop, 1);
+      run_loop_iterations (loop, 1);
       code = SSL_get_error (ssl, SSL_read (ssl, &byte, 1));
     }
   SSL_free (ssl);
--- a/tests/unit/transport_support.h
+++ b/tests/unit/transport_support.h
@@ -16,7 +16,7 @@
 bool run_until_count (gp_loop_t *loop, const int *count, int target);
 
 /* Run the given number of iterations of LOOP without blocking.  */
-void run_turns (gp_loop_t *loop, int turns);
+void run_loop_iterations (gp_loop_t *loop, int iterations);
 
 /* Raw sockets on loopback, to simulate a peer that violates the protocol.  */
 int raw_connect (int port);
