--- a/src/base/hlc.c
+++ b/src/base/hlc.c
@@ -11,7 +11,7 @@
 #define USEC_PER_MSEC INT64_C (1000)
 
 static gp_hlc_stamp_t
-stamp_of_wall (int64_t wall)
+wall_to_stamp (int64_t wall)
 {
   return (gp_hlc_stamp_t)(MAX (wall, 0) / USEC_PER_MSEC)
          << GP_HLC_COUNTER_BITS;
@@ -26,7 +26,7 @@
 gp_hlc_stamp_t
 gp_hlc_tick (gp_hlc_t *clock, int64_t wall)
 {
-  clock->last = MAX (clock->last + 1, stamp_of_wall (wall));
+  clock->last = MAX (clock->last + 1, wall_to_stamp (wall));
   return clock->last;
 }
 
@@ -35,7 +35,7 @@
                 gp_hlc_stamp_t *stamp)
 {
   gp_hlc_stamp_t limit
-      = stamp_of_wall (wall + GP_HLC_MAX_AHEAD_MS * USEC_PER_MSEC);
+      = wall_to_stamp (wall + GP_HLC_MAX_AHEAD_MS * USEC_PER_MSEC);
   bool accepted = remote <= limit;
 
   if (accepted)
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -94,7 +94,7 @@
 }
 
 static void
-serve (gp_http_server_t *server, uv_tcp_t *tcp)
+start_connection (gp_http_server_t *server, uv_tcp_t *tcp)
 {
   gp_http_connection_t *connection = g_new0 (gp_http_connection_t, 1);
   h2o_socket_t *socket
@@ -121,7 +121,7 @@
 
   uv_tcp_init (&server->loop->uv, tcp);
   if (uv_accept ((uv_stream_t *)&listener->tcp, (uv_stream_t *)tcp) == 0)
-    serve (server, tcp);
+    start_connection (server, tcp);
   else
     uv_close ((uv_handle_t *)tcp, on_tcp_closed);
 }
