--- a/bench/bench_transport.c
+++ b/bench/bench_transport.c
@@ -1,7 +1,7 @@
-/* Cost of the transport on one core: both ends run on one loop.
+/* Benchmark of the transport on one core: both ends run on one event loop.
 
-   Prints frames a second one way and as echoes, plain and with TLS, the
-   memory of an idle connection, and HTTP requests a second.  */
+   Prints frames per second in one direction and echoed, with and without TLS,
+   the memory of an idle connection, and HTTP requests per second.  */
 
 #include <glib/gstdio.h>
 #include <malloc.h>
@@ -26,9 +26,9 @@
   gp_timer_t end;
   bool ended;
   bool echo;
-  gp_peer_t *near;
+  gp_peer_t *initiator;
   int opened;
-  guint64 frames; /* one way, or echoes that came back */
+  guint64 frames; /* received in one direction, or echoes returned */
   guint64 answers;
   gp_http_client_t *client;
 } bench_t;
@@ -43,7 +43,7 @@
   gp_loop_stop (&bench.loop);
 }
 
-/* Run for RUN_TIME; the seconds of processor time that were used.  */
+/* Run the loop for RUN_TIME and return the CPU time used in seconds.  */
 static double
 run (void)
 {
@@ -68,7 +68,7 @@
 on_open (gp_peer_t *peer, void *data)
 {
   bench.opened++;
-  if (peer != bench.near)
+  if (peer != bench.initiator)
     return;
   if (!bench.echo)
     fill (peer);
@@ -84,7 +84,7 @@
       bench.frames++;
       return;
     }
-  if (peer == bench.near)
+  if (peer == bench.initiator)
     bench.frames++;
   gp_peer_send (peer, bytes, size);
 }
@@ -92,7 +92,7 @@
 static void
 on_drain (gp_peer_t *peer, void *data)
 {
-  if (peer == bench.near && !bench.echo)
+  if (peer == bench.initiator && !bench.echo)
     fill (peer);
 }
 
@@ -130,8 +130,8 @@
   gp_loop_init (&bench.loop, NULL);
   bench.echo = echo;
   listen_peers (tls, address, sizeof address);
-  bench.near = gp_peer_connect (&bench.loop, address, tls, GP_TIME_NEVER,
-                                &callbacks, NULL, NULL);
+  bench.initiator = gp_peer_connect (&bench.loop, address, tls, GP_TIME_NEVER,
+                                     &callbacks, NULL, NULL);
   seconds = run ();
   printf ("%-22s %10.0f frames/s of %d bytes, %.2f us each\n", name,
           (double)bench.frames / seconds, FRAME_SIZE,
@@ -240,7 +240,7 @@
   gp_loop_finish (&bench.loop);
 }
 
-/* A certificate that is its own authority.  */
+/* Create a context with a self-signed certificate.  */
 static gp_tls_t *
 make_tls (void)
 {
--- a/src/base/heap.c
+++ b/src/base/heap.c
@@ -1,10 +1,10 @@
 /* Intrusive pairing heap.
 
-   Each node comes no later than its children.  Two trees are melded by
-   making the later root the leftmost child of the other.  The orphaned
-   children of a removed node are melded in pairs from left to right and the
-   pairs then from right to left, which gives the amortized bound.  Nothing
-   recurses, so a long list of children costs no stack.  */
+   No node sorts after any of its children.  Two trees are melded by making
+   the root that sorts later the leftmost child of the other.  The children of
+   a removed node are melded in pairs from left to right, and then the pairs
+   from right to left, which gives the amortized bound.  No function recurses,
+   so a long list of children needs no stack.  */
 
 #include "base/heap.h"
 
@@ -17,7 +17,7 @@
 
 /* Make the root LOWER the leftmost child of the root UPPER.  */
 static void
-adopt (gp_heap_node_t *upper, gp_heap_node_t *lower)
+attach_child (gp_heap_node_t *upper, gp_heap_node_t *lower)
 {
   lower->next = upper->child;
   if (lower->next != NULL)
@@ -26,7 +26,7 @@
   upper->child = lower;
 }
 
-/* Join two trees, either of which may be NULL, and return the root.  */
+/* Meld two trees, either of which may be NULL, and return the root.  */
 static gp_heap_node_t *
 meld (const gp_heap_t *heap, gp_heap_node_t *a, gp_heap_node_t *b)
 {
@@ -36,18 +36,18 @@
     return a;
   if (heap->before (b, a))
     {
-      adopt (b, a);
+      attach_child (b, a);
       return b;
     }
-  adopt (a, b);
+  attach_child (a, b);
   return a;
 }
 
-/* Join the siblings from FIRST on into one tree.  */
+/* Meld FIRST and the siblings after it into one tree and return its root.  */
 static gp_heap_node_t *
 meld_siblings (const gp_heap_t *heap, gp_heap_node_t *first)
 {
-  gp_heap_node_t *pairs = NULL;
+  gp_heap_node_t *melded_pairs = NULL;
   gp_heap_node_t *root = NULL;
 
   while (first != NULL)
@@ -60,17 +60,17 @@
       if (second != NULL)
         second->next = NULL;
       pair = meld (heap, first, second);
-      pair->next = pairs;
-      pairs = pair;
+      pair->next = melded_pairs;
+      melded_pairs = pair;
       first = rest;
     }
-  while (pairs != NULL)
+  while (melded_pairs != NULL)
     {
-      gp_heap_node_t *rest = pairs->next;
+      gp_heap_node_t *rest = melded_pairs->next;
 
-      pairs->next = NULL;
-      root = meld (heap, root, pairs);
-      pairs = rest;
+      melded_pairs->next = NULL;
+      root = meld (heap, root, melded_pairs);
+      melded_pairs = rest;
     }
   if (root != NULL)
     root->prev = NULL;
@@ -84,9 +84,9 @@
   heap->root = meld (heap, heap->root, node);
 }
 
-/* Take NODE with its children out of the list of its siblings.  */
+/* Unlink NODE, with its children, from its parent and siblings.  */
 static void
-cut (gp_heap_node_t *node)
+unlink_subtree (gp_heap_node_t *node)
 {
   if (node->prev->child == node)
     node->prev->child = node->next;
@@ -99,7 +99,7 @@
 void
 gp_heap_remove (gp_heap_t *heap, gp_heap_node_t *node)
 {
-  gp_heap_node_t *orphans;
+  gp_heap_node_t *children;
 
   if (node == heap->root)
     {
@@ -107,9 +107,9 @@
     }
   else
     {
-      cut (node);
-      orphans = meld_siblings (heap, node->child);
-      heap->root = meld (heap, heap->root, orphans);
+      unlink_subtree (node);
+      children = meld_siblings (heap, node->child);
+      heap->root = meld (heap, heap->root, children);
     }
   *node = (gp_heap_node_t){ NULL, NULL, NULL };
 }
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -1,5 +1,5 @@
-/* Reading of settings: tree, schema, typed structure, then the checks that
-   a schema cannot tell.  */
+/* Loading of settings: YAML tree, schema check, typed structure, and then the
+   checks that a schema cannot express.  */
 
 #include "base/settings.h"
 
@@ -31,17 +31,17 @@
 }
 
 bool
-gp_settings_config_apart (const gp_settings_platform_log_t *log)
+gp_settings_has_config_stream (const gp_settings_platform_log_t *log)
 {
   return strcmp (gp_settings_config_stream (log), log->stream) != 0;
 }
 
-/* Whether no entry before PLACE is in its region.  */
+/* Return whether the entry at index INDEX is the first one of its region.  */
 static bool
-is_first_of_region (const gp_settings_t *settings, uint32_t place)
+is_first_in_region (const gp_settings_t *settings, uint32_t index)
 {
-  for (uint32_t i = 0; i < place; i++)
-    if (strcmp (settings->entries[i].region, settings->entries[place].region)
+  for (uint32_t i = 0; i < index; i++)
+    if (strcmp (settings->entries[i].region, settings->entries[index].region)
         == 0)
       return false;
   return true;
@@ -53,7 +53,7 @@
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < settings->entries_count; i++)
-    count += is_first_of_region (settings, i);
+    count += is_first_in_region (settings, i);
   return count;
 }
 
@@ -64,7 +64,7 @@
   uint32_t index = 0;
 
   for (uint32_t i = 0; i < settings->entries_count; i++)
-    if (is_first_of_region (settings, i)
+    if (is_first_in_region (settings, i)
         && strcmp (settings->entries[i].region, settings->region) < 0)
       index++;
   if (count < 2 || total == UINT32_MAX)
@@ -75,10 +75,10 @@
 void
 gp_settings_finish (gp_settings_t *settings)
 {
-  /* libcyaml frees the outermost structure too.  */
-  gp_settings_t *whole = g_memdup2 (settings, sizeof *settings);
+  /* libcyaml also frees the outermost structure.  */
+  gp_settings_t *copy = g_memdup2 (settings, sizeof *settings);
 
-  gp_yaml_unload (whole, &gp_settings_schema);
+  gp_yaml_unload (copy, &gp_settings_schema);
   memset (settings, 0, sizeof *settings);
 }
 
@@ -96,7 +96,7 @@
   g_string_free (text, TRUE);
 }
 
-/* Load what fits the schema and check the rest.  */
+/* Check ROOT against the schema, load SETTINGS and check them.  */
 static bool
 load_checked (gp_settings_t *settings, const char *text, size_t size,
               const gp_yaml_node_t *root, GPtrArray *issues)
@@ -147,7 +147,8 @@
   return false;
 }
 
-/* Put the first line of the token's file in place of the token.  */
+/* Set the token to the content of its file, without surrounding
+   whitespace.  */
 static bool
 load_token (gp_settings_entry_t *entry, GError **error)
 {
--- a/src/base/settings_check.c
+++ b/src/base/settings_check.c
@@ -1,4 +1,4 @@
-/* Defaults and checks of settings that a schema cannot tell.  */
+/* Defaults and checks of settings that a schema cannot express.  */
 
 #include "base/settings_check.h"
 
@@ -19,7 +19,7 @@
   gp_yaml_report ((check)->root, (check)->issues, GP_ISSUE_ERROR, (path),     \
                   (allowed), __VA_ARGS__)
 
-/* Read TEXT at PATH; false after a report.  */
+/* Parse the value TEXT at PATH; false after reporting an error.  */
 static bool
 check_address (check_t *check, const char *path, const char *text,
                struct sockaddr_storage *address)
@@ -31,10 +31,11 @@
   return false;
 }
 
-/* An address to connect to: a port and no wildcard.  */
+/* Check an address to connect to: it needs a port and must not be a
+   wildcard.  */
 static bool
-check_target (check_t *check, const char *path, const char *text,
-              struct sockaddr_storage *address)
+check_connect_address (check_t *check, const char *path, const char *text,
+                       struct sockaddr_storage *address)
 {
   if (!check_address (check, path, text, address))
     return false;
@@ -45,9 +46,10 @@
   return false;
 }
 
-/* An address of the site's own protocol: plain only on loopback.  */
+/* Check an address of the site's protocol: without TLS it must be
+   loopback.  */
 static void
-check_protected (check_t *check, const char *path,
+check_needs_tls (check_t *check, const char *path,
                  const struct sockaddr_storage *address)
 {
   if (!check->settings->tls && !gp_address_is_loopback (address))
@@ -74,8 +76,8 @@
 }
 
 static void
-check_place (check_t *check, const char *prefix, const char *region_name,
-             const char *zone)
+check_location (check_t *check, const char *prefix, const char *region_name,
+                const char *zone)
 {
   const gp_settings_t *settings = check->settings;
   const gp_settings_region_t *region = find_region (settings, region_name);
@@ -112,16 +114,17 @@
       if (gp_settings_find_entry (settings, member->name) != member)
         ERROR (check, path, NULL, "\"%s\" is used twice", member->name);
       g_snprintf (path, sizeof path, "entries[%u].", i);
-      check_place (check, path, member->region, member->zone);
+      check_location (check, path, member->region, member->zone);
       g_snprintf (path, sizeof path, "entries[%u].peers", i);
-      if (check_target (check, path, member->peers, &address))
-        check_protected (check, path, &address);
+      if (check_connect_address (check, path, member->peers, &address))
+        check_needs_tls (check, path, &address);
     }
 }
 
-/* The entry's own line in the list must lead to where it listens.  */
+/* Check that the list `entries' has this entry with the address on which it
+   listens.  */
 static void
-check_own_line (check_t *check, const struct sockaddr_storage *listened)
+check_own_entry (check_t *check, const struct sockaddr_storage *listened)
 {
   const gp_settings_t *settings = check->settings;
   const gp_settings_member_t *own
@@ -148,28 +151,29 @@
            own->name, own->peers, settings->entry->peers);
 }
 
-/* An entry vouches to those of its region only, and fences the guards of
-   its stream, so a stream may not serve two regions.  */
+/* Check that a stream does not serve two regions: an entry vouches only to the
+   entries of its region, and fences the guards of its stream.  */
 static void
-check_log (check_t *check, const gp_settings_platform_log_t *log)
+check_platform_log (check_t *check, const gp_settings_platform_log_t *log)
 {
   const gp_settings_t *settings = check->settings;
   struct sockaddr_storage address;
-  bool alone = true;
+  bool single_region = true;
 
-  check_target (check, "platform_log.address", log->address, &address);
+  check_connect_address (check, "platform_log.address", log->address,
+                         &address);
   if (log->config_address != NULL)
-    check_target (check, "platform_log.config_address", log->config_address,
-                  &address);
+    check_connect_address (check, "platform_log.config_address",
+                           log->config_address, &address);
   for (uint32_t i = 0; i < settings->entries_count; i++)
     if (strcmp (settings->entries[i].region, settings->region) != 0)
-      alone = false;
-  if (!alone && !gp_settings_config_apart (log))
+      single_region = false;
+  if (!single_region && !gp_settings_has_config_stream (log))
     ERROR (check, "platform_log.config_stream",
            "a stream that no region has as its `stream'",
            "with entries in several regions the configuration needs a stream "
            "of its own");
-  if (log->config_address != NULL && !gp_settings_config_apart (log))
+  if (log->config_address != NULL && !gp_settings_has_config_stream (log))
     ERROR (check, "platform_log.config_address", "only with a config_stream",
            "the configuration is on the region's stream");
 }
@@ -183,8 +187,8 @@
   check_address (check, "entry.operators", entry->operators, &address);
   if (check_address (check, "entry.peers", entry->peers, &address))
     {
-      check_protected (check, "entry.peers", &address);
-      check_own_line (check, &address);
+      check_needs_tls (check, "entry.peers", &address);
+      check_own_entry (check, &address);
     }
   if (!entry->operator_token == !entry->operator_token_file)
     ERROR (check, "entry", "operator_token or operator_token_file", "%s",
@@ -199,7 +203,8 @@
 {
   struct sockaddr_storage address;
 
-  check_target (check, "guard.upstream.address", upstream->address, &address);
+  check_connect_address (check, "guard.upstream.address", upstream->address,
+                         &address);
   if (upstream->connections < upstream->slots)
     ERROR (check, "guard.upstream.connections", "at least the slots",
            "%u connections cannot serve %u slots", upstream->connections,
@@ -211,15 +216,16 @@
 {
   struct sockaddr_storage address;
 
-  if (check_target (check, "guard.worker.runtime", worker->runtime, &address)
+  if (check_connect_address (check, "guard.worker.runtime", worker->runtime,
+                             &address)
       && !gp_address_is_loopback (&address))
     ERROR (check, "guard.worker.runtime", "a loopback address",
            "the worker runtime must be on the guard's own VM");
 }
 
 static void
-check_one_reserve (check_t *check, const char *path, uint32_t reserve,
-                   uint32_t capacity)
+check_reserve_limit (check_t *check, const char *path, uint32_t reserve,
+                     uint32_t capacity)
 {
   if (reserve > capacity)
     ERROR (check, path, NULL, "%u is more than the worker's %u", reserve,
@@ -230,12 +236,12 @@
 check_reserve (check_t *check, const gp_settings_resources_t *reserve,
                const gp_settings_worker_t *worker)
 {
-  check_one_reserve (check, "guard.upstream.reserve.millicores",
-                     reserve->millicores, worker->millicores);
-  check_one_reserve (check, "guard.upstream.reserve.memory_mib",
-                     reserve->memory_mib, worker->memory_mib);
-  check_one_reserve (check, "guard.upstream.reserve.accelerators",
-                     reserve->accelerators, worker->accelerators);
+  check_reserve_limit (check, "guard.upstream.reserve.millicores",
+                       reserve->millicores, worker->millicores);
+  check_reserve_limit (check, "guard.upstream.reserve.memory_mib",
+                       reserve->memory_mib, worker->memory_mib);
+  check_reserve_limit (check, "guard.upstream.reserve.accelerators",
+                       reserve->accelerators, worker->accelerators);
 }
 
 static void
@@ -245,7 +251,7 @@
 
   if (guard->peers
       && check_address (check, "guard.peers", guard->peers, &address))
-    check_protected (check, "guard.peers", &address);
+    check_needs_tls (check, "guard.peers", &address);
   if (guard->upstream)
     check_upstream (check, guard->upstream);
   if (guard->worker)
@@ -257,7 +263,7 @@
            "there is nothing to guard");
 }
 
-/* Timings that only work together.  */
+/* Check timings that depend on each other.  */
 static void
 check_timings (check_t *check, gp_settings_timings_t *values)
 {
@@ -289,10 +295,10 @@
 
   if (!gp_yaml_find (root, "log_level"))
     settings->log_level = GP_LOG_INFO;
-  check_place (&check, "", settings->region, settings->zone);
+  check_location (&check, "", settings->region, settings->zone);
   check_entries (&check);
   if (settings->platform_log)
-    check_log (&check, settings->platform_log);
+    check_platform_log (&check, settings->platform_log);
   if (!settings->entry == !settings->guard)
     ERROR (&check, "", "an `entry' section or a `guard' section", "%s",
            settings->entry ? "both sections are given"
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -243,7 +243,7 @@
   gp_program_record_event (&entry->timeline, GP_TIMELINE_PROCESS_STOP,
                            entry->settings->name);
   broadcast_state (entry);
-  gp_http_server_retire (entry->callers);
+  gp_http_server_disable_keepalive (entry->callers);
   gp_timer_arm (&entry->stop_timer,
                 gp_loop_now (&entry->loop)
                     + entry->settings->timings.leave_ms * GP_MSEC);
@@ -256,7 +256,7 @@
 
   return (gp_http_server_options_t){
     .address = settings->callers,
-    .held = true,
+    .bind_only = true,
     .max_body_size = settings->max_body_kib * 1024UL,
     .header_timeout = entry->settings->timings.header_ms * GP_MSEC,
     .on_request = on_caller,
@@ -275,7 +275,7 @@
   if (entry->open || entry->leaving)
     return;
   entry->open = true;
-  gp_http_server_open (entry->callers);
+  gp_http_server_listen (entry->callers);
   gp_log (GP_LOG_INFO, "entry.open");
 }
 
@@ -305,7 +305,7 @@
   entry->callers = gp_http_server_new (&entry->loop, &options, error);
   if (entry->callers == NULL)
     return false;
-  options.held = false;
+  options.bind_only = false;
   if (entry->settings->entry->operators == NULL)
     return true;
   options.address = entry->settings->entry->operators;
@@ -405,7 +405,7 @@
   const gp_settings_t *settings = entry->settings;
 
   entry->config_store = entry->store;
-  if (gp_settings_config_apart (settings->platform_log))
+  if (gp_settings_has_config_stream (settings->platform_log))
     entry->config_store
         = gp_store_new_config (&entry->loop, settings, entry->incarnation,
                                entry->rand, &entry->timeline, error);
--- a/src/jobsd/entry.c
+++ b/src/jobsd/entry.c
@@ -331,7 +331,7 @@
   gp_log (GP_LOG_INFO, "process.stopping");
   entry->stopping = true;
   gp_leader_resign (&entry->leader);
-  gp_http_server_retire (entry->caller_server);
+  gp_http_server_disable_keepalive (entry->caller_server);
   gp_timer_arm (&entry->serve_timer,
                 gp_loop_now (&entry->loop)
                     + MIN (STOP_SERVE_TIME, entry->settings->grace_time / 2));
--- a/src/jobsd/refusals.h
+++ b/src/jobsd/refusals.h
@@ -9,13 +9,13 @@
 
 #include <glib.h>
 
-#include "base/repeats.h"
+#include "base/log_sampler.h"
 #include "jobs/records.h"
 #include "platform/store.h"
 
 typedef struct
 {
-  gp_repeats_t repeats; /* counts by key or sender */
+  gp_log_sampler_t repeats; /* counts by key or sender */
 } gp_refusals_t;
 
 void gp_refusals_init (gp_refusals_t *refusals);
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -1,13 +1,14 @@
-/* HTTP/1 client over h2o's client and socket pool.
+/* HTTP/1 client on top of h2o's client and socket pool.
 
-   A call waits in a list until one of the client's connections is free, is
-   then in the hands of h2o, and ends once.  h2o gives a connection back to
-   the pool only after its last callback for a call has returned; so the
-   next waiting call is started at the end of the phase, which finds that
-   connection in the pool.
+   A call waits in a list until one of the client's connections is free; then
+   h2o owns it until it ends, exactly once.  h2o returns a connection to the
+   pool only after its last callback for a call has returned.  The next waiting
+   call is therefore started at the end of the phase, when that connection is
+   in the pool.
 
-   h2o frees its side of a call when a callback returns a value that stops
-   it, and must not be told to from inside of one: IN_CALLBACK tells.  */
+   h2o frees its state of a call when a callback returns a value that stops the
+   call; h2o_http1client_cancel must not be called from inside a callback.
+   IN_CALLBACK marks that case.  */
 
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -19,33 +20,36 @@
 #include "transport/http_request.h"
 #include "transport/meter.h"
 
-/* A call that has got nothing yet waits on while answers of others take so
-   much of the link, in percent, but no longer than this: 1 MB before it takes
-   four seconds at 2 Mbit/s, and an answer that was lost never comes.  */
-#define FULL_PERCENT 50
-#define FULL_TIME (5 * GP_SEC)
-/* While they take so much, it waits for what may stand before its own: a
-   window of each of four connections, also of calls that were given up.  Given
-   up behind them it would leave one more.  */
-#define USED_PERCENT 10
-#define BYTES_BEFORE ((gp_time_t)256 * 1024)
-#define LOOK_TIME (200 * GP_MSEC)
-/* A loop that runs looks at a deadline within a few milliseconds; one that
-   looks so much later was held up ...  */
-#define HELD_UP_TIME (50 * GP_MSEC)
-/* ... and reads what has come for so long, a few turns.  */
-#define READ_TIME (5 * GP_MSEC)
-
-/* What a body callback of h2o returns to have the connection closed.  */
+/* Link utilization, in percent, at which the link counts as saturated, and how
+   long a call without a response waits past its deadline meanwhile: at 2
+   Mbit/s, 1 MB ahead of its response takes four seconds.  The wait is limited
+   because a response that was lost never arrives.  */
+#define SATURATED_PERCENT 50
+#define SATURATED_WAIT_TIME (5 * GP_SEC)
+/* Link utilization, in percent, from which a call waits past its deadline for
+   the data that may be queued ahead of its response: one TCP window for each
+   of four connections, including those of cancelled calls.  Cancelling the
+   call would add one more such window to the queue.  */
+#define BUSY_PERCENT 10
+#define QUEUED_BYTES ((gp_time_t)256 * 1024)
+#define RECHECK_TIME (200 * GP_MSEC)
+/* An event loop that is not blocked handles a deadline within a few
+   milliseconds; a delay of this much means that the process was stalled.  */
+#define STALL_DETECT_TIME (50 * GP_MSEC)
+/* Extra time after such a stall, a few loop iterations, to read data that has
+   already arrived.  */
+#define STALL_GRACE_TIME (5 * GP_MSEC)
+
+/* Returned from a body callback to make h2o close the connection.  */
 #define STOP_CALL (-1)
 
 typedef enum
 {
-  WAITING, /* for a connection */
-  ACTIVE,  /* with h2o */
-  ENDING,  /* its end is known and is reported at the end of the phase */
-  HELD,    /* it came whole, and the user has paused it */
-  DONE     /* reported */
+  WAITING,         /* for a connection */
+  ACTIVE,          /* with h2o */
+  ENDING,          /* ended; reported at the end of the phase */
+  COMPLETE_PAUSED, /* response complete, but paused by the user */
+  DONE             /* reported */
 } call_state_t;
 
 struct gp_http_call
@@ -55,21 +59,21 @@
   call_state_t state;
   gp_http_call_callbacks_t callbacks;
   void *data;
-  gp_timer_t timer; /* armed for a deadline, perhaps an earlier one */
+  gp_timer_t timer; /* may fire before DEADLINE, after an extension */
   gp_time_t deadline;
-  gp_time_t stall_time;     /* a duration, see gp_http_call_request_t */
-  gp_time_t alone_deadline; /* on a link that carries nothing else */
-  bool reads_first;         /* its deadline was put off for that */
+  gp_time_t stall_time;        /* duration, see gp_http_call_request_t */
+  gp_time_t original_deadline; /* without extensions */
+  bool stall_extended;         /* deadline extended to read after a stall */
   gp_deferred_t ending;
   GError *error;
   h2o_http1client_t *h2o;
-  h2o_socket_cb reader; /* while it is paused */
+  h2o_socket_cb reader; /* h2o's read callback, while paused */
   bool sent;
   bool is_head;
   bool chunked;
   bool paused;
   bool in_callback;
-  bool cancelled;         /* inside a callback */
+  bool cancelled;         /* from inside a callback */
   gp_traffic_t *traffic;  /* may be NULL */
   h2o_iovec_t request[2]; /* head and body */
   char head[];
@@ -80,9 +84,9 @@
   gp_closer_t closer;
   gp_loop_t *loop;
   h2o_socketpool_t pool;
-  uv_timer_t end; /* its close tells that the closes before are done */
+  uv_timer_t barrier; /* closed to wait for handles closed before it */
   size_t max_connections;
-  int64_t link_rate; /* bytes a second, 0: not known */
+  int64_t link_rate; /* bytes per second, 0 when unknown */
   size_t active;
   bool closed;
   gp_list_t waiting;
@@ -91,15 +95,15 @@
   char address[GP_ADDRESS_TEXT_SIZE];
 };
 
-/* Answers of all clients, which share the VM's link.  */
-static gp_meter_t answers_meter;
+/* Bytes received by all clients, which share the VM's link.  */
+static gp_meter_t response_meter;
 
 static gp_counter_t calls_total
     = GP_COUNTER ("http_client_calls_total", "HTTP calls made.");
 static gp_counter_t failed_total
     = GP_COUNTER ("http_client_failed_total", "HTTP calls that failed.");
 
-/* The end of a call.  */
+/* Completion of calls.  */
 
 static void
 on_call_closed (uv_handle_t *handle)
@@ -119,7 +123,8 @@
   uv_close ((uv_handle_t *)&call->timer.uv, on_call_closed);
 }
 
-/* Report the end; ERROR, which may be NULL, is taken.  */
+/* Report the end of CALL and free it.  Takes ownership of ERROR, which may be
+   NULL.  */
 static void
 finish (gp_http_call_t *call, GError *error)
 {
@@ -138,7 +143,7 @@
                       call->client->address, message);
 }
 
-/* CALL no longer holds a connection.  */
+/* Detach CALL from its connection and schedule the next waiting call.  */
 static void
 release_connection (gp_http_call_t *call)
 {
@@ -148,7 +153,7 @@
     gp_deferred_schedule (&call->client->start_next, call->client->loop);
 }
 
-/* End CALL later, with ERROR, which is taken.  */
+/* End CALL at the end of the phase.  Takes ownership of ERROR.  */
 static void
 end_soon (gp_http_call_t *call, GError *error)
 {
@@ -167,7 +172,8 @@
   finish (call, error);
 }
 
-/* Take the connection from CALL, from outside of h2o's callbacks.  */
+/* Cancel the h2o side of CALL; inside an h2o callback only mark it for
+   cancellation.  */
 static void
 drop_connection (gp_http_call_t *call)
 {
@@ -184,7 +190,7 @@
   h2o_http1client_cancel (h2o);
 }
 
-/* The share of the link that answers take, in percent.  */
+/* Return the share of the link's bandwidth used by responses, in percent.  */
 static int64_t
 link_use (const gp_http_client_t *client)
 {
@@ -192,56 +198,59 @@
 
   if (client->link_rate <= 0)
     return 0;
-  return gp_meter_rate (&answers_meter, now) * 100 / client->link_rate;
+  return gp_meter_rate (&response_meter, now) * 100 / client->link_rate;
 }
 
 bool
-gp_http_client_is_full (const gp_http_client_t *client)
+gp_http_client_link_saturated (const gp_http_client_t *client)
 {
-  return link_use (client) >= FULL_PERCENT;
+  return link_use (client) >= SATURATED_PERCENT;
 }
 
-/* How much longer than its deadline a call waits for the link.  */
+/* Return how long past its deadline a call waits because of traffic on the
+   link.  */
 static gp_time_t
-link_patience (const gp_http_client_t *client)
+link_grace_time (const gp_http_client_t *client)
 {
   int64_t use = link_use (client);
 
-  if (use >= FULL_PERCENT)
-    return FULL_TIME;
-  if (use >= USED_PERCENT)
-    return MIN (BYTES_BEFORE * GP_SEC / client->link_rate, FULL_TIME);
+  if (use >= SATURATED_PERCENT)
+    return SATURATED_WAIT_TIME;
+  if (use >= BUSY_PERCENT)
+    return MIN (QUEUED_BYTES * GP_SEC / client->link_rate,
+                SATURATED_WAIT_TIME);
   return 0;
 }
 
-/* The deadline of CALL is over: put it off if its answer stands behind others
-   on the link.  Giving it up would waste what has come, and the next try would
-   stand at the end again: after an outage four entries behind 2 Mbit/s had a
-   leader after 11.6 s, with this after 6.9 (one play each), for 700 KB that a
-   link carries in 2.8 s.  */
+/* Extend the expired deadline of CALL if its response may be queued behind
+   others on the link.  Cancelling the call would waste the data already
+   received, and a retry would queue at the end again: after an outage, four
+   entries behind links of 2 Mbit/s elected a leader after 11.6 s without this
+   and after 6.9 s with it (one run each), for 700 KB that the link carries in
+   2.8 s.  */
 static bool
-waits_on (gp_http_call_t *call)
+extend_for_link (gp_http_call_t *call)
 {
   gp_time_t now = gp_loop_now (call->client->loop);
-  gp_time_t end = call->alone_deadline + link_patience (call->client);
+  gp_time_t end = call->original_deadline + link_grace_time (call->client);
 
   if (call->stall_time == 0 || now >= end)
     return false;
-  call->deadline = MIN (now + LOOK_TIME, end);
+  call->deadline = MIN (now + RECHECK_TIME, end);
   return true;
 }
 
-/* Is the deadline of CALL over by so much that the process was held up?  Then
-   it reads what has come meanwhile before it gives an answer up.  */
+/* If the deadline of CALL expired so long ago that the process must have been
+   stalled, extend it once to read data that arrived during the stall.  */
 static bool
-reads_first (gp_http_call_t *call)
+extend_after_stall (gp_http_call_t *call)
 {
   gp_time_t now = gp_loop_now (call->client->loop);
 
-  if (call->reads_first || now - call->deadline < HELD_UP_TIME)
+  if (call->stall_extended || now - call->deadline < STALL_DETECT_TIME)
     return false;
-  call->reads_first = true;
-  call->deadline = now + READ_TIME;
+  call->stall_extended = true;
+  call->deadline = now + STALL_GRACE_TIME;
   return true;
 }
 
@@ -250,8 +259,8 @@
 {
   gp_http_call_t *call = data;
 
-  if (gp_loop_now (call->client->loop) < call->deadline || waits_on (call)
-      || reads_first (call))
+  if (gp_loop_now (call->client->loop) < call->deadline
+      || extend_for_link (call) || extend_after_stall (call))
     {
       gp_timer_arm (timer, call->deadline);
       return;
@@ -260,22 +269,22 @@
   finish (call, call_error (call, GP_TRANSPORT_ERROR_TIMEOUT, "timeout"));
 }
 
-/* What h2o calls.  */
+/* Callbacks of h2o.  */
 
-/* SIZE bytes of the answer have arrived.  */
+/* Account for SIZE received bytes of the response and extend the deadline.  */
 static void
-note_progress (gp_http_call_t *call, size_t size)
+record_progress (gp_http_call_t *call, size_t size)
 {
   gp_time_t now = gp_loop_now (call->client->loop);
 
   gp_traffic_received (call->traffic, size);
-  gp_meter_add (&answers_meter, size, now);
-  call->reads_first = false;
+  gp_meter_add (&response_meter, size, now);
+  call->stall_extended = false;
   if (call->stall_time > 0)
     call->deadline = MAX (call->deadline, now + call->stall_time);
 }
 
-/* h2o has ended CALL by itself.  */
+/* End CALL after h2o has reported a failure.  */
 static void
 fail (gp_http_call_t *call, const char *message)
 {
@@ -283,15 +292,17 @@
   finish (call, call_error (call, GP_TRANSPORT_ERROR_CLOSED, message));
 }
 
-/* h2o passes a connection that is closed between two chunks for the end of
-   the answer; no bytes were read then, as they are for the last chunk.  */
+/* Return whether the end of a chunked response is a truncation.  h2o reports a
+   connection that is closed between two chunks as the end of the response;
+   unlike with the last chunk, no bytes have been read then.  */
 static bool
-is_cut (const gp_http_call_t *call)
+is_truncated (const gp_http_call_t *call)
 {
   return call->chunked && call->h2o->sock->bytes_read == 0;
 }
 
-/* Hand over what has come; a resume from inside the callback counts.  */
+/* Pass the received data to the user, who may call gp_http_call_resume from
+   inside the callback.  */
 static void
 deliver (gp_http_call_t *call)
 {
@@ -301,7 +312,7 @@
 
   if (size == 0)
     return;
-  note_progress (call, size);
+  record_progress (call, size);
   call->in_callback = true;
   call->paused = true;
   go_on = call->callbacks.on_body ((*input)->bytes, size, call->data);
@@ -311,11 +322,11 @@
 }
 
 static void
-end_whole (gp_http_call_t *call)
+end_complete (gp_http_call_t *call)
 {
   release_connection (call);
   if (call->paused)
-    call->state = HELD;
+    call->state = COMPLETE_PAUSED;
   else
     finish (call, NULL);
 }
@@ -326,7 +337,7 @@
   gp_http_call_t *call = h2o->data;
   bool ended = failure == h2o_http1client_error_is_eos;
 
-  if (ended && is_cut (call))
+  if (ended && is_truncated (call))
     failure = "closed before the last chunk";
   else if (ended)
     failure = NULL;
@@ -342,7 +353,7 @@
       return STOP_CALL;
     }
   if (ended)
-    end_whole (call);
+    end_complete (call);
   else if (call->paused)
     {
       call->reader = h2o->sock->_cb.read;
@@ -352,7 +363,7 @@
 }
 
 static gp_http_header_t
-header_of (const h2o_header_t *header)
+convert_header (const h2o_header_t *header)
 {
   return (gp_http_header_t){ .name = header->name->base,
                              .name_size = header->name->len,
@@ -360,7 +371,8 @@
                              .value_size = header->value.len };
 }
 
-/* Whether the end of the body can be told from a cut.  */
+/* Return whether a truncation of the body can be detected, i.e. it has a
+   length or is chunked.  */
 static bool
 find_framing (gp_http_call_t *call, const h2o_header_t *headers, size_t count)
 {
@@ -388,7 +400,7 @@
 
   count = MIN (count, H2O_MAX_HEADERS);
   for (size_t i = 0; i < count; i++)
-    converted[i] = header_of (&headers[i]);
+    converted[i] = convert_header (&headers[i]);
   call->in_callback = true;
   call->callbacks.on_head (status, converted, count, call->data);
   call->in_callback = false;
@@ -402,7 +414,7 @@
   gp_http_call_t *call = h2o->data;
   bool bodiless = failure == h2o_http1client_error_is_eos;
 
-  note_progress (call, (size_t)MAX (head_size, 0));
+  record_progress (call, (size_t)MAX (head_size, 0));
   if (failure == NULL && !find_framing (call, headers, count))
     failure = "answer without a length";
   if (failure != NULL && !bodiless)
@@ -471,7 +483,7 @@
     start (GP_CONTAINER_OF (client->waiting.next, gp_http_call_t, link));
 }
 
-/* A call with its head in the same block.  */
+/* Allocate a call together with the head of its request.  */
 static gp_http_call_t *
 call_new (const gp_http_client_t *client,
           const gp_http_call_request_t *request)
@@ -505,7 +517,7 @@
   call->timer.uv.data = call;
   call->deadline = request->deadline;
   call->stall_time = request->stall_time;
-  call->alone_deadline = request->deadline;
+  call->original_deadline = request->deadline;
   gp_timer_arm (&call->timer, call->deadline);
   gp_list_init (&call->link);
   if (client->closed)
@@ -525,7 +537,7 @@
   if (!call->paused)
     return;
   call->paused = false;
-  if (call->state == HELD)
+  if (call->state == COMPLETE_PAUSED)
     end_soon (call, NULL);
   else if (call->state == ACTIVE && !call->in_callback)
     h2o_socket_read_start (call->h2o->sock, call->reader);
@@ -567,8 +579,8 @@
   gp_list_init (&client->waiting);
   gp_list_init (&client->started);
   gp_deferred_init (&client->start_next, on_start_next);
-  uv_timer_init (&loop->uv, &client->end);
-  client->end.data = client;
+  uv_timer_init (&loop->uv, &client->barrier);
+  client->barrier.data = client;
   h2o_socketpool_init_by_address (&client->pool, (struct sockaddr *)&address,
                                   gp_address_size (&address), 0,
                                   options->max_connections);
@@ -587,28 +599,29 @@
 }
 
 static void
-close_end_again (gp_http_client_t *client, uv_close_cb cb)
+close_barrier (gp_http_client_t *client, uv_close_cb cb)
 {
-  uv_timer_init (&client->loop->uv, &client->end);
-  uv_close ((uv_handle_t *)&client->end, cb);
+  uv_timer_init (&client->loop->uv, &client->barrier);
+  uv_close ((uv_handle_t *)&client->barrier, cb);
 }
 
 static void
 on_pool_closing (uv_handle_t *handle)
 {
-  close_end_again (handle->data, on_pool_closed);
+  close_barrier (handle->data, on_pool_closed);
 }
 
-/* h2o has let go of the last call.  The pool closes a timer in its own
-   memory; END is closed in the same turn, in an order not told, and then
-   once more.  */
+/* h2o has released the last call.  The pool closes a timer in its own memory.
+   BARRIER is closed in the same loop iteration, but the order of the two
+   callbacks is not specified, so BARRIER is closed once more before the client
+   is freed.  */
 static void
-on_calls_closed (uv_handle_t *handle)
+on_calls_released (uv_handle_t *handle)
 {
   gp_http_client_t *client = handle->data;
 
   h2o_socketpool_dispose (&client->pool);
-  close_end_again (client, on_pool_closing);
+  close_barrier (client, on_pool_closing);
 }
 
 static void
@@ -636,5 +649,5 @@
   end_all (&client->waiting);
   end_all (&client->started);
   gp_deferred_cancel (&client->start_next);
-  uv_close ((uv_handle_t *)&client->end, on_calls_closed);
+  uv_close ((uv_handle_t *)&client->barrier, on_calls_released);
 }
--- a/src/transport/http_exchange.c
+++ b/src/transport/http_exchange.c
@@ -1,13 +1,13 @@
-/* One request and its answer on the server's side.
+/* A request and its response on the server side.
 
-   An exchange lives in the memory pool of its h2o request.  The release of
-   that pool is the one sure sign that h2o is done with the request, be the
-   answer complete or the connection gone; on_gone and the count of open
-   exchanges hang on it.
+   An exchange is allocated in the memory pool of its h2o request.  Only the
+   release of that pool reliably indicates that h2o has finished with the
+   request, whether the response is complete or the connection was closed;
+   on_gone and the count of open exchanges are driven by it.
 
-   h2o calls back at once, and may go on to the next request of the
-   connection, when it is given nothing to write; so an empty last part and
-   an abort are put off to the end of the phase.  */
+   When h2o is given nothing to write, it calls back immediately and may
+   continue with the next request on the connection.  An empty last part and an
+   abort are therefore deferred to the end of the phase.  */
 
 #include <netdb.h>
 #include <netinet/in.h>
@@ -18,9 +18,9 @@
 #include "transport/http_private.h"
 
 #define HTTP_1_1 0x101
-/* Bytes of an answer's head, about: the library does not tell them.  */
-#define ANSWER_HEAD_SIZE 120
-/* Beside the fields of a request's head: what stands between them.  */
+/* Approximate size of a response head in bytes; h2o does not report it.  */
+#define RESPONSE_HEAD_SIZE 120
+/* Bytes of ": " and CRLF for each header of a request.  */
 #define HEADER_SEPARATORS 4
 
 static gp_counter_t requests_total
@@ -35,7 +35,7 @@
   bool gone = exchange->state != GP_HTTP_EXCHANGE_ENDED;
 
   gp_traffic_sent (exchange->server->options.traffic,
-                   ANSWER_HEAD_SIZE + exchange->request->bytes_sent);
+                   RESPONSE_HEAD_SIZE + exchange->request->bytes_sent);
   gp_deferred_cancel (&exchange->deferred);
   gp_list_remove (&exchange->link);
   exchange->server->open_exchanges--;
@@ -64,7 +64,7 @@
   h2o_send (exchange->request, &bytes, bytes.len > 0 ? 1 : 0, state);
 }
 
-/* h2o has written the last part.  */
+/* h2o has written the previous part.  */
 static void
 on_generator_proceed (h2o_generator_t *generator, h2o_req_t *request)
 {
@@ -72,7 +72,7 @@
       = GP_CONTAINER_OF (generator, gp_http_exchange_t, generator);
 
   exchange->writing = false;
-  if (exchange->task != GP_HTTP_TASK_NONE)
+  if (exchange->action != GP_HTTP_ACTION_NONE)
     gp_deferred_schedule (&exchange->deferred, exchange->server->loop);
   else if (exchange->state == GP_HTTP_EXCHANGE_STARTED
            && exchange->on_proceed != NULL)
@@ -84,30 +84,30 @@
 {
   gp_http_exchange_t *exchange
       = GP_CONTAINER_OF (deferred, gp_http_exchange_t, deferred);
-  gp_http_exchange_task_t task = exchange->task;
+  gp_http_exchange_action_t action = exchange->action;
 
-  exchange->task = GP_HTTP_TASK_NONE;
-  switch (task)
+  exchange->action = GP_HTTP_ACTION_NONE;
+  switch (action)
     {
-    case GP_HTTP_TASK_NONE:
+    case GP_HTTP_ACTION_NONE:
       break;
-    case GP_HTTP_TASK_PROCEED:
+    case GP_HTTP_ACTION_PROCEED:
       if (exchange->on_proceed != NULL)
         exchange->on_proceed (exchange->data);
       break;
-    case GP_HTTP_TASK_END:
+    case GP_HTTP_ACTION_END:
       send_part (exchange, h2o_iovec_init (NULL, 0), H2O_SEND_STATE_FINAL);
       break;
-    case GP_HTTP_TASK_ABORT:
+    case GP_HTTP_ACTION_ABORT:
       send_part (exchange, h2o_iovec_init (NULL, 0), H2O_SEND_STATE_ERROR);
       break;
     }
 }
 
 static void
-defer (gp_http_exchange_t *exchange, gp_http_exchange_task_t task)
+defer (gp_http_exchange_t *exchange, gp_http_exchange_action_t action)
 {
-  exchange->task = task;
+  exchange->action = action;
   gp_deferred_schedule (&exchange->deferred, exchange->server->loop);
 }
 
@@ -182,7 +182,7 @@
 }
 
 bool
-gp_http_exchange_hung_up (const gp_http_exchange_t *exchange)
+gp_http_exchange_client_closed (const gp_http_exchange_t *exchange)
 {
   struct tcp_info info;
   socklen_t size = sizeof info;
@@ -205,9 +205,9 @@
   exchange->data = data;
 }
 
-/* h2o writes these itself.  */
+/* Return whether h2o generates HEADER itself.  */
 static bool
-is_of_server (const gp_http_header_t *header)
+is_generated_by_h2o (const gp_http_header_t *header)
 {
   return h2o_lcstris (header->name, header->name_size, H2O_STRLIT ("date"))
          || h2o_lcstris (header->name, header->name_size,
@@ -222,8 +222,8 @@
   h2o_iovec_t name;
   h2o_iovec_t value;
 
-  if (gp_http_header_is_framing (header) || !gp_http_header_is_clean (header)
-      || is_of_server (header))
+  if (gp_http_header_is_framing (header) || !gp_http_header_is_valid (header)
+      || is_generated_by_h2o (header))
     return;
   value = h2o_strdup (&request->pool, header->value, header->value_size);
   token = h2o_lookup_token (header->name, header->name_size);
@@ -267,10 +267,10 @@
   h2o_start_response (request, &exchange->generator);
 }
 
-/* A copy of a part that stays until it is written.  The last one goes into
-   the request's memory pool, the others share a buffer.  */
+/* Copy a part so that it stays valid until it is written.  The last part is
+   allocated in the request's memory pool, the others share a buffer.  */
 static h2o_iovec_t
-keep_part (gp_http_exchange_t *exchange, const void *bytes, size_t size,
+copy_part (gp_http_exchange_t *exchange, const void *bytes, size_t size,
            bool final)
 {
   if (final)
@@ -290,9 +290,9 @@
   if (final)
     exchange->state = GP_HTTP_EXCHANGE_ENDED;
   if (exchange->bodiless || size == 0)
-    defer (exchange, final ? GP_HTTP_TASK_END : GP_HTTP_TASK_PROCEED);
+    defer (exchange, final ? GP_HTTP_ACTION_END : GP_HTTP_ACTION_PROCEED);
   else
-    send_part (exchange, keep_part (exchange, bytes, size, final),
+    send_part (exchange, copy_part (exchange, bytes, size, final),
                final ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_IN_PROGRESS);
 }
 
@@ -305,8 +305,8 @@
   gp_http_exchange_part (exchange, body, size, true);
 }
 
-/* Have the far side see a reset and not a proper end of the stream, by
-   which an HTTP/1.0 answer would look whole.  */
+/* Make the close of the connection a TCP reset.  With a normal end of the
+   stream a truncated HTTP/1.0 response would look complete.  */
 static void
 reset_on_close (gp_http_exchange_t *exchange)
 {
@@ -328,15 +328,15 @@
     reset_on_close (exchange);
   if (!exchange->writing)
     {
-      defer (exchange, GP_HTTP_TASK_ABORT);
+      defer (exchange, GP_HTTP_ACTION_ABORT);
       return;
     }
-  exchange->task = GP_HTTP_TASK_ABORT;
+  exchange->action = GP_HTTP_ACTION_ABORT;
   shutdown (socket_of (exchange), SHUT_RDWR);
 }
 
 void
-gp_http_exchange_give_up (gp_http_exchange_t *exchange)
+gp_http_exchange_force_close (gp_http_exchange_t *exchange)
 {
   if (exchange->state == GP_HTTP_EXCHANGE_ENDED)
     return;
@@ -353,7 +353,8 @@
   return socket->on_close.data;
 }
 
-/* The bytes of REQUEST, as far as they are kept.  */
+/* Return the approximate size of REQUEST in bytes, from the parts that h2o
+   keeps.  */
 static size_t
 request_size (const h2o_req_t *request)
 {
@@ -385,7 +386,7 @@
   gp_counter_register (&requests_total);
   gp_counter_register (&gone_total);
   gp_counter_add (&requests_total, 1);
-  if (server->retiring)
+  if (server->keepalive_disabled)
     request->http1_is_persistent = 0;
   gp_traffic_received (server->options.traffic, request_size (request));
   server->options.on_request (exchange, server->options.data);
--- a/src/transport/http_header.c
+++ b/src/transport/http_header.c
@@ -1,5 +1,5 @@
-/* Rules on headers, texts that are not terminated, and the standard phrases of
-   statuses.  */
+/* Header validation, texts that are not NUL-terminated, and reason
+   phrases.  */
 
 #include "transport/http_header.h"
 
@@ -7,7 +7,8 @@
 
 #define DELETE_CHARACTER 0x7f
 #define HIGH_BIT 0x80
-/* A longer number is taken for none: no header or parameter needs it.  */
+/* Longer numbers are rejected: no header or parameter needs more digits, and
+   these cannot overflow an int64_t.  */
 #define NUMBER_DIGITS_MAX 15
 #define EACH_BYTE UINT64_C (0x0101010101010101)
 
@@ -24,8 +25,8 @@
 };
 
 bool
-gp_http_name_is_among (const char *name, size_t size,
-                       const gp_http_name_t *names, size_t count)
+gp_http_name_in_list (const char *name, size_t size,
+                      const gp_http_name_t *names, size_t count)
 {
   for (size_t i = 0; i < count; i++)
     if (names[i].size == size
@@ -37,9 +38,9 @@
 bool
 gp_http_header_is_framing (const gp_http_header_t *header)
 {
-  return gp_http_name_is_among (header->name, header->name_size,
-                                framing_headers,
-                                G_N_ELEMENTS (framing_headers));
+  return gp_http_name_in_list (header->name, header->name_size,
+                               framing_headers,
+                               G_N_ELEMENTS (framing_headers));
 }
 
 static bool
@@ -48,8 +49,8 @@
   return (byte < ' ' && byte != '\t') || byte == DELETE_CHARACTER;
 }
 
-/* Whether one of the eight bytes of WORD may be a control character: it is
-   below a space, the delete character, or beyond ASCII.  */
+/* Return whether one of the eight bytes of WORD may be a control character:
+   less than a space, the delete character, or not ASCII.  */
 static bool
 may_have_control (uint64_t word)
 {
@@ -86,7 +87,7 @@
 }
 
 bool
-gp_http_header_is_clean (const gp_http_header_t *header)
+gp_http_header_is_valid (const gp_http_header_t *header)
 {
   return header->name_size > 0
          && !has_control (header->name, header->name_size)
--- a/src/transport/http_request.c
+++ b/src/transport/http_request.c
@@ -1,4 +1,4 @@
-/* The head of a client's request.  */
+/* Formatting of the head of a client request.  */
 
 #include "transport/http_request.h"
 
@@ -8,8 +8,8 @@
 
 #include "transport/http_header.h"
 
-/* Of the head of a request: room for what does not depend on it, its first
-   line's and the content-length's text.  */
+/* Upper limit for the constant parts of a request head: the rest of the
+   request line, the names of the generated headers and the content length.  */
 #define FIXED_HEAD_SIZE 128
 
 static bool
@@ -38,7 +38,7 @@
 static char *
 append_header (char *to, const gp_http_header_t *header)
 {
-  if (gp_http_header_is_framing (header) || !gp_http_header_is_clean (header))
+  if (gp_http_header_is_framing (header) || !gp_http_header_is_valid (header))
     return to;
   to = append (to, header->name, header->name_size);
   to = append_string (to, ": ");
--- a/src/transport/loop.c
+++ b/src/transport/loop.c
@@ -1,4 +1,4 @@
-/* The event loop: set-up and end, deferred calls, time and timers.  */
+/* The event loop: setup and cleanup, deferred calls, time and timers.  */
 
 #include "transport/loop.h"
 
@@ -6,7 +6,7 @@
 
 #include "base/error.h"
 
-/* The HTTP client's own timeout is out of the way: each call has its
+/* h2o's own I/O timeout is effectively disabled: each call has its
    deadline.  */
 #define CLIENT_IO_TIMEOUT_MS ((uint64_t)24 * 3600 * 1000)
 
@@ -41,7 +41,8 @@
   loop->now_uv = 0;
 }
 
-/* There is no disk: keep h2o from mapping large buffers to files.  */
+/* Keep h2o from backing large buffers with memory-mapped files: there is no
+   disk.  */
 static void
 keep_buffers_in_memory (void)
 {
@@ -49,8 +50,8 @@
   h2o_socket_buffer_prototype.mmap_settings = NULL;
 }
 
-/* BEFORE_WAIT counts as a reason to run, so that the loop ends only when it
-   is stopped.  */
+/* BEFORE_WAIT stays referenced, which keeps the loop running until it is
+   stopped.  */
 static void
 init_phases (gp_loop_t *loop)
 {
@@ -110,14 +111,15 @@
 }
 
 static void
-drain (gp_loop_t *loop, int turns)
+run_iterations (gp_loop_t *loop, int iterations)
 {
-  while (turns-- > 0)
+  while (iterations-- > 0)
     uv_run (&loop->uv, UV_RUN_NOWAIT);
 }
 
-/* Turns that a handle needs at most from its close to its last callback.  */
-#define FINISH_TURNS 8
+/* Upper limit for the loop iterations from the close of a handle to its last
+   callback.  */
+#define FINISH_ITERATIONS 8
 
 void
 gp_loop_finish (gp_loop_t *loop)
@@ -134,7 +136,7 @@
         gp_list_push_back (&disposable, link);
       closer->close (closer);
     }
-  drain (loop, FINISH_TURNS);
+  run_iterations (loop, FINISH_ITERATIONS);
   while ((link = gp_list_pop_front (&disposable)) != NULL)
     {
       gp_closer_t *closer = GP_CONTAINER_OF (link, gp_closer_t, link);
@@ -143,7 +145,7 @@
     }
   h2o_timeout_dispose (&loop->uv, &loop->http_client_timeout);
   uv_walk (&loop->uv, close_handle, NULL);
-  drain (loop, FINISH_TURNS);
+  run_iterations (loop, FINISH_ITERATIONS);
   uv_loop_close (&loop->uv);
   g_free (loop->read_buffer);
   g_free (loop->plain_buffer);
@@ -246,14 +248,14 @@
 {
   gp_time_t wait = MAX (timer->deadline - now, 0);
 
-  timer->wakes_at = timer->deadline;
+  timer->uv_deadline = timer->deadline;
   uv_update_time (&timer->loop->uv);
   uv_timer_start (&timer->uv, on_timer,
                   (uint64_t)((wait + GP_MSEC - 1) / GP_MSEC), 0);
 }
 
-/* The loop's own clock has milliseconds and leaves out suspended time, so
-   the deadline is looked at again.  */
+/* libuv's clock has a resolution of milliseconds and does not count suspended
+   time, so the deadline is compared again with our clock.  */
 static void
 on_timer (uv_timer_t *handle)
 {
@@ -276,14 +278,14 @@
   uv_timer_init (&loop->uv, &timer->uv);
   timer->loop = loop;
   timer->deadline = GP_TIME_NEVER;
-  timer->wakes_at = GP_TIME_NEVER;
+  timer->uv_deadline = GP_TIME_NEVER;
   timer->cb = cb;
   timer->data = data;
 }
 
-/* A timer that wakes before its new deadline is left as it is: it looks at
-   the deadline when it wakes.  Timers that move on with each request are
-   started anew once a period only.  */
+/* A libuv timer that fires before the new deadline is left as it is, because
+   on_timer compares the deadline again.  So a timer whose deadline moves with
+   every request is restarted only once per period.  */
 void
 gp_timer_arm (gp_timer_t *timer, gp_time_t deadline)
 {
@@ -291,7 +293,7 @@
   if (deadline == GP_TIME_NEVER)
     uv_timer_stop (&timer->uv);
   else if (!uv_is_active ((uv_handle_t *)&timer->uv)
-           || deadline < timer->wakes_at)
+           || deadline < timer->uv_deadline)
     start_timer (timer, gp_time_now ());
 }
 
--- a/src/transport/peer_read.c
+++ b/src/transport/peer_read.c
@@ -1,5 +1,4 @@
-/* The reading of a framed connection, its handshake included; see
-   peer.c.  */
+/* Reading from a framed connection, including the handshake; see peer.c.  */
 
 #include <arpa/inet.h>
 #include <string.h>
@@ -24,9 +23,10 @@
   return ntohl (size);
 }
 
-/* Hand over the whole frames at BYTES; returns the bytes that are used.  */
+/* Pass the complete frames at BYTES to the user and return the number of bytes
+   consumed.  */
 static size_t
-parse (gp_peer_t *peer, const uint8_t *bytes, size_t size)
+parse_frames (gp_peer_t *peer, const uint8_t *bytes, size_t size)
 {
   size_t used = 0;
 
@@ -38,8 +38,7 @@
 
       if (frame == 0 || frame > GP_FRAME_MAX_SIZE)
         {
-          gp_peer_fail (peer, GP_TRANSPORT_ERROR_SIZE,
-                        "frame of a size not allowed");
+          gp_peer_fail (peer, GP_TRANSPORT_ERROR_SIZE, "invalid frame size");
           break;
         }
       if (size - used - GP_FRAME_HEADER_SIZE < frame)
@@ -54,7 +53,7 @@
 static void
 parse_input (gp_peer_t *peer)
 {
-  size_t used = parse (peer, peer->input->data, peer->input->len);
+  size_t used = parse_frames (peer, peer->input->data, peer->input->len);
 
   if (used == peer->input->len)
     gp_peer_reset_buffer (&peer->input);
@@ -63,7 +62,7 @@
 }
 
 static void
-take_bytes (gp_peer_t *peer, const uint8_t *bytes, size_t size)
+process_bytes (gp_peer_t *peer, const uint8_t *bytes, size_t size)
 {
   size_t used = 0;
 
@@ -73,12 +72,12 @@
       parse_input (peer);
       return;
     }
-  used = parse (peer, bytes, size);
+  used = parse_frames (peer, bytes, size);
   g_byte_array_append (peer->input, bytes + used, (guint)(size - used));
 }
 
 static void
-end_secure (gp_peer_t *peer, GError *error)
+fail_tls (gp_peer_t *peer, GError *error)
 {
   g_prefix_error (&error, "%s: ", peer->address);
   gp_peer_set_reason (peer, error);
@@ -87,52 +86,51 @@
 }
 
 static void
-proceed_handshake (gp_peer_t *peer)
+continue_handshake (gp_peer_t *peer)
 {
   GError *error = NULL;
 
-  switch (gp_secure_handshake (&peer->secure, &error))
+  switch (gp_tls_conn_handshake (&peer->tls_conn, &error))
     {
-    case GP_SECURE_DONE:
+    case GP_TLS_DONE:
       gp_peer_flush (peer);
       if (peer->state == GP_PEER_HANDSHAKING)
         gp_peer_set_open (peer);
       break;
-    case GP_SECURE_WAIT:
+    case GP_TLS_WAIT:
       gp_peer_flush (peer);
       break;
-    case GP_SECURE_CLOSED:
+    case GP_TLS_CLOSED:
       gp_peer_fail (peer, GP_TRANSPORT_ERROR_TLS, "refused");
       break;
-    case GP_SECURE_FAILED:
-      end_secure (peer, error);
+    case GP_TLS_FAILED:
+      fail_tls (peer, error);
       break;
     }
 }
 
-/* Decrypt and hand over what has come.  */
+/* Decrypt and process received bytes.  */
 static void
-read_secure (gp_peer_t *peer)
+read_tls (gp_peer_t *peer)
 {
   uint8_t *buffer = peer->loop->plain_buffer;
-  gp_secure_result_t result = GP_SECURE_DONE;
+  gp_tls_result_t result = GP_TLS_DONE;
   GError *error = NULL;
 
-  while (result == GP_SECURE_DONE && peer->state == GP_PEER_OPEN
-         && !peer->paused)
+  while (result == GP_TLS_DONE && peer->state == GP_PEER_OPEN && !peer->paused)
     {
       size_t got = 0;
 
-      result = gp_secure_read (&peer->secure, buffer, GP_LOOP_BUFFER_SIZE,
-                               &got, &error);
-      if (result == GP_SECURE_DONE)
-        take_bytes (peer, buffer, got);
+      result = gp_tls_conn_read (&peer->tls_conn, buffer, GP_LOOP_BUFFER_SIZE,
+                                 &got, &error);
+      if (result == GP_TLS_DONE)
+        process_bytes (peer, buffer, got);
     }
-  if (result == GP_SECURE_CLOSED)
+  if (result == GP_TLS_CLOSED)
     gp_peer_fail (peer, GP_TRANSPORT_ERROR_CLOSED, "closed by the peer");
-  if (result == GP_SECURE_FAILED)
-    end_secure (peer, error);
-  if (peer->state == GP_PEER_OPEN && gp_secure_pending (&peer->secure) > 0)
+  if (result == GP_TLS_FAILED)
+    fail_tls (peer, error);
+  if (peer->state == GP_PEER_OPEN && gp_tls_conn_pending (&peer->tls_conn) > 0)
     gp_deferred_schedule (&peer->flush, peer->loop);
 }
 
@@ -171,15 +169,15 @@
   gp_counter_add (&bytes_in_total, got);
   if (got == 0 || peer->state >= GP_PEER_CLOSING)
     return;
-  if (peer->secure.ssl == NULL)
+  if (peer->tls_conn.ssl == NULL)
     {
-      take_bytes (peer, (uint8_t *)buffer->base, (size_t)got);
+      process_bytes (peer, (uint8_t *)buffer->base, (size_t)got);
       return;
     }
-  gp_secure_feed (&peer->secure, buffer->base, (size_t)got);
+  gp_tls_conn_feed (&peer->tls_conn, buffer->base, (size_t)got);
   if (peer->state == GP_PEER_HANDSHAKING)
-    proceed_handshake (peer);
-  read_secure (peer);
+    continue_handshake (peer);
+  read_tls (peer);
 }
 
 void
@@ -189,14 +187,14 @@
 }
 
 static void
-on_replay (gp_deferred_t *deferred)
+on_resume (gp_deferred_t *deferred)
 {
-  gp_peer_t *peer = GP_CONTAINER_OF (deferred, gp_peer_t, replay);
+  gp_peer_t *peer = GP_CONTAINER_OF (deferred, gp_peer_t, resume);
 
   if (peer->input->len > 0)
     parse_input (peer);
-  if (peer->secure.ssl != NULL)
-    read_secure (peer);
+  if (peer->tls_conn.ssl != NULL)
+    read_tls (peer);
   if (peer->state == GP_PEER_OPEN && !peer->paused)
     gp_peer_start_reading (peer);
 }
@@ -206,11 +204,11 @@
 {
   gp_counter_register (&frames_in_total);
   gp_counter_register (&bytes_in_total);
-  gp_deferred_init (&peer->replay, on_replay);
+  gp_deferred_init (&peer->resume, on_resume);
 }
 
 void
-gp_peer_begin (gp_peer_t *peer, gp_tls_t *tls, bool server)
+gp_peer_start (gp_peer_t *peer, gp_tls_t *tls, bool server)
 {
   uv_tcp_nodelay (&peer->tcp, 1);
   uv_tcp_keepalive (&peer->tcp, 1, KEEPALIVE_SECONDS);
@@ -221,10 +219,10 @@
       return;
     }
   peer->state = GP_PEER_HANDSHAKING;
-  if (gp_secure_init (&peer->secure, tls, server))
-    proceed_handshake (peer);
+  if (gp_tls_conn_init (&peer->tls_conn, tls, server))
+    continue_handshake (peer);
   else
-    gp_peer_fail (peer, GP_TRANSPORT_ERROR_TLS, "no memory");
+    gp_peer_fail (peer, GP_TRANSPORT_ERROR_TLS, "out of memory");
 }
 
 void
@@ -242,5 +240,5 @@
     return;
   peer->paused = false;
   if (peer->state == GP_PEER_OPEN)
-    gp_deferred_schedule (&peer->replay, peer->loop);
+    gp_deferred_schedule (&peer->resume, peer->loop);
 }
--- a/src/transport/peer_write.c
+++ b/src/transport/peer_write.c
@@ -1,4 +1,4 @@
-/* The writing of a framed connection, and its orderly end; see peer.c.  */
+/* Writing to a framed connection, and its orderly shutdown; see peer.c.  */
 
 #include <arpa/inet.h>
 #include <string.h>
@@ -9,11 +9,11 @@
 
 #define BACKLOG_HIGH ((size_t)1024 * 1024)
 #define BACKLOG_LOW ((size_t)256 * 1024)
-/* A peer that has let this much gather is given up.  */
+/* A peer with a larger backlog is closed.  */
 #define BACKLOG_MAX ((size_t)16 * 1024 * 1024)
 
-/* Enough for the alert that ends a TLS connection.  */
-#define SECURE_END_SIZE 256
+/* Sufficient for the close_notify alert that ends a TLS connection.  */
+#define CLOSE_NOTIFY_SIZE 256
 
 #define LINGER_TIME (5 * GP_SEC)
 
@@ -31,16 +31,17 @@
     gp_peer_destroy (peer);
 }
 
-/* Without it the far side could not tell the end from a cut.  */
+/* Send the close_notify alert, without which the peer could not
+   distinguish the end from a truncation.  */
 static void
-write_secure_end (gp_peer_t *peer)
+send_close_notify (gp_peer_t *peer)
 {
-  uint8_t bytes[SECURE_END_SIZE];
+  uint8_t bytes[CLOSE_NOTIFY_SIZE];
   uv_buf_t buffer;
   size_t size;
 
-  gp_secure_shutdown (&peer->secure);
-  size = gp_secure_take (&peer->secure, bytes, sizeof bytes);
+  gp_tls_conn_shutdown (&peer->tls_conn);
+  size = gp_tls_conn_take (&peer->tls_conn, bytes, sizeof bytes);
   buffer = uv_buf_init ((char *)bytes, (unsigned)size);
   if (size > 0)
     uv_try_write ((uv_stream_t *)&peer->tcp, &buffer, 1);
@@ -50,8 +51,8 @@
 start_lingering (gp_peer_t *peer)
 {
   peer->state = GP_PEER_LINGERING;
-  if (peer->secure.ssl != NULL)
-    write_secure_end (peer);
+  if (peer->tls_conn.ssl != NULL)
+    send_close_notify (peer);
   if (uv_shutdown (&peer->shutdown, (uv_stream_t *)&peer->tcp, on_shutdown)
       < 0)
     gp_peer_destroy (peer);
@@ -66,12 +67,13 @@
 
   if (may_write && peer->pending->len > 0)
     {
-      gp_secure_write (&peer->secure, peer->pending->data, peer->pending->len);
+      gp_tls_conn_write (&peer->tls_conn, peer->pending->data,
+                         peer->pending->len);
       gp_peer_reset_buffer (&peer->pending);
     }
-  size = gp_secure_pending (&peer->secure);
+  size = gp_tls_conn_pending (&peer->tls_conn);
   g_byte_array_set_size (peer->inflight, (guint)size);
-  gp_secure_take (&peer->secure, peer->inflight->data, size);
+  gp_tls_conn_take (&peer->tls_conn, peer->inflight->data, size);
 }
 
 static void
@@ -79,7 +81,7 @@
 {
   GByteArray *filled = peer->pending;
 
-  if (peer->secure.ssl != NULL)
+  if (peer->tls_conn.ssl != NULL)
     {
       encrypt_pending (peer);
       return;
@@ -101,7 +103,8 @@
     gp_peer_flush (peer);
 }
 
-/* Give INFLIGHT to the kernel; what it does not take now follows.  */
+/* Pass INFLIGHT to the kernel; what does not fit now is written
+   asynchronously.  */
 static void
 write_inflight (gp_peer_t *peer)
 {
@@ -189,7 +192,7 @@
   if (gp_peer_backlog (peer) + size > BACKLOG_MAX)
     {
       gp_peer_fail (peer, GP_TRANSPORT_ERROR_SIZE,
-                    "does not take what is sent");
+                    "write backlog over the limit");
       return NULL;
     }
   g_byte_array_set_size (peer->pending,
--- a/src/transport/tls.h
+++ b/src/transport/tls.h
@@ -1,8 +1,8 @@
 /* Mutual TLS between the site's own processes (OpenSSL).
 
-   gp_tls_t is what a process presents and trusts; gp_secure_t is the TLS
-   state of one connection, which does no I/O: encrypted bytes are fed in
-   and taken out.  */
+   gp_tls_t holds the certificate that a process presents and the authority
+   that it trusts; gp_tls_conn_t is the TLS state of one connection.  It does
+   no I/O: the caller moves encrypted bytes between it and the socket.  */
 
 #ifndef GP_TRANSPORT_TLS_H
 #define GP_TRANSPORT_TLS_H
@@ -14,8 +14,8 @@
 
 typedef struct gp_tls gp_tls_t;
 
-/* Name that every certificate of a site carries; a peer is checked for it
-   in place of a host name, since processes go by IP numbers.  */
+/* Name in every certificate of a site.  It is verified in place of a host
+   name, because processes are addressed by IP.  */
 #define GP_TLS_SITE_NAME "galenapier"
 
 /* Load the site's authority and this process's certificate and key from
@@ -27,41 +27,44 @@
 typedef struct
 {
   SSL *ssl;
-  BIO *from_peer; /* encrypted bytes that were fed */
-  BIO *to_peer;   /* encrypted bytes to be taken */
-} gp_secure_t;
+  BIO *from_peer; /* received encrypted bytes */
+  BIO *to_peer;   /* encrypted bytes to send */
+} gp_tls_conn_t;
 
 typedef enum
 {
-  GP_SECURE_DONE,   /* the handshake is complete, or SIZE bytes were read */
-  GP_SECURE_WAIT,   /* more encrypted bytes are needed */
-  GP_SECURE_CLOSED, /* the far side has ended the connection properly */
-  GP_SECURE_FAILED
-} gp_secure_result_t;
+  GP_TLS_DONE,   /* the handshake is complete, or SIZE bytes were read */
+  GP_TLS_WAIT,   /* more encrypted bytes are needed */
+  GP_TLS_CLOSED, /* the peer has sent close_notify */
+  GP_TLS_FAILED
+} gp_tls_result_t;
 
-/* Begin a connection as its SERVER or client.  Both sides must show a
-   certificate of the site's authority with the site's name.  */
-bool gp_secure_init (gp_secure_t *secure, gp_tls_t *tls, bool server);
-void gp_secure_finish (gp_secure_t *secure);
+/* Initialize the TLS state of a connection as SERVER or client.  Both sides
+   must present a certificate from the site's authority with the site's name.
+   False when out of memory.  */
+bool gp_tls_conn_init (gp_tls_conn_t *conn, gp_tls_t *tls, bool server);
+void gp_tls_conn_finish (gp_tls_conn_t *conn);
 
-/* Encrypted bytes have come from the far side.  */
-void gp_secure_feed (gp_secure_t *secure, const void *bytes, size_t size);
+/* Add encrypted bytes received from the peer.  */
+void gp_tls_conn_feed (gp_tls_conn_t *conn, const void *bytes, size_t size);
 
-/* Go on with the handshake.  A client may find only when it reads that its
-   certificate was refused (TLS 1.3).  */
-gp_secure_result_t gp_secure_handshake (gp_secure_t *secure, GError **error);
+/* Continue the handshake.  With TLS 1.3, a client may learn only on reading
+   that its certificate was rejected.  */
+gp_tls_result_t gp_tls_conn_handshake (gp_tls_conn_t *conn, GError **error);
 
-/* Read decrypted bytes into BUFFER; *GOT of at most SIZE.  */
-gp_secure_result_t gp_secure_read (gp_secure_t *secure, void *buffer,
-                                   size_t size, size_t *got, GError **error);
+/* Read at most SIZE decrypted bytes into BUFFER and set *GOT to their
+   number.  */
+gp_tls_result_t gp_tls_conn_read (gp_tls_conn_t *conn, void *buffer,
+                                  size_t size, size_t *got, GError **error);
 
-/* Encrypt; false when the connection can no longer be written.  */
-bool gp_secure_write (gp_secure_t *secure, const void *bytes, size_t size);
-/* Say that nothing more will be written.  */
-void gp_secure_shutdown (gp_secure_t *secure);
+/* Encrypt SIZE bytes; false when the connection is no longer writable.  */
+bool gp_tls_conn_write (gp_tls_conn_t *conn, const void *bytes, size_t size);
+/* Queue the close_notify alert: nothing more will be written.  */
+void gp_tls_conn_shutdown (gp_tls_conn_t *conn);
 
-/* Encrypted bytes that are to be sent, and taking them.  */
-size_t gp_secure_pending (const gp_secure_t *secure);
-size_t gp_secure_take (gp_secure_t *secure, void *buffer, size_t size);
+/* Return the number of encrypted bytes to send, and move at most SIZE of them
+   to BUFFER.  */
+size_t gp_tls_conn_pending (const gp_tls_conn_t *conn);
+size_t gp_tls_conn_take (gp_tls_conn_t *conn, void *buffer, size_t size);
 
 #endif
--- a/tests/unit/test_transport_client.c
+++ b/tests/unit/test_transport_client.c
@@ -1,4 +1,4 @@
-/* Tests of the HTTP client: bounds, far sides that misbehave, its end.  */
+/* Tests of the HTTP client: limits, invalid responses, closing the client.  */
 
 #include <string.h>
 #include <unistd.h>
@@ -11,27 +11,27 @@
 test_timeout (void)
 {
   fixture_t fixture;
-  call_t held;
+  call_t active;
   call_t waiting;
 
   http_setup (&fixture, 1);
-  call_init (&held);
-  held.time = 20 * GP_MSEC;
-  call_start (&fixture, &held, "GET", "/hold", NULL, 0);
+  call_init (&active);
+  active.time = 20 * GP_MSEC;
+  call_start (&fixture, &active, "GET", "/hold", NULL, 0);
   call_init (&waiting);
   waiting.time = 10 * GP_MSEC;
   call_start (&fixture, &waiting, "GET", "/echo", NULL, 0);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &held.done, 1));
-  CU_ASSERT_EQUAL (held.code, GP_TRANSPORT_ERROR_TIMEOUT);
-  CU_ASSERT_TRUE (held.sent);
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &active.done, 1));
+  CU_ASSERT_EQUAL (active.code, GP_TRANSPORT_ERROR_TIMEOUT);
+  CU_ASSERT_TRUE (active.sent);
   CU_ASSERT_EQUAL (waiting.code, GP_TRANSPORT_ERROR_TIMEOUT);
   CU_ASSERT_FALSE (waiting.sent);
   CU_ASSERT_EQUAL (fixture.requests, 1);
-  call_finish (&held);
+  call_finish (&active);
   call_finish (&waiting);
-  call_run (&fixture, &held, "GET", "/echo", NULL, 0);
-  CU_ASSERT_EQUAL (held.code, -1);
-  call_finish (&held);
+  call_run (&fixture, &active, "GET", "/echo", NULL, 0);
+  CU_ASSERT_EQUAL (active.code, -1);
+  call_finish (&active);
   http_teardown (&fixture);
 }
 
@@ -51,17 +51,17 @@
                   0);
     }
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.requests, 2));
-  run_turns (&fixture.loop, 20);
+  run_loop_iterations (&fixture.loop, 20);
   CU_ASSERT_EQUAL (fixture.requests, 2);
-  /* The exchange that came last is the one that is held.  */
-  gp_http_exchange_answer (fixture.held, 200, NULL, 0, NULL, 0);
+  /* fixture.open_exchange is the last exchange.  */
+  gp_http_exchange_answer (fixture.open_exchange, 200, NULL, 0, NULL, 0);
   for (int i = 2; i < MANY_CALLS; i++)
     {
       CU_ASSERT_TRUE (run_until_count (&fixture.loop, &calls[i].done, 1));
       CU_ASSERT_EQUAL (calls[i].code, -1);
     }
   CU_ASSERT_EQUAL (fixture.requests, MANY_CALLS);
-  /* The end of the client ends what is open.  */
+  /* Freeing the client ends its open calls.  */
   gp_http_client_free (fixture.client);
   CU_ASSERT_EQUAL (calls[0].done + calls[1].done, 2);
   CU_ASSERT_TRUE (calls[0].code == -1 || calls[1].code == -1);
@@ -70,7 +70,7 @@
   gp_loop_finish (&fixture.loop);
 }
 
-/* A call to a server that answers TEXT and closes.  */
+/* Call a server that sends TEXT as its response and closes the connection.  */
 static void
 call_raw_server (const char *text, call_t *call)
 {
@@ -140,7 +140,7 @@
 
   http_setup (&fixture, 1);
   gp_http_server_shutdown (fixture.server, NULL, NULL);
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   call_run (&fixture, &call, "GET", "/echo", NULL, 0);
   CU_ASSERT_EQUAL (call.code, GP_TRANSPORT_ERROR_CONNECT);
   CU_ASSERT_FALSE (call.sent);
@@ -148,7 +148,8 @@
   http_teardown (&fixture);
 }
 
-/* A retry from inside of the end of the client fails, and fails later.  */
+/* A call that on_done starts while the client is being freed fails, but not
+   before gp_http_client_call returns.  */
 static void
 test_call_at_client_end (void)
 {
--- a/tests/unit/test_transport_header.c
+++ b/tests/unit/test_transport_header.c
@@ -1,11 +1,11 @@
-/* Tests of the rules on headers.  */
+/* Tests of header validation.  */
 
 #include <string.h>
 
 #include "transport/http_header.h"
 #include "runner.h"
 
-/* Bytes of a header that would begin another are not sent.  */
+/* Header injection: a value with a line break is invalid.  */
 static void
 test_unclean_headers (void)
 {
@@ -14,13 +14,14 @@
   gp_http_header_t framing
       = gp_http_header_make ("Transfer-Encoding", "chunked");
 
-  CU_ASSERT_TRUE (gp_http_header_is_clean (&clean));
-  CU_ASSERT_FALSE (gp_http_header_is_clean (&unclean));
+  CU_ASSERT_TRUE (gp_http_header_is_valid (&clean));
+  CU_ASSERT_FALSE (gp_http_header_is_valid (&unclean));
   CU_ASSERT_TRUE (gp_http_header_is_framing (&framing));
   CU_ASSERT_FALSE (gp_http_header_is_framing (&clean));
 }
 
-/* Each byte at each place of a value, against the rule byte by byte.  */
+/* Compare the check, which processes eight bytes at a time, with a check of
+   single bytes, for each byte at each position of a value.  */
 static void
 test_clean_bytes (void)
 {
@@ -35,7 +36,7 @@
 
         memset (value, place % 2 == 0 ? ' ' : '~', sizeof value);
         value[place] = (char)byte;
-        CU_ASSERT_EQUAL (gp_http_header_is_clean (&header), !control);
+        CU_ASSERT_EQUAL (gp_http_header_is_valid (&header), !control);
       }
 }
 
--- a/tests/unit/test_transport_http.c
+++ b/tests/unit/test_transport_http.c
@@ -1,4 +1,4 @@
-/* Tests of the HTTP server and client against each other on loopback.  */
+/* Tests of the HTTP server with the HTTP client on loopback.  */
 
 #include <errno.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 #include "runner.h"
 
 static void
-test_whole_answers (void)
+test_complete_responses (void)
 {
   fixture_t fixture;
   call_t call;
@@ -41,7 +41,7 @@
   http_teardown (&fixture);
 }
 
-/* Run until the server can send no more.  */
+/* Run until back-pressure stops the server from sending.  */
 static void
 run_until_stalled (fixture_t *fixture)
 {
@@ -50,12 +50,12 @@
   while (before != fixture->parts_sent)
     {
       before = fixture->parts_sent;
-      run_turns (&fixture->loop, 50);
+      run_loop_iterations (&fixture->loop, 50);
     }
 }
 
 #define LARGE_PARTS 2000
-/* What the kernel may hold between the two sides.  */
+/* Upper limit for the data in the kernel's socket buffers.  */
 #define KERNEL_BYTES ((size_t)16 * 1024 * 1024)
 
 static void
@@ -73,7 +73,7 @@
   run_until_stalled (&fixture);
   CU_ASSERT_EQUAL (call.pauses, 1);
   CU_ASSERT_TRUE ((size_t)fixture.parts_sent * PART_SIZE < KERNEL_BYTES);
-  /* The last pause holds back the end.  */
+  /* The last pause delays on_done.  */
   while (call.received < LARGE_PARTS * PART_SIZE)
     {
       int pauses = call.pauses;
@@ -117,7 +117,7 @@
     {
       CU_ASSERT_TRUE (run_until_count (&fixture.loop, &call.pauses, 1));
       run_until_stalled (&fixture);
-      gp_http_exchange_abort (fixture.held);
+      gp_http_exchange_abort (fixture.open_exchange);
       call.pause = false;
       gp_http_call_resume (call.call);
     }
@@ -125,7 +125,7 @@
   CU_ASSERT_EQUAL (call.code, GP_TRANSPORT_ERROR_CLOSED);
   CU_ASSERT_EQUAL (call.status, 200);
   CU_ASSERT_TRUE (call.sent);
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   CU_ASSERT_EQUAL (gp_http_server_open_exchanges (fixture.server), 0);
   CU_ASSERT_EQUAL (fixture.gone, 0);
   call_finish (&call);
@@ -141,8 +141,8 @@
   check_aborted ("/sized", true);
 }
 
-/* A HTTP/1.0 answer ends with its connection; an abort must not look like
-   that end.  */
+/* The end of an HTTP/1.0 response is the close of its connection; an abort
+   must be distinguishable from it.  */
 static void
 test_abort_http_1_0 (void)
 {
@@ -185,7 +185,7 @@
   CU_ASSERT_EQUAL (call.done, 0);
   CU_ASSERT_EQUAL (gp_http_server_open_exchanges (fixture.server), 0);
   call_finish (&call);
-  /* The one connection is free for the next call.  */
+  /* The only connection is available for the next call.  */
   call_run (&fixture, &call, "GET", "/echo", NULL, 0);
   CU_ASSERT_EQUAL (call.code, -1);
   call_finish (&call);
@@ -242,8 +242,8 @@
   fixture->shut_down = true;
 }
 
-/* One connection is idle, one has a request half sent, one waits for its
-   answer: the first is closed, the others are served.  */
+/* During a shutdown, an idle connection is closed; a connection with a partly
+   sent request and one that waits for its response are served.  */
 static void
 test_shutdown (void)
 {
@@ -263,7 +263,7 @@
   call_init (&call);
   call_start (&fixture, &call, "GET", "/hold", NULL, 0);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.requests, 1));
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   gp_http_server_shutdown (fixture.server, on_shut_down, &fixture);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, idle, out, NULL), 0);
   CU_ASSERT_EQUAL (out->len, 0);
@@ -273,7 +273,7 @@
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, slow, rest, NULL), 0);
   CU_ASSERT_PTR_NOT_NULL (strstr (rest->str, "\r\n\r\nab"));
   CU_ASSERT_FALSE (fixture.shut_down);
-  gp_http_exchange_answer (fixture.held, 200, NULL, 0, "whole", 5);
+  gp_http_exchange_answer (fixture.open_exchange, 200, NULL, 0, "whole", 5);
   CU_ASSERT_TRUE (run_until (&fixture.loop, &fixture.shut_down));
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &call.done, 1));
   CU_ASSERT_EQUAL (call.code, -1);
@@ -301,7 +301,7 @@
   http_teardown (&fixture);
 }
 
-/* The end of the loop ends what is open, and the users are told.  */
+/* gp_loop_finish ends the open exchange and call and notifies their users.  */
 static void
 test_loop_end (void)
 {
@@ -318,7 +318,8 @@
   call_finish (&call);
 }
 
-/* Accepting goes on once there are descriptors again.  */
+/* The server accepts connections again after file descriptors were
+   exhausted.  */
 static void
 test_without_descriptors (void)
 {
@@ -337,7 +338,7 @@
 main (void)
 {
   static CU_TestInfo tests[]
-      = { { "whole answers", test_whole_answers },
+      = { { "whole answers", test_complete_responses },
           { "large answer", test_large_answer },
           { "abort", test_abort },
           { "abort, HTTP/1.0", test_abort_http_1_0 },
--- a/tests/unit/test_transport_peer.c
+++ b/tests/unit/test_transport_peer.c
@@ -12,23 +12,25 @@
   fixture_t fixture;
 
   peer_setup (&fixture, server_tls);
-  fixture.far.echo = true;
-  connect_near (&fixture, client_tls);
-  /* Queued before the connection is open.  */
-  send_numbered (fixture.near.peer, 1, 100);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.frames, 1));
+  fixture.acceptor.echo = true;
+  connect_initiator (&fixture, client_tls);
+  /* This frame is queued before the connection is open.  */
+  send_numbered (fixture.initiator.peer, 1, 100);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.frames, 1));
   for (int i = 0; i < 1000; i++)
-    send_numbered (fixture.near.peer, i, 1 + (size_t)(i % 300));
-  send_numbered (fixture.near.peer, 3, GP_FRAME_MAX_SIZE);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.frames, 1002));
-  CU_ASSERT_EQUAL (fixture.far.frames, 1002);
-  CU_ASSERT_EQUAL (fixture.far.sum, fixture.near.sum);
-  CU_ASSERT_EQUAL (fixture.near.last_size, GP_FRAME_MAX_SIZE);
-  CU_ASSERT_EQUAL (fixture.near.opens, 1);
-  CU_ASSERT_EQUAL (fixture.far.opens, 1);
+    send_numbered (fixture.initiator.peer, i, 1 + (size_t)(i % 300));
+  send_numbered (fixture.initiator.peer, 3, GP_FRAME_MAX_SIZE);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.frames, 1002));
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 1002);
+  CU_ASSERT_EQUAL (fixture.acceptor.sum, fixture.initiator.sum);
+  CU_ASSERT_EQUAL (fixture.initiator.last_size, GP_FRAME_MAX_SIZE);
+  CU_ASSERT_EQUAL (fixture.initiator.opens, 1);
+  CU_ASSERT_EQUAL (fixture.acceptor.opens, 1);
   peer_teardown (&fixture);
-  CU_ASSERT_EQUAL (fixture.near.closes, 1);
-  CU_ASSERT_EQUAL (fixture.far.closes, 1);
+  CU_ASSERT_EQUAL (fixture.initiator.closes, 1);
+  CU_ASSERT_EQUAL (fixture.acceptor.closes, 1);
 }
 
 static void
@@ -63,20 +65,24 @@
   for (size_t i = 0; i < size; i++)
     {
       raw_send (fd, bytes + i, 1);
-      run_turns (&fixture.loop, 2);
+      run_loop_iterations (&fixture.loop, 2);
     }
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.frames, 4));
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.frames, 4));
   raw_send (fd, bytes, size);
   raw_send (fd, bytes, size - 2);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.frames, 11));
-  CU_ASSERT_EQUAL (fixture.far.last_size, 2);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.frames, 11));
+  CU_ASSERT_EQUAL (fixture.acceptor.last_size, 2);
   raw_send (fd, bytes + size - 2, 2);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.frames, 12));
-  CU_ASSERT_EQUAL (fixture.far.last_sum,
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.frames, 12));
+  CU_ASSERT_EQUAL (fixture.acceptor.last_sum,
                    sum_bytes ((const uint8_t *)"ghij", 4));
   close (fd);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
-  CU_ASSERT_EQUAL (fixture.far.code, GP_TRANSPORT_ERROR_CLOSED);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
+  CU_ASSERT_EQUAL (fixture.acceptor.code, GP_TRANSPORT_ERROR_CLOSED);
   peer_teardown (&fixture);
 }
 
@@ -84,7 +90,8 @@
 #define RANDOM_FRAME_MAX 9000
 #define RANDOM_SEED 7
 
-/* A stream of random frames, and the sum that its reader should find.  */
+/* Return a stream of random frames, and the checksum expected from the reader
+   in SUM.  */
 static GByteArray *
 random_stream (GRand *rand, uint32_t *sum)
 {
@@ -106,7 +113,8 @@
   return stream;
 }
 
-/* Cuts and pauses at random places change nothing in what is read.  */
+/* Splitting the stream and pausing at random positions does not change the
+   received frames.  */
 static void
 test_random_cuts_and_pauses (void)
 {
@@ -119,7 +127,7 @@
 
   peer_setup (&fixture, NULL);
   fd = raw_connect (gp_peer_server_port (fixture.server));
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.opens, 1));
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.acceptor.opens, 1));
   while (sent < stream->len)
     {
       guint size = (guint)g_rand_int_range (rand, 1, RANDOM_FRAME_MAX);
@@ -127,18 +135,18 @@
       size = MIN (size, stream->len - sent);
       raw_send (fd, stream->data + sent, size);
       sent += size;
-      gp_peer_resume (fixture.far.peer);
+      gp_peer_resume (fixture.acceptor.peer);
       if (g_rand_boolean (rand))
-        fixture.far.pause_after = fixture.far.frames + 1;
+        fixture.acceptor.pause_after = fixture.acceptor.frames + 1;
       if (g_rand_boolean (rand))
-        gp_peer_pause (fixture.far.peer);
-      run_turns (&fixture.loop, 1);
+        gp_peer_pause (fixture.acceptor.peer);
+      run_loop_iterations (&fixture.loop, 1);
     }
-  fixture.far.pause_after = 0;
-  gp_peer_resume (fixture.far.peer);
-  CU_ASSERT_TRUE (
-      run_until_count (&fixture.loop, &fixture.far.frames, RANDOM_FRAMES));
-  CU_ASSERT_EQUAL (fixture.far.sum, sum);
+  fixture.acceptor.pause_after = 0;
+  gp_peer_resume (fixture.acceptor.peer);
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.acceptor.frames,
+                                   RANDOM_FRAMES));
+  CU_ASSERT_EQUAL (fixture.acceptor.sum, sum);
   close (fd);
   peer_teardown (&fixture);
   g_byte_array_unref (stream);
@@ -154,12 +162,13 @@
   peer_setup (&fixture, NULL);
   fd = raw_connect (gp_peer_server_port (fixture.server));
   raw_send (fd, bytes, size);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
-  CU_ASSERT_EQUAL (fixture.far.code, GP_TRANSPORT_ERROR_SIZE);
-  CU_ASSERT_EQUAL (fixture.far.frames, 1);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
+  CU_ASSERT_EQUAL (fixture.acceptor.code, GP_TRANSPORT_ERROR_SIZE);
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 1);
   close (fd);
   peer_teardown (&fixture);
-  CU_ASSERT_EQUAL (fixture.far.closes, 1);
+  CU_ASSERT_EQUAL (fixture.acceptor.closes, 1);
 }
 
 static void
@@ -171,10 +180,10 @@
   expect_refused_frame ("\0\0\0\1a\xff\xff\xff\xff", 9);
   expect_refused_frame ("\0\0\0\1a\0\0\0\0\0\0\0\1a", 14);
   peer_setup (&fixture, NULL);
-  connect_near (&fixture, NULL);
-  CU_ASSERT_PTR_NULL (gp_peer_reserve (fixture.near.peer, 0));
+  connect_initiator (&fixture, NULL);
+  CU_ASSERT_PTR_NULL (gp_peer_reserve (fixture.initiator.peer, 0));
   CU_ASSERT_PTR_NULL (
-      gp_peer_reserve (fixture.near.peer, GP_FRAME_MAX_SIZE + 1));
+      gp_peer_reserve (fixture.initiator.peer, GP_FRAME_MAX_SIZE + 1));
   peer_teardown (&fixture);
 }
 
@@ -186,11 +195,12 @@
 
   peer_setup (&fixture, NULL);
   gp_peer_server_close (fixture.server);
-  run_turns (&fixture.loop, 3);
-  connect_near (&fixture, NULL);
-  CU_ASSERT_EQUAL (fixture.near.closes, 0);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.closes, 1));
-  CU_ASSERT_EQUAL (fixture.near.code, GP_TRANSPORT_ERROR_CONNECT);
+  run_loop_iterations (&fixture.loop, 3);
+  connect_initiator (&fixture, NULL);
+  CU_ASSERT_EQUAL (fixture.initiator.closes, 0);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.closes, 1));
+  CU_ASSERT_EQUAL (fixture.initiator.code, GP_TRANSPORT_ERROR_CONNECT);
   CU_ASSERT_PTR_NULL (gp_peer_connect (&fixture.loop, "localhost:1", NULL, 0,
                                        &end_callbacks, NULL, &error));
   CU_ASSERT_TRUE (
@@ -209,23 +219,25 @@
   fd = raw_connect (gp_peer_server_port (fixture.server));
   raw_send (fd, "\0\0\0\5ab", 6);
   shutdown (fd, SHUT_WR);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
-  CU_ASSERT_EQUAL (fixture.far.code, GP_TRANSPORT_ERROR_CLOSED);
-  CU_ASSERT_EQUAL (fixture.far.frames, 0);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
+  CU_ASSERT_EQUAL (fixture.acceptor.code, GP_TRANSPORT_ERROR_CLOSED);
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 0);
   close (fd);
   peer_teardown (&fixture);
 }
 
-/* Fill the way to a far side that does not read, until it is congested.  */
+/* Send to a peer that does not read until the connection is congested; return
+   the number of frames.  */
 static int
 send_until_congested (fixture_t *fixture)
 {
   int sent = 0;
 
-  while (!gp_peer_congested (fixture->near.peer))
+  while (!gp_peer_congested (fixture->initiator.peer))
     {
-      send_numbered (fixture->near.peer, sent++, (size_t)100 * 1024);
-      run_turns (&fixture->loop, 1);
+      send_numbered (fixture->initiator.peer, sent++, (size_t)100 * 1024);
+      run_loop_iterations (&fixture->loop, 1);
     }
   return sent;
 }
@@ -237,17 +249,19 @@
   int sent;
 
   peer_setup (&fixture, tls);
-  fixture.far.pause_after = 2;
-  connect_near (&fixture, tls);
+  fixture.acceptor.pause_after = 2;
+  connect_initiator (&fixture, tls);
   sent = send_until_congested (&fixture);
-  CU_ASSERT_EQUAL (fixture.far.frames, 2);
-  CU_ASSERT_EQUAL (fixture.near.drains, 0);
-  gp_peer_resume (fixture.far.peer);
-  CU_ASSERT_EQUAL (fixture.far.frames, 2);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.frames, sent));
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.drains, 1));
-  CU_ASSERT_FALSE (gp_peer_congested (fixture.near.peer));
-  CU_ASSERT_EQUAL (gp_peer_backlog (fixture.near.peer), 0);
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 2);
+  CU_ASSERT_EQUAL (fixture.initiator.drains, 0);
+  gp_peer_resume (fixture.acceptor.peer);
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 2);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.frames, sent));
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.drains, 1));
+  CU_ASSERT_FALSE (gp_peer_congested (fixture.initiator.peer));
+  CU_ASSERT_EQUAL (gp_peer_backlog (fixture.initiator.peer), 0);
   peer_teardown (&fixture);
 }
 
@@ -263,7 +277,8 @@
   test_site_free (site);
 }
 
-/* A sender that heeds nothing is cut off, and its memory is bounded.  */
+/* A sender that ignores congestion is disconnected, and its backlog is
+   limited.  */
 static void
 test_backlog_bound (void)
 {
@@ -272,42 +287,46 @@
   int sent = 0;
 
   peer_setup (&fixture, NULL);
-  fixture.far.pause_after = 1;
-  connect_near (&fixture, NULL);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.opens, 1));
-  while (gp_peer_send (fixture.near.peer, bytes, sizeof bytes) && sent < 100)
+  fixture.acceptor.pause_after = 1;
+  connect_initiator (&fixture, NULL);
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.acceptor.opens, 1));
+  while (gp_peer_send (fixture.initiator.peer, bytes, sizeof bytes)
+         && sent < 100)
     {
-      CU_ASSERT_TRUE (gp_peer_backlog (fixture.near.peer)
+      CU_ASSERT_TRUE (gp_peer_backlog (fixture.initiator.peer)
                       <= 17 * GP_FRAME_MAX_SIZE);
       sent++;
-      run_turns (&fixture.loop, 1);
+      run_loop_iterations (&fixture.loop, 1);
     }
   CU_ASSERT_TRUE (sent < 100);
-  CU_ASSERT_EQUAL (fixture.near.closes, 0);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.closes, 1));
-  CU_ASSERT_EQUAL (fixture.near.code, GP_TRANSPORT_ERROR_SIZE);
+  CU_ASSERT_EQUAL (fixture.initiator.closes, 0);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.closes, 1));
+  CU_ASSERT_EQUAL (fixture.initiator.code, GP_TRANSPORT_ERROR_SIZE);
   peer_teardown (&fixture);
 }
 
-/* What was queued before a close arrives whole.  */
+/* Frames queued before a close are delivered completely.  */
 static void
 check_close (gp_tls_t *tls)
 {
   fixture_t fixture;
 
   peer_setup (&fixture, tls);
-  connect_near (&fixture, tls);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.opens, 1));
+  connect_initiator (&fixture, tls);
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.acceptor.opens, 1));
   for (int i = 0; i < 100; i++)
-    send_numbered (fixture.near.peer, i, 50000);
-  gp_peer_close (fixture.near.peer, false);
-  CU_ASSERT_FALSE (gp_peer_send (fixture.near.peer, (uint8_t *)"a", 1));
-  CU_ASSERT_EQUAL (fixture.near.closes, 0);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
-  CU_ASSERT_EQUAL (fixture.far.frames, 100);
-  CU_ASSERT_EQUAL (fixture.far.code, GP_TRANSPORT_ERROR_CLOSED);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.near.closes, 1));
-  CU_ASSERT_EQUAL (fixture.near.code, -1);
+    send_numbered (fixture.initiator.peer, i, 50000);
+  gp_peer_close (fixture.initiator.peer, false);
+  CU_ASSERT_FALSE (gp_peer_send (fixture.initiator.peer, (uint8_t *)"a", 1));
+  CU_ASSERT_EQUAL (fixture.initiator.closes, 0);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 100);
+  CU_ASSERT_EQUAL (fixture.acceptor.code, GP_TRANSPORT_ERROR_CLOSED);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.initiator.closes, 1));
+  CU_ASSERT_EQUAL (fixture.initiator.code, -1);
   peer_teardown (&fixture);
 }
 
@@ -323,8 +342,9 @@
   test_site_free (site);
 }
 
-/* The far side has ended its writing before the rest is written: the close
-   does not wait for that end once more, nor for its time to run out.  */
+/* If the peer ends its stream before the queued frames are written, the close
+   completes without waiting for another end of the stream or for the
+   timeout.  */
 static void
 test_close_on_both_sides (void)
 {
@@ -334,22 +354,23 @@
 
   peer_setup (&fixture, NULL);
   fd = raw_connect (gp_peer_server_port (fixture.server));
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.opens, 1));
+  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.acceptor.opens, 1));
   for (int i = 0; i < 15; i++)
-    send_numbered (fixture.far.peer, i, GP_FRAME_MAX_SIZE);
-  gp_peer_close (fixture.far.peer, false);
-  gp_timer_disarm (&fixture.far.peer->timer);
+    send_numbered (fixture.acceptor.peer, i, GP_FRAME_MAX_SIZE);
+  gp_peer_close (fixture.acceptor.peer, false);
+  gp_timer_disarm (&fixture.acceptor.peer->timer);
   shutdown (fd, SHUT_WR);
-  run_turns (&fixture.loop, 5);
+  run_loop_iterations (&fixture.loop, 5);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, fd, out, NULL), 0);
   CU_ASSERT_EQUAL (out->len, 15 * (GP_FRAME_MAX_SIZE + GP_FRAME_HEADER_SIZE));
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
   close (fd);
   g_string_free (out, TRUE);
   peer_teardown (&fixture);
 }
 
-/* A callback may close or pause the peer between two frames of one read.  */
+/* A callback may pause or close the peer between two frames of one read.  */
 static void
 test_close_and_pause_between_frames (void)
 {
@@ -358,22 +379,25 @@
   int fd;
 
   peer_setup (&fixture, NULL);
-  fixture.far.pause_after = 1;
-  fixture.far.close_after = 2;
+  fixture.acceptor.pause_after = 1;
+  fixture.acceptor.close_after = 2;
   fd = raw_connect (gp_peer_server_port (fixture.server));
   raw_send (fd, bytes, sizeof bytes - 1);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.frames, 1));
-  run_turns (&fixture.loop, 5);
-  CU_ASSERT_EQUAL (fixture.far.frames, 1);
-  gp_peer_resume (fixture.far.peer);
-  CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.far.closes, 1));
-  CU_ASSERT_EQUAL (fixture.far.frames, 2);
-  CU_ASSERT_EQUAL (fixture.far.code, -1);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.frames, 1));
+  run_loop_iterations (&fixture.loop, 5);
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 1);
+  gp_peer_resume (fixture.acceptor.peer);
+  CU_ASSERT_TRUE (
+      run_until_count (&fixture.loop, &fixture.acceptor.closes, 1));
+  CU_ASSERT_EQUAL (fixture.acceptor.frames, 2);
+  CU_ASSERT_EQUAL (fixture.acceptor.code, -1);
   close (fd);
   peer_teardown (&fixture);
 }
 
-/* Accepting goes on once there are descriptors again.  */
+/* The server accepts connections again after file descriptors were
+   exhausted.  */
 static void
 test_without_descriptors (void)
 {
@@ -382,13 +406,13 @@
 
   peer_setup (&fixture, NULL);
   raw_connect_without_descriptors (&fixture.loop, &fixture.server->listener);
-  run_turns (&fixture.loop, 5);
-  opens = fixture.far.opens;
-  CU_ASSERT_EQUAL (fixture.far.closes, opens);
-  connect_near (&fixture, NULL);
+  run_loop_iterations (&fixture.loop, 5);
+  opens = fixture.acceptor.opens;
+  CU_ASSERT_EQUAL (fixture.acceptor.closes, opens);
+  connect_initiator (&fixture, NULL);
   CU_ASSERT_TRUE (
-      run_until_count (&fixture.loop, &fixture.far.opens, opens + 1));
-  CU_ASSERT_EQUAL (fixture.near.opens, 1);
+      run_until_count (&fixture.loop, &fixture.acceptor.opens, opens + 1));
+  CU_ASSERT_EQUAL (fixture.initiator.opens, 1);
   peer_teardown (&fixture);
 }
 
--- a/tests/unit/test_transport_stop.c
+++ b/tests/unit/test_transport_stop.c
@@ -1,6 +1,6 @@
-/* Tests of the planned stop of an HTTP server: what a caller began before it
-   is answered, at whatever point the stop finds it.  The far side is a plain
-   socket, so that each point is reached for certain.  */
+/* Tests of the planned shutdown of an HTTP server: a request that was begun
+   before the shutdown is answered, however far it has got.  The client is a
+   raw socket, so that each state is reached deterministically.  */
 
 #include <errno.h>
 #include <string.h>
@@ -12,7 +12,7 @@
 #include "runner.h"
 
 #define MAX_BODY 1000
-#define TURNS 5
+#define ITERATIONS 5
 
 #define HEAD                                                                  \
   "POST /echo HTTP/1.1\r\nhost: a\r\n"                                        \
@@ -25,7 +25,7 @@
 {
   gp_loop_t loop;
   gp_http_server_t *server;
-  gp_http_exchange_t *held; /* by the path /hold */
+  gp_http_exchange_t *open_exchange; /* by the path /hold */
   int requests;
   bool shut_down;
 } fixture_t;
@@ -38,7 +38,7 @@
 
   fixture->requests++;
   if (gp_http_text_equal (gp_http_exchange_path (exchange), "/hold"))
-    fixture->held = exchange;
+    fixture->open_exchange = exchange;
   else
     gp_http_exchange_answer (exchange, 200, NULL, 0, body.base, body.size);
 }
@@ -74,14 +74,15 @@
 }
 
 static int
-connect_to (const fixture_t *fixture)
+connect_client (const fixture_t *fixture)
 {
   return raw_connect (gp_http_server_port (fixture->server));
 }
 
-/* A refusal to take it is one of the failures that are tested for.  */
+/* Send TEXT; a failure to send is one of the faults that these tests
+   detect.  */
 static void
-offer (int fd, const char *text)
+send_text (int fd, const char *text)
 {
   size_t size = strlen (text);
 
@@ -94,10 +95,10 @@
   gp_http_server_shutdown (fixture->server, on_shut_down, fixture);
 }
 
-/* The answer on FD is BODY and says that the connection ends with it; FD is
-   closed.  */
+/* Check that the response on FD has BODY and announces the close of the
+   connection; close FD.  */
 static void
-expect_last_answer (fixture_t *fixture, int fd)
+expect_last_response (fixture_t *fixture, int fd)
 {
   GString *out = g_string_new (NULL);
 
@@ -108,20 +109,20 @@
   close (fd);
 }
 
-/* One whole request, after which the connection stays open.  */
+/* Make a complete request, after which the connection stays open.  */
 static void
-use_once (fixture_t *fixture, int fd)
+run_one_request (fixture_t *fixture, int fd)
 {
   GString *out = g_string_new (NULL);
 
-  offer (fd, HEAD BODY);
+  send_text (fd, HEAD BODY);
   CU_ASSERT_EQUAL (raw_read (&fixture->loop, fd, out, "\r\n\r\n" BODY), 0);
   CU_ASSERT_PTR_NULL (strstr (out->str, "onnection: close"));
   g_string_free (out, TRUE);
 }
 
-/* A caller whom the kernel has connected, but whom the server has not taken
-   yet, is served.  */
+/* A connection that the kernel has established, but the server has not
+   accepted yet, is served.  */
 static void
 test_not_accepted (void)
 {
@@ -129,17 +130,17 @@
   int fd;
 
   setup (&fixture);
-  fd = connect_to (&fixture);
+  fd = connect_client (&fixture);
   stop (&fixture);
-  offer (fd, HEAD BODY);
-  expect_last_answer (&fixture, fd);
+  send_text (fd, HEAD BODY);
+  expect_last_response (&fixture, fd);
   CU_ASSERT_EQUAL (fixture.requests, 1);
   CU_ASSERT_TRUE (run_until (&fixture.loop, &fixture.shut_down));
   teardown (&fixture);
 }
 
-/* The same when its request comes after the stop has begun: who has just
-   connected is about to send.  */
+/* Likewise an accepted connection whose first request arrives after the
+   shutdown has begun: a client that has just connected is about to send.  */
 static void
 test_accepted (void)
 {
@@ -147,53 +148,54 @@
   int fd;
 
   setup (&fixture);
-  fd = connect_to (&fixture);
-  run_turns (&fixture.loop, TURNS);
+  fd = connect_client (&fixture);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
   stop (&fixture);
-  run_turns (&fixture.loop, TURNS);
-  offer (fd, HEAD BODY);
-  expect_last_answer (&fixture, fd);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
+  send_text (fd, HEAD BODY);
+  expect_last_response (&fixture, fd);
   CU_ASSERT_TRUE (run_until (&fixture.loop, &fixture.shut_down));
   teardown (&fixture);
 }
 
-/* The first part of a request is read, then the server stops, then the
-   caller sends the rest.  */
+/* The server reads the first part of a request, then its shutdown begins, then
+   the client sends the rest.  */
 static void
-check_begun (const char *begin, const char *rest)
+check_partial_request (const char *first_part, const char *rest)
 {
   fixture_t fixture;
   int fd;
 
   setup (&fixture);
-  fd = connect_to (&fixture);
-  use_once (&fixture, fd);
-  offer (fd, begin);
-  run_turns (&fixture.loop, TURNS);
+  fd = connect_client (&fixture);
+  run_one_request (&fixture, fd);
+  send_text (fd, first_part);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
   stop (&fixture);
-  run_turns (&fixture.loop, TURNS);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
   CU_ASSERT_FALSE (fixture.shut_down);
-  offer (fd, rest);
-  expect_last_answer (&fixture, fd);
+  send_text (fd, rest);
+  expect_last_response (&fixture, fd);
   CU_ASSERT_TRUE (run_until (&fixture.loop, &fixture.shut_down));
   teardown (&fixture);
 }
 
-/* What was read of a request is a request, also before the first byte of its
-   body, between two chunks, and on a connection that served others.  */
+/* A request of which any part was read is served: with an incomplete head,
+   before the first byte of the body, between two chunks, and on a connection
+   that was used before.  */
 static void
 test_begun (void)
 {
-  check_begun ("POST /ec", "ho HTTP/1.1\r\nhost: a\r\n"
-                           "content-length: 2\r\n\r\n" BODY);
-  check_begun (HEAD, BODY);
-  check_begun (HEAD "a", "b");
-  check_begun (CHUNKED_HEAD, "2\r\n" BODY "\r\n0\r\n\r\n");
-  check_begun (CHUNKED_HEAD "1\r\na\r\n", "1\r\nb\r\n0\r\n\r\n");
+  check_partial_request ("POST /ec", "ho HTTP/1.1\r\nhost: a\r\n"
+                                     "content-length: 2\r\n\r\n" BODY);
+  check_partial_request (HEAD, BODY);
+  check_partial_request (HEAD "a", "b");
+  check_partial_request (CHUNKED_HEAD, "2\r\n" BODY "\r\n0\r\n\r\n");
+  check_partial_request (CHUNKED_HEAD "1\r\na\r\n", "1\r\nb\r\n0\r\n\r\n");
 }
 
-/* A connection that served a request, and one that never had any, are
-   closed; neither holds the stop up for good.  */
+/* An idle connection that was used and one that never had a request are
+   closed; neither delays the shutdown indefinitely.  */
 static void
 test_idle (void)
 {
@@ -203,9 +205,9 @@
   int unused;
 
   setup (&fixture);
-  used = connect_to (&fixture);
-  unused = connect_to (&fixture);
-  use_once (&fixture, used);
+  used = connect_client (&fixture);
+  unused = connect_client (&fixture);
+  run_one_request (&fixture, used);
   stop (&fixture);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, used, out, NULL), 0);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, unused, out, NULL), 0);
@@ -217,8 +219,8 @@
   teardown (&fixture);
 }
 
-/* Who connects while the server stops is turned away, never connected and
-   then cut off.  */
+/* A client that connects during the shutdown is refused; its connection is
+   never established and then reset.  */
 static void
 test_late_connect (void)
 {
@@ -241,10 +243,11 @@
   teardown (&fixture);
 }
 
-/* An answer whose head is out without "close" keeps its connection when the
-   server retires: the caller may send the next request on it.  */
+/* If the head of a response was sent without "connection: close" before
+   keep-alive was disabled, the connection stays open: the client may send the
+   next request on it.  */
 static void
-test_retire_begun_answer (void)
+test_disable_keepalive_in_response (void)
 {
   static const char hold[] = "GET /hold HTTP/1.1\r\nhost: a\r\n\r\n";
   GString *out = g_string_new (NULL);
@@ -252,20 +255,20 @@
   int fd;
 
   setup (&fixture);
-  fd = connect_to (&fixture);
-  offer (fd, hold);
+  fd = connect_client (&fixture);
+  send_text (fd, hold);
   CU_ASSERT_TRUE (run_until_count (&fixture.loop, &fixture.requests, 1));
-  gp_http_exchange_start (fixture.held, 200, NULL, 0, 6);
-  gp_http_exchange_part (fixture.held, "one", 3, false);
+  gp_http_exchange_start (fixture.open_exchange, 200, NULL, 0, 6);
+  gp_http_exchange_part (fixture.open_exchange, "one", 3, false);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, fd, out, "one"), 0);
-  run_turns (&fixture.loop, TURNS);
-  gp_http_server_retire (fixture.server);
-  gp_http_exchange_part (fixture.held, "two", 3, true);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
+  gp_http_server_disable_keepalive (fixture.server);
+  gp_http_exchange_part (fixture.open_exchange, "two", 3, true);
   CU_ASSERT_EQUAL (raw_read (&fixture.loop, fd, out, "onetwo"), 0);
   CU_ASSERT_PTR_NULL (strstr (out->str, "onnection: close"));
-  run_turns (&fixture.loop, TURNS);
-  offer (fd, HEAD BODY);
-  expect_last_answer (&fixture, fd);
+  run_loop_iterations (&fixture.loop, ITERATIONS);
+  send_text (fd, HEAD BODY);
+  expect_last_response (&fixture, fd);
   g_string_free (out, TRUE);
   teardown (&fixture);
 }
@@ -279,7 +282,7 @@
           { "begun", test_begun },
           { "idle", test_idle },
           { "late connect", test_late_connect },
-          { "retire within an answer", test_retire_begun_answer },
+          { "retire within an answer", test_disable_keepalive_in_response },
           CU_TEST_INFO_NULL };
 
   return runner_main ("transport/stop", tests);
