--- a/tests/scripts/bridge.py
+++ b/tests/scripts/bridge.py
@@ -1,4 +1,4 @@
-"""A TCP connection between two processes that a script can cut."""
+"""A TCP proxy between two processes whose connections a script can cut."""
 
 import os
 import socket
@@ -10,7 +10,7 @@
 
 
 class Bridge:
-    """Passes connections on to TARGET, an address, until it is cut."""
+    """Forwards connections to the address TARGET until it is cut."""
 
     def __init__(self, target):
         host, port = target.rsplit(":", 1)
@@ -62,11 +62,13 @@
             end.close()
 
     def cut(self):
+        """Close all connections and refuse new ones."""
         with self.lock:
             self.is_cut = True
             ends = list(self.ends)
         self._close(*ends)
 
     def heal(self):
+        """Accept connections again."""
         with self.lock:
             self.is_cut = False
--- a/tests/scripts/crashes.py
+++ b/tests/scripts/crashes.py
@@ -1,18 +1,14 @@
-"""Tasks that take down every executor that starts them.
+"""Tasks that crash every executor that starts them.
 
-What users saw: executors of all VMs went down one after the other for minutes,
-each ten milliseconds after one and the same task had been started there, and
-requests and jobs beside it suffered for as long as it lasted.  The task was
-started as soon as its last executor's VM had another one, 37 times in a hundred
-seconds, though three attempts were allowed.
+Guards against a fault in which one such task crashed the executors of all VMs
+in turn for minutes, each 10 ms after its start there, and disturbed requests
+and other jobs meanwhile.  The leader started it again as soon as there was
+another executor: 37 times in 100 s, although three attempts were allowed.  Only
+ends reported by an executor counted as attempts, and an executor that crashes
+reports none.
 
-What proved it: each start had a number of its own, all under one leader that
-nothing had happened to; `executor.dead` stood a millisecond before each start,
-and no end of the task was ever told.  Only ends that an executor tells were
-counted as attempts, and one that goes down tells none.
-
-A task is given up after five such starts at the latest; what only stood beside
-it is not.
+A task is now given up after at most five such starts; tasks that merely ran on
+the same executors are not.
 """
 
 import contextlib
@@ -24,15 +20,15 @@
 from platform_site import (JOB_A, JOB_B, JOB_C, LASTING, site_of, until,
                            verdict)
 
-# Three executors may go down under a task, and two more while that is noticed.
+# A task may crash three executors, and two more before that is noticed.
 STARTS_MAX = 5
-# Five crashes of a second each, and what is done to the site at each one.
+# Enough for five crashes of a second each and the fault injected at each one.
 GIVEN_UP_S = 60.0
-# What runs so long on an executor did not take it down by being started.
+# A run that has lasted this long is not suspected when its executor crashes.
 AT_WORK_S = 2.5
-# From the start of a run to the end of its executor.
+# Delay from the start of a run to the crash of its executor.
 IN_A_ROW_S = 0.9
-# For how long starts are held up.
+# By how much the executor delays a start.
 HELD_S = [0.6, 0.95]
 COUNT = 4
 CRASHER = JOB_A + ".0.0.0"
@@ -41,7 +37,7 @@
 
 
 def answered(site, job):
-    """The state of JOB by an entry that answers, or None."""
+    """Return the state of JOB from the first entry that knows it, or None."""
     for entry in site.entries:
         with contextlib.suppress(OSError):
             state = site.state(entry, job)
@@ -51,7 +47,7 @@
 
 
 def wait_for(condition, timeout_s):
-    """Was CONDITION() true within TIMEOUT_S?"""
+    """Wait for CONDITION() and return whether it held within TIMEOUT_S."""
     try:
         until(condition, timeout_s=timeout_s)
         return True
@@ -60,14 +56,18 @@
 
 
 def submit_beside(site):
-    """Work that lasts, at work for long enough to be above suspicion."""
+    """Start a long-running job, and wait until it is no longer suspect.
+
+    It shares executors with the tasks under test and must not be blamed for
+    their crashes.
+    """
     site.submit("e1", JOB_B, LASTING, spec="lasts")
     wait_for(lambda: len(site.judge.at_work(JOB_B)) == 3, 10)
     time.sleep(AT_WORK_S)
 
 
 def at_each_crash(site, do, over):
-    """DO (executor's worker) at each crash until OVER is set."""
+    """Call DO with the name of the worker at each crash until OVER is set."""
     seen = 0
     while not over.is_set():
         if len(site.judge.crashes) > seen:
@@ -77,8 +77,11 @@
 
 
 def judge_crasher(site, do=None):
-    """The job of CRASHER has been submitted: is it given up in time, and what
-    stood beside it not?  DO happens at each crash."""
+    """Wait for the end of CRASHER's job, and print what became of the jobs.
+
+    Its job must be given up in time, the job on the same executors must not.
+    DO is called at each crash.
+    """
     over = threading.Event()
     watcher = threading.Thread(target=at_each_crash,
                                args=(site, do or (lambda worker: None), over))
@@ -99,6 +102,7 @@
 
 
 def crasher_of(site, step, spec="work"):
+    """Submit a job whose task CRASHER crashes executors, beside another."""
     site.judge.crashers.add(CRASHER)
     submit_beside(site)
     site.submit("e1", JOB_A, [step], spec=spec)
@@ -200,7 +204,7 @@
 
 
 def beside(build):
-    """Executors that go down by themselves, under work that is long there."""
+    """Executors crash on their own under tasks that have run for long."""
     print("executors go down, and no task has done it")
     with site_of(build) as site:
         submit_beside(site)
@@ -216,9 +220,11 @@
 
 
 def in_a_row(build):
-    """What users saw: a job that lasts was failed, as its executor had gone
-    down four times about a second after its start: four executors gave a task
-    up without evidence."""
+    """A task may not be given up without evidence that it is at fault.
+
+    A long-running job failed because its executor had crashed four times, each
+    about a second after the start: four crashed executors were enough.
+    """
     print("an executor goes down under a run a second after its start, six "
           "times in a row")
     with site_of(build, workers=1) as site:
@@ -231,16 +237,17 @@
 
 
 def crash_after(site, seconds):
-    """The only executor goes down by itself so long after the start of JOB_B.
-    """
+    """Crash the only executor SECONDS after the start of JOB_B."""
     wait_for(lambda: site.judge.at_work(JOB_B) != [], 20)
     time.sleep(seconds)
     site.executors["w1"].crash(dark_s=0.5)
 
 
 def held_up(build):
-    """What users saw: a job was given up that only stood beside another one,
-    whose start was held up and came when the former was thought to be alone.
+    """A delayed start must not count against another job.
+
+    A job was given up because the start of another task was delayed and was
+    carried out when the job was taken to run alone on its executor.
     """
     print("a start is held up beside a task under which two executors have gone "
           "down")
@@ -264,7 +271,7 @@
 SCENARIOS = {scenario.__name__: scenario
              for scenario in (plain, gang, lasting, timed, leaders, guards,
                               everything, lapses, outage, beside, in_a_row)}
-# Takes half a minute.
+# Takes half a minute, so it runs only when it is named.
 BY_HAND = {"held_up": held_up}
 
 if __name__ == "__main__":
--- a/tests/scripts/crashes.sh
+++ b/tests/scripts/crashes.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Tasks that take their executors down; see crashes.py.
+# Tasks that crash their executors; see crashes.py.
 set -u
 here=$(dirname "$0")
 . "$here/side-by-side"
--- a/tests/scripts/late_starts.sh
+++ b/tests/scripts/late_starts.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Tasks that take their executors down while starts are carried out late, or
-# guards are killed under them; see ordered_late.py.
+# Tasks that crash their executors while starts run late or guards are killed;
+# see ordered_late.py.
 set -u
 here=$(dirname "$0")
 . "$here/side-by-side"
--- a/tests/scripts/ordered_late.py
+++ b/tests/scripts/ordered_late.py
@@ -1,16 +1,17 @@
-"""Tasks that take their executors down, and starts that are ordered or carried
-out late.
+"""Tasks that crash their executors while starts are ordered or run late.
 
-What users saw: such a task was started six times and more.  A start of it that
-was to be alone, so that its end tells, was not: the store was away between the
-decision and the order, and its executor was kept for it from the decision on;
-or a start of another task, which the executor had not answered, was still on
-its way there, and might have begun at any time.
+Guards against a fault in which such a task was started six times or more.  Its
+isolated start, which is to show whether the task is at fault, was not isolated:
+the store was unavailable between the decision and the order, while the time
+for which the executor was dedicated to the task counted from the decision; or
+a start of another task that the executor had not answered was still pending
+and could have begun at any time.
 
-Set KEEP_LOGS to a path's beginning to keep the logs of what failed.
+Each of four such tasks is started at most five times, its job is given up
+within a minute of the last fault, and the other jobs are not affected.
 
-Each of four such tasks is started five times at the most, its job is given up
-within a minute of the last fault, and nothing happens to the jobs beside them.
+If KEEP_LOGS is set, the logs of a failed scenario are copied to a directory
+whose path is KEEP_LOGS with the process id appended.
 """
 
 import contextlib
@@ -33,24 +34,26 @@
 STEP = {"count": 3, "cpu": 1000, "memMb": 10, "estimateMs": 300}
 SMALL = [{"count": 6, "cpu": 1000, "memMb": 10, "estimateMs": 300}]
 LASTING = [{"count": 2, "cpu": 1000, "memMb": 10, "longRunning": True}]
-# Longer than an executor is kept for a start that can't be begun.
+# Longer than an executor stays dedicated to a start that cannot be sent.
 AWAY_S = 5.0
-# Orders are carried out late for so long after each crash, and so much later.
+# For how long after each crash starts run late, and by how many seconds.
 LATE_FOR_S = 4.0
 LATE_S = (0.1, 4.5)
 LATER_S = (2.0, 12.0)
 LATE_SHARE = 0.8
-# For so long guards are stopped.
+# For how long guards are stopped.
 PAUSED_S = 3.0
-# So many faults, each at another start.
+# Number of faults, each injected at another start.
 FAULTS = 3
-# As TaskProgress.alone stands in a record.
+# TaskProgress.alone set to true, as encoded in a record.
 ALONE = b"\x40\x01"
 
 
 def alone_in(body, jobs):
-    """The first of JOBS of which a record in BODY starts a task alone, or
-    None."""
+    """Return the first of JOBS that has an isolated start in BODY, or None.
+
+    BODY is an append of records to the progress stream.
+    """
     while body:
         size = struct.unpack(">I", body[:4])[0]
         record, body = body[4:4 + size], body[4 + size:]
@@ -61,8 +64,11 @@
 
 
 class Trap:
-    """Does something when the leader writes down that a task in CRASHERS is
-    started alone: the order waits for the record.  Once for each start."""
+    """Calls DO instead of the append that records an isolated start.
+
+    The leader sends the order for the start only once it is recorded.  DO is
+    called at most once for each start of a task in CRASHERS.
+    """
 
     def __init__(self, site, do):
         self.site = site
@@ -74,7 +80,10 @@
         site.store.append = self.on_append
 
     def is_sprung(self, query, body):
-        """Is the last fault past, and does BODY start one of them alone?"""
+        """Return whether to inject a fault at this append.
+
+        BODY must record an isolated start, and the last fault must be over.
+        """
         if self.left == 0 or query["topic"] != "keyed.progress" \
                 or time.monotonic() < self.over_at:
             return False
@@ -86,6 +95,7 @@
         return True
 
     def on_append(self, query, body):
+        """Handle an append in place of the store."""
         if self.is_sprung(query, body):
             self.left -= 1
             self.over_at = time.monotonic() + AWAY_S
@@ -94,7 +104,10 @@
 
 
 def away(site, how):
-    """A trap that takes the store away with the append that it is sprung by."""
+    """Make the store unavailable from the append of an isolated start on.
+
+    HOW is "silent" (no answer) or "busy" (status 503).
+    """
     def do(query, body):
         site.store.down = how
         threading.Timer(AWAY_S, come_back, (site,)).start()
@@ -103,11 +116,12 @@
 
 
 def come_back(site):
+    """Make the store of SITE available again."""
     site.store.down = None
 
 
 def late_for(executor, late_s):
-    """EXECUTOR leaves most starts unanswered for a while."""
+    """Have EXECUTOR run most starts late, without an answer, for a while."""
     executor.late, executor.late_s = LATE_SHARE, late_s
     executor.late_calls = ("run-start",)
     time.sleep(LATE_FOR_S)
@@ -115,7 +129,7 @@
 
 
 def all_late_for(late_s):
-    """What is to be done at a crash: all executors leave starts unanswered."""
+    """Return a function for `play` that has all executors run starts late."""
     def do(site, worker):
         for executor in site.executors.values():
             threading.Thread(target=late_for, args=(executor, late_s)).start()
@@ -123,8 +137,10 @@
 
 
 class Crashes:
-    """DO (name of the worker) in a thread at each crash, until `end`; what is
-    done lasts for LATE_FOR_S at the most."""
+    """Calls DO with the worker's name in a thread at each crash until `end`.
+
+    A call of DO takes at most LATE_FOR_S.
+    """
 
     def __init__(self, site, faults, do):
         self.site = site
@@ -155,17 +171,18 @@
 
 
 class Faults:
-    """When the last one was over, or will be."""
+    """Keeps the time at which the last injected fault is over."""
 
     def __init__(self):
         self.over_at = time.monotonic()
 
     def last(self, seconds):
+        """Note a fault that lasts for SECONDS from now."""
         self.over_at = max(self.over_at, time.monotonic() + seconds)
 
 
 def are_given_up(site, faults):
-    """Are all of JOBS, within GIVEN_UP_S of the last of FAULTS?"""
+    """Return whether all JOBS fail within GIVEN_UP_S of the last fault."""
     while time.monotonic() < faults.over_at + GIVEN_UP_S:
         if all(answered(site, job) == "failed" for job in JOBS):
             return True
@@ -174,7 +191,7 @@
 
 
 def judge(site, faults):
-    """Whatever went on: what became of JOBS?"""
+    """Print whether JOBS were given up, after at most STARTS_MAX starts."""
     starts = site.judge.starts
     ended = are_given_up(site, faults)
     counts = [starts.get(CRASHERS[job], 0) for job in JOBS]
@@ -186,14 +203,17 @@
 
 
 def submit(site, job):
-    """Is JOB accepted?"""
+    """Submit JOB and return whether it is accepted."""
     with contextlib.suppress(OSError):
         return site.submit("e1", job, [STEP]) == 200
     return False
 
 
 def play(build, do=lambda site, worker: None, trap=lambda site: None):
-    """DO at each crash; TRAP (site) is set before the first one."""
+    """Run JOBS while DO injects faults at each crash.
+
+    TRAP is called with the site before JOBS are submitted.
+    """
     with site_of(build, entries=3, workers=6) as site:
         site.judge.crashers.update(CRASHERS.values())
         site.submit("e1", JOB_LASTING, LASTING, spec="lasts")
@@ -214,8 +234,10 @@
 
 
 def leader_killed(site):
-    """Kill the leader while an order waits for its record, which is lost, or
-    has been written."""
+    """Kill the leader, wait for another one and restart the process.
+
+    Its order is still waiting for the record, which was either lost or written.
+    """
     first = site.leader()
     site.processes[first].kill()
     wait_for(lambda: site.leader() not in (None, first), 10)
@@ -287,6 +309,7 @@
 
 
 def pause(process):
+    """Stop PROCESS for PAUSED_S."""
     process.signal(signal.SIGSTOP)
     threading.Timer(PAUSED_S, process.signal, (signal.SIGCONT,)).start()
 
@@ -309,8 +332,11 @@
 
 
 def told_as_put_off(build):
-    """What operators saw: a store that refused an append for seconds passed for
-    one that took milliseconds, and its orders for orders made at once."""
+    """The metrics and the log must show appends that the store put off.
+
+    Appends that the store refused for seconds counted as taking milliseconds,
+    and the orders that depended on them as sent without delay.
+    """
     print("an append that the store puts off for seconds is told so")
     for how in ("silent", "busy"):
         with site_of(build, workers=1) as site:
@@ -324,7 +350,7 @@
 
 
 def slow_appends(site):
-    """How many appends took longer than half of AWAY_S, by the leader."""
+    """Return how many appends of the leader took more than half of AWAY_S."""
     counts = {}
     _, _, data = request(site.metrics[site.leader()], "GET", "/metrics")
     for line in data.decode().splitlines():
@@ -338,6 +364,7 @@
 
 
 def puts_off(site):
+    """Return how many times the leader logged that an append was put off."""
     return site.processes[site.leader()].log().count('"append.put_off"')
 
 
--- a/tests/scripts/ordered_late.sh
+++ b/tests/scripts/ordered_late.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Tasks that take their executors down while the store or the leader goes; see
+# Tasks that crash their executors while the store or the leader fails; see
 # ordered_late.py.
 set -u
 here=$(dirname "$0")
--- a/tests/scripts/platform_site.py
+++ b/tests/scripts/platform_site.py
@@ -1,5 +1,8 @@
-"""A small site on the platform's stand-ins: entries and guards as processes,
-the store and the executors in this one."""
+"""A small site on the platform's stand-ins for the scripted runs.
+
+Entries and guards run as processes of their own; the store and the executors
+run in the process of the test.
+"""
 
 import contextlib
 import json
@@ -31,25 +34,30 @@
 STEPS = [{"count": 4, "cpu": 1000, "memMb": 10, "estimateMs": 300},
          {"count": 2, "cpu": 1000, "memMb": 10, "after": [0]}]
 LASTING = [{"count": 3, "cpu": 1000, "memMb": 10, "longRunning": True}]
-# From the first of internalPorts on: peers, metrics, relay.
+# A process uses three consecutive ports, beginning with the first of
+# internalPorts: peers, metrics, relay.
 PORTS_OF_PROCESS = 3
-GRACE_S = 6.0  # from SIGTERM to SIGKILL
+GRACE_S = 6.0  # time that a process has to exit between SIGTERM and SIGKILL
 
 
 def loopback():
+    """Return a loopback address with a free port."""
     return f"127.0.0.1:{free_port()}"
 
 
 class PlatformSite:
-    """ENTRIES entries and WORKERS workers with their guards.  With LINKS all
-    connections between them, to the store and to the executors lead through
-    links, by name in `links`."""
+    """A site of ENTRIES entries and WORKERS workers with their guards.
+
+    With LINKS, every connection between processes, to the store and to the
+    executors goes through a Link whose faults the test controls; `links` maps
+    names to them.  WORKERS are split evenly over ZONES, in order.
+    """
 
     def __init__(self, build, folder, entries=2, workers=3, seed=1,
                  status_s=120, links=False, zones=("z",)):
         self.build = build
         self.status_s = status_s
-        self.zones = zones  # of workers, in equal parts one after the other
+        self.zones = zones
         self.workers = workers
         self.folder = folder
         self.store_address = loopback()
@@ -62,7 +70,7 @@
         self.metrics = {}
         self.net = Links() if links else None
         self.links = {}
-        self.doors = {}  # the store's address that a process is told
+        self.doors = {}  # process name: store address of that process alone
         self.publish(DOCUMENT)
         for i in range(1, workers + 1):
             self.add_worker(f"w{i}", seed * 100 + i,
@@ -71,21 +79,26 @@
             self.add_entry(f"e{i}")
 
     def publish(self, document):
+        """Write DOCUMENT to the store as the configuration."""
         self.store.put("keyed.op", "config", json.dumps(document).encode())
 
     def evacuate(self, zone):
-        """Nothing is to be started in ZONE any more."""
+        """Declare ZONE evacuated: no task may be started in it."""
         self.store.put("keyed.op", f"evacuate/{zone}", b"{}")
         with self.judge.lock:
             self.judge.evacuated[zone] = time.monotonic()
 
     def take_back(self, zone):
+        """Revoke the evacuation of ZONE."""
         with self.judge.lock:
             self.judge.evacuated.pop(zone, None)
         self.store.put("keyed.op", f"evacuate/{zone}", b"")
 
     def link(self, name, target):
-        """The address at which TARGET is to be reached."""
+        """Return the address for connections to TARGET.
+
+        With links, this is the address of a new one that forwards to TARGET.
+        """
         if self.net is None:
             return target
         address = loopback()
@@ -93,14 +106,22 @@
         return address
 
     def link_peers(self, name, port):
-        """Let the addresses that the process will announce lead through
-        links; all addresses of loopback have the same length here."""
+        """Make the store hand out link addresses for the process NAME.
+
+        The addresses that the process announces from PORT on are rewritten in
+        the stored bytes, which works because all loopback addresses used here
+        have the same length.
+        """
         for what, offset in (("peers", 0), ("relay", 2)):
             announced = f"127.0.0.1:{port + offset}"
             self.store.rewrites[announced.encode()] = self.link(
                 f"{name} {what}", announced).encode()
 
     def settings(self, name, more, zone):
+        """Write the settings file of the process NAME and return its path.
+
+        MORE are lines that depend on the role of the process.
+        """
         self.doors[name] = loopback()
         self.store.open(self.doors[name])
         store = self.link(f"{name} store", self.doors[name])
@@ -118,12 +139,14 @@
         return path
 
     def start(self, name, role, path):
+        """Start the process NAME as ROLE with the settings file at PATH."""
         program = os.path.join(self.build, "galenapier-node")
         self.processes[name] = Process(
             self, name, ["/usr/bin/env", f"GALENAPIER_SETTINGS={path}",
                          program, role])
 
     def add_entry(self, name):
+        """Start an entry called NAME."""
         front, ready = loopback(), loopback()
         self.entries[name] = (front, ready)
         path = self.settings(name, ["listen:", f'  front: "{front}"',
@@ -132,6 +155,7 @@
         self.start(name, "entry", path)
 
     def add_worker(self, name, seed, zone=None):
+        """Start a guard called NAME and its executor in ZONE."""
         zone = zone or self.zones[0]
         control, app = loopback(), loopback()
         orders = self.link(f"{name} orders", app)
@@ -144,8 +168,10 @@
             seed=seed, zone=zone)
 
     def retire(self, name, drain_s=1.0, longer_s=0.5):
-        """The worker NAME leaves as planned: its executor drains and ends,
-        then the guard on its VM is stopped, both for good."""
+        """Remove the worker NAME by a planned shutdown.
+
+        Its executor drains and deregisters, then its guard is stopped.
+        """
         self.executors[name].drain(drain_s, longer_s)
         del self.executors[name]
         guard = self.processes.pop(name)
@@ -157,13 +183,17 @@
         guard.kill()
 
     def ready(self):
+        """Wait until all entries are ready and there is a leader."""
         for _, ready in self.entries.values():
             until(lambda a=ready: request(a, "GET", "/api/ready")[0] == 200,
                   what="entry ready")
         until(lambda: self.leader() is not None, what="a leader")
 
     def leader(self):
-        """The name of the entry that has taken the lead last."""
+        """Return the entry that became leader last, or None.
+
+        Only what the processes logged since their last start counts.
+        """
         best = None
         for name in self.entries:
             for line in self.processes[name].log_of_life().splitlines():
@@ -174,6 +204,7 @@
         return best[1] if best else None
 
     def metric(self, name, key):
+        """Return the metric KEY of the process NAME, or None."""
         _, _, data = request(self.metrics[name], "GET", "/metrics")
         for line in data.decode().splitlines():
             if line.startswith(f"galenapier_{key} "):
@@ -181,20 +212,23 @@
         return None
 
     def call(self, entry, method, path, body=None):
+        """Return status and body of a caller's request to ENTRY."""
         status, _, data = request(self.entries[entry][0], method, path,
                                   body, HOST)
         return status, data
 
     def submit(self, entry, job, steps, spec="work"):
+        """Submit JOB at ENTRY and return the HTTP status."""
         body = json.dumps({"spec": spec, "steps": steps})
         return self.call(entry, "POST", "/q/" + job, body)[0]
 
     def submit_lasting(self, entry, job):
-        """Submit a job of LASTING and wait until it is at work."""
+        """Submit JOB, of long-running tasks, and wait until all run."""
         self.submit(entry, job, LASTING, spec="lasts")
         until(lambda: len(self.judge.at_work(job)) == 3, what="at work")
 
     def state(self, entry, job):
+        """Return the state of JOB at ENTRY, or an HTTP status."""
         status, data = self.call(entry, "GET", "/q/" + job)
         return json.loads(data)["state"] if status == 200 else status
 
@@ -214,8 +248,10 @@
 
 @contextlib.contextmanager
 def site_of(build, **more):
-    """A PlatformSite that is ready; when the script fails, its logs are
-    shown."""
+    """Run a PlatformSite that is ready, and close it afterwards.
+
+    If the script fails, the logs of its processes go to standard error.
+    """
     with tempfile.TemporaryDirectory() as folder:
         site = PlatformSite(build, folder, **more)
         try:
@@ -231,8 +267,10 @@
 
 
 def verdict(site):
+    """Print the breaches that the judge of SITE recorded."""
     print("  breaches:", site.judge.breaches)
 
 
 def other(site, name):
+    """Return an entry of SITE other than NAME."""
     return next(e for e in site.entries if e != name)
--- a/tests/scripts/same_id.py
+++ b/tests/scripts/same_id.py
@@ -1,13 +1,11 @@
-"""Executors that start again under the id that they had.
-
-What users saw: tasks were started again after they had ended as done and that
-had been noted; and a task that could run never did, with room for it, until the
-day was over.
-
-What proved it: only executors that had crashed and started again under their
-id were concerned.  Their ends, numbered from 1 again, passed for known ones; and
-guards that began after such a start took a fence from the executor's clock,
-which had begun anew below the fence that the executor had seen.
+"""Executors that restart under the same id.
+
+Guards against two faults that only such executors showed.  Tasks were started
+again although their end had been recorded as done: the restarted executor
+numbers its ends from 1 again, and these passed for known ones.  And a task that
+fitted was not started for the rest of the day: a guard that started after the
+executor's restart derived its fence from the executor's clock, which had been
+reset to a value below the fence that the executor had seen.
 """
 
 import contextlib
@@ -19,35 +17,36 @@
 
 from platform_site import JOB_A, KEPT, STEPS, site_of, until
 
-# Executors that start again, one after the other, and the pause between them.
+# How many times executors restart, one at a time, and the pause in between.
 RESTARTS = 6
 PAUSE_S = 0.7
-# Between two jobs.
+# Interval between submissions.
 JOB_S = 0.2
-# None goes down so soon after it has begun a run: that would speak against the
-# run's task, as crashes.py has it.
+# No executor crashes sooner after the start of a run, as that would count
+# against the run's task (see crashes.py).
 INNOCENT_S = 0.15
-# A task is no suspect any more.
+# A task that has run this long is no longer suspect.
 SETTLED_S = 1.5
-# A job of a second's work is completed so long after the last restart, though
-# all leases (5.25 s) had to run out.
+# Within this time after the last restart a job of one second's work completes,
+# even if all leases (5.25 s) have to expire first.
 COMPLETED_S = 12.0
-# A clock so far ahead that no later life of the executor reaches it.
+# Puts an executor's clock ahead of what any later incarnation reaches.
 LONG_S = 10000
-# Work that is under way whenever the scenario looks.
+# Long enough that the task still runs whenever the scenario checks.
 LONG_WORK_S = 4.0
 ONE = [{"count": 1, "cpu": 1000, "memMb": 10}]
 GANG = [{"count": 2, "cpu": 1000, "memMb": 10, "gang": True}]
 
 
 def verdict(site):
+    """Print the breaches recorded by the judge of SITE, and stale starts."""
     breaches = site.judge.breaches
     print("  breaches:", len(breaches), breaches[:2])
     print("  carried out by the next life:", site.judge.early, file=sys.stderr)
 
 
 class Stream:
-    """Submits a job each JOB_S until `end`, in a thread; `steps` by turns."""
+    """Submits a job every JOB_S in a thread until `end`; `steps` in turn."""
 
     def __init__(self, site, *steps):
         self.site = site
@@ -74,7 +73,7 @@
                         break
 
     def end(self):
-        """All that was accepted is completed in time."""
+        """Stop, and print whether all accepted jobs complete in time."""
         self.over.set()
         self.thread.join()
         deadline = time.monotonic() + COMPLETED_S
@@ -94,8 +93,10 @@
 
 @contextlib.contextmanager
 def site_with_ids(build, born_step_ms=1000, **more):
-    """A site whose executors keep their ids, and have been up for long; their
-    next lives have not."""
+    """Run a site whose executors keep their ids when they restart.
+
+    Their current incarnations have been up for long, the next ones have not.
+    """
     with site_of(build, **more) as site:
         for executor in site.executors.values():
             executor.crash()
@@ -108,7 +109,7 @@
 
 
 def in_turn(site, do=lambda name: None, dark_s=0.0):
-    """Executors start again one after the other; DO (name) at each one."""
+    """Restart executors one after the other, calling DO(name) before each."""
     for i in range(RESTARTS):
         time.sleep(PAUSE_S)
         name = f"w{i % 3 + 1}"
@@ -117,7 +118,7 @@
 
 
 def play(build, steps, do=lambda site, name: None, dark_s=0.0, **more):
-    """Jobs of STEPS while executors start again in turn."""
+    """Submit jobs of STEPS while executors restart in turn."""
     with site_with_ids(build, **more) as site:
         stream = Stream(site, *steps)
         in_turn(site, lambda name: do(site, name), dark_s)
@@ -226,14 +227,17 @@
 
 
 def holder_of(site, task):
-    """The VM on which TASK is at work, or None."""
+    """Return the VM on which TASK runs, or None."""
     return next((name for name, executor in site.executors.items()
                  if task in executor.runs), None)
 
 
 def let_first_start_come_late(site, task):
-    """The first start of TASK goes unanswered and is kept; returns the VM and,
-    once it has settled there, that of the second run."""
+    """Have an executor retain the first start of TASK without an answer.
+
+    Returns its VM and the VM of the second run, once that run is no longer
+    suspect.
+    """
     for executor in site.executors.values():
         executor.work_s = LONG_WORK_S
         executor.held[task] = KEPT
--- a/tests/scripts/tasks_site.py
+++ b/tests/scripts/tasks_site.py
@@ -1,5 +1,7 @@
-"""A site of real processes that runs tasks, for the scripted runs of tasks,
-and the judgement of the ledgers of its worker runtimes."""
+"""A site of real processes that runs tasks, and checks on its ledgers.
+
+The ledgers are those of the stand-ins for worker runtimes.
+"""
 
 import json
 import os
@@ -30,6 +32,7 @@
 
 
 def publish(site, base, watchers, document=DOCUMENT):
+    """Publish DOCUMENT with a number of WATCHERS on top of revision BASE."""
     body = json.dumps({"base": base, "author": "test",
                        "document": document % watchers})
     status, _, answer = site.operate("entry-1", "POST", "/v1/config", body)
@@ -38,6 +41,7 @@
 
 
 def submit(site, entry="entry-1", count=1, kind="assess", **payload):
+    """Submit COUNT jobs of KIND with PAYLOAD and return their ids."""
     body = json.dumps({"kind": kind, "count": count,
                        "payload": json.dumps(payload)})
     status, _, answer = site.operate(entry, "POST", "/v1/jobs", body)
@@ -47,11 +51,13 @@
 
 
 def job(site, name, entry="entry-1"):
+    """Return the job NAME as ENTRY knows it; its state is None if unknown."""
     status, _, answer = site.operate(entry, "GET", "/v1/jobs/" + name)
     return json.loads(answer) if status == 200 else {"state": None}
 
 
 def await_state(site, name, state, entry="entry-1"):
+    """Wait until the job NAME is in STATE and return it."""
     return until(lambda: (lambda j: j["state"] == state and j)(
         job(site, name, entry)), what=f"{name} {state}")
 
@@ -67,8 +73,11 @@
 
 
 def executions(site):
-    """For each task its stretches of running, by the ledgers: start, end (or
-    the last point known), epoch, node."""
+    """Return for each task its executions according to the ledgers.
+
+    Each has a start, an end (None if the ledger has none), the epoch, the node
+    and the progress that it started from.
+    """
     runs = {}
     for guard in site.guard_names:
         open_runs = {}
@@ -88,8 +97,11 @@
 
 
 def judge(site, killed=()):
-    """No task ran twice at a time, no epoch twice.  KILLED: node to the
-    point at which its VM was killed."""
+    """Print how many executions overlap and how many epochs ran twice.
+
+    KILLED maps a node to the time at which its VM was killed, which ends the
+    executions that have no end in its ledger.
+    """
     overlaps, doubled = 0, 0
     for runs in executions(site).values():
         runs.sort(key=lambda run: run["start"])
@@ -104,11 +116,13 @@
 
 
 def breaches(site):
+    """Return how many breaches the worker runtimes recorded."""
     return sum(fact["event"] == "breach" for guard in site.guard_names
                for fact in site.facts(guard + ".worker"))
 
 
 def ready(site, watchers=WATCHERS, document=DOCUMENT):
+    """Publish DOCUMENT as revision 1 and wait until all entries have it."""
     for entry in site.entry_names:
         until(lambda e=entry: site.counter(e, "store_ready") == 1,
               what=f"{entry} ready")
@@ -119,16 +133,21 @@
 
 
 def site_of(build, upstream=False, **options):
+    """Start a Site with worker runtimes."""
     return Site(build, upstream=upstream, worker=True, timings=TIMINGS,
                 **options)
 
 
 def now_us():
+    """Return the time on the clock of the ledgers."""
     return int(time.clock_gettime(time.CLOCK_BOOTTIME) * 1e6)
 
 
 def long_jobs(site, count):
-    """Jobs that run on and take checkpoints, all running."""
+    """Submit COUNT jobs that run for ten minutes and take checkpoints.
+
+    Returns their ids once all are running.
+    """
     names = submit(site, count=count, run_ms=600000, checkpoint_every_ms=50)
     for name in names:
         await_state(site, name, "running")
@@ -148,6 +167,7 @@
 
 
 def on(site, names, guard):
+    """Return those of the jobs NAMES that are assigned to GUARD."""
     return [n for n in names if job(site, n)["worker"] == guard]
 
 
@@ -158,16 +178,18 @@
 
 
 def went_on(site, names):
-    """Whether the last stretch of each began at a checkpoint."""
+    """Return whether the last execution of each job began at a checkpoint."""
     runs = executions(site)
     return all(max(runs[n], key=lambda run: run["start"])["progress"] > 0
                for n in names)
 
 
 def epochs(site, entry="entry-1"):
+    """Return the epoch of each running watcher."""
     return {w["id"]: w["epoch"] for w in running_watchers(site, entry)}
 
 
 def workers(site, entry="entry-1"):
+    """Return the workers as ENTRY's /v1/status lists them."""
     answer = json.loads(site.operate(entry, "GET", "/v1/status")[2])
     return answer["tasks"]["workers"]
