--- a/tests/scripts/crashes.py
+++ b/tests/scripts/crashes.py
@@ -17,26 +17,26 @@
 import threading
 import time
 
-from platform_site import (JOB_A, JOB_B, JOB_C, LASTING, site_of, until,
-                           verdict)
+from platform_site import (JOB_A, JOB_B, JOB_C, LONG_RUNNING, print_breaches,
+                           start_site, until)
 
 # A task may crash three executors, and two more before that is noticed.
 STARTS_MAX = 5
 # Enough for five crashes of a second each and the fault injected at each one.
-GIVEN_UP_S = 60.0
+GIVE_UP_LIMIT_S = 60.0
 # A run that has lasted this long is not suspected when its executor crashes.
-AT_WORK_S = 2.5
+UNSUSPECTED_S = 2.5
 # Delay from the start of a run to the crash of its executor.
-IN_A_ROW_S = 0.9
+CRASH_DELAY_S = 0.9
 # By how much the executor delays a start.
-HELD_S = [0.6, 0.95]
+START_DELAYS_S = [0.6, 0.95]
 COUNT = 4
 CRASHER = JOB_A + ".0.0.0"
 TASKS = {"count": COUNT, "cpu": 1000, "memMb": 10, "estimateMs": 300}
-ONE_LASTS = [{"count": 1, "cpu": 1000, "memMb": 10, "longRunning": True}]
+ONE_LONG_RUNNING = [{"count": 1, "cpu": 1000, "memMb": 10, "longRunning": True}]
 
 
-def answered(site, job):
+def state_from_any(site, job):
     """Return the state of JOB from the first entry that knows it, or None."""
     for entry in site.entries:
         with contextlib.suppress(OSError):
@@ -46,7 +46,7 @@
     return None
 
 
-def wait_for(condition, timeout_s):
+def holds_within(condition, timeout_s):
     """Wait for CONDITION() and return whether it held within TIMEOUT_S."""
     try:
         until(condition, timeout_s=timeout_s)
@@ -55,15 +55,15 @@
         return False
 
 
-def submit_beside(site):
+def submit_bystander(site):
     """Start a long-running job, and wait until it is no longer suspect.
 
     It shares executors with the tasks under test and must not be blamed for
     their crashes.
     """
-    site.submit("e1", JOB_B, LASTING, spec="lasts")
-    wait_for(lambda: len(site.judge.at_work(JOB_B)) == 3, 10)
-    time.sleep(AT_WORK_S)
+    site.submit("e1", JOB_B, LONG_RUNNING, spec="lasts")
+    holds_within(lambda: len(site.judge.at_work(JOB_B)) == 3, 10)
+    time.sleep(UNSUSPECTED_S)
 
 
 def at_each_crash(site, do, over):
@@ -76,7 +76,7 @@
         time.sleep(0.005)
 
 
-def judge_crasher(site, do=None):
+def check_crasher(site, do=None):
     """Wait for the end of CRASHER's job, and print what became of the jobs.
 
     Its job must be given up in time, the job on the same executors must not.
@@ -87,90 +87,90 @@
                                args=(site, do or (lambda worker: None), over))
     watcher.start()
     starts = site.judge.starts
-    wait_for(lambda: answered(site, JOB_A) == "failed"
-             or starts.get(CRASHER, 0) > STARTS_MAX, GIVEN_UP_S)
+    holds_within(lambda: state_from_any(site, JOB_A) == "failed"
+                 or starts.get(CRASHER, 0) > STARTS_MAX, GIVE_UP_LIMIT_S)
     over.set()
     watcher.join()
     time.sleep(1.5)
     print("  starts:", starts.get(CRASHER, 0), file=sys.stderr)
-    print("  its job:", answered(site, JOB_A))
+    print("  its job:", state_from_any(site, JOB_A))
     print("  started at most five times:",
           starts.get(CRASHER, 0) <= STARTS_MAX)
-    back = wait_for(lambda: len(site.judge.at_work(JOB_B)) == 3, 15)
-    print("  beside it:", answered(site, JOB_B), "at work:", back)
-    verdict(site)
+    back = holds_within(lambda: len(site.judge.at_work(JOB_B)) == 3, 15)
+    print("  beside it:", state_from_any(site, JOB_B), "at work:", back)
+    print_breaches(site)
 
 
-def crasher_of(site, step, spec="work"):
+def submit_crasher(site, step, spec="work"):
     """Submit a job whose task CRASHER crashes executors, beside another."""
     site.judge.crashers.add(CRASHER)
-    submit_beside(site)
+    submit_bystander(site)
     site.submit("e1", JOB_A, [step], spec=spec)
 
 
 def plain(build):
     print("one task of a job takes its executors down")
-    with site_of(build) as site:
-        crasher_of(site, TASKS)
+    with start_site(build) as site:
+        submit_crasher(site, TASKS)
         site.submit("e2", JOB_C, [TASKS])
-        judge_crasher(site)
-        wait_for(lambda: answered(site, JOB_C) == "completed", 10)
-        print("  another job:", answered(site, JOB_C))
+        check_crasher(site)
+        holds_within(lambda: state_from_any(site, JOB_C) == "completed", 10)
+        print("  another job:", state_from_any(site, JOB_C))
 
 
 def gang(build):
     print("a member of a gang takes its executors down")
-    with site_of(build) as site:
+    with start_site(build) as site:
         site.judge.gang_counts[JOB_A + ".0.0"] = COUNT
-        crasher_of(site, {**TASKS, "gang": True})
-        judge_crasher(site)
+        submit_crasher(site, {**TASKS, "gang": True})
+        check_crasher(site)
 
 
 def lasting(build):
     print("a task that lasts takes its executors down")
-    with site_of(build) as site:
-        crasher_of(site, {**TASKS, "longRunning": True}, spec="lasts")
-        judge_crasher(site)
+    with start_site(build) as site:
+        submit_crasher(site, {**TASKS, "longRunning": True}, spec="lasts")
+        check_crasher(site)
 
 
 def timed(build):
     print("a task of a timed job takes its executors down")
-    with site_of(build) as site:
+    with start_site(build) as site:
         site.judge.crashers.add(CRASHER)
-        submit_beside(site)
+        submit_bystander(site)
         body = {"spec": "work", "steps": [TASKS], "repeats": 3,
                 "firstMs": int(time.time() * 1000), "intervalMs": 60000}
         site.call("e1", "POST", "/q/" + JOB_A, json.dumps(body))
-        judge_crasher(site)
+        check_crasher(site)
 
 
 def leaders(build):
     print("the leader is killed at each crash")
-    with site_of(build, entries=3) as site:
+    with start_site(build, entries=3) as site:
         def change_leader(worker):
             first = site.leader()
             site.processes[first].kill()
-            wait_for(lambda: site.leader() not in (None, first), 10)
+            holds_within(lambda: site.leader() not in (None, first), 10)
             site.processes[first].start()
 
-        crasher_of(site, TASKS)
-        judge_crasher(site, change_leader)
+        submit_crasher(site, TASKS)
+        check_crasher(site, change_leader)
 
 
 def guards(build):
     print("the guard is killed at each crash")
-    with site_of(build) as site:
+    with start_site(build) as site:
         def restart(worker):
             site.processes[worker].kill()
             site.processes[worker].start()
 
-        crasher_of(site, TASKS)
-        judge_crasher(site, restart)
+        submit_crasher(site, TASKS)
+        check_crasher(site, restart)
 
 
 def everything(build):
     print("leader and guard are killed at each crash")
-    with site_of(build, entries=3) as site:
+    with start_site(build, entries=3) as site:
         def restart(worker):
             first = site.leader()
             for name in (worker, first):
@@ -178,45 +178,45 @@
             for name in (worker, first):
                 site.processes[name].start()
 
-        crasher_of(site, TASKS)
-        judge_crasher(site, restart)
+        submit_crasher(site, TASKS)
+        check_crasher(site, restart)
 
 
 def lapses(build):
     print("executors are away for longer than their leases")
-    with site_of(build) as site:
+    with start_site(build) as site:
         for executor in site.executors.values():
             executor.crash_dark_s = 7.0
-        crasher_of(site, TASKS)
-        judge_crasher(site)
+        submit_crasher(site, TASKS)
+        check_crasher(site)
 
 
 def outage(build):
     print("the store is away at each crash")
-    with site_of(build) as site:
+    with start_site(build) as site:
         def cut_store(worker):
             site.store.down = "silent"
             time.sleep(1.5)
             site.store.down = None
 
-        crasher_of(site, TASKS)
-        judge_crasher(site, cut_store)
+        submit_crasher(site, TASKS)
+        check_crasher(site, cut_store)
 
 
 def beside(build):
     """Executors crash on their own under tasks that have run for long."""
     print("executors go down, and no task has done it")
-    with site_of(build) as site:
-        submit_beside(site)
+    with start_site(build) as site:
+        submit_bystander(site)
         for _ in range(4):
             worker = next(name for name, executor in site.executors.items()
                           if executor.runs)
             site.executors[worker].crash(dark_s=0.5)
-            wait_for(lambda: len(site.judge.at_work(JOB_B)) == 3, 15)
-            time.sleep(AT_WORK_S)
-        print("  beside it:", answered(site, JOB_B),
+            holds_within(lambda: len(site.judge.at_work(JOB_B)) == 3, 15)
+            time.sleep(UNSUSPECTED_S)
+        print("  beside it:", state_from_any(site, JOB_B),
               "at work:", len(site.judge.at_work(JOB_B)) == 3)
-        verdict(site)
+        print_breaches(site)
 
 
 def in_a_row(build):
@@ -227,18 +227,18 @@
     """
     print("an executor goes down under a run a second after its start, six "
           "times in a row")
-    with site_of(build, workers=1) as site:
-        site.submit("e1", JOB_B, ONE_LASTS, spec="lasts")
+    with start_site(build, workers=1) as site:
+        site.submit("e1", JOB_B, ONE_LONG_RUNNING, spec="lasts")
         for _ in range(6):
-            crash_after(site, IN_A_ROW_S)
-        back = wait_for(lambda: site.judge.at_work(JOB_B) != [], 20)
-        print("  its job:", answered(site, JOB_B), "at work:", back)
-        verdict(site)
+            crash_after(site, CRASH_DELAY_S)
+        back = holds_within(lambda: site.judge.at_work(JOB_B) != [], 20)
+        print("  its job:", state_from_any(site, JOB_B), "at work:", back)
+        print_breaches(site)
 
 
 def crash_after(site, seconds):
     """Crash the only executor SECONDS after the start of JOB_B."""
-    wait_for(lambda: site.judge.at_work(JOB_B) != [], 20)
+    holds_within(lambda: site.judge.at_work(JOB_B) != [], 20)
     time.sleep(seconds)
     site.executors["w1"].crash(dark_s=0.5)
 
@@ -251,20 +251,22 @@
     """
     print("a start is held up beside a task under which two executors have gone "
           "down")
-    for held_s in HELD_S:
-        with site_of(build, workers=1) as site:
-            site.submit("e1", JOB_B, ONE_LASTS, spec="lasts")
+    for held_s in START_DELAYS_S:
+        with start_site(build, workers=1) as site:
+            site.submit("e1", JOB_B, ONE_LONG_RUNNING, spec="lasts")
             crash_after(site, 0.3)
             crash_after(site, 0.3)
             site.judge.crashers.add(CRASHER)
             site.executors["w1"].held = {CRASHER: held_s}
             site.submit("e1", JOB_A, [{**TASKS, "count": 1}])
-            wait_for(lambda: answered(site, JOB_A) == "failed", GIVEN_UP_S)
-            back = wait_for(lambda: site.judge.at_work(JOB_B) != [], 20)
+            holds_within(lambda: state_from_any(site, JOB_A) == "failed",
+                         GIVE_UP_LIMIT_S)
+            back = holds_within(lambda: site.judge.at_work(JOB_B) != [], 20)
             print("  held", held_s, "starts:",
                   site.judge.starts.get(CRASHER, 0), file=sys.stderr)
             print(f"  held up for {held_s} s, its job:",
-                  answered(site, JOB_A), "beside it:", answered(site, JOB_B),
+                  state_from_any(site, JOB_A),
+                  "beside it:", state_from_any(site, JOB_B),
                   "at work:", back, "breaches:", site.judge.breaches)
 
 
--- a/tests/scripts/evacuated.py
+++ b/tests/scripts/evacuated.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from platform_site import STEPS, other, site_of, until, verdict
+from platform_site import STEPS, other_entry, print_breaches, start_site, until
 
 # "z1" has w1 and w2, "z2" has w3 and w4.
 ZONES = ["z1", "z2"]
@@ -66,7 +66,7 @@
     """TROUBLE goes on from the evacuation of z1 on, until it is taken back;
     BEFORE comes before it."""
     print(title)
-    with site_of(build, entries=2, workers=4, zones=ZONES) as site:
+    with start_site(build, entries=2, workers=4, zones=ZONES) as site:
         callers = Callers(site)
         until(lambda: starts_in(site, "z1") > 0, what="z1 in use")
         if before is not None:
@@ -78,7 +78,7 @@
         site.take_back("z1")
         is_used_again(site, "z1")
         callers.end()
-        verdict(site)
+        print_breaches(site)
 
 
 def lasting_tasks(site):
@@ -101,7 +101,7 @@
         print("  they stay:", all(tasks <= set(site.judge.on(f"{name}-1"))
                                   for name, tasks in held.items()))
     play(build, "a zone is evacuated and taken back", trouble,
-         lambda site: site.submit_lasting(site.leader(), LASTING_JOB))
+         lambda site: site.submit_long_running(site.leader(), LASTING_JOB))
 
 
 def leader(build):
@@ -200,8 +200,8 @@
 def lasting(build):
     """Runs that last and were stopped come back in the other zone."""
     print("an executor of the zone goes down")
-    with site_of(build, entries=2, workers=4, zones=ZONES) as site:
-        site.submit_lasting(next(iter(site.entries)), LASTING_JOB)
+    with start_site(build, entries=2, workers=4, zones=ZONES) as site:
+        site.submit_long_running(next(iter(site.entries)), LASTING_JOB)
         site.evacuate("z1")
         time.sleep(2.0)
         for name in ("w1", "w2"):
@@ -210,10 +210,10 @@
               and not site.judge.on("w1-2") and not site.judge.on("w2-2"),
               what="back elsewhere")
         print("  back elsewhere:", True)
-        entry = other(site, site.leader())
+        entry = other_entry(site, site.leader())
         site.submit(entry, "00000000000000dd", STEPS)
         site.await_state(entry, "00000000000000dd", "completed")
-        verdict(site)
+        print_breaches(site)
 
 
 SCENARIOS = {scenario.__name__: scenario
--- a/tests/scripts/evacuated_site.py
+++ b/tests/scripts/evacuated_site.py
@@ -7,7 +7,7 @@
 
 from tasks_site import (DOCUMENT, await_state, await_watchers, executions,
                         judge, now_us, publish, ready, running_watchers,
-                        site_of, submit)
+                        start_site, submit)
 
 from site_processes import until
 
@@ -62,7 +62,7 @@
 
 def main(build):
     print("a zone is evacuated")
-    with site_of(build, upstream=True, entries=2, guards=4) as site:
+    with start_site(build, upstream=True, entries=2, guards=4) as site:
         ready(site, WATCHERS, SERVICE)
         site.await_targets(4)
         await_watchers(site, WATCHERS)
--- a/tests/scripts/gone.py
+++ b/tests/scripts/gone.py
@@ -22,7 +22,8 @@
 import sys
 import time
 
-from platform_site import JOB_A, LASTING, site_of, until, verdict
+from platform_site import (JOB_A, LONG_RUNNING, print_breaches, start_site,
+                           until)
 
 # A goodbye needs no lease to run out (5.25 s); without one, leases given up
 # to the end count, and not those of former leaders on top (13.25 s).
@@ -74,11 +75,11 @@
 
 
 def started(build):
-    return site_of(build, entries=3, workers=3)
+    return start_site(build, entries=3, workers=3)
 
 
 def lasting(site):
-    site.submit("e1", JOB_A, LASTING, spec="lasts")
+    site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
     until(lambda: at_work(site), what="at work")
 
 
@@ -100,7 +101,7 @@
           "and its VM is stopped")
     with started(build) as site:
         back(site, BY_GOODBYE_S, taken_away(site, goodbye=True))
-        verdict(site)
+        print_breaches(site)
 
 
 def silent(build):
@@ -109,7 +110,7 @@
     with started(build) as site:
         back(site, BY_LEASE_S, taken_away(site, goodbye=False))
         said_so(site)
-        verdict(site)
+        print_breaches(site)
 
 
 def forgotten(build):
@@ -123,7 +124,7 @@
         site.processes[name].start()
         back(site, BY_LEASE_S, ended)
         said_so(site)
-        verdict(site)
+        print_breaches(site)
 
 
 def forgotten_by_new_leader(build):
@@ -139,7 +140,7 @@
         site.processes[name].start()
         obeyed(site, name, leader)
         back(site, BY_LEASE_S, ended)
-        verdict(site)
+        print_breaches(site)
 
 
 def goodbye_unheard(build):
@@ -153,7 +154,7 @@
         ended = time.monotonic()
         site.processes[name].signal(signal.SIGTERM)
         back(site, BY_GOODBYE_S, ended)
-        verdict(site)
+        print_breaches(site)
 
 
 def led_again(build):
@@ -176,7 +177,7 @@
                 site.processes[entry].kill()
         site.processes[second].signal(signal.SIGTERM)
         back(site, BY_LEASE_S, ended)
-        verdict(site)
+        print_breaches(site)
 
 
 def resigned(build):
@@ -189,7 +190,7 @@
         site.executors[name].leave(goodbye=False)
         ended = time.monotonic()
         back(site, BY_LEASE_S, ended)
-        verdict(site)
+        print_breaches(site)
 
 
 def restarted(build):
@@ -205,7 +206,7 @@
               what="another leader")
         site.processes[first].start()
         back(site, BY_LEASE_S, ended)
-        verdict(site)
+        print_breaches(site)
 
 
 SCENARIOS = {scenario.__name__: scenario
--- a/tests/scripts/ordered_late.py
+++ b/tests/scripts/ordered_late.py
@@ -23,33 +23,33 @@
 import threading
 import time
 
-from crashes import GIVEN_UP_S, STARTS_MAX, answered, wait_for
-from platform_site import site_of
-from same_id import Stream
+from crashes import GIVE_UP_LIMIT_S, STARTS_MAX, holds_within, state_from_any
+from platform_site import start_site
+from same_id import JobStream
 from site_processes import request
 
-JOB_LASTING = "00000000beef00bb"
+JOB_LONG_RUNNING = "00000000beef00bb"
 JOBS = [f"{i:015x}a" for i in range(0xc0, 0xc4)]
 CRASHERS = {job: job + ".0.0.0" for job in JOBS}
 STEP = {"count": 3, "cpu": 1000, "memMb": 10, "estimateMs": 300}
 SMALL = [{"count": 6, "cpu": 1000, "memMb": 10, "estimateMs": 300}]
-LASTING = [{"count": 2, "cpu": 1000, "memMb": 10, "longRunning": True}]
+LONG_RUNNING = [{"count": 2, "cpu": 1000, "memMb": 10, "longRunning": True}]
 # Longer than an executor stays dedicated to a start that cannot be sent.
-AWAY_S = 5.0
+OUTAGE_S = 5.0
 # For how long after each crash starts run late, and by how many seconds.
-LATE_FOR_S = 4.0
+LATE_PERIOD_S = 4.0
 LATE_S = (0.1, 4.5)
 LATER_S = (2.0, 12.0)
 LATE_SHARE = 0.8
 # For how long guards are stopped.
-PAUSED_S = 3.0
+GUARD_PAUSE_S = 3.0
 # Number of faults, each injected at another start.
 FAULTS = 3
 # TaskProgress.alone set to true, as encoded in a record.
-ALONE = b"\x40\x01"
+ISOLATED_START = b"\x40\x01"
 
 
-def alone_in(body, jobs):
+def isolated_start_in(body, jobs):
     """Return the first of JOBS that has an isolated start in BODY, or None.
 
     BODY is an append of records to the progress stream.
@@ -58,12 +58,12 @@
         size = struct.unpack(">I", body[:4])[0]
         record, body = body[4:4 + size], body[4 + size:]
         key = record[1:1 + record[0]].decode()
-        if key in jobs and ALONE in record[1 + record[0]:]:
+        if key in jobs and ISOLATED_START in record[1 + record[0]:]:
             return key
     return None
 
 
-class Trap:
+class IsolatedStartHook:
     """Calls DO instead of the append that records an isolated start.
 
     The leader sends the order for the start only once it is recorded.  DO is
@@ -74,12 +74,12 @@
         self.site = site
         self.do = do
         self.left = FAULTS
-        self.sprung = set()
+        self.triggered = set()
         self.over_at = time.monotonic()
         self.append = site.store.append
         site.store.append = self.on_append
 
-    def is_sprung(self, query, body):
+    def is_triggered_by(self, query, body):
         """Return whether to inject a fault at this append.
 
         BODY must record an isolated start, and the last fault must be over.
@@ -87,59 +87,60 @@
         if self.left == 0 or query["topic"] != "keyed.progress" \
                 or time.monotonic() < self.over_at:
             return False
-        job = alone_in(body, JOBS)
+        job = isolated_start_in(body, JOBS)
         start = job, self.site.judge.starts.get(CRASHERS.get(job), 0)
-        if job is None or start in self.sprung:
+        if job is None or start in self.triggered:
             return False
-        self.sprung.add(start)
+        self.triggered.add(start)
         return True
 
     def on_append(self, query, body):
         """Handle an append in place of the store."""
-        if self.is_sprung(query, body):
+        if self.is_triggered_by(query, body):
             self.left -= 1
-            self.over_at = time.monotonic() + AWAY_S
+            self.over_at = time.monotonic() + OUTAGE_S
             return self.do(query, body)
         return self.append(query, body)
 
 
-def away(site, how):
+def store_outage(site, how):
     """Make the store unavailable from the append of an isolated start on.
 
     HOW is "silent" (no answer) or "busy" (status 503).
     """
     def do(query, body):
         site.store.down = how
-        threading.Timer(AWAY_S, come_back, (site,)).start()
+        threading.Timer(OUTAGE_S, restore_store, (site,)).start()
         return (503, b"{}") if how == "busy" else None
-    return Trap(site, do)
+    return IsolatedStartHook(site, do)
 
 
-def come_back(site):
+def restore_store(site):
     """Make the store of SITE available again."""
     site.store.down = None
 
 
-def late_for(executor, late_s):
+def run_starts_late(executor, late_s):
     """Have EXECUTOR run most starts late, without an answer, for a while."""
     executor.late, executor.late_s = LATE_SHARE, late_s
     executor.late_calls = ("run-start",)
-    time.sleep(LATE_FOR_S)
+    time.sleep(LATE_PERIOD_S)
     executor.late = 0.0
 
 
-def all_late_for(late_s):
+def run_all_starts_late(late_s):
     """Return a function for `play` that has all executors run starts late."""
     def do(site, worker):
         for executor in site.executors.values():
-            threading.Thread(target=late_for, args=(executor, late_s)).start()
+            threading.Thread(target=run_starts_late,
+                             args=(executor, late_s)).start()
     return do
 
 
-class Crashes:
+class CrashWatcher:
     """Calls DO with the worker's name in a thread at each crash until `end`.
 
-    A call of DO takes at most LATE_FOR_S.
+    A call of DO takes at most LATE_PERIOD_S.
     """
 
     def __init__(self, site, faults, do):
@@ -147,7 +148,7 @@
         self.faults = faults
         self.do = do
         self.over = threading.Event()
-        self.acts = []
+        self.threads = []
         self.thread = threading.Thread(target=self.run)
         self.thread.start()
 
@@ -158,39 +159,39 @@
             if len(crashes) > seen:
                 worker = crashes[seen].rsplit("-", 1)[0]
                 seen += 1
-                self.faults.last(LATE_FOR_S)
-                act = threading.Thread(target=self.do, args=(worker,))
-                act.start()
-                self.acts.append(act)
+                self.faults.extend(LATE_PERIOD_S)
+                thread = threading.Thread(target=self.do, args=(worker,))
+                thread.start()
+                self.threads.append(thread)
 
     def end(self):
         self.over.set()
         self.thread.join()
-        for act in self.acts:
-            act.join()
+        for thread in self.threads:
+            thread.join()
 
 
-class Faults:
+class FaultPeriod:
     """Keeps the time at which the last injected fault is over."""
 
     def __init__(self):
         self.over_at = time.monotonic()
 
-    def last(self, seconds):
+    def extend(self, seconds):
         """Note a fault that lasts for SECONDS from now."""
         self.over_at = max(self.over_at, time.monotonic() + seconds)
 
 
 def are_given_up(site, faults):
-    """Return whether all JOBS fail within GIVEN_UP_S of the last fault."""
-    while time.monotonic() < faults.over_at + GIVEN_UP_S:
-        if all(answered(site, job) == "failed" for job in JOBS):
+    """Return whether all JOBS fail within GIVE_UP_LIMIT_S of the last fault."""
+    while time.monotonic() < faults.over_at + GIVE_UP_LIMIT_S:
+        if all(state_from_any(site, job) == "failed" for job in JOBS):
             return True
         time.sleep(0.2)
     return False
 
 
-def judge(site, faults):
+def print_outcome(site, faults):
     """Print whether JOBS were given up, after at most STARTS_MAX starts."""
     starts = site.judge.starts
     ended = are_given_up(site, faults)
@@ -209,82 +210,83 @@
     return False
 
 
-def play(build, do=lambda site, worker: None, trap=lambda site: None):
+def play(build, do=lambda site, worker: None, hook=lambda site: None):
     """Run JOBS while DO injects faults at each crash.
 
-    TRAP is called with the site before JOBS are submitted.
+    HOOK is called with the site before JOBS are submitted.
     """
-    with site_of(build, entries=3, workers=6) as site:
+    with start_site(build, entries=3, workers=6) as site:
         site.judge.crashers.update(CRASHERS.values())
-        site.submit("e1", JOB_LASTING, LASTING, spec="lasts")
-        wait_for(lambda: len(site.judge.at_work(JOB_LASTING)) == 2, 10)
-        stream = Stream(site, SMALL)
-        faults = Faults()
-        crashes = Crashes(site, faults, lambda worker: do(site, worker))
-        trap(site)
+        site.submit("e1", JOB_LONG_RUNNING, LONG_RUNNING, spec="lasts")
+        holds_within(lambda: len(site.judge.at_work(JOB_LONG_RUNNING)) == 2, 10)
+        stream = JobStream(site, SMALL)
+        faults = FaultPeriod()
+        crashes = CrashWatcher(site, faults, lambda worker: do(site, worker))
+        hook(site)
         for job in JOBS:
-            wait_for(lambda j=job: submit(site, j), GIVEN_UP_S)
-        judge(site, faults)
+            holds_within(lambda j=job: submit(site, j), GIVE_UP_LIMIT_S)
+        print_outcome(site, faults)
         crashes.end()
-        come_back(site)
+        restore_store(site)
         stream.end()
-        back = wait_for(lambda: len(site.judge.at_work(JOB_LASTING)) == 2, 15)
-        print("  beside them:", answered(site, JOB_LASTING), "at work:", back,
-              "breaches:", site.judge.breaches)
+        back = holds_within(
+            lambda: len(site.judge.at_work(JOB_LONG_RUNNING)) == 2, 15)
+        print("  beside them:", state_from_any(site, JOB_LONG_RUNNING),
+              "at work:", back, "breaches:", site.judge.breaches)
 
 
-def leader_killed(site):
+def replace_leader(site):
     """Kill the leader, wait for another one and restart the process.
 
     Its order is still waiting for the record, which was either lost or written.
     """
     first = site.leader()
     site.processes[first].kill()
-    wait_for(lambda: site.leader() not in (None, first), 10)
+    holds_within(lambda: site.leader() not in (None, first), 10)
     site.processes[first].start()
 
 
 def starts_late(build):
     print("executors carry starts out late, for a while after each crash")
-    play(build, all_late_for(LATE_S))
+    play(build, run_all_starts_late(LATE_S))
 
 
 def starts_later(build):
     print("they carry them out up to twelve seconds late")
-    play(build, all_late_for(LATER_S))
+    play(build, run_all_starts_late(LATER_S))
 
 
 def store_silent(build):
     print("the store is silent when such a start is written down")
-    play(build, trap=lambda site: away(site, "silent"))
+    play(build, hook=lambda site: store_outage(site, "silent"))
 
 
 def store_refusing(build):
     print("the store refuses it")
-    play(build, trap=lambda site: away(site, "busy"))
+    play(build, hook=lambda site: store_outage(site, "busy"))
 
 
 def store_slow(build):
     print("the store takes seconds for it")
 
-    def trap(site):
+    def hook(site):
         def do(query, body):
             time.sleep(0.9)
-            return trap.append(query, body)
-        trap = Trap(site, do)
-    play(build, trap=trap)
+            return hook.append(query, body)
+        hook = IsolatedStartHook(site, do)
+    play(build, hook=hook)
 
 
 def answers_lost(build):
     print("the store writes it down, and its answer is lost; then it is silent")
 
-    def trap(site):
+    def hook(site):
         def do(query, body):
-            trap.append(query, body)
+            hook.append(query, body)
             site.store.down = "silent"
-            threading.Timer(AWAY_S, come_back, (site,)).start()
-        trap = Trap(site, do)
-    play(build, trap=trap)
+            threading.Timer(OUTAGE_S, restore_store, (site,)).start()
+        hook = IsolatedStartHook(site, do)
+    play(build, hook=hook)
 
 
 def guard_killed(build):
@@ -295,7 +297,7 @@
         site.processes[worker].kill()
         time.sleep(0.5)
         site.processes[worker].start()
-    play(build, restart, lambda site: away(site, "silent"))
+    play(build, restart, lambda site: store_outage(site, "silent"))
 
 
 def guards_stopped(build):
@@ -309,26 +311,27 @@
 
 
 def pause(process):
-    """Stop PROCESS for PAUSED_S."""
+    """Stop PROCESS for GUARD_PAUSE_S."""
     process.signal(signal.SIGSTOP)
-    threading.Timer(PAUSED_S, process.signal, (signal.SIGCONT,)).start()
+    threading.Timer(GUARD_PAUSE_S, process.signal, (signal.SIGCONT,)).start()
 
 
 def leader_waits(build):
     print("the leader is killed while such a start waits for its record")
 
-    def trap(site):
+    def hook(site):
         def do(query, body):
-            threading.Thread(target=leader_killed, args=(site,)).start()
-            if trap.left % 2:
-                trap.append(query, body)
-        trap = Trap(site, do)
-    play(build, trap=trap)
+            threading.Thread(target=replace_leader, args=(site,)).start()
+            if hook.left % 2:
+                hook.append(query, body)
+        hook = IsolatedStartHook(site, do)
+    play(build, hook=hook)
 
 
 def late_and_refusing(build):
     print("executors carry starts out late while the store refuses")
-    play(build, all_late_for(LATE_S), lambda site: away(site, "busy"))
+    play(build, run_all_starts_late(LATE_S),
+         lambda site: store_outage(site, "busy"))
 
 
 def told_as_put_off(build):
@@ -339,18 +342,19 @@
     """
     print("an append that the store puts off for seconds is told so")
     for how in ("silent", "busy"):
-        with site_of(build, workers=1) as site:
+        with start_site(build, workers=1) as site:
             site.submit("e1", JOBS[0], SMALL)
             site.store.down = how
-            time.sleep(AWAY_S)
-            come_back(site)
-            wait_for(lambda s=site: answered(s, JOBS[0]) == "completed", 20)
+            time.sleep(OUTAGE_S)
+            restore_store(site)
+            holds_within(
+                lambda s=site: state_from_any(s, JOBS[0]) == "completed", 20)
             print(f"  {how}: told by the counter:", slow_appends(site) > 0,
-                  "by the log:", puts_off(site) > 0)
+                  "by the log:", count_put_off(site) > 0)
 
 
 def slow_appends(site):
-    """Return how many appends of the leader took more than half of AWAY_S."""
+    """Return how many appends of the leader took over half of OUTAGE_S."""
     counts = {}
     _, _, data = request(site.metrics[site.leader()], "GET", "/metrics")
     for line in data.decode().splitlines():
@@ -358,12 +362,12 @@
         if name.startswith("galenapier_progress_append_seconds_bucket"):
             counts[name.split('"')[1]] = int(value)
     within = max((count for bound, count in counts.items()
-                  if bound != "+Inf" and float(bound) <= AWAY_S / 2),
+                  if bound != "+Inf" and float(bound) <= OUTAGE_S / 2),
                  default=0)
     return counts["+Inf"] - within
 
 
-def puts_off(site):
+def count_put_off(site):
     """Return how many times the leader logged that an append was put off."""
     return site.processes[site.leader()].log().count('"append.put_off"')
 
--- a/tests/scripts/planned.py
+++ b/tests/scripts/planned.py
@@ -7,8 +7,8 @@
 import threading
 import time
 
-from platform_site import (JOB_A, JOB_B, STEPS, other, site_of, until,
-                           verdict)
+from platform_site import (JOB_A, JOB_B, STEPS, other_entry, print_breaches,
+                           start_site, until)
 
 # From the end of an executor until what lasted on it is at work elsewhere.
 MOVED_S = 6.0
@@ -45,21 +45,21 @@
     print("  still at work:", len(site.judge.at_work(JOB_A)))
     print("  submitted:", site.submit(entry, JOB_B, STEPS))
     site.await_state(entry, JOB_B, "completed")
-    verdict(site)
+    print_breaches(site)
 
 
 def drained(build):
     print("an executor drains and leaves, and its VM is stopped for good")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         begin_leaving(site, worker_of(site, JOB_A))()
         finish(site, "e1")
 
 
 def all_but_one(build):
     print("executors leave with their VMs until one is left")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         for name in ("w1", "w2"):
             begin_leaving(site, name)()
         finish(site, "e1")
@@ -67,21 +67,21 @@
 
 def stopped_leader(build):
     print("the leading entry is stopped while an executor drains")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         leader = site.leader()
         await_moved = begin_leaving(site, worker_of(site, JOB_A))
         site.processes[leader].signal(signal.SIGTERM)
         await_moved()
-        finish(site, other(site, leader))
+        finish(site, other_entry(site, leader))
 
 
 def new_leader(build):
     print("an executor drains right after a change of the leader")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         leader = site.leader()
-        heir = other(site, leader)
+        heir = other_entry(site, leader)
         site.processes[leader].signal(signal.SIGTERM)
         until(lambda: site.leader() == heir, what="another leader")
         begin_leaving(site, worker_of(site, JOB_A))()
@@ -90,18 +90,18 @@
 
 def short_notice(build):
     print("an executor leaves before it can be emptied")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         begin_leaving(site, worker_of(site, JOB_A), 0.0, 0.0)()
         finish(site, "e1")
 
 
 def end_in_between(build):
     print("an executor ends between two leaders")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         leader = site.leader()
-        heir = other(site, leader)
+        heir = other_entry(site, leader)
         site.processes[leader].signal(signal.SIGTERM)
         until(lambda: '"lead.resigned"' in
               site.processes[leader].log_of_life(), what="resigned")
@@ -111,10 +111,10 @@
 
 def killed_leader(build):
     print("the leader is killed, and an executor ends while it drains")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         leader = site.leader()
-        heir = other(site, leader)
+        heir = other_entry(site, leader)
         await_moved = begin_leaving(site, worker_of(site, JOB_A))
         site.processes[leader].kill()
         until(lambda: site.leader() == heir, what="another leader")
--- a/tests/scripts/platform.py
+++ b/tests/scripts/platform.py
@@ -6,13 +6,13 @@
 import subprocess
 import sys
 
-from platform_site import (JOB_A, JOB_B, JOB_C, LASTING, STEPS, other,
-                           site_of, until, verdict)
+from platform_site import (JOB_A, JOB_B, JOB_C, LONG_RUNNING, STEPS,
+                           other_entry, print_breaches, start_site, until)
 
 
 def calm(build):
     print("a calm site")
-    with site_of(build) as site:
+    with start_site(build) as site:
         print("  submitted:", site.submit("e1", JOB_A, STEPS))
         print("  again, elsewhere:", site.submit("e2", JOB_A, STEPS))
         site.await_state("e1", JOB_A, "completed")
@@ -25,43 +25,43 @@
         print("  malformed:", site.call("e1", "POST", "/q/" + JOB_B, "{")[0])
         print("  no steps:", site.submit("e1", JOB_B, []))
         print("  queue:", site.call("e1", "GET", "/q/"))
-        verdict(site)
+        print_breaches(site)
 
 
 def cancelled(build):
     print("a job that lasts is cancelled at another entry")
-    with site_of(build) as site:
-        site.submit("e1", JOB_A, LASTING, spec="lasts")
+    with start_site(build) as site:
+        site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         print("  cancelled:", site.call("e2", "DELETE", "/q/" + JOB_A)[0])
         until(lambda: not site.judge.at_work(JOB_A), what="stopped")
         site.await_state("e1", JOB_A, "cancelled")
         print("  again:", site.call("e1", "DELETE", "/q/" + JOB_A)[0])
-        verdict(site)
+        print_breaches(site)
 
 
 def leader_killed(build):
     print("the leader is killed, and what lasts goes on")
-    with site_of(build) as site:
-        site.submit("e1", JOB_A, LASTING, spec="lasts")
+    with start_site(build) as site:
+        site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         site.submit("e1", JOB_C, STEPS)
         site.await_state("e1", JOB_C, "completed")
         until(lambda: "learned" in site.store.topics["keyed.progress"].newest,
               what="what was learned is on the log")
         first = site.leader()
-        second = other(site, first)
+        second = other_entry(site, first)
         site.processes[first].kill()
         until(lambda: site.leader() == second, what="another leader")
         print("  submitted:", site.submit(second, JOB_B, STEPS))
         site.await_state(second, JOB_B, "completed")
-        verdict(site)
+        print_breaches(site)
 
 
 def guard_restarted(build):
     print("guards are killed; a stop still reaches their executors")
-    with site_of(build) as site:
-        site.submit("e1", JOB_A, LASTING, spec="lasts")
+    with start_site(build) as site:
+        site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         for name in site.executors:
             site.processes[name].kill()
@@ -71,13 +71,13 @@
         site.await_state("e2", JOB_B, "completed")
         site.call("e1", "DELETE", "/q/" + JOB_A)
         until(lambda: not site.judge.at_work(JOB_A), what="stopped")
-        verdict(site)
+        print_breaches(site)
 
 
 def guard_paused(build):
     print("a guard is paused past its lease")
-    with site_of(build, workers=2) as site:
-        site.submit("e1", JOB_A, LASTING, spec="lasts")
+    with start_site(build, workers=2) as site:
+        site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         site.processes["w1"].signal(signal.SIGSTOP)
         until(lambda: not site.executors["w1"].runs, what="lapsed")
@@ -85,13 +85,13 @@
         site.processes["w1"].signal(signal.SIGCONT)
         site.submit("e1", JOB_B, [{"count": 24, "cpu": 1000, "memMb": 10}])
         site.await_state("e1", JOB_B, "completed")
-        verdict(site)
+        print_breaches(site)
 
 
 def stale_heartbeat(build):
     print("a heartbeat of a crashed executor arrives at a new guard")
-    with site_of(build) as site:
-        site.submit("e1", JOB_A, LASTING, spec="lasts")
+    with start_site(build) as site:
+        site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         for name, executor in site.executors.items():
             executor.crash()
@@ -108,12 +108,12 @@
             site.await_state("e2", job, "completed")
         print("  started again:", sum(site.judge.starts.values())
               - starts - 12)
-        verdict(site)
+        print_breaches(site)
 
 
 def store_down(build):
     print("the store goes away with an end on its way, then all entries die")
-    with site_of(build) as site:
+    with start_site(build) as site:
         for executor in site.executors.values():
             executor.work_s = 1.0
         site.submit("e1", JOB_A, STEPS[:1])
@@ -131,12 +131,12 @@
         site.ready()
         site.await_state("e1", JOB_A, "completed")
         print("  refused job unknown:", site.state("e1", JOB_B))
-        verdict(site)
+        print_breaches(site)
 
 
 def left_open(build):
     print("a job that was left open is not called refused later")
-    with site_of(build) as site:
+    with start_site(build) as site:
         site.store.down = "silent"
         print("  submitted:", site.submit("e1", JOB_A, STEPS))
         print("  again:", site.submit("e1", JOB_A, STEPS))
@@ -145,42 +145,43 @@
               what="accepted")
         site.await_state("e1", JOB_A, "completed")
         print("  starts:", sum(site.judge.starts.values()))
-        verdict(site)
+        print_breaches(site)
 
 
 def entry_refused(build):
     print("the store turns single processes away")
-    with site_of(build, entries=3) as site:
+    with start_site(build, entries=3) as site:
         for name in ("e1", "e2", "e3"):
             until(lambda n=name: site.metric(n, "store_peers") == 2,
                   what="peers known")
         for name in ("e1", "e2", "e3"):
-            site.store.refused = {site.doors[name]}
+            site.store.refused = {site.store_addresses[name]}
             until(lambda n=name: site.submit(n, JOB_A, STEPS) == 200,
                   what="accepted through a peer")
             site.await_state(name, JOB_A, "completed")
-        site.store.refused = {site.doors[w] for w in ("w1", "w2", "w3")}
+        site.store.refused = {site.store_addresses[w]
+                              for w in ("w1", "w2", "w3")}
         print("  submitted:", site.submit("e1", JOB_B, STEPS))
         site.await_state("e2", JOB_B, "completed")
         print("  starts:", sum(site.judge.starts.values()))
-        verdict(site)
+        print_breaches(site)
 
 
 def lost_answers(build):
     print("answers of the store are lost")
-    with site_of(build) as site:
+    with start_site(build) as site:
         for job in (JOB_A, JOB_B, JOB_C):
             site.store.lost = 2
             print("  submitted:", site.submit("e1", job, STEPS))
         for job in (JOB_A, JOB_B, JOB_C):
             site.await_state("e2", job, "completed")
         print("  done:", len(site.judge.done))
-        verdict(site)
+        print_breaches(site)
 
 
 def records_dropped(build):
     print("records of ended jobs are dropped after their time")
-    with site_of(build, status_s=1) as site:
+    with start_site(build, status_s=1) as site:
         site.submit("e1", JOB_A, STEPS)
         site.await_state("e1", JOB_A, "completed")
         for topic in ("keyed.jobs", "keyed.progress"):
@@ -190,12 +191,12 @@
               what="forgotten")
         print("  submitted:", site.submit("e2", JOB_B, STEPS))
         site.await_state("e2", JOB_B, "completed")
-        verdict(site)
+        print_breaches(site)
 
 
 def late_orders(build):
     print("executors leave orders unanswered and carry them out late")
-    with site_of(build) as site:
+    with start_site(build) as site:
         for executor in site.executors.values():
             executor.late = 0.25
         for job in (JOB_A, JOB_B, JOB_C):
@@ -203,13 +204,13 @@
         for job in (JOB_A, JOB_B, JOB_C):
             site.await_state("e1", job, "completed")
         print("  done:", len(site.judge.done))
-        verdict(site)
+        print_breaches(site)
 
 
 def executors_crash(build):
     print("executors crash, and the history of the log is dropped")
-    with site_of(build) as site:
-        site.submit("e1", JOB_A, LASTING, spec="lasts")
+    with start_site(build) as site:
+        site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         for topic in list(site.store.topics):
             site.store.forget(topic)
@@ -222,25 +223,25 @@
             site.store.forget(topic)
         until(lambda: any(site.state(e, JOB_B) == "completed"
                           for e in site.entries), what="completed")
-        verdict(site)
+        print_breaches(site)
 
 
 def silenced(build):
     print("all open connections go silent for good")
-    with site_of(build, links=True) as site:
-        site.submit("e1", JOB_A, LASTING, spec="lasts")
+    with start_site(build, links=True) as site:
+        site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         for link in site.links.values():
             link.silence()
         until(lambda: site.submit("e1", JOB_B, STEPS) == 200, what="accepted")
         site.await_state("e2", JOB_B, "completed")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="still")
-        verdict(site)
+        print_breaches(site)
 
 
 def slow_store(build):
     print("the store is slow")
-    with site_of(build, links=True) as site:
+    with start_site(build, links=True) as site:
         for name, link in site.links.items():
             if name.endswith("store"):
                 link.delay_s = 0.15
@@ -248,7 +249,7 @@
             print("  submitted:", site.submit("e2", job, STEPS))
         for job in (JOB_A, JOB_B, JOB_C):
             site.await_state("e1", job, "completed")
-        verdict(site)
+        print_breaches(site)
 
 
 def explain(site, name, wanted):
@@ -273,8 +274,8 @@
 
 def other_writers(build):
     print("heartbeats of another writer in the name of an executor")
-    with site_of(build) as site:
-        site.submit("e1", JOB_A, LASTING, spec="lasts")
+    with start_site(build) as site:
+        site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         until(lambda: all('"executor.known"'
                           in site.processes[name].log_of_life()
@@ -315,12 +316,12 @@
             print(f"  explained of {wanted}:",
                   sum("heartbeat.malformed" in line
                       for line in explain(site, "w1", wanted)))
-        verdict(site)
+        print_breaches(site)
 
 
 def strangers(build):
     print("strangers, a false first heartbeat, and false goodbyes")
-    with site_of(build) as site:
+    with start_site(build) as site:
         executor = site.executors["w1"]
         body = executor.beat_body(10 ** 9)
         statuses = {executor.post_body(f"stranger-{i}", json.dumps(body))
@@ -343,13 +344,13 @@
         site.await_state("e2", JOB_B, "completed")
         print("  starts after false goodbyes:",
               sum(site.judge.starts.values()) - starts)
-        verdict(site)
+        print_breaches(site)
 
 
 def garbled_lists(build):
     print("executors list rows that are not in form")
-    with site_of(build) as site:
-        site.submit("e1", JOB_A, LASTING, spec="lasts")
+    with start_site(build) as site:
+        site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         for executor in site.executors.values():
             executor.garbles = True
@@ -362,12 +363,12 @@
         site.submit("e2", JOB_C, STEPS)
         site.await_state("e2", JOB_C, "completed")
         print("  starts:", sum(site.judge.starts.values()))
-        verdict(site)
+        print_breaches(site)
 
 
 def unreadable_ends(build):
     print("an end of each executor can never be read")
-    with site_of(build) as site:
+    with start_site(build) as site:
         for executor in site.executors.values():
             executor.unreadable_ends = 1
         for job in (JOB_A, JOB_B, JOB_C):
@@ -376,7 +377,7 @@
             site.await_state("e2", job, "completed")
         print("  started again:",
               sum(site.judge.starts.values()) - 3 * 6)
-        verdict(site)
+        print_breaches(site)
 
 
 SCENARIOS = {scenario.__name__: scenario
--- a/tests/scripts/platform_site.py
+++ b/tests/scripts/platform_site.py
@@ -33,14 +33,14 @@
 JOB_A, JOB_B, JOB_C = "00000000000000aa", "00000000000000bb", "0" * 15 + "c"
 STEPS = [{"count": 4, "cpu": 1000, "memMb": 10, "estimateMs": 300},
          {"count": 2, "cpu": 1000, "memMb": 10, "after": [0]}]
-LASTING = [{"count": 3, "cpu": 1000, "memMb": 10, "longRunning": True}]
+LONG_RUNNING = [{"count": 3, "cpu": 1000, "memMb": 10, "longRunning": True}]
 # A process uses three consecutive ports, beginning with the first of
 # internalPorts: peers, metrics, relay.
 PORTS_OF_PROCESS = 3
 GRACE_S = 6.0  # time that a process has to exit between SIGTERM and SIGKILL
 
 
-def loopback():
+def free_address():
     """Return a loopback address with a free port."""
     return f"127.0.0.1:{free_port()}"
 
@@ -60,7 +60,7 @@
         self.zones = zones
         self.workers = workers
         self.folder = folder
-        self.store_address = loopback()
+        self.store_address = free_address()
         self.store = Store(self.store_address)
         self.judge = Judge()
         self.entries = {}
@@ -70,7 +70,8 @@
         self.metrics = {}
         self.net = Links() if links else None
         self.links = {}
-        self.doors = {}  # process name: store address of that process alone
+        # The store has an address for each process, by name.
+        self.store_addresses = {}
         self.publish(DOCUMENT)
         for i in range(1, workers + 1):
             self.add_worker(f"w{i}", seed * 100 + i,
@@ -101,7 +102,7 @@
         """
         if self.net is None:
             return target
-        address = loopback()
+        address = free_address()
         self.links[name] = self.net.add(address, target)
         return address
 
@@ -122,9 +123,9 @@
 
         MORE are lines that depend on the role of the process.
         """
-        self.doors[name] = loopback()
-        self.store.open(self.doors[name])
-        store = self.link(f"{name} store", self.doors[name])
+        self.store_addresses[name] = free_address()
+        self.store.open(self.store_addresses[name])
+        store = self.link(f"{name} store", self.store_addresses[name])
         port = free_port(PORTS_OF_PROCESS)
         self.link_peers(name, port)
         self.metrics[name] = f"127.0.0.1:{port + 1}"
@@ -147,7 +148,7 @@
 
     def add_entry(self, name):
         """Start an entry called NAME."""
-        front, ready = loopback(), loopback()
+        front, ready = free_address(), free_address()
         self.entries[name] = (front, ready)
         path = self.settings(name, ["listen:", f'  front: "{front}"',
                                     f'  ready: "{ready}"'],
@@ -157,7 +158,7 @@
     def add_worker(self, name, seed, zone=None):
         """Start a guard called NAME and its executor in ZONE."""
         zone = zone or self.zones[0]
-        control, app = loopback(), loopback()
+        control, app = free_address(), free_address()
         orders = self.link(f"{name} orders", app)
         path = self.settings(name, ["listen:", f'  control: "{control}"',
                                     f'app: "{orders}"'],
@@ -222,9 +223,9 @@
         body = json.dumps({"spec": spec, "steps": steps})
         return self.call(entry, "POST", "/q/" + job, body)[0]
 
-    def submit_lasting(self, entry, job):
+    def submit_long_running(self, entry, job):
         """Submit JOB, of long-running tasks, and wait until all run."""
-        self.submit(entry, job, LASTING, spec="lasts")
+        self.submit(entry, job, LONG_RUNNING, spec="lasts")
         until(lambda: len(self.judge.at_work(job)) == 3, what="at work")
 
     def state(self, entry, job):
@@ -247,7 +248,7 @@
 
 
 @contextlib.contextmanager
-def site_of(build, **more):
+def start_site(build, **more):
     """Run a PlatformSite that is ready, and close it afterwards.
 
     If the script fails, the logs of its processes go to standard error.
@@ -266,11 +267,11 @@
             site.close()
 
 
-def verdict(site):
+def print_breaches(site):
     """Print the breaches that the judge of SITE recorded."""
     print("  breaches:", site.judge.breaches)
 
 
-def other(site, name):
+def other_entry(site, name):
     """Return an entry of SITE other than NAME."""
     return next(e for e in site.entries if e != name)
--- a/tests/scripts/proof_capacity.py
+++ b/tests/scripts/proof_capacity.py
@@ -5,7 +5,7 @@
 import threading
 
 from tasks_site import (await_state, breaches, executions, judge, ready,
-                        site_of, submit)
+                        start_site, submit)
 
 TEAMS = 6  # hashed over the entries, so that each has some
 SIZE = 2000  # millicores of a task
@@ -52,8 +52,8 @@
 
 
 def main(build):
-    with site_of(build, entries=2, guards=1, upstream=True,
-                 reserve=RESERVE) as site:
+    with start_site(build, entries=2, guards=1, upstream=True,
+                    reserve=RESERVE) as site:
         ready(site, 0, DOCUMENT)
         site.fault("log", {"read_delay_ms": 50})
         done = 0
--- a/tests/scripts/proof_outage.py
+++ b/tests/scripts/proof_outage.py
@@ -5,7 +5,7 @@
 
 from tasks_site import (WATCHERS, await_checkpoints, await_epoch,
                         await_watchers, epochs, executions, job, judge,
-                        long_jobs, ready, site_of, went_on)
+                        long_jobs, ready, start_site, went_on)
 
 from site_processes import until
 
@@ -45,7 +45,7 @@
 
 def entry_restarts(build):
     print("the log is down and an entry restarts")
-    with site_of(build, entries=3, guards=2) as site:
+    with start_site(build, entries=3, guards=2) as site:
         ready(site)
         names = long_jobs(site, 2)
         await_watchers(site, WATCHERS)
@@ -67,7 +67,7 @@
 
 def entry_gone(build):
     print("the log is down and an entry is gone")
-    with site_of(build, entries=3, guards=2) as site:
+    with start_site(build, entries=3, guards=2) as site:
         ready(site)
         names = long_jobs(site, 2)
         await_watchers(site, WATCHERS)
--- a/tests/scripts/proof_pairs.py
+++ b/tests/scripts/proof_pairs.py
@@ -7,9 +7,9 @@
 import threading
 
 from tasks_site import (DOCUMENT, WATCHERS, await_checkpoints, await_epoch,
-                        await_serving, await_state, await_watchers,
-                        executions, job, judge, long_jobs, on, ready, site_of,
-                        submit, went_on)
+                        await_serving, await_state, await_watchers, executions,
+                        job, judge, long_jobs, on, ready, start_site, submit,
+                        went_on)
 
 from site_processes import until
 
@@ -18,7 +18,7 @@
 
 def paused_holder(build):
     print("grants lose their acknowledgement, their guard is paused")
-    with site_of(build, entries=2, guards=2) as site:
+    with start_site(build, entries=2, guards=2) as site:
         ready(site)
         names = long_jobs(site, 4)
         await_watchers(site, WATCHERS)
@@ -47,7 +47,7 @@
 
 def publishers(build):
     print("two operators race, acknowledgements are lost")
-    with site_of(build, entries=2, guards=1) as site:
+    with start_site(build, entries=2, guards=1) as site:
         ready(site)
         answers = {}
 
--- a/tests/scripts/proof_resume.py
+++ b/tests/scripts/proof_resume.py
@@ -9,7 +9,7 @@
 
 from tasks_site import (WATCHERS, await_checkpoints, await_epoch,
                         await_watchers, executions, job, judge, long_jobs, on,
-                        ready, site_of)
+                        ready, start_site)
 
 from site_processes import until
 
@@ -71,7 +71,7 @@
 
 def guard_killed(build):
     print("the guard is killed and does not return")
-    with site_of(build, entries=2, guards=3) as site:
+    with start_site(build, entries=2, guards=3) as site:
         victim, moved = evicted(site)
         site.processes[victim].kill()
         set_log(site, False)
@@ -83,7 +83,7 @@
 
 def guard_restarted(build):
     print("the guard is killed and restarted beside its runtime")
-    with site_of(build, entries=2, guards=3) as site:
+    with start_site(build, entries=2, guards=3) as site:
         victim, moved = evicted(site)
         site.processes[victim].kill()
         site.start_guard(victim, alone=True)
@@ -96,7 +96,7 @@
 
 def entry_killed(build, entry, other):
     print(f"{entry} is killed and restarted")
-    with site_of(build, entries=2, guards=3) as site:
+    with start_site(build, entries=2, guards=3) as site:
         victim, moved = evicted(site)
         site.processes[entry].kill()
         site.start_entry(entry)
--- a/tests/scripts/records.py
+++ b/tests/scripts/records.py
@@ -6,8 +6,8 @@
 import struct
 import sys
 
-from platform_site import (JOB_A, JOB_B, JOB_C, LASTING, STEPS, site_of,
-                           until)
+from platform_site import (JOB_A, JOB_B, JOB_C, LONG_RUNNING, STEPS,
+                           start_site, until)
 
 JSON = b'{"service":"work","state":"gone","seq":"x"}'
 CUT = b"\x0a\x20abc"
@@ -39,7 +39,7 @@
 
 
 def lasting_job(site):
-    site.submit("e1", JOB_A, LASTING, spec="lasts")
+    site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
     until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
     for name in site.entries:
         site.await_state(name, JOB_A, "running")
@@ -76,7 +76,7 @@
 
 def nodes(build):
     print("nodes of another writer")
-    with site_of(build) as site:
+    with start_site(build) as site:
         lasting_job(site)
         for key, value in (("w1", JSON), ("w2", b""), ("w3", text(1, b"no")),
                            ("w4", number(2, 1)), ("e1", CUT), ("w5", CUT)):
@@ -89,7 +89,7 @@
 
 def a_known_job(build):
     print("the progress of a job that is at work is overwritten")
-    with site_of(build) as site:
+    with start_site(build) as site:
         lasting_job(site)
         first, taken = site.leader(), leads_taken(site)
         newest = site.store.topics["keyed.progress"].newest
@@ -116,7 +116,7 @@
 
 def a_known_submission(build):
     print("the submission of a job that is at work is overwritten")
-    with site_of(build) as site:
+    with start_site(build) as site:
         lasting_job(site)
         site.store.put("keyed.jobs", JOB_A, JSON)
         site.store.put("keyed.jobs", "c." + JOB_A, b"cancelled")
@@ -129,7 +129,7 @@
 
 def an_unknown_job(build):
     print("a job's submission cannot be read")
-    with site_of(build) as site:
+    with start_site(build) as site:
         site.store.put("keyed.jobs", JOB_B, JSON)
         await_refused(site, "undecodable", 1)
         print("  shown:", [site.state(name, JOB_B) for name in site.entries])
@@ -142,7 +142,7 @@
 
 def never_read(build):
     print("all entries start with progress that cannot be read")
-    with site_of(build) as site:
+    with start_site(build) as site:
         lasting_job(site)
         for name in site.entries:
             site.processes[name].kill()
@@ -171,7 +171,7 @@
 
 def the_lead(build):
     print("the lead, places and what was learned are overwritten")
-    with site_of(build) as site:
+    with start_site(build) as site:
         lasting_job(site)
         newest = site.store.topics["keyed.progress"].newest
         until(lambda: {"at.w1", "at.w2", "at.w3"} <= newest.keys(),
@@ -196,7 +196,7 @@
     """An executor's place is written for a VM that comes before its own, whose
     guard reports after the executor's."""
     print("a place is overwritten, and its guard is the last to report")
-    with site_of(build) as site:
+    with start_site(build) as site:
         until(lambda: '"guard.up","guard":"w1"'
               in site.processes[site.leader()].log(), what="w1 is up")
         site.processes["w1"].signal(signal.SIGSTOP)
@@ -233,7 +233,7 @@
 
 def frames(build):
     print("frames of a stranger")
-    with site_of(build) as site:
+    with start_site(build) as site:
         lasting_job(site)
         host, port = site.metrics["w1"].rsplit(":", 1)
         guard = f"{host}:{int(port) - 1}"
--- a/tests/scripts/room.py
+++ b/tests/scripts/room.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from platform_site import DOCUMENT, site_of, until, verdict
+from platform_site import DOCUMENT, print_breaches, start_site, until
 
 SECONDS = 14.0
 SIZES = [16, 3, 8, 2, 16, 4, 1, 12]
@@ -40,7 +40,7 @@
 
 def play(build, title, trouble=None, late=0.0):
     print(title)
-    with site_of(build, entries=2) as site:
+    with start_site(build, entries=2) as site:
         document = {**DOCUMENT, "version": 2, "services": [
             {"name": "work", "enforcesCapacity": False}]}
         site.publish(document)
@@ -65,7 +65,7 @@
         until(lambda: all(site.state(entry, job) == "completed"
                           for job in accepted), timeout_s=40, what="all done")
         print("  work was done:", len(accepted) > 20)
-        verdict(site)
+        print_breaches(site)
 
 
 def restart(site, name):
--- a/tests/scripts/same_id.py
+++ b/tests/scripts/same_id.py
@@ -15,38 +15,38 @@
 import threading
 import time
 
-from platform_site import JOB_A, KEPT, STEPS, site_of, until
+from platform_site import JOB_A, KEPT, STEPS, start_site, until
 
 # How many times executors restart, one at a time, and the pause in between.
 RESTARTS = 6
 PAUSE_S = 0.7
 # Interval between submissions.
-JOB_S = 0.2
+SUBMIT_INTERVAL_S = 0.2
 # No executor crashes sooner after the start of a run, as that would count
 # against the run's task (see crashes.py).
-INNOCENT_S = 0.15
+MIN_RUN_AGE_S = 0.15
 # A task that has run this long is no longer suspect.
 SETTLED_S = 1.5
 # Within this time after the last restart a job of one second's work completes,
 # even if all leases (5.25 s) have to expire first.
-COMPLETED_S = 12.0
+COMPLETION_LIMIT_S = 12.0
 # Puts an executor's clock ahead of what any later incarnation reaches.
-LONG_S = 10000
+CLOCK_AHEAD_S = 10000
 # Long enough that the task still runs whenever the scenario checks.
 LONG_WORK_S = 4.0
 ONE = [{"count": 1, "cpu": 1000, "memMb": 10}]
 GANG = [{"count": 2, "cpu": 1000, "memMb": 10, "gang": True}]
 
 
-def verdict(site):
+def print_breaches(site):
     """Print the breaches recorded by the judge of SITE, and stale starts."""
     breaches = site.judge.breaches
     print("  breaches:", len(breaches), breaches[:2])
     print("  carried out by the next life:", site.judge.early, file=sys.stderr)
 
 
-class Stream:
-    """Submits a job every JOB_S in a thread until `end`; `steps` in turn."""
+class JobStream:
+    """Submits a job every SUBMIT_INTERVAL_S until `end`, `steps` in turn."""
 
     def __init__(self, site, *steps):
         self.site = site
@@ -58,7 +58,7 @@
 
     def run(self):
         number = 0
-        while not self.over.wait(JOB_S):
+        while not self.over.wait(SUBMIT_INTERVAL_S):
             number += 1
             job = f"{number:016x}"
             steps = self.steps[number % len(self.steps)]
@@ -76,7 +76,7 @@
         """Stop, and print whether all accepted jobs complete in time."""
         self.over.set()
         self.thread.join()
-        deadline = time.monotonic() + COMPLETED_S
+        deadline = time.monotonic() + COMPLETION_LIMIT_S
         late = [job for job in self.accepted
                 if not self.is_completed(job, deadline)]
         print("  late:", late, file=sys.stderr)
@@ -97,34 +97,34 @@
 
     Their current incarnations have been up for long, the next ones have not.
     """
-    with site_of(build, **more) as site:
+    with start_site(build, **more) as site:
         for executor in site.executors.values():
             executor.crash()
             with executor.lock:
-                executor.began -= LONG_S
+                executor.began -= CLOCK_AHEAD_S
             executor.keeps_id = True
             executor.born_step_ms = born_step_ms
         time.sleep(1.5)
         yield site
 
 
-def in_turn(site, do=lambda name: None, dark_s=0.0):
+def restart_in_turn(site, do=lambda name: None, dark_s=0.0):
     """Restart executors one after the other, calling DO(name) before each."""
     for i in range(RESTARTS):
         time.sleep(PAUSE_S)
         name = f"w{i % 3 + 1}"
         do(name)
-        site.executors[name].crash(dark_s, innocent_s=INNOCENT_S)
+        site.executors[name].crash(dark_s, innocent_s=MIN_RUN_AGE_S)
 
 
 def play(build, steps, do=lambda site, name: None, dark_s=0.0, **more):
     """Submit jobs of STEPS while executors restart in turn."""
     with site_with_ids(build, **more) as site:
-        stream = Stream(site, *steps)
-        in_turn(site, lambda name: do(site, name), dark_s)
+        stream = JobStream(site, *steps)
+        restart_in_turn(site, lambda name: do(site, name), dark_s)
         time.sleep(PAUSE_S)
         stream.end()
-        verdict(site)
+        print_breaches(site)
 
 
 def at_once(build):
@@ -146,7 +146,7 @@
     print("executors start again twice in a row")
 
     def first(site, name):
-        site.executors[name].crash(innocent_s=INNOCENT_S)
+        site.executors[name].crash(innocent_s=MIN_RUN_AGE_S)
         time.sleep(0.05)
 
     play(build, [STEPS], first)
@@ -181,58 +181,58 @@
 def guards_stopped(build):
     print("an executor starts again twice under a stopped guard, back and forth")
     with site_with_ids(build) as site:
-        stream = Stream(site, STEPS)
+        stream = JobStream(site, STEPS)
         time.sleep(PAUSE_S)
         site.processes["w1"].signal(signal.SIGSTOP)
         for step_ms in (1, -1):
             time.sleep(PAUSE_S)
             site.executors["w1"].born_step_ms = step_ms
-            site.executors["w1"].crash(innocent_s=INNOCENT_S)
+            site.executors["w1"].crash(innocent_s=MIN_RUN_AGE_S)
         time.sleep(PAUSE_S)
         site.processes["w1"].signal(signal.SIGCONT)
         time.sleep(PAUSE_S)
         stream.end()
-        verdict(site)
+        print_breaches(site)
 
 
 def guards_later(build):
     print("guards begin anew after their executors have started again")
     with site_with_ids(build) as site:
-        stream = Stream(site, STEPS)
-        in_turn(site)
+        stream = JobStream(site, STEPS)
+        restart_in_turn(site)
         time.sleep(PAUSE_S)
         for name in site.executors:
             restart_guard(site, name)
         time.sleep(PAUSE_S)
         stream.end()
-        verdict(site)
+        print_breaches(site)
 
 
 def late(build):
     print("orders are carried out late, by the next life")
 
-    def loses(site, name):
+    def answer_late(site, name):
         executor = site.executors[name]
         executor.late, executor.late_s = 0.5, 4.0
         time.sleep(0.3)
 
     with site_with_ids(build) as site:
-        stream = Stream(site, STEPS)
-        in_turn(site, lambda name: loses(site, name))
+        stream = JobStream(site, STEPS)
+        restart_in_turn(site, lambda name: answer_late(site, name))
         time.sleep(PAUSE_S)
         for executor in site.executors.values():
             executor.late = 0.0
         stream.end()
-        verdict(site)
+        print_breaches(site)
 
 
-def holder_of(site, task):
+def vm_of_task(site, task):
     """Return the VM on which TASK runs, or None."""
     return next((name for name, executor in site.executors.items()
                  if task in executor.runs), None)
 
 
-def let_first_start_come_late(site, task):
+def retain_first_start(site, task):
     """Have an executor retain the first start of TASK without an answer.
 
     Returns its VM and the VM of the second run, once that run is no longer
@@ -247,8 +247,8 @@
     for executor in site.executors.values():
         executor.held.clear()
     site.executors[first].crash()
-    until(lambda: holder_of(site, task), what="its second run")
-    second = holder_of(site, task)
+    until(lambda: vm_of_task(site, task), what="its second run")
+    second = vm_of_task(site, task)
     until(lambda: not site.executors[second].has_begun_within(SETTLED_S),
           what="settled")
     return first, second
@@ -258,7 +258,7 @@
     print("a start is carried out two lives later, and its task is lost elsewhere")
     task = JOB_A + ".0.0.0"
     with site_with_ids(build) as site:
-        first, second = let_first_start_come_late(site, task)
+        first, second = retain_first_start(site, task)
         lives = site.metric(first, "guard_lives_total")
         site.executors[first].crash(with_kept=True)
         until(lambda: site.metric(first, "guard_lives_total") > lives,
@@ -266,7 +266,7 @@
         site.executors[second].crash()
         site.await_state("e1", JOB_A, "completed")
         print("  completed")
-        verdict(site)
+        print_breaches(site)
 
 
 def outage(build):
@@ -296,13 +296,13 @@
 def lasting(build):
     print("executors start again under tasks that last")
     with site_with_ids(build) as site:
-        site.submit_lasting("e1", JOB_A)
-        stream = Stream(site, STEPS)
-        in_turn(site)
+        site.submit_long_running("e1", JOB_A)
+        stream = JobStream(site, STEPS)
+        restart_in_turn(site)
         stream.end()
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         print("  what lasts is at work:", site.state("e1", JOB_A))
-        verdict(site)
+        print_breaches(site)
 
 
 SCENARIOS = {scenario.__name__: scenario
--- a/tests/scripts/tasks.py
+++ b/tests/scripts/tasks.py
@@ -7,12 +7,12 @@
 from tasks_site import (WATCHERS, await_epoch, await_serving, await_state,
                         await_watchers, breaches, epochs, job, judge,
                         long_jobs, on, publish, ready, running_watchers,
-                        site_of, submit, went_on)
+                        start_site, submit, went_on)
 
 
 def plain(build):
     print("submit, run, read the result")
-    with site_of(build, entries=2, guards=2) as site:
+    with start_site(build, entries=2, guards=2) as site:
         ready(site)
         await_watchers(site, WATCHERS)
         name = submit(site, run_ms=100)[0]
@@ -35,7 +35,7 @@
 
 def drained(build):
     print("a worker is drained")
-    with site_of(build, entries=2, guards=2) as site:
+    with start_site(build, entries=2, guards=2) as site:
         ready(site)
         names = long_jobs(site, 4)
         await_watchers(site, WATCHERS)
@@ -51,7 +51,7 @@
 
 def restarted_guard(build):
     print("a guard's process dies beside its runtime")
-    with site_of(build, entries=2, guards=2) as site:
+    with start_site(build, entries=2, guards=2) as site:
         ready(site)
         names = long_jobs(site, 4)
         await_watchers(site, WATCHERS)
@@ -69,7 +69,7 @@
 
 def lost_acknowledgements(build):
     print("acknowledgements and appends are lost")
-    with site_of(build, entries=2, guards=2) as site:
+    with start_site(build, entries=2, guards=2) as site:
         ready(site)
         names = []
         for fault in ("lost_ack", "drop_append") * 3:
--- a/tests/scripts/tasks_faults.py
+++ b/tests/scripts/tasks_faults.py
@@ -6,7 +6,7 @@
 
 from tasks_site import (WATCHERS, await_checkpoints, await_epoch,
                         await_serving, await_state, await_watchers, epochs,
-                        job, judge, long_jobs, now_us, on, ready, site_of,
+                        job, judge, long_jobs, now_us, on, ready, start_site,
                         submit, went_on)
 
 from site_processes import until
@@ -14,7 +14,7 @@
 
 def lost_vm(build):
     print("a VM dies")
-    with site_of(build, entries=2, guards=3) as site:
+    with start_site(build, entries=2, guards=3) as site:
         ready(site)
         names = long_jobs(site, 6)
         await_watchers(site, WATCHERS)
@@ -33,7 +33,7 @@
 
 def dead_entry(build):
     print("an entry dies")
-    with site_of(build, entries=2, guards=2) as site:
+    with start_site(build, entries=2, guards=2) as site:
         ready(site)
         names = long_jobs(site, 2)
         await_watchers(site, WATCHERS)
@@ -50,7 +50,7 @@
 
 def paused_guard(build):
     print("a guard is paused for longer than its lease")
-    with site_of(build, entries=2, guards=2) as site:
+    with start_site(build, entries=2, guards=2) as site:
         ready(site)
         names = long_jobs(site, 4)
         await_watchers(site, WATCHERS)
@@ -68,7 +68,7 @@
 
 def log_down(build):
     print("the log is down for longer than a lease")
-    with site_of(build, entries=2, guards=2) as site:
+    with start_site(build, entries=2, guards=2) as site:
         ready(site)
         names = long_jobs(site, 2)
         await_watchers(site, WATCHERS)
--- a/tests/scripts/tasks_lost.py
+++ b/tests/scripts/tasks_lost.py
@@ -8,7 +8,7 @@
 
 import sys
 
-from tasks_site import await_watchers, job, ready, site_of, submit, until
+from tasks_site import await_watchers, job, ready, start_site, submit, until
 
 # Three runtimes may go down under it, and two more while that is noticed.
 STARTS_MAX = 5
@@ -29,7 +29,7 @@
 
 def main(build):
     print("a task takes down the runtime of each worker that starts it")
-    with site_of(build, entries=1, guards=3) as site:
+    with start_site(build, entries=1, guards=3) as site:
         ready(site, watchers=0)
         await_watchers(site, 0)
         name = submit(site, run_ms=600000)[0]
--- a/tests/scripts/tasks_policy.py
+++ b/tests/scripts/tasks_policy.py
@@ -6,8 +6,8 @@
 import sys
 import tempfile
 
-from tasks_site import (DOCUMENT, await_epoch, await_state, executions,
-                        judge, ready, site_of, submit, went_on, workers)
+from tasks_site import (DOCUMENT, await_epoch, await_state, executions, judge,
+                        ready, start_site, submit, went_on, workers)
 
 from site_processes import until
 
@@ -52,7 +52,7 @@
 
 def quota(build):
     print("a team with a quota for two")
-    with site_of(build, entries=3, guards=2) as site:
+    with start_site(build, entries=3, guards=2) as site:
         ready(site, 0, QUOTA)
         names = []
         for entry in site.entry_names:
@@ -69,7 +69,7 @@
 
 def bad_task(build):
     print("a task that fails everywhere")
-    with site_of(build, entries=2, guards=3) as site:
+    with start_site(build, entries=2, guards=3) as site:
         ready(site, 0)
         name = submit(site, run_ms=20, fail=True)[0]
         await_state(site, name, "parked")
@@ -81,7 +81,7 @@
 
 def bad_worker(build):
     print("a worker that fails everything")
-    with site_of(build, entries=2, guards=2) as site:
+    with start_site(build, entries=2, guards=2) as site:
         ready(site, 0)
         site.fault("guard-1.runtime", {"fail_all": True})
         until(lambda: len(workers(site)) == 2, what="workers")
@@ -98,8 +98,8 @@
         table = os.path.join(folder, "neighbours.json")
         with open(table, "w", encoding="utf-8") as file:
             json.dump(NEIGHBOURS, file)
-        with site_of(build, entries=2, guards=2, upstream=True,
-                     worker_options=["--interference", table]) as site:
+        with start_site(build, entries=2, guards=2, upstream=True,
+                        worker_options=["--interference", table]) as site:
             for guard in site.guard_names:
                 site.fault(guard + ".runtime", {"usage_lag_ms": 100})
             ready(site, 0, SERVICE)
--- a/tests/scripts/tasks_site.py
+++ b/tests/scripts/tasks_site.py
@@ -132,7 +132,7 @@
               what=f"{entry} configured")
 
 
-def site_of(build, upstream=False, **options):
+def start_site(build, upstream=False, **options):
     """Start a Site with worker runtimes."""
     return Site(build, upstream=upstream, worker=True, timings=TIMINGS,
                 **options)
--- a/tests/scripts/thin.py
+++ b/tests/scripts/thin.py
@@ -2,7 +2,8 @@
 
 import sys
 
-from platform_site import JOB_A, STEPS, other, site_of, until, verdict
+from platform_site import (JOB_A, STEPS, other_entry, print_breaches,
+                           start_site, until)
 
 # Bytes a second; a load of the jobs below takes some five seconds then, more
 # than any call lasts that makes no progress.
@@ -28,7 +29,7 @@
 
 def total_loss(build):
     print("all entries start anew behind thin links")
-    with site_of(build, links=True) as site:
+    with start_site(build, links=True) as site:
         fill_log(site)
         for name in site.entries:
             site.processes[name].kill()
@@ -38,17 +39,17 @@
         site.ready()
         print("  submitted:", site.submit("e1", JOB_A, STEPS))
         site.await_state("e2", JOB_A, "completed")
-        verdict(site)
+        print_breaches(site)
 
 
 def relayed(build):
     print("an entry loads all jobs through a peer, both behind thin links")
-    with site_of(build, links=True) as site:
+    with start_site(build, links=True) as site:
         fill_log(site)
         first = site.leader()
-        name = other(site, first)
+        name = other_entry(site, first)
         narrow(site)
-        site.store.refused = {site.doors[name]}
+        site.store.refused = {site.store_addresses[name]}
         until(lambda: site.metric(name, "store_by_relay") == 1, what="relayed")
         for link in (first + " relay", name + " store"):
             site.links[link].hold((0, 1))
@@ -60,7 +61,7 @@
         print("  loaded through the peer:",
               site.metric(name, "traffic_jobs_load_in_bytes_total")
               > JOBS * len(SPEC))
-        verdict(site)
+        print_breaches(site)
 
 
 def bytes_of(site, what):
@@ -70,7 +71,7 @@
 
 def leader(build):
     print("a job with many runs on each worker behind a thin link")
-    with site_of(build, links=True) as site:
+    with start_site(build, links=True) as site:
         narrow(site)
         first = site.leader()
         steps = [{"count": 60, "cpu": 100, "memMb": 10, "estimateMs": 300}]
@@ -80,7 +81,7 @@
         print("  orders of less than three specifications:",
               bytes_of(site, "orders") < 3 * len(SPEC))
         print("  the same leader:", site.leader() == first)
-        verdict(site)
+        print_breaches(site)
 
 
 SCENARIOS = {"total_loss": total_loss, "relayed": relayed, "leader": leader}
--- a/tests/scripts/versions.py
+++ b/tests/scripts/versions.py
@@ -15,12 +15,12 @@
 import threading
 import time
 
-from ordered_late import (CRASHERS, GIVEN_UP_S, JOBS, SMALL, STARTS_MAX, STEP,
-                          answered, wait_for)
-from platform_site import GRACE_S, LASTING, site_of
-from same_id import Stream
+from ordered_late import (CRASHERS, GIVE_UP_LIMIT_S, JOBS, SMALL, STARTS_MAX,
+                          STEP, holds_within, state_from_any)
+from platform_site import GRACE_S, LONG_RUNNING, start_site
+from same_id import JobStream
 
-JOB_LASTING = "00000000beef00bb"
+JOB_LONG_RUNNING = "00000000beef00bb"
 PAUSE_S = 2.0
 CRASH_EVERY_S = 3.0
 
@@ -46,10 +46,10 @@
 
 
 def play(first, then, order):
-    with site_of(first, entries=3, workers=4) as site:
+    with start_site(first, entries=3, workers=4) as site:
         site.judge.crashers.add(CRASHERS[JOBS[0]])
-        site.submit("e1", JOB_LASTING, LASTING, spec="lasts")
-        stream = Stream(site, SMALL)
+        site.submit("e1", JOB_LONG_RUNNING, LONG_RUNNING, spec="lasts")
+        stream = JobStream(site, SMALL)
         over = threading.Event()
         crashes = threading.Thread(target=crash_in_turn, args=(site, over))
         crashes.start()
@@ -58,15 +58,18 @@
             names = [*site.executors, *site.entries]
         for i, name in enumerate(names):
             if i == len(names) // 2:
-                wait_for(lambda: site.submit("e1", JOBS[0], [STEP]) == 200, 10)
+                holds_within(
+                    lambda: site.submit("e1", JOBS[0], [STEP]) == 200, 10)
             time.sleep(PAUSE_S)
             replace(site.processes[name], then)
-        given_up = wait_for(lambda: answered(site, JOBS[0]) == "failed",
-                            GIVEN_UP_S)
+        given_up = holds_within(
+            lambda: state_from_any(site, JOBS[0]) == "failed",
+            GIVE_UP_LIMIT_S)
         over.set()
         crashes.join()
         stream.end()
-        back = wait_for(lambda: len(site.judge.at_work(JOB_LASTING)) == 3, 15)
+        back = holds_within(
+            lambda: len(site.judge.at_work(JOB_LONG_RUNNING)) == 3, 15)
         starts = site.judge.starts.get(CRASHERS[JOBS[0]], 0)
         print("  given up:", given_up, "started at most five times:",
               starts <= STARTS_MAX, "beside it at work:", back,
--- a/tests/scripts/writers.py
+++ b/tests/scripts/writers.py
@@ -7,8 +7,8 @@
 import sys
 import time
 
-from platform_site import (JOB_A, JOB_B, JOB_C, STEPS, other, site_of, until,
-                           verdict)
+from platform_site import (JOB_A, JOB_B, JOB_C, STEPS, other_entry,
+                           print_breaches, start_site, until)
 from message_bytes import text
 from other_writers import (Background, RecordWriter, foreign_heartbeats,
                            malformed_heartbeats)
@@ -78,13 +78,13 @@
     """What lasts was neither lost nor moved."""
     print("  at work:", len(site.judge.at_work(JOB_A)))
     print("  its starts:", starts_of(site, JOB_A))
-    verdict(site)
+    print_breaches(site)
 
 
 def malformed(build):
     print("malformed heartbeats under the id of a known executor")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         workers = list(site.executors.items())
         beats = [malformed_heartbeats(executor.beat_body(0))
                  for _, executor in workers]
@@ -102,8 +102,8 @@
 
 def strangers(build):
     print("heartbeats of executors that are not there")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         for executor in site.executors.values():
             beat = executor.beat_body(0)
             for _, name, body in foreign_heartbeats(beat, executor.id):
@@ -119,8 +119,8 @@
 
 def whole_run(build):
     print("other writers beside a working site")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         writers = Writers(site)
         all_complete(site, "e2", [numbered_job(i) for i in range(ROUNDS)])
         writers.end()
@@ -131,11 +131,11 @@
 
 def leader_changes(build):
     print("other writers beside changes of the leader")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         writers = Writers(site)
         first = site.leader()
-        second = other(site, first)
+        second = other_entry(site, first)
         site.processes[first].kill()
         all_complete(site, second, [JOB_B])
         site.processes[first].start()
@@ -149,8 +149,8 @@
 
 def store_away(build):
     print("other writers beside a store that is away")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         writers = Writers(site)
         for how, job in (("busy", JOB_B), ("silent", JOB_C)):
             site.store.down = how
@@ -164,10 +164,10 @@
 
 def bad_rows(build):
     print("executors list a malformed row beside the good ones")
-    with site_of(build) as site:
+    with start_site(build) as site:
         for executor in site.executors.values():
             executor.bad_rows = True
-        site.submit_lasting("e1", JOB_A)
+        site.submit_long_running("e1", JOB_A)
         jobs = [numbered_job(i) for i in range(ROUNDS)]
         all_complete(site, "e2", jobs)
         print("  starts:", sum(starts_of(site, job) for job in jobs))
@@ -176,8 +176,8 @@
 
 def foreign_places(build):
     print("places of VMs that are not there, which name known executors")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         for name, executor in site.executors.items():
             site.store.put("keyed.progress", "at.stranger-" + name,
                            text(1, executor.id))
--- a/tools/soak_faults.py
+++ b/tools/soak_faults.py
@@ -367,7 +367,7 @@
         self.later(seconds, up)
 
     def store_refuses(self):
-        doors = list(self.site.doors.values())
+        doors = list(self.site.store_addresses.values())
         seconds = self.random.uniform(1, 9)
         self.note(f"store refuses some {seconds:.1f} s")
         self.trouble(seconds)
--- a/tools/soak_late.py
+++ b/tools/soak_late.py
@@ -4,7 +4,7 @@
 import random
 import threading
 
-from ordered_late import alone_in
+from ordered_late import isolated_start_in
 
 # Executors carry starts out late by these bounds.
 LATE_S = [(0.1, 4.5), (2.0, 12.0)]
@@ -67,7 +67,7 @@
     def on_append(self, query, body):
         away = self.away
         if away is None or query["topic"] != "keyed.progress" \
-                or alone_in(body, list(self.crashers.tasks)) is None:
+                or isolated_start_in(body, list(self.crashers.tasks)) is None:
             return self.append(query, body)
         self.away = None
         how, seconds = away
