--- a/tests/scripts/checker.py
+++ b/tests/scripts/checker.py
@@ -1,4 +1,7 @@
-"""Ledgers of a clean run pass; each doctored one breaks its promise alone."""
+"""The checker passes the ledgers of a clean run and finds each added breach.
+
+Every case adds facts to the clean ledgers that break one promise.
+"""
 
 import json
 import os
@@ -63,7 +66,7 @@
 
 
 def clean():
-    """Facts by file of a run with evictions, a kill and a planned stop."""
+    """Return the facts by file of a run with evictions, a kill and a stop."""
     return {
         "tool": [at(0, "site", entries={ENTRY: "entry-1"}),
                  publish(1, 0, 1), poll(8, 1, digest="d1"),
@@ -85,6 +88,7 @@
 
 
 def judge(facts):
+    """Write FACTS to ledgers and return the Checker of these."""
     with tempfile.TemporaryDirectory() as folder:
         for name, lines in facts.items():
             path = os.path.join(folder, name + ".ledger")
@@ -94,7 +98,7 @@
 
 
 def check(name, **added):
-    """Print what breaks when ADDED stands in the ledgers as well."""
+    """Print the breaches found when ADDED is in the ledgers as well."""
     facts = clean()
     for file, lines in added.items():
         file = file.replace("_", "-")
--- a/tests/scripts/checker.sh
+++ b/tests/scripts/checker.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# The checker finds each kind of breach in doctored ledgers; see checker.py.
+# The checker finds each kind of breach in altered ledgers; see checker.py.
 exec /usr/bin/python3 "$(dirname "$0")/checker.py" "$1"
--- a/tests/scripts/cli_check.sh
+++ b/tests/scripts/cli_check.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # galenapier without a site: check, usage and timelines from files.
-# Each command is shown with what it prints and its exit status.
+# Prints commands with their output, or with their exit status only.
 set -u
 galenapier=$1/galenapier
 dir=$(mktemp -d)
--- a/tests/scripts/cli_http.py
+++ b/tests/scripts/cli_http.py
@@ -1,7 +1,8 @@
-"""galenapier against a small stand-in of the operators' HTTP.
+"""galenapier against a small stand-in for the operators' HTTP interface.
 
-Prints each command with its output and exit status; cli_http.expected holds
-what they must be."""
+Prints each command with its output and exit status, which must be those in
+cli_http.expected.
+"""
 import json
 import os
 import re
@@ -18,7 +19,10 @@
 
 
 class Entry:
-    """What one entry would know."""
+    """A stand-in for an entry, with its own configuration and jobs.
+
+    MODE is "up", "hang" (answers after 30 s) or "log-down" (status 503).
+    """
 
     def __init__(self, name, mode="up"):
         self.name = name
@@ -121,6 +125,10 @@
 
 
 def run(*arguments, entries=(), show=None):
+    """Run the command at ENTRIES and print it (as SHOW) with its result.
+
+    Addresses, generated keys and temporary paths are replaced.
+    """
     command = [GALENAPIER, *arguments]
     for entry in entries:
         command += ["--entry", entry.address]
--- a/tests/scripts/cli_http.sh
+++ b/tests/scripts/cli_http.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# galenapier against a small stand-in of the operators' HTTP.
+# galenapier against a stand-in for the operators' HTTP; see cli_http.py.
 exec python3 tests/scripts/cli_http.py "$1"
--- a/tests/scripts/config.py
+++ b/tests/scripts/config.py
@@ -1,4 +1,4 @@
-"""Publishing and handing on of the configuration, with faults of the log."""
+"""Publication and distribution of the configuration with faults of the log."""
 
 import json
 import os
@@ -18,12 +18,14 @@
 
 
 def document(seconds):
+    """Return the example document with SECONDS as an expected run time."""
     with open(EXAMPLE, encoding="utf-8") as file:
         return file.read().replace("expected_run_s: 90",
                                    f"expected_run_s: {seconds}")
 
 
 def publish(site, entry, base, author, text):
+    """Publish TEXT at ENTRY and return status and body of the answer."""
     body = json.dumps({"base": base, "author": author, "document": text})
     status, _, answer = site.operate(entry, "POST", "/v1/config", body)
     return status, json.loads(answer)
@@ -39,11 +41,12 @@
 
 
 def held(site, entry):
+    """Return the configuration of ENTRY."""
     return json.loads(site.operate(entry, "GET", "/v1/config")[2])
 
 
 def in_force(site, name):
-    """Revisions in force at a process, for each of its starts."""
+    """Return the revisions that were in force, a list for each start."""
     starts = []
     for line in site.processes[name].log().splitlines():
         if ".started" in line:
@@ -71,7 +74,7 @@
 
 
 def race(site):
-    """Two authors on the same base through two entries at once."""
+    """Two authors publish on the same base through two entries at once."""
     answers = {}
     site.fault("log", {"append_delay_ms": 150})
 
@@ -94,7 +97,7 @@
 
 
 def outage(site):
-    """No log, and then no entry that has seen it."""
+    """The log is down, and then all entries restart without it."""
     before = held(site, "entry-1")
     site.fault("log", {"down": True})
     for entry in site.entry_names:
@@ -116,7 +119,7 @@
 
 
 def retention(site):
-    """Snapshots keep what the log does not."""
+    """Snapshots keep what the log no longer retains."""
     site.fault("log", {"retain_records": RETAINED})
     for revision in range(4, REVISIONS):
         status, _ = publish(site, "entry-1", revision, "lucia",
--- a/tests/scripts/config.sh
+++ b/tests/scripts/config.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# The configuration through real processes; see config.py.
+# The configuration on a site of processes; see config.py.
 exec python3 "$(dirname "$0")/config.py" "$1"
--- a/tests/scripts/counters_page.py
+++ b/tests/scripts/counters_page.py
@@ -1,4 +1,4 @@
-"""Names of the counters of an entry and a guard that the page lacks."""
+"""Print the counters of an entry and a guard that the page does not list."""
 
 import os
 import sys
--- a/tests/scripts/crashes.py
+++ b/tests/scripts/crashes.py
@@ -3,9 +3,9 @@
 Guards against a fault in which one such task crashed the executors of all VMs
 in turn for minutes, each 10 ms after its start there, and disturbed requests
 and other jobs meanwhile.  The leader started it again as soon as there was
-another executor: 37 times in 100 s, although three attempts were allowed.  Only
-ends reported by an executor counted as attempts, and an executor that crashes
-reports none.
+another executor: 37 times in 100 s, although three attempts were allowed.
+Only ends reported by an executor counted as attempts, and an executor that
+crashes reports none.
 
 A task is now given up after at most five such starts; tasks that merely ran on
 the same executors are not.
@@ -33,7 +33,8 @@
 COUNT = 4
 CRASHER = JOB_A + ".0.0.0"
 TASKS = {"count": COUNT, "cpu": 1000, "memMb": 10, "estimateMs": 300}
-ONE_LONG_RUNNING = [{"count": 1, "cpu": 1000, "memMb": 10, "longRunning": True}]
+ONE_LONG_RUNNING = [{"count": 1, "cpu": 1000, "memMb": 10,
+                     "longRunning": True}]
 
 
 def state_from_any(site, job):
--- a/tests/scripts/evacuated.py
+++ b/tests/scripts/evacuated.py
@@ -1,5 +1,8 @@
-"""Availability zones that operators evacuate: nothing is started there from the
-time on that they are told, and work goes on elsewhere."""
+"""Availability zones that operators evacuate.
+
+Nothing is started in an evacuated zone once the operators are told that the
+evacuation is in force, and work goes on elsewhere.
+"""
 
 import sys
 import threading
@@ -10,13 +13,13 @@
 # "z1" has w1 and w2, "z2" has w3 and w4.
 ZONES = ["z1", "z2"]
 STEP = {"count": 6, "cpu": 1000, "memMb": 10, "estimateMs": 300}
-# Longer than the time within which an evacuation has to be in force.
+# Longer than EVACUATE_S, within which an evacuation must be in force.
 PAST_BOUND_S = 7.0
 LASTING_JOB = "00000000000000ee"
 
 
 class Callers:
-    """Hands in a job each 0.1 s and remembers what was accepted."""
+    """Submits a job every 0.1 s until `end` and keeps the accepted ones."""
 
     def __init__(self, site):
         self.site = site
@@ -36,10 +39,10 @@
                         self.accepted.append(job)
                         break
                 except OSError:
-                    continue  # it is being started again: the next one
+                    continue  # it is being restarted: try the next one
 
     def end(self):
-        """All that was accepted has to be done."""
+        """Stop, and wait until all accepted jobs are completed."""
         self.ended.set()
         self.thread.join()
         entry = next(iter(self.site.entries))
@@ -50,21 +53,24 @@
 
 
 def starts_in(site, zone):
+    """Return how many runs were started in ZONE."""
     return sum(site.judge.zone_starts.get(name, 0)
                for name, executor in site.executors.items()
                if executor.zone == zone)
 
 
 def is_used_again(site, zone):
-    """Is work started in ZONE from now on?"""
+    """Wait until a run is started in ZONE."""
     before = starts_in(site, zone)
     until(lambda: starts_in(site, zone) > before, what="used again")
     print("  used again:", True)
 
 
 def play(build, title, trouble, before=None):
-    """TROUBLE goes on from the evacuation of z1 on, until it is taken back;
-    BEFORE comes before it."""
+    """Evacuate z1 under load, call TROUBLE, and revoke the evacuation.
+
+    BEFORE is called before the evacuation.
+    """
     print(title)
     with start_site(build, entries=2, workers=4, zones=ZONES) as site:
         callers = Callers(site)
@@ -82,6 +88,7 @@
 
 
 def lasting_tasks(site):
+    """Return the long-running tasks that run now."""
     return set(site.judge.at_work(LASTING_JOB))
 
 
@@ -92,7 +99,7 @@
 
 
 def calm(build):
-    """What has begun goes on, and what lasts stays where it is."""
+    """Runs in the zone go on, and long-running ones are not moved."""
     def trouble(site):
         held = {name: set(site.judge.on(f"{name}-1")) & lasting_tasks(site)
                 for name in site.executors}
@@ -132,8 +139,10 @@
 
 
 def late(build):
-    """Orders go unanswered before the evacuation and are carried out late; the
-    guard repeats them."""
+    """Orders from before the evacuation are carried out late, unanswered.
+
+    The guard repeats them.
+    """
     def before(site):
         for executor in site.executors.values():
             executor.late, executor.late_s = 0.5, 3.0
@@ -147,8 +156,10 @@
 
 
 def stale(build):
-    """The leader can't read the operators' topic, and appends go on: what it
-    knows grows old, and nothing is started by it."""
+    """The leader cannot read the operators' topic, but can still append.
+
+    Once what it knows is too old, it starts nothing.
+    """
     def before(site):
         site.store.unreadable = {"keyed.op"}
         time.sleep(0.5)
@@ -173,7 +184,7 @@
 
 
 def by_turns(build):
-    """One zone goes as the other comes back: nothing waits for both."""
+    """The zones are evacuated in turn, and work never has to wait for both."""
     def trouble(site):
         time.sleep(PAST_BOUND_S)
         site.evacuate("z2")
@@ -187,7 +198,7 @@
 
 
 def all_zones(build):
-    """Nothing can be started; what was accepted waits and is done after."""
+    """Accepted jobs wait while no zone is left, and are done afterwards."""
     def trouble(site):
         site.evacuate("z2")
         time.sleep(PAST_BOUND_S)
@@ -198,7 +209,7 @@
 
 
 def lasting(build):
-    """Runs that last and were stopped come back in the other zone."""
+    """Long-running runs whose executors crash restart in the other zone."""
     print("an executor of the zone goes down")
     with start_site(build, entries=2, workers=4, zones=ZONES) as site:
         site.submit_long_running(next(iter(site.entries)), LASTING_JOB)
--- a/tests/scripts/evacuated_site.py
+++ b/tests/scripts/evacuated_site.py
@@ -1,5 +1,8 @@
-"""A zone is evacuated by the document of a site of our own: no task is started
-there and no request is sent there until it is taken back, whoever leads."""
+"""A zone is evacuated by the document of a site, also while an entry restarts.
+
+No task is started and no request is sent there until the evacuation is
+revoked.
+"""
 
 import json
 import signal
@@ -33,19 +36,20 @@
 
 
 def starts_since(site, zone, since_us):
+    """Return how many executions began in ZONE after SINCE_US."""
     return sum(run["start"] > since_us and site.zone_of(run["node"]) == zone
                for runs in executions(site).values() for run in runs)
 
 
 def requests_in(site, zone):
-    """Requests that the upstreams of ZONE have taken."""
+    """Return how many requests the upstreams of ZONE have executed."""
     return sum(fact["event"] == "execution_start" for guard in site.guard_names
                if site.zone_of(guard) == zone
                for fact in site.facts(guard + ".upstream"))
 
 
 def use(site, title):
-    """Work of both kinds, which ends."""
+    """Run jobs and requests through all entries, and wait for their ends."""
     for entry in site.entry_names:
         names = submit(site, entry, 6, run_ms=100)
         for name in names:
@@ -56,6 +60,7 @@
 
 
 def upstreams(site, state):
+    """Return the zones of the upstreams in STATE."""
     return sorted(u["zone"] for u in status(site)["upstreams"]
                   if u["state"] == state)
 
--- a/tests/scripts/evacuated_site.sh
+++ b/tests/scripts/evacuated_site.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# A zone of a site of our own is evacuated; see evacuated_site.py.
+# A zone is evacuated by the document; see evacuated_site.py.
 exec python3 "$(dirname "$0")/evacuated_site.py" "$1"
--- a/tests/scripts/experiment.py
+++ b/tests/scripts/experiment.py
@@ -1,4 +1,4 @@
-"""A short scenario with a verdict, a refused one, and an interrupted one."""
+"""tools/experiment: a run with faults, invalid scenarios, an interrupt."""
 
 import json
 import os
@@ -40,6 +40,7 @@
 
 
 def experiment(folder, text, *options):
+    """Start the tool on the scenario TEXT."""
     path = os.path.join(folder, "scenario.yaml")
     with open(path, "w", encoding="utf-8") as file:
         file.write(text)
@@ -74,6 +75,7 @@
 
 
 def refuse(folder):
+    """Print how the tool refuses invalid scenarios."""
     for text in (SITE.replace("guards:", "gards:"),
                  SITE + FAULTS.replace("for_s", "fors"),
                  SITE + FAULTS.replace("guard-2", "guard-9"),
@@ -99,6 +101,7 @@
 
 
 def interrupt(folder):
+    """Print which processes are left when the tool is interrupted."""
     process = experiment(folder, SITE)
     started = until(lambda: len(children_of(process.pid)) >= 10
                     and children_of(process.pid), what="all processes")
--- a/tests/scripts/gone.py
+++ b/tests/scripts/gone.py
@@ -1,21 +1,19 @@
 """Executors that end for good, shortly after a change of the leader.
 
-What users saw: tasks that are to last did not run for ten seconds and more,
-with room for them all the while, and nothing but planned work going on.  The
-lead had changed; an executor that was being taken away drained, said goodbye
-and ended with runs whose ends it had not listed; a second later its VM was
-stopped.  The new leader gave those runs up only when all leases were over that
-a former leader might still have been giving: 8 s and a lease after the last
-record of that leader.
-
-What proved it: the executor was taken for dead 13.25 s after that record, in
-both records of the incident, though its guard had obeyed the new leader in
-between and knew of the goodbye.  Two more ways to the same end showed when the
-code was read: a guard that starts anew where no executor is hides that one's
-end for good, and a leader that has stopped, or started again, was waited for
-like one that may still be at work.  A review found three more orders of the same
-events: the guard starts anew under the next leader, the goodbye comes while
-nobody leads, and a leader waits for the leases of an earlier lead of its own.
+Guards against a fault in which long-running tasks did not run for over ten
+seconds after a planned shutdown, although there were free resources.  After a
+change of the leader an executor drained, deregistered and ended with runs
+whose ends it had not listed; a second later its VM was stopped.  The new
+leader gave those runs up only when every lease that the previous leader might
+still have granted was over, 13.25 s after its last record (8 s and a lease),
+although the executor's guard had obeyed the new leader in between and knew of
+the deregistration.
+
+Other sequences had the same effect: a guard restarts where there is no longer
+an executor, which hides the end of that one, also under the next leader; the
+leader's process has stopped or restarted, yet was waited for as if it could
+still grant leases; the deregistration comes while there is no leader; a leader
+waits for leases of an earlier leadership of its own.
 """
 
 import signal
@@ -25,30 +23,31 @@
 from platform_site import (JOB_A, LONG_RUNNING, print_breaches, start_site,
                            until)
 
-# A goodbye needs no lease to run out (5.25 s); without one, leases given up
-# to the end count, and not those of former leaders on top (13.25 s).
+# After a deregistration no lease has to expire (5.25 s).  Without one, leases
+# granted until the end do, but not those of previous leaders (13.25 s).
 BY_GOODBYE_S = 4.5
 BY_LEASE_S = 9.5
 
 
 def at_work(site):
+    """Return whether all tasks of the long-running job run."""
     return len(site.judge.at_work(JOB_A)) == 3
 
 
 def busy_worker(site):
-    """A worker with runs on it."""
+    """Return a worker whose executor has runs."""
     return next(name for name, executor in site.executors.items()
                 if executor.runs)
 
 
 def obeyed(site, name, leader):
-    """The guard of NAME has taken LEADER's word and has been answered."""
+    """Wait until the guard of NAME has accepted LEADER."""
     until(lambda: f'"leader.known","leader":"{leader}"'
           in site.processes[name].log_of_life(), what="leader known")
 
 
 def change_leader(site):
-    """Kill the leader for good; returns the one that follows."""
+    """Kill the leader for good and return the next one."""
     first = site.leader()
     site.processes[first].kill()
     until(lambda: site.leader() not in (None, first), what="another leader")
@@ -56,7 +55,7 @@
 
 
 def back(site, limit_s, ended):
-    """What lasts is at work again within LIMIT_S after ENDED."""
+    """Print whether the long-running job runs again LIMIT_S after ENDED."""
     try:
         until(lambda: at_work(site), timeout_s=limit_s + 6, what="again")
         took = f"{time.monotonic() - ended:.1f} s"
@@ -68,24 +67,28 @@
 
 
 def said_so(site):
-    """The leader's log tells what the runs waited for."""
+    """Print whether a leader logged which executor the runs waited for."""
     print("  said so:", any('"executor.awaited"'
                             in site.processes[entry].log()
                             for entry in site.entries))
 
 
 def started(build):
+    """Return a site of three entries and three workers."""
     return start_site(build, entries=3, workers=3)
 
 
 def lasting(site):
+    """Submit the long-running job and wait until all its tasks run."""
     site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
     until(lambda: at_work(site), what="at work")
 
 
 def taken_away(site, goodbye):
-    """After a change of the leader the executor of a busy worker ends, with a
-    goodbye or without, and its VM is stopped; returns when it ended."""
+    """Change the leader, end the executor of a busy worker and stop its VM.
+
+    The executor deregisters if GOODBYE.  Returns the time at which it ended.
+    """
     lasting(site)
     leader = change_leader(site)
     name = busy_worker(site)
--- a/tests/scripts/gone.sh
+++ b/tests/scripts/gone.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Executors that end for good; see gone.py.
+# Executors that end for good after a change of the leader; see gone.py.
 set -u
 here=$(dirname "$0")
 . "$here/side-by-side"
--- a/tests/scripts/keyed.py
+++ b/tests/scripts/keyed.py
@@ -1,5 +1,7 @@
-"""Keyed requests run at most once, whatever fails; the ledgers of the
-upstreams are the proof."""
+"""Keyed requests run at most once, whatever fails.
+
+The executions are counted in the ledgers of the upstreams.
+"""
 
 import collections
 import json
@@ -28,7 +30,7 @@
 
 
 def starts(site):
-    """Executions by key, on all upstreams."""
+    """Count the executions of each key on all upstreams."""
     found = collections.Counter()
     for guard in site.guard_names:
         for fact in site.facts(f"{guard}.upstream"):
@@ -38,6 +40,7 @@
 
 
 def in_background(call):
+    """Call CALL in a thread; return that and the list for its result."""
     answers = []
     thread = threading.Thread(target=lambda: answers.append(call()))
     thread.start()
@@ -54,7 +57,7 @@
 
 
 def await_decided(site, entry):
-    """Until every outcome of an entry is on the log and read there."""
+    """Wait until ENTRY has appended and read all its outcomes."""
     until(lambda: site.counter(entry, "keys_active") == 0,
           what=f"outcomes of {entry}")
 
@@ -96,7 +99,7 @@
 
 
 def race(site):
-    """One key through both entries at once."""
+    """Requests with one key through both entries at once."""
     pairs = [in_background(lambda e=e: claim(site, e, "k-race", "ms=700"))
              for e in site.entry_names]
     for thread, _ in pairs:
@@ -114,8 +117,10 @@
 
 
 def late_intent(site):
-    """The deadline passes while the intent is on its way: not run, and the
-    key is free again."""
+    """The deadline passes while the intent is being appended.
+
+    The request is not run, and the key can be used again.
+    """
     site.fault("log", {"append_delay_ms": 800})
     show("late intent", claim(site, "entry-1", "k-late", headers={
         "Galenapier-Timeout-Ms": "150"}))
@@ -125,7 +130,7 @@
 
 
 def not_run(site):
-    """Nothing to run on: the key is released."""
+    """The key is released when there is no guard to run the request."""
     for guard in site.guard_names:
         site.processes[guard].kill()
     site.await_targets(0)
@@ -146,7 +151,7 @@
 
 
 def caller_leaves(site):
-    """Its outcome is noted all the same."""
+    """The outcome is recorded although the caller has gone."""
     request(site.addresses["entry-1.callers"], "POST",
             "/reclamos-api/claims?ms=600", b"claim",
             {"Idempotency-Key": "k-left"}, timeout_s=0.3)
--- a/tests/scripts/keyed.sh
+++ b/tests/scripts/keyed.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# Keyed requests through real processes; see keyed.py.
+# Requests with an idempotency key; see keyed.py.
 exec python3 "$(dirname "$0")/keyed.py" "$1"
--- a/tests/scripts/limits.py
+++ b/tests/scripts/limits.py
@@ -1,5 +1,7 @@
-"""Limits of the document at two entries, limits of the upstreams over both
-entries, one of which is killed, and an executor that fails everything."""
+"""Limits of the document and of upstreams, and the ejection of an executor.
+
+Two entries share the limits, and one of them is killed under load.
+"""
 
 import json
 import os
@@ -35,6 +37,7 @@
 
 
 def publish(site):
+    """Publish DOCUMENT and wait until all entries have it."""
     body = json.dumps({"base": 0, "author": "test", "document": DOCUMENT})
     status, _, answer = site.operate("entry-1", "POST", "/v1/config", body)
     if status != 201:
@@ -63,12 +66,13 @@
 
 
 def hang(site, on):
+    """Make all upstreams hold back their answers, or stop that."""
     for name in upstreams(site):
         site.fault(name, {"hang": on})
 
 
 def held_open(site, entry, path, team=None):
-    """A request that stays open until the upstreams go on."""
+    """Send a request that stays open until the upstreams answer again."""
     before = site.counter(entry, "entry_requests_open")
     answers = []
     thread = threading.Thread(
@@ -80,6 +84,7 @@
 
 
 def entry_limits(site):
+    """Each entry applies its share of the document's limits."""
     hang(site, True)
     held = [held_open(site, e, "/check?ms=1", "windscreen")
             for e in site.entry_names]
@@ -101,6 +106,7 @@
 
 
 def load(site, entry, count, answers):
+    """Send COUNT requests to ENTRY from each of 24 threads."""
     def one():
         for _ in range(count):
             answers.append((entry, ask(site, entry, "/check?ms=20")))
@@ -112,7 +118,7 @@
 
 
 def guard_limits(site):
-    """Two entries race for the same slots, and one is killed."""
+    """Two entries compete for the same slots, and one is killed."""
     answers = []
     threads = load(site, "entry-1", 12, answers)
     threads += load(site, "entry-2", 12, answers)
@@ -133,7 +139,7 @@
 
 
 def failing_executor(site):
-    """One that fails all at once is ejected, probed and let back."""
+    """An executor that fails fast is ejected, probed and readmitted."""
     site.fault("guard-1.upstream", {"fail_fast": True})
     until(lambda: ask(site, "entry-1", "/check?ms=1") and
           site.counter("entry-1", "entry_ejections_total") == 1,
--- a/tests/scripts/losses.py
+++ b/tests/scripts/losses.py
@@ -1,4 +1,4 @@
-"""galenapier losses: where jobs lost their time, by a log written here."""
+"""galenapier losses, on a log written here: where jobs lost their time."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 
 
 class Log:
-    """The lines of an entry that takes jobs and of one that leads."""
+    """Log lines of an entry that accepts jobs, e1, and of the leader, e2."""
 
     def __init__(self):
         self.lines = ["a line that is none"]
@@ -46,6 +46,7 @@
 
 
 def write(log):
+    """Write to LOG a job, or a request for one, for each kind of loss."""
     in_time, no_room, again, at_work, refused, unknown, second, cancelled = (
         f"{number:016x}" for number in range(1, 9))
     log.answered(0.02, in_time)
@@ -91,7 +92,7 @@
     log = Log()
     write(log)
     with tempfile.TemporaryDirectory() as folder:
-        # By two processes, which know nothing of each other.
+        # Each process logs only what it knows.
         paths = [os.path.join(folder, name) for name in ("e1.log", "e2.log")]
         for path in paths:
             name = os.path.basename(path).removesuffix(".log")
--- a/tests/scripts/losses.sh
+++ b/tests/scripts/losses.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# The command losses; see losses.py.
+# The command galenapier losses; see losses.py.
 exec python3 "$(dirname "$0")/losses.py" "$1"
--- a/tests/scripts/make-certs.sh
+++ b/tests/scripts/make-certs.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Certificates of tools/make-certs verify under the site's name, and those of
-# an earlier run still do after a later one.
+# Certificates of tools/make-certs verify under the host name galenapier, and
+# those of an earlier run still do after a later one.
 # usage: tests/scripts/make-certs.sh BUILD
 set -eu
 directory=$(mktemp -d)
--- a/tests/scripts/malformed.py
+++ b/tests/scripts/malformed.py
@@ -1,4 +1,4 @@
-"""Malformed HTTP, frames and greetings, while callers are served."""
+"""Malformed HTTP, frames and hello messages, while callers are served."""
 
 import os
 import socket
@@ -13,7 +13,7 @@
 
 
 def exchange(address, data, wait=True):
-    """What comes back for DATA until the connection closes."""
+    """Send DATA and return what is received until the connection closes."""
     host, port = address.rsplit(":", 1)
     with socket.create_connection((host, int(port)), timeout=10) as peer:
         answer = b""
--- a/tests/scripts/malformed.sh
+++ b/tests/scripts/malformed.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# What is not as agreed is refused and disturbs nothing; see malformed.py.
+# Malformed input is refused without effect on others; see malformed.py.
 exec python3 "$(dirname "$0")/malformed.py" "$1"
--- a/tests/scripts/membership.py
+++ b/tests/scripts/membership.py
@@ -1,5 +1,8 @@
-"""Four entries, three guards: homes, news between entries, connections on
-demand, leaving, restarts, the loss of homes, all without the log."""
+"""Membership without the log: four entries and three guards.
+
+A guard keeps sessions to two entries, its homes, which report it to the
+others.  Tested are leaving, restarts and the loss of homes.
+"""
 
 import os
 import signal
@@ -13,7 +16,7 @@
 
 
 def opened(site, guard):
-    """Sessions to entries that the guard has open now."""
+    """Return how many sessions to entries GUARD has open."""
     log = site.processes[guard].log()
     return log.count("session.open") - log.count("session.closed")
 
@@ -36,7 +39,7 @@
 
 
 def homes(site):
-    """Two entries hear a guard themselves, and tell the others of it."""
+    """Each guard has two homes, which report it to the other entries."""
     site.await_targets(GUARDS)
     serve_all(site, "all entries serve")
     print("sessions of each guard:", [opened(site, g)
@@ -68,7 +71,7 @@
 
 
 def lost_entries(site):
-    """The guards whose homes are gone find others."""
+    """Guards whose homes are gone choose others."""
     for name in ("entry-1", "entry-2"):
         site.processes[name].kill()
     left = site.entry_names[2:]
@@ -85,7 +88,7 @@
 
 
 def stopped_home(site):
-    """A guard that stops is seen by its homes alone, and told."""
+    """Only its homes notice a stopped guard, and report it."""
     site.processes["guard-3"].signal(signal.SIGSTOP)
     site.await_targets(GUARDS - 1)
     site.processes["guard-3"].signal(signal.SIGCONT)
--- a/tests/scripts/membership.sh
+++ b/tests/scripts/membership.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# Guards, entries and what they tell each other; see membership.py.
+# Guards, entries and the news that they exchange; see membership.py.
 exec python3 "$(dirname "$0")/membership.py" "$1"
--- a/tests/scripts/operators.py
+++ b/tests/scripts/operators.py
@@ -1,5 +1,8 @@
-"""The operators' HTTP: sign-in and its limit, status, time lines and counters
-of all processes, the check, the console's files."""
+"""The operators' HTTP interface.
+
+Sign-in and its limit, status, timelines and counters of all processes, the
+check of documents, publication and the files of the console.
+"""
 
 import json
 import os
@@ -15,7 +18,7 @@
 
 
 class Operator:
-    """Requests to one entry's operators' port from one loopback address."""
+    """Sends requests to the operators' port of one entry."""
 
     def __init__(self, site, entry):
         self.address = site.addresses[f"{entry}.operators"]
@@ -76,7 +79,7 @@
 
 
 def show_command(build, site, operator):
-    """The command line collects every process through one entry."""
+    """The command collects the events of all processes through one entry."""
     token = os.path.join(site.folder, "token")
     with open(token, "w", encoding="utf-8") as file:
         file.write(TOKEN)
@@ -123,7 +126,7 @@
 
 
 def show_publish(operator):
-    """What is not valid is refused by the entry, however it is sent."""
+    """The entry refuses an invalid document, or one without a valid token."""
     until(lambda: operator.json("/v1/status")["log"]["state"] == "up",
           what="log up")
     good = "version: 1\nsite: test\n"
@@ -168,8 +171,7 @@
 
 
 def show_limit(operator):
-    """After too many failures the right token is refused as well, until the
-    time is over."""
+    """After too many failures even the right token is refused for a while."""
     statuses = []
     while 429 not in statuses and len(statuses) < TRIES_MAX:
         statuses.append(operator.ask("GET", "/v1/status", headers=WRONG)[0])
--- a/tests/scripts/operators.sh
+++ b/tests/scripts/operators.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# The operators' HTTP of real processes; see operators.py.
+# The operators' HTTP interface; see operators.py.
 exec python3 "$(dirname "$0")/operators.py" "$1"
--- a/tests/scripts/ordered_late.py
+++ b/tests/scripts/ordered_late.py
@@ -1,11 +1,11 @@
 """Tasks that crash their executors while starts are ordered or run late.
 
 Guards against a fault in which such a task was started six times or more.  Its
-isolated start, which is to show whether the task is at fault, was not isolated:
-the store was unavailable between the decision and the order, while the time
-for which the executor was dedicated to the task counted from the decision; or
-a start of another task that the executor had not answered was still pending
-and could have begun at any time.
+isolated start, which is to show whether the task is at fault, was not
+isolated: the store was unavailable between the decision and the order, while
+the time for which the executor was dedicated to the task counted from the
+decision; or a start of another task that the executor had not answered was
+still pending and could have begun at any time.
 
 Each of four such tasks is started at most five times, its job is given up
 within a minute of the last fault, and the other jobs are not affected.
@@ -183,7 +183,7 @@
 
 
 def are_given_up(site, faults):
-    """Return whether all JOBS fail within GIVE_UP_LIMIT_S of the last fault."""
+    """Return whether all JOBS fail in time after the last of FAULTS."""
     while time.monotonic() < faults.over_at + GIVE_UP_LIMIT_S:
         if all(state_from_any(site, job) == "failed" for job in JOBS):
             return True
@@ -218,7 +218,8 @@
     with start_site(build, entries=3, workers=6) as site:
         site.judge.crashers.update(CRASHERS.values())
         site.submit("e1", JOB_LONG_RUNNING, LONG_RUNNING, spec="lasts")
-        holds_within(lambda: len(site.judge.at_work(JOB_LONG_RUNNING)) == 2, 10)
+        holds_within(
+            lambda: len(site.judge.at_work(JOB_LONG_RUNNING)) == 2, 10)
         stream = JobStream(site, SMALL)
         faults = FaultPeriod()
         crashes = CrashWatcher(site, faults, lambda worker: do(site, worker))
@@ -238,7 +239,8 @@
 def replace_leader(site):
     """Kill the leader, wait for another one and restart the process.
 
-    Its order is still waiting for the record, which was either lost or written.
+    Its order is still waiting for the record, which was either lost or
+    written.
     """
     first = site.leader()
     site.processes[first].kill()
--- a/tests/scripts/planned.py
+++ b/tests/scripts/planned.py
@@ -1,6 +1,9 @@
-"""Planned stops on the platform: an executor drains and leaves, its VM is
-stopped for good, and the leading entry is stopped in between.  What lasts is
-at work elsewhere soon after the executor's end."""
+"""Planned shutdowns on the platform.
+
+An executor drains and deregisters, its VM is stopped for good, and the leader
+is stopped meanwhile.  Long-running tasks must run elsewhere soon after the end
+of the executor.
+"""
 
 import signal
 import sys
@@ -10,20 +13,23 @@
 from platform_site import (JOB_A, JOB_B, STEPS, other_entry, print_breaches,
                            start_site, until)
 
-# From the end of an executor until what lasted on it is at work elsewhere.
+# Limit from the end of an executor until its long-running tasks run elsewhere.
 MOVED_S = 6.0
 
 
 def worker_of(site, job):
-    """A worker on which a task of JOB runs."""
+    """Return a worker on which a task of JOB runs."""
     return next(name for name, executor in site.executors.items()
                 if any(task.startswith(job)
                        for task in site.judge.on(executor.id)))
 
 
 def begin_leaving(site, name, drain_s=1.0, longer_s=0.5):
-    """Let the worker leave; a function that waits until its executor has
-    ended and what lasts is at work."""
+    """Start the planned shutdown of the worker NAME.
+
+    Returns a function that waits until its executor has ended and the
+    long-running tasks run elsewhere.
+    """
     thread = threading.Thread(target=site.retire,
                               args=(name, drain_s, longer_s))
     executor = site.executors[name]
@@ -41,7 +47,7 @@
 
 
 def finish(site, entry):
-    """Work goes on as before."""
+    """Print that the long-running tasks run and that a job completes."""
     print("  still at work:", len(site.judge.at_work(JOB_A)))
     print("  submitted:", site.submit(entry, JOB_B, STEPS))
     site.await_state(entry, JOB_B, "completed")
--- a/tests/scripts/platform.py
+++ b/tests/scripts/platform.py
@@ -253,7 +253,7 @@
 
 
 def explain(site, name, wanted):
-    """The lines that the command finds for WANTED in the log of NAME."""
+    """Return the lines of `galenapier explain WANTED` on the log of NAME."""
     path = os.path.join(site.folder, "explained-" + name)
     with open(path, "w", encoding="utf-8") as file:
         file.write(site.processes[name].log_of_life())
@@ -281,7 +281,8 @@
                           in site.processes[name].log_of_life()
                           for name in site.executors), what="known")
         for name, executor in site.executors.items():
-            # Newer than all true ones: taken in, it would shut them out.
+            # Newer than all genuine heartbeats: if it were accepted, those
+            # would be ignored.
             body = {**executor.beat_body(10 ** 9), "state": "draining",
                     "remainingMs": 0}
             for case, change in OTHER_WRITERS:
--- a/tests/scripts/proof_answers.py
+++ b/tests/scripts/proof_answers.py
@@ -1,5 +1,7 @@
-"""Every caller gets the whole answer to its own request, though answers come
-late and out of order while processes are paused and killed."""
+"""Every caller gets the complete answer to its own request.
+
+Answers arrive late and out of order while processes are paused and killed.
+"""
 
 import json
 import os
@@ -18,7 +20,7 @@
     {"name": "photo", "rate": 20, "size": LARGE, "timeout_ms": 4000,
      "path": f"/reclamos-api/photo?size={LARGE}&chunked=1"}]}
 SERVICE = ["--service-ms", "20", "--distribution", "exponential"]
-STEADY = 80  # executions
+STEADY = 80  # executions that show that the load is steady
 
 
 def executions(site):
@@ -33,7 +35,7 @@
 
 
 def disturb(site):
-    """Pauses first, whose answers come late, then kills."""
+    """Pause processes, so that answers come late, and then kill some."""
     for name in ("guard-1.upstream", "guard-2", "entry-1"):
         site.processes[name].signal(signal.SIGSTOP)
         await_load(site)
@@ -51,8 +53,7 @@
 
 
 def out_of_order(site):
-    """Whether some upstream ended executions in another order than it began
-    them."""
+    """Return whether an upstream ended executions out of order."""
     for guard in site.guard_names:
         ends = [f["execution"] for f in site.facts(f"{guard}.upstream")
                 if f["event"] == "execution_end"]
@@ -62,6 +63,7 @@
 
 
 def judge(site, requests):
+    """Compare the callers' ledger REQUESTS with the upstreams' ledgers."""
     ran = [r for r in requests if r["outcome"] == "ran"]
     started = {fact["request"] for fact in executions(site)}
     sizes = {"check": ANSWER, "photo": LARGE}
--- a/tests/scripts/proof_capacity.py
+++ b/tests/scripts/proof_capacity.py
@@ -1,5 +1,7 @@
-"""No VM over its capacity while two entries place on one worker at once, with
-room kept for the service beside the tasks."""
+"""Two entries that place tasks on one worker never exceed its capacity.
+
+Part of it is reserved for the service on the same VM.
+"""
 
 import sys
 import threading
@@ -7,7 +9,7 @@
 from tasks_site import (await_state, breaches, executions, judge, ready,
                         start_site, submit)
 
-TEAMS = 6  # hashed over the entries, so that each has some
+TEAMS = 6  # hashed over the entries, so that each entry places some
 SIZE = 2000  # millicores of a task
 RESERVE = {"millicores": 10000, "memory_mib": 4096}
 ROOM = (16000 - RESERVE["millicores"]) // SIZE
@@ -22,7 +24,7 @@
 
 
 def most_at_once(site):
-    """The greatest number of tasks that the worker ran at a time."""
+    """Return the greatest number of tasks that ran at one time."""
     points = [(run[at], change) for runs in executions(site).values()
               for run in runs for at, change in (("start", 1), ("end", -1))]
     running, most = 0, 0
@@ -33,7 +35,7 @@
 
 
 def submit_at_once(site):
-    """A job of each team through each entry, all at the same time."""
+    """Submit a job of each team through each entry, all concurrently."""
     names = []
     threads = [threading.Thread(target=lambda e=entry, t=team: names.extend(
                    submit(site, e, kind=f"j{t}", run_ms=100)))
@@ -46,7 +48,7 @@
 
 
 def refused(site):
-    """Grants that ended without a start: the guard had no room."""
+    """Return how many grants had no start, as the guard lacked resources."""
     return sum(max(run["epoch"] for run in runs) - len(runs)
                for runs in executions(site).values())
 
--- a/tests/scripts/proof_leaving.py
+++ b/tests/scripts/proof_leaving.py
@@ -1,5 +1,7 @@
-"""An upstream that leaves gets no new work after a few seconds, also from an
-entry that was paused when it was told, and what it runs it ends."""
+"""A guard that leaves gets no new work after a limit, and ends what it runs.
+
+This also holds for an entry that was paused when the guard announced it.
+"""
 
 import signal
 import sys
@@ -11,12 +13,12 @@
 from site_processes import Site, until
 
 LIMIT_US = 2_000_000
-SLOW_MS = 5000  # a request that keeps the leaver at work
+SLOW_MS = 5000  # for the request that the leaving guard still has to end
 CALLS_AFTER = 200
 
 
 class Callers:
-    """Callers that ask through ENTRIES all the time, until they are closed."""
+    """Threads that send requests through ENTRIES until they are closed."""
 
     def __init__(self, site, entries):
         self.site = site
@@ -43,7 +45,7 @@
 
 
 def starts(site, guard, event, since):
-    """Of the ledger: how long after SINCE each start came."""
+    """Return how long after SINCE each EVENT in the ledgers came."""
     names = {"execution_start": guard + ".upstream",
              "task_start": guard + ".worker"}
     return [fact["time_us"] - since for fact in site.facts(names[event])
@@ -51,6 +53,7 @@
 
 
 def leave(build, paused):
+    """Stop a guard under load; if PAUSED, an entry is paused meanwhile."""
     print("a guard leaves" + (", an entry is paused as it is told"
                               if paused else ""))
     with Site(build, entries=2, guards=3, worker=True,
@@ -92,7 +95,7 @@
 
 
 def busy(site, guard):
-    """Whether the slow request is under way there."""
+    """Return whether the slow request is being executed at GUARD."""
     facts = site.facts(guard + ".upstream")
     begun = {f["execution"] for f in facts if f["event"] == "execution_start"
              and f"ms={SLOW_MS}" in f["path"]}
--- a/tests/scripts/proof_outage.py
+++ b/tests/scripts/proof_outage.py
@@ -1,5 +1,7 @@
-"""An outage of the log that lasts for several leases, with an entry that
-restarts in it and one that does not come back."""
+"""An outage of the log for several lease periods.
+
+Meanwhile an entry restarts, or is lost for good.
+"""
 
 import sys
 
@@ -9,7 +11,9 @@
 
 from site_processes import until
 
-RENEWALS = 25  # of each entry: 200 ms and two guards make it 2.5 s
+# Renewals to wait for at each entry: two guards renew every 200 ms, so this
+# takes 2.5 s.
+RENEWALS = 25
 
 
 def log_down(site):
@@ -25,6 +29,7 @@
 
 
 def await_renewals(site):
+    """Wait until each entry has renewed RENEWALS leases by vouches."""
     before = {e: site.counter(e, "entry_leases_vouched_total")
               for e in site.entry_names}
     until(lambda: all(site.counter(e, "entry_leases_vouched_total")
@@ -33,12 +38,13 @@
 
 
 def lapses(site):
+    """Return how many leases expired at the worker runtimes."""
     return sum(fact["event"] == "lease_expired" for guard in site.guard_names
                for fact in site.facts(guard + ".worker"))
 
 
 def running(site):
-    """Tasks whose last stretch has not ended, by the workers' ledgers."""
+    """Return how many tasks run, according to the workers' ledgers."""
     return sum(max(runs, key=lambda run: run["start"])["end"] is None
                for runs in executions(site).values())
 
--- a/tests/scripts/proof_outage_restart.sh
+++ b/tests/scripts/proof_outage_restart.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# See proof_outage.py.
+# An entry restarts while the log is down; see proof_outage.py.
 exec python3 "$(dirname "$0")/proof_outage.py" "$1" restart
--- a/tests/scripts/proof_pairs.py
+++ b/tests/scripts/proof_pairs.py
@@ -1,5 +1,8 @@
-"""Two faults at a time: acknowledgements lost while a guard is paused for
-longer than its lease, and while two operators race."""
+"""Two faults at the same time.
+
+Acknowledgements are lost while a guard is paused for longer than its lease,
+and while two operators publish concurrently.
+"""
 
 import json
 import signal
@@ -13,7 +16,7 @@
 
 from site_processes import until
 
-LOST = 3  # acknowledgements in a row
+LOST = 3  # number of consecutive acknowledgements
 
 
 def paused_holder(build):
@@ -42,6 +45,7 @@
 
 
 def held(site, entry):
+    """Return the configuration of ENTRY."""
     return json.loads(site.operate(entry, "GET", "/v1/config")[2])
 
 
--- a/tests/scripts/proof_pairs.sh
+++ b/tests/scripts/proof_pairs.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# See proof_pairs.py.
+# Two faults at the same time; see proof_pairs.py.
 exec python3 "$(dirname "$0")/proof_pairs.py" "$1"
--- a/tests/scripts/proof_resume.py
+++ b/tests/scripts/proof_resume.py
@@ -1,8 +1,9 @@
-"""Evicted work resumes once, from its last checkpoint, when the guard or an
-entry is killed while it is evicted.
+"""Evicted tasks resume once, from their last checkpoint.
 
-The log is down from the eviction on, so that the kill always comes when the
-work has stopped and its end is not on the log."""
+The guard or an entry is killed during the eviction.  The log is down from the
+eviction on, so that the tasks have stopped, but their ends are not yet in the
+log when the process is killed.
+"""
 
 import signal
 import sys
@@ -15,8 +16,11 @@
 
 
 def stretches(site, task):
-    """Its stretches in the order of epochs, with the checkpoints of each and
-    how far it was at its end."""
+    """Return the executions of TASK in the order of their epochs.
+
+    Each has the progress that it started from, the number of starts, the
+    progress at its checkpoints and at a stop, and its last state.
+    """
     found = {}
     for guard in site.guard_names:
         for fact in site.facts(guard + ".worker"):
@@ -35,8 +39,10 @@
 
 
 def judge_resumed(site, names, exact):
-    """Each went on once; EXACT: from where its eviction left it, otherwise
-    from any of its checkpoints."""
+    """Print whether each task resumed once, and from a checkpoint.
+
+    If EXACT, this must be the progress at its eviction.
+    """
     once, right = 0, 0
     for name in names:
         first, *later = stretches(site, name)
@@ -55,7 +61,11 @@
 
 
 def evicted(site):
-    """Work of a guard that leaves: stopped, and no end of it on the log."""
+    """Stop a guard that runs jobs, while the log is down.
+
+    Returns the guard and its jobs once all of them have stopped; none of their
+    ends is in the log.
+    """
     ready(site)
     names = long_jobs(site, 4)
     await_watchers(site, WATCHERS)
--- a/tests/scripts/records.py
+++ b/tests/scripts/records.py
@@ -1,4 +1,4 @@
-"""Records and frames of another writer beside a working site."""
+"""Records and frames from another writer while a site is at work."""
 
 import contextlib
 import signal
@@ -13,7 +13,7 @@
 CUT = b"\x0a\x20abc"
 
 
-# Protocol buffers by hand: what no writer of ours puts there.
+# Encodes protocol buffer messages that no process of the site would write.
 
 def varint(value):
     out = b""
@@ -32,13 +32,14 @@
 
 
 def progress(*tasks):
-    """A running job; TASKS are (index, run, executor)."""
+    """Encode progress of a running job; TASKS are (index, run, executor)."""
     rows = (number(1, index) + number(2, run) + text(4, executor)
             for index, run, executor in tasks)
     return number(1, 1) + b"".join(text(3, row) for row in rows)
 
 
 def lasting_job(site):
+    """Submit a long-running job and wait until all entries see it run."""
     site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
     until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
     for name in site.entries:
@@ -50,14 +51,17 @@
 
 
 def await_refused(site, cause, more):
-    """All entries have refused MORE records for CAUSE.  A leader reads no
-    progress, so that it counts those only once it is deposed."""
+    """Wait until all entries have refused at least MORE records for CAUSE.
+
+    A leader does not read progress, so it counts records in there only after
+    it has lost the leadership.
+    """
     until(lambda: all(refused(site, name, cause) >= more
                       for name in site.entries), what=cause)
 
 
 def another_job(site, job):
-    """The site serves as before."""
+    """Check that the site still completes a job."""
     until(lambda: site.submit("e1", job, STEPS) == 200, what="accepted")
     for name in site.entries:
         site.await_state(name, job, "completed")
@@ -70,6 +74,7 @@
 
 
 def leads_taken(site):
+    """Return how many times an entry has become leader."""
     return sum(site.processes[name].log().count('"lead.taken"')
                for name in site.entries)
 
@@ -164,7 +169,7 @@
 
 
 def holder_of(site, task):
-    """The VM on which TASK is at work."""
+    """Return the VM on which TASK runs."""
     (executor, _), = site.judge.running[task]
     return executor.split("-")[0]
 
@@ -193,8 +198,10 @@
 
 
 def a_place_of_two(build):
-    """An executor's place is written for a VM that comes before its own, whose
-    guard reports after the executor's."""
+    """The place of an executor is recorded for a second VM as well.
+
+    That VM comes first in order, and its guard reports last.
+    """
     print("a place is overwritten, and its guard is the last to report")
     with start_site(build) as site:
         until(lambda: '"guard.up","guard":"w1"'
@@ -222,7 +229,7 @@
 
 
 def send_frame(address, body):
-    """Send a frame and wait until the far side closes."""
+    """Send a frame and wait until the peer closes the connection."""
     host, port = address.rsplit(":", 1)
     with socket.create_connection((host, int(port)), timeout=10) as peer:
         peer.sendall(struct.pack(">I", len(body)) + body)
--- a/tests/scripts/records.sh
+++ b/tests/scripts/records.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# Records and frames of another writer; see records.py.
+# Records and frames from another writer; see records.py.
 exec python3 "$(dirname "$0")/records.py" "$1"
--- a/tests/scripts/regions.py
+++ b/tests/scripts/regions.py
@@ -1,5 +1,8 @@
-"""Two regions that part: each has a log for its tasks, and the first also
-has the configuration's."""
+"""A network partition between two regions.
+
+Each region has a log for its tasks; the first one also has the log of the
+configuration.
+"""
 
 import json
 import os
@@ -30,7 +33,7 @@
 
 
 def start(site):
-    """Start SITE with links to the far region that can be cut."""
+    """Start SITE and return the connections between the regions."""
     peers = Bridge(site.addresses[f"{FAR}.peers"])
     log = Bridge(site.addresses["log"])
     site.addresses[f"{NEAR}>{FAR}"] = peers.address
@@ -45,7 +48,7 @@
 
 
 def await_renewals(site, entry, kind="renewed"):
-    """Wait for longer than a lease, by the renewals of it."""
+    """Wait for longer than a lease, measured in renewals at ENTRY."""
     name = f"entry_leases_{kind}_total"
     first = site.counter(entry, name)
     until(lambda: site.counter(entry, name) >= first + RENEWALS,
@@ -59,7 +62,7 @@
 
 
 def keyed(site, entry):
-    """A claim that is made twice with one key."""
+    """Send a claim twice with one key and return both statuses."""
     path = f"/reclamos-api/claims?{entry}"
     headers = {"Idempotency-Key": f"key-{entry}"}
     first = site.call(entry, "POST", path, "x", headers)[0]
@@ -74,7 +77,7 @@
 
 
 def show_parted(site, entry, long_job, before):
-    """What goes on in the region of ENTRY."""
+    """Print what works in the region of ENTRY during the partition."""
     name = submit(site, entry, run_ms=100)[0]
     await_state(site, name, "succeeded", entry)
     answers = {site.call(entry, "GET", "/reclamos-api/check")[0]
@@ -87,7 +90,7 @@
 
 
 def homes(site):
-    """How many tasks ran in each region, and in both."""
+    """Count the tasks that ran in one region only, and those in both."""
     regions = [{site.region_of(run["node"]) for run in runs}
                for runs in executions(site).values()]
     return {"north": sum(r == {"north"} for r in regions),
--- a/tests/scripts/regions.sh
+++ b/tests/scripts/regions.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# Two regions that part; see regions.py.
+# A partition between two regions; see regions.py.
 exec python3 "$(dirname "$0")/regions.py" "$1"
--- a/tests/scripts/request_path.py
+++ b/tests/scripts/request_path.py
@@ -1,4 +1,4 @@
-"""Requests from caller to upstream and back, through real processes."""
+"""Requests from caller to upstream and back, with stops and a kill."""
 
 import hashlib
 import json
--- a/tests/scripts/room.py
+++ b/tests/scripts/room.py
@@ -1,5 +1,8 @@
-"""Executors whose room shrinks and grows while they run, and which start whatever
-they are told to: no run is begun beyond the room that one has said it has."""
+"""Executors whose capacity changes while they run tasks.
+
+The executors start whatever they are ordered to, so the leader must never
+order more runs than fit the capacity that an executor has reported.
+"""
 
 import sys
 import threading
@@ -22,7 +25,7 @@
                     accepted.append(job)
                     break
             except OSError:
-                continue  # it is being started again: the next one is asked
+                continue  # it is being restarted: ask the next one
         number += 1
         time.sleep(0.12)
 
--- a/tests/scripts/room.sh
+++ b/tests/scripts/room.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Executors whose room shrinks and grows; see room.py.
+# Executors whose capacity shrinks and grows; see room.py.
 set -u
 here=$(dirname "$0")
 . "$here/side-by-side"
--- a/tests/scripts/same_id.py
+++ b/tests/scripts/same_id.py
@@ -2,10 +2,10 @@
 
 Guards against two faults that only such executors showed.  Tasks were started
 again although their end had been recorded as done: the restarted executor
-numbers its ends from 1 again, and these passed for known ones.  And a task that
-fitted was not started for the rest of the day: a guard that started after the
-executor's restart derived its fence from the executor's clock, which had been
-reset to a value below the fence that the executor had seen.
+numbers its ends from 1 again, and these passed for known ones.  And a task
+that fitted was not started for the rest of the day: a guard that started after
+the executor's restart derived its fence from the executor's clock, which had
+been reset to a value below the fence that the executor had seen.
 """
 
 import contextlib
--- a/tests/scripts/same_id.sh
+++ b/tests/scripts/same_id.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Executors that start again under their ids; see same_id.py.
+# Executors that restart under the same id; see same_id.py.
 set -u
 here=$(dirname "$0")
 . "$here/side-by-side"
--- a/tests/scripts/silent.py
+++ b/tests/scripts/silent.py
@@ -1,5 +1,7 @@
-"""A guard that is stopped while requests are open at it: its connections stay
-up, and nothing comes over them any more."""
+"""A guard that is stopped while it has open requests.
+
+Its connections stay open, but nothing is received over them any more.
+"""
 
 import os
 import signal
@@ -17,6 +19,7 @@
 
 
 def send(site, method, path, name):
+    """Send a request to entry-1 and return the socket."""
     host, port = site.addresses["entry-1.callers"].rsplit(":", 1)
     caller = socket.create_connection((host, int(port)), 2 * TIMEOUT_S)
     caller.sendall(f"{method} {path} HTTP/1.1\r\nHost: x\r\n"
@@ -27,7 +30,7 @@
 
 
 def receive(caller):
-    """Status, verdict and size of the body."""
+    """Return status, verdict and size of the body of the answer."""
     data = b""
     while piece := caller.recv(1024 * 1024):
         data += piece
@@ -39,7 +42,7 @@
 
 
 def starts(site, name):
-    """The guards whose upstreams started request NAME."""
+    """Return the guards whose upstreams started request NAME."""
     return [guard for guard in site.guard_names
             for fact in site.facts(f"{guard}.upstream")
             if fact["event"] == "execution_start"
@@ -58,7 +61,7 @@
 
 
 def waiting(site, method, name):
-    """Stop the guard at which the request waits."""
+    """The guard at which a request waits is stopped."""
     hang(site, site.guard_names, True)
     caller = send(site, method, "/reclamos-api/check?ms=1", name)
     guard = until(lambda: starts(site, name), what="started")[0]
@@ -74,7 +77,7 @@
 
 
 def streaming(site):
-    """An answer that has begun goes on when its guard does."""
+    """An answer that has begun continues when its guard does."""
     caller = send(site, "GET", f"/reclamos-api/photo?ms=1&size={LARGE}",
                   "photo")
     caller.recv(1, socket.MSG_PEEK)
@@ -88,7 +91,7 @@
 
 
 def stopped_entry(site):
-    """An entry that was stopped itself gives nothing up."""
+    """An entry that was itself stopped does not give up its requests."""
     hang(site, site.guard_names, True)
     callers = [send(site, "POST", "/reclamos-api/claim?ms=1", f"claim-{i}")
                for i in range(4)]
--- a/tests/scripts/silent.sh
+++ b/tests/scripts/silent.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# A guard that stops answering while requests wait for it; see silent.py.
+# A guard that stops answering while it has open requests; see silent.py.
 exec python3 "$(dirname "$0")/silent.py" "$1"
--- a/tests/scripts/soak.sh
+++ b/tests/scripts/soak.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Two short seeds of the soak, one with planned faults only, and two in which
-# executors start again under their ids; see tools/soak.
+# Two short seeds of the soak, one of them with planned faults only, and two in
+# which executors restart under the same id; see tools/soak.
 set -e
 soak=$(dirname "$0")/../../tools/soak
 python3 "$soak" "$1" --first 8 --seeds 2 --seconds 6
--- a/tests/scripts/soak_judged.py
+++ b/tests/scripts/soak_judged.py
@@ -1,8 +1,9 @@
-"""The soak judges all jobs that take their executors down, also those that it
-submits while it begins to judge; and one that can't be judged is not kept.
+"""The soak checks all jobs that crash executors, and survives a failed check.
 
-Four such jobs in a soak ended it with "dictionary changed size during
-iteration", and the seeds behind it were not played.
+Guards against a fault in which a soak with four such jobs ended with
+"dictionary changed size during iteration", as one was submitted after the
+check had begun: the remaining seeds were not run.  A run whose check raises an
+exception must count as failed.
 """
 
 import importlib.machinery
@@ -21,7 +22,7 @@
 
 
 class SlowSite:
-    """Takes jobs in SLOW_S and gives them up in as long."""
+    """Takes SLOW_S to accept a job and SLOW_S to report it as given up."""
 
     SLOW_S = 0.3
 
@@ -42,7 +43,7 @@
 
 
 def late(count):
-    """All of COUNT jobs are judged, though the last is submitted late."""
+    """All of COUNT jobs are checked, though the last is submitted late."""
     site = SlowSite()
     faults = types.SimpleNamespace(note=lambda text: None,
                                    trouble=lambda seconds: None)
@@ -53,6 +54,7 @@
 
 
 def spoilt():
+    """Print the result for a run that raises an exception."""
     loader = importlib.machinery.SourceFileLoader(
         "soak", os.path.join(TOOLS, "soak"))
     soak = importlib.util.module_from_spec(
--- a/tests/scripts/soak_judged.sh
+++ b/tests/scripts/soak_judged.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# What the soak judges, without a site; see soak_judged.py.
+# The checks of the soak, without a site; see soak_judged.py.
 exec python3 -B "$(dirname "$0")/soak_judged.py"
--- a/tests/scripts/standins.py
+++ b/tests/scripts/standins.py
@@ -1,5 +1,8 @@
-"""Smoke test of the stand-ins: each is started, used over HTTP and judged by
-its answers, its statistics and its ledger.  Prints one line a check."""
+"""Smoke test of the stand-ins.
+
+Each is started and used over HTTP; its answers, statistics and ledger are
+checked.  Prints a line for each check.
+"""
 
 import http.client
 import http.server
@@ -21,7 +24,7 @@
 
 
 class Standin:
-    """A process of a stand-in and an HTTP client for it."""
+    """A process that runs a stand-in, and an HTTP client for it."""
 
     def __init__(self, program, *arguments):
         handle, self.ledger_path = tempfile.mkstemp(prefix=program)
@@ -43,7 +46,7 @@
         os.unlink(self.ledger_path)
 
     def request(self, method, path, body=None, headers=None, control=False):
-        """Status and body; (0, b"") when no whole answer comes."""
+        """Return status and body; (0, b"") without a complete answer."""
         address = self.control if control else self.address
         client = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
         try:
@@ -170,7 +173,7 @@
 
 
 def events(worker, count):
-    """The first COUNT events as (task, state), waiting for them."""
+    """Wait for the first COUNT events and return them as (task, state)."""
     found = []
     while len(found) < count:
         _, answer = worker.json(
@@ -295,7 +298,7 @@
 
 
 def call(*arguments, kinds=None):
-    """Run a caller; its kinds' summaries and its ledger."""
+    """Run a caller and return the summaries of its kinds and its ledger."""
     with tempfile.NamedTemporaryFile("w+", suffix=".json") as table, \
             tempfile.NamedTemporaryFile("r") as ledger:
         if kinds is not None:
--- a/tests/scripts/stops.py
+++ b/tests/scripts/stops.py
@@ -1,5 +1,7 @@
-"""Stops and kills of entry, guard and upstream under load.  The ledgers of
-the callers and of the upstreams must agree."""
+"""Stops and kills of entry, guard and upstream under load.
+
+The ledgers of the callers and of the upstreams must agree.
+"""
 
 import json
 import os
@@ -21,7 +23,7 @@
 
 
 class Load:
-    """The callers of one part of the run."""
+    """A load generator that runs until `stop`, which returns its ledger."""
 
     def __init__(self, site, build, name, entries):
         self.site = site
@@ -44,7 +46,7 @@
 
 
 def executions(site):
-    """Request id -> number of starts, over all upstreams."""
+    """Return the number of starts of each request on all upstreams."""
     count = {}
     for guard in site.guard_names:
         for fact in site.facts(f"{guard}.upstream"):
@@ -64,6 +66,7 @@
 
 
 def judge(title, requests, started):
+    """Print untrue outcomes and double runs; return the outcomes."""
     outcomes = {}
     for request in requests:
         outcomes[request["outcome"]] = outcomes.get(request["outcome"], 0) + 1
@@ -83,7 +86,7 @@
 
 
 def back(site, name):
-    """Start again what has ended."""
+    """Start the process NAME again after it has ended."""
     if name.startswith("entry"):
         site.start_entry(name)
     elif name.endswith(".upstream"):
@@ -98,8 +101,11 @@
 
 
 def stops(site, build):
-    """No request is cut off.  An upstream that closes an idle connection may
-    cross a request on it, which then cannot be known not to have run."""
+    """A planned stop cuts off no request.
+
+    Claims may still fail when an upstream stops: if it closes an idle
+    connection just as a request is sent on it, nobody knows whether that ran.
+    """
     for name in VICTIMS:
         load = Load(site, build, f"stopping-{name}", site.entry_names)
         await_load(site)
--- a/tests/scripts/streams.py
+++ b/tests/scripts/streams.py
@@ -1,4 +1,4 @@
-"""Long answers, slow readers and writers, and peers that stop."""
+"""Long answers, slow readers and writers, and peers that are stopped."""
 
 import os
 import signal
@@ -11,13 +11,14 @@
 from site_processes import Site, until  # noqa: E402
 
 LARGE = 64 * 1024 * 1024
-# Freed memory that a sanitizer keeps would count as grown.
+# A larger quarantine of the sanitizer would count as growth of the process.
 os.environ.setdefault("ASAN_OPTIONS", "quarantine_size_mb=1")
 MEMORY_BOUND_KIB = 16 * 1024
 STEP = 1024 * 1024
 
 
 def resident_kib(process):
+    """Return the peak resident size of PROCESS."""
     with open(f"/proc/{process.popen.pid}/status", encoding="ascii") as status:
         for line in status:
             if line.startswith("VmHWM:"):
@@ -43,7 +44,10 @@
 
 
 def read_all(caller, step_s=0.0):
-    """Bytes of the body up to the end of the connection."""
+    """Read until the connection ends and return the size of the body.
+
+    Pauses for STEP_S after each STEP bytes.
+    """
     data = caller.recv(4096)
     while b"\r\n\r\n" not in data:
         data += caller.recv(4096)
@@ -64,7 +68,7 @@
 
 
 def slow_reader(site):
-    """The answer takes longer than the deadline of its head."""
+    """Reading the answer takes longer than the deadline for its head."""
     before = {n: resident_kib(site.processes[n])
               for n in ("entry-1", "guard-1", "guard-2")}
     caller = connect(site, "entry-1",
@@ -107,7 +111,7 @@
 
 
 def hang_up(site):
-    """A caller that leaves while its request waits for a slot."""
+    """A caller closes its connection while its request waits for a slot."""
     both = ("guard-1.upstream", "guard-2.upstream")
     for name in both:
         site.fault(name, {"hang": True})
@@ -134,7 +138,7 @@
 
 
 def hang_up_before(site, memory={}):
-    """Lines in the ledgers when first asked."""
+    """Return the number of ledger lines at the first call."""
     if "n" not in memory:
         memory["n"] = sum(len(site.facts(n)) for n in
                           ("guard-1.upstream", "guard-2.upstream"))
@@ -142,7 +146,7 @@
 
 
 def stopped_guard(site):
-    """A guard that neither answers nor closes its connections."""
+    """A stopped guard neither answers nor closes its connections."""
     site.processes["guard-1"].signal(signal.SIGSTOP)
     answers = []
 
@@ -168,15 +172,17 @@
 
 
 def started_at(site, guard):
-    """Requests of resumed_guard that its upstream has started."""
+    """Return how many requests of resumed_guard were started at GUARD."""
     return len([f for f in site.facts(f"{guard}.upstream")
                 if f["event"] == "execution_start"
                 and f["request"].startswith("resumed-")])
 
 
 def resumed_guard(site):
-    """Requests at a guard that is silent get their final answer; those at
-    the other one, and the next ones at both, are served."""
+    """Requests at a guard that is stopped and resumed are answered as unknown.
+
+    Requests at the other guard, and later ones at both, are served.
+    """
     for name in ("guard-1.upstream", "guard-2.upstream"):
         site.fault(name, {"hang": True})
     callers = [connect(site, "entry-1",
--- a/tests/scripts/tasks.py
+++ b/tests/scripts/tasks.py
@@ -1,5 +1,7 @@
-"""Tasks through real processes: their life, drains, restarted guards and lost
-records."""
+"""Tasks on a site of processes.
+
+Their life cycle, drained workers, restarted guards and lost acknowledgements.
+"""
 
 import signal
 import sys
--- a/tests/scripts/tasks.sh
+++ b/tests/scripts/tasks.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# Tasks through real processes; see tasks.py.
+# Tasks on a site of processes; see tasks.py.
 exec python3 "$(dirname "$0")/tasks.py" "$1"
--- a/tests/scripts/tasks_faults.py
+++ b/tests/scripts/tasks_faults.py
@@ -1,4 +1,4 @@
-"""Tasks through the loss and pause of VMs, entries and the log."""
+"""Tasks while VMs, entries or the log are lost or paused."""
 
 import json
 import signal
--- a/tests/scripts/tasks_lost.py
+++ b/tests/scripts/tasks_lost.py
@@ -1,16 +1,15 @@
-"""A task that takes down the runtime of every worker that starts it.
+"""A task that crashes the runtime of every worker that starts it.
 
-What users would see: runtimes go down one after the other, each just after one
-and the same task was granted to its worker, without end.  The cause, read in
-the code: only an epoch that ends FAILED counts against a task; one whose
-runtime has gone ends LOST, and is granted anew at once.
+Guards against a fault in which such a task crashes one runtime after the other
+without end: only an epoch that ends FAILED counted against a task; one whose
+runtime is gone ends LOST, and the task was granted again at once.
 """
 
 import sys
 
 from tasks_site import await_watchers, job, ready, start_site, submit, until
 
-# Three runtimes may go down under it, and two more while that is noticed.
+# The task may crash three runtimes, and two more before that is noticed.
 STARTS_MAX = 5
 
 
@@ -19,7 +18,7 @@
 
 
 def start_of(site, name, epoch):
-    """The job as it runs in EPOCH or a later one, or as it is over."""
+    """Wait until the job runs in EPOCH or later, or is over; return it."""
     def look():
         now = job(site, name)
         at_work = now["state"] == "running" and now["epoch"] >= epoch
--- a/tests/scripts/tasks_policy.py
+++ b/tests/scripts/tasks_policy.py
@@ -1,5 +1,8 @@
-"""Tasks through real processes: quotas, bad tasks, bad workers and tasks that
-harm the service beside them."""
+"""Policies for tasks on a site of processes.
+
+Quotas, tasks that always fail, workers that fail every task, and tasks that
+slow down a service on the same VM.
+"""
 
 import json
 import os
@@ -24,14 +27,14 @@
               idempotent: true}]}
 interference: {evict_percent: 110, window_s: 1}
 """
-# One neighbour makes the service's p99 four times as long, a throttled one
-# still too long.
+# One task on the same VM makes the service's p99 four times as long; if that
+# task is throttled, the p99 still exceeds the target.
 NEIGHBOURS = {"service_p99_us": 100000,
               "pairs": {"service": {"assess": 3.0, "rush": 3.0}}}
 
 
 def most_at_once(site):
-    """The greatest number of tasks that ran at one time."""
+    """Return the greatest number of tasks that ran at one time."""
     points = []
     for runs in executions(site).values():
         for run in runs:
@@ -44,7 +47,10 @@
 
 
 def reasons(site, name):
-    """Why it is where it is; the entry that places it knows best."""
+    """Return the first reason for the state of the job NAME.
+
+    Prefers that of the entry that places it, as the others refer to that one.
+    """
     texts = [json.loads(site.operate(e, "GET", "/v1/explain/" + name)[2])
              ["reasons"][0] for e in site.entry_names]
     return min(texts, key=lambda text: "another entry" in text)
--- a/tests/scripts/thin.py
+++ b/tests/scripts/thin.py
@@ -1,25 +1,26 @@
-"""Entries whose links carry little."""
+"""Entries behind links of low bandwidth."""
 
 import sys
 
 from platform_site import (JOB_A, STEPS, other_entry, print_breaches,
                            start_site, until)
 
-# Bytes a second; a load of the jobs below takes some five seconds then, more
-# than any call lasts that makes no progress.
+# Bytes per second.  Loading the jobs below then takes about five seconds,
+# longer than any call lasts that makes no progress.
 RATE = 100_000
 JOBS = 70
 SPEC = "x" * 4000
 
 
 def narrow(site, rate=RATE):
+    """Limit the rate of all links of entries."""
     for name, link in site.links.items():
         if name.startswith("e"):
             link.rate = rate
 
 
 def fill_log(site):
-    """Let JOBS jobs with large specifications stand on the log, all ended."""
+    """Run JOBS jobs with large specifications, which stay in the log."""
     ids = [f"{i:016x}" for i in range(1, JOBS + 1)]
     for job in ids:
         site.submit("e1", job, STEPS[:1], spec=SPEC)
@@ -65,6 +66,7 @@
 
 
 def bytes_of(site, what):
+    """Return how many bytes of WHAT all entries have sent."""
     return sum(site.metric(name, f"traffic_{what}_out_bytes_total")
                for name in site.entries)
 
--- a/tests/scripts/thin.sh
+++ b/tests/scripts/thin.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Entries behind thin links; see thin.py.
+# Entries behind links of low bandwidth; see thin.py.
 set -u
 here=$(dirname "$0")
 . "$here/side-by-side"
--- a/tests/scripts/tls.py
+++ b/tests/scripts/tls.py
@@ -14,7 +14,7 @@
 
 
 def plain(address):
-    """Is a frame without TLS answered?"""
+    """Return whether a frame that is sent without TLS is answered."""
     host, port = address.rsplit(":", 1)
     with socket.create_connection((host, int(port)), timeout=10) as peer:
         peer.sendall(struct.pack(">I", 8) + b"\x0a\x06site-x")
@@ -25,8 +25,10 @@
 
 
 def over_tls(address, folder, name):
-    """Does a peer with the certificate NAME of FOLDER, or with none, get the
-    greeting of the process?"""
+    """Return whether a peer with a certificate receives a hello message.
+
+    NAME is that of the certificate in FOLDER; None: the peer has none.
+    """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
     context.verify_mode = ssl.CERT_NONE
--- a/tests/scripts/tls.sh
+++ b/tests/scripts/tls.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# Mutual trust of the site's processes; see tls.py.
+# Mutual TLS between the processes of a site; see tls.py.
 exec python3 "$(dirname "$0")/tls.py" "$1"
--- a/tests/scripts/versions.py
+++ b/tests/scripts/versions.py
@@ -2,11 +2,12 @@
 
 usage: versions.py BUILD BUILD_BEFORE [entries|guards|back]
 
-Not run by CI, which has one build: by hand, with a build of an earlier version.
-All processes are of the one before, and are stopped and started as BUILD one by
-one, entries or guards first; `back` goes the other way.  Meanwhile small jobs
-come, executors go down, and a task takes its executors down.  All that was
-accepted is completed, nothing runs twice or again, and that task is given up.
+CI has only one build, so this is run by hand, with a build of an earlier
+version.  All processes begin with BUILD_BEFORE and are restarted with BUILD
+one by one, entries or guards first; `back` is a downgrade.  Meanwhile small
+jobs are submitted, executors crash, and one task crashes its executors.  All
+accepted jobs must complete, no task may run twice or again, and that task must
+be given up.
 """
 
 import signal
@@ -26,7 +27,7 @@
 
 
 def replace(process, build):
-    """Stop PROCESS as planned, and start it as of BUILD."""
+    """Stop PROCESS by a planned shutdown and start the program of BUILD."""
     process.signal(signal.SIGTERM)
     try:
         process.wait(GRACE_S)
@@ -37,7 +38,7 @@
 
 
 def crash_in_turn(site, over):
-    """Executors go down by themselves, with another id."""
+    """Crash executors one after the other until OVER; their ids change."""
     names = list(site.executors)
     turn = 0
     while not over.wait(CRASH_EVERY_S):
@@ -46,6 +47,7 @@
 
 
 def play(first, then, order):
+    """Replace all processes of FIRST by those of THEN, in ORDER."""
     with start_site(first, entries=3, workers=4) as site:
         site.judge.crashers.add(CRASHERS[JOBS[0]])
         site.submit("e1", JOB_LONG_RUNNING, LONG_RUNNING, spec="lasts")
--- a/tests/scripts/writers.py
+++ b/tests/scripts/writers.py
@@ -1,6 +1,8 @@
-"""Other writers beside a working site: heartbeats and records that name
-nothing to use.  No run is lost, started twice or moved, and nothing starts on
-what they name."""
+"""Heartbeats and records from other writers while a site is at work.
+
+They are malformed or name executors and VMs that do not exist.  No run may be
+lost, started twice or moved, and nothing may be started on what they name.
+"""
 
 import json
 import signal
@@ -18,8 +20,8 @@
 BEAT_PAUSE_S = 0.1
 ROUNDS = 6
 TOO_LONG = {413, 0}
-# By then a leader takes all leases of executors that it cannot reach, if there
-# were any, for expired.
+# By then a leader would consider the leases of unreachable executors expired,
+# if there were any.
 LEASES_S = 16.0
 MAX_JOBS = 1000
 
@@ -39,8 +41,7 @@
 
 
 class Writers:
-    """Other writers beside SITE until `end`: records of all kinds, and
-    heartbeats to all guards."""
+    """Writes records of all kinds, and heartbeats to guards, until `end`."""
 
     def __init__(self, site):
         self.site = site
@@ -50,6 +51,7 @@
                         Background(self.beat, BEAT_PAUSE_S)]
 
     def all_beats(self):
+        """Yield (executor, id, body) of heartbeats without end."""
         while True:
             for executor in list(self.site.executors.values()):
                 beat = executor.beat_body(0)
@@ -68,6 +70,7 @@
 
 
 def all_complete(site, entry, jobs):
+    """Submit JOBS one after the other and wait for the end of each."""
     for job in jobs:
         until(lambda j=job: site.submit(entry, j, STEPS) == 200,
               what="accepted")
@@ -75,7 +78,7 @@
 
 
 def finish(site):
-    """What lasts was neither lost nor moved."""
+    """Print that the long-running tasks were neither lost nor moved."""
     print("  at work:", len(site.judge.at_work(JOB_A)))
     print("  its starts:", starts_of(site, JOB_A))
     print_breaches(site)
@@ -91,8 +94,8 @@
         for cases in zip(*beats):
             answers = {executor.post_body(executor.id, body)
                        for (_, executor), (_, body) in zip(workers, cases)}
-            # A body over the bound is answered before all of it was sent;
-            # the connection may be gone before that answer is read.
+            # A body over the limit is answered before all of it is sent, and
+            # the connection may be closed before that answer is read.
             if answers <= TOO_LONG:
                 answers = {"refused"}
             print(f"  {cases[0][0]}: {sorted(answers)}")
@@ -112,7 +115,7 @@
         body = json.dumps(executor.beat_body(10 ** 9))
         for name, wrong in IDS.items():
             print(f"  id {name}: {executor.post_body(wrong, body)}")
-        time.sleep(1.0)  # what was taken in would have had its effect
+        time.sleep(1.0)  # time for accepted heartbeats to show an effect
         all_complete(site, "e1", [JOB_B])
         finish(site)
 
--- a/tests/scripts/writers.sh
+++ b/tests/scripts/writers.sh
@@ -1,3 +1,3 @@
 #!/bin/sh
-# Other writers on the platform; see writers.py.
+# Heartbeats and records from other writers; see writers.py.
 exec python3 "$(dirname "$0")/writers.py" "$1"
