--- a/tests/scripts/bridge.py
+++ b/tests/scripts/bridge.py
@@ -16,7 +16,7 @@
         host, port = target.rsplit(":", 1)
         self.target = (host, int(port))
         self.address = f"127.0.0.1:{free_port()}"
-        self.ends = set()
+        self.sockets = set()
         self.lock = threading.Lock()
         self.is_cut = False
         self.listener = socket.create_server(
@@ -25,23 +25,23 @@
 
     def _accept(self):
         while True:
-            near, _ = self.listener.accept()
+            client, _ = self.listener.accept()
             try:
-                far = socket.create_connection(self.target)
+                server = socket.create_connection(self.target)
             except OSError:
-                near.close()
+                client.close()
                 continue
             with self.lock:
-                self.ends |= {near, far}
+                self.sockets |= {client, server}
                 refused = self.is_cut
             if refused:
-                self._close(near, far)
+                self._close(client, server)
                 continue
-            for ends in ((near, far), (far, near)):
-                threading.Thread(target=self._pass_on, args=ends,
+            for sockets in ((client, server), (server, client)):
+                threading.Thread(target=self._forward, args=sockets,
                                  daemon=True).start()
 
-    def _pass_on(self, source, target):
+    def _forward(self, source, target):
         try:
             while data := source.recv(65536):
                 target.sendall(data)
@@ -49,24 +49,24 @@
             pass
         self._close(source, target)
 
-    def _close(self, *ends):
-        for end in ends:
+    def _close(self, *sockets):
+        for sock in sockets:
             with self.lock:
-                if end not in self.ends:
+                if sock not in self.sockets:
                     continue
-                self.ends.remove(end)
+                self.sockets.remove(sock)
             try:
-                end.shutdown(socket.SHUT_RDWR)
+                sock.shutdown(socket.SHUT_RDWR)
             except OSError:
                 pass
-            end.close()
+            sock.close()
 
     def cut(self):
         """Close all connections and refuse new ones."""
         with self.lock:
             self.is_cut = True
-            ends = list(self.ends)
-        self._close(*ends)
+            sockets = list(self.sockets)
+        self._close(*sockets)
 
     def heal(self):
         """Accept connections again."""
--- a/tests/scripts/checker.py
+++ b/tests/scripts/checker.py
@@ -14,33 +14,33 @@
 ENTRY = "127.0.0.1:1"
 
 
-def at(seconds, event, **members):
+def fact(seconds, event, **members):
     return {"event": event, "time_us": int(seconds * 1e6), **members}
 
 
 def process(seconds, name, action):
-    return at(seconds, "process", process=name, action=action)
+    return fact(seconds, "process", process=name, action=action)
 
 
 def request(seconds, name, outcome="ran", key="", took=0.1, **members):
-    return at(seconds + took, "request", request=name, key=key, kind="check",
-              outcome=outcome, entry=ENTRY, status=200, reason="",
-              arrived_us=int(seconds * 1e6), wrong=0,
-              verdict={"ran": "ran", "not_run": "not-run"}.get(outcome, ""),
-              **members)
+    return fact(seconds + took, "request", request=name, key=key, kind="check",
+                outcome=outcome, entry=ENTRY, status=200, reason="",
+                arrived_us=int(seconds * 1e6), wrong=0,
+                verdict={"ran": "ran", "not_run": "not-run"}.get(outcome, ""),
+                **members)
 
 
 def execution(seconds, number, name, key="", method="GET", node="guard-1"):
-    return [at(seconds, "execution_start", node=node, execution=number,
-               request=name, key=key, method=method, path="/"),
-            at(seconds + 0.05, "execution_end", node=node, execution=number,
-               status=200)]
+    return [fact(seconds, "execution_start", node=node, execution=number,
+                 request=name, key=key, method=method, path="/"),
+            fact(seconds + 0.05, "execution_end", node=node, execution=number,
+                 status=200)]
 
 
 def task(seconds, event, name, epoch, state, progress, node="guard-1"):
-    return at(seconds, event, node=node, boot=node, task=name, epoch=epoch,
-              kind="line-test", state=state, progress_ms=progress,
-              until_us=int(seconds * 1e6))
+    return fact(seconds, event, node=node, boot=node, task=name, epoch=epoch,
+                kind="line-test", state=state, progress_ms=progress,
+                until_us=int(seconds * 1e6))
 
 
 def run(start, end, name, epoch, state, progress=0, node="guard-1",
@@ -51,31 +51,31 @@
 
 
 def submit(seconds, *ids, status=201):
-    return at(seconds, "submit", kind="line-test", count=len(ids),
-              status=status, ids=list(ids))
+    return fact(seconds, "submit", kind="line-test", count=len(ids),
+                status=status, ids=list(ids))
 
 
 def publish(seconds, base, revision, status=201):
-    return at(seconds, "publish", base=base, revision=revision,
-              status=status, digest=f"d{revision}")
+    return fact(seconds, "publish", base=base, revision=revision,
+                status=status, digest=f"d{revision}")
 
 
 def poll(seconds, revision, name="entry-1", digest=None):
-    return at(seconds, "poll", process=name, via="entry-1",
-              revision=revision, digest=digest)
+    return fact(seconds, "poll", process=name, via="entry-1",
+                revision=revision, digest=digest)
 
 
 def clean():
     """Return the facts by file of a run with evictions, a kill and a stop."""
     return {
-        "tool": [at(0, "site", entries={ENTRY: "entry-1"}),
+        "tool": [fact(0, "site", entries={ENTRY: "entry-1"}),
                  publish(1, 0, 1), poll(8, 1, digest="d1"),
                  publish(9, 1, 2), poll(9.5, 1), poll(10, 2),
                  submit(1, "t1", "t2"),
                  process(11, "guard-2", "terminate"),
                  process(12, "guard-2", "exited"),
                  process(13, "guard-1.worker", "kill"),
-                 at(40, "end")],
+                 fact(40, "end")],
         "caller": [request(2, "r1"), request(2, "r2", "not_run", key="k"),
                    request(3, "r3", key="k"),
                    request(11, "r4", took=0.5)],
@@ -87,7 +87,7 @@
         "worker-2": run(4, 5, "t1", 2, "succeeded", 900, "guard-2")}
 
 
-def judge(facts):
+def load_checker(facts):
     """Write FACTS to ledgers and return the Checker of these."""
     with tempfile.TemporaryDirectory() as folder:
         for name, lines in facts.items():
@@ -105,7 +105,7 @@
         facts[file] = facts.get(file, []) + lines
     for lines in facts.values():
         lines.sort(key=lambda f: f["time_us"])
-    breaches = judge(facts).breaches
+    breaches = load_checker(facts).breaches
     print(f"{name}:")
     for promise, texts in breaches.items():
         for text in texts:
@@ -136,8 +136,8 @@
     check("killed entry is no breach", caller=[request(5, "x", "unknown")],
           tool=[process(5.05, "entry-1", "kill")])
     check("too many at once",
-          upstream=[at(5, "breach", node="guard-1", limit="slots", allowed=8,
-                       seen=9)])
+          upstream=[fact(5, "breach", node="guard-1", limit="slots", allowed=8,
+                         seen=9)])
 
 
 def check_stops():
@@ -181,13 +181,13 @@
     check("done twice", worker=run(7, 8, "t2", 2, "succeeded"))
     check("lost job", tool=[submit(4, "t3")])
     check("cancelled job started",
-          tool=[submit(4, "t3"), at(5, "cancel", id="t3", status=200)],
+          tool=[submit(4, "t3"), fact(5, "cancel", id="t3", status=200)],
           worker=run(11, 12, "t3", 1, "succeeded"))
     check("refused job ran", tool=[submit(4, status=503)],
           worker=run(5, 6, "t9", 1, "succeeded"))
     check("missing watcher",
-          tool=[at(0, "site", entries={ENTRY: "entry-1"},
-                   watchers={"claim-watcher": 2})])
+          tool=[fact(0, "site", entries={ENTRY: "entry-1"},
+                     watchers={"claim-watcher": 2})])
 
 
 def check_configuration():
@@ -205,7 +205,7 @@
     facts = clean()
     facts["tool"].insert(4, process(5.05, "entry-1", "kill"))
     facts["caller"].append(request(5, "x", "unknown"))
-    report = judge(facts).report()
+    report = load_checker(facts).report()
     print("figures:", report["kept"])
     for part in ("requests", "jobs", "watchers"):
         for kind, row in report[part].items():
@@ -214,7 +214,7 @@
 
 check("clean run")
 show_figures()
-check("crash", tool=[at(5, "crash", process="entry-1", status="-6")])
+check("crash", tool=[fact(5, "crash", process="entry-1", status="-6")])
 check_requests()
 check_stops()
 check_tasks()
--- a/tests/scripts/cli_http.py
+++ b/tests/scripts/cli_http.py
@@ -104,23 +104,23 @@
                 "kind": "process.start"}) + "\n"
         return 404, {}
 
-    def publish(self, asked):
-        if asked["base"] != self.revision:
+    def publish(self, fields):
+        if fields["base"] != self.revision:
             return 409, {"message": "revision %d by ana came first"
                          % self.revision}
-        if "bogus" in asked["document"]:
+        if "bogus" in fields["document"]:
             return 400, {"message": "the document is not valid", "issues": [
                 {"line": 3, "path": "teams", "message": "no"}]}
         self.revision += 1
-        self.document = asked["document"]
+        self.document = fields["document"]
         self.behind = 2
         return 201, {"revision": self.revision}
 
-    def submit(self, request, asked):
+    def submit(self, request, fields):
         key = request.headers["idempotency-key"]
         first = len(self.jobs) * 10
         ids = self.jobs.setdefault(
-            key, ["%016x" % (first + i) for i in range(asked["count"])])
+            key, ["%016x" % (first + i) for i in range(fields["count"])])
         return 201, {"jobs": ids}
 
 
--- a/tests/scripts/config.py
+++ b/tests/scripts/config.py
@@ -40,7 +40,7 @@
     print(f"{name}: {status} {json.dumps(shown)}")
 
 
-def held(site, entry):
+def configuration(site, entry):
     """Return the configuration of ENTRY."""
     return json.loads(site.operate(entry, "GET", "/v1/config")[2])
 
@@ -98,7 +98,7 @@
 
 def outage(site):
     """The log is down, and then all entries restart without it."""
-    before = held(site, "entry-1")
+    before = configuration(site, "entry-1")
     site.fault("log", {"down": True})
     for entry in site.entry_names:
         await_log(site, entry, 0)
@@ -108,7 +108,7 @@
     for entry in site.entry_names:
         site.start_entry(entry)
     await_revision(site, 3)
-    after = held(site, "entry-2")
+    after = configuration(site, "entry-2")
     print("same items:", before["digest"] == after["digest"])
     show("still down", publish(site, "entry-2", 3, "lucia", document(94)))
     site.fault("log", {"down": False})
@@ -149,7 +149,7 @@
         site.await_targets(2)
         for entry in site.entry_names:
             await_log(site, entry, 1)
-        print("first:", json.dumps(held(site, "entry-1")))
+        print("first:", json.dumps(configuration(site, "entry-1")))
         show("faulty", publish(site, "entry-1", 0, "lucia",
                                "version: 1\nsite: x\nteams: [{}]\n"))
         show("other site", publish(site, "entry-1", 0, "lucia",
@@ -158,13 +158,13 @@
                                        "site: obermaier")))
         show("publish", publish(site, "entry-1", 0, "lucia", document(90)))
         await_revision(site, 1)
-        print("as written:", held(site, "entry-2")["document"]
+        print("as written:", configuration(site, "entry-2")["document"]
               == document(90))
         race(site)
         await_revision(site, 2)
-        status, told = publish(site, "entry-1", 1, "ana", document(99))
-        print("stale base:", status, told["revision"],
-              told["author"] in ("lucia", "tomas"))
+        status, answer = publish(site, "entry-1", 1, "ana", document(99))
+        print("stale base:", status, answer["revision"],
+              answer["author"] in ("lucia", "tomas"))
         site.fault("log", {"lost_ack": 1})
         show("lost ack", publish(site, "entry-1", 2, "lucia", document(93)))
         show("published twice",
--- a/tests/scripts/evacuated.py
+++ b/tests/scripts/evacuated.py
@@ -15,10 +15,10 @@
 STEP = {"count": 6, "cpu": 1000, "memMb": 10, "estimateMs": 300}
 # Longer than EVACUATE_S, within which an evacuation must be in force.
 PAST_BOUND_S = 7.0
-LASTING_JOB = "00000000000000ee"
+LONG_RUNNING_JOB = "00000000000000ee"
 
 
-class Callers:
+class JobSubmitter:
     """Submits a job every 0.1 s until `end` and keeps the accepted ones."""
 
     def __init__(self, site):
@@ -59,37 +59,37 @@
                if executor.zone == zone)
 
 
-def is_used_again(site, zone):
+def await_use(site, zone):
     """Wait until a run is started in ZONE."""
     before = starts_in(site, zone)
     until(lambda: starts_in(site, zone) > before, what="used again")
     print("  used again:", True)
 
 
-def play(build, title, trouble, before=None):
-    """Evacuate z1 under load, call TROUBLE, and revoke the evacuation.
+def run_scenario(build, title, inject_faults, before=None):
+    """Evacuate z1 under load, call INJECT_FAULTS, and revoke the evacuation.
 
     BEFORE is called before the evacuation.
     """
     print(title)
     with start_site(build, entries=2, workers=4, zones=ZONES) as site:
-        callers = Callers(site)
+        submitter = JobSubmitter(site)
         until(lambda: starts_in(site, "z1") > 0, what="z1 in use")
         if before is not None:
             before(site)
         site.evacuate("z1")
         began = time.monotonic()
-        trouble(site)
+        inject_faults(site)
         time.sleep(max(0.0, began + PAST_BOUND_S - time.monotonic()))
         site.take_back("z1")
-        is_used_again(site, "z1")
-        callers.end()
+        await_use(site, "z1")
+        submitter.end()
         print_breaches(site)
 
 
-def lasting_tasks(site):
+def running_long_tasks(site):
     """Return the long-running tasks that run now."""
-    return set(site.judge.at_work(LASTING_JOB))
+    return set(site.judge.at_work(LONG_RUNNING_JOB))
 
 
 def restart(site, name, pause_s=0.0):
@@ -100,42 +100,43 @@
 
 def calm(build):
     """Runs in the zone go on, and long-running ones are not moved."""
-    def trouble(site):
-        held = {name: set(site.judge.on(f"{name}-1")) & lasting_tasks(site)
+    def inject_faults(site):
+        held = {name: set(site.judge.on(f"{name}-1")) & running_long_tasks(site)
                 for name in site.executors}
         time.sleep(PAST_BOUND_S)
         print("  lasting runs:", sum(len(tasks) for tasks in held.values()))
         print("  they stay:", all(tasks <= set(site.judge.on(f"{name}-1"))
                                   for name, tasks in held.items()))
-    play(build, "a zone is evacuated and taken back", trouble,
-         lambda site: site.submit_long_running(site.leader(), LASTING_JOB))
+    run_scenario(build, "a zone is evacuated and taken back", inject_faults,
+                 lambda site: site.submit_long_running(site.leader(),
+                                                       LONG_RUNNING_JOB))
 
 
 def leader(build):
-    def trouble(site):
+    def inject_faults(site):
         for _ in range(3):
             restart(site, site.leader())
             time.sleep(1.5)
-    play(build, "the leader is killed again and again", trouble)
+    run_scenario(build, "the leader is killed again and again", inject_faults)
 
 
 def entries(build):
-    def trouble(site):
+    def inject_faults(site):
         for name in site.entries:
             site.processes[name].kill()
         time.sleep(1.0)
         for name in site.entries:
             site.processes[name].start()
-    play(build, "all entries are killed", trouble)
+    run_scenario(build, "all entries are killed", inject_faults)
 
 
 def guards(build):
-    def trouble(site):
+    def inject_faults(site):
         for _ in range(2):
             restart(site, "w1", 0.3)
             restart(site, "w2")
             time.sleep(2.0)
-    play(build, "guards of the zone are killed", trouble)
+    run_scenario(build, "guards of the zone are killed", inject_faults)
 
 
 def late(build):
@@ -148,11 +149,11 @@
             executor.late, executor.late_s = 0.5, 3.0
         time.sleep(1.0)
 
-    def trouble(site):
+    def inject_faults(site):
         time.sleep(6.0)
         for executor in site.executors.values():
             executor.late = 0.0
-    play(build, "orders go unanswered", trouble, before)
+    run_scenario(build, "orders go unanswered", inject_faults, before)
 
 
 def stale(build):
@@ -164,60 +165,61 @@
         site.store.unreadable = {"keyed.op"}
         time.sleep(0.5)
 
-    def trouble(site):
+    def inject_faults(site):
         time.sleep(PAST_BOUND_S)
         site.store.unreadable = set()
         time.sleep(1.5)
-    play(build, "the operators' topic can't be read meanwhile", trouble,
-         before)
+    run_scenario(build, "the operators' topic can't be read meanwhile",
+                 inject_faults, before)
 
 
 def forgotten(build):
-    def trouble(site):
+    def inject_faults(site):
         site.store.forget("keyed.op")
         time.sleep(2.0)
         site.store.down = "silent"
         time.sleep(3.0)
         site.store.down = None
         site.store.forget("keyed.op")
-    play(build, "the store forgets its history and is away", trouble)
+    run_scenario(build, "the store forgets its history and is away",
+                 inject_faults)
 
 
 def by_turns(build):
     """The zones are evacuated in turn, and work never has to wait for both."""
-    def trouble(site):
+    def inject_faults(site):
         time.sleep(PAST_BOUND_S)
         site.evacuate("z2")
         site.take_back("z1")
-        is_used_again(site, "z1")
+        await_use(site, "z1")
         time.sleep(PAST_BOUND_S)
         site.evacuate("z1")
         site.take_back("z2")
-        is_used_again(site, "z2")
-    play(build, "two zones by turns", trouble)
+        await_use(site, "z2")
+    run_scenario(build, "two zones by turns", inject_faults)
 
 
 def all_zones(build):
     """Accepted jobs wait while no zone is left, and are done afterwards."""
-    def trouble(site):
+    def inject_faults(site):
         site.evacuate("z2")
         time.sleep(PAST_BOUND_S)
         name = site.leader()
         print("  known as evacuated:", site.metric(name, "zones_evacuated"))
         site.take_back("z2")
-    play(build, "all zones at once", trouble)
+    run_scenario(build, "all zones at once", inject_faults)
 
 
 def lasting(build):
     """Long-running runs whose executors crash restart in the other zone."""
     print("an executor of the zone goes down")
     with start_site(build, entries=2, workers=4, zones=ZONES) as site:
-        site.submit_long_running(next(iter(site.entries)), LASTING_JOB)
+        site.submit_long_running(next(iter(site.entries)), LONG_RUNNING_JOB)
         site.evacuate("z1")
         time.sleep(2.0)
         for name in ("w1", "w2"):
             site.executors[name].crash()
-        until(lambda: len(lasting_tasks(site)) == 3
+        until(lambda: len(running_long_tasks(site)) == 3
               and not site.judge.on("w1-2") and not site.judge.on("w2-2"),
               what="back elsewhere")
         print("  back elsewhere:", True)
--- a/tests/scripts/evacuated_site.py
+++ b/tests/scripts/evacuated_site.py
@@ -8,9 +8,9 @@
 import signal
 import sys
 
-from tasks_site import (DOCUMENT, await_state, await_watchers, executions,
-                        judge, now_us, publish, ready, running_watchers,
-                        start_site, submit)
+from tasks_site import (DOCUMENT, await_state, await_watchers, configure,
+                        executions, now_us, print_double_runs, publish,
+                        running_watchers, start_site, submit)
 
 from site_processes import until
 
@@ -48,7 +48,7 @@
                for fact in site.facts(guard + ".upstream"))
 
 
-def use(site, title):
+def run_work(site, title):
     """Run jobs and requests through all entries, and wait for their ends."""
     for entry in site.entry_names:
         names = submit(site, entry, 6, run_ms=100)
@@ -68,7 +68,7 @@
 def main(build):
     print("a zone is evacuated")
     with start_site(build, upstream=True, entries=2, guards=4) as site:
-        ready(site, WATCHERS, SERVICE)
+        configure(site, WATCHERS, SERVICE)
         site.await_targets(4)
         await_watchers(site, WATCHERS)
         before = {w["id"]: w["worker"] for w in running_watchers(site)}
@@ -77,11 +77,11 @@
         print("  told:", status(site)["evacuated_zones"],
               upstreams(site, "not-routed"))
         since, taken = now_us(), requests_in(site, "a")
-        use(site, "meanwhile")
+        run_work(site, "meanwhile")
         site.processes["entry-1"].kill()
         site.start_entry("entry-1")
         await_revision(site, 2)
-        use(site, "after a restart")
+        run_work(site, "after a restart")
         print("  started there:", starts_since(site, "a", since),
               "requests there:", requests_in(site, "a") - taken,
               "elsewhere:", requests_in(site, "b") > 0)
@@ -97,13 +97,13 @@
         until(lambda: "not-routed" not in
               [u["state"] for u in status(site)["upstreams"]
                if u["guard"] != "guard-1"], what="routed")
-        use(site, "taken back")
+        run_work(site, "taken back")
         until(lambda: submit(site, run_ms=10)
               and starts_since(site, "a", since) > 0
               and site.call("entry-1", "GET", "/reclamos-api/check?ms=1")
               and requests_in(site, "a") > taken, what="used again")
         print("  used again:", True)
-        judge(site)
+        print_double_runs(site)
 
 
 main(sys.argv[1])
--- a/tests/scripts/gone.py
+++ b/tests/scripts/gone.py
@@ -25,11 +25,11 @@
 
 # After a deregistration no lease has to expire (5.25 s).  Without one, leases
 # granted until the end do, but not those of previous leaders (13.25 s).
-BY_GOODBYE_S = 4.5
-BY_LEASE_S = 9.5
+DEREGISTERED_LIMIT_S = 4.5
+LEASE_LIMIT_S = 9.5
 
 
-def at_work(site):
+def all_running(site):
     """Return whether all tasks of the long-running job run."""
     return len(site.judge.at_work(JOB_A)) == 3
 
@@ -40,7 +40,7 @@
                 if executor.runs)
 
 
-def obeyed(site, name, leader):
+def await_leader_known(site, name, leader):
     """Wait until the guard of NAME has accepted LEADER."""
     until(lambda: f'"leader.known","leader":"{leader}"'
           in site.processes[name].log_of_life(), what="leader known")
@@ -54,10 +54,10 @@
     return site.leader()
 
 
-def back(site, limit_s, ended):
+def print_running_again(site, limit_s, ended):
     """Print whether the long-running job runs again LIMIT_S after ENDED."""
     try:
-        until(lambda: at_work(site), timeout_s=limit_s + 6, what="again")
+        until(lambda: all_running(site), timeout_s=limit_s + 6, what="again")
         took = f"{time.monotonic() - ended:.1f} s"
     except TimeoutError:
         took = "not at all"
@@ -66,33 +66,33 @@
     print(f"  within {limit_s} s:", not late)
 
 
-def said_so(site):
+def print_wait_logged(site):
     """Print whether a leader logged which executor the runs waited for."""
     print("  said so:", any('"executor.awaited"'
                             in site.processes[entry].log()
                             for entry in site.entries))
 
 
-def started(build):
+def new_site(build):
     """Return a site of three entries and three workers."""
     return start_site(build, entries=3, workers=3)
 
 
-def lasting(site):
+def submit_and_wait(site):
     """Submit the long-running job and wait until all its tasks run."""
     site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-    until(lambda: at_work(site), what="at work")
+    until(lambda: all_running(site), what="at work")
 
 
-def taken_away(site, goodbye):
+def remove_worker(site, goodbye):
     """Change the leader, end the executor of a busy worker and stop its VM.
 
     The executor deregisters if GOODBYE.  Returns the time at which it ended.
     """
-    lasting(site)
+    submit_and_wait(site)
     leader = change_leader(site)
     name = busy_worker(site)
-    obeyed(site, name, leader)
+    await_leader_known(site, name, leader)
     site.executors[name].leave(goodbye=goodbye)
     ended = time.monotonic()
     site.processes[name].signal(signal.SIGTERM)
@@ -102,69 +102,71 @@
 def drained(build):
     print("after a change of the leader an executor says goodbye, "
           "and its VM is stopped")
-    with started(build) as site:
-        back(site, BY_GOODBYE_S, taken_away(site, goodbye=True))
+    with new_site(build) as site:
+        print_running_again(site, DEREGISTERED_LIMIT_S,
+                            remove_worker(site, goodbye=True))
         print_breaches(site)
 
 
 def silent(build):
     print("after a change of the leader an executor ends without a word, "
           "and its VM is stopped")
-    with started(build) as site:
-        back(site, BY_LEASE_S, taken_away(site, goodbye=False))
-        said_so(site)
+    with new_site(build) as site:
+        print_running_again(site, LEASE_LIMIT_S,
+                            remove_worker(site, goodbye=False))
+        print_wait_logged(site)
         print_breaches(site)
 
 
 def forgotten(build):
     print("an executor ends without a word, and its guard starts anew")
-    with started(build) as site:
-        lasting(site)
+    with new_site(build) as site:
+        submit_and_wait(site)
         name = busy_worker(site)
         site.executors[name].leave(goodbye=False)
         ended = time.monotonic()
         site.processes[name].kill()
         site.processes[name].start()
-        back(site, BY_LEASE_S, ended)
-        said_so(site)
+        print_running_again(site, LEASE_LIMIT_S, ended)
+        print_wait_logged(site)
         print_breaches(site)
 
 
 def forgotten_by_new_leader(build):
     print("an executor ends without a word, the leader is lost, and the "
           "guard starts anew under the next")
-    with started(build) as site:
-        lasting(site)
+    with new_site(build) as site:
+        submit_and_wait(site)
         name = busy_worker(site)
         site.processes[name].kill()
         site.executors[name].leave(goodbye=False)
         ended = time.monotonic()
         leader = change_leader(site)
         site.processes[name].start()
-        obeyed(site, name, leader)
-        back(site, BY_LEASE_S, ended)
+        await_leader_known(site, name, leader)
+        print_running_again(site, LEASE_LIMIT_S, ended)
         print_breaches(site)
 
 
 def goodbye_unheard(build):
     print("an executor says goodbye while nobody leads, and its VM is "
           "stopped")
-    with started(build) as site:
-        lasting(site)
+    with new_site(build) as site:
+        submit_and_wait(site)
         name, first = busy_worker(site), site.leader()
         site.processes[first].kill()
         site.executors[name].leave(goodbye=True)
         ended = time.monotonic()
         site.processes[name].signal(signal.SIGTERM)
-        back(site, BY_GOODBYE_S, ended)
+        print_running_again(site, DEREGISTERED_LIMIT_S, ended)
         print_breaches(site)
 
 
 def led_again(build):
     print("a leader that lost the lead leads again, and a VM is lost that "
           "has not heard of that")
-    with started(build) as site:
-        lasting(site)
+    with new_site(build) as site:
+        submit_and_wait(site)
         name, first = busy_worker(site), site.leader()
         site.processes[first].signal(signal.SIGSTOP)
         until(lambda: site.leader() not in (None, first), what="another leader")
@@ -179,27 +181,27 @@
             if entry not in (first, second):
                 site.processes[entry].kill()
         site.processes[second].signal(signal.SIGTERM)
-        back(site, BY_LEASE_S, ended)
+        print_running_again(site, LEASE_LIMIT_S, ended)
         print_breaches(site)
 
 
 def resigned(build):
     print("the leader stops as planned while a VM is lost")
-    with started(build) as site:
-        lasting(site)
+    with new_site(build) as site:
+        submit_and_wait(site)
         name, first = busy_worker(site), site.leader()
         site.processes[first].signal(signal.SIGTERM)
         site.processes[name].kill()
         site.executors[name].leave(goodbye=False)
         ended = time.monotonic()
-        back(site, BY_LEASE_S, ended)
+        print_running_again(site, LEASE_LIMIT_S, ended)
         print_breaches(site)
 
 
 def restarted(build):
     print("the leader is killed and starts again while a VM is lost")
-    with started(build) as site:
-        lasting(site)
+    with new_site(build) as site:
+        submit_and_wait(site)
         name, first = busy_worker(site), site.leader()
         site.processes[name].kill()
         site.executors[name].leave(goodbye=False)
@@ -208,7 +210,7 @@
         until(lambda: site.leader() not in (None, first),
               what="another leader")
         site.processes[first].start()
-        back(site, BY_LEASE_S, ended)
+        print_running_again(site, LEASE_LIMIT_S, ended)
         print_breaches(site)
 
 
--- a/tests/scripts/keyed.py
+++ b/tests/scripts/keyed.py
@@ -29,7 +29,7 @@
     print(f"{name}: {status}", *shown, f"{len(body)} bytes")
 
 
-def starts(site):
+def count_executions(site):
     """Count the executions of each key on all upstreams."""
     found = collections.Counter()
     for guard in site.guard_names:
@@ -48,7 +48,7 @@
 
 
 def await_start(site, key):
-    until(lambda: starts(site)[key] == 1, what=f"execution of {key}")
+    until(lambda: count_executions(site)[key] == 1, what=f"execution of {key}")
 
 
 def await_log(site, entry, state):
@@ -56,7 +56,7 @@
           what=f"store_available {state} at {entry}")
 
 
-def await_decided(site, entry):
+def await_outcomes(site, entry):
     """Wait until ENTRY has appended and read all its outcomes."""
     until(lambda: site.counter(entry, "keys_active") == 0,
           what=f"outcomes of {entry}")
@@ -65,7 +65,7 @@
 def replays(site):
     first = claim(site, "entry-1", "k-first")
     show("first", first)
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
     until(lambda: claim(site, "entry-2", "k-first")[0] == 200,
           what="outcome at entry-2")
     second = claim(site, "entry-2", "k-first")
@@ -75,14 +75,14 @@
     show("other team", claim(site, "entry-1", "k-first",
                              headers={"Galenapier-Team": "peritaje"}))
     show("failed status", claim(site, "entry-1", "k-500", "ms=1&status=500"))
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
     show("replayed", claim(site, "entry-1", "k-500", "ms=1&status=500"))
     show("large", claim(site, "entry-1", "k-large", "size=100000"))
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
     show("not kept", claim(site, "entry-1", "k-large", "size=100000"))
     show("in parts", claim(site, "entry-1", "k-parts",
                            "size=2000&chunked=1"))
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
     show("kept", claim(site, "entry-1", "k-parts", "size=2000&chunked=1"))
     show("idempotent", site.call("entry-1", "GET", "/reclamos-api/x", None,
                                  {"Idempotency-Key": "k-get"}))
@@ -110,10 +110,10 @@
 def lost_acknowledgement(site):
     site.fault("log", {"lost_ack": 1})
     show("lost ack of the intent", claim(site, "entry-1", "k-lost-ack"))
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
     site.fault("log", {"drop_append": 1})
     show("append that vanished", claim(site, "entry-1", "k-vanished"))
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
 
 
 def late_intent(site):
@@ -125,7 +125,7 @@
     show("late intent", claim(site, "entry-1", "k-late", headers={
         "Galenapier-Timeout-Ms": "150"}))
     site.fault("log", {"append_delay_ms": 0})
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
     show("and again", claim(site, "entry-1", "k-late"))
 
 
@@ -138,7 +138,7 @@
     for guard in site.guard_names:
         site.start_guard(guard, alone=True)
     site.await_targets(len(site.guard_names))
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
     show("released", claim(site, "entry-1", "k-refused"))
 
 
@@ -146,7 +146,7 @@
     show("past its deadline", claim(
         site, "entry-1", "k-past", "ms=800",
         headers={"Galenapier-Timeout-Ms": "100"}))
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
     show("and again", claim(site, "entry-1", "k-past", "ms=800"))
 
 
@@ -156,7 +156,7 @@
             "/reclamos-api/claims?ms=600", b"claim",
             {"Idempotency-Key": "k-left"}, timeout_s=0.3)
     await_start(site, "k-left")
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
     show("caller left, again", claim(site, "entry-1", "k-left", "ms=600"))
 
 
@@ -183,7 +183,7 @@
     site.fault("log", {"down": False})
     await_log(site, "entry-1", 1)
     await_log(site, "entry-2", 1)
-    await_decided(site, "entry-1")
+    await_outcomes(site, "entry-1")
     until(lambda: claim(site, "entry-2", "k-outage", "ms=600")[0] == 200,
           what="outcome at entry-2")
 
@@ -212,7 +212,7 @@
                      late_intent, not_run, deadline_passes, caller_leaves,
                      log_down, log_lost_while_running, entry_killed):
             step(site)
-        found = starts(site)
+        found = count_executions(site)
         found["k-first"] -= 1  # of another team
         del found["k-get"], found[""]
         print("runs:", json.dumps(dict(sorted(found.items()))))
--- a/tests/scripts/limits.py
+++ b/tests/scripts/limits.py
@@ -49,14 +49,14 @@
 
 def show(name, answer):
     status, headers, body = answer
-    told = json.loads(body) if status != 200 else {}
+    error = json.loads(body) if status != 200 else {}
     print(f"{name}: {status} {headers.get('galenapier-verdict')}"
           f" {headers.get('galenapier-reason')}"
           f" {headers.get('retry-after')}",
-          "hint in body" if told.get("retry_after_ms", 0) > 0 else "")
+          "hint in body" if error.get("retry_after_ms", 0) > 0 else "")
 
 
-def ask(site, entry, path, team=None):
+def send_request(site, entry, path, team=None):
     headers = {"Galenapier-Team": team} if team else {}
     return site.call(entry, "GET", SERVICE + path, None, headers)
 
@@ -71,12 +71,12 @@
         site.fault(name, {"hang": on})
 
 
-def held_open(site, entry, path, team=None):
+def open_request(site, entry, path, team=None):
     """Send a request that stays open until the upstreams answer again."""
     before = site.counter(entry, "entry_requests_open")
     answers = []
     thread = threading.Thread(
-        target=lambda: answers.append(ask(site, entry, path, team)))
+        target=lambda: answers.append(send_request(site, entry, path, team)))
     thread.start()
     until(lambda: site.counter(entry, "entry_requests_open") == before + 1,
           what="request open")
@@ -86,21 +86,24 @@
 def entry_limits(site):
     """Each entry applies its share of the document's limits."""
     hang(site, True)
-    held = [held_open(site, e, "/check?ms=1", "windscreen")
-            for e in site.entry_names]
+    open_requests = [open_request(site, e, "/check?ms=1", "windscreen")
+                     for e in site.entry_names]
     for entry in site.entry_names:
         show(f"team over its share at {entry}",
-             ask(site, entry, "/check?ms=1", "windscreen"))
-    held.append(held_open(site, "entry-1", "/photo?ms=1"))
-    show("class over its share", ask(site, "entry-1", "/photo?ms=1"))
-    show("kind that is closed", ask(site, "entry-1", "/closed"))
+             send_request(site, entry, "/check?ms=1", "windscreen"))
+    open_requests.append(open_request(site, "entry-1", "/photo?ms=1"))
+    show("class over its share", send_request(site, "entry-1", "/photo?ms=1"))
+    show("kind that is closed", send_request(site, "entry-1", "/closed"))
     hang(site, False)
-    for thread, answers in held:
+    for thread, answers in open_requests:
         thread.join()
         show("held", answers[0])
-    show("team again", ask(site, "entry-1", "/check?ms=1", "windscreen"))
-    show("team with a rate", ask(site, "entry-1", "/check?ms=1", "slow"))
-    show("team over its rate", ask(site, "entry-1", "/check?ms=1", "slow"))
+    show("team again",
+         send_request(site, "entry-1", "/check?ms=1", "windscreen"))
+    show("team with a rate",
+         send_request(site, "entry-1", "/check?ms=1", "slow"))
+    show("team over its rate",
+         send_request(site, "entry-1", "/check?ms=1", "slow"))
     print("limited:", [site.counter(e, "entry_requests_limited_total")
                        for e in site.entry_names])
 
@@ -109,7 +112,7 @@
     """Send COUNT requests to ENTRY from each of 24 threads."""
     def one():
         for _ in range(count):
-            answers.append((entry, ask(site, entry, "/check?ms=20")))
+            answers.append((entry, send_request(site, entry, "/check?ms=20")))
 
     threads = [threading.Thread(target=one) for _ in range(24)]
     for thread in threads:
@@ -141,13 +144,13 @@
 def failing_executor(site):
     """An executor that fails fast is ejected, probed and readmitted."""
     site.fault("guard-1.upstream", {"fail_fast": True})
-    until(lambda: ask(site, "entry-1", "/check?ms=1") and
+    until(lambda: send_request(site, "entry-1", "/check?ms=1") and
           site.counter("entry-1", "entry_ejections_total") == 1,
           what="ejection")
-    print("ejected; answers:", {ask(site, "entry-1", "/check?ms=1")[0]
+    print("ejected; answers:", {send_request(site, "entry-1", "/check?ms=1")[0]
                                 for _ in range(40)})
     site.fault("guard-1.upstream", {"fail_fast": False})
-    until(lambda: ask(site, "entry-1", "/check?ms=1") and
+    until(lambda: send_request(site, "entry-1", "/check?ms=1") and
           "target.readmitted" in site.processes["entry-1"].log(),
           what="readmission")
     print("readmitted")
--- a/tests/scripts/membership.py
+++ b/tests/scripts/membership.py
@@ -15,7 +15,7 @@
 GUARDS = 3
 
 
-def opened(site, guard):
+def open_sessions(site, guard):
     """Return how many sessions to entries GUARD has open."""
     log = site.processes[guard].log()
     return log.count("session.open") - log.count("session.closed")
@@ -42,7 +42,7 @@
     """Each guard has two homes, which report it to the other entries."""
     site.await_targets(GUARDS)
     serve_all(site, "all entries serve")
-    print("sessions of each guard:", [opened(site, g)
+    print("sessions of each guard:", [open_sessions(site, g)
                                       for g in site.guard_names])
     print("two entries told of each guard:",
           total(site, "entry_member_news_sent_total")
--- a/tests/scripts/operators.py
+++ b/tests/scripts/operators.py
@@ -23,16 +23,16 @@
     def __init__(self, site, entry):
         self.address = site.addresses[f"{entry}.operators"]
 
-    def ask(self, method, path, body=None, headers=None):
+    def send(self, method, path, body=None, headers=None):
         return request(self.address, method, path, body,
                        GOOD if headers is None else headers)
 
     def json(self, path):
-        return json.loads(self.ask("GET", path)[2])
+        return json.loads(self.send("GET", path)[2])
 
     def lines(self, path):
         return [json.loads(line)
-                for line in self.ask("GET", path)[2].splitlines()]
+                for line in self.send("GET", path)[2].splitlines()]
 
 
 def show_status(operator):
@@ -53,7 +53,7 @@
     print("tasks:", isinstance(status["tasks"], dict))
 
 
-def stamp(event):
+def timestamp(event):
     return event["ms"], event["counter"]
 
 
@@ -64,17 +64,17 @@
         own = events[process]
         print(process, own[0]["kind"], own[0]["sequence"],
               all(e["process"] == process for e in own),
-              sorted(own, key=stamp) == own)
+              sorted(own, key=timestamp) == own)
     # The guard's start causes the entry to see it serving.
     started = next(e for e in events["guard-1"]
                    if e["kind"] == "peer.up" and e["vm"] == "entry-1")
     serving = next(e for e in events["entry-1"]
                    if e["kind"] == "member.serving" and e["vm"] == "guard-1")
-    print("cause before effect:", stamp(started) < stamp(serving))
+    print("cause before effect:", timestamp(started) < timestamp(serving))
     page = operator.lines("/v1/timeline?process=guard-1&max=1&since=1")
     print("page:", [event["sequence"] for event in page])
     for path in ("?process=nobody", "?since=-1", "?max=x"):
-        status, _, body = operator.ask("GET", "/v1/timeline" + path)
+        status, _, body = operator.send("GET", "/v1/timeline" + path)
         print(path, status, json.loads(body)["message"])
 
 
@@ -91,14 +91,14 @@
         events = [json.loads(line) for line in result.stdout.splitlines()]
         print("timeline", *more, result.returncode, result.stderr,
               sorted({e["process"] for e in events}),
-              sorted(events, key=stamp) == events)
+              sorted(events, key=timestamp) == events)
 
 
 def show_counters(operator):
     for process, name in (("", "entry_targets_routed 2"),
                           ("?process=guard-2", "guard_entries_connected 2"),
                           ("?process=entry-2", "entry_targets_routed 2")):
-        status, headers, body = operator.ask("GET", "/v1/counters" + process)
+        status, headers, body = operator.send("GET", "/v1/counters" + process)
         print("counters", process, status, headers["content-type"],
               f"galenapier_{name}\n" in body.decode())
 
@@ -107,19 +107,19 @@
     for document in ("version: 1\nsite: s\n",
                      "version: 1\nsite: s\nteams: [{nam: t}]\n", "\"a\n"):
         body = json.dumps({"document": document, "tree": True})
-        status, _, answer = operator.ask("POST", "/v1/check", body)
+        status, _, answer = operator.send("POST", "/v1/check", body)
         answer = json.loads(answer)
         print("check", status, answer["ok"], answer.get("tree"),
               answer.get("places"))
         for issue in answer["issues"]:
             print(" ", issue["line"], issue["path"], issue["message"])
     for body in ("", "[]", "{", "{}", '{"document": 1}'):
-        print("body", repr(body), operator.ask("POST", "/v1/check", body)[0])
+        print("body", repr(body), operator.send("POST", "/v1/check", body)[0])
 
 
 def publish(operator, base, document, headers=None):
     body = json.dumps({"base": base, "author": "ana", "document": document})
-    status, _, answer = operator.ask("POST", "/v1/config", body, headers)
+    status, _, answer = operator.send("POST", "/v1/config", body, headers)
     answer = json.loads(answer)
     print("publish on", base, status, answer.get("revision"),
           answer.get("message"))
@@ -145,7 +145,7 @@
 def show_console(operator):
     wanted = ("content-type", "content-security-policy",
               "x-content-type-options", "referrer-policy", "cache-control")
-    page = operator.ask("GET", "/console", headers={})
+    page = operator.send("GET", "/console", headers={})
     for name in wanted:
         print(name + ":", page[1].get(name))
     text = page[2].decode()
@@ -153,34 +153,34 @@
           or "<script>" in text)
     for file in ("console.css", "console.js", "model.js", "yaml.js",
                  "forms.js", "schema.json"):
-        status, headers, body = operator.ask("GET", "/console/" + file,
-                                             headers={})
+        status, headers, body = operator.send("GET", "/console/" + file,
+                                              headers={})
         print(file, status, headers["content-type"], len(body) > 0)
-    print("other file:", operator.ask("GET", "/console/x")[0])
+    print("other file:", operator.send("GET", "/console/x")[0])
     print("holds no token:", TOKEN not in text)
 
 
 def show_refusals(operator):
     for headers in ({}, WRONG, {"Authorization": TOKEN},
                     {"Authorization": "Bearer "}):
-        status, names, body = operator.ask("GET", "/v1/status",
-                                           headers=headers)
+        status, names, body = operator.send("GET", "/v1/status",
+                                            headers=headers)
         print("refused", status, names["content-type"], json.loads(body))
-    print("other method:", operator.ask("DELETE", "/v1/status")[0])
-    print("other path:", operator.ask("GET", "/v1/nothing")[0])
+    print("other method:", operator.send("DELETE", "/v1/status")[0])
+    print("other path:", operator.send("GET", "/v1/nothing")[0])
 
 
 def show_limit(operator):
     """After too many failures even the right token is refused for a while."""
     statuses = []
     while 429 not in statuses and len(statuses) < TRIES_MAX:
-        statuses.append(operator.ask("GET", "/v1/status", headers=WRONG)[0])
+        statuses.append(operator.send("GET", "/v1/status", headers=WRONG)[0])
     print("failures:", sorted(set(statuses)))
-    status, headers, body = operator.ask("GET", "/v1/status")
+    status, headers, body = operator.send("GET", "/v1/status")
     print("right token:", status, int(headers["retry-after"]) > 0,
           json.loads(body)["message"])
-    print("console:", operator.ask("GET", "/console", headers={})[0])
-    until(lambda: operator.ask("GET", "/v1/status")[0] == 200,
+    print("console:", operator.send("GET", "/console", headers={})[0])
+    until(lambda: operator.send("GET", "/v1/status")[0] == 200,
           what="sign-in after the limit")
     print("right token later: 200")
 
@@ -206,7 +206,7 @@
               == "unreachable", what="entry-2 unreachable")
         print("entry-2 killed:", operator.json("/v1/status")["owners"])
         print("its counters:",
-              operator.ask("GET", "/v1/counters?process=entry-2")[0])
+              operator.send("GET", "/v1/counters?process=entry-2")[0])
         site.processes["guard-1"].kill()
         site.await_targets_of("entry-1", 1)
         guard = operator.json("/v1/status")["guards"][0]
--- a/tests/scripts/ordered_late.py
+++ b/tests/scripts/ordered_late.py
@@ -129,7 +129,7 @@
 
 
 def run_all_starts_late(late_s):
-    """Return a function for `play` that has all executors run starts late."""
+    """Return a fault for `run_scenario`: all executors run starts late."""
     def do(site, worker):
         for executor in site.executors.values():
             threading.Thread(target=run_starts_late,
@@ -210,7 +210,7 @@
     return False
 
 
-def play(build, do=lambda site, worker: None, hook=lambda site: None):
+def run_scenario(build, do=lambda site, worker: None, hook=lambda site: None):
     """Run JOBS while DO injects faults at each crash.
 
     HOOK is called with the site before JOBS are submitted.
@@ -250,22 +250,22 @@
 
 def starts_late(build):
     print("executors carry starts out late, for a while after each crash")
-    play(build, run_all_starts_late(LATE_S))
+    run_scenario(build, run_all_starts_late(LATE_S))
 
 
 def starts_later(build):
     print("they carry them out up to twelve seconds late")
-    play(build, run_all_starts_late(LATER_S))
+    run_scenario(build, run_all_starts_late(LATER_S))
 
 
 def store_silent(build):
     print("the store is silent when such a start is written down")
-    play(build, hook=lambda site: store_outage(site, "silent"))
+    run_scenario(build, hook=lambda site: store_outage(site, "silent"))
 
 
 def store_refusing(build):
     print("the store refuses it")
-    play(build, hook=lambda site: store_outage(site, "busy"))
+    run_scenario(build, hook=lambda site: store_outage(site, "busy"))
 
 
 def store_slow(build):
@@ -276,7 +276,7 @@
             time.sleep(0.9)
             return hook.append(query, body)
         hook = IsolatedStartHook(site, do)
-    play(build, hook=hook)
+    run_scenario(build, hook=hook)
 
 
 def answers_lost(build):
@@ -288,7 +288,7 @@
             site.store.down = "silent"
             threading.Timer(OUTAGE_S, restore_store, (site,)).start()
         hook = IsolatedStartHook(site, do)
-    play(build, hook=hook)
+    run_scenario(build, hook=hook)
 
 
 def guard_killed(build):
@@ -299,7 +299,7 @@
         site.processes[worker].kill()
         time.sleep(0.5)
         site.processes[worker].start()
-    play(build, restart, lambda site: store_outage(site, "silent"))
+    run_scenario(build, restart, lambda site: store_outage(site, "silent"))
 
 
 def guards_stopped(build):
@@ -309,7 +309,7 @@
         others = [name for name in site.executors if name != worker]
         for name in others[::2]:
             pause(site.processes[name])
-    play(build, stop)
+    run_scenario(build, stop)
 
 
 def pause(process):
@@ -327,13 +327,13 @@
             if hook.left % 2:
                 hook.append(query, body)
         hook = IsolatedStartHook(site, do)
-    play(build, hook=hook)
+    run_scenario(build, hook=hook)
 
 
 def late_and_refusing(build):
     print("executors carry starts out late while the store refuses")
-    play(build, run_all_starts_late(LATE_S),
-         lambda site: store_outage(site, "busy"))
+    run_scenario(build, run_all_starts_late(LATE_S),
+                 lambda site: store_outage(site, "busy"))
 
 
 def told_as_put_off(build):
--- a/tests/scripts/planned.py
+++ b/tests/scripts/planned.py
@@ -14,7 +14,7 @@
                            start_site, until)
 
 # Limit from the end of an executor until its long-running tasks run elsewhere.
-MOVED_S = 6.0
+MOVE_LIMIT_S = 6.0
 
 
 def worker_of(site, job):
@@ -24,7 +24,7 @@
                        for task in site.judge.on(executor.id)))
 
 
-def begin_leaving(site, name, drain_s=1.0, longer_s=0.5):
+def start_shutdown(site, name, drain_s=1.0, longer_s=0.5):
     """Start the planned shutdown of the worker NAME.
 
     Returns a function that waits until its executor has ended and the
@@ -39,14 +39,14 @@
         until(lambda: executor.closed, what="the executor's end")
         ended_at = time.monotonic()
         until(lambda: len(site.judge.at_work(JOB_A)) == 3,
-              timeout_s=MOVED_S, what="at work elsewhere")
+              timeout_s=MOVE_LIMIT_S, what="at work elsewhere")
         print(f"  moved in {time.monotonic() - ended_at:.2f} s",
               file=sys.stderr)
         thread.join()
     return await_moved
 
 
-def finish(site, entry):
+def check_site(site, entry):
     """Print that the long-running tasks run and that a job completes."""
     print("  still at work:", len(site.judge.at_work(JOB_A)))
     print("  submitted:", site.submit(entry, JOB_B, STEPS))
@@ -58,8 +58,8 @@
     print("an executor drains and leaves, and its VM is stopped for good")
     with start_site(build) as site:
         site.submit_long_running("e1", JOB_A)
-        begin_leaving(site, worker_of(site, JOB_A))()
-        finish(site, "e1")
+        start_shutdown(site, worker_of(site, JOB_A))()
+        check_site(site, "e1")
 
 
 def all_but_one(build):
@@ -67,8 +67,8 @@
     with start_site(build) as site:
         site.submit_long_running("e1", JOB_A)
         for name in ("w1", "w2"):
-            begin_leaving(site, name)()
-        finish(site, "e1")
+            start_shutdown(site, name)()
+        check_site(site, "e1")
 
 
 def stopped_leader(build):
@@ -76,10 +76,10 @@
     with start_site(build) as site:
         site.submit_long_running("e1", JOB_A)
         leader = site.leader()
-        await_moved = begin_leaving(site, worker_of(site, JOB_A))
+        await_moved = start_shutdown(site, worker_of(site, JOB_A))
         site.processes[leader].signal(signal.SIGTERM)
         await_moved()
-        finish(site, other_entry(site, leader))
+        check_site(site, other_entry(site, leader))
 
 
 def new_leader(build):
@@ -87,19 +87,19 @@
     with start_site(build) as site:
         site.submit_long_running("e1", JOB_A)
         leader = site.leader()
-        heir = other_entry(site, leader)
+        successor = other_entry(site, leader)
         site.processes[leader].signal(signal.SIGTERM)
-        until(lambda: site.leader() == heir, what="another leader")
-        begin_leaving(site, worker_of(site, JOB_A))()
-        finish(site, heir)
+        until(lambda: site.leader() == successor, what="another leader")
+        start_shutdown(site, worker_of(site, JOB_A))()
+        check_site(site, successor)
 
 
 def short_notice(build):
     print("an executor leaves before it can be emptied")
     with start_site(build) as site:
         site.submit_long_running("e1", JOB_A)
-        begin_leaving(site, worker_of(site, JOB_A), 0.0, 0.0)()
-        finish(site, "e1")
+        start_shutdown(site, worker_of(site, JOB_A), 0.0, 0.0)()
+        check_site(site, "e1")
 
 
 def end_in_between(build):
@@ -107,12 +107,12 @@
     with start_site(build) as site:
         site.submit_long_running("e1", JOB_A)
         leader = site.leader()
-        heir = other_entry(site, leader)
+        successor = other_entry(site, leader)
         site.processes[leader].signal(signal.SIGTERM)
         until(lambda: '"lead.resigned"' in
               site.processes[leader].log_of_life(), what="resigned")
-        begin_leaving(site, worker_of(site, JOB_A), 0.0, 0.0)()
-        finish(site, heir)
+        start_shutdown(site, worker_of(site, JOB_A), 0.0, 0.0)()
+        check_site(site, successor)
 
 
 def killed_leader(build):
@@ -120,12 +120,12 @@
     with start_site(build) as site:
         site.submit_long_running("e1", JOB_A)
         leader = site.leader()
-        heir = other_entry(site, leader)
-        await_moved = begin_leaving(site, worker_of(site, JOB_A))
+        successor = other_entry(site, leader)
+        await_moved = start_shutdown(site, worker_of(site, JOB_A))
         site.processes[leader].kill()
-        until(lambda: site.leader() == heir, what="another leader")
+        until(lambda: site.leader() == successor, what="another leader")
         await_moved()
-        finish(site, heir)
+        check_site(site, successor)
 
 
 SCENARIOS = {scenario.__name__: scenario
--- a/tests/scripts/platform.py
+++ b/tests/scripts/platform.py
@@ -310,9 +310,9 @@
                   int(site.metric("w1", f"refused_{key}_total")))
         for line in site.processes["w1"].log_of_life().splitlines():
             if '"heartbeat.malformed"' in line:
-                told = json.loads(line)
-                print("  line:", told["executor"] or "unnamed", told["cause"],
-                      told["count"])
+                record = json.loads(line)
+                print("  line:", record["executor"] or "unnamed",
+                      record["cause"], record["count"])
         for wanted in ("refused", "w1-1", "w2-1"):
             print(f"  explained of {wanted}:",
                   sum("heartbeat.malformed" in line
--- a/tests/scripts/proof_answers.py
+++ b/tests/scripts/proof_answers.py
@@ -20,7 +20,7 @@
     {"name": "photo", "rate": 20, "size": LARGE, "timeout_ms": 4000,
      "path": f"/reclamos-api/photo?size={LARGE}&chunked=1"}]}
 SERVICE = ["--service-ms", "20", "--distribution", "exponential"]
-STEADY = 80  # executions that show that the load is steady
+STEADY_EXECUTIONS = 80  # executions that show that the load is steady
 
 
 def executions(site):
@@ -30,11 +30,11 @@
 
 
 def await_load(site):
-    goal = len(executions(site)) + STEADY
+    goal = len(executions(site)) + STEADY_EXECUTIONS
     until(lambda: len(executions(site)) >= goal, what="load")
 
 
-def disturb(site):
+def inject_faults(site):
     """Pause processes, so that answers come late, and then kill some."""
     for name in ("guard-1.upstream", "guard-2", "entry-1"):
         site.processes[name].signal(signal.SIGSTOP)
@@ -52,7 +52,7 @@
         await_load(site)
 
 
-def out_of_order(site):
+def is_out_of_order(site):
     """Return whether an upstream ended executions out of order."""
     for guard in site.guard_names:
         ends = [f["execution"] for f in site.facts(f"{guard}.upstream")
@@ -62,7 +62,7 @@
     return False
 
 
-def judge(site, requests):
+def print_checks(site, requests):
     """Compare the callers' ledger REQUESTS with the upstreams' ledgers."""
     ran = [r for r in requests if r["outcome"] == "ran"]
     started = {fact["request"] for fact in executions(site)}
@@ -75,7 +75,7 @@
           sum(r["request"] not in started for r in ran))
     print("asked once each:",
           len({r["request"] for r in requests}) == len(requests))
-    print("out of order:", out_of_order(site))
+    print("out of order:", is_out_of_order(site))
     print("most were answered:", len(ran) > 0.8 * len(requests))
     print(len(ran), len(requests), file=sys.stderr)
 
@@ -93,10 +93,10 @@
                                     "--duration-s", "60", "--connections",
                                     "64", *entries)
         await_load(site)
-        disturb(site)
+        inject_faults(site)
         callers.signal(signal.SIGINT)
         callers.wait()
-        judge(site, site.facts("callers"))
+        print_checks(site, site.facts("callers"))
 
 
 main(sys.argv[1])
--- a/tests/scripts/proof_capacity.py
+++ b/tests/scripts/proof_capacity.py
@@ -6,13 +6,13 @@
 import sys
 import threading
 
-from tasks_site import (await_state, breaches, executions, judge, ready,
-                        start_site, submit)
+from tasks_site import (await_state, configure, count_breaches, executions,
+                        print_double_runs, start_site, submit)
 
 TEAMS = 6  # hashed over the entries, so that each entry places some
 SIZE = 2000  # millicores of a task
 RESERVE = {"millicores": 10000, "memory_mib": 4096}
-ROOM = (16000 - RESERVE["millicores"]) // SIZE
+CAPACITY = (16000 - RESERVE["millicores"]) // SIZE
 ROUNDS = 4
 DOCUMENT = "\n".join(
     ["version: 1", "site: test", "regions: [{name: r, zones: [a, b]}]",
@@ -23,7 +23,7 @@
        for i in range(TEAMS)] + ["# watchers: %d"])
 
 
-def most_at_once(site):
+def max_concurrent(site):
     """Return the greatest number of tasks that ran at one time."""
     points = [(run[at], change) for runs in executions(site).values()
               for run in runs for at, change in (("start", 1), ("end", -1))]
@@ -47,7 +47,7 @@
     return names
 
 
-def refused(site):
+def count_refused(site):
     """Return how many grants had no start, as the guard lacked resources."""
     return sum(max(run["epoch"] for run in runs) - len(runs)
                for runs in executions(site).values())
@@ -56,7 +56,7 @@
 def main(build):
     with start_site(build, entries=2, guards=1, upstream=True,
                     reserve=RESERVE) as site:
-        ready(site, 0, DOCUMENT)
+        configure(site, 0, DOCUMENT)
         site.fault("log", {"read_delay_ms": 50})
         done = 0
         for _ in range(ROUNDS):
@@ -64,13 +64,13 @@
             for name in names:
                 await_state(site, name, "succeeded")
             done += len(names)
-            if refused(site) > 0:
+            if count_refused(site) > 0:
                 break
         print("all succeeded:", done % (2 * TEAMS) == 0 and done > 0)
-        print("the guard refused some:", refused(site) > 0)
-        print("room:", ROOM, "most at once:", most_at_once(site))
-        print("breaches:", breaches(site))
-        judge(site)
+        print("the guard refused some:", count_refused(site) > 0)
+        print("room:", CAPACITY, "most at once:", max_concurrent(site))
+        print("breaches:", count_breaches(site))
+        print_double_runs(site)
 
 
 main(sys.argv[1])
--- a/tests/scripts/proof_leaving.py
+++ b/tests/scripts/proof_leaving.py
@@ -7,8 +7,8 @@
 import sys
 import threading
 
-from tasks_site import (TIMINGS, await_watchers, judge, now_us, ready, submit,
-                        WATCHERS)
+from tasks_site import (TIMINGS, WATCHERS, await_watchers, configure, now_us,
+                        print_double_runs, submit)
 
 from site_processes import Site, until
 
@@ -59,42 +59,44 @@
     with Site(build, entries=2, guards=3, worker=True,
               timings=TIMINGS) as site:
         site.await_targets(3)
-        ready(site)
+        configure(site)
         await_watchers(site, WATCHERS)
-        slow = []
-        keeper = threading.Thread(target=lambda: slow.append(
+        slow_answers = []
+        slow_caller = threading.Thread(target=lambda: slow_answers.append(
             site.call("entry-1", "GET", f"/reclamos-api/check?ms={SLOW_MS}")))
-        keeper.start()
-        until(lambda: any(busy(site, g) for g in site.guard_names),
+        slow_caller.start()
+        until(lambda: any(runs_slow_request(site, g) for g in site.guard_names),
               what="the slow request")
-        leaver = next(g for g in site.guard_names if busy(site, g))
+        leaving_guard = next(g for g in site.guard_names
+                             if runs_slow_request(site, g))
         callers = Callers(site, site.entry_names)
         callers.await_calls(CALLS_AFTER)
         if paused:
             site.processes["entry-2"].signal(signal.SIGSTOP)
-        site.processes[leaver].signal(signal.SIGTERM)
-        told = now_us()
-        until(lambda: now_us() > told + LIMIT_US, what="the limit")
+        site.processes[leaving_guard].signal(signal.SIGTERM)
+        announced_us = now_us()
+        until(lambda: now_us() > announced_us + LIMIT_US, what="the limit")
         if paused:
             site.processes["entry-2"].signal(signal.SIGCONT)
         submit(site, count=6, run_ms=300)
         callers.await_calls(CALLS_AFTER)
-        print("  it still ends what it runs:", busy(site, leaver))
-        keeper.join()
-        print("  the slow request:", slow[0][0])
-        print("  exit:", site.processes[leaver].wait())
+        print("  it still ends what it runs:",
+              runs_slow_request(site, leaving_guard))
+        slow_caller.join()
+        print("  the slow request:", slow_answers[0][0])
+        print("  exit:", site.processes[leaving_guard].wait())
         callers.close()
         print("  statuses:", sorted(set(callers.statuses)))
         for event in ("execution_start", "task_start"):
-            late = [t for t in starts(site, leaver, event, told)
+            late = [t for t in starts(site, leaving_guard, event, announced_us)
                     if t > LIMIT_US]
             print(f"  {event} after {LIMIT_US // 1_000_000} s:", len(late))
-            print(event, starts(site, leaver, event, told)[-1:],
+            print(event, starts(site, leaving_guard, event, announced_us)[-1:],
                   file=sys.stderr)
-        judge(site)
+        print_double_runs(site)
 
 
-def busy(site, guard):
+def runs_slow_request(site, guard):
     """Return whether the slow request is being executed at GUARD."""
     facts = site.facts(guard + ".upstream")
     begun = {f["execution"] for f in facts if f["event"] == "execution_start"
--- a/tests/scripts/proof_outage.py
+++ b/tests/scripts/proof_outage.py
@@ -6,8 +6,9 @@
 import sys
 
 from tasks_site import (WATCHERS, await_checkpoints, await_epoch,
-                        await_watchers, epochs, executions, job, judge,
-                        long_jobs, ready, start_site, went_on)
+                        await_watchers, configure, executions, fetch_job,
+                        long_jobs, print_double_runs, resumed_from_checkpoint,
+                        start_site, watcher_epochs)
 
 from site_processes import until
 
@@ -37,13 +38,13 @@
           what="vouched renewals")
 
 
-def lapses(site):
+def count_expired_leases(site):
     """Return how many leases expired at the worker runtimes."""
     return sum(fact["event"] == "lease_expired" for guard in site.guard_names
                for fact in site.facts(guard + ".worker"))
 
 
-def running(site):
+def count_running(site):
     """Return how many tasks run, according to the workers' ledgers."""
     return sum(max(runs, key=lambda run: run["start"])["end"] is None
                for runs in executions(site).values())
@@ -52,45 +53,45 @@
 def entry_restarts(build):
     print("the log is down and an entry restarts")
     with start_site(build, entries=3, guards=2) as site:
-        ready(site)
+        configure(site)
         names = long_jobs(site, 2)
         await_watchers(site, WATCHERS)
-        before = epochs(site)
+        before = watcher_epochs(site)
         log_down(site)
         await_renewals(site)
         site.processes["entry-2"].kill()
         site.start_entry("entry-2")
         await_renewals(site)
-        print("  leases that lapsed:", lapses(site))
-        print("  running:", running(site) == WATCHERS + len(names))
+        print("  leases that lapsed:", count_expired_leases(site))
+        print("  running:", count_running(site) == WATCHERS + len(names))
         log_up(site)
         await_epoch(site, names, 1)
         await_watchers(site, WATCHERS)
-        print("  same epochs:", epochs(site) == before
-              and all(job(site, n)["epoch"] == 1 for n in names))
-        judge(site)
+        print("  same epochs:", watcher_epochs(site) == before
+              and all(fetch_job(site, n)["epoch"] == 1 for n in names))
+        print_double_runs(site)
 
 
 def entry_gone(build):
     print("the log is down and an entry is gone")
     with start_site(build, entries=3, guards=2) as site:
-        ready(site)
+        configure(site)
         names = long_jobs(site, 2)
         await_watchers(site, WATCHERS)
         await_checkpoints(site, names)
         log_down(site)
         await_renewals(site)
         site.processes["entry-3"].kill()
-        until(lambda: running(site) == 0, what="all tasks stopped")
-        print("  stopped by the lease:", lapses(site) >= 1)
+        until(lambda: count_running(site) == 0, what="all tasks stopped")
+        print("  stopped by the lease:", count_expired_leases(site) >= 1)
         site.entry_names.remove("entry-3")
         log_up(site)
         await_epoch(site, names, 2)
         await_watchers(site, WATCHERS)
-        print("  from their checkpoints:", went_on(site, names))
-        judge(site)
+        print("  from their checkpoints:", resumed_from_checkpoint(site, names))
+        print_double_runs(site)
 
 
-RUNS = {"restart": entry_restarts, "gone": entry_gone}
+SCENARIOS = {"restart": entry_restarts, "gone": entry_gone}
 
-RUNS[sys.argv[2]](sys.argv[1])
+SCENARIOS[sys.argv[2]](sys.argv[1])
--- a/tests/scripts/proof_pairs.py
+++ b/tests/scripts/proof_pairs.py
@@ -9,29 +9,30 @@
 import sys
 import threading
 
-from tasks_site import (DOCUMENT, WATCHERS, await_checkpoints, await_epoch,
-                        await_serving, await_state, await_watchers, executions,
-                        job, judge, long_jobs, on, ready, start_site, submit,
-                        went_on)
+from tasks_site import (DOCUMENT, WATCHERS, assigned_to, await_checkpoints,
+                        await_epoch, await_serving, await_state,
+                        await_watchers, configure, executions, fetch_job,
+                        long_jobs, print_double_runs, resumed_from_checkpoint,
+                        start_site, submit)
 
 from site_processes import until
 
-LOST = 3  # number of consecutive acknowledgements
+LOST_ACKS = 3  # number of consecutive acknowledgements
 
 
 def paused_holder(build):
     print("grants lose their acknowledgement, their guard is paused")
     with start_site(build, entries=2, guards=2) as site:
-        ready(site)
+        configure(site)
         names = long_jobs(site, 4)
         await_watchers(site, WATCHERS)
-        victim = job(site, names[0])["worker"]
-        moved = on(site, names, victim)
+        victim = fetch_job(site, names[0])["worker"]
+        moved = assigned_to(site, names, victim)
         await_checkpoints(site, moved)
         site.processes[victim].signal(signal.SIGSTOP)
-        site.fault("log", {"lost_ack": LOST})
+        site.fault("log", {"lost_ack": LOST_ACKS})
         late = submit(site, count=3, run_ms=600000, checkpoint_every_ms=50)
-        site.fault("log", {"lost_ack": LOST})
+        site.fault("log", {"lost_ack": LOST_ACKS})
         await_epoch(site, moved, 2)
         await_epoch(site, late, 1)
         await_watchers(site, WATCHERS)
@@ -39,12 +40,12 @@
         await_serving(site, victim)
         name = submit(site, run_ms=50)[0]
         await_state(site, name, "succeeded")
-        print("  from their checkpoints:", went_on(site, moved))
+        print("  from their checkpoints:", resumed_from_checkpoint(site, moved))
         print("  all started:", all(n in executions(site) for n in late))
-        judge(site)
+        print_double_runs(site)
 
 
-def held(site, entry):
+def configuration(site, entry):
     """Return the configuration of ENTRY."""
     return json.loads(site.operate(entry, "GET", "/v1/config")[2])
 
@@ -52,7 +53,7 @@
 def publishers(build):
     print("two operators race, acknowledgements are lost")
     with start_site(build, entries=2, guards=1) as site:
-        ready(site)
+        configure(site)
         answers = {}
 
         def publish(entry, author, count):
@@ -76,14 +77,14 @@
         print("  loser is told the winner:",
               answers[loser][1].get("author") == winner)
         for entry in site.entry_names:
-            until(lambda e=entry: held(site, e)["revision"] == 2,
+            until(lambda e=entry: configuration(site, e)["revision"] == 2,
                   what=f"revision 2 at {entry}")
         print("  the winner's everywhere:",
-              all(held(site, e)["document"] == answers[winner][2]
+              all(configuration(site, e)["document"] == answers[winner][2]
                   for e in site.entry_names))
         await_watchers(site, answers[winner][2].count("count: 2") and 2 or 3)
-        print("  revision:", held(site, "entry-1")["revision"])
-        judge(site)
+        print("  revision:", configuration(site, "entry-1")["revision"])
+        print_double_runs(site)
 
 
 def main(build):
--- a/tests/scripts/records.py
+++ b/tests/scripts/records.py
@@ -38,7 +38,7 @@
     return number(1, 1) + b"".join(text(3, row) for row in rows)
 
 
-def lasting_job(site):
+def submit_and_wait(site):
     """Submit a long-running job and wait until all entries see it run."""
     site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
     until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
@@ -60,20 +60,20 @@
                       for name in site.entries), what=cause)
 
 
-def another_job(site, job):
+def complete_job(site, job):
     """Check that the site still completes a job."""
     until(lambda: site.submit("e1", job, STEPS) == 200, what="accepted")
     for name in site.entries:
         site.await_state(name, job, "completed")
 
 
-def verdict(site, starts):
+def print_outcome(site, starts):
     print("  started again:", sum(site.judge.starts.values()) - starts)
     print("  at work:", len(site.judge.at_work(JOB_A)))
     print("  breaches:", site.judge.breaches)
 
 
-def leads_taken(site):
+def count_leaderships(site):
     """Return how many times an entry has become leader."""
     return sum(site.processes[name].log().count('"lead.taken"')
                for name in site.entries)
@@ -82,21 +82,21 @@
 def nodes(build):
     print("nodes of another writer")
     with start_site(build) as site:
-        lasting_job(site)
+        submit_and_wait(site)
         for key, value in (("w1", JSON), ("w2", b""), ("w3", text(1, b"no")),
                            ("w4", number(2, 1)), ("e1", CUT), ("w5", CUT)):
             site.store.put("keyed.nodes", key, value)
         await_refused(site, "undecodable", 3)
         await_refused(site, "invalid", 2)
-        another_job(site, JOB_B)
-        verdict(site, 9)
+        complete_job(site, JOB_B)
+        print_outcome(site, 9)
 
 
 def a_known_job(build):
     print("the progress of a job that is at work is overwritten")
     with start_site(build) as site:
-        lasting_job(site)
-        first, taken = site.leader(), leads_taken(site)
+        submit_and_wait(site)
+        first, taken = site.leader(), count_leaderships(site)
         newest = site.store.topics["keyed.progress"].newest
         values = (JSON, number(1, 2), number(1, 1), CUT,
                   progress((0, 0, b"x")), progress((7, 1, b"x")),
@@ -107,7 +107,7 @@
         until(lambda: any(refused(site, name, "invalid") >= 5
                           for name in site.entries), what="refused")
         until(lambda: newest[JOB_A][0] not in values, what="written again")
-        print("  leads lost:", leads_taken(site) - taken)
+        print("  leads lost:", count_leaderships(site) - taken)
         site.processes[first].kill()
         until(lambda: site.leader() != first, what="a new lead")
         site.processes[first].start()
@@ -115,21 +115,21 @@
         for name in site.entries:
             site.await_state(name, JOB_A, "running")
         print("  leads next:", "another" if site.leader() != first else first)
-        another_job(site, JOB_B)
-        verdict(site, 9)
+        complete_job(site, JOB_B)
+        print_outcome(site, 9)
 
 
 def a_known_submission(build):
     print("the submission of a job that is at work is overwritten")
     with start_site(build) as site:
-        lasting_job(site)
+        submit_and_wait(site)
         site.store.put("keyed.jobs", JOB_A, JSON)
         site.store.put("keyed.jobs", "c." + JOB_A, b"cancelled")
         await_refused(site, "undecodable", 1)
         await_refused(site, "invalid", 1)
         print("  shown:", [site.state(name, JOB_A) for name in site.entries])
-        another_job(site, JOB_B)
-        verdict(site, 9)
+        complete_job(site, JOB_B)
+        print_outcome(site, 9)
 
 
 def an_unknown_job(build):
@@ -140,7 +140,7 @@
         print("  shown:", [site.state(name, JOB_B) for name in site.entries])
         print("  another:", site.state("e1", JOB_C))
         print("  queue:", site.call("e1", "GET", "/q/"))
-        another_job(site, JOB_B)
+        complete_job(site, JOB_B)
         print("  submitted again:", site.state("e2", JOB_B))
         print("  breaches:", site.judge.breaches)
 
@@ -148,7 +148,7 @@
 def never_read(build):
     print("all entries start with progress that cannot be read")
     with start_site(build) as site:
-        lasting_job(site)
+        submit_and_wait(site)
         for name in site.entries:
             site.processes[name].kill()
         site.store.put("keyed.progress", JOB_A, JSON)
@@ -159,7 +159,7 @@
             site.processes[name].start()
         site.ready()
         print("  shown:", [site.state(name, JOB_A) for name in site.entries])
-        another_job(site, JOB_B)
+        complete_job(site, JOB_B)
         print("  started again:", sum(site.judge.starts.values()) - 9)
         print("  cancelled:", site.call("e1", "DELETE", "/q/" + JOB_A)[0])
         for name in site.entries:
@@ -168,7 +168,7 @@
         print("  breaches:", site.judge.breaches)
 
 
-def holder_of(site, task):
+def vm_of_task(site, task):
     """Return the VM on which TASK runs."""
     (executor, _), = site.judge.running[task]
     return executor.split("-")[0]
@@ -177,24 +177,25 @@
 def the_lead(build):
     print("the lead, places and what was learned are overwritten")
     with start_site(build) as site:
-        lasting_job(site)
+        submit_and_wait(site)
         newest = site.store.topics["keyed.progress"].newest
         until(lambda: {"at.w1", "at.w2", "at.w3"} <= newest.keys(),
               what="places")
-        holder = holder_of(site, JOB_A + ".0.0.0")
+        holder = vm_of_task(site, JOB_A + ".0.0.0")
         stranger = next(name for name in site.executors if name != holder)
         place = newest["at." + holder][0]
         for _ in range(3):
-            taken = leads_taken(site)
+            taken = count_leaderships(site)
             site.store.put("keyed.progress", "leader", JSON)
             site.store.put("keyed.progress", "at." + stranger, place)
             site.store.put("keyed.progress", "at.w9", text(1, b""))
             site.store.put("keyed.progress", "learned", CUT)
             site.store.put("keyed.progress", "another", JSON)
-            until(lambda t=taken: leads_taken(site) > t, what="a new lead")
-            another_job(site, JOB_B)
-        another_job(site, JOB_C)
-        verdict(site, 15)
+            until(lambda t=taken: count_leaderships(site) > t,
+                  what="a new lead")
+            complete_job(site, JOB_B)
+        complete_job(site, JOB_C)
+        print_outcome(site, 15)
 
 
 def a_place_of_two(build):
@@ -209,8 +210,8 @@
         site.processes["w1"].signal(signal.SIGSTOP)
         until(lambda: '"guard.down","guard":"w1"'
               in site.processes[site.leader()].log(), what="w1 is silent")
-        lasting_job(site)
-        holder = holder_of(site, JOB_A + ".0.0.0")
+        submit_and_wait(site)
+        holder = vm_of_task(site, JOB_A + ".0.0.0")
         newest = site.store.topics["keyed.progress"].newest
         for name in site.entries:
             site.processes[name].kill()
@@ -224,8 +225,8 @@
         site.processes["w1"].signal(signal.SIGCONT)
         until(lambda: '"guard.up","guard":"w1"' in leader.log_of_life(),
               what="the other guard")
-        another_job(site, JOB_B)
-        verdict(site, 9)
+        complete_job(site, JOB_B)
+        print_outcome(site, 9)
 
 
 def send_frame(address, body):
@@ -241,7 +242,7 @@
 def frames(build):
     print("frames of a stranger")
     with start_site(build) as site:
-        lasting_job(site)
+        submit_and_wait(site)
         host, port = site.metrics["w1"].rsplit(":", 1)
         guard = f"{host}:{int(port) - 1}"
         for frame in (JSON, CUT, text(1, number(1, 7)),
@@ -255,8 +256,8 @@
               site.processes["w1"].log().count('"frame.malformed"'))
         print("  leaders lost:",
               site.processes["w1"].log().count('"leader.lost"'))
-        another_job(site, JOB_B)
-        verdict(site, 9)
+        complete_job(site, JOB_B)
+        print_outcome(site, 9)
 
 
 SCENARIOS = {scenario.__name__: scenario
--- a/tests/scripts/regions.py
+++ b/tests/scripts/regions.py
@@ -10,8 +10,8 @@
 
 from bridge import Bridge
 from tasks_site import (TIMINGS, await_epoch, await_state, await_watchers,
-                        epochs, executions, job, judge, publish, ready,
-                        submit)
+                        configure, executions, fetch_job, print_double_runs,
+                        publish, submit, watcher_epochs)
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), "../../tools"))
 from site_processes import Site, until  # noqa: E402
@@ -61,7 +61,7 @@
     return site.operate(entry, "POST", "/v1/config", body)[0]
 
 
-def keyed(site, entry):
+def claim_twice(site, entry):
     """Send a claim twice with one key and return both statuses."""
     path = f"/reclamos-api/claims?{entry}"
     headers = {"Idempotency-Key": f"key-{entry}"}
@@ -76,20 +76,20 @@
                   if fact["event"] == "execution_start" and fact["key"])
 
 
-def show_parted(site, entry, long_job, before):
+def show_partitioned(site, entry, long_job, before):
     """Print what works in the region of ENTRY during the partition."""
     name = submit(site, entry, run_ms=100)[0]
     await_state(site, name, "succeeded", entry)
     answers = {site.call(entry, "GET", "/reclamos-api/check")[0]
                for _ in range(20)}
-    print(f"  {entry}: a job {job(site, name, entry)['state']},",
-          "requests:", sorted(answers), "with a key:", keyed(site, entry))
-    print("    same epochs:", epochs(site, entry) == before
-          and job(site, long_job, entry)["epoch"] == 1,
+    print(f"  {entry}: a job {fetch_job(site, name, entry)['state']},",
+          "requests:", sorted(answers), "with a key:", claim_twice(site, entry))
+    print("    same epochs:", watcher_epochs(site, entry) == before
+          and fetch_job(site, long_job, entry)["epoch"] == 1,
           "vouched:", site.counter(entry, "entry_leases_vouched_total"))
 
 
-def homes(site):
+def tasks_by_region(site):
     """Count the tasks that ran in one region only, and those in both."""
     regions = [{site.region_of(run["node"]) for run in runs}
                for runs in executions(site).values()]
@@ -104,7 +104,7 @@
         links = start(site)
         until(lambda: all(site.counter(e, "store_config_ready") == 1
                           for e in site.entry_names), what="config logs")
-        ready(site, 5, DOCUMENT)
+        configure(site, 5, DOCUMENT)
         await_watchers(site, 3, NEAR)
         await_watchers(site, 2, FAR)
         site.await_targets(1)
@@ -113,7 +113,7 @@
                      for e in site.entry_names}
         for entry, name in long_jobs.items():
             await_epoch(site, [name], 1, entry)
-        before = {e: epochs(site, e) for e in site.entry_names}
+        before = {e: watcher_epochs(site, e) for e in site.entry_names}
 
         print("south is cut off from north and from its log")
         for link in links:
@@ -122,7 +122,7 @@
               what="no log of the configuration")
         await_renewals(site, FAR)
         for entry in site.entry_names:
-            show_parted(site, entry, long_jobs[entry], before[entry])
+            show_partitioned(site, entry, long_jobs[entry], before[entry])
         print("  published in south:", try_publishing(site, FAR, 1))
         publish(site, 1, 7, DOCUMENT)
         await_watchers(site, 4, NEAR)
@@ -135,7 +135,7 @@
         site.fault("log-2", {"down": False})
         until(lambda: site.counter(FAR, "store_available") == 1,
               what="log of south")
-        print("  same epochs:", epochs(site, FAR) == before[FAR])
+        print("  same epochs:", watcher_epochs(site, FAR) == before[FAR])
 
         print("they are together again")
         for link in links:
@@ -150,11 +150,11 @@
             await_watchers(site, 4, entry)
             await_epoch(site, [long_jobs[entry]], 1, entry)
         print("  long jobs in their first epochs:",
-              all(job(site, name, e)["epoch"] == 1
+              all(fetch_job(site, name, e)["epoch"] == 1
                   for e, name in long_jobs.items()))
         print("  claims that ran:", runs_of_claims(site))
-        print("  tasks that ran:", homes(site))
-        judge(site)
+        print("  tasks that ran:", tasks_by_region(site))
+        print_double_runs(site)
 
 
 main(sys.argv[1])
--- a/tests/scripts/room.py
+++ b/tests/scripts/room.py
@@ -41,7 +41,7 @@
         executor.resize(16)
 
 
-def play(build, title, trouble=None, late=0.0):
+def run_scenario(build, title, inject_fault=None, late=0.0):
     print(title)
     with start_site(build, entries=2) as site:
         document = {**DOCUMENT, "version": 2, "services": [
@@ -57,9 +57,9 @@
                    threading.Thread(target=resize_all, args=(site, end))]
         for thread in threads:
             thread.start()
-        while trouble is not None and time.monotonic() < end - 3:
+        while inject_fault is not None and time.monotonic() < end - 3:
             time.sleep(1.7)
-            trouble(site)
+            inject_fault(site)
         for thread in threads:
             thread.join()
         for executor in site.executors.values():
@@ -77,21 +77,22 @@
 
 
 def plain(build):
-    play(build, "rooms change once a second")
+    run_scenario(build, "rooms change once a second")
 
 
 def late(build):
-    play(build, "and orders go unanswered and are carried out late", late=0.3)
+    run_scenario(build, "and orders go unanswered and are carried out late",
+                 late=0.3)
 
 
 def leaders(build):
-    play(build, "and the leader is killed again and again",
-         lambda site: restart(site, site.leader()))
+    run_scenario(build, "and the leader is killed again and again",
+                 lambda site: restart(site, site.leader()))
 
 
 def guards(build):
-    play(build, "and a guard is killed again and again",
-         lambda site: restart(site, "w1"))
+    run_scenario(build, "and a guard is killed again and again",
+                 lambda site: restart(site, "w1"))
 
 
 SCENARIOS = {scenario.__name__: scenario
--- a/tests/scripts/same_id.py
+++ b/tests/scripts/same_id.py
@@ -117,7 +117,7 @@
         site.executors[name].crash(dark_s, innocent_s=MIN_RUN_AGE_S)
 
 
-def play(build, steps, do=lambda site, name: None, dark_s=0.0, **more):
+def run_scenario(build, steps, do=lambda site, name: None, dark_s=0.0, **more):
     """Submit jobs of STEPS while executors restart in turn."""
     with site_with_ids(build, **more) as site:
         stream = JobStream(site, *steps)
@@ -129,17 +129,17 @@
 
 def at_once(build):
     print("executors start again at once under their ids")
-    play(build, [STEPS])
+    run_scenario(build, [STEPS])
 
 
 def earlier(build):
     print("the same, and each life tells an earlier birth")
-    play(build, [STEPS], born_step_ms=-1000)
+    run_scenario(build, [STEPS], born_step_ms=-1000)
 
 
 def dark(build):
     print("executors are away for 2 s and start again under their ids")
-    play(build, [STEPS], dark_s=2.0)
+    run_scenario(build, [STEPS], dark_s=2.0)
 
 
 def twice(build):
@@ -149,12 +149,12 @@
         site.executors[name].crash(innocent_s=MIN_RUN_AGE_S)
         time.sleep(0.05)
 
-    play(build, [STEPS], first)
+    run_scenario(build, [STEPS], first)
 
 
 def gangs(build):
     print("executors start again with gangs at work")
-    play(build, [GANG, STEPS])
+    run_scenario(build, [GANG, STEPS])
 
 
 def leaders(build):
@@ -165,7 +165,7 @@
         site.processes[first].kill()
         site.processes[first].start()
 
-    play(build, [STEPS], change, entries=3)
+    run_scenario(build, [STEPS], change, entries=3)
 
 
 def restart_guard(site, name):
@@ -175,7 +175,7 @@
 
 def guards(build):
     print("the guard is killed at each start")
-    play(build, [STEPS], restart_guard)
+    run_scenario(build, [STEPS], restart_guard)
 
 
 def guards_stopped(build):
@@ -277,7 +277,7 @@
         time.sleep(1.0)
         site.store.down = None
 
-    play(build, [STEPS], cut)
+    run_scenario(build, [STEPS], cut)
 
 
 def old_beats(build):
@@ -290,7 +290,7 @@
         threading.Timer(0.4, executor.repeat_last_beat_of,
                         (executor.life,)).start()
 
-    play(build, [STEPS], repeat)
+    run_scenario(build, [STEPS], repeat)
 
 
 def lasting(build):
--- a/tests/scripts/silent.py
+++ b/tests/scripts/silent.py
@@ -14,7 +14,7 @@
 
 LARGE = 16 * 1024 * 1024
 TIMEOUT_S = 15
-LONG_BEFORE_S = 7
+EARLY_ANSWER_S = 7
 SUSPECT_MS = 1000
 
 
@@ -60,7 +60,7 @@
     site.await_targets(2)
 
 
-def waiting(site, method, name):
+def stop_while_waiting(site, method, name):
     """The guard at which a request waits is stopped."""
     hang(site, site.guard_names, True)
     caller = send(site, method, "/reclamos-api/check?ms=1", name)
@@ -70,7 +70,7 @@
     site.processes[guard].signal(signal.SIGSTOP)
     status, verdict, _ = receive(caller)
     print(f"{method}: {status} {verdict}, long before its deadline:",
-          time.monotonic() - stopped_at < LONG_BEFORE_S)
+          time.monotonic() - stopped_at < EARLY_ANSWER_S)
     resume(site, guard)
     print("starts", len(starts(site, name)), "given up",
           site.counter("entry-1", "entry_tries_given_up_total"))
@@ -110,8 +110,8 @@
               timings={"heartbeat_ms": 200,
                        "suspect_ms": SUSPECT_MS}) as site:
         site.await_targets(2)
-        waiting(site, "GET", "check")
-        waiting(site, "POST", "claim")
+        stop_while_waiting(site, "GET", "check")
+        stop_while_waiting(site, "POST", "claim")
         streaming(site)
         stopped_entry(site)
 
--- a/tests/scripts/soak_judged.py
+++ b/tests/scripts/soak_judged.py
@@ -53,7 +53,7 @@
     print("judged:", len(site.asked), "of", count, "breaches:", breaches)
 
 
-def spoilt():
+def failed_check():
     """Print the result for a run that raises an exception."""
     loader = importlib.machinery.SourceFileLoader(
         "soak", os.path.join(TOOLS, "soak"))
@@ -69,5 +69,5 @@
 
 if __name__ == "__main__":
     late(4)
-    spoilt()
+    failed_check()
     print("threads left:", threading.active_count() - 1)
--- a/tests/scripts/stops.py
+++ b/tests/scripts/stops.py
@@ -17,7 +17,7 @@
      "timeout_ms": 4000},
     {"name": "claim", "method": "POST", "path": "/reclamos-api/claim?ms=20",
      "rate": 80, "timeout_ms": 4000, "body_size": 2000}]}
-IN_STEADY_LOAD = 60
+STEADY_REQUESTS = 60
 VICTIMS = ("guard-1", "guard-2.upstream", "entry-1")
 
 
@@ -61,11 +61,11 @@
 
 
 def await_load(site):
-    goal = served(site) + IN_STEADY_LOAD
+    goal = served(site) + STEADY_REQUESTS
     until(lambda: served(site) >= goal, what="steady load")
 
 
-def judge(title, requests, started):
+def print_checks(title, requests, started):
     """Print untrue outcomes and double runs; return the outcomes."""
     outcomes = {}
     for request in requests:
@@ -75,17 +75,17 @@
         if request["outcome"] != "ran":
             print(request["kind"], request["outcome"], request["reason"],
                   request["status"], file=sys.stderr)
-    lies = [r for r in requests if r["outcome"] in ("not_run", "refused")
-            and started.get(r["request"], 0) > 0]
-    lies += [r for r in requests if r["outcome"] == "ran"
-             and started.get(r["request"], 0) == 0]
+    untrue = [r for r in requests if r["outcome"] in ("not_run", "refused")
+              and started.get(r["request"], 0) > 0]
+    untrue += [r for r in requests if r["outcome"] == "ran"
+               and started.get(r["request"], 0) == 0]
     doubled = [r for r in requests if r["kind"] == "claim"
                and started.get(r["request"], 0) > 1]
-    print(f"{title}: untrue {len(lies)}, doubled {len(doubled)}")
+    print(f"{title}: untrue {len(untrue)}, doubled {len(doubled)}")
     return outcomes
 
 
-def back(site, name):
+def restart(site, name):
     """Start the process NAME again after it has ended."""
     if name.startswith("entry"):
         site.start_entry(name)
@@ -111,10 +111,10 @@
         await_load(site)
         site.processes[name].signal(signal.SIGTERM)
         print(f"{name} stopped, exit", site.processes[name].wait())
-        back(site, name)
+        restart(site, name)
         await_load(site)
         requests = load.stop()
-        judge(f"stop of {name}", requests, executions(site))
+        print_checks(f"stop of {name}", requests, executions(site))
         print("checks all ran:", all_ran(requests, "check"))
         if not name.endswith(".upstream"):
             print("claims all ran:", all_ran(requests, "claim"))
@@ -126,8 +126,9 @@
         await_load(site)
         site.processes[name].kill()
         await_load(site)
-        back(site, name)
-        outcomes = judge(f"kill of {name}", load.stop(), executions(site))
+        restart(site, name)
+        outcomes = print_checks(f"kill of {name}", load.stop(),
+                                executions(site))
         print(f"most ran: {outcomes['ran'] > 10 * outcomes.get('unknown', 0)}")
 
 
--- a/tests/scripts/streams.py
+++ b/tests/scripts/streams.py
@@ -118,7 +118,7 @@
     holders = [connect(site, "entry-1", get("/reclamos-api/hold?ms=1"))
                for _ in range(4)]
     until(lambda: sum(len(site.facts(n)) for n in both)
-          - hang_up_before(site) == 4, what="all slots taken")
+          - initial_ledger_lines(site) == 4, what="all slots taken")
     victim = connect(site, "entry-1",
                      get("/reclamos-api/check?ms=1", x_request_id="victim"))
     until(lambda: site.counter("entry-1", "entry_requests_open") == 5,
@@ -137,12 +137,12 @@
     print("hang up: started", len(started))
 
 
-def hang_up_before(site, memory={}):
+def initial_ledger_lines(site, cache={}):
     """Return the number of ledger lines at the first call."""
-    if "n" not in memory:
-        memory["n"] = sum(len(site.facts(n)) for n in
-                          ("guard-1.upstream", "guard-2.upstream"))
-    return memory["n"]
+    if "n" not in cache:
+        cache["n"] = sum(len(site.facts(n)) for n in
+                         ("guard-1.upstream", "guard-2.upstream"))
+    return cache["n"]
 
 
 def stopped_guard(site):
@@ -160,9 +160,9 @@
         thread.start()
     for thread in threads:
         thread.join()
-    told = {(a[0], a[1].get("galenapier-verdict")) for a in answers}
+    outcomes = {(a[0], a[1].get("galenapier-verdict")) for a in answers}
     print("stopped guard:", len(answers), "answers, each run or unknown",
-          told <= {(200, "ran"), (504, "unknown"), (502, "unknown")})
+          outcomes <= {(200, "ran"), (504, "unknown"), (502, "unknown")})
     site.await_targets(1)
     print("guard-2 serves",
           site.call("entry-1", "GET", "/reclamos-api/check?ms=1")[0])
@@ -171,7 +171,7 @@
     print("guard-1 is back")
 
 
-def started_at(site, guard):
+def count_started(site, guard):
     """Return how many requests of resumed_guard were started at GUARD."""
     return len([f for f in site.facts(f"{guard}.upstream")
                 if f["event"] == "execution_start"
@@ -189,19 +189,19 @@
                        "POST" + get("/reclamos-api/x",
                                     x_request_id=f"resumed-{i}")[3:])
                for i in range(4)]
-    until(lambda: started_at(site, "guard-1") + started_at(site, "guard-2")
-          == 4, what="requests started")
+    until(lambda: count_started(site, "guard-1")
+          + count_started(site, "guard-2") == 4, what="requests started")
     site.processes["guard-1"].signal(signal.SIGSTOP)
     site.await_targets(1)
     site.processes["guard-1"].signal(signal.SIGCONT)
     site.await_targets(2)
     for name in ("guard-1.upstream", "guard-2.upstream"):
         site.fault(name, {"hang": False})
-    told = [c.recv(4096).split(b"\r\n")[0].decode().split(" ")[1]
-            for c in callers]
-    print("resumed guard:", len(told), "answers, unknown as many as it ran",
-          told.count("502") == started_at(site, "guard-1"), "others ran",
-          told.count("200") == started_at(site, "guard-2"))
+    outcomes = [c.recv(4096).split(b"\r\n")[0].decode().split(" ")[1]
+                for c in callers]
+    print("resumed guard:", len(outcomes), "answers, unknown as many as it ran",
+          outcomes.count("502") == count_started(site, "guard-1"), "others ran",
+          outcomes.count("200") == count_started(site, "guard-2"))
     print("served again:", [site.call("entry-1", "POST", "/reclamos-api/x")[0]
                             for _ in range(4)])
 
@@ -215,7 +215,7 @@
         stalled_reader(site)
         stalled_upstream(site)
         slow_writer(site)
-        hang_up_before(site)
+        initial_ledger_lines(site)
         hang_up(site)
         stopped_guard(site)
         resumed_guard(site)
--- a/tests/scripts/tasks.py
+++ b/tests/scripts/tasks.py
@@ -6,21 +6,22 @@
 import signal
 import sys
 
-from tasks_site import (WATCHERS, await_epoch, await_serving, await_state,
-                        await_watchers, breaches, epochs, job, judge,
-                        long_jobs, on, publish, ready, running_watchers,
-                        start_site, submit, went_on)
+from tasks_site import (WATCHERS, assigned_to, await_epoch, await_serving,
+                        await_state, await_watchers, configure, count_breaches,
+                        fetch_job, long_jobs, print_double_runs, publish,
+                        resumed_from_checkpoint, running_watchers, start_site,
+                        submit, watcher_epochs)
 
 
 def plain(build):
     print("submit, run, read the result")
     with start_site(build, entries=2, guards=2) as site:
-        ready(site)
+        configure(site)
         await_watchers(site, WATCHERS)
         name = submit(site, run_ms=100)[0]
         print("  state:", await_state(site, name, "succeeded")["state"])
         await_state(site, name, "succeeded", "entry-2")
-        print("  has a result:", "result" in job(site, name, "entry-2"))
+        print("  has a result:", "result" in fetch_job(site, name, "entry-2"))
         name = submit(site, run_ms=60000)[0]
         await_state(site, name, "running")
         status = site.operate("entry-2", "DELETE", "/v1/jobs/" + name)[0]
@@ -31,48 +32,48 @@
         publish(site, 2, 6)
         await_watchers(site, 6)
         print("  watchers:", len(running_watchers(site)))
-        judge(site)
-        print("  breaches:", breaches(site))
+        print_double_runs(site)
+        print("  breaches:", count_breaches(site))
 
 
 def drained(build):
     print("a worker is drained")
     with start_site(build, entries=2, guards=2) as site:
-        ready(site)
+        configure(site)
         names = long_jobs(site, 4)
         await_watchers(site, WATCHERS)
-        victim = job(site, names[0])["worker"]
-        moved = on(site, names, victim)
+        victim = fetch_job(site, names[0])["worker"]
+        moved = assigned_to(site, names, victim)
         site.processes[victim].signal(signal.SIGTERM)
         print("  exit:", site.processes[victim].wait())
         await_epoch(site, moved, 2)
         await_watchers(site, WATCHERS)
-        print("  from their checkpoints:", went_on(site, moved))
-        judge(site)
+        print("  from their checkpoints:", resumed_from_checkpoint(site, moved))
+        print_double_runs(site)
 
 
 def restarted_guard(build):
     print("a guard's process dies beside its runtime")
     with start_site(build, entries=2, guards=2) as site:
-        ready(site)
+        configure(site)
         names = long_jobs(site, 4)
         await_watchers(site, WATCHERS)
-        before = epochs(site)
+        before = watcher_epochs(site)
         for guard in site.guard_names:
             site.processes[guard].kill()
             site.start_guard(guard, alone=True)
             await_serving(site, guard)
         await_epoch(site, names, 1)
         await_watchers(site, WATCHERS)
-        print("  same epochs:", epochs(site) == before
-              and all(job(site, n)["epoch"] == 1 for n in names))
-        judge(site)
+        print("  same epochs:", watcher_epochs(site) == before
+              and all(fetch_job(site, n)["epoch"] == 1 for n in names))
+        print_double_runs(site)
 
 
 def lost_acknowledgements(build):
     print("acknowledgements and appends are lost")
     with start_site(build, entries=2, guards=2) as site:
-        ready(site)
+        configure(site)
         names = []
         for fault in ("lost_ack", "drop_append") * 3:
             site.fault("log", {fault: 2})
@@ -81,7 +82,7 @@
         for name in names:
             await_state(site, name, "succeeded")
         print("  succeeded:", len(names))
-        judge(site)
+        print_double_runs(site)
 
 
 
--- a/tests/scripts/tasks_faults.py
+++ b/tests/scripts/tasks_faults.py
@@ -4,10 +4,11 @@
 import signal
 import sys
 
-from tasks_site import (WATCHERS, await_checkpoints, await_epoch,
-                        await_serving, await_state, await_watchers, epochs,
-                        job, judge, long_jobs, now_us, on, ready, start_site,
-                        submit, went_on)
+from tasks_site import (WATCHERS, assigned_to, await_checkpoints, await_epoch,
+                        await_serving, await_state, await_watchers, configure,
+                        fetch_job, long_jobs, now_us, print_double_runs,
+                        resumed_from_checkpoint, start_site, submit,
+                        watcher_epochs)
 
 from site_processes import until
 
@@ -15,64 +16,64 @@
 def lost_vm(build):
     print("a VM dies")
     with start_site(build, entries=2, guards=3) as site:
-        ready(site)
+        configure(site)
         names = long_jobs(site, 6)
         await_watchers(site, WATCHERS)
-        victim = job(site, names[0])["worker"]
-        moved = on(site, names, victim)
+        victim = fetch_job(site, names[0])["worker"]
+        moved = assigned_to(site, names, victim)
         await_checkpoints(site, moved)
         site.processes[victim].kill()
         site.processes[victim + ".worker"].kill()
         killed = now_us()
         await_epoch(site, moved, 2)
         await_watchers(site, WATCHERS)
-        print("  all run elsewhere:", on(site, names, victim) == [])
-        print("  from their checkpoints:", went_on(site, moved))
-        judge(site, {victim: killed})
+        print("  all run elsewhere:", assigned_to(site, names, victim) == [])
+        print("  from their checkpoints:", resumed_from_checkpoint(site, moved))
+        print_double_runs(site, {victim: killed})
 
 
 def dead_entry(build):
     print("an entry dies")
     with start_site(build, entries=2, guards=2) as site:
-        ready(site)
+        configure(site)
         names = long_jobs(site, 2)
         await_watchers(site, WATCHERS)
-        before = epochs(site, "entry-2")
+        before = watcher_epochs(site, "entry-2")
         site.processes["entry-1"].kill()
         name = submit(site, "entry-2", run_ms=100)[0]
         await_state(site, name, "succeeded", "entry-2")
         site.start_entry("entry-1")
         await_epoch(site, names, 1)
         await_watchers(site, WATCHERS)
-        print("  same epochs:", epochs(site) == before)
-        judge(site)
+        print("  same epochs:", watcher_epochs(site) == before)
+        print_double_runs(site)
 
 
 def paused_guard(build):
     print("a guard is paused for longer than its lease")
     with start_site(build, entries=2, guards=2) as site:
-        ready(site)
+        configure(site)
         names = long_jobs(site, 4)
         await_watchers(site, WATCHERS)
-        victim = job(site, names[0])["worker"]
-        moved = on(site, names, victim)
+        victim = fetch_job(site, names[0])["worker"]
+        moved = assigned_to(site, names, victim)
         await_checkpoints(site, moved)
         site.processes[victim].signal(signal.SIGSTOP)
         await_epoch(site, moved, 2)
         await_watchers(site, WATCHERS)
         site.processes[victim].signal(signal.SIGCONT)
         await_serving(site, victim)
-        print("  from their checkpoints:", went_on(site, moved))
-        judge(site)
+        print("  from their checkpoints:", resumed_from_checkpoint(site, moved))
+        print_double_runs(site)
 
 
 def log_down(build):
     print("the log is down for longer than a lease")
     with start_site(build, entries=2, guards=2) as site:
-        ready(site)
+        configure(site)
         names = long_jobs(site, 2)
         await_watchers(site, WATCHERS)
-        before = epochs(site)
+        before = watcher_epochs(site)
         site.fault("log", {"down": True})
         until(lambda: all(site.counter(e, "store_available") == 0
                           for e in site.entry_names), what="log down")
@@ -90,9 +91,9 @@
         name = submit(site, run_ms=100)[0]
         await_state(site, name, "succeeded")
         await_epoch(site, names, 1)
-        print("  same epochs:", epochs(site) == before
-              and all(job(site, n)["epoch"] == 1 for n in names))
-        judge(site)
+        print("  same epochs:", watcher_epochs(site) == before
+              and all(fetch_job(site, n)["epoch"] == 1 for n in names))
+        print_double_runs(site)
 
 
 
--- a/tests/scripts/tasks_lost.py
+++ b/tests/scripts/tasks_lost.py
@@ -7,7 +7,8 @@
 
 import sys
 
-from tasks_site import await_watchers, job, ready, start_site, submit, until
+from tasks_site import (await_watchers, configure, fetch_job, start_site,
+                        submit, until)
 
 # The task may crash three runtimes, and two more before that is noticed.
 STARTS_MAX = 5
@@ -17,10 +18,10 @@
     return state in ("failed", "parked")
 
 
-def start_of(site, name, epoch):
+def await_start(site, name, epoch):
     """Wait until the job runs in EPOCH or later, or is over; return it."""
     def look():
-        now = job(site, name)
+        now = fetch_job(site, name)
         at_work = now["state"] == "running" and now["epoch"] >= epoch
         return now if at_work or is_over(now["state"]) else None
     return until(look, what=f"{name} at work or over")
@@ -29,12 +30,12 @@
 def main(build):
     print("a task takes down the runtime of each worker that starts it")
     with start_site(build, entries=1, guards=3) as site:
-        ready(site, watchers=0)
+        configure(site, watchers=0)
         await_watchers(site, 0)
         name = submit(site, run_ms=600000)[0]
         starts = 0
         while starts <= STARTS_MAX:
-            now = start_of(site, name, starts + 1)
+            now = await_start(site, name, starts + 1)
             if is_over(now["state"]):
                 break
             starts = now["epoch"]
@@ -43,7 +44,7 @@
             runtime.start()
         print("  starts:", starts, file=sys.stderr)
         print("  it is given up or parked:",
-              is_over(job(site, name)["state"]))
+              is_over(fetch_job(site, name)["state"]))
         print("  started at most five times:", starts <= STARTS_MAX)
 
 
--- a/tests/scripts/tasks_policy.py
+++ b/tests/scripts/tasks_policy.py
@@ -9,8 +9,9 @@
 import sys
 import tempfile
 
-from tasks_site import (DOCUMENT, await_epoch, await_state, executions, judge,
-                        ready, start_site, submit, went_on, workers)
+from tasks_site import (DOCUMENT, await_epoch, await_state, configure,
+                        executions, print_double_runs, resumed_from_checkpoint,
+                        start_site, submit, workers)
 
 from site_processes import until
 
@@ -29,11 +30,11 @@
 """
 # One task on the same VM makes the service's p99 four times as long; if that
 # task is throttled, the p99 still exceeds the target.
-NEIGHBOURS = {"service_p99_us": 100000,
-              "pairs": {"service": {"assess": 3.0, "rush": 3.0}}}
+INTERFERENCE_TABLE = {"service_p99_us": 100000,
+                      "pairs": {"service": {"assess": 3.0, "rush": 3.0}}}
 
 
-def most_at_once(site):
+def max_concurrent(site):
     """Return the greatest number of tasks that ran at one time."""
     points = []
     for runs in executions(site).values():
@@ -46,7 +47,7 @@
     return most
 
 
-def reasons(site, name):
+def first_reason(site, name):
     """Return the first reason for the state of the job NAME.
 
     Prefers that of the entry that places it, as the others refer to that one.
@@ -59,43 +60,43 @@
 def quota(build):
     print("a team with a quota for two")
     with start_site(build, entries=3, guards=2) as site:
-        ready(site, 0, QUOTA)
+        configure(site, 0, QUOTA)
         names = []
         for entry in site.entry_names:
             names += submit(site, entry, 3, run_ms=100)
         for name in names:
             await_state(site, name, "succeeded")
-        print("  most at once:", most_at_once(site))
+        print("  most at once:", max_concurrent(site))
         status, _, answer = site.operate(
             "entry-1", "POST", "/v1/jobs",
             json.dumps({"kind": "assess", "team": "nobody"}))
         print("  another team:", status, json.loads(answer)["message"])
-        judge(site)
+        print_double_runs(site)
 
 
 def bad_task(build):
     print("a task that fails everywhere")
     with start_site(build, entries=2, guards=3) as site:
-        ready(site, 0)
+        configure(site, 0)
         name = submit(site, run_ms=20, fail=True)[0]
         await_state(site, name, "parked")
-        print("  parked:", reasons(site, name))
+        print("  parked:", first_reason(site, name))
         print("  workers tried:", len({run["node"] for run in
                                        executions(site)[name]}))
-        judge(site)
+        print_double_runs(site)
 
 
 def bad_worker(build):
     print("a worker that fails everything")
     with start_site(build, entries=2, guards=2) as site:
-        ready(site, 0)
+        configure(site, 0)
         site.fault("guard-1.runtime", {"fail_all": True})
         until(lambda: len(workers(site)) == 2, what="workers")
         names = submit(site, count=14, run_ms=300)
         for name in names:
             await_state(site, name, "succeeded")
         print("  states:", {w["worker"]: w["state"] for w in workers(site)})
-        judge(site)
+        print_double_runs(site)
 
 
 def neighbours(build):
@@ -103,12 +104,12 @@
     with tempfile.TemporaryDirectory() as folder:
         table = os.path.join(folder, "neighbours.json")
         with open(table, "w", encoding="utf-8") as file:
-            json.dump(NEIGHBOURS, file)
+            json.dump(INTERFERENCE_TABLE, file)
         with start_site(build, entries=2, guards=2, upstream=True,
                         worker_options=["--interference", table]) as site:
             for guard in site.guard_names:
                 site.fault(guard + ".runtime", {"usage_lag_ms": 100})
-            ready(site, 0, SERVICE)
+            configure(site, 0, SERVICE)
 
             def total(counter):
                 return sum(site.counter(e, counter)
@@ -120,14 +121,15 @@
             print("  throttled first:", total("entry_evictions_total") == 0)
             await_state(site, name, "pending")
             print("  then evicted:", total("entry_evictions_total"))
-            until(lambda: "slow a service" in reasons(site, name),
+            until(lambda: "slow a service" in first_reason(site, name),
                   what="it waits")
-            print("  with time to spare:", reasons(site, name))
+            print("  with time to spare:", first_reason(site, name))
             name = submit(site, kind="rush", run_ms=600000,
                           checkpoint_every_ms=50)[0]
             await_epoch(site, [name], 2)
-            print("  without, from its checkpoint:", went_on(site, [name]))
-            judge(site)
+            print("  without, from its checkpoint:",
+                  resumed_from_checkpoint(site, [name]))
+            print_double_runs(site)
 
 
 def main(build):
--- a/tests/scripts/tasks_site.py
+++ b/tests/scripts/tasks_site.py
@@ -50,7 +50,7 @@
     return json.loads(answer)["jobs"]
 
 
-def job(site, name, entry="entry-1"):
+def fetch_job(site, name, entry="entry-1"):
     """Return the job NAME as ENTRY knows it; its state is None if unknown."""
     status, _, answer = site.operate(entry, "GET", "/v1/jobs/" + name)
     return json.loads(answer) if status == 200 else {"state": None}
@@ -59,7 +59,7 @@
 def await_state(site, name, state, entry="entry-1"):
     """Wait until the job NAME is in STATE and return it."""
     return until(lambda: (lambda j: j["state"] == state and j)(
-        job(site, name, entry)), what=f"{name} {state}")
+        fetch_job(site, name, entry)), what=f"{name} {state}")
 
 
 def running_watchers(site, entry="entry-1"):
@@ -96,7 +96,7 @@
     return runs
 
 
-def judge(site, killed=()):
+def print_double_runs(site, killed=()):
     """Print how many executions overlap and how many epochs ran twice.
 
     KILLED maps a node to the time at which its VM was killed, which ends the
@@ -115,13 +115,13 @@
     print(f"  twice at a time: {overlaps}, epochs run twice: {doubled}")
 
 
-def breaches(site):
+def count_breaches(site):
     """Return how many breaches the worker runtimes recorded."""
     return sum(fact["event"] == "breach" for guard in site.guard_names
                for fact in site.facts(guard + ".worker"))
 
 
-def ready(site, watchers=WATCHERS, document=DOCUMENT):
+def configure(site, watchers=WATCHERS, document=DOCUMENT):
     """Publish DOCUMENT as revision 1 and wait until all entries have it."""
     for entry in site.entry_names:
         until(lambda e=entry: site.counter(e, "store_ready") == 1,
@@ -157,7 +157,8 @@
 def await_epoch(site, names, epoch, entry="entry-1"):
     for name in names:
         until(lambda n=name: (lambda j: j["state"] == "running"
-                              and j["epoch"] >= epoch)(job(site, n, entry)),
+                              and j["epoch"] >= epoch)(
+                                  fetch_job(site, n, entry)),
               what=f"{name} in epoch {epoch}")
 
 
@@ -166,25 +167,25 @@
                       for w in workers(site)), what=f"{guard} serving")
 
 
-def on(site, names, guard):
+def assigned_to(site, names, guard):
     """Return those of the jobs NAMES that are assigned to GUARD."""
-    return [n for n in names if job(site, n)["worker"] == guard]
+    return [n for n in names if fetch_job(site, n)["worker"] == guard]
 
 
 def await_checkpoints(site, names):
     for name in names:
-        until(lambda n=name: "checkpoint_bytes" in job(site, n),
+        until(lambda n=name: "checkpoint_bytes" in fetch_job(site, n),
               what=f"checkpoint of {name}")
 
 
-def went_on(site, names):
+def resumed_from_checkpoint(site, names):
     """Return whether the last execution of each job began at a checkpoint."""
     runs = executions(site)
     return all(max(runs[n], key=lambda run: run["start"])["progress"] > 0
                for n in names)
 
 
-def epochs(site, entry="entry-1"):
+def watcher_epochs(site, entry="entry-1"):
     """Return the epoch of each running watcher."""
     return {w["id"]: w["epoch"] for w in running_watchers(site, entry)}
 
--- a/tests/scripts/thin.py
+++ b/tests/scripts/thin.py
@@ -12,7 +12,7 @@
 SPEC = "x" * 4000
 
 
-def narrow(site, rate=RATE):
+def limit_bandwidth(site, rate=RATE):
     """Limit the rate of all links of entries."""
     for name, link in site.links.items():
         if name.startswith("e"):
@@ -34,7 +34,7 @@
         fill_log(site)
         for name in site.entries:
             site.processes[name].kill()
-        narrow(site)
+        limit_bandwidth(site)
         for name in site.entries:
             site.processes[name].start()
         site.ready()
@@ -49,7 +49,7 @@
         fill_log(site)
         first = site.leader()
         name = other_entry(site, first)
-        narrow(site)
+        limit_bandwidth(site)
         site.store.refused = {site.store_addresses[name]}
         until(lambda: site.metric(name, "store_by_relay") == 1, what="relayed")
         for link in (first + " relay", name + " store"):
@@ -65,7 +65,7 @@
         print_breaches(site)
 
 
-def bytes_of(site, what):
+def bytes_sent(site, what):
     """Return how many bytes of WHAT all entries have sent."""
     return sum(site.metric(name, f"traffic_{what}_out_bytes_total")
                for name in site.entries)
@@ -74,14 +74,14 @@
 def leader(build):
     print("a job with many runs on each worker behind a thin link")
     with start_site(build, links=True) as site:
-        narrow(site)
+        limit_bandwidth(site)
         first = site.leader()
         steps = [{"count": 60, "cpu": 100, "memMb": 10, "estimateMs": 300}]
         print("  submitted:", site.submit("e1", JOB_A, steps, spec=SPEC))
         site.await_state("e2", JOB_A, "completed")
         print("  starts:", sum(site.judge.starts.values()))
         print("  orders of less than three specifications:",
-              bytes_of(site, "orders") < 3 * len(SPEC))
+              bytes_sent(site, "orders") < 3 * len(SPEC))
         print("  the same leader:", site.leader() == first)
         print_breaches(site)
 
--- a/tests/scripts/tls.py
+++ b/tests/scripts/tls.py
@@ -13,7 +13,7 @@
 MAKE_CERTS = os.path.join(os.path.dirname(__file__), "../../tools/make-certs")
 
 
-def plain(address):
+def answers_plain_frame(address):
     """Return whether a frame that is sent without TLS is answered."""
     host, port = address.rsplit(":", 1)
     with socket.create_connection((host, int(port)), timeout=10) as peer:
@@ -24,7 +24,7 @@
             return False
 
 
-def over_tls(address, folder, name):
+def greets_tls_peer(address, folder, name):
     """Return whether a peer with a certificate receives a hello message.
 
     NAME is that of the certificate in FOLDER; None: the peer has none.
@@ -54,13 +54,14 @@
                        stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
         for process in ("entry-1", "guard-1"):
             address = site.addresses[f"{process}.peers"]
-            print(f"{process}: plain frame answered:", plain(address))
+            print(f"{process}: plain frame answered:",
+                  answers_plain_frame(address))
             print(f"{process}: no certificate greeted:",
-                  over_tls(address, other, None))
+                  greets_tls_peer(address, other, None))
             print(f"{process}: of another authority greeted:",
-                  over_tls(address, other, "entry-1"))
+                  greets_tls_peer(address, other, "entry-1"))
             print(f"{process}: of the site greeted:",
-                  over_tls(address, site.folder, "guard-2"))
+                  greets_tls_peer(address, site.folder, "guard-2"))
         print("still served:",
               [site.call(e, "GET", "/reclamos-api/check?ms=1")[0]
                for e in site.entry_names])
--- a/tests/scripts/versions.py
+++ b/tests/scripts/versions.py
@@ -46,7 +46,7 @@
         turn += 1
 
 
-def play(first, then, order):
+def run_upgrade(first, then, order):
     """Replace all processes of FIRST by those of THEN, in ORDER."""
     with start_site(first, entries=3, workers=4) as site:
         site.judge.crashers.add(CRASHERS[JOBS[0]])
@@ -82,9 +82,9 @@
     for order in orders or ["entries", "guards", "back"]:
         print(order)
         if order == "back":
-            play(build, before, "entries")
+            run_upgrade(build, before, "entries")
         else:
-            play(before, build, order)
+            run_upgrade(before, build, order)
 
 
 main(sys.argv[1], sys.argv[2], sys.argv[3:])
--- a/tests/scripts/writers.py
+++ b/tests/scripts/writers.py
@@ -22,7 +22,7 @@
 TOO_LONG = {413, 0}
 # By then a leader would consider the leases of unreachable executors expired,
 # if there were any.
-LEASES_S = 16.0
+LEASES_EXPIRED_S = 16.0
 MAX_JOBS = 1000
 
 
@@ -30,7 +30,7 @@
     return f"{4096 + number:016x}"
 
 
-def starts_of(site, job):
+def count_starts(site, job):
     return sum(count for task, count in site.judge.starts.items()
                if task.startswith(job))
 
@@ -40,17 +40,17 @@
                for process in site.processes.values()) - 1
 
 
-class Writers:
+class OtherWriters:
     """Writes records of all kinds, and heartbeats to guards, until `end`."""
 
     def __init__(self, site):
         self.site = site
         self.records = RecordWriter(site.store, site.judge, 1)
-        self.beats = self.all_beats()
+        self.beats = self.heartbeats()
         self.running = [Background(self.records.write, WRITE_PAUSE_S),
                         Background(self.beat, BEAT_PAUSE_S)]
 
-    def all_beats(self):
+    def heartbeats(self):
         """Yield (executor, id, body) of heartbeats without end."""
         while True:
             for executor in list(self.site.executors.values()):
@@ -69,7 +69,7 @@
             writer.end()
 
 
-def all_complete(site, entry, jobs):
+def complete_all(site, entry, jobs):
     """Submit JOBS one after the other and wait for the end of each."""
     for job in jobs:
         until(lambda j=job: site.submit(entry, j, STEPS) == 200,
@@ -77,10 +77,10 @@
         site.await_state(entry, job, "completed")
 
 
-def finish(site):
+def print_outcome(site):
     """Print that the long-running tasks were neither lost nor moved."""
     print("  at work:", len(site.judge.at_work(JOB_A)))
-    print("  its starts:", starts_of(site, JOB_A))
+    print("  its starts:", count_starts(site, JOB_A))
     print_breaches(site)
 
 
@@ -99,8 +99,8 @@
             if answers <= TOO_LONG:
                 answers = {"refused"}
             print(f"  {cases[0][0]}: {sorted(answers)}")
-        all_complete(site, "e1", [JOB_B])
-        finish(site)
+        complete_all(site, "e1", [JOB_B])
+        print_outcome(site)
 
 
 def strangers(build):
@@ -116,53 +116,53 @@
         for name, wrong in IDS.items():
             print(f"  id {name}: {executor.post_body(wrong, body)}")
         time.sleep(1.0)  # time for accepted heartbeats to show an effect
-        all_complete(site, "e1", [JOB_B])
-        finish(site)
+        complete_all(site, "e1", [JOB_B])
+        print_outcome(site)
 
 
 def whole_run(build):
     print("other writers beside a working site")
     with start_site(build) as site:
         site.submit_long_running("e1", JOB_A)
-        writers = Writers(site)
-        all_complete(site, "e2", [numbered_job(i) for i in range(ROUNDS)])
+        writers = OtherWriters(site)
+        complete_all(site, "e2", [numbered_job(i) for i in range(ROUNDS)])
         writers.end()
-        all_complete(site, "e1", [JOB_B])
+        complete_all(site, "e1", [JOB_B])
         print("  changes of the leader:", changes_of_leader(site))
-        finish(site)
+        print_outcome(site)
 
 
 def leader_changes(build):
     print("other writers beside changes of the leader")
     with start_site(build) as site:
         site.submit_long_running("e1", JOB_A)
-        writers = Writers(site)
+        writers = OtherWriters(site)
         first = site.leader()
         second = other_entry(site, first)
         site.processes[first].kill()
-        all_complete(site, second, [JOB_B])
+        complete_all(site, second, [JOB_B])
         site.processes[first].start()
         until(lambda: site.submit(first, JOB_B, STEPS) == 200, what="ready")
         site.processes[second].signal(signal.SIGTERM)
-        all_complete(site, first, [JOB_C])
+        complete_all(site, first, [JOB_C])
         writers.end()
         print("  changes of the leader:", changes_of_leader(site))
-        finish(site)
+        print_outcome(site)
 
 
 def store_away(build):
     print("other writers beside a store that is away")
     with start_site(build) as site:
         site.submit_long_running("e1", JOB_A)
-        writers = Writers(site)
+        writers = OtherWriters(site)
         for how, job in (("busy", JOB_B), ("silent", JOB_C)):
             site.store.down = how
             print(f"  {how}, submitted:", site.submit("e1", job, STEPS))
             time.sleep(1.0)
             site.store.down = None
-            all_complete(site, "e2", [job])
+            complete_all(site, "e2", [job])
         writers.end()
-        finish(site)
+        print_outcome(site)
 
 
 def bad_rows(build):
@@ -172,9 +172,9 @@
             executor.bad_rows = True
         site.submit_long_running("e1", JOB_A)
         jobs = [numbered_job(i) for i in range(ROUNDS)]
-        all_complete(site, "e2", jobs)
-        print("  starts:", sum(starts_of(site, job) for job in jobs))
-        finish(site)
+        complete_all(site, "e2", jobs)
+        print("  starts:", sum(count_starts(site, job) for job in jobs))
+        print_outcome(site)
 
 
 def foreign_places(build):
@@ -184,12 +184,12 @@
         for name, executor in site.executors.items():
             site.store.put("keyed.progress", "at.stranger-" + name,
                            text(1, executor.id))
-        ends_at = time.monotonic() + LEASES_S
+        ends_at = time.monotonic() + LEASES_EXPIRED_S
         for i in range(MAX_JOBS):
-            all_complete(site, "e1", [numbered_job(i)])
+            complete_all(site, "e1", [numbered_job(i)])
             if time.monotonic() > ends_at:
                 break
-        finish(site)
+        print_outcome(site)
 
 
 SCENARIOS = {scenario.__name__: scenario
