--- a/tests/scripts/crashes.py
+++ b/tests/scripts/crashes.py
@@ -195,13 +195,13 @@
 def outage(build):
     print("the store is away at each crash")
     with start_site(build) as site:
-        def cut_store(worker):
+        def interrupt_store(worker):
             site.store.down = "silent"
             time.sleep(1.5)
             site.store.down = None
 
         submit_crasher(site, TASKS)
-        check_crasher(site, cut_store)
+        check_crasher(site, interrupt_store)
 
 
 def beside(build):
--- a/tests/scripts/evacuated.py
+++ b/tests/scripts/evacuated.py
@@ -14,7 +14,7 @@
 ZONES = ["z1", "z2"]
 STEP = {"count": 6, "cpu": 1000, "memMb": 10, "estimateMs": 300}
 # Longer than EVACUATE_S, within which an evacuation must be in force.
-PAST_BOUND_S = 7.0
+PAST_LIMIT_S = 7.0
 LONG_RUNNING_JOB = "00000000000000ee"
 
 
@@ -80,7 +80,7 @@
         site.evacuate("z1")
         began = time.monotonic()
         inject_faults(site)
-        time.sleep(max(0.0, began + PAST_BOUND_S - time.monotonic()))
+        time.sleep(max(0.0, began + PAST_LIMIT_S - time.monotonic()))
         site.take_back("z1")
         await_use(site, "z1")
         submitter.end()
@@ -103,7 +103,7 @@
     def inject_faults(site):
         held = {name: set(site.judge.on(f"{name}-1")) & running_long_tasks(site)
                 for name in site.executors}
-        time.sleep(PAST_BOUND_S)
+        time.sleep(PAST_LIMIT_S)
         print("  lasting runs:", sum(len(tasks) for tasks in held.values()))
         print("  they stay:", all(tasks <= set(site.judge.on(f"{name}-1"))
                                   for name, tasks in held.items()))
@@ -166,7 +166,7 @@
         time.sleep(0.5)
 
     def inject_faults(site):
-        time.sleep(PAST_BOUND_S)
+        time.sleep(PAST_LIMIT_S)
         site.store.unreadable = set()
         time.sleep(1.5)
     run_scenario(build, "the operators' topic can't be read meanwhile",
@@ -188,11 +188,11 @@
 def by_turns(build):
     """The zones are evacuated in turn, and work never has to wait for both."""
     def inject_faults(site):
-        time.sleep(PAST_BOUND_S)
+        time.sleep(PAST_LIMIT_S)
         site.evacuate("z2")
         site.take_back("z1")
         await_use(site, "z1")
-        time.sleep(PAST_BOUND_S)
+        time.sleep(PAST_LIMIT_S)
         site.evacuate("z1")
         site.take_back("z2")
         await_use(site, "z2")
@@ -203,7 +203,7 @@
     """Accepted jobs wait while no zone is left, and are done afterwards."""
     def inject_faults(site):
         site.evacuate("z2")
-        time.sleep(PAST_BOUND_S)
+        time.sleep(PAST_LIMIT_S)
         name = site.leader()
         print("  known as evacuated:", site.metric(name, "zones_evacuated"))
         site.take_back("z2")
@@ -211,7 +211,7 @@
 
 
 def lasting(build):
-    """Long-running runs whose executors crash restart in the other zone."""
+    """Long-running tasks whose executors crash restart in the other zone."""
     print("an executor of the zone goes down")
     with start_site(build, entries=2, workers=4, zones=ZONES) as site:
         site.submit_long_running(next(iter(site.entries)), LONG_RUNNING_JOB)
--- a/tests/scripts/membership.py
+++ b/tests/scripts/membership.py
@@ -21,14 +21,14 @@
     return log.count("session.open") - log.count("session.closed")
 
 
-def serve_all(site, title):
+def print_statuses(site, title):
     answers = [site.call(entry, "GET", "/reclamos-api/check?ms=1")
                for entry in site.entry_names
                if site.processes[entry].popen.poll() is None]
     print(f"{title}:", [a[0] for a in answers])
 
 
-def total(site, name):
+def sum_counters(site, name):
     return sum(site.counter(e, name) for e in site.entry_names)
 
 
@@ -41,11 +41,11 @@
 def homes(site):
     """Each guard has two homes, which report it to the other entries."""
     site.await_targets(GUARDS)
-    serve_all(site, "all entries serve")
+    print_statuses(site, "all entries serve")
     print("sessions of each guard:", [open_sessions(site, g)
                                       for g in site.guard_names])
     print("two entries told of each guard:",
-          total(site, "entry_member_news_sent_total")
+          sum_counters(site, "entry_member_news_sent_total")
           == 2 * GUARDS * (ENTRIES - 1))
 
 
@@ -56,8 +56,8 @@
     site.await_targets(GUARDS - 1)
     print("guard-1 exit:", site.processes["guard-1"].wait())
     site.fault("guard-1.upstream", {"hang": False})
-    unknown = total(site, "entry_answers_unknown_total")
-    serve_all(site, "without guard-1")
+    unknown = sum_counters(site, "entry_answers_unknown_total")
+    print_statuses(site, "without guard-1")
     print("unknown:", unknown)
 
 
@@ -67,7 +67,7 @@
     site.processes["guard-1"].kill()
     site.start_guard("guard-1", alone=True)
     site.await_targets(GUARDS)
-    serve_all(site, "guard-1 in its third incarnation")
+    print_statuses(site, "guard-1 in its third incarnation")
 
 
 def lost_entries(site):
@@ -76,15 +76,15 @@
         site.processes[name].kill()
     left = site.entry_names[2:]
     await_all(site, GUARDS, left)
-    serve_all(site, "two entries left")
+    print_statuses(site, "two entries left")
     site.processes["guard-2"].kill()
     await_all(site, GUARDS - 1, left)
-    serve_all(site, "without guard-2")
+    print_statuses(site, "without guard-2")
     for name in ("entry-1", "entry-2"):
         site.start_entry(name)
     site.start_guard("guard-2", alone=True)
     site.await_targets(GUARDS)
-    serve_all(site, "all back")
+    print_statuses(site, "all back")
 
 
 def stopped_home(site):
@@ -93,7 +93,7 @@
     site.await_targets(GUARDS - 1)
     site.processes["guard-3"].signal(signal.SIGCONT)
     site.await_targets(GUARDS)
-    serve_all(site, "guard-3 stopped and went on")
+    print_statuses(site, "guard-3 stopped and went on")
 
 
 def main(build):
--- a/tests/scripts/platform.py
+++ b/tests/scripts/platform.py
@@ -291,8 +291,8 @@
                 status = executor.post_body(executor.id, json.dumps(changed))
                 if name == "w1":
                     print(f"  {case}: {status}")
-            cut = json.dumps(body)[:-9]
-            statuses = [executor.post_body(executor.id, cut),
+            truncated = json.dumps(body)[:-9]
+            statuses = [executor.post_body(executor.id, truncated),
                         executor.post_body(executor.id, b"\xff\x00"),
                         executor.post_body("a/b", json.dumps(body)),
                         executor.post_body("x" * 200, json.dumps(body))]
--- a/tests/scripts/proof_outage.py
+++ b/tests/scripts/proof_outage.py
@@ -30,7 +30,7 @@
 
 
 def await_renewals(site):
-    """Wait until each entry has renewed RENEWALS leases by vouches."""
+    """Wait until each entry has made RENEWALS more renewals by vouches."""
     before = {e: site.counter(e, "entry_leases_vouched_total")
               for e in site.entry_names}
     until(lambda: all(site.counter(e, "entry_leases_vouched_total")
--- a/tests/scripts/records.py
+++ b/tests/scripts/records.py
@@ -9,8 +9,8 @@
 from platform_site import (JOB_A, JOB_B, JOB_C, LONG_RUNNING, STEPS,
                            start_site, until)
 
-JSON = b'{"service":"work","state":"gone","seq":"x"}'
-CUT = b"\x0a\x20abc"
+JSON_TEXT = b'{"service":"work","state":"gone","seq":"x"}'
+TRUNCATED = b"\x0a\x20abc"
 
 
 # Encodes protocol buffer messages that no process of the site would write.
@@ -83,8 +83,9 @@
     print("nodes of another writer")
     with start_site(build) as site:
         submit_and_wait(site)
-        for key, value in (("w1", JSON), ("w2", b""), ("w3", text(1, b"no")),
-                           ("w4", number(2, 1)), ("e1", CUT), ("w5", CUT)):
+        for key, value in (("w1", JSON_TEXT), ("w2", b""),
+                           ("w3", text(1, b"no")), ("w4", number(2, 1)),
+                           ("e1", TRUNCATED), ("w5", TRUNCATED)):
             site.store.put("keyed.nodes", key, value)
         await_refused(site, "undecodable", 3)
         await_refused(site, "invalid", 2)
@@ -98,7 +99,7 @@
         submit_and_wait(site)
         first, taken = site.leader(), count_leaderships(site)
         newest = site.store.topics["keyed.progress"].newest
-        values = (JSON, number(1, 2), number(1, 1), CUT,
+        values = (JSON_TEXT, number(1, 2), number(1, 1), TRUNCATED,
                   progress((0, 0, b"x")), progress((7, 1, b"x")),
                   progress((0, 1, b"ghost")),
                   progress((0, 2, b"a"), (0, 2, b"b")))
@@ -123,7 +124,7 @@
     print("the submission of a job that is at work is overwritten")
     with start_site(build) as site:
         submit_and_wait(site)
-        site.store.put("keyed.jobs", JOB_A, JSON)
+        site.store.put("keyed.jobs", JOB_A, JSON_TEXT)
         site.store.put("keyed.jobs", "c." + JOB_A, b"cancelled")
         await_refused(site, "undecodable", 1)
         await_refused(site, "invalid", 1)
@@ -135,7 +136,7 @@
 def an_unknown_job(build):
     print("a job's submission cannot be read")
     with start_site(build) as site:
-        site.store.put("keyed.jobs", JOB_B, JSON)
+        site.store.put("keyed.jobs", JOB_B, JSON_TEXT)
         await_refused(site, "undecodable", 1)
         print("  shown:", [site.state(name, JOB_B) for name in site.entries])
         print("  another:", site.state("e1", JOB_C))
@@ -151,10 +152,10 @@
         submit_and_wait(site)
         for name in site.entries:
             site.processes[name].kill()
-        site.store.put("keyed.progress", JOB_A, JSON)
-        site.store.put("keyed.progress", "leader", CUT)
+        site.store.put("keyed.progress", JOB_A, JSON_TEXT)
+        site.store.put("keyed.progress", "leader", TRUNCATED)
         site.store.put("keyed.progress", "at.w1", text(1, b""))
-        site.store.put("keyed.progress", "learned", CUT)
+        site.store.put("keyed.progress", "learned", TRUNCATED)
         for name in site.entries:
             site.processes[name].start()
         site.ready()
@@ -186,11 +187,11 @@
         place = newest["at." + holder][0]
         for _ in range(3):
             taken = count_leaderships(site)
-            site.store.put("keyed.progress", "leader", JSON)
+            site.store.put("keyed.progress", "leader", JSON_TEXT)
             site.store.put("keyed.progress", "at." + stranger, place)
             site.store.put("keyed.progress", "at.w9", text(1, b""))
-            site.store.put("keyed.progress", "learned", CUT)
-            site.store.put("keyed.progress", "another", JSON)
+            site.store.put("keyed.progress", "learned", TRUNCATED)
+            site.store.put("keyed.progress", "another", JSON_TEXT)
             until(lambda t=taken: count_leaderships(site) > t,
                   what="a new lead")
             complete_job(site, JOB_B)
@@ -245,7 +246,7 @@
         submit_and_wait(site)
         host, port = site.metrics["w1"].rsplit(":", 1)
         guard = f"{host}:{int(port) - 1}"
-        for frame in (JSON, CUT, text(1, number(1, 7)),
+        for frame in (JSON_TEXT, TRUNCATED, text(1, number(1, 7)),
                       text(1, number(1, 2 ** 63) + text(2, b"e9")),
                       text(4, text(2, b"w1-1")), text(5, b"")):
             send_frame(guard, frame)
--- a/tests/scripts/room.py
+++ b/tests/scripts/room.py
@@ -11,7 +11,7 @@
 from platform_site import DOCUMENT, print_breaches, start_site, until
 
 SECONDS = 14.0
-SIZES = [16, 3, 8, 2, 16, 4, 1, 12]
+CORES = [16, 3, 8, 2, 16, 4, 1, 12]
 STEP = {"count": 6, "cpu": 1000, "memMb": 10, "estimateMs": 300}
 
 
@@ -25,7 +25,7 @@
                     accepted.append(job)
                     break
             except OSError:
-                continue  # it is being restarted: ask the next one
+                continue  # it is being restarted: try the next one
         number += 1
         time.sleep(0.12)
 
@@ -34,7 +34,7 @@
     turn = 0
     while time.monotonic() < end:
         for i, executor in enumerate(site.executors.values()):
-            executor.resize(SIZES[(turn + i) % len(SIZES)])
+            executor.resize(CORES[(turn + i) % len(CORES)])
         turn += 1
         time.sleep(1.1)
     for executor in site.executors.values():
--- a/tests/scripts/same_id.py
+++ b/tests/scripts/same_id.py
@@ -39,7 +39,11 @@
 
 
 def print_breaches(site):
-    """Print the breaches recorded by the judge of SITE, and stale starts."""
+    """Print the breaches that the judge of SITE recorded.
+
+    Starts that the next incarnation of an executor carried out are not breaches;
+    they go to standard error.
+    """
     breaches = site.judge.breaches
     print("  breaches:", len(breaches), breaches[:2])
     print("  carried out by the next life:", site.judge.early, file=sys.stderr)
@@ -272,12 +276,12 @@
 def outage(build):
     print("the store is away at each start")
 
-    def cut(site, name):
+    def interrupt_store(site, name):
         site.store.down = "silent"
         time.sleep(1.0)
         site.store.down = None
 
-    run_scenario(build, [STEPS], cut)
+    run_scenario(build, [STEPS], interrupt_store)
 
 
 def old_beats(build):
--- a/tests/scripts/soak_judged.py
+++ b/tests/scripts/soak_judged.py
@@ -30,7 +30,7 @@
         self.entries = ["e1"]
         self.judge = types.SimpleNamespace(crashers=set(), crashes=[],
                                            gang_counts={}, starts={})
-        self.asked = set()
+        self.queried = set()
 
     def call(self, entry, method, path, body):
         time.sleep(self.SLOW_S)
@@ -38,7 +38,7 @@
 
     def state(self, entry, job):
         time.sleep(self.SLOW_S)
-        self.asked.add(job)
+        self.queried.add(job)
         return "failed"
 
 
@@ -50,7 +50,7 @@
     crashers = Crashers(site, faults, 1, count, 0.1)
     time.sleep(0.15)
     breaches = crashers.end()
-    print("judged:", len(site.asked), "of", count, "breaches:", breaches)
+    print("judged:", len(site.queried), "of", count, "breaches:", breaches)
 
 
 def failed_check():
--- a/tests/scripts/streams.py
+++ b/tests/scripts/streams.py
@@ -13,7 +13,7 @@
 LARGE = 64 * 1024 * 1024
 # A larger quarantine of the sanitizer would count as growth of the process.
 os.environ.setdefault("ASAN_OPTIONS", "quarantine_size_mb=1")
-MEMORY_BOUND_KIB = 16 * 1024
+MEMORY_LIMIT_KIB = 16 * 1024
 STEP = 1024 * 1024
 
 
@@ -80,7 +80,7 @@
           time.monotonic() - started > 1.0)
     for name, kib in before.items():
         grown = resident_kib(site.processes[name]) - kib
-        print(f"{name} grew by less than 16 MiB:", grown < MEMORY_BOUND_KIB)
+        print(f"{name} grew by less than 16 MiB:", grown < MEMORY_LIMIT_KIB)
         print(f"{name} grew by {grown} KiB", file=sys.stderr)
 
 
--- a/tests/scripts/versions.py
+++ b/tests/scripts/versions.py
@@ -46,9 +46,12 @@
         turn += 1
 
 
-def run_upgrade(first, then, order):
-    """Replace all processes of FIRST by those of THEN, in ORDER."""
-    with start_site(first, entries=3, workers=4) as site:
+def run_upgrade(initial_build, target_build, order):
+    """Replace the processes of INITIAL_BUILD by those of TARGET_BUILD.
+
+    ORDER is "guards" if the guards come first, otherwise the entries do.
+    """
+    with start_site(initial_build, entries=3, workers=4) as site:
         site.judge.crashers.add(CRASHERS[JOBS[0]])
         site.submit("e1", JOB_LONG_RUNNING, LONG_RUNNING, spec="lasts")
         stream = JobStream(site, SMALL)
@@ -63,7 +66,7 @@
                 holds_within(
                     lambda: site.submit("e1", JOBS[0], [STEP]) == 200, 10)
             time.sleep(PAUSE_S)
-            replace(site.processes[name], then)
+            replace(site.processes[name], target_build)
         given_up = holds_within(
             lambda: state_from_any(site, JOBS[0]) == "failed",
             GIVE_UP_LIMIT_S)
--- a/tests/scripts/writers.py
+++ b/tests/scripts/writers.py
@@ -15,9 +15,9 @@
 from other_writers import (Background, RecordWriter, foreign_heartbeats,
                            malformed_heartbeats)
 
-IDS = {"with a slash": "w1-1/x", "of 2,000 bytes": "w" * 2000}
+INVALID_IDS = {"with a slash": "w1-1/x", "of 2,000 bytes": "w" * 2000}
 WRITE_PAUSE_S = 0.05
-BEAT_PAUSE_S = 0.1
+HEARTBEAT_PAUSE_S = 0.1
 ROUNDS = 6
 TOO_LONG = {413, 0}
 # By then a leader would consider the leases of unreachable executors expired,
@@ -48,7 +48,7 @@
         self.records = RecordWriter(site.store, site.judge, 1)
         self.beats = self.heartbeats()
         self.running = [Background(self.records.write, WRITE_PAUSE_S),
-                        Background(self.beat, BEAT_PAUSE_S)]
+                        Background(self.beat, HEARTBEAT_PAUSE_S)]
 
     def heartbeats(self):
         """Yield (executor, id, body) of heartbeats without end."""
@@ -113,7 +113,7 @@
                 executor.post_body(name, body)
         executor = site.executors["w1"]
         body = json.dumps(executor.beat_body(10 ** 9))
-        for name, wrong in IDS.items():
+        for name, wrong in INVALID_IDS.items():
             print(f"  id {name}: {executor.post_body(wrong, body)}")
         time.sleep(1.0)  # time for accepted heartbeats to show an effect
         complete_all(site, "e1", [JOB_B])
