--- a/tests/scripts/evacuated.py
+++ b/tests/scripts/evacuated.py
@@ -221,7 +221,7 @@
             site.executors[name].crash()
         until(lambda: len(running_long_tasks(site)) == 3
               and not site.judge.on("w1-2") and not site.judge.on("w2-2"),
-              what="back elsewhere")
+              what="tasks running in the other zone")
         print("  back elsewhere:", True)
         entry = other_entry(site, site.leader())
         site.submit(entry, "00000000000000dd", STEPS)
--- a/tests/scripts/gone.py
+++ b/tests/scripts/gone.py
@@ -57,7 +57,8 @@
 def print_running_again(site, limit_s, ended):
     """Print whether the long-running job runs again LIMIT_S after ENDED."""
     try:
-        until(lambda: all_running(site), timeout_s=limit_s + 6, what="again")
+        until(lambda: all_running(site), timeout_s=limit_s + 6,
+              what="running again")
         took = f"{time.monotonic() - ended:.1f} s"
     except TimeoutError:
         took = "not at all"
@@ -81,7 +82,7 @@
 def submit_and_wait(site):
     """Submit the long-running job and wait until all its tasks run."""
     site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-    until(lambda: all_running(site), what="at work")
+    until(lambda: all_running(site), what="running")
 
 
 def remove_worker(site, goodbye):
@@ -173,7 +174,7 @@
         second = site.leader()
         site.processes[first].signal(signal.SIGCONT)
         until(lambda: '"lead.lost"' in site.processes[first].log_of_life(),
-              what="it has noticed")
+              what="loss of leadership noticed")
         site.processes[name].kill()
         site.executors[name].leave(goodbye=False)
         ended = time.monotonic()
--- a/tests/scripts/planned.py
+++ b/tests/scripts/planned.py
@@ -39,7 +39,7 @@
         until(lambda: executor.closed, what="the executor's end")
         ended_at = time.monotonic()
         until(lambda: len(site.judge.at_work(JOB_A)) == 3,
-              timeout_s=MOVE_LIMIT_S, what="at work elsewhere")
+              timeout_s=MOVE_LIMIT_S, what="tasks running elsewhere")
         print(f"  moved in {time.monotonic() - ended_at:.2f} s",
               file=sys.stderr)
         thread.join()
--- a/tests/scripts/platform.py
+++ b/tests/scripts/platform.py
@@ -32,7 +32,7 @@
     print("a job that lasts is cancelled at another entry")
     with start_site(build) as site:
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         print("  cancelled:", site.call("e2", "DELETE", "/q/" + JOB_A)[0])
         until(lambda: not site.judge.at_work(JOB_A), what="stopped")
         site.await_state("e1", JOB_A, "cancelled")
@@ -44,11 +44,11 @@
     print("the leader is killed, and what lasts goes on")
     with start_site(build) as site:
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         site.submit("e1", JOB_C, STEPS)
         site.await_state("e1", JOB_C, "completed")
         until(lambda: "learned" in site.store.topics["keyed.progress"].newest,
-              what="what was learned is on the log")
+              what="learned values in the log")
         first = site.leader()
         second = other_entry(site, first)
         site.processes[first].kill()
@@ -62,7 +62,7 @@
     print("guards are killed; a stop still reaches their executors")
     with start_site(build) as site:
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         for name in site.executors:
             site.processes[name].kill()
         for name in site.executors:
@@ -78,10 +78,10 @@
     print("a guard is paused past its lease")
     with start_site(build, workers=2) as site:
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         site.processes["w1"].signal(signal.SIGSTOP)
-        until(lambda: not site.executors["w1"].runs, what="lapsed")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="elsewhere")
+        until(lambda: not site.executors["w1"].runs, what="lease expired")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="moved")
         site.processes["w1"].signal(signal.SIGCONT)
         site.submit("e1", JOB_B, [{"count": 24, "cpu": 1000, "memMb": 10}])
         site.await_state("e1", JOB_B, "completed")
@@ -92,14 +92,14 @@
     print("a heartbeat of a crashed executor arrives at a new guard")
     with start_site(build) as site:
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         for name, executor in site.executors.items():
             executor.crash()
             site.processes[name].kill()
             site.processes[name].start()
             until(lambda n=name: '"executor.known"'
-                  in site.processes[n].log_of_life(), what="known")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="again")
+                  in site.processes[n].log_of_life(), what="executor known")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running again")
         starts = sum(site.judge.starts.values())
         for executor in site.executors.values():
             print("  answer:", executor.repeat_beat_of(1))
@@ -117,7 +117,7 @@
         for executor in site.executors.values():
             executor.work_s = 1.0
         site.submit("e1", JOB_A, STEPS[:1])
-        until(lambda: len(site.judge.at_work(JOB_A)) == 4, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 4, what="running")
         site.store.down = "busy"
         until(lambda: not site.judge.at_work(JOB_A), what="ended")
         leader = site.leader()
@@ -188,7 +188,7 @@
             until(lambda t=topic: JOB_A not in site.store.topics[t].newest,
                   what="dropped from " + topic)
         until(lambda: {site.state(e, JOB_A) for e in site.entries} == {410},
-              what="forgotten")
+              what="status dropped")
         print("  submitted:", site.submit("e2", JOB_B, STEPS))
         site.await_state("e2", JOB_B, "completed")
         print_breaches(site)
@@ -211,12 +211,12 @@
     print("executors crash, and the history of the log is dropped")
     with start_site(build) as site:
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         for topic in list(site.store.topics):
             site.store.forget(topic)
         for executor in site.executors.values():
             executor.crash()
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="again")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running again")
         site.processes[site.leader()].signal(signal.SIGTERM)
         site.submit("e1", JOB_B, STEPS)
         for topic in list(site.store.topics):
@@ -230,12 +230,12 @@
     print("all open connections go silent for good")
     with start_site(build, links=True) as site:
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         for link in site.links.values():
             link.silence()
         until(lambda: site.submit("e1", JOB_B, STEPS) == 200, what="accepted")
         site.await_state("e2", JOB_B, "completed")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="still")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="still running")
         print_breaches(site)
 
 
@@ -276,10 +276,10 @@
     print("heartbeats of another writer in the name of an executor")
     with start_site(build) as site:
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         until(lambda: all('"executor.known"'
                           in site.processes[name].log_of_life()
-                          for name in site.executors), what="known")
+                          for name in site.executors), what="executor known")
         for name, executor in site.executors.items():
             # Newer than all genuine heartbeats: if it were accepted, those
             # would be ignored.
@@ -336,7 +336,7 @@
         # Each executor has room for one of these tasks.
         site.submit("e1", JOB_A, [{"count": 3, "cpu": 9000, "memMb": 10,
                                    "longRunning": True}], spec="lasts")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         starts = sum(site.judge.starts.values())
         for executor in site.executors.values():
             for name in (executor.id, "stranger"):
@@ -352,7 +352,7 @@
     print("executors list rows that are not in form")
     with start_site(build) as site:
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         for executor in site.executors.values():
             executor.garbles = True
         until(lambda: all(site.metric(name, "refused_rows_total") > 20
--- a/tests/scripts/platform_site.py
+++ b/tests/scripts/platform_site.py
@@ -226,7 +226,7 @@
     def submit_long_running(self, entry, job):
         """Submit JOB, of long-running tasks, and wait until all run."""
         self.submit(entry, job, LONG_RUNNING, spec="lasts")
-        until(lambda: len(self.judge.at_work(job)) == 3, what="at work")
+        until(lambda: len(self.judge.at_work(job)) == 3, what="running")
 
     def state(self, entry, job):
         """Return the state of JOB at ENTRY, or an HTTP status."""
--- a/tests/scripts/proof_leaving.py
+++ b/tests/scripts/proof_leaving.py
@@ -66,7 +66,7 @@
             site.call("entry-1", "GET", f"/reclamos-api/check?ms={SLOW_MS}")))
         slow_caller.start()
         until(lambda: any(runs_slow_request(site, g) for g in site.guard_names),
-              what="the slow request")
+              what="start of the slow request")
         leaving_guard = next(g for g in site.guard_names
                              if runs_slow_request(site, g))
         callers = Callers(site, site.entry_names)
--- a/tests/scripts/records.py
+++ b/tests/scripts/records.py
@@ -41,7 +41,7 @@
 def submit_and_wait(site):
     """Submit a long-running job and wait until all entries see it run."""
     site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
-    until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+    until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
     for name in site.entries:
         site.await_state(name, JOB_A, "running")
 
@@ -107,10 +107,10 @@
             site.store.put("keyed.progress", JOB_A, value)
         until(lambda: any(refused(site, name, "invalid") >= 5
                           for name in site.entries), what="refused")
-        until(lambda: newest[JOB_A][0] not in values, what="written again")
+        until(lambda: newest[JOB_A][0] not in values, what="rewritten")
         print("  leads lost:", count_leaderships(site) - taken)
         site.processes[first].kill()
-        until(lambda: site.leader() != first, what="a new lead")
+        until(lambda: site.leader() != first, what="a new leader")
         site.processes[first].start()
         site.ready()
         for name in site.entries:
@@ -181,7 +181,7 @@
         submit_and_wait(site)
         newest = site.store.topics["keyed.progress"].newest
         until(lambda: {"at.w1", "at.w2", "at.w3"} <= newest.keys(),
-              what="places")
+              what="recorded places")
         holder = vm_of_task(site, JOB_A + ".0.0.0")
         stranger = next(name for name in site.executors if name != holder)
         place = newest["at." + holder][0]
@@ -193,7 +193,7 @@
             site.store.put("keyed.progress", "learned", TRUNCATED)
             site.store.put("keyed.progress", "another", JSON_TEXT)
             until(lambda t=taken: count_leaderships(site) > t,
-                  what="a new lead")
+                  what="a new leader")
             complete_job(site, JOB_B)
         complete_job(site, JOB_C)
         print_outcome(site, 15)
@@ -222,10 +222,10 @@
         site.ready()
         leader = site.processes[site.leader()]
         until(lambda: f'"guard.up","guard":"{holder}"' in leader.log_of_life(),
-              what="the holder's guard")
+              what="the holder's guard up")
         site.processes["w1"].signal(signal.SIGCONT)
         until(lambda: '"guard.up","guard":"w1"' in leader.log_of_life(),
-              what="the other guard")
+              what="the other guard up")
         complete_job(site, JOB_B)
         print_outcome(site, 9)
 
--- a/tests/scripts/regions.py
+++ b/tests/scripts/regions.py
@@ -66,7 +66,8 @@
     path = f"/reclamos-api/claims?{entry}"
     headers = {"Idempotency-Key": f"key-{entry}"}
     first = site.call(entry, "POST", path, "x", headers)[0]
-    until(lambda: site.counter(entry, "keys_active") == 0, what="its outcome")
+    until(lambda: site.counter(entry, "keys_active") == 0,
+          what="outcome recorded")
     return [first, site.call(entry, "POST", path, "x", headers)[0]]
 
 
--- a/tests/scripts/same_id.py
+++ b/tests/scripts/same_id.py
@@ -41,8 +41,8 @@
 def print_breaches(site):
     """Print the breaches that the judge of SITE recorded.
 
-    Starts that the next incarnation of an executor carried out are not breaches;
-    they go to standard error.
+    Starts that the next incarnation of an executor carried out are no
+    breaches; they go to standard error.
     """
     breaches = site.judge.breaches
     print("  breaches:", len(breaches), breaches[:2])
@@ -246,15 +246,16 @@
         executor.work_s = LONG_WORK_S
         executor.held[task] = KEPT
     site.submit("e1", JOB_A, ONE)
-    until(lambda: any(e.kept for e in site.executors.values()), what="ordered")
+    until(lambda: any(e.kept for e in site.executors.values()),
+          what="first start retained")
     first = next(n for n, e in site.executors.items() if e.kept)
     for executor in site.executors.values():
         executor.held.clear()
     site.executors[first].crash()
-    until(lambda: vm_of_task(site, task), what="its second run")
+    until(lambda: vm_of_task(site, task), what="second run started")
     second = vm_of_task(site, task)
     until(lambda: not site.executors[second].has_begun_within(SETTLED_S),
-          what="settled")
+          what="second run settled")
     return first, second
 
 
@@ -266,7 +267,7 @@
         lives = site.metric(first, "guard_lives_total")
         site.executors[first].crash(with_kept=True)
         until(lambda: site.metric(first, "guard_lives_total") > lives,
-              what="the next life")
+              what="the next incarnation")
         site.executors[second].crash()
         site.await_state("e1", JOB_A, "completed")
         print("  completed")
@@ -304,7 +305,7 @@
         stream = JobStream(site, STEPS)
         restart_in_turn(site)
         stream.end()
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         print("  what lasts is at work:", site.state("e1", JOB_A))
         print_breaches(site)
 
--- a/tests/scripts/tasks_lost.py
+++ b/tests/scripts/tasks_lost.py
@@ -24,7 +24,7 @@
         now = fetch_job(site, name)
         at_work = now["state"] == "running" and now["epoch"] >= epoch
         return now if at_work or is_over(now["state"]) else None
-    return until(look, what=f"{name} at work or over")
+    return until(look, what=f"{name} running or over")
 
 
 def main(build):
--- a/tests/scripts/tasks_policy.py
+++ b/tests/scripts/tasks_policy.py
@@ -122,7 +122,7 @@
             await_state(site, name, "pending")
             print("  then evicted:", total("entry_evictions_total"))
             until(lambda: "slow a service" in first_reason(site, name),
-                  what="it waits")
+                  what="reason for waiting")
             print("  with time to spare:", first_reason(site, name))
             name = submit(site, kind="rush", run_ms=600000,
                           checkpoint_every_ms=50)[0]
