--- a/tests/scripts/cli_http.py
+++ b/tests/scripts/cli_http.py
@@ -150,7 +150,8 @@
     bad = directory + "/bad"
     file = directory + "/document.yaml"
     os.environ["GALENAPIER_TOKEN_FILE"] = token
-    for path, text in ((token, TOKEN + "\n"), (wrong, "x"), (bad, "a\r\nb"), (file, DOCUMENT)):
+    for path, text in ((token, TOKEN + "\n"), (wrong, "x"), (bad, "a\r\nb"),
+                       (file, DOCUMENT)):
         with open(path, "w", encoding="utf-8") as out:
             out.write(text)
     up = Entry("entry-1")
--- a/tests/scripts/counters_page.py
+++ b/tests/scripts/counters_page.py
@@ -19,7 +19,8 @@
                                 "/v1/counters?process=" + process)[2].decode()
             names = [line.split()[2] for line in body.splitlines()
                      if line.startswith("# TYPE ")]
-            print(process, "names counters:", len(names) > 0, "not on the page:",
+            print(process, "names counters:", len(names) > 0,
+                  "not on the page:",
                   [name for name in names
                    if f"`{name.removeprefix('galenapier_')}`" not in page])
 
--- a/tests/scripts/crashes.py
+++ b/tests/scripts/crashes.py
@@ -250,8 +250,8 @@
     A job was given up because the start of another task was delayed and was
     carried out when the job was taken to run alone on its executor.
     """
-    print("a start is held up beside a task under which two executors have gone "
-          "down")
+    print("a start is held up beside a task under which two executors have "
+          "gone down")
     for held_s in START_DELAYS_S:
         with start_site(build, workers=1) as site:
             site.submit("e1", JOB_B, ONE_LONG_RUNNING, spec="lasts")
--- a/tests/scripts/operators.py
+++ b/tests/scripts/operators.py
@@ -186,7 +186,8 @@
 
 
 def main(build):
-    with Site(build, entries=2, guards=2, timings={"leave_ms": 500, "heartbeat_ms": 200}) as site:
+    with Site(build, entries=2, guards=2,
+              timings={"leave_ms": 500, "heartbeat_ms": 200}) as site:
         site.await_targets(2)
         operator = Operator(site, "entry-1")
         until(lambda: all(e["state"] == "serving"
--- a/tests/scripts/same_id.py
+++ b/tests/scripts/same_id.py
@@ -183,7 +183,8 @@
 
 
 def guards_stopped(build):
-    print("an executor starts again twice under a stopped guard, back and forth")
+    print("an executor starts again twice under a stopped guard, back and "
+          "forth")
     with site_with_ids(build) as site:
         stream = JobStream(site, STEPS)
         time.sleep(PAUSE_S)
@@ -260,7 +261,8 @@
 
 
 def no_second_place(build):
-    print("a start is carried out two lives later, and its task is lost elsewhere")
+    print("a start is carried out two lives later, and its task is lost "
+          "elsewhere")
     task = JOB_A + ".0.0.0"
     with site_with_ids(build) as site:
         first, second = retain_first_start(site, task)
@@ -312,8 +314,8 @@
 
 SCENARIOS = {scenario.__name__: scenario
              for scenario in (at_once, earlier, dark, twice, gangs, leaders,
-                              guards, guards_stopped, guards_later, late, no_second_place,
-                              outage, old_beats, lasting)}
+                              guards, guards_stopped, guards_later, late,
+                              no_second_place, outage, old_beats, lasting)}
 
 if __name__ == "__main__":
     for wanted in sys.argv[2:] or SCENARIOS:
--- a/tests/scripts/standins.py
+++ b/tests/scripts/standins.py
@@ -275,7 +275,8 @@
             for line in worker.ledger("lease_expired")]
             == [("idle", 0), ("paused", 0)])
         check("lease: what was renewed runs on", [
-            task["state"] for task in worker.json("GET", "/v1/tasks")[1]["tasks"]
+            task["state"]
+            for task in worker.json("GET", "/v1/tasks")[1]["tasks"]
             if task["task"] == "kept"] == ["running"])
 
 
--- a/tests/scripts/stops.py
+++ b/tests/scripts/stops.py
@@ -21,7 +21,6 @@
 VICTIMS = ("guard-1", "guard-2.upstream", "entry-1")
 
 
-
 class Load:
     """A load generator that runs until `stop`, which returns its ledger."""
 
--- a/tests/scripts/tasks.py
+++ b/tests/scripts/tasks.py
@@ -85,7 +85,6 @@
         print_double_runs(site)
 
 
-
 def main(build):
     plain(build)
     drained(build)
--- a/tests/scripts/tasks_faults.py
+++ b/tests/scripts/tasks_faults.py
@@ -96,7 +96,6 @@
         print_double_runs(site)
 
 
-
 def main(build):
     lost_vm(build)
     dead_entry(build)
