--- a/tests/scripts/cli_http.py
+++ b/tests/scripts/cli_http.py
@@ -1,7 +1,8 @@
-"""galenapier against a small stand-in of the operators' HTTP.
+"""galenapier against a small stand-in for the operators' HTTP interface.
 
-Prints each command with its output and exit status; cli_http.expected holds
-what they must be."""
+Prints each command with its output and exit status, which must be those in
+cli_http.expected.
+"""
 import json
 import os
 import re
@@ -18,7 +19,10 @@
 
 
 class Entry:
-    """What one entry would know."""
+    """A stand-in for an entry, with its own configuration and jobs.
+
+    MODE is "up", "hang" (answers after 30 s) or "log-down" (status 503).
+    """
 
     def __init__(self, name, mode="up"):
         self.name = name
@@ -100,27 +104,31 @@
                 "kind": "process.start"}) + "\n"
         return 404, {}
 
-    def publish(self, asked):
-        if asked["base"] != self.revision:
+    def publish(self, fields):
+        if fields["base"] != self.revision:
             return 409, {"message": "revision %d by ana came first"
                          % self.revision}
-        if "bogus" in asked["document"]:
+        if "bogus" in fields["document"]:
             return 400, {"message": "the document is not valid", "issues": [
                 {"line": 3, "path": "teams", "message": "no"}]}
         self.revision += 1
-        self.document = asked["document"]
+        self.document = fields["document"]
         self.behind = 2
         return 201, {"revision": self.revision}
 
-    def submit(self, request, asked):
+    def submit(self, request, fields):
         key = request.headers["idempotency-key"]
         first = len(self.jobs) * 10
         ids = self.jobs.setdefault(
-            key, ["%016x" % (first + i) for i in range(asked["count"])])
+            key, ["%016x" % (first + i) for i in range(fields["count"])])
         return 201, {"jobs": ids}
 
 
 def run(*arguments, entries=(), show=None):
+    """Run the command at ENTRIES and print it (as SHOW) with its result.
+
+    Addresses, generated keys and temporary paths are replaced.
+    """
     command = [GALENAPIER, *arguments]
     for entry in entries:
         command += ["--entry", entry.address]
@@ -142,7 +150,8 @@
     bad = directory + "/bad"
     file = directory + "/document.yaml"
     os.environ["GALENAPIER_TOKEN_FILE"] = token
-    for path, text in ((token, TOKEN + "\n"), (wrong, "x"), (bad, "a\r\nb"), (file, DOCUMENT)):
+    for path, text in ((token, TOKEN + "\n"), (wrong, "x"), (bad, "a\r\nb"),
+                       (file, DOCUMENT)):
         with open(path, "w", encoding="utf-8") as out:
             out.write(text)
     up = Entry("entry-1")
--- a/tests/scripts/config.py
+++ b/tests/scripts/config.py
@@ -1,4 +1,4 @@
-"""Publishing and handing on of the configuration, with faults of the log."""
+"""Publication and distribution of the configuration with faults of the log."""
 
 import json
 import os
@@ -18,12 +18,14 @@
 
 
 def document(seconds):
+    """Return the example document with SECONDS as an expected run time."""
     with open(EXAMPLE, encoding="utf-8") as file:
         return file.read().replace("expected_run_s: 90",
                                    f"expected_run_s: {seconds}")
 
 
 def publish(site, entry, base, author, text):
+    """Publish TEXT at ENTRY and return status and body of the answer."""
     body = json.dumps({"base": base, "author": author, "document": text})
     status, _, answer = site.operate(entry, "POST", "/v1/config", body)
     return status, json.loads(answer)
@@ -38,12 +40,13 @@
     print(f"{name}: {status} {json.dumps(shown)}")
 
 
-def held(site, entry):
+def configuration(site, entry):
+    """Return the configuration of ENTRY."""
     return json.loads(site.operate(entry, "GET", "/v1/config")[2])
 
 
 def in_force(site, name):
-    """Revisions in force at a process, for each of its starts."""
+    """Return the revisions that were in force, a list for each start."""
     starts = []
     for line in site.processes[name].log().splitlines():
         if ".started" in line:
@@ -71,7 +74,7 @@
 
 
 def race(site):
-    """Two authors on the same base through two entries at once."""
+    """Two authors publish on the same base through two entries at once."""
     answers = {}
     site.fault("log", {"append_delay_ms": 150})
 
@@ -94,8 +97,8 @@
 
 
 def outage(site):
-    """No log, and then no entry that has seen it."""
-    before = held(site, "entry-1")
+    """The log is down, and then all entries restart without it."""
+    before = configuration(site, "entry-1")
     site.fault("log", {"down": True})
     for entry in site.entry_names:
         await_log(site, entry, 0)
@@ -105,7 +108,7 @@
     for entry in site.entry_names:
         site.start_entry(entry)
     await_revision(site, 3)
-    after = held(site, "entry-2")
+    after = configuration(site, "entry-2")
     print("same items:", before["digest"] == after["digest"])
     show("still down", publish(site, "entry-2", 3, "lucia", document(94)))
     site.fault("log", {"down": False})
@@ -116,7 +119,7 @@
 
 
 def retention(site):
-    """Snapshots keep what the log does not."""
+    """Snapshots keep what the log no longer retains."""
     site.fault("log", {"retain_records": RETAINED})
     for revision in range(4, REVISIONS):
         status, _ = publish(site, "entry-1", revision, "lucia",
@@ -146,7 +149,7 @@
         site.await_targets(2)
         for entry in site.entry_names:
             await_log(site, entry, 1)
-        print("first:", json.dumps(held(site, "entry-1")))
+        print("first:", json.dumps(configuration(site, "entry-1")))
         show("faulty", publish(site, "entry-1", 0, "lucia",
                                "version: 1\nsite: x\nteams: [{}]\n"))
         show("other site", publish(site, "entry-1", 0, "lucia",
@@ -155,13 +158,13 @@
                                        "site: obermaier")))
         show("publish", publish(site, "entry-1", 0, "lucia", document(90)))
         await_revision(site, 1)
-        print("as written:", held(site, "entry-2")["document"]
+        print("as written:", configuration(site, "entry-2")["document"]
               == document(90))
         race(site)
         await_revision(site, 2)
-        status, told = publish(site, "entry-1", 1, "ana", document(99))
-        print("stale base:", status, told["revision"],
-              told["author"] in ("lucia", "tomas"))
+        status, answer = publish(site, "entry-1", 1, "ana", document(99))
+        print("stale base:", status, answer["revision"],
+              answer["author"] in ("lucia", "tomas"))
         site.fault("log", {"lost_ack": 1})
         show("lost ack", publish(site, "entry-1", 2, "lucia", document(93)))
         show("published twice",
--- a/tests/scripts/counters_page.py
+++ b/tests/scripts/counters_page.py
@@ -1,4 +1,4 @@
-"""Names of the counters of an entry and a guard that the page lacks."""
+"""Print the counters of an entry and a guard that the page does not list."""
 
 import os
 import sys
@@ -19,7 +19,8 @@
                                 "/v1/counters?process=" + process)[2].decode()
             names = [line.split()[2] for line in body.splitlines()
                      if line.startswith("# TYPE ")]
-            print(process, "names counters:", len(names) > 0, "not on the page:",
+            print(process, "names counters:", len(names) > 0,
+                  "not on the page:",
                   [name for name in names
                    if f"`{name.removeprefix('galenapier_')}`" not in page])
 
--- a/tests/scripts/evacuated.py
+++ b/tests/scripts/evacuated.py
@@ -1,22 +1,25 @@
-"""Availability zones that operators evacuate: nothing is started there from the
-time on that they are told, and work goes on elsewhere."""
+"""Availability zones that operators evacuate.
+
+Nothing is started in an evacuated zone once the operators are told that the
+evacuation is in force, and work goes on elsewhere.
+"""
 
 import sys
 import threading
 import time
 
-from platform_site import STEPS, other, site_of, until, verdict
+from platform_site import STEPS, other_entry, print_breaches, start_site, until
 
 # "z1" has w1 and w2, "z2" has w3 and w4.
 ZONES = ["z1", "z2"]
 STEP = {"count": 6, "cpu": 1000, "memMb": 10, "estimateMs": 300}
-# Longer than the time within which an evacuation has to be in force.
-PAST_BOUND_S = 7.0
-LASTING_JOB = "00000000000000ee"
+# Longer than EVACUATE_S, within which an evacuation must be in force.
+PAST_LIMIT_S = 7.0
+LONG_RUNNING_JOB = "00000000000000ee"
 
 
-class Callers:
-    """Hands in a job each 0.1 s and remembers what was accepted."""
+class JobSubmitter:
+    """Submits a job every 0.1 s until `end` and keeps the accepted ones."""
 
     def __init__(self, site):
         self.site = site
@@ -36,10 +39,10 @@
                         self.accepted.append(job)
                         break
                 except OSError:
-                    continue  # it is being started again: the next one
+                    continue  # it is being restarted: try the next one
 
     def end(self):
-        """All that was accepted has to be done."""
+        """Stop, and wait until all accepted jobs are completed."""
         self.ended.set()
         self.thread.join()
         entry = next(iter(self.site.entries))
@@ -50,39 +53,43 @@
 
 
 def starts_in(site, zone):
+    """Return how many runs were started in ZONE."""
     return sum(site.judge.zone_starts.get(name, 0)
                for name, executor in site.executors.items()
                if executor.zone == zone)
 
 
-def is_used_again(site, zone):
-    """Is work started in ZONE from now on?"""
+def await_use(site, zone):
+    """Wait until a run is started in ZONE."""
     before = starts_in(site, zone)
     until(lambda: starts_in(site, zone) > before, what="used again")
     print("  used again:", True)
 
 
-def play(build, title, trouble, before=None):
-    """TROUBLE goes on from the evacuation of z1 on, until it is taken back;
-    BEFORE comes before it."""
+def run_scenario(build, title, inject_faults, before=None):
+    """Evacuate z1 under load, call INJECT_FAULTS, and revoke the evacuation.
+
+    BEFORE is called before the evacuation.
+    """
     print(title)
-    with site_of(build, entries=2, workers=4, zones=ZONES) as site:
-        callers = Callers(site)
+    with start_site(build, entries=2, workers=4, zones=ZONES) as site:
+        submitter = JobSubmitter(site)
         until(lambda: starts_in(site, "z1") > 0, what="z1 in use")
         if before is not None:
             before(site)
         site.evacuate("z1")
         began = time.monotonic()
-        trouble(site)
-        time.sleep(max(0.0, began + PAST_BOUND_S - time.monotonic()))
+        inject_faults(site)
+        time.sleep(max(0.0, began + PAST_LIMIT_S - time.monotonic()))
         site.take_back("z1")
-        is_used_again(site, "z1")
-        callers.end()
-        verdict(site)
+        await_use(site, "z1")
+        submitter.end()
+        print_breaches(site)
 
 
-def lasting_tasks(site):
-    return set(site.judge.at_work(LASTING_JOB))
+def running_long_tasks(site):
+    """Return the long-running tasks that run now."""
+    return set(site.judge.at_work(LONG_RUNNING_JOB))
 
 
 def restart(site, name, pause_s=0.0):
@@ -92,128 +99,134 @@
 
 
 def calm(build):
-    """What has begun goes on, and what lasts stays where it is."""
-    def trouble(site):
-        held = {name: set(site.judge.on(f"{name}-1")) & lasting_tasks(site)
+    """Runs in the zone go on, and long-running ones are not moved."""
+    def inject_faults(site):
+        held = {name: set(site.judge.on(f"{name}-1")) & running_long_tasks(site)
                 for name in site.executors}
-        time.sleep(PAST_BOUND_S)
+        time.sleep(PAST_LIMIT_S)
         print("  lasting runs:", sum(len(tasks) for tasks in held.values()))
         print("  they stay:", all(tasks <= set(site.judge.on(f"{name}-1"))
                                   for name, tasks in held.items()))
-    play(build, "a zone is evacuated and taken back", trouble,
-         lambda site: site.submit_lasting(site.leader(), LASTING_JOB))
+    run_scenario(build, "a zone is evacuated and taken back", inject_faults,
+                 lambda site: site.submit_long_running(site.leader(),
+                                                       LONG_RUNNING_JOB))
 
 
 def leader(build):
-    def trouble(site):
+    def inject_faults(site):
         for _ in range(3):
             restart(site, site.leader())
             time.sleep(1.5)
-    play(build, "the leader is killed again and again", trouble)
+    run_scenario(build, "the leader is killed again and again", inject_faults)
 
 
 def entries(build):
-    def trouble(site):
+    def inject_faults(site):
         for name in site.entries:
             site.processes[name].kill()
         time.sleep(1.0)
         for name in site.entries:
             site.processes[name].start()
-    play(build, "all entries are killed", trouble)
+    run_scenario(build, "all entries are killed", inject_faults)
 
 
 def guards(build):
-    def trouble(site):
+    def inject_faults(site):
         for _ in range(2):
             restart(site, "w1", 0.3)
             restart(site, "w2")
             time.sleep(2.0)
-    play(build, "guards of the zone are killed", trouble)
+    run_scenario(build, "guards of the zone are killed", inject_faults)
 
 
 def late(build):
-    """Orders go unanswered before the evacuation and are carried out late; the
-    guard repeats them."""
+    """Orders from before the evacuation are carried out late, unanswered.
+
+    The guard repeats them.
+    """
     def before(site):
         for executor in site.executors.values():
             executor.late, executor.late_s = 0.5, 3.0
         time.sleep(1.0)
 
-    def trouble(site):
+    def inject_faults(site):
         time.sleep(6.0)
         for executor in site.executors.values():
             executor.late = 0.0
-    play(build, "orders go unanswered", trouble, before)
+    run_scenario(build, "orders go unanswered", inject_faults, before)
 
 
 def stale(build):
-    """The leader can't read the operators' topic, and appends go on: what it
-    knows grows old, and nothing is started by it."""
+    """The leader cannot read the operators' topic, but can still append.
+
+    Once what it knows is too old, it starts nothing.
+    """
     def before(site):
         site.store.unreadable = {"keyed.op"}
         time.sleep(0.5)
 
-    def trouble(site):
-        time.sleep(PAST_BOUND_S)
+    def inject_faults(site):
+        time.sleep(PAST_LIMIT_S)
         site.store.unreadable = set()
         time.sleep(1.5)
-    play(build, "the operators' topic can't be read meanwhile", trouble,
-         before)
+    run_scenario(build, "the operators' topic can't be read meanwhile",
+                 inject_faults, before)
 
 
 def forgotten(build):
-    def trouble(site):
+    def inject_faults(site):
         site.store.forget("keyed.op")
         time.sleep(2.0)
         site.store.down = "silent"
         time.sleep(3.0)
         site.store.down = None
         site.store.forget("keyed.op")
-    play(build, "the store forgets its history and is away", trouble)
+    run_scenario(build, "the store forgets its history and is away",
+                 inject_faults)
 
 
 def by_turns(build):
-    """One zone goes as the other comes back: nothing waits for both."""
-    def trouble(site):
-        time.sleep(PAST_BOUND_S)
+    """The zones are evacuated in turn, and work never has to wait for both."""
+    def inject_faults(site):
+        time.sleep(PAST_LIMIT_S)
         site.evacuate("z2")
         site.take_back("z1")
-        is_used_again(site, "z1")
-        time.sleep(PAST_BOUND_S)
+        await_use(site, "z1")
+        time.sleep(PAST_LIMIT_S)
         site.evacuate("z1")
         site.take_back("z2")
-        is_used_again(site, "z2")
-    play(build, "two zones by turns", trouble)
+        await_use(site, "z2")
+    run_scenario(build, "two zones by turns", inject_faults)
 
 
 def all_zones(build):
-    """Nothing can be started; what was accepted waits and is done after."""
-    def trouble(site):
+    """Accepted jobs wait while no zone is left, and are done afterwards."""
+    def inject_faults(site):
         site.evacuate("z2")
-        time.sleep(PAST_BOUND_S)
+        time.sleep(PAST_LIMIT_S)
         name = site.leader()
         print("  known as evacuated:", site.metric(name, "zones_evacuated"))
         site.take_back("z2")
-    play(build, "all zones at once", trouble)
+    run_scenario(build, "all zones at once", inject_faults)
 
 
 def lasting(build):
-    """Runs that last and were stopped come back in the other zone."""
+    """Long-running tasks whose executors crash restart in the other zone."""
     print("an executor of the zone goes down")
-    with site_of(build, entries=2, workers=4, zones=ZONES) as site:
-        site.submit_lasting(next(iter(site.entries)), LASTING_JOB)
+    with start_site(build, entries=2, workers=4, zones=ZONES) as site:
+        site.submit_long_running(next(iter(site.entries)), LONG_RUNNING_JOB)
         site.evacuate("z1")
         time.sleep(2.0)
         for name in ("w1", "w2"):
             site.executors[name].crash()
-        until(lambda: len(lasting_tasks(site)) == 3
+        until(lambda: len(running_long_tasks(site)) == 3
               and not site.judge.on("w1-2") and not site.judge.on("w2-2"),
-              what="back elsewhere")
+              what="tasks running in the other zone")
         print("  back elsewhere:", True)
-        entry = other(site, site.leader())
+        entry = other_entry(site, site.leader())
         site.submit(entry, "00000000000000dd", STEPS)
         site.await_state(entry, "00000000000000dd", "completed")
-        verdict(site)
+        print_breaches(site)
 
 
 SCENARIOS = {scenario.__name__: scenario
--- a/tests/scripts/evacuated_site.py
+++ b/tests/scripts/evacuated_site.py
@@ -1,13 +1,16 @@
-"""A zone is evacuated by the document of a site of our own: no task is started
-there and no request is sent there until it is taken back, whoever leads."""
+"""A zone is evacuated by the document of a site, also while an entry restarts.
+
+No task is started and no request is sent there until the evacuation is
+revoked.
+"""
 
 import json
 import signal
 import sys
 
-from tasks_site import (DOCUMENT, await_state, await_watchers, executions,
-                        judge, now_us, publish, ready, running_watchers,
-                        site_of, submit)
+from tasks_site import (DOCUMENT, await_state, await_watchers, configure,
+                        executions, now_us, print_double_runs, publish,
+                        running_watchers, start_site, submit)
 
 from site_processes import until
 
@@ -33,19 +36,20 @@
 
 
 def starts_since(site, zone, since_us):
+    """Return how many executions began in ZONE after SINCE_US."""
     return sum(run["start"] > since_us and site.zone_of(run["node"]) == zone
                for runs in executions(site).values() for run in runs)
 
 
 def requests_in(site, zone):
-    """Requests that the upstreams of ZONE have taken."""
+    """Return how many requests the upstreams of ZONE have executed."""
     return sum(fact["event"] == "execution_start" for guard in site.guard_names
                if site.zone_of(guard) == zone
                for fact in site.facts(guard + ".upstream"))
 
 
-def use(site, title):
-    """Work of both kinds, which ends."""
+def run_work(site, title):
+    """Run jobs and requests through all entries, and wait for their ends."""
     for entry in site.entry_names:
         names = submit(site, entry, 6, run_ms=100)
         for name in names:
@@ -56,14 +60,15 @@
 
 
 def upstreams(site, state):
+    """Return the zones of the upstreams in STATE."""
     return sorted(u["zone"] for u in status(site)["upstreams"]
                   if u["state"] == state)
 
 
 def main(build):
     print("a zone is evacuated")
-    with site_of(build, upstream=True, entries=2, guards=4) as site:
-        ready(site, WATCHERS, SERVICE)
+    with start_site(build, upstream=True, entries=2, guards=4) as site:
+        configure(site, WATCHERS, SERVICE)
         site.await_targets(4)
         await_watchers(site, WATCHERS)
         before = {w["id"]: w["worker"] for w in running_watchers(site)}
@@ -72,11 +77,11 @@
         print("  told:", status(site)["evacuated_zones"],
               upstreams(site, "not-routed"))
         since, taken = now_us(), requests_in(site, "a")
-        use(site, "meanwhile")
+        run_work(site, "meanwhile")
         site.processes["entry-1"].kill()
         site.start_entry("entry-1")
         await_revision(site, 2)
-        use(site, "after a restart")
+        run_work(site, "after a restart")
         print("  started there:", starts_since(site, "a", since),
               "requests there:", requests_in(site, "a") - taken,
               "elsewhere:", requests_in(site, "b") > 0)
@@ -92,13 +97,13 @@
         until(lambda: "not-routed" not in
               [u["state"] for u in status(site)["upstreams"]
                if u["guard"] != "guard-1"], what="routed")
-        use(site, "taken back")
+        run_work(site, "taken back")
         until(lambda: submit(site, run_ms=10)
               and starts_since(site, "a", since) > 0
               and site.call("entry-1", "GET", "/reclamos-api/check?ms=1")
               and requests_in(site, "a") > taken, what="used again")
         print("  used again:", True)
-        judge(site)
+        print_double_runs(site)
 
 
 main(sys.argv[1])
--- a/tests/scripts/proof_capacity.py
+++ b/tests/scripts/proof_capacity.py
@@ -1,16 +1,18 @@
-"""No VM over its capacity while two entries place on one worker at once, with
-room kept for the service beside the tasks."""
+"""Two entries that place tasks on one worker never exceed its capacity.
+
+Part of it is reserved for the service on the same VM.
+"""
 
 import sys
 import threading
 
-from tasks_site import (await_state, breaches, executions, judge, ready,
-                        site_of, submit)
+from tasks_site import (await_state, configure, count_breaches, executions,
+                        print_double_runs, start_site, submit)
 
-TEAMS = 6  # hashed over the entries, so that each has some
+TEAMS = 6  # hashed over the entries, so that each entry places some
 SIZE = 2000  # millicores of a task
 RESERVE = {"millicores": 10000, "memory_mib": 4096}
-ROOM = (16000 - RESERVE["millicores"]) // SIZE
+CAPACITY = (16000 - RESERVE["millicores"]) // SIZE
 ROUNDS = 4
 DOCUMENT = "\n".join(
     ["version: 1", "site: test", "regions: [{name: r, zones: [a, b]}]",
@@ -21,8 +23,8 @@
        for i in range(TEAMS)] + ["# watchers: %d"])
 
 
-def most_at_once(site):
-    """The greatest number of tasks that the worker ran at a time."""
+def max_concurrent(site):
+    """Return the greatest number of tasks that ran at one time."""
     points = [(run[at], change) for runs in executions(site).values()
               for run in runs for at, change in (("start", 1), ("end", -1))]
     running, most = 0, 0
@@ -33,7 +35,7 @@
 
 
 def submit_at_once(site):
-    """A job of each team through each entry, all at the same time."""
+    """Submit a job of each team through each entry, all concurrently."""
     names = []
     threads = [threading.Thread(target=lambda e=entry, t=team: names.extend(
                    submit(site, e, kind=f"j{t}", run_ms=100)))
@@ -45,16 +47,16 @@
     return names
 
 
-def refused(site):
-    """Grants that ended without a start: the guard had no room."""
+def count_refused(site):
+    """Return how many grants had no start, as the guard lacked resources."""
     return sum(max(run["epoch"] for run in runs) - len(runs)
                for runs in executions(site).values())
 
 
 def main(build):
-    with site_of(build, entries=2, guards=1, upstream=True,
-                 reserve=RESERVE) as site:
-        ready(site, 0, DOCUMENT)
+    with start_site(build, entries=2, guards=1, upstream=True,
+                    reserve=RESERVE) as site:
+        configure(site, 0, DOCUMENT)
         site.fault("log", {"read_delay_ms": 50})
         done = 0
         for _ in range(ROUNDS):
@@ -62,13 +64,13 @@
             for name in names:
                 await_state(site, name, "succeeded")
             done += len(names)
-            if refused(site) > 0:
+            if count_refused(site) > 0:
                 break
         print("all succeeded:", done % (2 * TEAMS) == 0 and done > 0)
-        print("the guard refused some:", refused(site) > 0)
-        print("room:", ROOM, "most at once:", most_at_once(site))
-        print("breaches:", breaches(site))
-        judge(site)
+        print("the guard refused some:", count_refused(site) > 0)
+        print("room:", CAPACITY, "most at once:", max_concurrent(site))
+        print("breaches:", count_breaches(site))
+        print_double_runs(site)
 
 
 main(sys.argv[1])
--- a/tests/scripts/room.py
+++ b/tests/scripts/room.py
@@ -1,14 +1,17 @@
-"""Executors whose room shrinks and grows while they run, and which start whatever
-they are told to: no run is begun beyond the room that one has said it has."""
+"""Executors whose capacity changes while they run tasks.
+
+The executors start whatever they are ordered to, so the leader must never
+order more runs than fit the capacity that an executor has reported.
+"""
 
 import sys
 import threading
 import time
 
-from platform_site import DOCUMENT, site_of, until, verdict
+from platform_site import DOCUMENT, print_breaches, start_site, until
 
 SECONDS = 14.0
-SIZES = [16, 3, 8, 2, 16, 4, 1, 12]
+CORES = [16, 3, 8, 2, 16, 4, 1, 12]
 STEP = {"count": 6, "cpu": 1000, "memMb": 10, "estimateMs": 300}
 
 
@@ -22,7 +25,7 @@
                     accepted.append(job)
                     break
             except OSError:
-                continue  # it is being started again: the next one is asked
+                continue  # it is being restarted: try the next one
         number += 1
         time.sleep(0.12)
 
@@ -31,16 +34,16 @@
     turn = 0
     while time.monotonic() < end:
         for i, executor in enumerate(site.executors.values()):
-            executor.resize(SIZES[(turn + i) % len(SIZES)])
+            executor.resize(CORES[(turn + i) % len(CORES)])
         turn += 1
         time.sleep(1.1)
     for executor in site.executors.values():
         executor.resize(16)
 
 
-def play(build, title, trouble=None, late=0.0):
+def run_scenario(build, title, inject_fault=None, late=0.0):
     print(title)
-    with site_of(build, entries=2) as site:
+    with start_site(build, entries=2) as site:
         document = {**DOCUMENT, "version": 2, "services": [
             {"name": "work", "enforcesCapacity": False}]}
         site.publish(document)
@@ -54,9 +57,9 @@
                    threading.Thread(target=resize_all, args=(site, end))]
         for thread in threads:
             thread.start()
-        while trouble is not None and time.monotonic() < end - 3:
+        while inject_fault is not None and time.monotonic() < end - 3:
             time.sleep(1.7)
-            trouble(site)
+            inject_fault(site)
         for thread in threads:
             thread.join()
         for executor in site.executors.values():
@@ -65,7 +68,7 @@
         until(lambda: all(site.state(entry, job) == "completed"
                           for job in accepted), timeout_s=40, what="all done")
         print("  work was done:", len(accepted) > 20)
-        verdict(site)
+        print_breaches(site)
 
 
 def restart(site, name):
@@ -74,21 +77,22 @@
 
 
 def plain(build):
-    play(build, "rooms change once a second")
+    run_scenario(build, "rooms change once a second")
 
 
 def late(build):
-    play(build, "and orders go unanswered and are carried out late", late=0.3)
+    run_scenario(build, "and orders go unanswered and are carried out late",
+                 late=0.3)
 
 
 def leaders(build):
-    play(build, "and the leader is killed again and again",
-         lambda site: restart(site, site.leader()))
+    run_scenario(build, "and the leader is killed again and again",
+                 lambda site: restart(site, site.leader()))
 
 
 def guards(build):
-    play(build, "and a guard is killed again and again",
-         lambda site: restart(site, "w1"))
+    run_scenario(build, "and a guard is killed again and again",
+                 lambda site: restart(site, "w1"))
 
 
 SCENARIOS = {scenario.__name__: scenario
--- a/tests/scripts/same_id.py
+++ b/tests/scripts/same_id.py
@@ -1,13 +1,11 @@
-"""Executors that start again under the id that they had.
-
-What users saw: tasks were started again after they had ended as done and that
-had been noted; and a task that could run never did, with room for it, until the
-day was over.
-
-What proved it: only executors that had crashed and started again under their
-id were concerned.  Their ends, numbered from 1 again, passed for known ones; and
-guards that began after such a start took a fence from the executor's clock,
-which had begun anew below the fence that the executor had seen.
+"""Executors that restart under the same id.
+
+Guards against two faults that only such executors showed.  Tasks were started
+again although their end had been recorded as done: the restarted executor
+numbers its ends from 1 again, and these passed for known ones.  And a task
+that fitted was not started for the rest of the day: a guard that started after
+the executor's restart derived its fence from the executor's clock, which had
+been reset to a value below the fence that the executor had seen.
 """
 
 import contextlib
@@ -17,37 +15,42 @@
 import threading
 import time
 
-from platform_site import JOB_A, KEPT, STEPS, site_of, until
+from platform_site import JOB_A, KEPT, STEPS, start_site, until
 
-# Executors that start again, one after the other, and the pause between them.
+# How many times executors restart, one at a time, and the pause in between.
 RESTARTS = 6
 PAUSE_S = 0.7
-# Between two jobs.
-JOB_S = 0.2
-# None goes down so soon after it has begun a run: that would speak against the
-# run's task, as crashes.py has it.
-INNOCENT_S = 0.15
-# A task is no suspect any more.
+# Interval between submissions.
+SUBMIT_INTERVAL_S = 0.2
+# No executor crashes sooner after the start of a run, as that would count
+# against the run's task (see crashes.py).
+MIN_RUN_AGE_S = 0.15
+# A task that has run this long is no longer suspect.
 SETTLED_S = 1.5
-# A job of a second's work is completed so long after the last restart, though
-# all leases (5.25 s) had to run out.
-COMPLETED_S = 12.0
-# A clock so far ahead that no later life of the executor reaches it.
-LONG_S = 10000
-# Work that is under way whenever the scenario looks.
+# Within this time after the last restart a job of one second's work completes,
+# even if all leases (5.25 s) have to expire first.
+COMPLETION_LIMIT_S = 12.0
+# Puts an executor's clock ahead of what any later incarnation reaches.
+CLOCK_AHEAD_S = 10000
+# Long enough that the task still runs whenever the scenario checks.
 LONG_WORK_S = 4.0
 ONE = [{"count": 1, "cpu": 1000, "memMb": 10}]
 GANG = [{"count": 2, "cpu": 1000, "memMb": 10, "gang": True}]
 
 
-def verdict(site):
+def print_breaches(site):
+    """Print the breaches that the judge of SITE recorded.
+
+    Starts that the next incarnation of an executor carried out are no
+    breaches; they go to standard error.
+    """
     breaches = site.judge.breaches
     print("  breaches:", len(breaches), breaches[:2])
     print("  carried out by the next life:", site.judge.early, file=sys.stderr)
 
 
-class Stream:
-    """Submits a job each JOB_S until `end`, in a thread; `steps` by turns."""
+class JobStream:
+    """Submits a job every SUBMIT_INTERVAL_S until `end`, `steps` in turn."""
 
     def __init__(self, site, *steps):
         self.site = site
@@ -59,7 +62,7 @@
 
     def run(self):
         number = 0
-        while not self.over.wait(JOB_S):
+        while not self.over.wait(SUBMIT_INTERVAL_S):
             number += 1
             job = f"{number:016x}"
             steps = self.steps[number % len(self.steps)]
@@ -74,10 +77,10 @@
                         break
 
     def end(self):
-        """All that was accepted is completed in time."""
+        """Stop, and print whether all accepted jobs complete in time."""
         self.over.set()
         self.thread.join()
-        deadline = time.monotonic() + COMPLETED_S
+        deadline = time.monotonic() + COMPLETION_LIMIT_S
         late = [job for job in self.accepted
                 if not self.is_completed(job, deadline)]
         print("  late:", late, file=sys.stderr)
@@ -94,66 +97,68 @@
 
 @contextlib.contextmanager
 def site_with_ids(build, born_step_ms=1000, **more):
-    """A site whose executors keep their ids, and have been up for long; their
-    next lives have not."""
-    with site_of(build, **more) as site:
+    """Run a site whose executors keep their ids when they restart.
+
+    Their current incarnations have been up for long, the next ones have not.
+    """
+    with start_site(build, **more) as site:
         for executor in site.executors.values():
             executor.crash()
             with executor.lock:
-                executor.began -= LONG_S
+                executor.began -= CLOCK_AHEAD_S
             executor.keeps_id = True
             executor.born_step_ms = born_step_ms
         time.sleep(1.5)
         yield site
 
 
-def in_turn(site, do=lambda name: None, dark_s=0.0):
-    """Executors start again one after the other; DO (name) at each one."""
+def restart_in_turn(site, do=lambda name: None, dark_s=0.0):
+    """Restart executors one after the other, calling DO(name) before each."""
     for i in range(RESTARTS):
         time.sleep(PAUSE_S)
         name = f"w{i % 3 + 1}"
         do(name)
-        site.executors[name].crash(dark_s, innocent_s=INNOCENT_S)
+        site.executors[name].crash(dark_s, innocent_s=MIN_RUN_AGE_S)
 
 
-def play(build, steps, do=lambda site, name: None, dark_s=0.0, **more):
-    """Jobs of STEPS while executors start again in turn."""
+def run_scenario(build, steps, do=lambda site, name: None, dark_s=0.0, **more):
+    """Submit jobs of STEPS while executors restart in turn."""
     with site_with_ids(build, **more) as site:
-        stream = Stream(site, *steps)
-        in_turn(site, lambda name: do(site, name), dark_s)
+        stream = JobStream(site, *steps)
+        restart_in_turn(site, lambda name: do(site, name), dark_s)
         time.sleep(PAUSE_S)
         stream.end()
-        verdict(site)
+        print_breaches(site)
 
 
 def at_once(build):
     print("executors start again at once under their ids")
-    play(build, [STEPS])
+    run_scenario(build, [STEPS])
 
 
 def earlier(build):
     print("the same, and each life tells an earlier birth")
-    play(build, [STEPS], born_step_ms=-1000)
+    run_scenario(build, [STEPS], born_step_ms=-1000)
 
 
 def dark(build):
     print("executors are away for 2 s and start again under their ids")
-    play(build, [STEPS], dark_s=2.0)
+    run_scenario(build, [STEPS], dark_s=2.0)
 
 
 def twice(build):
     print("executors start again twice in a row")
 
     def first(site, name):
-        site.executors[name].crash(innocent_s=INNOCENT_S)
+        site.executors[name].crash(innocent_s=MIN_RUN_AGE_S)
         time.sleep(0.05)
 
-    play(build, [STEPS], first)
+    run_scenario(build, [STEPS], first)
 
 
 def gangs(build):
     print("executors start again with gangs at work")
-    play(build, [GANG, STEPS])
+    run_scenario(build, [GANG, STEPS])
 
 
 def leaders(build):
@@ -164,7 +169,7 @@
         site.processes[first].kill()
         site.processes[first].start()
 
-    play(build, [STEPS], change, entries=3)
+    run_scenario(build, [STEPS], change, entries=3)
 
 
 def restart_guard(site, name):
@@ -174,106 +179,112 @@
 
 def guards(build):
     print("the guard is killed at each start")
-    play(build, [STEPS], restart_guard)
+    run_scenario(build, [STEPS], restart_guard)
 
 
 def guards_stopped(build):
-    print("an executor starts again twice under a stopped guard, back and forth")
+    print("an executor starts again twice under a stopped guard, back and "
+          "forth")
     with site_with_ids(build) as site:
-        stream = Stream(site, STEPS)
+        stream = JobStream(site, STEPS)
         time.sleep(PAUSE_S)
         site.processes["w1"].signal(signal.SIGSTOP)
         for step_ms in (1, -1):
             time.sleep(PAUSE_S)
             site.executors["w1"].born_step_ms = step_ms
-            site.executors["w1"].crash(innocent_s=INNOCENT_S)
+            site.executors["w1"].crash(innocent_s=MIN_RUN_AGE_S)
         time.sleep(PAUSE_S)
         site.processes["w1"].signal(signal.SIGCONT)
         time.sleep(PAUSE_S)
         stream.end()
-        verdict(site)
+        print_breaches(site)
 
 
 def guards_later(build):
     print("guards begin anew after their executors have started again")
     with site_with_ids(build) as site:
-        stream = Stream(site, STEPS)
-        in_turn(site)
+        stream = JobStream(site, STEPS)
+        restart_in_turn(site)
         time.sleep(PAUSE_S)
         for name in site.executors:
             restart_guard(site, name)
         time.sleep(PAUSE_S)
         stream.end()
-        verdict(site)
+        print_breaches(site)
 
 
 def late(build):
     print("orders are carried out late, by the next life")
 
-    def loses(site, name):
+    def answer_late(site, name):
         executor = site.executors[name]
         executor.late, executor.late_s = 0.5, 4.0
         time.sleep(0.3)
 
     with site_with_ids(build) as site:
-        stream = Stream(site, STEPS)
-        in_turn(site, lambda name: loses(site, name))
+        stream = JobStream(site, STEPS)
+        restart_in_turn(site, lambda name: answer_late(site, name))
         time.sleep(PAUSE_S)
         for executor in site.executors.values():
             executor.late = 0.0
         stream.end()
-        verdict(site)
+        print_breaches(site)
 
 
-def holder_of(site, task):
-    """The VM on which TASK is at work, or None."""
+def vm_of_task(site, task):
+    """Return the VM on which TASK runs, or None."""
     return next((name for name, executor in site.executors.items()
                  if task in executor.runs), None)
 
 
-def let_first_start_come_late(site, task):
-    """The first start of TASK goes unanswered and is kept; returns the VM and,
-    once it has settled there, that of the second run."""
+def retain_first_start(site, task):
+    """Have an executor retain the first start of TASK without an answer.
+
+    Returns its VM and the VM of the second run, once that run is no longer
+    suspect.
+    """
     for executor in site.executors.values():
         executor.work_s = LONG_WORK_S
         executor.held[task] = KEPT
     site.submit("e1", JOB_A, ONE)
-    until(lambda: any(e.kept for e in site.executors.values()), what="ordered")
+    until(lambda: any(e.kept for e in site.executors.values()),
+          what="first start retained")
     first = next(n for n, e in site.executors.items() if e.kept)
     for executor in site.executors.values():
         executor.held.clear()
     site.executors[first].crash()
-    until(lambda: holder_of(site, task), what="its second run")
-    second = holder_of(site, task)
+    until(lambda: vm_of_task(site, task), what="second run started")
+    second = vm_of_task(site, task)
     until(lambda: not site.executors[second].has_begun_within(SETTLED_S),
-          what="settled")
+          what="second run settled")
     return first, second
 
 
 def no_second_place(build):
-    print("a start is carried out two lives later, and its task is lost elsewhere")
+    print("a start is carried out two lives later, and its task is lost "
+          "elsewhere")
     task = JOB_A + ".0.0.0"
     with site_with_ids(build) as site:
-        first, second = let_first_start_come_late(site, task)
+        first, second = retain_first_start(site, task)
         lives = site.metric(first, "guard_lives_total")
         site.executors[first].crash(with_kept=True)
         until(lambda: site.metric(first, "guard_lives_total") > lives,
-              what="the next life")
+              what="the next incarnation")
         site.executors[second].crash()
         site.await_state("e1", JOB_A, "completed")
         print("  completed")
-        verdict(site)
+        print_breaches(site)
 
 
 def outage(build):
     print("the store is away at each start")
 
-    def cut(site, name):
+    def interrupt_store(site, name):
         site.store.down = "silent"
         time.sleep(1.0)
         site.store.down = None
 
-    play(build, [STEPS], cut)
+    run_scenario(build, [STEPS], interrupt_store)
 
 
 def old_beats(build):
@@ -286,25 +297,25 @@
         threading.Timer(0.4, executor.repeat_last_beat_of,
                         (executor.life,)).start()
 
-    play(build, [STEPS], repeat)
+    run_scenario(build, [STEPS], repeat)
 
 
 def lasting(build):
     print("executors start again under tasks that last")
     with site_with_ids(build) as site:
-        site.submit_lasting("e1", JOB_A)
-        stream = Stream(site, STEPS)
-        in_turn(site)
+        site.submit_long_running("e1", JOB_A)
+        stream = JobStream(site, STEPS)
+        restart_in_turn(site)
         stream.end()
-        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
+        until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         print("  what lasts is at work:", site.state("e1", JOB_A))
-        verdict(site)
+        print_breaches(site)
 
 
 SCENARIOS = {scenario.__name__: scenario
              for scenario in (at_once, earlier, dark, twice, gangs, leaders,
-                              guards, guards_stopped, guards_later, late, no_second_place,
-                              outage, old_beats, lasting)}
+                              guards, guards_stopped, guards_later, late,
+                              no_second_place, outage, old_beats, lasting)}
 
 if __name__ == "__main__":
     for wanted in sys.argv[2:] or SCENARIOS:
--- a/tests/scripts/soak_judged.py
+++ b/tests/scripts/soak_judged.py
@@ -1,8 +1,9 @@
-"""The soak judges all jobs that take their executors down, also those that it
-submits while it begins to judge; and one that can't be judged is not kept.
+"""The soak checks all jobs that crash executors, and survives a failed check.
 
-Four such jobs in a soak ended it with "dictionary changed size during
-iteration", and the seeds behind it were not played.
+Guards against a fault in which a soak with four such jobs ended with
+"dictionary changed size during iteration", as one was submitted after the
+check had begun: the remaining seeds were not run.  A run whose check raises an
+exception must count as failed.
 """
 
 import importlib.machinery
@@ -21,7 +22,7 @@
 
 
 class SlowSite:
-    """Takes jobs in SLOW_S and gives them up in as long."""
+    """Takes SLOW_S to accept a job and SLOW_S to report it as given up."""
 
     SLOW_S = 0.3
 
@@ -29,7 +30,7 @@
         self.entries = ["e1"]
         self.judge = types.SimpleNamespace(crashers=set(), crashes=[],
                                            gang_counts={}, starts={})
-        self.asked = set()
+        self.queried = set()
 
     def call(self, entry, method, path, body):
         time.sleep(self.SLOW_S)
@@ -37,22 +38,23 @@
 
     def state(self, entry, job):
         time.sleep(self.SLOW_S)
-        self.asked.add(job)
+        self.queried.add(job)
         return "failed"
 
 
 def late(count):
-    """All of COUNT jobs are judged, though the last is submitted late."""
+    """All of COUNT jobs are checked, though the last is submitted late."""
     site = SlowSite()
     faults = types.SimpleNamespace(note=lambda text: None,
                                    trouble=lambda seconds: None)
     crashers = Crashers(site, faults, 1, count, 0.1)
     time.sleep(0.15)
     breaches = crashers.end()
-    print("judged:", len(site.asked), "of", count, "breaches:", breaches)
+    print("judged:", len(site.queried), "of", count, "breaches:", breaches)
 
 
-def spoilt():
+def failed_check():
+    """Print the result for a run that raises an exception."""
     loader = importlib.machinery.SourceFileLoader(
         "soak", os.path.join(TOOLS, "soak"))
     soak = importlib.util.module_from_spec(
@@ -67,5 +69,5 @@
 
 if __name__ == "__main__":
     late(4)
-    spoilt()
+    failed_check()
     print("threads left:", threading.active_count() - 1)
--- a/tests/scripts/stops.py
+++ b/tests/scripts/stops.py
@@ -1,5 +1,7 @@
-"""Stops and kills of entry, guard and upstream under load.  The ledgers of
-the callers and of the upstreams must agree."""
+"""Stops and kills of entry, guard and upstream under load.
+
+The ledgers of the callers and of the upstreams must agree.
+"""
 
 import json
 import os
@@ -15,13 +17,12 @@
      "timeout_ms": 4000},
     {"name": "claim", "method": "POST", "path": "/reclamos-api/claim?ms=20",
      "rate": 80, "timeout_ms": 4000, "body_size": 2000}]}
-IN_STEADY_LOAD = 60
+STEADY_REQUESTS = 60
 VICTIMS = ("guard-1", "guard-2.upstream", "entry-1")
 
 
-
 class Load:
-    """The callers of one part of the run."""
+    """A load generator that runs until `stop`, which returns its ledger."""
 
     def __init__(self, site, build, name, entries):
         self.site = site
@@ -44,7 +45,7 @@
 
 
 def executions(site):
-    """Request id -> number of starts, over all upstreams."""
+    """Return the number of starts of each request on all upstreams."""
     count = {}
     for guard in site.guard_names:
         for fact in site.facts(f"{guard}.upstream"):
@@ -59,11 +60,12 @@
 
 
 def await_load(site):
-    goal = served(site) + IN_STEADY_LOAD
+    goal = served(site) + STEADY_REQUESTS
     until(lambda: served(site) >= goal, what="steady load")
 
 
-def judge(title, requests, started):
+def print_checks(title, requests, started):
+    """Print untrue outcomes and double runs; return the outcomes."""
     outcomes = {}
     for request in requests:
         outcomes[request["outcome"]] = outcomes.get(request["outcome"], 0) + 1
@@ -72,18 +74,18 @@
         if request["outcome"] != "ran":
             print(request["kind"], request["outcome"], request["reason"],
                   request["status"], file=sys.stderr)
-    lies = [r for r in requests if r["outcome"] in ("not_run", "refused")
-            and started.get(r["request"], 0) > 0]
-    lies += [r for r in requests if r["outcome"] == "ran"
-             and started.get(r["request"], 0) == 0]
+    untrue = [r for r in requests if r["outcome"] in ("not_run", "refused")
+              and started.get(r["request"], 0) > 0]
+    untrue += [r for r in requests if r["outcome"] == "ran"
+               and started.get(r["request"], 0) == 0]
     doubled = [r for r in requests if r["kind"] == "claim"
                and started.get(r["request"], 0) > 1]
-    print(f"{title}: untrue {len(lies)}, doubled {len(doubled)}")
+    print(f"{title}: untrue {len(untrue)}, doubled {len(doubled)}")
     return outcomes
 
 
-def back(site, name):
-    """Start again what has ended."""
+def restart(site, name):
+    """Start the process NAME again after it has ended."""
     if name.startswith("entry"):
         site.start_entry(name)
     elif name.endswith(".upstream"):
@@ -98,17 +100,20 @@
 
 
 def stops(site, build):
-    """No request is cut off.  An upstream that closes an idle connection may
-    cross a request on it, which then cannot be known not to have run."""
+    """A planned stop cuts off no request.
+
+    Claims may still fail when an upstream stops: if it closes an idle
+    connection just as a request is sent on it, nobody knows whether that ran.
+    """
     for name in VICTIMS:
         load = Load(site, build, f"stopping-{name}", site.entry_names)
         await_load(site)
         site.processes[name].signal(signal.SIGTERM)
         print(f"{name} stopped, exit", site.processes[name].wait())
-        back(site, name)
+        restart(site, name)
         await_load(site)
         requests = load.stop()
-        judge(f"stop of {name}", requests, executions(site))
+        print_checks(f"stop of {name}", requests, executions(site))
         print("checks all ran:", all_ran(requests, "check"))
         if not name.endswith(".upstream"):
             print("claims all ran:", all_ran(requests, "claim"))
@@ -120,8 +125,9 @@
         await_load(site)
         site.processes[name].kill()
         await_load(site)
-        back(site, name)
-        outcomes = judge(f"kill of {name}", load.stop(), executions(site))
+        restart(site, name)
+        outcomes = print_checks(f"kill of {name}", load.stop(),
+                                executions(site))
         print(f"most ran: {outcomes['ran'] > 10 * outcomes.get('unknown', 0)}")
 
 
--- a/tests/scripts/streams.py
+++ b/tests/scripts/streams.py
@@ -1,4 +1,4 @@
-"""Long answers, slow readers and writers, and peers that stop."""
+"""Long answers, slow readers and writers, and peers that are stopped."""
 
 import os
 import signal
@@ -11,13 +11,14 @@
 from site_processes import Site, until  # noqa: E402
 
 LARGE = 64 * 1024 * 1024
-# Freed memory that a sanitizer keeps would count as grown.
+# A larger quarantine of the sanitizer would count as growth of the process.
 os.environ.setdefault("ASAN_OPTIONS", "quarantine_size_mb=1")
-MEMORY_BOUND_KIB = 16 * 1024
+MEMORY_LIMIT_KIB = 16 * 1024
 STEP = 1024 * 1024
 
 
 def resident_kib(process):
+    """Return the peak resident size of PROCESS."""
     with open(f"/proc/{process.popen.pid}/status", encoding="ascii") as status:
         for line in status:
             if line.startswith("VmHWM:"):
@@ -43,7 +44,10 @@
 
 
 def read_all(caller, step_s=0.0):
-    """Bytes of the body up to the end of the connection."""
+    """Read until the connection ends and return the size of the body.
+
+    Pauses for STEP_S after each STEP bytes.
+    """
     data = caller.recv(4096)
     while b"\r\n\r\n" not in data:
         data += caller.recv(4096)
@@ -64,7 +68,7 @@
 
 
 def slow_reader(site):
-    """The answer takes longer than the deadline of its head."""
+    """Reading the answer takes longer than the deadline for its head."""
     before = {n: resident_kib(site.processes[n])
               for n in ("entry-1", "guard-1", "guard-2")}
     caller = connect(site, "entry-1",
@@ -76,7 +80,7 @@
           time.monotonic() - started > 1.0)
     for name, kib in before.items():
         grown = resident_kib(site.processes[name]) - kib
-        print(f"{name} grew by less than 16 MiB:", grown < MEMORY_BOUND_KIB)
+        print(f"{name} grew by less than 16 MiB:", grown < MEMORY_LIMIT_KIB)
         print(f"{name} grew by {grown} KiB", file=sys.stderr)
 
 
@@ -107,14 +111,14 @@
 
 
 def hang_up(site):
-    """A caller that leaves while its request waits for a slot."""
+    """A caller closes its connection while its request waits for a slot."""
     both = ("guard-1.upstream", "guard-2.upstream")
     for name in both:
         site.fault(name, {"hang": True})
     holders = [connect(site, "entry-1", get("/reclamos-api/hold?ms=1"))
                for _ in range(4)]
     until(lambda: sum(len(site.facts(n)) for n in both)
-          - hang_up_before(site) == 4, what="all slots taken")
+          - initial_ledger_lines(site) == 4, what="all slots taken")
     victim = connect(site, "entry-1",
                      get("/reclamos-api/check?ms=1", x_request_id="victim"))
     until(lambda: site.counter("entry-1", "entry_requests_open") == 5,
@@ -133,16 +137,16 @@
     print("hang up: started", len(started))
 
 
-def hang_up_before(site, memory={}):
-    """Lines in the ledgers when first asked."""
-    if "n" not in memory:
-        memory["n"] = sum(len(site.facts(n)) for n in
-                          ("guard-1.upstream", "guard-2.upstream"))
-    return memory["n"]
+def initial_ledger_lines(site, cache={}):
+    """Return the number of ledger lines at the first call."""
+    if "n" not in cache:
+        cache["n"] = sum(len(site.facts(n)) for n in
+                         ("guard-1.upstream", "guard-2.upstream"))
+    return cache["n"]
 
 
 def stopped_guard(site):
-    """A guard that neither answers nor closes its connections."""
+    """A stopped guard neither answers nor closes its connections."""
     site.processes["guard-1"].signal(signal.SIGSTOP)
     answers = []
 
@@ -156,9 +160,9 @@
         thread.start()
     for thread in threads:
         thread.join()
-    told = {(a[0], a[1].get("galenapier-verdict")) for a in answers}
+    outcomes = {(a[0], a[1].get("galenapier-verdict")) for a in answers}
     print("stopped guard:", len(answers), "answers, each run or unknown",
-          told <= {(200, "ran"), (504, "unknown"), (502, "unknown")})
+          outcomes <= {(200, "ran"), (504, "unknown"), (502, "unknown")})
     site.await_targets(1)
     print("guard-2 serves",
           site.call("entry-1", "GET", "/reclamos-api/check?ms=1")[0])
@@ -167,35 +171,37 @@
     print("guard-1 is back")
 
 
-def started_at(site, guard):
-    """Requests of resumed_guard that its upstream has started."""
+def count_started(site, guard):
+    """Return how many requests of resumed_guard were started at GUARD."""
     return len([f for f in site.facts(f"{guard}.upstream")
                 if f["event"] == "execution_start"
                 and f["request"].startswith("resumed-")])
 
 
 def resumed_guard(site):
-    """Requests at a guard that is silent get their final answer; those at
-    the other one, and the next ones at both, are served."""
+    """Requests at a guard that is stopped and resumed are answered as unknown.
+
+    Requests at the other guard, and later ones at both, are served.
+    """
     for name in ("guard-1.upstream", "guard-2.upstream"):
         site.fault(name, {"hang": True})
     callers = [connect(site, "entry-1",
                        "POST" + get("/reclamos-api/x",
                                     x_request_id=f"resumed-{i}")[3:])
                for i in range(4)]
-    until(lambda: started_at(site, "guard-1") + started_at(site, "guard-2")
-          == 4, what="requests started")
+    until(lambda: count_started(site, "guard-1")
+          + count_started(site, "guard-2") == 4, what="requests started")
     site.processes["guard-1"].signal(signal.SIGSTOP)
     site.await_targets(1)
     site.processes["guard-1"].signal(signal.SIGCONT)
     site.await_targets(2)
     for name in ("guard-1.upstream", "guard-2.upstream"):
         site.fault(name, {"hang": False})
-    told = [c.recv(4096).split(b"\r\n")[0].decode().split(" ")[1]
-            for c in callers]
-    print("resumed guard:", len(told), "answers, unknown as many as it ran",
-          told.count("502") == started_at(site, "guard-1"), "others ran",
-          told.count("200") == started_at(site, "guard-2"))
+    outcomes = [c.recv(4096).split(b"\r\n")[0].decode().split(" ")[1]
+                for c in callers]
+    print("resumed guard:", len(outcomes), "answers, unknown as many as it ran",
+          outcomes.count("502") == count_started(site, "guard-1"), "others ran",
+          outcomes.count("200") == count_started(site, "guard-2"))
     print("served again:", [site.call("entry-1", "POST", "/reclamos-api/x")[0]
                             for _ in range(4)])
 
@@ -209,7 +215,7 @@
         stalled_reader(site)
         stalled_upstream(site)
         slow_writer(site)
-        hang_up_before(site)
+        initial_ledger_lines(site)
         hang_up(site)
         stopped_guard(site)
         resumed_guard(site)
--- a/tests/scripts/tasks_site.py
+++ b/tests/scripts/tasks_site.py
@@ -1,5 +1,7 @@
-"""A site of real processes that runs tasks, for the scripted runs of tasks,
-and the judgement of the ledgers of its worker runtimes."""
+"""A site of real processes that runs tasks, and checks on its ledgers.
+
+The ledgers are those of the stand-ins for worker runtimes.
+"""
 
 import json
 import os
@@ -30,6 +32,7 @@
 
 
 def publish(site, base, watchers, document=DOCUMENT):
+    """Publish DOCUMENT with a number of WATCHERS on top of revision BASE."""
     body = json.dumps({"base": base, "author": "test",
                        "document": document % watchers})
     status, _, answer = site.operate("entry-1", "POST", "/v1/config", body)
@@ -38,6 +41,7 @@
 
 
 def submit(site, entry="entry-1", count=1, kind="assess", **payload):
+    """Submit COUNT jobs of KIND with PAYLOAD and return their ids."""
     body = json.dumps({"kind": kind, "count": count,
                        "payload": json.dumps(payload)})
     status, _, answer = site.operate(entry, "POST", "/v1/jobs", body)
@@ -46,14 +50,16 @@
     return json.loads(answer)["jobs"]
 
 
-def job(site, name, entry="entry-1"):
+def fetch_job(site, name, entry="entry-1"):
+    """Return the job NAME as ENTRY knows it; its state is None if unknown."""
     status, _, answer = site.operate(entry, "GET", "/v1/jobs/" + name)
     return json.loads(answer) if status == 200 else {"state": None}
 
 
 def await_state(site, name, state, entry="entry-1"):
+    """Wait until the job NAME is in STATE and return it."""
     return until(lambda: (lambda j: j["state"] == state and j)(
-        job(site, name, entry)), what=f"{name} {state}")
+        fetch_job(site, name, entry)), what=f"{name} {state}")
 
 
 def running_watchers(site, entry="entry-1"):
@@ -67,8 +73,11 @@
 
 
 def executions(site):
-    """For each task its stretches of running, by the ledgers: start, end (or
-    the last point known), epoch, node."""
+    """Return for each task its executions according to the ledgers.
+
+    Each has a start, an end (None if the ledger has none), the epoch, the node
+    and the progress that it started from.
+    """
     runs = {}
     for guard in site.guard_names:
         open_runs = {}
@@ -87,9 +96,12 @@
     return runs
 
 
-def judge(site, killed=()):
-    """No task ran twice at a time, no epoch twice.  KILLED: node to the
-    point at which its VM was killed."""
+def print_double_runs(site, killed=()):
+    """Print how many executions overlap and how many epochs ran twice.
+
+    KILLED maps a node to the time at which its VM was killed, which ends the
+    executions that have no end in its ledger.
+    """
     overlaps, doubled = 0, 0
     for runs in executions(site).values():
         runs.sort(key=lambda run: run["start"])
@@ -103,12 +115,14 @@
     print(f"  twice at a time: {overlaps}, epochs run twice: {doubled}")
 
 
-def breaches(site):
+def count_breaches(site):
+    """Return how many breaches the worker runtimes recorded."""
     return sum(fact["event"] == "breach" for guard in site.guard_names
                for fact in site.facts(guard + ".worker"))
 
 
-def ready(site, watchers=WATCHERS, document=DOCUMENT):
+def configure(site, watchers=WATCHERS, document=DOCUMENT):
+    """Publish DOCUMENT as revision 1 and wait until all entries have it."""
     for entry in site.entry_names:
         until(lambda e=entry: site.counter(e, "store_ready") == 1,
               what=f"{entry} ready")
@@ -118,17 +132,22 @@
               what=f"{entry} configured")
 
 
-def site_of(build, upstream=False, **options):
+def start_site(build, upstream=False, **options):
+    """Start a Site with worker runtimes."""
     return Site(build, upstream=upstream, worker=True, timings=TIMINGS,
                 **options)
 
 
 def now_us():
+    """Return the time on the clock of the ledgers."""
     return int(time.clock_gettime(time.CLOCK_BOOTTIME) * 1e6)
 
 
 def long_jobs(site, count):
-    """Jobs that run on and take checkpoints, all running."""
+    """Submit COUNT jobs that run for ten minutes and take checkpoints.
+
+    Returns their ids once all are running.
+    """
     names = submit(site, count=count, run_ms=600000, checkpoint_every_ms=50)
     for name in names:
         await_state(site, name, "running")
@@ -138,7 +157,8 @@
 def await_epoch(site, names, epoch, entry="entry-1"):
     for name in names:
         until(lambda n=name: (lambda j: j["state"] == "running"
-                              and j["epoch"] >= epoch)(job(site, n, entry)),
+                              and j["epoch"] >= epoch)(
+                                  fetch_job(site, n, entry)),
               what=f"{name} in epoch {epoch}")
 
 
@@ -147,27 +167,30 @@
                       for w in workers(site)), what=f"{guard} serving")
 
 
-def on(site, names, guard):
-    return [n for n in names if job(site, n)["worker"] == guard]
+def assigned_to(site, names, guard):
+    """Return those of the jobs NAMES that are assigned to GUARD."""
+    return [n for n in names if fetch_job(site, n)["worker"] == guard]
 
 
 def await_checkpoints(site, names):
     for name in names:
-        until(lambda n=name: "checkpoint_bytes" in job(site, n),
+        until(lambda n=name: "checkpoint_bytes" in fetch_job(site, n),
               what=f"checkpoint of {name}")
 
 
-def went_on(site, names):
-    """Whether the last stretch of each began at a checkpoint."""
+def resumed_from_checkpoint(site, names):
+    """Return whether the last execution of each job began at a checkpoint."""
     runs = executions(site)
     return all(max(runs[n], key=lambda run: run["start"])["progress"] > 0
                for n in names)
 
 
-def epochs(site, entry="entry-1"):
+def watcher_epochs(site, entry="entry-1"):
+    """Return the epoch of each running watcher."""
     return {w["id"]: w["epoch"] for w in running_watchers(site, entry)}
 
 
 def workers(site, entry="entry-1"):
+    """Return the workers as ENTRY's /v1/status lists them."""
     answer = json.loads(site.operate(entry, "GET", "/v1/status")[2])
     return answer["tasks"]["workers"]
--- a/tests/scripts/thin.py
+++ b/tests/scripts/thin.py
@@ -1,24 +1,26 @@
-"""Entries whose links carry little."""
+"""Entries behind links of low bandwidth."""
 
 import sys
 
-from platform_site import JOB_A, STEPS, other, site_of, until, verdict
+from platform_site import (JOB_A, STEPS, other_entry, print_breaches,
+                           start_site, until)
 
-# Bytes a second; a load of the jobs below takes some five seconds then, more
-# than any call lasts that makes no progress.
+# Bytes per second.  Loading the jobs below then takes about five seconds,
+# longer than any call lasts that makes no progress.
 RATE = 100_000
 JOBS = 70
 SPEC = "x" * 4000
 
 
-def narrow(site, rate=RATE):
+def limit_bandwidth(site, rate=RATE):
+    """Limit the rate of all links of entries."""
     for name, link in site.links.items():
         if name.startswith("e"):
             link.rate = rate
 
 
 def fill_log(site):
-    """Let JOBS jobs with large specifications stand on the log, all ended."""
+    """Run JOBS jobs with large specifications, which stay in the log."""
     ids = [f"{i:016x}" for i in range(1, JOBS + 1)]
     for job in ids:
         site.submit("e1", job, STEPS[:1], spec=SPEC)
@@ -28,27 +30,27 @@
 
 def total_loss(build):
     print("all entries start anew behind thin links")
-    with site_of(build, links=True) as site:
+    with start_site(build, links=True) as site:
         fill_log(site)
         for name in site.entries:
             site.processes[name].kill()
-        narrow(site)
+        limit_bandwidth(site)
         for name in site.entries:
             site.processes[name].start()
         site.ready()
         print("  submitted:", site.submit("e1", JOB_A, STEPS))
         site.await_state("e2", JOB_A, "completed")
-        verdict(site)
+        print_breaches(site)
 
 
 def relayed(build):
     print("an entry loads all jobs through a peer, both behind thin links")
-    with site_of(build, links=True) as site:
+    with start_site(build, links=True) as site:
         fill_log(site)
         first = site.leader()
-        name = other(site, first)
-        narrow(site)
-        site.store.refused = {site.doors[name]}
+        name = other_entry(site, first)
+        limit_bandwidth(site)
+        site.store.refused = {site.store_addresses[name]}
         until(lambda: site.metric(name, "store_by_relay") == 1, what="relayed")
         for link in (first + " relay", name + " store"):
             site.links[link].hold((0, 1))
@@ -60,27 +62,28 @@
         print("  loaded through the peer:",
               site.metric(name, "traffic_jobs_load_in_bytes_total")
               > JOBS * len(SPEC))
-        verdict(site)
+        print_breaches(site)
 
 
-def bytes_of(site, what):
+def bytes_sent(site, what):
+    """Return how many bytes of WHAT all entries have sent."""
     return sum(site.metric(name, f"traffic_{what}_out_bytes_total")
                for name in site.entries)
 
 
 def leader(build):
     print("a job with many runs on each worker behind a thin link")
-    with site_of(build, links=True) as site:
-        narrow(site)
+    with start_site(build, links=True) as site:
+        limit_bandwidth(site)
         first = site.leader()
         steps = [{"count": 60, "cpu": 100, "memMb": 10, "estimateMs": 300}]
         print("  submitted:", site.submit("e1", JOB_A, steps, spec=SPEC))
         site.await_state("e2", JOB_A, "completed")
         print("  starts:", sum(site.judge.starts.values()))
         print("  orders of less than three specifications:",
-              bytes_of(site, "orders") < 3 * len(SPEC))
+              bytes_sent(site, "orders") < 3 * len(SPEC))
         print("  the same leader:", site.leader() == first)
-        verdict(site)
+        print_breaches(site)
 
 
 SCENARIOS = {"total_loss": total_loss, "relayed": relayed, "leader": leader}
--- a/tests/scripts/versions.py
+++ b/tests/scripts/versions.py
@@ -2,11 +2,12 @@
 
 usage: versions.py BUILD BUILD_BEFORE [entries|guards|back]
 
-Not run by CI, which has one build: by hand, with a build of an earlier version.
-All processes are of the one before, and are stopped and started as BUILD one by
-one, entries or guards first; `back` goes the other way.  Meanwhile small jobs
-come, executors go down, and a task takes its executors down.  All that was
-accepted is completed, nothing runs twice or again, and that task is given up.
+CI has only one build, so this is run by hand, with a build of an earlier
+version.  All processes begin with BUILD_BEFORE and are restarted with BUILD
+one by one, entries or guards first; `back` is a downgrade.  Meanwhile small
+jobs are submitted, executors crash, and one task crashes its executors.  All
+accepted jobs must complete, no task may run twice or again, and that task must
+be given up.
 """
 
 import signal
@@ -15,18 +16,18 @@
 import threading
 import time
 
-from ordered_late import (CRASHERS, GIVEN_UP_S, JOBS, SMALL, STARTS_MAX, STEP,
-                          answered, wait_for)
-from platform_site import GRACE_S, LASTING, site_of
-from same_id import Stream
+from ordered_late import (CRASHERS, GIVE_UP_LIMIT_S, JOBS, SMALL, STARTS_MAX,
+                          STEP, holds_within, state_from_any)
+from platform_site import GRACE_S, LONG_RUNNING, start_site
+from same_id import JobStream
 
-JOB_LASTING = "00000000beef00bb"
+JOB_LONG_RUNNING = "00000000beef00bb"
 PAUSE_S = 2.0
 CRASH_EVERY_S = 3.0
 
 
 def replace(process, build):
-    """Stop PROCESS as planned, and start it as of BUILD."""
+    """Stop PROCESS by a planned shutdown and start the program of BUILD."""
     process.signal(signal.SIGTERM)
     try:
         process.wait(GRACE_S)
@@ -37,7 +38,7 @@
 
 
 def crash_in_turn(site, over):
-    """Executors go down by themselves, with another id."""
+    """Crash executors one after the other until OVER; their ids change."""
     names = list(site.executors)
     turn = 0
     while not over.wait(CRASH_EVERY_S):
@@ -45,11 +46,15 @@
         turn += 1
 
 
-def play(first, then, order):
-    with site_of(first, entries=3, workers=4) as site:
+def run_upgrade(initial_build, target_build, order):
+    """Replace the processes of INITIAL_BUILD by those of TARGET_BUILD.
+
+    ORDER is "guards" if the guards come first, otherwise the entries do.
+    """
+    with start_site(initial_build, entries=3, workers=4) as site:
         site.judge.crashers.add(CRASHERS[JOBS[0]])
-        site.submit("e1", JOB_LASTING, LASTING, spec="lasts")
-        stream = Stream(site, SMALL)
+        site.submit("e1", JOB_LONG_RUNNING, LONG_RUNNING, spec="lasts")
+        stream = JobStream(site, SMALL)
         over = threading.Event()
         crashes = threading.Thread(target=crash_in_turn, args=(site, over))
         crashes.start()
@@ -58,15 +63,18 @@
             names = [*site.executors, *site.entries]
         for i, name in enumerate(names):
             if i == len(names) // 2:
-                wait_for(lambda: site.submit("e1", JOBS[0], [STEP]) == 200, 10)
+                holds_within(
+                    lambda: site.submit("e1", JOBS[0], [STEP]) == 200, 10)
             time.sleep(PAUSE_S)
-            replace(site.processes[name], then)
-        given_up = wait_for(lambda: answered(site, JOBS[0]) == "failed",
-                            GIVEN_UP_S)
+            replace(site.processes[name], target_build)
+        given_up = holds_within(
+            lambda: state_from_any(site, JOBS[0]) == "failed",
+            GIVE_UP_LIMIT_S)
         over.set()
         crashes.join()
         stream.end()
-        back = wait_for(lambda: len(site.judge.at_work(JOB_LASTING)) == 3, 15)
+        back = holds_within(
+            lambda: len(site.judge.at_work(JOB_LONG_RUNNING)) == 3, 15)
         starts = site.judge.starts.get(CRASHERS[JOBS[0]], 0)
         print("  given up:", given_up, "started at most five times:",
               starts <= STARTS_MAX, "beside it at work:", back,
@@ -77,9 +85,9 @@
     for order in orders or ["entries", "guards", "back"]:
         print(order)
         if order == "back":
-            play(build, before, "entries")
+            run_upgrade(build, before, "entries")
         else:
-            play(before, build, order)
+            run_upgrade(before, build, order)
 
 
 main(sys.argv[1], sys.argv[2], sys.argv[3:])
--- a/tests/scripts/writers.py
+++ b/tests/scripts/writers.py
@@ -1,26 +1,28 @@
-"""Other writers beside a working site: heartbeats and records that name
-nothing to use.  No run is lost, started twice or moved, and nothing starts on
-what they name."""
+"""Heartbeats and records from other writers while a site is at work.
+
+They are malformed or name executors and VMs that do not exist.  No run may be
+lost, started twice or moved, and nothing may be started on what they name.
+"""
 
 import json
 import signal
 import sys
 import time
 
-from platform_site import (JOB_A, JOB_B, JOB_C, STEPS, other, site_of, until,
-                           verdict)
+from platform_site import (JOB_A, JOB_B, JOB_C, STEPS, other_entry,
+                           print_breaches, start_site, until)
 from message_bytes import text
 from other_writers import (Background, RecordWriter, foreign_heartbeats,
                            malformed_heartbeats)
 
-IDS = {"with a slash": "w1-1/x", "of 2,000 bytes": "w" * 2000}
+INVALID_IDS = {"with a slash": "w1-1/x", "of 2,000 bytes": "w" * 2000}
 WRITE_PAUSE_S = 0.05
-BEAT_PAUSE_S = 0.1
+HEARTBEAT_PAUSE_S = 0.1
 ROUNDS = 6
 TOO_LONG = {413, 0}
-# By then a leader takes all leases of executors that it cannot reach, if there
-# were any, for expired.
-LEASES_S = 16.0
+# By then a leader would consider the leases of unreachable executors expired,
+# if there were any.
+LEASES_EXPIRED_S = 16.0
 MAX_JOBS = 1000
 
 
@@ -28,7 +30,7 @@
     return f"{4096 + number:016x}"
 
 
-def starts_of(site, job):
+def count_starts(site, job):
     return sum(count for task, count in site.judge.starts.items()
                if task.startswith(job))
 
@@ -38,18 +40,18 @@
                for process in site.processes.values()) - 1
 
 
-class Writers:
-    """Other writers beside SITE until `end`: records of all kinds, and
-    heartbeats to all guards."""
+class OtherWriters:
+    """Writes records of all kinds, and heartbeats to guards, until `end`."""
 
     def __init__(self, site):
         self.site = site
         self.records = RecordWriter(site.store, site.judge, 1)
-        self.beats = self.all_beats()
+        self.beats = self.heartbeats()
         self.running = [Background(self.records.write, WRITE_PAUSE_S),
-                        Background(self.beat, BEAT_PAUSE_S)]
+                        Background(self.beat, HEARTBEAT_PAUSE_S)]
 
-    def all_beats(self):
+    def heartbeats(self):
+        """Yield (executor, id, body) of heartbeats without end."""
         while True:
             for executor in list(self.site.executors.values()):
                 beat = executor.beat_body(0)
@@ -67,126 +69,127 @@
             writer.end()
 
 
-def all_complete(site, entry, jobs):
+def complete_all(site, entry, jobs):
+    """Submit JOBS one after the other and wait for the end of each."""
     for job in jobs:
         until(lambda j=job: site.submit(entry, j, STEPS) == 200,
               what="accepted")
         site.await_state(entry, job, "completed")
 
 
-def finish(site):
-    """What lasts was neither lost nor moved."""
+def print_outcome(site):
+    """Print that the long-running tasks were neither lost nor moved."""
     print("  at work:", len(site.judge.at_work(JOB_A)))
-    print("  its starts:", starts_of(site, JOB_A))
-    verdict(site)
+    print("  its starts:", count_starts(site, JOB_A))
+    print_breaches(site)
 
 
 def malformed(build):
     print("malformed heartbeats under the id of a known executor")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         workers = list(site.executors.items())
         beats = [malformed_heartbeats(executor.beat_body(0))
                  for _, executor in workers]
         for cases in zip(*beats):
             answers = {executor.post_body(executor.id, body)
                        for (_, executor), (_, body) in zip(workers, cases)}
-            # A body over the bound is answered before all of it was sent;
-            # the connection may be gone before that answer is read.
+            # A body over the limit is answered before all of it is sent, and
+            # the connection may be closed before that answer is read.
             if answers <= TOO_LONG:
                 answers = {"refused"}
             print(f"  {cases[0][0]}: {sorted(answers)}")
-        all_complete(site, "e1", [JOB_B])
-        finish(site)
+        complete_all(site, "e1", [JOB_B])
+        print_outcome(site)
 
 
 def strangers(build):
     print("heartbeats of executors that are not there")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         for executor in site.executors.values():
             beat = executor.beat_body(0)
             for _, name, body in foreign_heartbeats(beat, executor.id):
                 executor.post_body(name, body)
         executor = site.executors["w1"]
         body = json.dumps(executor.beat_body(10 ** 9))
-        for name, wrong in IDS.items():
+        for name, wrong in INVALID_IDS.items():
             print(f"  id {name}: {executor.post_body(wrong, body)}")
-        time.sleep(1.0)  # what was taken in would have had its effect
-        all_complete(site, "e1", [JOB_B])
-        finish(site)
+        time.sleep(1.0)  # time for accepted heartbeats to show an effect
+        complete_all(site, "e1", [JOB_B])
+        print_outcome(site)
 
 
 def whole_run(build):
     print("other writers beside a working site")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
-        writers = Writers(site)
-        all_complete(site, "e2", [numbered_job(i) for i in range(ROUNDS)])
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
+        writers = OtherWriters(site)
+        complete_all(site, "e2", [numbered_job(i) for i in range(ROUNDS)])
         writers.end()
-        all_complete(site, "e1", [JOB_B])
+        complete_all(site, "e1", [JOB_B])
         print("  changes of the leader:", changes_of_leader(site))
-        finish(site)
+        print_outcome(site)
 
 
 def leader_changes(build):
     print("other writers beside changes of the leader")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
-        writers = Writers(site)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
+        writers = OtherWriters(site)
         first = site.leader()
-        second = other(site, first)
+        second = other_entry(site, first)
         site.processes[first].kill()
-        all_complete(site, second, [JOB_B])
+        complete_all(site, second, [JOB_B])
         site.processes[first].start()
         until(lambda: site.submit(first, JOB_B, STEPS) == 200, what="ready")
         site.processes[second].signal(signal.SIGTERM)
-        all_complete(site, first, [JOB_C])
+        complete_all(site, first, [JOB_C])
         writers.end()
         print("  changes of the leader:", changes_of_leader(site))
-        finish(site)
+        print_outcome(site)
 
 
 def store_away(build):
     print("other writers beside a store that is away")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
-        writers = Writers(site)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
+        writers = OtherWriters(site)
         for how, job in (("busy", JOB_B), ("silent", JOB_C)):
             site.store.down = how
             print(f"  {how}, submitted:", site.submit("e1", job, STEPS))
             time.sleep(1.0)
             site.store.down = None
-            all_complete(site, "e2", [job])
+            complete_all(site, "e2", [job])
         writers.end()
-        finish(site)
+        print_outcome(site)
 
 
 def bad_rows(build):
     print("executors list a malformed row beside the good ones")
-    with site_of(build) as site:
+    with start_site(build) as site:
         for executor in site.executors.values():
             executor.bad_rows = True
-        site.submit_lasting("e1", JOB_A)
+        site.submit_long_running("e1", JOB_A)
         jobs = [numbered_job(i) for i in range(ROUNDS)]
-        all_complete(site, "e2", jobs)
-        print("  starts:", sum(starts_of(site, job) for job in jobs))
-        finish(site)
+        complete_all(site, "e2", jobs)
+        print("  starts:", sum(count_starts(site, job) for job in jobs))
+        print_outcome(site)
 
 
 def foreign_places(build):
     print("places of VMs that are not there, which name known executors")
-    with site_of(build) as site:
-        site.submit_lasting("e1", JOB_A)
+    with start_site(build) as site:
+        site.submit_long_running("e1", JOB_A)
         for name, executor in site.executors.items():
             site.store.put("keyed.progress", "at.stranger-" + name,
                            text(1, executor.id))
-        ends_at = time.monotonic() + LEASES_S
+        ends_at = time.monotonic() + LEASES_EXPIRED_S
         for i in range(MAX_JOBS):
-            all_complete(site, "e1", [numbered_job(i)])
+            complete_all(site, "e1", [numbered_job(i)])
             if time.monotonic() > ends_at:
                 break
-        finish(site)
+        print_outcome(site)
 
 
 SCENARIOS = {scenario.__name__: scenario
