--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -19,12 +19,12 @@
    within this time; a leader that takes over later may order starts again that
    were never made.  */
 #define DRAIN_START_TIME (GP_SEC)
-/* Answers that overtake each other differ by less than this, in
-   milliseconds.  */
+/* The clock readings of answers that arrive out of order differ by less than
+   this, in milliseconds.  */
 #define CLOCK_DISORDER_MS 5000
-/* Steps of the fence, in milliseconds: a time of day that stepped back by
-   seconds is made up for in a few tries.  The last step, a month, exceeds any
-   step of the clock.  */
+/* Steps of the fence, in milliseconds: a step of the time of day back by
+   seconds is made up for in a few attempts.  The last step, a month, exceeds
+   any step of the clock.  */
 #define FENCE_STEP_MS 1000
 #define FENCE_STEP_MAX_MS (INT64_C (1) << 31)
 
@@ -36,7 +36,7 @@
          + GP_AGENT_LEASE_MARGIN;
 }
 
-/* Messages that the agent keeps are allocated with malloc, as protobuf-c does
+/* Messages that the agent owns are allocated with malloc, as protobuf-c does
    when it unpacks without an allocator.  */
 
 static void
@@ -174,8 +174,8 @@
 }
 
 /* FENCE is lower than the agent's if the call was overtaken by one with a new
-   fence; then nothing is to be done.  An unnecessary step would put the fence
-   ahead of the time of day, with which the next process begins.  */
+   fence; the fence is not raised then.  An unnecessary step would put the
+   fence ahead of the time of day, with which the next process begins.  */
 void
 gp_agent_fence_rejected (gp_agent_t *agent, int64_t fence)
 {
@@ -400,7 +400,8 @@
   return false;
 }
 
-/* Takes ownership of *SLOT, if it is kept, and clears it.  */
+/* Adds the start in *SLOT, unless it is outdated or known already.  If it is
+   added, takes ownership of it and sets *SLOT to NULL.  */
 static void
 add_start (gp_agent_t *agent, Gp__Jobs__Start **slot)
 {
@@ -495,8 +496,9 @@
     }
 }
 
-/* Does the leader mean the current incarnation?  A leader of the previous
-   version sends no birth time.  */
+/* Returns whether ID and BORN_MS, from a message of the leader, name the
+   current incarnation.  A leader of the previous version sends no birth
+   time.  */
 static bool
 is_addressed (const gp_agent_t *agent, const char *id, int64_t born_ms)
 {
--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -9,14 +9,14 @@
    - A run counts as absent only after a stop of it was confirmed, or its only
      start was refused, and a list requested after that does not show it: from
      then on the executor refuses to start it.
-   - The lease that calls carry ends GP_AGENT_LEASE_TIME after the sending of
-     the last report that the leader acknowledged, on a clock that may run slow
-     by GP_AGENT_CLOCK_SLOW_PERMILLE.  It is not extended while the executor
-     does not answer, so that its end becomes certain.
-   - An acknowledgement counts only for the executor that its report named: an
-     executor found later is not under a lease that the leader does not know
-     of.  A guard that has just started accepts no acknowledgement from a
-     leader whose leadership may be over, see jobs/grants.h.
+   - The lease that is sent with calls ends GP_AGENT_LEASE_TIME after the
+     sending of the last report that the leader acknowledged, on a clock that
+     may run slow by GP_AGENT_CLOCK_SLOW_PERMILLE.  It is not extended while
+     the executor does not answer, so that its end becomes certain.
+   - An acknowledgement extends the lease only of the executor that its report
+     named: an executor found later is not under a lease that the leader does
+     not know of.  A guard that has just started accepts no acknowledgement
+     from a leader whose leadership may be over, see jobs/grants.h.
    - Once the lease has certainly expired, nothing is started until a sync
      arrives that takes a report of the expiry into account: the leader may
      have assigned the runs elsewhere.
@@ -33,9 +33,9 @@
    - Ends, clock and lease belong to one incarnation.  After a connection has
      ended, another incarnation may answer the next list; such a list confirms
      no ends and extends no lease, and no order is sent before it is answered.
-     It carries a new fence.  So an order to the previous incarnation either
-     shows in the list with which the next one is found, or is never carried
-     out.
+     It is requested with a new fence.  So an order to the previous incarnation
+     either shows in the list with which the next one is found, or is never
+     carried out.
 
    Pure: events and NOW in, calls and reports out.  */
 
@@ -99,7 +99,8 @@
   gp_time_t listed_at;    /* time of the last list that showed it */
   unsigned missed_lists;  /* number of consecutive lists that did not show
                              it */
-  bool settled_reported;  /* the leader was told that the run has settled */
+  bool settled_reported;  /* it was reported to the leader that the run has
+                             settled */
   gp_time_t sent_at;      /* when the first start was sent that was or may
                              still be carried out; 0: none */
   gp_time_t first_start_at; /* when its first start was sent, 0: never */
@@ -124,16 +125,16 @@
                                target at the last measurement */
   gp_time_t over_target_since; /* since when it is over the target, or
                                   GP_TIME_NEVER */
-  double busy_share;        /* share of the last half second in which a filling
-                               run was busy; NAN: not measured yet */
-  double work;              /* busy work that it did in that time */
-  gp_time_t active_since;   /* when it was first measured at work, 0: never */
-  uint32_t pace;            /* percent of full speed, as last confirmed */
-  gp_time_t paced_at;       /* when PACE was confirmed, 0: never */
-  uint32_t pace_before;     /* the pace before that */
-  gp_time_t pace_repeat_at; /* when to repeat the pace, as an unanswered call
-                               may still set an older one; GP_TIME_NEVER: not
-                               needed */
+  double busy_share; /* share of the last half second in which a filling run
+                        was busy; NAN: not measured yet */
+  double work;       /* busy work that it did in that time */
+  gp_time_t active_since;    /* when first measured as running, 0: never */
+  uint32_t pace;             /* percent of full speed, as last confirmed */
+  gp_time_t paced_at;        /* when PACE was confirmed, 0: never */
+  uint32_t pace_before;      /* the previous pace */
+  gp_time_t pace_repeat_at;  /* when to repeat the pace, as an unanswered call
+                                may still set an older one; GP_TIME_NEVER: not
+                                needed */
   gp_time_t pace_certain_at; /* from then on no unanswered pace call can take
                                 effect */
 } gp_agent_run_t;
@@ -153,7 +154,7 @@
   const GBytes *spec;  /* for a start, valid during the call only */
   int64_t lease_ms;    /* for a start: end of the lease on the executor's
                           clock */
-  uint32_t percent;    /* for a pace */
+  uint32_t percent;    /* for a pace, in percent of full speed */
 } gp_agent_call_t;
 
 /* Outcome of a call.  */
@@ -163,7 +164,7 @@
   GP_AGENT_FENCED,   /* the executor has seen a higher fence */
   GP_AGENT_TOO_OLD,  /* the executor has stopped or ended this run or a later
                         one of the task */
-  GP_AGENT_TOO_LATE, /* the lease that the order carried had expired */
+  GP_AGENT_TOO_LATE, /* the lease in the order had expired */
   GP_AGENT_NO_ROOM,
   GP_AGENT_REFUSED,      /* nothing was done: the executor is unhealthy or the
                             order is invalid */
@@ -201,15 +202,15 @@
                                          one that had runs; NULL: none
                                          known */
   GHashTable *runs;                   /* name to gp_agent_run_t, owned */
-  gp_spec_store_t specs;              /* kept when the executor changes */
-  GPtrArray *ends;      /* Gp__Jobs__End, owned: listed, but not durably
-                           recorded yet */
-  uint64_t seen_ends;   /* ends up to this number are durably recorded */
-  uint64_t listed_ends; /* highest end number received in a list */
-  uint64_t stale_ends;  /* number of ends that were listed although they were
-                           recorded */
-  uint64_t synced;      /* number of the last sync */
-  bool is_synced;       /* RUNS is what the leader wants */
+  gp_spec_store_t specs; /* not cleared when the executor changes */
+  GPtrArray *ends;       /* Gp__Jobs__End, owned: listed, but not durably
+                            recorded yet */
+  uint64_t seen_ends;    /* ends up to this number are durably recorded */
+  uint64_t listed_ends;  /* highest end number received in a list */
+  uint64_t stale_ends;   /* number of ends that were listed although they were
+                            recorded */
+  uint64_t synced;       /* number of the last sync */
+  bool is_synced;        /* RUNS is what the leader wants */
   uint64_t incarnation_number; /* number of executor incarnations found */
   GPtrArray *carried; /* Gp__Jobs__TaskRun, owned: runs on the last list that
                          are not in RUNS */
@@ -223,13 +224,13 @@
   int64_t clock_ms;     /* reading of the executor's clock, -1: none */
   gp_time_t clock_at;   /* local time of that reading, no earlier than the
                            reading itself */
-  bool clock_is_behind; /* an answer carried a lower clock value */
+  bool clock_is_behind; /* an answer had a lower clock value */
   gp_time_t began_at;   /* when this process started */
   gp_time_t first_reported_at; /* when the first report with this executor was
                                   sent, or GP_TIME_NEVER */
   gp_time_t granted;    /* sending time of the last acknowledged report */
-  gp_time_t lease;      /* the same of the report behind the lease that calls
-                           carry */
+  gp_time_t lease;      /* the same of the report for which the lease sent with
+                           calls was granted */
   gp_time_t heard_at;   /* time of the executor's last answer */
   gp_time_t down_since; /* time of the first failed call since the last answer;
                            0: none has failed */
@@ -260,8 +261,8 @@
   gp_time_t retry_time;   /* delay before a call is retried */
 } gp_agent_t;
 
-/* ZONE_SPAN is how long a notice that the zone is open holds, 0: without
-   limit.  */
+/* ZONE_SPAN is how long a notice that the zone is open remains valid, 0:
+   without limit.  */
 void gp_agent_init (gp_agent_t *agent, gp_time_t zone_span, gp_time_t now);
 void gp_agent_finish (gp_agent_t *agent);
 
@@ -270,16 +271,16 @@
 /* Raises the fence, which invalidates earlier orders as soon as the executor
    accepts an order made from now on.  */
 void gp_agent_raise_fence (gp_agent_t *agent);
-/* The executor has seen a higher fence than FENCE, which a call to its current
-   incarnation or an identity query carried.  */
+/* The executor has seen a higher fence than FENCE, which was sent with a call
+   to its current incarnation or with an identity query.  */
 void gp_agent_fence_rejected (gp_agent_t *agent, int64_t fence);
 /* Returns the fence for a query of the executor's identity: above all orders,
    including those made until its answer arrives.  Orders after the answer
    start with that fence.  */
 int64_t gp_agent_query_fence (gp_agent_t *agent);
 
-/* Is the executor of this VM the incarnation of ID that was born at
-   BORN_MS?  */
+/* Returns whether the executor of this VM is the incarnation of ID that was
+   born at BORN_MS.  */
 bool gp_agent_is_incarnation (const gp_agent_t *agent, const char *id,
                               int64_t born_ms);
 /* EXECUTOR, of which the agent takes ownership, is the executor of this VM
@@ -287,23 +288,23 @@
    the previous one is dropped.  CLOCK_MS is its clock, or -1.  */
 void gp_agent_set_executor (gp_agent_t *agent, Gp__Jobs__Executor *executor,
                             int64_t clock_ms, gp_time_t now);
-/* Could RUN have caused the failure of the executor, if that does not answer
-   again?  */
+/* Returns whether RUN may have caused the failure of the executor, if the
+   executor does not answer again.  */
 bool gp_agent_is_suspect (const gp_agent_t *agent, const gp_agent_run_t *run);
-/* Fills in ROW the details that tell the suspect RUN from others, such as when
-   it began.  */
+/* Fills in the fields of ROW that describe RUN as a suspect, such as when it
+   began.  */
 void gp_agent_describe_suspect (const gp_agent_t *agent,
                                 const gp_agent_run_t *run,
                                 Gp__Jobs__TaskRun *row);
-/* Should the leader be told now that RUN, which it watches, has settled?
-   Counts as told from then on.  */
+/* Returns whether to report to the leader now that RUN, which it watches, has
+   settled.  It counts as reported from then on.  */
 bool gp_agent_report_settled (gp_agent_run_t *run);
-/* The executor and all runs on it have ended: it deregistered, and its
-   address refuses connections now.  It stays the executor that is
-   reported.  */
+/* The executor and all runs on it have ended: it deregistered, and its address
+   refuses connections now.  The agent continues to report it.  */
 void gp_agent_executor_ended (gp_agent_t *agent);
 
-/* A report was sent at SENT_AT, which is later than all before.  */
+/* A report was sent at SENT_AT, which is later than for all previous
+   reports.  */
 void gp_agent_reported (gp_agent_t *agent, gp_time_t sent_at);
 
 /* Messages from the leader.  LEAD_AGE is the age of its last append to the
@@ -325,8 +326,8 @@
 /* Registers the counter of starts that were held back.  */
 void gp_agent_register_counters (void);
 
-/* Is there an isolated run that has not settled, so that runs of other jobs
-   wait for it?  */
+/* Returns whether there is an isolated run that has not settled, so that runs
+   of other jobs wait for it.  */
 bool gp_agent_has_isolated_run (const gp_agent_t *agent);
 
 /* The leader reports the load of a serving run, as estimated from all replicas
@@ -339,8 +340,8 @@
    if there is none before *AGAIN_AT.  */
 gp_agent_call_t gp_agent_next_call (gp_agent_t *agent, gp_time_t now,
                                     gp_time_t *again_at);
-/* Does RESULT mean that no answer arrived, so that the call was or may still
-   be carried out?  */
+/* Returns whether RESULT means that no answer arrived, so that the call was or
+   may still be carried out.  */
 bool gp_agent_is_unanswered (gp_agent_result_t result);
 /* A call about run NUMBER of the task NAME was answered or failed; PERCENT is
    the pace that it requested.  */
@@ -360,8 +361,8 @@
                       size_t row_count, const Gp__Jobs__End *ends,
                       size_t end_count, int64_t clock_ms, gp_time_t sent_at,
                       gp_time_t now);
-/* Does the measurement of RUN at NOW show the load of a warmed-up serving
-   run?  */
+/* Returns whether the measurement of RUN at NOW shows the load of a warmed-up
+   serving run.  */
 bool gp_agent_shows_load (const gp_agent_run_t *run, gp_time_t now);
 
 /* Returns the busy work of FILLING that still falls into the measurement
@@ -378,19 +379,20 @@
    requested from the leader.  */
 void gp_agent_missing_specs (const gp_agent_t *agent, GPtrArray *jobs);
 
-/* May another incarnation of the executor answer the next call?  */
+/* Returns whether another incarnation of the executor may answer the next
+   call.  */
 bool gp_agent_incarnation_is_uncertain (const gp_agent_t *agent,
                                         gp_time_t now);
 
-/* Have calls to the executor failed, with no answer since?  Its runs may still
-   be at work.  */
+/* Returns whether calls to the executor have failed, with no answer since.
+   Its runs may still be running.  */
 bool gp_agent_is_down (const gp_agent_t *agent, gp_time_t now);
 
-/* Has the executor answered a call recently?  */
+/* Returns whether the executor has answered a call recently.  */
 bool gp_agent_is_responsive (const gp_agent_t *agent, gp_time_t now);
 
-/* Has the executor's lease certainly expired, with no sync since that takes
-   this into account?  */
+/* Returns whether the executor's lease has certainly expired, with no sync
+   since that takes this into account.  */
 bool gp_agent_lease_lapsed (gp_agent_t *agent, gp_time_t now);
 
 #endif
--- a/src/jobs/agent_calls.c
+++ b/src/jobs/agent_calls.c
@@ -82,7 +82,8 @@
          && gp_start_gate_is_open (&agent->gate, now);
 }
 
-/* Must the start of RUN be held back because of other runs?  */
+/* Returns whether the start of RUN must be held back because of other runs,
+   and records the reason.  */
 static bool
 is_held (gp_agent_t *agent, gp_agent_run_t *run,
          const gp_agent_run_t *isolated, gp_time_t now, gp_time_t *again_at)
--- a/src/jobs/agent_isolation.c
+++ b/src/jobs/agent_isolation.c
@@ -1,11 +1,11 @@
-/* Isolated starts: a run that may take its executor down is started on its
-   own, so that a failure of the executor can be attributed to it.
+/* Isolated starts: a run that may crash its executor is started on its own, so
+   that a failure of the executor can be attributed to it.
 
    The leader gives a suspect an executor on which no other run begins at the
    same time or before the suspect has settled; see jobs/suspicion.h.  The
    leader cannot enforce that by itself: the times of its decision, its record
    and its order say little about when a run begins.  A guard waits for leases,
-   lists and specifications; its orders go unanswered and are carried out
+   lists and specifications; its calls may go unanswered and be carried out
    seconds later; and if it is killed meanwhile, the next guard process repeats
    them.  Only the guard knows which runs have begun, so the isolation is
    enforced here.
@@ -13,7 +13,7 @@
    Invariants, while an isolated run R has not settled:
    - No start of another job is made.
    - R is started only after a list of this executor was received, and when the
-     runs of other jobs have all been at work for so long that they are no
+     runs of other jobs have all been running for so long that they are no
      suspects.
    - An unanswered start may be carried out at any time until the executor has
      seen a higher fence.  So R is started only when all such starts of other
@@ -57,7 +57,7 @@
   return strncmp (run->name, other->name, GP_JOB_ID_SIZE) == 0;
 }
 
-/* Is RUN isolated, and either not begun yet or not settled?  */
+/* Returns whether RUN is isolated and has not begun or not settled yet.  */
 static bool
 is_unsettled_isolated (const gp_agent_run_t *run)
 {
@@ -78,7 +78,8 @@
   return false;
 }
 
-/* Does RUN go before OTHER?  A run that may have begun goes first.  */
+/* Returns whether RUN goes before OTHER.  A run that may have begun goes
+   first.  */
 static bool
 goes_first (const gp_agent_run_t *run, const gp_agent_run_t *other)
 {
@@ -120,7 +121,7 @@
     gp_agent_raise_fence (agent);
 }
 
-/* May a start of RUN still be carried out?  */
+/* Returns whether a start of RUN may still be carried out.  */
 static bool
 may_still_begin (const gp_agent_run_t *run)
 {
--- a/src/jobs/agent_list.c
+++ b/src/jobs/agent_list.c
@@ -63,7 +63,8 @@
     ((gp_agent_run_t *)value)->listed = false;
 }
 
-/* ROW is not a run that the leader wants, as far as is known.  */
+/* Records a run that the executor lists and the leader is not known to
+   want.  */
 static void
 add_carried (gp_agent_t *agent, const gp_agent_row_t *row)
 {
@@ -108,9 +109,10 @@
 }
 
 /* Returns the runs that have not begun to the leader, as nothing more is
-   started here because of WHY.  A guard that has just started learns from the
-   lists which runs have begun.  The first list that does not show a run may
-   have been requested before the run was known, the second was not.  */
+   started here because of WHY.  A guard process that has just started knows
+   only from the lists which runs have begun.  The first list that does not
+   show a run may have been requested before the run was known, the second was
+   not.  */
 static void
 return_unlisted (gp_agent_t *agent, const char *why)
 {
@@ -190,7 +192,7 @@
   /* The next list is requested on a new connection.  */
   if (gp_agent_is_unanswered (result))
     gp_agent_note_disconnect (agent);
-  /* A refusal does not tell which incarnation sent it.  */
+  /* A refusal does not show which incarnation sent it.  */
   if (result != GP_AGENT_REPLACED
       && !gp_agent_incarnation_is_uncertain (agent, now))
     gp_agent_update_clock (agent, clock_ms, now);
--- a/src/jobs/agent_measure.c
+++ b/src/jobs/agent_measure.c
@@ -5,7 +5,7 @@
    run affects serving runs only while it is busy, which shows in its use of
    CPU (jobs/pressure.h).  For cause and effect to match, its work is counted
    over the same half second: scaled by the pace that it had in that time, from
-   the time at which it was first at work, and for a while after its end.  */
+   the time at which it began to run, and for a while after its end.  */
 
 #include "jobs/agent_private.h"
 
@@ -17,7 +17,7 @@
    quarter of a second earlier.  */
 #define MEASURE_INTERVAL (230 * GP_MSEC)
 /* Mean time from the beginning of a run to the first measurement that shows it
-   at work.  */
+   running.  */
 #define DETECTION_DELAY (150 * GP_MSEC)
 /* Delay until a confirmed pace shows in the measurements.  */
 #define PACE_DELAY (100 * GP_MSEC)
@@ -25,7 +25,7 @@
    uses all of it.  */
 #define IDLE_SHARE (2.0 / 3.0)
 /* Below this mean pace (1.0 is full speed) the CPU in use is too little to
-   tell whether a run is busy.  */
+   show whether a run is busy.  */
 #define MIN_PACE 0.08
 /* A run counts as busy from this share of the window on.  A busy phase lasts
    five to nine seconds, so such a run has just entered one.  */
@@ -37,10 +37,12 @@
 /* When a serving run was over its target for so many seconds, all filling runs
    count as busy.  */
 #define ASSUME_BUSY_AFTER 1.2
-/* Until then a new serving run does not have its full load.  */
+/* A serving run is not under its full load before it has run for this
+   long.  */
 #define WARM_UP_TIME (GP_SEC)
-/* Feedback for the plan: if the measured headroom is below FEEDBACK_BELOW,
-   what it lacks of the expected headroom counts by FEEDBACK_SHARE.  */
+/* Feedback for the plan: if the measured headroom is below FEEDBACK_BELOW, the
+   plan allows for FEEDBACK_SHARE of the amount by which it falls short of the
+   expected headroom.  */
 #define FEEDBACK_BELOW 1.3
 #define FEEDBACK_SHARE 0.7
 /* How long the leader's estimate of a load takes precedence over local
@@ -68,7 +70,7 @@
 }
 
 /* Estimates the share of the window in which RUN, at the mean pace PACE, was
-   busy.  While its pace changes, the previous estimate is kept.  */
+   busy.  While its pace changes, the previous estimate remains.  */
 static void
 estimate_busy_share (gp_agent_run_t *run, double pace, gp_time_t now)
 {
@@ -241,8 +243,8 @@
   return FEEDBACK_SHARE * fmax (0.0, expected - headroom);
 }
 
-/* Evaluates the measurement of the serving RUN beside the filling WORK.
-   Returns whether it shows the run's load.  */
+/* Evaluates the measurement of the serving RUN, with WORK by filling runs on
+   the same executor.  Returns whether it shows the run's load.  */
 static bool
 measure_serving (gp_agent_t *agent, gp_agent_run_t *run,
                  const gp_pressure_work_t *work, gp_time_t now)
@@ -263,7 +265,8 @@
   return true;
 }
 
-/* Is RUN at work, or will it be once its start is carried out?  */
+/* Returns whether RUN is running, or will be once its start is carried
+   out.  */
 static bool
 will_work (const gp_agent_run_t *run)
 {
@@ -298,9 +301,10 @@
                                .over_target_s = run->over_target_s };
 }
 
-/* Does the plan consider the serving RUN?  Yes if its load is known or it is
-   over its target: the load of a new run is known only after a second, and
-   users tolerate four seconds over the target.  */
+/* Returns whether the plan considers the serving RUN, which it does if the
+   load of RUN is known or RUN is over its target: the load of a new run is
+   known only after a second, and users tolerate four seconds over the
+   target.  */
 static bool
 is_protected (const gp_agent_run_t *run, gp_time_t now)
 {
--- a/src/jobs/agent_private.h
+++ b/src/jobs/agent_private.h
@@ -9,14 +9,14 @@
 gp_agent_run_t *gp_agent_find_run (const gp_agent_t *agent, const char *name,
                                    uint32_t number);
 
-/* Has the executor already listed the end of this run?  */
+/* Returns whether the executor has already listed the end of this run.  */
 bool gp_agent_run_has_ended (const gp_agent_t *agent, const char *name,
                              uint32_t number);
 
 /* Stops run NUMBER of the task NAME, whether it is known or not.  */
 void gp_agent_want_stop (gp_agent_t *agent, const char *name, uint32_t number);
 
-/* The last list no longer tells which runs are at work.  */
+/* Discards the last list: it no longer shows which runs are running.  */
 void gp_agent_clear_list (gp_agent_t *agent);
 
 /* Stops the runs on the executor's last list that do not belong there.  */
@@ -33,17 +33,17 @@
 /* Returns the speed that the filling RUN should have, in percent.  */
 uint32_t gp_agent_wanted_pace (gp_agent_t *agent, const gp_agent_run_t *run);
 
-/* Updates the pacer's plan for the current filling runs.  Those not yet
-   measured at work count as busy.  */
+/* Updates the pacer's plan for the current filling runs.  Those that no
+   measurement has shown running yet count as busy.  */
 void gp_agent_plan (gp_agent_t *agent, gp_time_t now);
 
-/* Another executor replaces this one: keeps a description of its runs for the
-   leader, which learns of its end only now.  */
+/* Another executor replaces this one: stores a description of its runs to
+   report to the leader, which does not know yet that it has ended.  */
 void gp_agent_keep_predecessor (gp_agent_t *agent, gp_time_t now);
 void gp_agent_drop_predecessor (gp_agent_t *agent);
 
-/* Was RUN listed for so long that it no longer counts as a possible cause of
-   an executor failure?  */
+/* Returns whether RUN was listed for so long that it no longer counts as a
+   possible cause of an executor failure.  */
 bool gp_agent_has_settled (const gp_agent_run_t *run);
 
 /* Returns the isolated run that goes first among those that have not settled,
@@ -80,8 +80,8 @@
 void gp_agent_update_clock (gp_agent_t *agent, int64_t clock_ms,
                             gp_time_t now);
 
-/* Extends the lease that calls carry to the last one granted, if the executor
-   answers; first checks whether the previous one has expired.  */
+/* Extends the lease that is sent with calls to the last one granted, if the
+   executor answers; first checks whether the previous one has expired.  */
 void gp_agent_extend_lease (gp_agent_t *agent, gp_time_t now);
 bool gp_agent_lease_is_open (const gp_agent_t *agent, gp_time_t now);
 /* Returns the end of the lease on the executor's clock.  */
--- a/src/jobs/agent_suspects.c
+++ b/src/jobs/agent_suspects.c
@@ -21,7 +21,7 @@
   return run->start != NULL && run->start->gang;
 }
 
-/* Had RUN been at work for TIME when it was last listed?  */
+/* Returns whether RUN had been running for TIME when it was last listed.  */
 static bool
 was_listed_for (const gp_agent_run_t *run, gp_time_t time)
 {
@@ -34,15 +34,17 @@
   return was_listed_for (run, gp_suspicion_settle_time (is_gang (run)));
 }
 
-/* Is it unknown whether the start of RUN has reached the executor?  */
+/* Returns whether it is unknown if the start of RUN has reached the
+   executor.  */
 static bool
 start_is_unconfirmed (const gp_agent_run_t *run)
 {
   return run->listed_since == 0 && run->began_at == 0;
 }
 
-/* May RUN have begun at most GP_SUSPICION_JUST_TIME before the executor ended?
-   The answer to a start that takes the executor down may be lost with it.  */
+/* Returns whether RUN may have begun at most GP_SUSPICION_JUST_TIME before the
+   executor ended.  The answer to a start that crashes the executor may be lost
+   with it.  */
 static bool
 may_have_just_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -54,8 +56,8 @@
          && agent->earliest_end_at - earliest <= GP_SUSPICION_JUST_TIME;
 }
 
-/* Returns for how many milliseconds RUN was at work when the executor was last
-   known to be up, 0: not known.  */
+/* Returns for how many milliseconds RUN had been running when the executor was
+   last known to be up, 0: not known.  */
 static uint32_t
 age_ms (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -66,8 +68,8 @@
              : 0;
 }
 
-/* Is it unknown whether and when RUN has begun?  A delayed start may arrive at
-   any time.  */
+/* Returns whether it is unknown if and when RUN has begun: a delayed start may
+   arrive at any time.  */
 static bool
 is_unanswered (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -87,8 +89,9 @@
   return false;
 }
 
-/* Had RUN begun recently?  If some runs had only just begun, only those count.
-   A run whose start went unanswered for long may never have begun.  */
+/* Returns whether RUN had begun recently.  If some runs had only just begun,
+   only those count.  A run whose start went unanswered for long may never have
+   begun.  */
 static bool
 is_fresh (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -123,10 +126,10 @@
          || (agent->down_since != 0 && now - agent->down_since >= DOWN_TIME);
 }
 
-/* Could a start of RUN have reached the executor before it went down?  One
-   that was sent after a call had failed, with no answer since, could not.
-   There are many such starts, as the leader learns of the failure only 3 s
-   later.  */
+/* Returns whether a start of RUN may have reached the executor before it
+   failed.  A start that was sent after a call had failed, with no answer
+   since, cannot have.  There are many such starts, as the failure is reported
+   to the leader only 3 s later.  */
 static bool
 may_have_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -153,8 +156,8 @@
   return true;
 }
 
-/* A call failed at NOW.  If it is the first to fail, the executor ended at
-   GONE_FROM at the earliest; 0: not known.  */
+/* A call failed at NOW.  If it is the first to fail since an answer, the
+   executor ended at EARLIEST_END_AT at the earliest; 0: not known.  */
 static void
 record_failure (gp_agent_t *agent, gp_time_t earliest_end_at, gp_time_t now)
 {
@@ -165,7 +168,7 @@
 }
 
 /* Raises the fence: the next incarnation must not carry out orders that were
-   sent before it is known.  */
+   sent before this process knows of it.  */
 void
 gp_agent_note_disconnect (gp_agent_t *agent)
 {
--- a/src/jobs/book.c
+++ b/src/jobs/book.c
@@ -10,7 +10,8 @@
 #include "jobs/records.h"
 #include "jobs/suspicion.h"
 
-/* Longer than any job is kept; an older time comes from a wrong clock.  */
+/* No job is retained for longer than this; an earlier submission comes from a
+   wrong clock.  */
 #define AGE_MAX_MS ((int64_t)3600 * 1000)
 
 static void
--- a/src/jobs/executor.c
+++ b/src/jobs/executor.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 /* Share of the CPU reserved on an executor, in thousandths, that filling runs
-   may use beside serving runs, as these leave it unused on average.  */
+   may use in addition, as serving runs leave it unused on average.  */
 #define SERVING_UNUSED_PERMILLE 500
 
 gp_job_executor_t *
--- a/src/jobs/executor.h
+++ b/src/jobs/executor.h
@@ -53,8 +53,8 @@
                                             dedicated */
   gp_time_t dedicated_until; /* end of its dedication at the latest; 0: a
                                 previous leader dedicated it */
-  bool suspects_reported; /* its guard has reported which runs may have taken
-                             it down */
+  bool suspects_reported; /* its guard has reported which runs may have crashed
+                             it */
   gp_time_t disconnected_at;  /* when its guard closed the connection to this
                                  leader, without a report since; 0: it did
                                  not */
@@ -65,12 +65,11 @@
   bool failure_counted; /* its failure was counted against a queue */
   bool quarantined;     /* see jobs/quarantine.h */
   bool draining;
-  bool evacuated;         /* its zone is evacuated: it gets no new work */
-  bool dead;              /* it certainly runs nothing any more */
-  gp_time_t lost_at;      /* when it was lost without a report of which runs
-                             may have taken it down; 0: there was one, or it is
-                             not lost */
-  gp_time_t leaves_at;    /* while draining: the earliest time of its end */
+  bool evacuated;      /* its zone is evacuated: it gets no new work */
+  bool dead;           /* it certainly runs nothing any more */
+  gp_time_t lost_at;   /* when it was lost without a report of which runs may
+                          have crashed it; 0: there was one, or it is not lost */
+  gp_time_t leaves_at; /* while draining: the earliest time of its end */
   uint32_t failed_in_row; /* number of failed runs since the last successful
                              one */
   gp_time_t
@@ -97,9 +96,10 @@
 void gp_job_executor_end_dedication (gp_job_executor_t *executor,
                                      const gp_job_t *job);
 
-/* Is a stray run of TASK, one that no job wants any more, still on its
-   executor, by the last report of the executor's guard?  The task waits for
-   its end: started elsewhere meanwhile, it would run twice.  */
+/* Returns whether a stray run of TASK, one that no job wants any more, is
+   still on its executor, by the last report of the executor's guard.  The task
+   waits until that run ends: started elsewhere meanwhile, it would run
+   twice.  */
 bool gp_job_executor_has_stray (const gp_job_task_t *task);
 
 /* Returns the CPU on EXECUTOR that is available to further filling runs, in
--- a/src/jobs/fields.c
+++ b/src/jobs/fields.c
@@ -52,7 +52,8 @@
   return true;
 }
 
-/* Does TEXT consist of TASK_NUMBERS numbers of 32 bits, each after a dot?  */
+/* Returns whether TEXT consists of TASK_NUMBERS numbers of 32 bits, each after
+   a dot.  */
 static bool
 are_numbers (const char *text)
 {
--- a/src/jobs/fields.h
+++ b/src/jobs/fields.h
@@ -22,8 +22,8 @@
    platform.  */
 #define GP_FIELD_SPEC_MAX 4000
 /* Maximum size in bytes of a checkpoint.  The platform documents none; known
-   checkpoints have 16 bytes, and the checkpoints of a whole job have to fit
-   into one record.  */
+   checkpoints have 16 bytes, and all checkpoints of a job have to fit into one
+   record.  */
 #define GP_FIELD_CHECKPOINT_MAX 4096
 /* The last millisecond of the year 9999: all valid times are earlier, and in
    microseconds it still fits into a gp_time_t.  */
--- a/src/jobs/forecast.c
+++ b/src/jobs/forecast.c
@@ -10,8 +10,8 @@
 /* The coefficients of a line: its height at an estimate of one second, and its
    slope.  */
 #define FEATURES 2
-/* Prior variances of both: estimates are off by a factor of two, and some say
-   little.  */
+/* Prior variances of both: estimates are off by a factor of two, and some are
+   nearly uncorrelated with the duration.  */
 #define HEIGHT_VARIANCE 0.5
 #define SLOPE_VARIANCE 0.3
 /* Variances for a model learned by another process.  */
@@ -22,11 +22,12 @@
    and the weight of the latest step in the moving average.  */
 #define SPREAD_PRIOR 1.3
 #define SPREAD_GAIN 0.05
-/* Steps with fewer tasks say little about the longest.  */
+/* Steps with fewer tasks do not show how long the longest takes.  */
 #define SPREAD_TASKS_MIN 4
 /* Used if a step has no estimate.  */
 #define ESTIMATE_UNKNOWN_MS 1000
-/* A job's forecast is valid for this long; much is learned in a second.  */
+/* A job's forecast is valid for this long; the models change much within a
+   second.  */
 #define FORECAST_TIME (500 * GP_MSEC)
 /* A job is no longer useful after this many objectives, by the users'
    terms.  */
@@ -201,7 +202,8 @@
   return model != NULL ? model->spread : SPREAD_PRIOR;
 }
 
-/* Returns the longest chain of SUBMISSION's steps, which take DURATIONS.  */
+/* Returns the duration of the longest chain of SUBMISSION's steps, which take
+   DURATIONS.  */
 static gp_time_t
 longest_chain (const Gp__Jobs__Submission *submission,
                const gp_time_t *durations)
@@ -222,8 +224,8 @@
   return longest;
 }
 
-/* Returns the longest chain of the whole job, by the longest task of each
-   step.  */
+/* Returns the duration of the longest chain of all steps of the job, by the
+   longest task of each step.  */
 static gp_time_t
 full_chain (const gp_forecast_t *forecast, const gp_job_t *job)
 {
--- a/src/jobs/frames.c
+++ b/src/jobs/frames.c
@@ -122,7 +122,7 @@
 }
 
 /* A lease ends some time after the sending of a report: with a sending time
-   far in the future it would never end.  */
+   many years ahead it would never end.  */
 static bool
 check_acknowledge (Gp__Jobs__Acknowledge *acknowledge, gp_time_t now,
                    GError **refused, GError **error)
--- a/src/jobs/frames.h
+++ b/src/jobs/frames.h
@@ -4,10 +4,9 @@
    This is the only place that decides whether a frame is valid.  A connection
    may come from, or lead to, another process than the intended one, whose
    bytes may decode by chance.  Fields that every process of this product sets
-   are required: a frame without them is rejected as a whole, and its
-   connection has to be closed.  Rows that repeat what an executor reported or
-   what was measured are checked one by one: invalid ones are left out, and the
-   others are kept.
+   are required: a frame without them is rejected, and its connection has to be
+   closed.  Rows that repeat what an executor reported or what was measured are
+   checked one by one: invalid ones are removed, and the others remain.
 
    Pure: no log line, no counter.  */
 
@@ -31,7 +30,7 @@
    gp__jobs__frame__free_unpacked.  On failure, returns NULL and sets ERROR:
    GP_STATE_ERROR_CORRUPT if the bytes are not a frame, GP_STATE_ERROR_INVALID
    with the name of the invalid field otherwise.  REFUSED is set to the error
-   of the first row that was left out.  Times that echo earlier messages of the
+   of the first row that was removed.  Times that echo earlier messages of the
    receiver have to be before NOW.  */
 Gp__Jobs__Frame *gp_frame_parse (const uint8_t *bytes, size_t size,
                                  gp_time_t now, GError **refused,
--- a/src/jobs/grants.c
+++ b/src/jobs/grants.c
@@ -10,7 +10,8 @@
    leader, see gp_grants_is_trusted.  */
 G_STATIC_ASSERT (GP_AGENT_LEASE_TIME < GP_GRANTS_TERM_TIME);
 
-/* A previous leader.  Kept for good: there are no more than entries.  */
+/* A previous leader.  Never removed: there are no more of them than
+   entries.  */
 typedef struct
 {
   gp_list_t link;
@@ -88,8 +89,9 @@
 void
 gp_grants_record_read (gp_grants_t *grants, uint64_t offset, gp_time_t now)
 {
-  /* Records that are kept for good are read in the order of their keys,
-     without those that they replaced, so that NEXT moves back and forth.  */
+  /* The records that the log retains indefinitely are read in the order of
+     their keys, without those that they replaced, so that NEXT moves back and
+     forth.  */
   if (offset > MAX (grants->next, grants->leadership_next))
     gp_grants_leadership_unreadable (grants, now);
   grants->next = offset + 1;
--- a/src/jobs/grants.h
+++ b/src/jobs/grants.h
@@ -11,7 +11,8 @@
      its last acknowledged append, so no longer than that after its last record
      was read here.
    - It acknowledges nothing after it has resigned, has noticed another leader,
-     or its process has ended; whichever is learned first ends its term here.
+     or its process has ended; whichever becomes known first ends its term
+     here.
    - A guard obeys the newest leader that has contacted it.  Previous leaders
      no longer count for a guard process that has obeyed this one.  A guard
      process that has started since does not know of it: for
@@ -104,8 +105,9 @@
    accounted for elsewhere.  */
 gp_time_t gp_grants_end_time (const gp_grants_t *grants, bool obeyed);
 
-/* May a guard that started at BEGAN_AT, and knows of no other leader, accept a
-   lease from a leader whose last append is LEAD_AGE old?  */
+/* Returns whether a guard that started at BEGAN_AT, and knows of no other
+   leader, may accept a lease from a leader whose last append is LEAD_AGE
+   old.  */
 bool gp_grants_is_trusted (gp_time_t began_at, gp_time_t lead_age,
                            gp_time_t now);
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -51,7 +51,7 @@
 {
   GP_TASK_WAITING,
   GP_TASK_ASSIGNED, /* its run may be running on its executor */
-  GP_TASK_STOPPING, /* the same, and the run has been told to end */
+  GP_TASK_STOPPING, /* the same, and a stop of the run has been ordered */
   GP_TASK_DONE
 } gp_task_state_t;
 
@@ -151,8 +151,8 @@
   char id[GP_JOB_ID_SIZE + 1];
   Gp__Jobs__Submission *submission; /* NULL until its record is read */
   gp_job_state_t state;
-  gp_job_state_t recorded; /* the state that is in the log.  Callers are told
-                              this one, as a later one may be lost */
+  gp_job_state_t recorded; /* the state in the log, which is the one sent to
+                              callers, as a later one may be lost */
   bool cancelled;
   bool submission_unreadable; /* its record cannot be read */
   bool progress_unknown; /* its progress cannot be read, and no earlier one was
@@ -166,7 +166,7 @@
   gp_time_t forecast_at;  /* when due_at, useless_at and task_times were
                              computed, 0: never; see jobs/forecast.h */
   gp_time_t due_at;       /* its objective */
-  gp_time_t useless_at;   /* its result is of no use after this */
+  gp_time_t useless_at;   /* its result is useless after this */
   gp_time_t *task_times;  /* expected duration of a task, by step */
   gp_headroom_t *loads;   /* headroom of the serving runs, by step */
   uint32_t occurrences;
@@ -212,8 +212,8 @@
    it was.  */
 bool gp_job_mark_started (gp_job_t *job);
 
-/* Like gp_job_ended, but by the state in the log, which is what callers are
-   told.  */
+/* Like gp_job_ended, but by the state in the log, which is the one sent to
+   callers.  */
 bool gp_job_end_is_recorded (const gp_job_t *job);
 
 /* Returns whether JOB's end is in the log and was before WALL_MS (since
--- a/src/jobs/pacer.c
+++ b/src/jobs/pacer.c
@@ -1,4 +1,4 @@
-/* Speed limits for filling runs beside serving runs.  */
+/* Speed limits for filling runs that share an executor with serving runs.  */
 
 #include "jobs/pacer.h"
 
@@ -14,7 +14,8 @@
 #define MIN_REACHABLE_HEADROOM 0.8
 /* A run that stays over its target shows that the learned weights are wrong:
    after OVER_GRACE seconds the goal rises by OVER_SLOPE per second, and no run
-   counts as hopeless.  The users tolerate four seconds over the target.  */
+   counts as unable to reach its target.  The users tolerate four seconds over
+   the target.  */
 #define OVER_GRACE 0.6
 #define OVER_SLOPE 0.8
 /* A smaller excess counts as none.  */
@@ -73,7 +74,7 @@
   return index;
 }
 
-/* Reduces the work in PLAN of images that weigh more than MIN_WEIGHT, until
+/* Reduces the work in PLAN of images whose weight is above MIN_WEIGHT, until
    the expected headroom of SERVING, which is HEADROOM without filling runs,
    reaches GOAL.  */
 static void
--- a/src/jobs/pacer.h
+++ b/src/jobs/pacer.h
@@ -1,4 +1,4 @@
-/* Speed limits for filling runs beside serving runs.
+/* Speed limits for filling runs that share an executor with serving runs.
 
    Only busy filling runs affect serving runs (jobs/pressure.h); the others run
    at full speed.  For each image of busy runs, the pacer finds the highest
@@ -45,8 +45,8 @@
 /* Returns the speed of busy runs of IMAGE, in percent.  */
 uint32_t gp_pacer_pace (gp_pacer_t *pacer, const char *image);
 
-/* Computes new speeds for the SERVINGS beside the BUSY filling runs, whose
-   work is counted at full speed.  */
+/* Computes new speeds for the BUSY filling runs, whose work is counted at full
+   speed, on an executor with the serving runs SERVINGS.  */
 void gp_pacer_update (gp_pacer_t *pacer, const gp_pacer_serving_t *servings,
                       size_t count, const gp_pressure_work_t *busy);
 
--- a/src/jobs/placer.c
+++ b/src/jobs/placer.c
@@ -230,7 +230,7 @@
   return false;
 }
 
-/* TASK found no place: records whether its job is left without any run.  */
+/* TASK found no place: records since when its job has work but no run.  */
 static void
 note_idle (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
--- a/src/jobs/placer.h
+++ b/src/jobs/placer.h
@@ -14,7 +14,7 @@
 #include "jobs/quarantine.h"
 
 /* Returns whether there is another executor where the filling TASK fits and
-   would interfere with almost nothing.  */
+   would hardly interfere with serving runs.  */
 bool gp_placer_has_better_place (gp_book_t *book, gp_pressure_t *pressure,
                                  const gp_job_task_t *task, gp_time_t now);
 
--- a/src/jobs/placer_score.c
+++ b/src/jobs/placer_score.c
@@ -6,9 +6,9 @@
 #include <math.h>
 #include <string.h>
 
-/* Headroom below which a serving run is considered harmed by filling work:
-   twice that at its target, as its load and its phase may change while the
-   filling run works.  */
+/* Headroom below which filling work is considered to interfere with a serving
+   run: twice that at its target, as its load and its phase may change while
+   the filling run is running.  */
 #define HEADROOM_GOAL 2.0
 /* Interference is the mean of what is expected at these times from now, which
    lie within the duration of most filling runs.  */
--- a/src/jobs/placer_waits.h
+++ b/src/jobs/placer_waits.h
@@ -1,12 +1,12 @@
 /* Diagnoses why tasks wait for a place.
 
    A step with a task that finds no place is examined once per second.  What
-   keeps the task from the executor that comes nearest to taking it is logged
-   when it changes.  A step that waits for longer than three seconds while most
-   of its service's capacity is free, for another reason than lack of capacity,
-   is counted under that reason: this should never happen.  If the job has a
-   run, it may be one of many tasks that wait for capacity, so only reasons of
-   that kind are logged.
+   keeps the task from the executor that is closest to being able to take it is
+   logged when it changes.  A step that waits for longer than three seconds
+   while most of its service's capacity is free, for another reason than lack
+   of capacity, is counted under that reason: this should never happen.  If the
+   job has a run, it may be one of many tasks that wait for capacity, so only
+   reasons of that kind are logged.
 
    Pure but for its log lines and counters.  */
 
--- a/src/jobs/pressure.c
+++ b/src/jobs/pressure.c
@@ -1,4 +1,5 @@
-/* Learns how much filling runs slow down the serving runs beside them.  */
+/* Learns how much filling runs slow down serving runs on the same
+   executor.  */
 
 #include "jobs/pressure.h"
 
@@ -133,7 +134,7 @@
   return sum_by (g_hash_table_lookup (pressure->models, serving), work);
 }
 
-/* Neighbours do not speed a run up; a negative weight is noise.  */
+/* Filling runs do not speed a run up; a negative weight is noise.  */
 static void
 clamp_weights (model_t *model)
 {
--- a/src/jobs/pressure.h
+++ b/src/jobs/pressure.h
@@ -1,12 +1,13 @@
-/* Learns online how much filling runs slow down the serving runs beside them.
+/* Learns online how much filling runs slow down serving runs on the same
+   executor.
 
    A serving run is one with a target for its tail latency.  It has a headroom
-   (jobs/headroom.h) determined by its own load.  Each filling run beside it
-   reduces that headroom by a weight, which depends on the pair of images:
-   about two thirds of the pairs are harmless, the others have weights around
-   one.  A filling run interferes only in its busy phases, in which it uses all
-   processors it may; in the other phases it uses two thirds of them and has
-   next to no effect.
+   (jobs/headroom.h) determined by its own load.  Each filling run on its
+   executor reduces that headroom by a weight, which depends on the pair of
+   images: about two thirds of the pairs are harmless, the others have weights
+   around one.  A filling run interferes only in its busy phases, in which it
+   uses all processors it may; in the other phases it uses two thirds of them
+   and has next to no effect.
 
    The same weights hold at all loads: a busy run takes as much of a headroom
    of 2 as of one of 3.5, whereas the logarithm of the latency rises by
@@ -66,10 +67,10 @@
 double gp_pressure_sum (const gp_pressure_t *pressure, const char *serving,
                         const gp_pressure_work_t *work);
 
-/* Learns that a run of SERVING had HEADROOM beside WORK at NOW.  LOAD is the
-   track of the headroom that runs of its step would have without filling work.
-   The prediction error is divided between LOAD and the weights according to
-   their uncertainty.  */
+/* Learns that a run of SERVING had HEADROOM at NOW, with WORK by filling runs
+   on its executor.  LOAD is the track of the headroom that runs of its step
+   would have without filling work.  The prediction error is divided between
+   LOAD and the weights according to their uncertainty.  */
 void gp_pressure_learn (gp_pressure_t *pressure, const char *serving,
                         const gp_pressure_work_t *work, double headroom,
                         gp_headroom_t *load, gp_time_t now);
--- a/src/jobs/quarantine.c
+++ b/src/jobs/quarantine.c
@@ -1,4 +1,4 @@
-/* Quarantine for queues whose tasks take executors down.  */
+/* Quarantine for queues whose tasks crash executors.  */
 
 #include "jobs/quarantine.h"
 
@@ -52,8 +52,8 @@
   return now <= suspicion_end (history);
 }
 
-/* Do the runs of QUEUE fit on the share of BOOK's executors that would be in
-   quarantine?  */
+/* Returns whether the runs of QUEUE fit on the share of BOOK's executors that
+   would be in quarantine.  */
 static bool
 fits (const gp_book_t *book, const char *queue)
 {
--- a/src/jobs/quarantine.h
+++ b/src/jobs/quarantine.h
@@ -1,9 +1,9 @@
-/* Quarantine for queues whose tasks take executors down.
+/* Quarantine for queues whose tasks crash executors.
 
-   A single task that takes executors down comes under suspicion by itself, see
-   jobs/suspicion.h.  If a queue brings many such tasks, each of them still
-   takes down the executor on which it is started first, with all runs on it.
-   So a queue comes under suspicion when its tasks have clearly caused
+   A single task that crashes executors comes under suspicion by itself, see
+   jobs/suspicion.h.  If a queue has many such tasks, each of them still
+   crashes the executor on which it is started first, and all runs there are
+   lost.  So a queue comes under suspicion when its tasks have clearly caused
    GP_QUARANTINE_FAILURES failures within GP_QUARANTINE_SUSPICION_TIME.  It
    stays so while such failures continue, and GP_QUARANTINE_SUSPICION_TIME
    longer.  This applies only if its work fits into quarantine: the work of a
@@ -33,8 +33,8 @@
 /* How long such a failure counts.  */
 #define GP_QUARANTINE_SUSPICION_TIME (10 * GP_SEC)
 /* How long after the last failure waiting tasks of the queue can prolong the
-   suspicion: a queue with more tasks than can be tried would otherwise never
-   leave quarantine.  */
+   suspicion: a queue with more tasks than can be started in quarantine would
+   otherwise never leave it.  */
 #define GP_QUARANTINE_MAX_TIME (30 * GP_SEC)
 /* One of so many executors is in quarantine, at least one.  */
 #define GP_QUARANTINE_SHARE 4
@@ -59,12 +59,12 @@
                                    const gp_book_t *book, const char *queue,
                                    gp_time_t now);
 
-/* A task of QUEUE finds no place in quarantine: tasks that have not been tried
-   yet may fail like those before.  */
+/* A task of QUEUE finds no place in quarantine: tasks that have not been
+   started yet may fail like the previous ones.  */
 void gp_quarantine_record_waiting (gp_quarantine_t *quarantine,
                                    const char *queue, gp_time_t now);
 
-/* Is QUEUE under suspicion?  Is any queue?  */
+/* Return whether QUEUE is under suspicion, and whether any queue is.  */
 bool gp_quarantine_is_suspect (const gp_quarantine_t *quarantine,
                                const char *queue, gp_time_t now);
 bool gp_quarantine_is_active (const gp_quarantine_t *quarantine,
--- a/src/jobs/records.c
+++ b/src/jobs/records.c
@@ -104,8 +104,8 @@
 }
 
 /* A job has an end time exactly if it has ended.  The progress of a job that
-   has not ended is written for the sake of its runs: bytes without any would
-   reset it to its beginning.  */
+   has not ended is written because of its runs: a record without any would
+   reset the job to its initial state.  */
 static bool
 check_progress (const Gp__Jobs__Progress *progress, GError **error)
 {
--- a/src/jobs/records.h
+++ b/src/jobs/records.h
@@ -32,7 +32,7 @@
 #define GP_CANCEL_VALUE "1"
 /* The key of the leader's record.  */
 #define GP_LEADER_KEY "leader"
-/* The key of what leaders have learned.  */
+/* The key of the models that leaders have learned.  */
 #define GP_LEARNED_KEY "learned"
 /* Prefix of a VM's name in the key that gives its executor.  */
 #define GP_PLACE_PREFIX "at."
@@ -62,8 +62,8 @@
     Gp__Jobs__Learned *learned; /* without the rows that were refused */
     Gp__Jobs__Node *node;
   } u; /* NULL if the record was refused or the message taken over */
-  GError *refused; /* owned: why the first row of an accepted record was left
-                      out, NULL: none was */
+  GError *refused; /* owned: why the first invalid row of an accepted record
+                      was removed, NULL: none was */
 } gp_record_t;
 
 /* Decode a record of the topic of jobs, of progress, or of nodes.  KEY is not
@@ -93,8 +93,9 @@
 bool gp_record_progress_fits (const Gp__Jobs__Progress *progress,
                               uint32_t task_count, GError **error);
 
-/* Removes the rows that cannot have been learned, from a record or a frame.
-   If *REFUSED is NULL, it is set to the error of the first one removed.  */
+/* Removes the rows with values that cannot have been learned, from a record or
+   a frame.  If *REFUSED is NULL, it is set to the error of the first one
+   removed.  */
 void gp_record_filter_pressures (Gp__Jobs__Pressure **rows, size_t *count,
                                  GError **refused);
 
--- a/src/jobs/retry_after.c
+++ b/src/jobs/retry_after.c
@@ -4,7 +4,8 @@
 
 #include <glib.h>
 
-/* A caller must get this number of tries before it gives up.  */
+/* A caller must be able to make this number of attempts before it gives
+   up.  */
 #define MIN_TRIES 3
 /* Upper bound on how much longer an outage is expected to last.  */
 #define MAX_OUTAGE (30 * GP_SEC)
--- a/src/jobs/retry_after.h
+++ b/src/jobs/retry_after.h
@@ -3,11 +3,11 @@
    Pure: the state of the store and of the caller in, whole seconds out.
 
    A store that has not answered for some time is expected to stay unavailable
-   for about as long again: earlier tries are useless, and in an outage of
-   minutes callers need not try every second.  But a caller that would give up
-   before then must get another try in time.  And after an outage the callers
-   must not all return at once, so that each delay is extended by an amount
-   that depends on the request.  */
+   for about as long again: earlier attempts are useless, and in an outage of
+   minutes callers need not retry every second.  But a caller that would give
+   up before then must be able to make another attempt in time.  And after an
+   outage the callers must not all retry at once, so that each delay is
+   extended by an amount that depends on the request.  */
 
 #ifndef GP_JOBS_RETRY_AFTER_H
 #define GP_JOBS_RETRY_AFTER_H
--- a/src/jobs/scheduler.c
+++ b/src/jobs/scheduler.c
@@ -230,7 +230,8 @@
     gp_scheduler_end_job (scheduler, job, GP_JOB_FAILED, wall_ms);
 }
 
-/* A gang is done as a whole: its other members need not report their ends.  */
+/* All members of a gang are done together: the others need not report their
+   ends.  */
 static void
 finish_gang (gp_scheduler_t *scheduler, gp_job_task_t *task, int64_t wall_ms)
 {
--- a/src/jobs/scheduler.h
+++ b/src/jobs/scheduler.h
@@ -3,7 +3,7 @@
    Pure: takes events and NOW, returns changed jobs and orders.  The caller
    packs the changed jobs into one append and sends the orders only after the
    append is acknowledged, so that everything an executor may run is in the log
-   first.  A task's run is given up only on proof: its reported end, the
+   first.  A task's run is given up only with proof: its reported end, the
    guard's statement that it is not there and never will be, or the certain
    death of the executor.  */
 
@@ -19,7 +19,8 @@
 {
   GP_ORDER_START,
   GP_ORDER_STOP,
-  GP_ORDER_FORGET, /* the absence of a run has been recorded */
+  GP_ORDER_FORGET, /* the absence of a run has been recorded; the guard drops
+                      the run */
   GP_ORDER_SEEN    /* ends up to a number have been recorded */
 } gp_order_kind_t;
 
@@ -117,8 +118,8 @@
 {
   GP_DEATH_REPLACED,  /* another executor is on its VM */
   GP_DEATH_RESTARTED, /* its next incarnation is up */
-  GP_DEATH_LEFT, /* it signed off, and nothing listens on its address any more
-                  */
+  GP_DEATH_LEFT,    /* it deregistered, and nothing listens on its address any
+                       more */
   GP_DEATH_LAPSED,  /* its guard reports that its lease has expired ... */
   GP_DEATH_UNHEARD, /* ... and that it does not answer */
   GP_DEATH_SILENT   /* no guard reports it, and all leases have expired */
--- a/src/jobs/scheduler_losses.c
+++ b/src/jobs/scheduler_losses.c
@@ -117,7 +117,7 @@
 {
   const gp_job_executor_t *executor = task->executor;
   char name[GP_TASK_NAME_SIZE];
-  /* Jobs whose recent starts make the crash of an isolated run
+  /* Jobs whose recent starts make a crash under an isolated run
      inconclusive.  */
   g_autofree char *inconclusive_jobs
       = task->alone ? name_suspects (executor, task->job) : NULL;
--- a/src/jobs/spec_distribution.h
+++ b/src/jobs/spec_distribution.h
@@ -26,7 +26,8 @@
   GP_SPEC_KNOWN,       /* the guard has it or gets it with an earlier
                           message */
   GP_SPEC_FROM_LEADER, /* the leader has to send it */
-  GP_SPEC_FROM_HOLDER  /* the guard has to be told which guard has it */
+  GP_SPEC_FROM_HOLDER /* the guard has to be sent the address of the guard that
+                         has it */
 } gp_spec_source_t;
 
 typedef struct
--- a/src/jobs/spec_store.c
+++ b/src/jobs/spec_store.c
@@ -119,7 +119,7 @@
   return true;
 }
 
-/* From now on the leader has to be asked.  */
+/* From now on the specification has to be requested from the leader.  */
 static void
 give_up_holder (gp_spec_t *spec)
 {
--- a/src/jobs/spec_store.h
+++ b/src/jobs/spec_store.h
@@ -8,7 +8,8 @@
    A specification is identified by its job and a digest of its bytes, so that
    one that another writer stored in its place is not mistaken for it.  When
    the total size exceeds GP_SPEC_STORE_MAX_SIZE, the least recently used
-   specification is dropped; a guard that needs it again asks the leader.
+   specification is dropped; a guard that needs it again requests it from the
+   leader.
 
    Pure: events and NOW in, specifications and requests out.  */
 
@@ -31,9 +32,9 @@
 {
   char *job; /* owned */
   uint64_t digest;
-  GBytes *bytes;       /* owned; NULL while awaited */
-  char *holder;        /* owned: "IP:port" of the guard that holds it, NULL:
-                          ask the leader */
+  GBytes *bytes; /* owned; NULL while awaited */
+  char *holder; /* owned: "IP:port" of the guard that holds it, NULL: it has to
+                   be requested from the leader */
   gp_time_t await_end; /* while awaited: when to give the holder up */
   gp_time_t used_at;
 } gp_spec_t;
@@ -50,18 +51,19 @@
 void gp_spec_store_finish (gp_spec_store_t *store);
 
 /* The leader has sent a specification: either its bytes, which are copied, or
-   the address of the guard that holds it.  Returns whether to ask that
-   holder.  */
+   the address of the guard that holds it.  Returns whether to request it from
+   that holder.  */
 bool gp_spec_store_add (gp_spec_store_t *store, const Gp__Jobs__Spec *spec,
                         gp_time_t now);
 
 /* The holder has answered.  Bytes with another digest than announced are
-   rejected.  Returns false if the leader has to be asked.  */
+   rejected.  Returns false if the specification has to be requested from the
+   leader.  */
 bool gp_spec_store_receive (gp_spec_store_t *store, const Gp__Jobs__Spec *spec,
                             gp_time_t now);
 
-/* The guard at HOLDER cannot be reached: the leader has to be asked for what
-   it was to send.  Returns whether there was any.  */
+/* The guard at HOLDER cannot be reached: the specifications awaited from it
+   have to be requested from the leader.  Returns whether there were any.  */
 bool gp_spec_store_drop_holder (gp_spec_store_t *store, const char *holder);
 
 /* Gives up the holders that have not answered in time.  Returns whether there
@@ -79,8 +81,8 @@
 GBytes *gp_spec_store_find (const gp_spec_store_t *store, const char *job,
                             uint64_t digest);
 
-/* Does the leader have to be asked for the specification of the job of
-   TASK?  */
+/* Returns whether the specification of the job of TASK has to be requested
+   from the leader.  */
 bool gp_spec_store_is_missing (const gp_spec_store_t *store, const char *task);
 
 #endif
--- a/src/jobs/start_gate.h
+++ b/src/jobs/start_gate.h
@@ -6,10 +6,11 @@
    is.  The acknowledgement echoes the time at which the guard sent its report,
    so that the age counts from a point on the guard's own clock.  However long
    the message was under way, or the leader was cut off or paused, the guard
-   knows the latest time at which the zone was surely open.  A notice that the
-   zone is open holds for SPAN from that time, which is shorter than the time
-   within which operators expect an evacuation to be in force; without a newer
-   notice nothing is started.  This also ends retries of earlier orders.
+   knows the latest time at which the zone was certainly open.  A notice that
+   the zone is open remains valid for SPAN from that time, which is shorter
+   than the time within which operators expect an evacuation to be in force;
+   without a newer notice nothing is started.  This also ends retries of
+   earlier orders.
 
    Pure.  */
 
@@ -22,9 +23,9 @@
 
 typedef struct
 {
-  gp_time_t validity;   /* how long a notice that the zone is open holds, a
-                           duration; 0: without limit */
-  gp_time_t known_at;   /* time of the information in the last notice */
+  gp_time_t validity; /* how long a notice that the zone is open remains valid,
+                         a duration; 0: without limit */
+  gp_time_t known_at; /* time of the information in the last notice */
   gp_time_t open_until; /* no starts after this time */
   bool evacuated;
 } gp_start_gate_t;
--- a/src/jobs/suspicion.c
+++ b/src/jobs/suspicion.c
@@ -354,8 +354,8 @@
     executor->assigned_at = now;
 }
 
-/* Marks the runs that are held at the guard until the isolated run ALONE has
-   settled, and ALONE itself: they may have started long after they were
+/* Marks the runs that are held at the guard until the isolated run ISOLATED
+   has settled, and ISOLATED itself: they may have started long after they were
    assigned.  */
 static void
 mark_late_starts (gp_job_executor_t *executor, const gp_job_task_t *alone)
--- a/src/jobs/suspicion.h
+++ b/src/jobs/suspicion.h
@@ -2,19 +2,21 @@
 
    A task may crash every executor that starts it.  No end is reported for such
    a run; its executor is found dead.  Other runs on the same executor are
-   innocent.  Evidence tells them apart, never a count of crashes: any number
-   of crashes proves nothing against a task that merely shared the executors.
+   innocent.  Suspects are distinguished by evidence, never by a count of
+   crashes: any number of crashes proves nothing against a task that merely
+   shared the executors.
 
    - A crashing task crashes the executor as soon as it starts.  A crash
      therefore counts only against runs that had just started, or that may
-     have, if their start was delayed or nobody is left to report it.  Other
+     have, if their start was delayed or no guard is left to report it.  Other
      runs on the executor are not affected.
-   - A crash is strong evidence if all such runs belong to one job, which is
-     given up as a whole, and they had started within JUST_TIME or, where only
-     the executor's lists tell, were started in isolation.  It is also strong
-     evidence if a run was isolated and executor and guard disappeared together
-     just after its order.  It is weak evidence if the runs had started a
-     little earlier, or if nothing is known about a run that was isolated.
+   - A crash is strong evidence if all such runs belong to one job, which fails
+     when one of its tasks is given up, and they had started within JUST_TIME
+     or, where only the executor's lists show it, were started in isolation.
+     It is also strong evidence if a run was isolated and executor and guard
+     disappeared together just after its order.  It is weak evidence if the
+     runs had started a little earlier, or if nothing is known about a run that
+     was isolated.
    - A run that has settled, which means that it was listed as running for
      SETTLE_TIME, did not crash its executor by starting.  Its task is no
      longer suspect, and what was counted against it is cleared.
@@ -139,7 +141,7 @@
 void gp_suspicion_begin_wait (gp_job_task_t *task, gp_time_t now);
 
 /* Returns whether there is evidence against TASK, or it has so many crashes
-   that only an isolated start can settle the question.  */
+   that only an isolated start can be conclusive.  */
 bool gp_suspicion_is_strong (const gp_job_task_t *task);
 
 /* Returns whether TASK has to be started in isolation.  */
--- a/src/jobs/urgency.h
+++ b/src/jobs/urgency.h
@@ -33,7 +33,7 @@
 {
   gp_job_t *job;
   gp_deadline_class_t deadline_class;
-  gp_time_t rank;  /* lower first, among jobs with the same hope */
+  gp_time_t rank;  /* lower first, among jobs of the same deadline class */
   double progress; /* share of its tasks that is done or running */
 } gp_ranked_job_t;
 
--- a/src/jobs/write_request.c
+++ b/src/jobs/write_request.c
@@ -5,14 +5,14 @@
 #include <glib.h>
 
 /* How long before the caller's timeout the answer is sent, to allow for the
-   way back and a busy event loop; at most one MARGIN_SHAREth of the
-   timeout.  */
+   time that it travels and for a busy event loop; at most one MARGIN_SHAREth
+   of the timeout.  */
 #define ANSWER_MARGIN (300 * GP_MSEC)
 #define MARGIN_SHARE 3
 /* Least remaining timeout with which a refused caller can try again: the
-   shortest delay that it can be told, and some time for the next try.  */
+   shortest delay that it can be sent, and some time for the next attempt.  */
 #define MIN_RETRY_TIMEOUT (1300 * GP_MSEC)
-/* Share of the timeout, in thousandths, for which the last try of a caller
+/* Share of the timeout, in thousandths, for which the last attempt of a caller
    waits.  */
 #define LAST_TRY_PERMILLE 450
 
--- a/src/jobs/write_request.h
+++ b/src/jobs/write_request.h
@@ -4,12 +4,12 @@
    Pure.
 
    While the store fails, a caller that can try again within its timeout is
-   soon told to do so: by then this entry may have found another way to the
-   store, or another entry has one.  A caller that cannot try again has hardly
-   another chance: its request waits for part of its timeout, as the store may
-   recover at any time, but it is refused early enough to try another entry at
-   once.  A write that the store could not complete before the answer is due is
-   refused rather than begun, as its outcome would be unknown.  */
+   soon refused: by then this entry may have found another route to the store,
+   or another entry has one.  A caller that cannot try again depends on this
+   request: the request waits for part of its timeout, as the store may recover
+   at any time, but it is refused early enough to try another entry at once.  A
+   write that the store could not complete before the answer is due is refused
+   rather than begun, as its outcome would be unknown.  */
 
 #ifndef GP_JOBS_WRITE_REQUEST_H
 #define GP_JOBS_WRITE_REQUEST_H
@@ -26,12 +26,12 @@
    has been begun.  */
 gp_time_t gp_write_request_refuse_at (gp_time_t now, gp_time_t timeout);
 
-/* Can a caller whose remaining timeout is TIMEOUT try again if it is
-   refused?  */
+/* Returns whether a caller whose remaining timeout is TIMEOUT can try again if
+   it is refused.  */
 bool gp_write_request_can_retry (gp_time_t timeout);
 
-/* May a record that takes STORE_TIME, a duration, to write be begun at NOW, if
-   the answer to its caller is due at DEADLINE?  */
+/* Returns whether a record that takes STORE_TIME, a duration, to write may be
+   begun at NOW, if the answer to its caller is due at DEADLINE.  */
 bool gp_write_request_is_in_time (gp_time_t deadline, gp_time_t store_time,
                                   gp_time_t now);
 
