--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -165,7 +165,7 @@
   GP_AGENT_TOO_OLD,  /* the executor has stopped or ended this run or a later
                         one of the task */
   GP_AGENT_TOO_LATE, /* the lease in the order had expired */
-  GP_AGENT_NO_ROOM,
+  GP_AGENT_NO_RESOURCES,
   GP_AGENT_REFUSED,      /* nothing was done: the executor is unhealthy or the
                             order is invalid */
   GP_AGENT_REPLACED,     /* another executor answered */
--- a/src/jobs/agent_calls.c
+++ b/src/jobs/agent_calls.c
@@ -215,7 +215,7 @@
       run->start_uncertain = true;
       break;
     case GP_AGENT_TOO_OLD:
-    case GP_AGENT_NO_ROOM:
+    case GP_AGENT_NO_RESOURCES:
     case GP_AGENT_REFUSED:
       run->phase = GP_RUN_STOPPING;
       run->retry_at = now;
--- a/src/jobs/agent_measure.c
+++ b/src/jobs/agent_measure.c
@@ -268,7 +268,7 @@
 /* Returns whether RUN is running, or will be once its start is carried
    out.  */
 static bool
-will_work (const gp_agent_run_t *run)
+is_or_will_be_running (const gp_agent_run_t *run)
 {
   return run->listed || run->phase == GP_RUN_STARTING
          || run->phase == GP_RUN_STARTED;
@@ -327,7 +327,7 @@
     {
       const gp_agent_run_t *run = value;
 
-      if (run->start == NULL || !will_work (run))
+      if (run->start == NULL || !is_or_will_be_running (run))
         continue;
       if (run->start->fills)
         busy.work[image_index (agent, run->start->image)]
--- a/src/jobs/agent_suspects.c
+++ b/src/jobs/agent_suspects.c
@@ -202,7 +202,7 @@
     case GP_AGENT_FENCED:
     case GP_AGENT_TOO_OLD:
     case GP_AGENT_TOO_LATE:
-    case GP_AGENT_NO_ROOM:
+    case GP_AGENT_NO_RESOURCES:
     case GP_AGENT_REFUSED:
       break;
     }
--- a/src/jobs/scheduler.h
+++ b/src/jobs/scheduler.h
@@ -116,13 +116,13 @@
 /* What proves that an executor no longer runs anything.  */
 typedef enum
 {
-  GP_DEATH_REPLACED,  /* another executor is on its VM */
-  GP_DEATH_RESTARTED, /* its next incarnation is up */
-  GP_DEATH_LEFT,    /* it deregistered, and nothing listens on its address any
-                       more */
-  GP_DEATH_LAPSED,  /* its guard reports that its lease has expired ... */
-  GP_DEATH_UNHEARD, /* ... and that it does not answer */
-  GP_DEATH_SILENT   /* no guard reports it, and all leases have expired */
+  GP_DEATH_REPLACED,     /* another executor is on its VM */
+  GP_DEATH_RESTARTED,    /* its next incarnation is up */
+  GP_DEATH_DEREGISTERED, /* it deregistered, and nothing listens on its address
+                    any more */
+  GP_DEATH_LAPSED,       /* its guard reports that its lease has expired ... */
+  GP_DEATH_LAPSED_UNANSWERED, /* ... and that it does not answer */
+  GP_DEATH_UNREPORTED /* no guard reports it, and all leases have expired */
 } gp_death_t;
 
 /* EXECUTOR no longer runs anything, for the reason WHY.  Crashes are counted
--- a/src/jobs/scheduler_losses.c
+++ b/src/jobs/scheduler_losses.c
@@ -36,14 +36,14 @@
   = GP_COUNTER ("executors_replaced_total", "Dead: another one is on its VM"),
   [GP_DEATH_RESTARTED] = GP_COUNTER (
       "executors_restarted_total", "Dead: it has started again under its id"),
-  [GP_DEATH_LEFT]
+  [GP_DEATH_DEREGISTERED]
   = GP_COUNTER ("executors_left_total", "Dead: it has said goodbye"),
   [GP_DEATH_LAPSED]
   = GP_COUNTER ("executors_lapsed_total", "Dead: its lease has run out"),
-  [GP_DEATH_UNHEARD] = GP_COUNTER ("executors_unheard_total",
-                                   "Dead: the same, and it does not answer"),
-  [GP_DEATH_SILENT] = GP_COUNTER ("executors_silent_total",
-                                  "Dead: silent until all leases were over"),
+  [GP_DEATH_LAPSED_UNANSWERED] = GP_COUNTER (
+      "executors_unheard_total", "Dead: the same, and it does not answer"),
+  [GP_DEATH_UNREPORTED] = GP_COUNTER (
+      "executors_silent_total", "Dead: silent until all leases were over"),
 };
 
 void
@@ -67,13 +67,13 @@
       return "another one is on its VM";
     case GP_DEATH_RESTARTED:
       return "it has started again under its id";
-    case GP_DEATH_LEFT:
+    case GP_DEATH_DEREGISTERED:
       return "it has left";
     case GP_DEATH_LAPSED:
       return "its lease has run out";
-    case GP_DEATH_UNHEARD:
+    case GP_DEATH_LAPSED_UNANSWERED:
       return "its lease has run out, and it does not answer";
-    case GP_DEATH_SILENT:
+    case GP_DEATH_UNREPORTED:
       return "silent until all leases were over";
     }
   return "";
@@ -150,10 +150,10 @@
     {
     case GP_DEATH_REPLACED:
     case GP_DEATH_RESTARTED:
-    case GP_DEATH_UNHEARD:
-    case GP_DEATH_SILENT:
+    case GP_DEATH_LAPSED_UNANSWERED:
+    case GP_DEATH_UNREPORTED:
       return !executor->draining;
-    case GP_DEATH_LEFT:
+    case GP_DEATH_DEREGISTERED:
     case GP_DEATH_LAPSED:
       return false;
     }
--- a/src/jobsd/guard_heartbeats.c
+++ b/src/jobsd/guard_heartbeats.c
@@ -38,7 +38,7 @@
    any time of day by then.  */
 #define IDENTIFY_ATTEMPTS_MAX 40
 
-static gp_counter_t lives_count
+static gp_counter_t incarnations_count
     = GP_COUNTER ("guard_lives_total", "Lives of executors that were met");
 
 /* A heartbeat of an unknown incarnation, until that is identified.  */
@@ -54,7 +54,7 @@
 void
 gp_guard_register_heartbeats (void)
 {
-  gp_counter_register (&lives_count);
+  gp_counter_register (&incarnations_count);
 }
 
 /* Is HEARTBEAT from the current incarnation?  */
@@ -89,7 +89,7 @@
 accept_incarnation (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat,
                     const gp_runtime_list_t *list, int64_t fence)
 {
-  gp_counter_add (&lives_count, 1);
+  gp_counter_add (&incarnations_count, 1);
   guard->heartbeat_sequence = heartbeat->sequence;
   gp_agent_set_executor (&guard->agent, g_steal_pointer (&heartbeat->executor),
                          heartbeat->clock_ms, gp_loop_now (&guard->loop));
--- a/src/jobsd/guard_specs.c
+++ b/src/jobsd/guard_specs.c
@@ -19,7 +19,7 @@
 /* Limit of waiting requests; some tens are directed to one holder.  */
 #define REQUESTS_MAX 512
 
-static gp_counter_t asked_count = GP_COUNTER (
+static gp_counter_t requested_count = GP_COUNTER (
     "guard_specs_asked_total", "Specifications asked of other guards");
 static gp_counter_t failed_count
     = GP_COUNTER ("guard_specs_failed_total",
@@ -258,7 +258,7 @@
   want.digest = offered->digest;
   frame.message_case = GP__JOBS__FRAME__MESSAGE_WANT_SPEC;
   frame.want_spec = &want;
-  gp_counter_add (&asked_count, 1);
+  gp_counter_add (&requested_count, 1);
   gp_frame_send (holder->peer, &frame);
 }
 
@@ -322,7 +322,7 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_holder);
   gp_list_init (&specs->requests);
   gp_timer_init (&specs->timer, loop, on_timer, specs);
-  gp_counter_register (&asked_count);
+  gp_counter_register (&requested_count);
   gp_counter_register (&failed_count);
   gp_counter_register (&given_count);
 }
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -224,7 +224,7 @@
   gp_scheduler_note_settled (&leader->scheduler, executor, report->settled,
                              report->n_settled);
   if (report->ended && !executor->dead)
-    declare_dead (leader, executor, GP_DEATH_LEFT);
+    declare_dead (leader, executor, GP_DEATH_DEREGISTERED);
   if (report->keeps_alone)
     gp_suspicion_extend_dedication (executor, now);
   if (executor->suspects_reported)
@@ -236,7 +236,8 @@
     gp_scheduler_executor_down (&leader->scheduler, executor, now);
   if (report->lapsed && !executor->dead)
     declare_dead (leader, executor,
-                  report->answers ? GP_DEATH_LAPSED : GP_DEATH_UNHEARD);
+                  report->answers ? GP_DEATH_LAPSED
+                                  : GP_DEATH_LAPSED_UNANSWERED);
   /* It may work again only with a new fence, which a sync raises.  */
   if (executor->dead)
     link->needs_sync = true;
@@ -611,7 +612,7 @@
     }
   log_awaited (leader, link, executor, node);
   if (now > leases_end (leader, link, executor))
-    declare_dead (leader, executor, GP_DEATH_SILENT);
+    declare_dead (leader, executor, GP_DEATH_UNREPORTED);
 }
 
 static void
--- a/tests/unit/late_world_leader.c
+++ b/tests/unit/late_world_leader.c
@@ -308,7 +308,7 @@
     jobs_site_executor_dead (&world->site, executor,
                              gp_agent_is_responsive (agent, now)
                                  ? GP_DEATH_LAPSED
-                                 : GP_DEATH_UNHEARD);
+                                 : GP_DEATH_LAPSED_UNANSWERED);
   if (executor->dead
       || (agent->synced != worker->sync
           && now - worker->synced_at > RESYNC_TIME))
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -123,7 +123,7 @@
   call (&agent, GP_AGENT_UNANSWERED, now);
   call (&agent, GP_AGENT_ACCEPTED, now);
   now += 200 * GP_MSEC;
-  call (&agent, GP_AGENT_NO_ROOM, now);
+  call (&agent, GP_AGENT_NO_RESOURCES, now);
   call (&agent, GP_AGENT_ACCEPTED, now);
   show (&agent);
   gp_agent_listed (&agent, NULL, 0, NULL, 0, 5300, now, now);
--- a/tests/unit/test_jobs.c
+++ b/tests/unit/test_jobs.c
@@ -246,7 +246,7 @@
   gp_scheduler_drain (&site.scheduler, executor, site.now);
   jobs_site_print_job (long_running);
   jobs_site_print_job (batch);
-  jobs_site_executor_dead (&site, executor, GP_DEATH_SILENT);
+  jobs_site_executor_dead (&site, executor, GP_DEATH_UNREPORTED);
   jobs_site_print_job (long_running);
   jobs_site_print_job (batch);
   jobs_site_finish (&site);
@@ -484,7 +484,7 @@
     case 0:
       g_snprintf (id, sizeof id, "x%d", g_rand_int_range (random, 0, 4));
       jobs_site_executor_dead (site, gp_book_executor (&site->book, id),
-                               GP_DEATH_SILENT);
+                               GP_DEATH_UNREPORTED);
       jobs_site_executor (site, id, 8)->dead = false;
       break;
     case 1:
--- a/tests/unit/test_orders.c
+++ b/tests/unit/test_orders.c
@@ -36,7 +36,7 @@
       return "old";
     case GP_AGENT_TOO_LATE:
       return "late";
-    case GP_AGENT_NO_ROOM:
+    case GP_AGENT_NO_RESOURCES:
       return "no room";
     case GP_AGENT_REFUSED:
       return "refused";
--- a/tests/unit/test_strays.c
+++ b/tests/unit/test_strays.c
@@ -94,7 +94,7 @@
   report (&site, first, 3);
   first->reachable = false;
   plan (&site, job, "silent");
-  jobs_site_executor_dead (&site, first, GP_DEATH_SILENT);
+  jobs_site_executor_dead (&site, first, GP_DEATH_UNREPORTED);
   plan (&site, job, "dead");
   jobs_site_finish (&site);
 }
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -378,13 +378,13 @@
   jobs_site_plan (&site);
   gp_book_executor (&site.book, "x2")->reachable = false;
   jobs_site_executor_dead (&site, gp_book_executor (&site.book, "x1"),
-                           GP_DEATH_SILENT);
+                           GP_DEATH_UNREPORTED);
   jobs_site_print_job (job);
   printf ("two of six are not half\n");
   gp_book_executor (&site.book, "x3")->reachable = false;
   gp_book_executor (&site.book, "x4")->reachable = false;
   jobs_site_executor_dead (&site, gp_book_executor (&site.book, "x2"),
-                           GP_DEATH_SILENT);
+                           GP_DEATH_UNREPORTED);
   jobs_site_print_job (job);
   jobs_site_finish (&site);
 }
@@ -414,7 +414,8 @@
       jobs_site_plan (&site);
       gp_book_executor (&site.book, "x3")->reachable = false;
       gp_book_executor (&site.book, "x4")->reachable = false;
-      jobs_site_executor_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
+      jobs_site_executor_dead (&site, job->tasks[0].executor,
+                               GP_DEATH_UNREPORTED);
       jobs_site_print_job (job);
       gp_book_executor (&site.book, "x3")->reachable = true;
       site.now += GP_SEC * 2;
@@ -453,7 +454,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (ids); i++)
     {
       jobs_site_executor_dead (&site, jobs[i]->tasks[0].executor,
-                               GP_DEATH_SILENT);
+                               GP_DEATH_UNREPORTED);
       CU_ASSERT (jobs[i]->tasks[0].crashes == 1);
       jobs_site_print_job (jobs[i]);
     }
@@ -475,7 +476,7 @@
   job->tasks[0].alone = true;
   job->tasks[0].executor->disconnected_at = site.now + after;
   site.now += 3 * GP_SEC;
-  jobs_site_executor_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
+  jobs_site_executor_dead (&site, job->tasks[0].executor, GP_DEATH_UNREPORTED);
   printf ("  %ld ms after its order: evidence %u\n", (long)(after / GP_MSEC),
           job->tasks[0].evidence);
   jobs_site_finish (&site);
@@ -511,7 +512,8 @@
 
       jobs_site_plan (&site);
       site.now += 3 * GP_SEC;
-      jobs_site_executor_dead (&site, job->tasks[0].executor, GP_DEATH_SILENT);
+      jobs_site_executor_dead (&site, job->tasks[0].executor,
+                               GP_DEATH_UNREPORTED);
       jobs_site_print_job (job);
       g_snprintf (next, sizeof next, "x%d", i + 1);
       jobs_site_executor (&site, next, 8);
@@ -676,14 +678,14 @@
 {
   printf ("what counts\n");
   try_death ("another executor is there", GP_DEATH_REPLACED, false, 0);
-  try_death ("it does not answer", GP_DEATH_UNHEARD, false, 0);
-  try_death ("its guard is away as well", GP_DEATH_SILENT, false, 0);
-  try_death ("it said goodbye", GP_DEATH_LEFT, false, 0);
+  try_death ("it does not answer", GP_DEATH_LAPSED_UNANSWERED, false, 0);
+  try_death ("its guard is away as well", GP_DEATH_UNREPORTED, false, 0);
+  try_death ("it said goodbye", GP_DEATH_DEREGISTERED, false, 0);
   try_death ("only its lease has run out", GP_DEATH_LAPSED, false, 0);
-  try_death ("it was to leave", GP_DEATH_SILENT, true, 0);
-  try_death ("reported for 0.9 s after the start", GP_DEATH_SILENT, false,
+  try_death ("it was to leave", GP_DEATH_UNREPORTED, true, 0);
+  try_death ("reported for 0.9 s after the start", GP_DEATH_UNREPORTED, false,
              900 * GP_MSEC);
-  try_death ("reported for 1 s after the start", GP_DEATH_SILENT, false,
+  try_death ("reported for 1 s after the start", GP_DEATH_UNREPORTED, false,
              GP_SEC);
   printf ("what the guard tells\n");
   try_report ("it may have done it", true);
