--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -152,7 +152,7 @@
   if (clock_ms < 0)
     return;
   log_clock_behind (agent, clock_ms);
-  agent->heard_at = now;
+  agent->answered_at = now;
   agent->down_since = 0;
   agent->earliest_end_at = 0;
   if (agent->clock_ms >= clock_ms)
@@ -323,7 +323,7 @@
           GP_LOG_S ("executor", agent->executor->id),
           GP_LOG_I ("runs", g_hash_table_size (agent->runs)),
           GP_LOG_I ("moved_ms_ago", (now - lease) / GP_MSEC),
-          GP_LOG_I ("heard_ms_ago", (now - agent->heard_at) / GP_MSEC));
+          GP_LOG_I ("heard_ms_ago", (now - agent->answered_at) / GP_MSEC));
 }
 
 void
@@ -592,7 +592,7 @@
 bool
 gp_agent_is_responsive (const gp_agent_t *agent, gp_time_t now)
 {
-  return now - agent->heard_at < SILENCE_TIME;
+  return now - agent->answered_at < SILENCE_TIME;
 }
 
 void
--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -228,10 +228,10 @@
   gp_time_t began_at;   /* when this process started */
   gp_time_t first_reported_at; /* when the first report with this executor was
                                   sent, or GP_TIME_NEVER */
-  gp_time_t granted;    /* sending time of the last acknowledged report */
-  gp_time_t lease;      /* the same of the report for which the lease sent with
-                           calls was granted */
-  gp_time_t heard_at;   /* time of the executor's last answer */
+  gp_time_t granted; /* sending time of the last acknowledged report */
+  gp_time_t lease;   /* the same of the report for which the lease sent with
+                        calls was granted */
+  gp_time_t answered_at; /* time of the executor's last answer */
   gp_time_t down_since; /* time of the first failed call since the last answer;
                            0: none has failed */
   bool is_disconnected; /* the executor closed a connection or left a list
--- a/src/jobs/agent_suspects.c
+++ b/src/jobs/agent_suspects.c
@@ -61,7 +61,7 @@
 static uint32_t
 age_ms (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  gp_time_t up = MAX (agent->heard_at, agent->earliest_end_at);
+  gp_time_t up = MAX (agent->answered_at, agent->earliest_end_at);
 
   return run->began_at != 0 && up > run->began_at
              ? (uint32_t)((up - run->began_at) / GP_MSEC)
@@ -98,7 +98,7 @@
   if (has_recent_start (agent))
     return may_have_just_begun (agent, run);
   return !start_is_unconfirmed (run)
-         && agent->heard_at - run->began_at < GP_SUSPICION_FRESH_TIME;
+         && agent->answered_at - run->began_at < GP_SUSPICION_FRESH_TIME;
 }
 
 void
@@ -148,9 +148,9 @@
 bool
 gp_agent_report_settled (gp_agent_run_t *run)
 {
-  bool asked = run->start != NULL && run->start->watched;
+  bool watched = run->start != NULL && run->start->watched;
 
-  if (!asked || run->settled_reported || !gp_agent_has_settled (run))
+  if (!watched || run->settled_reported || !gp_agent_has_settled (run))
     return false;
   run->settled_reported = true;
   return true;
@@ -187,12 +187,13 @@
     case GP_AGENT_DISCONNECTED:
       gp_agent_note_disconnect (agent);
       record_failure (
-          agent, now - agent->heard_at <= ANSWER_TIME ? now : agent->heard_at,
+          agent,
+          now - agent->answered_at <= ANSWER_TIME ? now : agent->answered_at,
           now);
       break;
     case GP_AGENT_CONNECTION_REFUSED:
       gp_agent_note_disconnect (agent);
-      record_failure (agent, agent->heard_at, now);
+      record_failure (agent, agent->answered_at, now);
       break;
     case GP_AGENT_UNANSWERED:
     case GP_AGENT_REPLACED:
@@ -266,6 +267,6 @@
           GP_LOG_S ("executor", agent->executor->id), GP_LOG_I ("runs", runs),
           GP_LOG_I ("suspects",
                     runs > 0 ? (int64_t)agent->predecessor->n_suspects : 0),
-          GP_LOG_I ("heard_ms_ago", (now - agent->heard_at) / GP_MSEC),
+          GP_LOG_I ("heard_ms_ago", (now - agent->answered_at) / GP_MSEC),
           GP_LOG_I ("known_ms", (now - agent->known_since) / GP_MSEC));
 }
--- a/src/jobs/suspicion.c
+++ b/src/jobs/suspicion.c
@@ -218,7 +218,7 @@
 /* Returns the time until which EXECUTOR is dedicated.  A dedication made by a
    previous leader counts from the first report to this leader.  */
 static gp_time_t
-dedicated_until (const gp_job_executor_t *executor)
+dedication_end (const gp_job_executor_t *executor)
 {
   if (executor->dedicated_until != 0)
     return executor->dedicated_until;
@@ -231,7 +231,7 @@
 bool
 gp_suspicion_is_dedicated (const gp_job_executor_t *executor, gp_time_t now)
 {
-  return *executor->dedicated_to != '\0' && now < dedicated_until (executor);
+  return *executor->dedicated_to != '\0' && now < dedication_end (executor);
 }
 
 bool
@@ -358,14 +358,14 @@
    has settled, and ISOLATED itself: they may have started long after they were
    assigned.  */
 static void
-mark_late_starts (gp_job_executor_t *executor, const gp_job_task_t *alone)
+mark_late_starts (gp_job_executor_t *executor, const gp_job_task_t *isolated)
 {
   GP_LIST_FOREACH (link, &executor->tasks)
   {
     gp_job_task_t *task = GP_CONTAINER_OF (link, gp_job_task_t, on_executor);
 
     task->may_start_late
-        = task->may_start_late || task->ordered_at >= alone->ordered_at;
+        = task->may_start_late || task->ordered_at >= isolated->ordered_at;
   }
 }
 
--- a/src/jobsd/guard_list.c
+++ b/src/jobsd/guard_list.c
@@ -47,12 +47,12 @@
   uint64_t stale = guard->agent.stale_ends;
   /* Nothing counts as absent from a list that was not read completely: it is
      treated like one requested before all runs.  */
-  gp_time_t asked_at = list->complete ? list->sent_at : INT64_MIN;
+  gp_time_t requested_at = list->complete ? list->sent_at : INT64_MIN;
 
   if (list->complete)
     gp_agent_fence_listed (&guard->agent, fence);
   if (gp_agent_listed (&guard->agent, list->runs, list->run_count, list->ends,
-                       list->end_count, list->clock_ms, asked_at,
+                       list->end_count, list->clock_ms, requested_at,
                        now_of (guard)))
     gp_guard_send_report (guard);
   gp_counter_add (&ends_count, (int64_t)(guard->agent.listed_ends - listed));
--- a/src/jobsd/janitor.c
+++ b/src/jobsd/janitor.c
@@ -63,18 +63,18 @@
 {
   gp_janitor_t *janitor = data;
   int64_t wall_ms = gp_time_wall_ms ();
-  gp_time_t pause = janitor->keep_ms * GP_MSEC / SCANS;
+  gp_time_t pause = janitor->retention_ms * GP_MSEC / SCANS;
 
   gp_timer_arm (&janitor->timer, gp_loop_now (janitor->loop) + pause);
   if (janitor->leader->role == GP_LEADER_LEADING)
     {
       if (!janitor->dropping)
-        drop_submissions (janitor, wall_ms - janitor->keep_ms * 3 / 2);
+        drop_submissions (janitor, wall_ms - janitor->retention_ms * 3 / 2);
       gp_leader_drop_progress (janitor->leader,
-                               wall_ms - janitor->keep_ms * 2);
+                               wall_ms - janitor->retention_ms * 2);
     }
   else
-    gp_book_expire (janitor->book, wall_ms - janitor->keep_ms * 2);
+    gp_book_expire (janitor->book, wall_ms - janitor->retention_ms * 2);
 }
 
 void
@@ -86,7 +86,7 @@
                              .store = store,
                              .book = book,
                              .leader = leader,
-                             .keep_ms = keep / GP_MSEC };
+                             .retention_ms = keep / GP_MSEC };
   gp_timer_init (&janitor->timer, loop, on_timer, janitor);
   gp_timer_arm (&janitor->timer, gp_loop_now (loop) + keep / SCANS);
 }
--- a/src/jobsd/janitor.h
+++ b/src/jobsd/janitor.h
@@ -17,7 +17,7 @@
   gp_platform_store_t *store;
   gp_book_t *book;
   gp_leader_t *leader;
-  int64_t keep_ms; /* time for which a job's end is reported to callers */
+  int64_t retention_ms; /* time for which a job's end is reported to callers */
   gp_timer_t timer;
   bool dropping; /* an append that deletes submissions is in flight */
 } gp_janitor_t;
--- a/src/jobsd/refusals.c
+++ b/src/jobsd/refusals.c
@@ -32,7 +32,7 @@
 void
 gp_refusals_init (gp_refusals_t *refusals)
 {
-  gp_log_sampler_init (&refusals->repeats, COUNTS_MAX);
+  gp_log_sampler_init (&refusals->sampler, COUNTS_MAX);
   gp_counter_register (&undecodable_count);
   gp_counter_register (&invalid_count);
   gp_counter_register (&unknown_count);
@@ -45,7 +45,7 @@
 void
 gp_refusals_finish (gp_refusals_t *refusals)
 {
-  gp_log_sampler_finish (&refusals->repeats);
+  gp_log_sampler_finish (&refusals->sampler);
 }
 
 /* Count another rejection of WHAT from ORIGIN.  Returns the count if it is to
@@ -54,7 +54,7 @@
 count_rejection (gp_refusals_t *refusals, const char *what, const char *origin)
 {
   char *key = g_strdup_printf ("%s %s", what, origin);
-  uint64_t count = gp_log_sampler_count (&refusals->repeats, key);
+  uint64_t count = gp_log_sampler_count (&refusals->sampler, key);
 
   g_free (key);
   return count;
--- a/src/jobsd/refusals.h
+++ b/src/jobsd/refusals.h
@@ -15,7 +15,7 @@
 
 typedef struct
 {
-  gp_log_sampler_t repeats; /* counts by key or sender */
+  gp_log_sampler_t sampler; /* counts by key or sender */
 } gp_refusals_t;
 
 void gp_refusals_init (gp_refusals_t *refusals);
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -403,7 +403,7 @@
   order_start (&agent, OTHER, 2);
   call (&agent, started, now);
   if (started == GP_AGENT_ACCEPTED)
-    agent.heard_at = now;
+    agent.answered_at = now;
   gp_agent_list_failed (&agent, result, -1, now + delay);
   show_beginners (&agent, what, now + 3 * GP_SEC);
 }
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -448,7 +448,7 @@
   if (agent->executor == NULL)
     return;
   /* The executor answers at any time, which is the worst case.  */
-  agent->heard_at = world->now;
+  agent->answered_at = world->now;
   if (gp_agent_list_lease (agent, world->now) > 0)
     world->lease_end = MAX (world->lease_end,
                             agent->lease + GP_AGENT_LEASE_TIME * 1000 / 980);
