--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -25,7 +25,7 @@
      Runs that have not begun by then, or in an evacuated zone, are returned to
      the leader.
    - The fence only rises: with each incarnation of the executor that is found,
-     each connection that ends, where the leader asks for it, and where an
+     each connection that ends, where the leader requests it, and where an
      unanswered start must be invalidated, see jobs/agent_isolation.c.  Its
      first value is the time of day, which puts it above the fences of earlier
      guard processes.  If the time of day has stepped back, the fence is raised
--- a/src/jobsd/announce.h
+++ b/src/jobsd/announce.h
@@ -28,8 +28,8 @@
                          uint64_t incarnation);
 
 /* Announce again, with the information that records which this entry wrote
-   before the offset CEASED no longer make it leader: its term as leader is
-   over for other entries then.  */
+   before the offset CEASED no longer make it leader: other entries then
+   consider its term as leader over.  */
 void gp_announcer_end_term (gp_announcer_t *announcer, uint64_t ceased);
 /* Announce again, with a higher incarnation.  */
 void gp_announcer_set_incarnation (gp_announcer_t *announcer,
--- a/src/jobsd/entry.c
+++ b/src/jobsd/entry.c
@@ -12,9 +12,9 @@
 /* Limit of a request body; no known document of operators allows more.  */
 #define BODY_MAX ((size_t)256 * 1024)
 #define HEADER_TIMEOUT (15 * GP_SEC)
-/* How long a stopping entry continues to serve: until the load balancer, which
-   probes once a second, has seen it unready twice, and some more; at most half
-   of the time that the entry is given to stop.  */
+/* How long a stopping entry continues to serve callers: until the load
+   balancer, which probes once a second, has found it not ready twice, plus a
+   margin; at most half of the time that the entry is given to stop.  */
 #define STOP_SERVE_TIME (3200 * GP_MSEC)
 /* Entries that do not lead read in batches, as each read has a cost and each
    entry makes it.  The end of a job is reported later by up to
@@ -135,8 +135,8 @@
   gp_feed_set_spacing (&entry->jobs, follows ? JOBS_SPACING : 0);
 }
 
-/* Each feed that has caught up may be the last one that was missing to claim
-   leadership.  */
+/* Leadership can be claimed once all feeds have caught up, so each of them
+   tries.  */
 static void
 on_caught_up (void *data)
 {
@@ -158,8 +158,8 @@
   set_jobs_spacing (entry);
 }
 
-/* The store has answered the feed of TOPIC after a failure: other calls may
-   still hang because of the outage.  */
+/* The store has answered the feed of TOPIC after a failure: other calls that
+   were sent during the outage may still hang.  */
 static void
 retry_calls (gp_job_entry_t *entry, gp_topic_t topic)
 {
--- a/src/jobsd/feed.c
+++ b/src/jobsd/feed.c
@@ -12,7 +12,7 @@
    that a store is back from an outage in which calls hung, and the remaining
    calls still succeed on a store that is very slow.  */
 #define DOWN_CALL_TIMEOUT (600 * GP_MSEC)
-/* Delay after a failed call, and so until a store that is back is
+/* Delay after a failed call, which limits how soon the end of an outage is
    detected.  */
 #define RETRY_DELAY (150 * GP_MSEC)
 
--- a/src/jobsd/feed.h
+++ b/src/jobsd/feed.h
@@ -58,8 +58,8 @@
 /* Load and follow the topic; restarts a feed that is running.  */
 void gp_feed_start (gp_feed_t *feed);
 void gp_feed_stop (gp_feed_t *feed);
-/* Continue at the position where the feed was stopped.  Only valid if
-   everything that it has delivered is still held by the receiver.  */
+/* Continue at the position where the feed was stopped.  Only valid if the
+   receiver still has everything that was delivered.  */
 void gp_feed_resume (gp_feed_t *feed);
 /* The store answers other calls again: cancel a call that hangs, and repeat
    it.  */
@@ -73,8 +73,8 @@
    read is sent at once.  */
 void gp_feed_set_spacing (gp_feed_t *feed, gp_time_t spacing);
 
-/* Has the feed delivered everything that the topic held AGE (a duration)
-   ago?  */
+/* Returns whether the feed has delivered everything that the topic held AGE (a
+   duration) ago.  */
 bool gp_feed_is_current (const gp_feed_t *feed, gp_time_t age);
 
 #endif
--- a/src/jobsd/guard.c
+++ b/src/jobsd/guard.c
@@ -1,9 +1,9 @@
 /* The guard of a worker's VM: the only process that calls its executor.
 
    It answers the executor's heartbeats, keeps a list call open at all times,
-   makes the calls that jobs/agent.c asks for, and reports to the leading
-   entry, which connects to it.  A guard that is new on its VM announces its
-   address on the log once.  */
+   makes the calls that jobs/agent.c requests, and reports to the leading
+   entry, which connects to it.  Each guard process announces its address in
+   the log once.  */
 
 #include "jobsd/guard_private.h"
 
@@ -86,7 +86,8 @@
   gp_loop_stop (&guard->loop);
 }
 
-/* Is there an end of the executor that only this process can report?  */
+/* Returns whether there is an end of the executor that only this process can
+   report.  */
 static bool
 has_unreported_end (const gp_job_guard_t *guard)
 {
@@ -354,8 +355,8 @@
                                           : "closed by this process"));
 }
 
-/* A specification was received, so runs can be started; or, if FAILED, the
-   leader has to be asked for it.  */
+/* A specification was received, so runs can be started; or, if FAILED, it has
+   to be requested from the leader.  */
 static void
 on_spec_change (bool failed, void *data)
 {
@@ -383,8 +384,8 @@
 }
 
 /* Before stopping, the guard waits until an executor that has just
-   deregistered has ended: nobody else could report that to the leader, and its
-   runs would wait for its lease to expire.  */
+   deregistered has ended: no other process could report that to the leader,
+   and its runs would wait for its lease to expire.  */
 static void
 on_stop (void *data)
 {
@@ -434,7 +435,7 @@
 }
 
 /* How long the information that the zone is open remains valid: an order sent
-   within this time has to arrive within the time promised to operators.  */
+   within this time has to arrive before the evacuation must be in force.  */
 static gp_time_t
 zone_validity (const gp_platform_settings_t *settings)
 {
--- a/src/jobsd/guard_deregistration.c
+++ b/src/jobsd/guard_deregistration.c
@@ -1,14 +1,14 @@
 /* Deregistration of the executor on a guard's VM.
 
    An executor deregisters as the last thing before it ends, and everything
-   that runs on it ends with it, including what it has not listed.  The leader
-   is told, so that these runs continue elsewhere at once.  Otherwise they
-   would wait for the lease to expire and, if the VM is stopped in the
-   meantime, for the leases of former leaders.
+   that runs on it ends with it, including what it has not listed.  This is
+   reported to the leader, so that these runs continue elsewhere at once.
+   Otherwise they would wait for the lease to expire and, if the VM is stopped
+   in the meantime, for the leases of previous leaders.
 
-   A deregistration alone proves nothing: its sender may only be about to end,
-   or be somebody else.  It counts once nothing listens at the executor's
-   address any more.  */
+   A deregistration by itself proves nothing: its sender may only be about to
+   end, or be another process.  It counts once nothing listens at the
+   executor's address any more.  */
 
 #include "jobsd/guard_private.h"
 
@@ -29,7 +29,7 @@
   gp_timer_disarm (&deregistration->timer);
 }
 
-/* A check whether an executor is there.  Its incarnation may not be the
+/* A check whether an executor is still there.  Its incarnation may not be the
    current one any more when the answer arrives.  */
 typedef struct
 {
--- a/src/jobsd/guard_heartbeats.c
+++ b/src/jobsd/guard_heartbeats.c
@@ -2,12 +2,12 @@
 
    A heartbeat may be delayed and arrive after its sender has crashed and
    another executor, or another incarnation of it, runs at the same address.
-   If the delayed one were taken for the newest, the executor that works would
-   be declared dead and its runs started elsewhere; and birth times come from a
-   clock that may step back, so they do not tell which incarnation is newer.
-   Therefore another incarnation than the current one is accepted only once the
-   executor that answers at the VM's address has sent a list under that
-   incarnation.  Answers to calls made before yet another incarnation was
+   If the delayed one were taken for the newest, the executor that is running
+   would be declared dead and its runs started elsewhere; and birth times come
+   from a clock that may step back, so they do not show which incarnation is
+   newer.  Therefore another incarnation than the current one is accepted only
+   once the executor that answers at the VM's address has sent a list under
+   that incarnation.  Answers to calls made before yet another incarnation was
    accepted do not count.
 
    A malformed heartbeat changes nothing.  Nor does one that gives the current
@@ -57,7 +57,7 @@
   gp_counter_register (&incarnations_count);
 }
 
-/* Is HEARTBEAT from the current incarnation?  */
+/* Returns whether HEARTBEAT is from the current incarnation.  */
 static bool
 is_current (const gp_job_guard_t *guard, const gp_heartbeat_t *heartbeat)
 {
@@ -83,8 +83,9 @@
 }
 
 /* The incarnation that sent HEARTBEAT has answered with LIST, requested with
-   FENCE: it is the current one from now on.  The report tells the leader
-   together with what is left to report of the previous incarnation.  */
+   FENCE: it is the current one from now on.  The report names it to the
+   leader, together with what is left to report of the previous
+   incarnation.  */
 static void
 accept_incarnation (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat,
                     const gp_runtime_list_t *list, int64_t fence)
--- a/src/jobsd/guard_list.c
+++ b/src/jobsd/guard_list.c
@@ -10,7 +10,7 @@
    period that its measurements cover.  */
 #define LIST_WAIT (250 * GP_MSEC)
 /* The same while others wait for an isolated run: lists show whether it has
-   begun, and that earlier orders are void.  */
+   begun, and that earlier orders are invalid.  */
 #define LIST_WAIT_ISOLATED (50 * GP_MSEC)
 /* Additional time without an answer after which the call is made again.  */
 #define LIST_TIMEOUT (600 * GP_MSEC)
@@ -68,8 +68,9 @@
          && now - agent->down_since < LIST_DISCONNECTED_PERIOD;
 }
 
-/* What LIST means for the current incarnation.  If another one sends it, the
-   current one is gone; the other one is accepted on its heartbeat.  */
+/* Returns the result of LIST for the current incarnation.  If another
+   incarnation has sent it, the current one has ended; the other one is
+   accepted when its heartbeat arrives.  */
 static gp_agent_result_t
 list_result (const gp_agent_t *agent, const gp_runtime_list_t *list,
              gp_time_t now)
--- a/src/jobsd/guard_private.h
+++ b/src/jobsd/guard_private.h
@@ -9,7 +9,7 @@
    answers within a few milliseconds.  */
 #define GP_GUARD_ORDER_TIMEOUT (300 * GP_MSEC)
 
-/* Is ID the executor of this VM, in whichever incarnation?  */
+/* Returns whether ID is the executor of this VM, in whichever incarnation.  */
 bool gp_guard_executor_is (const gp_job_guard_t *guard, const char *id);
 
 /* Process a list of the executor's current incarnation, requested with
@@ -38,7 +38,7 @@
 void gp_guard_reject_invalid_id (void);
 
 /* The executor ID deregisters with BODY.  Once nothing listens at its address
-   any more it counts as ended, and the leader is told.  */
+   any more it counts as ended, which is reported to the leader.  */
 void gp_guard_deregister (gp_job_guard_t *guard, const char *id,
                           gp_http_text_t body);
 /* Stop the process if it is to stop and has no end of an executor left to
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -73,10 +73,10 @@
              || run->phase == GP_RUN_STOPPED);
 }
 
-/* Runs that the executor lists though nobody wants them there.  A leader that
-   has not synced yet is sent the complete list: it may find that this is
-   another incarnation than it knew, one that has carried out late orders to
-   the previous one.  */
+/* Runs that the executor lists although the leader does not want them there.
+   A leader that has not synced yet is sent the complete list: it may find that
+   this is another incarnation than it knew, one that has carried out late
+   orders to the previous one.  */
 static void
 report_carried (const gp_agent_t *agent, Gp__Jobs__Report *report,
                 GArray *carried)
@@ -120,7 +120,7 @@
   report->n_suspects = suspects->len;
 }
 
-/* Work of runs that have ended but still is in the measurements.  */
+/* Adds the work of ended runs that is still in the measurements.  */
 static void
 add_ended_work (const gp_agent_t *agent, GArray *fillings)
 {
@@ -185,9 +185,9 @@
   report->n_fillings = fillings->len;
 }
 
-/* Is the description of the executor the same as in the last report?  If not,
-   it is recorded as reported: it makes up half of a report's bytes and changes
-   a few times in the executor's lifetime.  */
+/* Returns whether the description of the executor is the same as in the last
+   report.  If not, it is recorded as reported.  The description makes up half
+   of a report's bytes and changes a few times in the executor's lifetime.  */
 static bool
 is_executor_reported (gp_job_guard_t *guard)
 {
--- a/src/jobsd/guard_specs.c
+++ b/src/jobsd/guard_specs.c
@@ -6,8 +6,8 @@
 #include "base/log.h"
 #include "jobsd/frame_io.h"
 
-/* Timeout of a connection attempt to another guard, well before the store of
-   specifications gives the holder up.  */
+/* Timeout of a connection attempt to another guard, well before the
+   specification store gives the holder up.  */
 #define DIAL_TIMEOUT (300 * GP_MSEC)
 /* A connection that was not used for this time is closed: the runs of one job
    arrive within seconds.  */
@@ -16,7 +16,7 @@
    request waits this long at the holder, less than the requester waits for an
    answer.  */
 #define REQUEST_TIMEOUT (250 * GP_MSEC)
-/* Limit of waiting requests; some tens are directed to one holder.  */
+/* Limit of waiting requests; normally a holder gets a few tens.  */
 #define REQUESTS_MAX 512
 
 static gp_counter_t requested_count = GP_COUNTER (
@@ -97,8 +97,8 @@
   g_free (request);
 }
 
-/* Answer requests for specifications that are held now, and those whose time
-   is over.  */
+/* Answer requests for specifications that are held now, and those that have
+   timed out.  */
 static void
 answer_requests (gp_guard_specs_t *specs)
 {
--- a/src/jobsd/guard_specs.h
+++ b/src/jobsd/guard_specs.h
@@ -1,6 +1,6 @@
 /* Exchange of job specifications between guards: requests to the guard that
-   holds one, and answers to requests of other guards.  The specifications held
-   are kept in jobs/spec_store.h.  */
+   holds one, and answers to requests of other guards.  The specifications
+   themselves are in jobs/spec_store.h.  */
 
 #ifndef GP_JOBSD_GUARD_SPECS_H
 #define GP_JOBSD_GUARD_SPECS_H
--- a/src/jobsd/job_answers.h
+++ b/src/jobsd/job_answers.h
@@ -6,7 +6,8 @@
 #include "jobs/retry_after.h"
 #include "transport/http.h"
 
-/* How long the caller of EXCHANGE waits for its response (a duration).  */
+/* Returns how long the caller of EXCHANGE waits for its response (a
+   duration).  */
 gp_time_t gp_job_caller_timeout (const gp_http_exchange_t *exchange);
 
 /* Respond with the JSON text BODY.  */
--- a/src/jobsd/jobs_api.c
+++ b/src/jobsd/jobs_api.c
@@ -1,6 +1,6 @@
 /* The HTTP API for callers: submit, show and cancel jobs.
 
-   A change is answered with success only when its record is on the log.  It is
+   A change is answered with success only when its record is in the log.  It is
    refused only if the store has reported for each attempt that nothing was
    done.  As long as the outcome of an attempt is unknown the same record is
    appended again, and when the caller's timeout expires the answer leaves the
@@ -24,7 +24,7 @@
 
 /* Timeout of one attempt to append, as a multiple of the average duration of
    appends, within these bounds: a slow store does not get the next attempt
-   while it still works on one, and an answer that was lost is not waited for
+   while it still processes one, and an answer that was lost is not waited for
    long.  */
 #define ATTEMPT_TIMEOUT_FACTOR 5
 #define ATTEMPT_TIMEOUT_MIN (500 * GP_MSEC)
@@ -75,8 +75,8 @@
   gp_http_exchange_t *exchange; /* NULL: the caller has disconnected */
   char key[sizeof GP_CANCEL_PREFIX + GP_JOB_ID_SIZE];
   GBytes *value;
-  gp_time_t deadline;  /* its answer has to be sent */
-  gp_time_t refuse_at; /* it is refused if no attempt was started */
+  gp_time_t deadline;  /* when its answer has to be sent */
+  gp_time_t refuse_at; /* when it is refused if no attempt was started */
   gp_time_t since;
   unsigned refusals;    /* attempts that the store has refused */
   bool in_call;         /* part of the append in progress */
@@ -287,8 +287,8 @@
   gp_time_t now = gp_loop_now (api->loop);
   gp_time_t timeout = CLAMP (ATTEMPT_TIMEOUT_FACTOR * api->latency,
                              ATTEMPT_TIMEOUT_MIN, ATTEMPT_TIMEOUT_MAX);
-  /* After failures the average says little: a change that can wait this long
-     is tried.  */
+  /* After failures the average is unreliable: a change that can wait this long
+     is attempted.  */
   gp_time_t store_time = MIN (api->latency, ATTEMPT_TIMEOUT_MIN);
   GByteArray *batch;
 
@@ -456,7 +456,8 @@
     gp__jobs__submission__free_unpacked (submission, NULL);
 }
 
-/* That a job does not exist can only be said if the book is current.  */
+/* The answer that a job does not exist is only valid if the book is
+   current.  */
 static void
 answer_absent (gp_jobs_api_t *api, gp_http_exchange_t *exchange)
 {
@@ -466,11 +467,11 @@
     refuse (api, exchange, "the log cannot be read");
 }
 
-/* A record of the job is on the log and cannot be read, so each state might be
-   wrong.  If the job were said not to exist, the caller would submit the work
-   again under another id; it would rely on an end; and "queued" or "running"
-   promise an end that may never come.  So the answer is that the state is not
-   available now.  */
+/* A record of the job is in the log and cannot be read, so any state might be
+   wrong.  If the answer were that the job does not exist, the caller would
+   submit the work again under another id; if it were an end, the caller would
+   rely on it; and "queued" or "running" imply an end that may never come.  So
+   the answer is that the state is not available now.  */
 static void
 answer_unreadable (const gp_jobs_api_t *api, gp_http_exchange_t *exchange)
 {
--- a/src/jobsd/jobs_api.h
+++ b/src/jobsd/jobs_api.h
@@ -15,8 +15,8 @@
   gp_platform_store_t *store;
   gp_book_t *book;
   const gp_queues_t *queues;
-  const gp_feed_t *jobs;     /* its age is that of the book */
-  gp_list_t changes;         /* submissions and cancellations in progress */
+  const gp_feed_t *jobs; /* feed of the book's jobs; its age is the book's */
+  gp_list_t changes;     /* submissions and cancellations in progress */
   GHashTable *open_outcomes; /* ids, owned, of jobs for which an answer left
                                 the outcome open */
   gp_platform_store_call_t *call; /* the append in progress, or NULL */
@@ -25,7 +25,7 @@
   gp_time_t failing_since;        /* the first of them was sent, 0: none */
   gp_time_t latency; /* moving average of the duration of appends */
   gp_timer_t timer;  /* the next append, or the timeout of a change */
-  /* A record is on the log: apply it now, without waiting for the feed.  */
+  /* A record is in the log: apply it now, without waiting for the feed.  */
   void (*on_record) (const gp_platform_store_record_t *record, void *data);
   void *data;
 } gp_jobs_api_t;
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -1,5 +1,5 @@
-/* The leading entry: taking leadership and planning rounds.  What it appends
-   to the log is in jobsd/leader_append.c, the connections to the guards in
+/* The leading entry: taking leadership and planning rounds.  Appending to the
+   log is in jobsd/leader_append.c, the connections to the guards are in
    jobsd/leader_links.c.  */
 
 #include "jobsd/leader_private.h"
@@ -15,8 +15,8 @@
    that is due within 1.5 s waits for a new leader.  */
 #define SILENCE_BASE (700 * GP_MSEC)
 #define SILENCE_INTERVALS 4
-/* Interval between checks for executors that are silent or draining; short
-   against the times that follow, which are seconds.  */
+/* Interval between checks for executors that are not reported or draining;
+   short compared with the timeouts that are checked, which are seconds.  */
 #define CHECK_INTERVAL (50 * GP_MSEC)
 /* Weight of the last duration in the moving average, and the upper bound of
    one duration.  */
@@ -154,7 +154,7 @@
   leader->position = position;
   if (!ready || leader->stopping)
     return;
-  /* If there is no leader, there is no silence to wait for.  */
+  /* If no leader is known, a claim need not wait.  */
   if (silence_time (leader) > 0 && sent_at < gp_leader_claim_at (leader))
     return;
   gp_leader_claim (leader);
@@ -209,7 +209,7 @@
   leader->leader_known = true;
   if (here)
     gp_leader_raise_incarnation (leader, leadership->incarnation);
-  /* An earlier process of this VM must have ended, as this one runs.  */
+  /* An earlier process on this VM must have ended, as this one is running.  */
   leader->resigned = leadership->resigned || (here && !own);
   if (!own)
     leader->book_reset = false;
@@ -220,9 +220,9 @@
                             now_of (leader));
 }
 
-/* The leader's record cannot be read, so there may be a leader: it is
-   given the silence time once.  Further records of this kind do not delay
-   a claim.  */
+/* The leader's record cannot be read, so there may be a leader: claims wait
+   for the full time without a record once.  Further records of this kind do
+   not delay a claim.  */
 static void
 on_leadership_refused (gp_leader_t *leader)
 {
@@ -244,7 +244,7 @@
 }
 
 /* An executor runs on one VM only.  If records place it on two, one of them is
-   from another writer: the new one is left out, and until a guard reports the
+   from another writer: the new one is ignored, and until a guard reports the
    executor neither record is taken as proof of its death.  */
 static bool
 on_place (gp_leader_t *leader, const char *node, const Gp__Jobs__Place *record,
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -4,7 +4,7 @@
    append to the progress topic: it is refused unless the topic still ends at
    the offset up to which the writer has read.  Every later append has the same
    condition, so the next process that appends ends the leadership of the one
-   before it, and each decision of a leader is either on the log or has no
+   before it, and each decision of a leader is either in the log or has no
    effect.  The offset of the record that took leadership is the epoch.
 
    Orders are sent only after the append that records their reason was
@@ -125,10 +125,10 @@
   gp_timer_t retry;
   gp_deferred_t round;
   bool stopping;
-  /* Leadership was lost or, if CLAIMED, the attempt to take it failed.
-     The book of an entry that has led has to be reloaded, as it contains
-     decisions that are not on the log; that of one that has not still
-     matches the log.  */
+  /* Leadership was lost or, if CLAIMED, the attempt to take it failed.  The
+     book of an entry that has led has to be reloaded, as it contains decisions
+     that are not in the log; that of one that has not still matches the
+     log.  */
   void (*on_leadership_lost) (bool claimed, void *data);
   void *data;
   gp_refusals_t refusals; /* of the whole entry, not only of the leader */
@@ -180,7 +180,7 @@
 void gp_leader_job_changed (gp_leader_t *leader, gp_job_t *job);
 
 /* With the next append, delete the progress records of jobs that ended before
-   WALL_MS, and forget these jobs.  */
+   WALL_MS, and remove these jobs from the book.  */
 void gp_leader_drop_progress (gp_leader_t *leader, int64_t wall_ms);
 
 /* Give leadership up, once the append in flight is done.  */
--- a/src/jobsd/leader_append.c
+++ b/src/jobsd/leader_append.c
@@ -120,7 +120,7 @@
   leader->outcome_unknown = false;
 }
 
-/* From now on callers may be shown the states that were written.  */
+/* From now on the states that were written may be sent to callers.  */
 static void
 note_recorded (gp_leader_t *leader)
 {
@@ -219,8 +219,8 @@
 static void append (gp_leader_t *leader);
 static void check_append (gp_leader_t *leader);
 
-/* Does ANSWER contain a leader's record of another process?  One that cannot
-   be read counts as well.  */
+/* Returns whether ANSWER contains a leader's record of another process.  One
+   that cannot be read counts as well.  */
 static bool
 has_other_leader (const gp_platform_store_answer_t *answer)
 {
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -73,7 +73,7 @@
 }
 
 /* The guard on NODE reports EXECUTOR, so records of another writer that place
-   it on another VM are wrong.  If they were kept, EXECUTOR would be declared
+   it on another VM are wrong.  If they remained, EXECUTOR would be declared
    dead as soon as the guard of that VM reports its own executor, and each of
    its runs would be started a second time.  */
 static void
@@ -93,8 +93,8 @@
                               gp_loop_now (leader->loop), gp_time_wall_ms ());
 }
 
-/* Does PREDECESSOR, from a guard's report, describe this incarnation of
-   EXECUTOR?  */
+/* Returns whether PREDECESSOR, from a guard's report, describes this
+   incarnation of EXECUTOR.  */
 static bool
 is_predecessor (const Gp__Jobs__Predecessor *predecessor,
                 const gp_job_executor_t *executor)
@@ -121,8 +121,9 @@
   declare_dead (leader, executor, why);
 }
 
-/* Is REPORT from another incarnation of EXECUTOR, whose id it names?  Guards
-   and place records of the previous version give no birth time.  */
+/* Returns whether REPORT is from another incarnation of EXECUTOR, whose id it
+   names.  Guards and place records of the previous version give no birth
+   time.  */
 static bool
 is_next_incarnation (const gp_job_executor_t *executor,
                      const Gp__Jobs__Report *report)
@@ -238,7 +239,8 @@
     declare_dead (leader, executor,
                   report->answers ? GP_DEATH_LAPSED
                                   : GP_DEATH_LAPSED_UNANSWERED);
-  /* It may work again only with a new fence, which a sync raises.  */
+  /* The executor may start runs again only with a new fence, which a sync
+     raises.  */
   if (executor->dead)
     link->needs_sync = true;
   if (report->synced != link->sync
@@ -256,9 +258,9 @@
                         && report->synced == link->sync;
 }
 
-/* Is REPORT from the guard of LINK's VM?  A guard of another VM at this
-   address reports another executor, which would be taken as proof that the one
-   here is dead.  */
+/* Returns whether REPORT is from the guard of LINK's VM, and closes the
+   connection if not.  A guard of another VM at this address reports another
+   executor, which would be taken as proof that the one here is dead.  */
 static bool
 is_of_link (const gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
@@ -288,9 +290,9 @@
       g_ptr_array_add (link->missing_specs, g_strdup (report->lacking[i]));
 }
 
-/* Does REPORT need a planning round?  Most reports only contain measurements,
-   which are used in the next round: 300 guards send a thousand reports a
-   second, and a round goes through all waiting jobs.  */
+/* Returns whether REPORT requires a planning round.  Most reports only contain
+   measurements, which are used in the next round: 300 guards send a thousand
+   reports a second, and a round goes through all waiting jobs.  */
 static bool
 needs_round (const gp_guard_link_t *link, const Gp__Jobs__Report *report)
 {
@@ -538,8 +540,8 @@
 /* Executors.  */
 
 /* The time by which the leases of EXECUTOR, whose guard is behind LINK, have
-   certainly expired.  Renewals by former leaders count up to the guard's first
-   report to this one, whether or not that named the executor.  */
+   certainly expired.  Renewals by previous leaders count up to the guard's
+   first report to this one, whether or not that named the executor.  */
 static gp_time_t
 leases_end (const gp_leader_t *leader, const gp_guard_link_t *link,
             const gp_job_executor_t *executor)
@@ -552,8 +554,9 @@
   return gp_agent_lease_end (MAX (given, executor->reported_at));
 }
 
-/* Does the guard behind LINK report EXECUTOR?  A guard that has restarted may
-   not know of it, and then nobody renews the lease of that executor.  */
+/* Returns whether the guard behind LINK reports EXECUTOR.  A guard that has
+   restarted may not know of it, and then no guard renews the lease of that
+   executor.  */
 static bool
 is_reported (const gp_guard_link_t *link, const gp_job_executor_t *executor)
 {
@@ -561,8 +564,8 @@
          && link->executor == executor;
 }
 
-/* No guard reports EXECUTOR: log once what its runs wait for, if this takes
-   longer than a reconnect.  */
+/* No guard reports EXECUTOR: log once what its runs wait for, if the wait
+   exceeds the time of a reconnect.  */
 static void
 log_awaited (const gp_leader_t *leader, const gp_guard_link_t *link,
              gp_job_executor_t *executor, const char *node)
@@ -626,8 +629,8 @@
   gp_timer_arm (&link->redial, now + REDIAL_DELAY);
 }
 
-/* Count the runs on executors that no guard reports: a level that stays up
-   shows that work is held by executors that are gone.  */
+/* Count the runs on executors that no guard reports: a level that remains high
+   shows that work is assigned to executors that have ended.  */
 static void
 count_unreachable (const gp_leader_t *leader)
 {
--- a/src/jobsd/leader_model.c
+++ b/src/jobsd/leader_model.c
@@ -83,8 +83,8 @@
     }
 }
 
-/* Append filling images that are new in the model, so that positions stay
-   valid.  */
+/* Append the filling images that are new in the model; the positions of the
+   others do not change.  */
 static void
 update_fillings (gp_leader_t *leader)
 {
--- a/src/jobsd/leader_private.h
+++ b/src/jobsd/leader_private.h
@@ -20,8 +20,9 @@
   const char *executor;
 } gp_leader_place_t;
 
-/* For g_hash_table_find on the table of places: is EXECUTOR, at NODE there,
-   the executor of the gp_leader_place_t DATA but on another VM?  */
+/* For g_hash_table_find on the table of places: returns whether EXECUTOR, at
+   NODE there, is the executor of the gp_leader_place_t DATA but on another
+   VM.  */
 gboolean gp_leader_is_recorded_elsewhere (gpointer node, gpointer executor,
                                           gpointer data);
 
--- a/src/jobsd/operator_feed.c
+++ b/src/jobsd/operator_feed.c
@@ -140,7 +140,7 @@
   gp_feed_init (&operators->feed, loop, store, GP_TOPIC_OPERATORS, 0,
                 &feed_callbacks, operators);
   /* A document may have 256 KB, and ten may be published within a few seconds:
-     to read all of them takes ten seconds on a link of 2 Mbit/s.  */
+     reading all of them takes ten seconds on a link of 2 Mbit/s.  */
   gp_feed_set_newest_only (&operators->feed);
 }
 
--- a/src/jobsd/relay.c
+++ b/src/jobsd/relay.c
@@ -7,13 +7,13 @@
 #include "base/counters.h"
 #include "base/log.h"
 
-/* Timeout of a relayed call: it may be a long poll of a second, and after that
-   it gets the time that the caller itself would wait.  */
+/* Timeout of a relayed call: a long poll of a second, plus the time that the
+   caller itself would wait for an answer.  */
 #define RELAY_TIMEOUT (2600 * GP_MSEC)
 /* Timeout between two parts of a response, the same as for direct calls
    (platform/store.h).  */
 #define STALL_TIMEOUT (1500 * GP_MSEC)
-/* The platform's limit of one append, and some more.  */
+/* Above the platform's limit of one append.  */
 #define BODY_MAX ((size_t)4 * 1024 * 1024)
 #define HEADER_TIMEOUT (15 * GP_SEC)
 #define CONNECTIONS 16
--- a/src/jobsd/relay.h
+++ b/src/jobsd/relay.h
@@ -5,7 +5,7 @@
    to the store unchanged, and has its own calls relayed by a peer while its
    direct route fails (see jobsd/store_route.h).  A relay always uses its
    direct route, so calls are relayed only once.  The store checks the
-   conditions on appends, so they hold on either route.  */
+   conditions on appends, so they apply on either route.  */
 
 #ifndef GP_JOBSD_RELAY_H
 #define GP_JOBSD_RELAY_H
--- a/src/jobsd/store_route.c
+++ b/src/jobsd/store_route.c
@@ -13,7 +13,7 @@
 /* If this many peers have no route either, the store is considered down, and
    no peer is tried for PEERS_PAUSE.  When a third of all entries cannot reach
    the store, one in a hundred does not find a peer that can; trying all peers
-   in turn would take as long as an outage.  */
+   one after the other would take as long as an outage.  */
 #define PEERS_TO_TRY 4
 #define PEERS_PAUSE (1500 * GP_MSEC)
 /* Interval between probes of the direct route while calls are relayed.  */
--- a/src/jobsd/store_route.h
+++ b/src/jobsd/store_route.h
@@ -1,9 +1,9 @@
 /* The route of a process's calls to the store: direct, or through a peer that
    relays them (see jobsd/relay.h).
 
-   After a few consecutive failures the route is changed, to each peer in turn
-   and then back to the direct route.  While calls are relayed the direct route
-   is probed regularly, and used as soon as it works.  */
+   After a few consecutive failures the route is changed, to one peer after the
+   other and then back to the direct route.  While calls are relayed the direct
+   route is probed regularly, and used as soon as it works.  */
 
 #ifndef GP_JOBSD_STORE_ROUTE_H
 #define GP_JOBSD_STORE_ROUTE_H
--- a/src/jobsd/traffic_reporter.c
+++ b/src/jobsd/traffic_reporter.c
@@ -4,8 +4,8 @@
 
 #include "transport/traffic.h"
 
-/* Interval between two lines: any ten seconds of a log show what fills a link,
-   at a cost of some forty bytes of log a second.  */
+/* Interval between two lines: every ten seconds the log shows which traffic
+   uses the link, at a cost of about forty bytes of log per second.  */
 #define REPORT_INTERVAL (10 * GP_SEC)
 
 static void
