--- a/src/jobs/scheduler_losses.c
+++ b/src/jobs/scheduler_losses.c
@@ -319,7 +319,7 @@
                   gp_time_t now)
 {
   unsigned others = 0;
-  unsigned gone = 0;
+  unsigned lost_others = 0;
   GHashTableIter iter;
   gpointer value;
 
@@ -333,9 +333,9 @@
       if (other == executor || (other->dead && !lost))
         continue;
       others++;
-      gone += lost || !other->reachable;
+      lost_others += lost || !other->reachable;
     }
-  return gone >= OUTAGE_MIN_OTHERS && gone * 2 >= others;
+  return lost_others >= OUTAGE_MIN_OTHERS && lost_others * 2 >= others;
 }
 
 /* Returns the only job of which runs may have started on EXECUTOR just before
--- a/src/jobs/spec_store.c
+++ b/src/jobs/spec_store.c
@@ -101,20 +101,20 @@
 }
 
 bool
-gp_spec_store_add (gp_spec_store_t *store, const Gp__Jobs__Spec *told,
+gp_spec_store_add (gp_spec_store_t *store, const Gp__Jobs__Spec *message,
                    gp_time_t now)
 {
-  gp_spec_t *spec = g_hash_table_lookup (store->specs, told->job);
+  gp_spec_t *spec = g_hash_table_lookup (store->specs, message->job);
 
-  if (spec != NULL && spec->digest == told->digest && spec->bytes != NULL)
+  if (spec != NULL && spec->digest == message->digest && spec->bytes != NULL)
     return false;
-  spec = add (store, told->job, told->digest, now);
-  if (told->held)
+  spec = add (store, message->job, message->digest, now);
+  if (message->held)
     {
-      set_bytes (store, spec, &told->bytes, now);
+      set_bytes (store, spec, &message->bytes, now);
       return false;
     }
-  spec->holder = g_strdup (told->holder);
+  spec->holder = g_strdup (message->holder);
   spec->await_end = now + HOLDER_TIMEOUT;
   return true;
 }
@@ -128,20 +128,21 @@
 }
 
 bool
-gp_spec_store_receive (gp_spec_store_t *store, const Gp__Jobs__Spec *told,
+gp_spec_store_receive (gp_spec_store_t *store, const Gp__Jobs__Spec *message,
                        gp_time_t now)
 {
-  gp_spec_t *spec = g_hash_table_lookup (store->specs, told->job);
+  gp_spec_t *spec = g_hash_table_lookup (store->specs, message->job);
 
   if (spec == NULL || spec->bytes != NULL)
     return true;
-  if (!told->held
-      || gp_spec_digest (told->bytes.data, told->bytes.len) != spec->digest)
+  if (!message->held
+      || gp_spec_digest (message->bytes.data, message->bytes.len)
+             != spec->digest)
     {
       give_up_holder (spec);
       return false;
     }
-  set_bytes (store, spec, &told->bytes, now);
+  set_bytes (store, spec, &message->bytes, now);
   return true;
 }
 
--- a/src/jobsd/entry.c
+++ b/src/jobsd/entry.c
@@ -181,7 +181,7 @@
 
   gp_log (GP_LOG_INFO, down ? "store.down" : "store.up",
           GP_LOG_S ("topic", topics[topic]), GP_LOG_S ("why", reason));
-  gp_leader_reset_silence (&entry->leader);
+  gp_leader_reset_takeover_timeout (&entry->leader);
   if (!down)
     retry_calls (entry, topic);
 }
--- a/src/jobsd/guard_reports.c
+++ b/src/jobsd/guard_reports.c
@@ -126,14 +126,14 @@
 {
   for (guint i = 0; i < agent->ended_fillings->len; i++)
     {
-      const gp_agent_ended_filling_t *gone = &g_array_index (
+      const gp_agent_ended_filling_t *ended = &g_array_index (
           agent->ended_fillings, gp_agent_ended_filling_t, i);
       Gp__Jobs__Filling filling = GP__JOBS__FILLING__INIT;
 
-      filling.image = gone->image;
+      filling.image = ended->image;
       filling.pace_percent = GP_PACER_FULL_SPEED;
       filling.work_permille
-          = (uint32_t)(gp_agent_ended_filling_work (gone, agent->measured_at)
+          = (uint32_t)(gp_agent_ended_filling_work (ended, agent->measured_at)
                        * 1000.0);
       g_array_append_val (fillings, filling);
     }
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -9,12 +9,13 @@
 #include "base/log.h"
 #include "jobs/fields.h"
 
-/* Time without a record after which others try to take over: SILENCE_BASE plus
-   SILENCE_INTERVALS times the average time between two records.  The second
-   part lets a leader with a slow store or on a slow VM keep leadership.  Work
-   that is due within 1.5 s waits for a new leader.  */
-#define SILENCE_BASE (700 * GP_MSEC)
-#define SILENCE_INTERVALS 4
+/* Time without a record after which others try to take over:
+   TAKEOVER_TIMEOUT_BASE plus TAKEOVER_TIMEOUT_INTERVALS times the average time
+   between two records.  The second part lets a leader with a slow store or on
+   a slow VM keep leadership.  Work that is due within 1.5 s waits for a new
+   leader.  */
+#define TAKEOVER_TIMEOUT_BASE (700 * GP_MSEC)
+#define TAKEOVER_TIMEOUT_INTERVALS 4
 /* Interval between checks for executors that are not reported or draining;
    short compared with the timeouts that are checked, which are seconds.  */
 #define CHECK_INTERVAL (50 * GP_MSEC)
@@ -24,11 +25,11 @@
 #define INTERVAL_MAX (500 * GP_MSEC)
 /* Followers wait up to this much longer, depending on their node's name, so
    that two seldom claim at once.  */
-#define SILENCE_JITTER (400 * GP_MSEC)
+#define TAKEOVER_TIMEOUT_JITTER (400 * GP_MSEC)
 /* An entry that lost leadership, possibly to an unreadable record of another
    writer, waits this much longer than the others: they have not reset their
    books and may still know what that record replaced.  */
-#define BOOK_RESET_DELAY SILENCE_BASE
+#define BOOK_RESET_DELAY TAKEOVER_TIMEOUT_BASE
 
 static gp_time_t
 now_of (const gp_leader_t *leader)
@@ -130,19 +131,21 @@
 }
 
 static gp_time_t
-silence_time (const gp_leader_t *leader)
+takeover_timeout (const gp_leader_t *leader)
 {
   if (!leader->leader_known || leader->resigned)
     return 0;
-  return SILENCE_BASE + SILENCE_INTERVALS * leader->record_interval
+  return TAKEOVER_TIMEOUT_BASE
+         + TAKEOVER_TIMEOUT_INTERVALS * leader->record_interval
          + (leader->book_reset ? BOOK_RESET_DELAY : 0)
-         + (gp_time_t)(g_str_hash (leader->node) % 5) * SILENCE_JITTER / 4;
+         + (gp_time_t)(g_str_hash (leader->node) % 5) * TAKEOVER_TIMEOUT_JITTER
+               / 4;
 }
 
 gp_time_t
 gp_leader_claim_at (const gp_leader_t *leader)
 {
-  return leader->record_read_at + silence_time (leader);
+  return leader->record_read_at + takeover_timeout (leader);
 }
 
 void
@@ -155,13 +158,13 @@
   if (!ready || leader->stopping)
     return;
   /* If no leader is known, a claim need not wait.  */
-  if (silence_time (leader) > 0 && sent_at < gp_leader_claim_at (leader))
+  if (takeover_timeout (leader) > 0 && sent_at < gp_leader_claim_at (leader))
     return;
   gp_leader_claim (leader);
 }
 
 void
-gp_leader_reset_silence (gp_leader_t *leader)
+gp_leader_reset_takeover_timeout (gp_leader_t *leader)
 {
   leader->record_read_at = now_of (leader);
 }
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -169,7 +169,7 @@
 void gp_leader_retry (gp_leader_t *leader);
 /* The progress topic could not be read for a while: restart the time without a
    leader's record, which says nothing about the leader then.  */
-void gp_leader_reset_silence (gp_leader_t *leader);
+void gp_leader_reset_takeover_timeout (gp_leader_t *leader);
 
 /* The guard of NODE, in availability zone ZONE, is reached at ADDRESS.  */
 void gp_leader_set_guard (gp_leader_t *leader, const char *node,
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -373,7 +373,7 @@
 /* Prints the runs that may have caused the executor's failure, with the flags
    of its predecessor's suspects.  */
 static void
-show_beginners (gp_agent_t *agent, const char *what, gp_time_t now)
+show_suspected_runs (gp_agent_t *agent, const char *what, gp_time_t now)
 {
   gp_agent_set_executor (agent, agent_executor_new ("x2"), 70, now);
   printf ("  %s:", what);
@@ -388,8 +388,9 @@
 /* TASK was started at NOW - OLDER, and OTHER at NOW with the outcome STARTED;
    a call to the executor fails with RESULT after DELAY.  */
 static void
-crash_beside (const char *what, gp_time_t older, gp_agent_result_t started,
-              gp_agent_result_t result, gp_time_t delay)
+crash_with_other_run (const char *what, gp_time_t older,
+                      gp_agent_result_t started, gp_agent_result_t result,
+                      gp_time_t delay)
 {
   gp_agent_t agent;
   gp_time_t now = 10 * GP_SEC;
@@ -405,7 +406,7 @@
   if (started == GP_AGENT_ACCEPTED)
     agent.answered_at = now;
   gp_agent_list_failed (&agent, result, -1, now + delay);
-  show_beginners (&agent, what, now + 3 * GP_SEC);
+  show_suspected_runs (&agent, what, now + 3 * GP_SEC);
 }
 
 /* Regression test: jobs were failed for other work that had begun on their
@@ -419,27 +420,32 @@
   gp_time_t now = 10 * GP_SEC;
 
   printf ("which of several runs had only just begun\n");
-  crash_beside ("the connection ends after 10 ms", 300 * GP_MSEC,
-                GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED, 10 * GP_MSEC);
-  crash_beside ("nobody listens after 60 ms", 300 * GP_MSEC, GP_AGENT_ACCEPTED,
-                GP_AGENT_CONNECTION_REFUSED, 60 * GP_MSEC);
-  crash_beside ("the answer to the start was lost with it", 300 * GP_MSEC,
-                GP_AGENT_DISCONNECTED, GP_AGENT_DISCONNECTED, 10 * GP_MSEC);
-  crash_beside ("the connection ends after a second", 300 * GP_MSEC,
-                GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED, GP_SEC);
-  crash_beside ("calls run out of time", 300 * GP_MSEC, GP_AGENT_ACCEPTED,
-                GP_AGENT_UNANSWERED, 60 * GP_MSEC);
-  crash_beside ("the same, after a start that went unanswered", 300 * GP_MSEC,
-                GP_AGENT_UNANSWERED, GP_AGENT_UNANSWERED, 60 * GP_MSEC);
-  crash_beside ("both had begun for longer", 300 * GP_MSEC, GP_AGENT_ACCEPTED,
-                GP_AGENT_DISCONNECTED, 200 * GP_MSEC);
+  crash_with_other_run ("the connection ends after 10 ms", 300 * GP_MSEC,
+                        GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED,
+                        10 * GP_MSEC);
+  crash_with_other_run ("nobody listens after 60 ms", 300 * GP_MSEC,
+                        GP_AGENT_ACCEPTED, GP_AGENT_CONNECTION_REFUSED,
+                        60 * GP_MSEC);
+  crash_with_other_run ("the answer to the start was lost with it",
+                        300 * GP_MSEC, GP_AGENT_DISCONNECTED,
+                        GP_AGENT_DISCONNECTED, 10 * GP_MSEC);
+  crash_with_other_run ("the connection ends after a second", 300 * GP_MSEC,
+                        GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED, GP_SEC);
+  crash_with_other_run ("calls run out of time", 300 * GP_MSEC,
+                        GP_AGENT_ACCEPTED, GP_AGENT_UNANSWERED, 60 * GP_MSEC);
+  crash_with_other_run ("the same, after a start that went unanswered",
+                        300 * GP_MSEC, GP_AGENT_UNANSWERED,
+                        GP_AGENT_UNANSWERED, 60 * GP_MSEC);
+  crash_with_other_run ("both had begun for longer", 300 * GP_MSEC,
+                        GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED,
+                        200 * GP_MSEC);
   printf ("a run that was started and is to be stopped had begun\n");
   begin (&agent, now);
   agent_sync_with (&agent, TASK, 1, 0);
   call (&agent, GP_AGENT_ACCEPTED, now);
   order_stop (&agent, TASK, 1);
   gp_agent_list_failed (&agent, GP_AGENT_UNANSWERED, -1, now + 1);
-  show_beginners (&agent, "stopped", now + 3 * GP_SEC);
+  show_suspected_runs (&agent, "stopped", now + 3 * GP_SEC);
 }
 
 static void
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -171,7 +171,7 @@
   guint epoch;
   guint end; /* end of the log after its last record */
   gp_time_t confirmed_at;
-  gp_time_t heard_at;
+  gp_time_t record_read_at;
   gp_time_t down_until; /* killed until then */
   gp_time_t frozen_until;
   gp_time_t store_cut_until; /* cut off from the store */
@@ -237,7 +237,7 @@
 
   gp_grants_record_read (&entry->grants, offset, world->now);
   gp_grants_leadership_read (&entry->grants, record, offset, world->now);
-  entry->heard_at = record->resigned ? 0 : world->now;
+  entry->record_read_at = record->resigned ? 0 : world->now;
   gp__jobs__leadership__free_unpacked (record, NULL);
 }
 
@@ -245,7 +245,7 @@
 static void
 read_newest (world_t *world, entry_t *entry)
 {
-  entry->heard_at = world->now;
+  entry->record_read_at = world->now;
   entry->records_read = world->log->len;
   if (world->log->len > 0)
     read_record (world, entry, world->log->len - 1);
@@ -352,7 +352,7 @@
   else if (!entry->leads)
     {
       read_log (world, entry);
-      if (world->now < entry->heard_at + SILENCE_TIME)
+      if (world->now < entry->record_read_at + SILENCE_TIME)
         return;
       write_record (world, entry, false);
       entry->leads = true;
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -198,7 +198,7 @@
 /* The leader.  */
 
 static gp_job_executor_t *
-next_life (jobs_site_t *site, gp_job_executor_t *executor)
+next_incarnation (jobs_site_t *site, gp_job_executor_t *executor)
 {
   gp_job_executor_t *next = gp_book_next_incarnation (&site->book, executor,
                                                       executor->born_ms + 1);
@@ -227,7 +227,7 @@
                           jobs_site_submission (2, 1000));
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  second = next_life (&site, first);
+  second = next_incarnation (&site, first);
   CU_ASSERT_PTR_EQUAL (gp_book_executor (&site.book, ID), second);
   gp_scheduler_move_run (&site.scheduler, first, second, TASK, 1);
   gp_scheduler_move_run (&site.scheduler, first, second, TASK, 7);
@@ -259,7 +259,7 @@
   job = jobs_site_submit (&site, "00000000000000aa",
                           jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
-  second = next_life (&site, first);
+  second = next_incarnation (&site, first);
   jobs_site_executor_dead (&site, first, GP_DEATH_RESTARTED);
   gp_scheduler_run_ended (&site.scheduler, second, &end, site.now, 1);
   jobs_site_print_job (job);
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -250,7 +250,8 @@
 /* A job of one task starts beside TASK and immediately crashes their
    executor.  */
 static void
-crash_beside (jobs_site_t *site, const char *id, const gp_job_task_t *task)
+crash_with_other_run (jobs_site_t *site, const char *id,
+                      const gp_job_task_t *task)
 {
   gp_job_t *other = jobs_site_submit (site, id, jobs_site_submission (1, 500));
 
@@ -285,7 +286,7 @@
         break;
       site.now += 1036 * GP_MSEC;
       report_suspect (&site, &job->tasks[0], STARTED_EARLIER);
-      crash_beside (&site, id, &job->tasks[0]);
+      crash_with_other_run (&site, id, &job->tasks[0]);
       replace_executor (&site, job->tasks[0].executor->id, next);
     }
   jobs_site_print_job (job);
--- a/tests/unit/test_waits.c
+++ b/tests/unit/test_waits.c
@@ -134,7 +134,7 @@
 
 /* Checks whether the waiting task of a job with another run is reported.  */
 static void
-wait_beside (const char *what, arrange_t arrange)
+wait_with_other_run (const char *what, arrange_t arrange)
 {
   jobs_site_t site;
   gp_job_executor_t *executor;
@@ -165,9 +165,9 @@
 static void
 test_beside (void)
 {
-  wait_beside ("the other executor is full", set_full);
-  wait_beside ("it fails what it is given", set_failing);
-  wait_beside ("it is kept for others", set_dedicated);
+  wait_with_other_run ("the other executor is full", set_full);
+  wait_with_other_run ("it fails what it is given", set_failing);
+  wait_with_other_run ("it is kept for others", set_dedicated);
 }
 
 static void
