--- a/tests/unit/late_world.c
+++ b/tests/unit/late_world.c
@@ -14,7 +14,7 @@
 #define GUARD_TIME (500 * GP_MSEC)
 #define CALL_TIMEOUT (300 * GP_MSEC)
 
-/* A call under way: carried out at DUE, answered unless LOST.  */
+/* A call in progress: carried out at DUE, answered unless LOST.  */
 typedef struct
 {
   gp_agent_call_kind_t kind; /* NONE: a list */
@@ -26,8 +26,8 @@
   gp_time_t sent_at;
   gp_time_t due;
   bool lost;
-  gp_time_t times_out_at; /* the agent gets no answer then, 0: it has got its
-                             result */
+  gp_time_t times_out_at; /* the agent treats it as unanswered from then on, 0:
+                             the agent has its result */
 } call_t;
 
 bool
@@ -281,7 +281,7 @@
     call->due = MIN (call->due, world->site.now + 50 * GP_MSEC);
 }
 
-/* The guard connects to the present incarnation of the executor.  */
+/* The guard connects to the current incarnation of the executor.  */
 static void
 connect_guard (late_world_t *world, late_worker_t *worker)
 {
--- a/tests/unit/late_world.h
+++ b/tests/unit/late_world.h
@@ -34,13 +34,13 @@
   gp_time_t starts_late_until;
   bool connected; /* the guard knows this incarnation of the executor */
   bool listing;
-  GArray *calls; /* calls under way, see late_world.c */
+  GArray *calls; /* calls in progress, see late_world.c */
   gp_time_t report_at;
   gp_time_t crashed_with; /* delay from the crash to the kill of its guard */
   /* The leader's view of the guard.  */
   char executor_id[16]; /* the executor that the leader knows here, "": none
                            ... */
-  char pending_id[16];  /* ... the same in the append that is under way ... */
+  char pending_id[16];  /* ... the same in the append in progress ... */
   char recorded_id[16]; /* ... and in the log */
   gp_job_executor_t *executor;
   uint64_t sync;
@@ -53,14 +53,14 @@
   GRand *random;
   unsigned faults; /* late_fault_t */
   jobs_site_t site;
-  GHashTable *log;       /* job to its newest record, GBytes */
-  GHashTable *submitted; /* job to its submission, GBytes */
-  GHashTable *pending; /* job to its record in the append that is under way */
-  GArray *orders;      /* gp_order_t that wait for this append */
+  GHashTable *log;          /* job to its newest record, GBytes */
+  GHashTable *submitted;    /* job to its submission, GBytes */
+  GHashTable *pending;      /* job to its record in the append in progress */
+  GArray *orders;           /* gp_order_t that wait for this append */
   bool syncs[LATE_WORKERS]; /* syncs that wait for this append */
   gp_time_t decided_at;
-  gp_time_t append_at; /* when the append completes, GP_TIME_NEVER: none is
-                          under way */
+  gp_time_t append_at; /* when the append completes, GP_TIME_NEVER: none is in
+                          progress */
   uint64_t sync_count;
   late_worker_t workers[LATE_WORKERS];
   unsigned jobs;
--- a/tests/unit/late_world_impl.h
+++ b/tests/unit/late_world_impl.h
@@ -14,7 +14,8 @@
 /* WORKER's guard reports to the leader.  */
 void late_leader_report (late_world_t *world, late_worker_t *worker);
 
-/* Plan and start an append, unless one is under way; complete the append.  */
+/* Plan and start an append, unless one is in progress; complete the
+   append.  */
 void late_leader_plan (late_world_t *world, bool faulty);
 void late_leader_append_done (late_world_t *world);
 
--- a/tests/unit/late_world_leader.c
+++ b/tests/unit/late_world_leader.c
@@ -249,7 +249,7 @@
     }
 }
 
-/* Handles a report of another executor than the known one.  */
+/* Handles a report that names another executor than the known one.  */
 static void
 replace_executor (late_world_t *world, late_worker_t *worker)
 {
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -173,8 +173,8 @@
   gp_agent_finish (&agent);
 }
 
-/* Returns the lease that the next list would carry, in milliseconds after the
-   reading of the executor's clock; 0: none.  */
+/* Returns the lease that the next list request would contain, in milliseconds
+   after the reading of the executor's clock; 0: none.  */
 static int
 lease_left (gp_agent_t *agent, gp_time_t now)
 {
@@ -409,10 +409,10 @@
   show_suspected_runs (&agent, what, now + 3 * GP_SEC);
 }
 
-/* Regression test: jobs were failed for other work that had begun on their
-   executor up to a second later, as all runs that had not settled were held
-   equally responsible.  A failure is noticed at once if the executor closes
-   the connection, or refuses one between two lists.  */
+/* Guards against failing jobs because of other work that began on their
+   executor up to a second later, when all runs that had not settled were
+   considered equally responsible.  A failure is noticed at once if the
+   executor closes the connection, or refuses one between two lists.  */
 static void
 test_beginners (void)
 {
--- a/tests/unit/test_agent_measure.c
+++ b/tests/unit/test_agent_measure.c
@@ -1,6 +1,6 @@
 /* Tests of the agent's evaluation of measurements: a busy filling run is
-   slowed down and one in a light phase is not, until a serving run stays over
-   its target, which shows that the phases are not what they seem.  */
+   slowed down and one that is not busy is not, until a serving run stays over
+   its target, which shows that the phases are not measured correctly.  */
 
 #include <glib.h>
 #include <stdio.h>
--- a/tests/unit/test_agent_random.c
+++ b/tests/unit/test_agent_random.c
@@ -17,7 +17,7 @@
 #define STEP (20 * GP_MSEC)
 #define STEPS 1500
 
-/* A call under way: carried out at DUE, and answered unless LOST.  */
+/* A call in progress: carried out at DUE, and answered unless LOST.  */
 typedef struct
 {
   gp_agent_call_kind_t kind; /* GP_AGENT_CALL_NONE: a list */
@@ -174,7 +174,7 @@
     }
 }
 
-/* Does what the leader would do on a report made now.  */
+/* Acts as the leader does on a report made now.  */
 static void
 act_as_leader (world_t *world)
 {
--- a/tests/unit/test_alone.c
+++ b/tests/unit/test_alone.c
@@ -132,8 +132,8 @@
   call (guard, GP_AGENT_ACCEPTED);
 }
 
-/* Regression test: soak runs and the scripts of late orders found this
-   case.  */
+/* Guards against a fault that soak runs and the scripts of late orders
+   found.  */
 static void
 test_unanswered_beside (void)
 {
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -1,6 +1,6 @@
 /* Tests evacuated zones: the effect of records and of loads of their topic,
    and that no guard starts anything in an evacuated zone later than operators
-   are promised, whatever happens to the leaders' messages on their way.  */
+   are promised, whatever happens to the leaders' messages in transit.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -214,7 +214,7 @@
 /* Guards against starts on an executor that is about to leave.  Three leaders
    were lost in a row while executors drained, and a message of the fourth one
    led to starts that had not been made before, three seconds after the
-   executor was last heard from.  */
+   executor's last answer.  */
 static void
 test_leaves (void)
 {
@@ -275,8 +275,8 @@
   return is_evacuated (time) && is_evacuated (time - IN_FORCE_TIME);
 }
 
-/* Returns a message of LEADER, whose view was current at SEEN, in reply to a
-   report sent at NOW.  */
+/* Returns a message of a leader whose view was current at VIEW_AT, in reply to
+   a report sent at NOW.  */
 static message_t
 make_message (GRand *random, gp_time_t view_at, gp_time_t now)
 {
--- a/tests/unit/test_feed.c
+++ b/tests/unit/test_feed.c
@@ -25,7 +25,7 @@
     (text), sizeof (text) - 1                                                 \
   }
 /* Head of the answer to a read: the end offset of the topic, then the first
-   offset that is kept.  */
+   offset that is retained.  */
 #define HEAD(end) "\0\0\0\0\0\0\0" end "\0\0\0\0\0\0\0\0"
 #define RECORD(key, value) "\0\0\0\x04\x01" key value
 
@@ -222,7 +222,7 @@
 
 /* With newest_only, a feed that is one record behind reads that record; a feed
    that is several records behind loads the topic instead, as a burst of large
-   documents would otherwise fill the link.  */
+   documents would otherwise saturate the link.  */
 static void
 test_newest_only (void)
 {
--- a/tests/unit/test_filling_load.c
+++ b/tests/unit/test_filling_load.c
@@ -1,9 +1,9 @@
-/* Simulates filling work beside serving runs on random sites under three
-   policies: full speed, a simple policy that halves all filling work on an
-   executor with a run over its target, and the policy of the leader and the
-   guards (jobs/pressure.h, jobs/pacer.h).  Checks the results for callers: how
-   long serving runs are over their targets, and how much filling work is
-   done.  */
+/* Simulates filling and serving runs that share executors on random sites
+   under three policies: full speed, a simple policy that halves all filling
+   work on an executor with a run over its target, and the policy of the leader
+   and the guards (jobs/pressure.h, jobs/pacer.h).  Checks the results for
+   callers: how long serving runs are over their targets, and how much filling
+   work is done.  */
 
 #include <glib.h>
 #include <math.h>
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -194,7 +194,7 @@
   guint obeyed_epoch; /* epoch of the leader that the guard obeys */
   gp_time_t sent_at;
   gp_time_t guard_down_until;
-  gp_time_t known_at; /* the guard learns of the executor then */
+  gp_time_t known_at; /* when the guard knows of the executor */
   gp_time_t lease_end;
   guint dead_epoch; /* epoch of the leader that has declared the executor dead,
                        0: none */
@@ -241,7 +241,8 @@
   gp__jobs__leadership__free_unpacked (record, NULL);
 }
 
-/* Of the earlier records only the newest is kept.  */
+/* Reads the log from the start: of the earlier records only the newest is
+   retained.  */
 static void
 read_newest (world_t *world, entry_t *entry)
 {
@@ -251,8 +252,8 @@
     read_record (world, entry, world->log->len - 1);
 }
 
-/* Of the announcements, only the newest of each entry is kept; it may be older
-   than the records.  */
+/* Reads the announcements from the start: only the newest of each entry is
+   retained; it may be older than the records.  */
 static void
 read_newest_announcements (world_t *world, entry_t *entry)
 {
@@ -336,7 +337,7 @@
 static void
 use_store (world_t *world, entry_t *entry)
 {
-  /* The topics are not read at the same pace.  */
+  /* The topics are not read at the same speed.  */
   if (chance (world, 0.7))
     read_announcements (world, entry);
   if (entry->leads && entry->end != world->log->len)
@@ -473,7 +474,8 @@
 
 /* The guard reaches only a previous leader, which is cut off from the store.
    In some cases the guard restarts and no longer knows which leader it obeyed,
-   or the other entries restart and have to learn which leaders there were.  */
+   or the other entries restart and have to find out which leaders there
+   were.  */
 static void
 partition_guard (world_t *world)
 {
--- a/tests/unit/test_hand_in.c
+++ b/tests/unit/test_hand_in.c
@@ -1,11 +1,11 @@
 /* Tests of the timeouts of write requests.
 
-   Regression tests: during an outage of the store of five seconds, callers
-   whose last try came just before or after its end were told at once that the
-   store does not answer, or that nothing is known of their job, although a
-   record would have taken milliseconds.  Simulated are callers that arrive
-   throughout an outage and try again a second after each refusal, with the
-   current rules and the previous ones.  */
+   Guards against refusing callers needlessly: during an outage of the store of
+   five seconds, callers whose last attempt came just before or after its end
+   were refused at once, or got the answer that nothing is known of their job,
+   although a record would have taken milliseconds.  Simulated are callers that
+   arrive throughout an outage and try again a second after each refusal, with
+   the current rules and the previous ones.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -45,8 +45,9 @@
     }
 }
 
-/* Is a write request that arrives at NOW, with the remaining timeout TIMEOUT,
-   recorded and answered in time?  If not, it is refused at *UNTIL.  */
+/* Returns whether a write request that arrives at NOW, with the remaining
+   timeout TIMEOUT, is recorded and answered in time.  If not, it is refused at
+   *UNTIL.  */
 static bool
 is_served (gp_time_t now, gp_time_t timeout, gp_time_t *until)
 {
--- a/tests/unit/test_headroom.c
+++ b/tests/unit/test_headroom.c
@@ -89,7 +89,7 @@
   CU_ASSERT (fabs (gp_headroom_at (&track, GP_SEC) - 3.5) < 0.05);
 }
 
-/* A track without measurements for minutes follows the next one at once.  */
+/* After minutes without measurements a track follows the next one at once.  */
 static void
 test_pause (void)
 {
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -126,7 +126,7 @@
       agent->is_synced);
 }
 
-/* Regression test: a task ran again after its end was noted, as the number of
+/* Regression test: a task ran again after its end was listed, as the number of
    the end had been used by the previous incarnation.  */
 static void
 test_ends_of_next_life (void)
@@ -169,8 +169,8 @@
           gp_agent_list_lease (agent, now) > 0, agent->fence);
 }
 
-/* Confirmed ends, leases and orders of an incarnation must not reach the next
-   one before it is known.  */
+/* Confirmed ends, leases and orders for one incarnation must not reach the
+   next one before the agent knows of it.  */
 static void
 test_doubt (void)
 {
@@ -241,8 +241,8 @@
 }
 
 /* Regression test: the next incarnation carried out a start of the previous
-   one while the task waited to run again; its end was noted, and the task ran
-   once more.  */
+   one while the task waited to run again; its end was reported, and the task
+   ran once more.  */
 static void
 test_done_late (void)
 {
--- a/tests/unit/test_lives_random.c
+++ b/tests/unit/test_lives_random.c
@@ -49,8 +49,8 @@
   gp_time_t now;
   gp_time_t wall_ms; /* time of day, which may step back */
   bool listing;
-  bool list_is_dead;     /* the connection for lists is silently dead; the next
-                            list uses another one */
+  bool list_is_dead; /* the connection for lists was lost without being closed;
+                        the next list uses another one */
   int64_t known_born_ms; /* as known to the leader */
   uint32_t wanted;
   uint32_t given_up; /* runs up to this one must not run any more */
@@ -92,8 +92,8 @@
 }
 
 /* Checks that the ends that the executor has dropped as confirmed were
-   recorded as ends of its incarnation, unless the confirmation was meant for
-   the previous incarnation and arrived before anyone could reach the current
+   recorded as ends of its incarnation, unless the confirmation was sent to the
+   previous incarnation and arrived before the agent could reach the current
    one.  */
 static void
 check_confirmed (const world_t *world, const pending_call_t *pending_call)
@@ -267,7 +267,7 @@
   pending_call->asked_born_ms = born_ms;
 }
 
-/* Does a report list RUN as running or ended?  */
+/* Returns whether a report lists RUN as running or ended.  */
 static bool
 is_carried (const world_t *world, uint32_t run)
 {
@@ -305,7 +305,7 @@
     agent_confirm_ends (agent, ID, world->known_born_ms, agent->listed_ends);
 }
 
-/* Does what the leader would do on a report made now.  */
+/* Acts as the leader does on a report made now.  */
 static void
 act_as_leader (world_t *world)
 {
@@ -343,8 +343,8 @@
 }
 
 /* Checks that no run that was given up is running.  Exempt are runs that were
-   ordered from the previous incarnation and carried out before anyone could
-   reach the current one, which no caller can prevent.  */
+   ordered from the previous incarnation and carried out before the agent could
+   reach the current one, which cannot be prevented.  */
 static void
 check_world (world_t *world)
 {
@@ -380,7 +380,7 @@
     }
 }
 
-/* Loses the answers to all calls under way.  */
+/* Loses the answers to all calls in progress.  */
 static void
 lose_answers (world_t *world)
 {
@@ -390,7 +390,7 @@
 }
 
 /* The executor restarts under its id.  Its connections are closed, or lost
-   silently; calls that have not arrived yet may reach the next
+   without being closed; calls that have not arrived yet may reach the next
    incarnation.  */
 static void
 restart_executor (world_t *world)
--- a/tests/unit/test_pressure.c
+++ b/tests/unit/test_pressure.c
@@ -13,8 +13,9 @@
 
 static const double truth[] = { 0.9, 0.0, 0.4 };
 
-/* Measures a run at step I beside random busy work and learns from it.  The
-   headroom oscillates between 1.6 and 3.8 with a period of 14 s.  */
+/* Measures a run at step I, with random busy work on its executor, and learns
+   from it.  The headroom oscillates between 1.6 and 3.8 with a period of 14
+   s.  */
 static void
 measure (gp_pressure_t *pressure, gp_headroom_t *load, int i, GRand *random)
 {
@@ -87,8 +88,8 @@
 
 /* Guards against weights that become NaN when they are set repeatedly, as the
    leader sets those of a guard, while learning continues.  If the covariances
-   of a weight were kept when it was set, variances became negative and the
-   weights NaN, which then counted as no weight for good.  */
+   of a weight remained when it was set, variances became negative and the
+   weights NaN, which from then on counted as no weight.  */
 static void
 test_set_while_learning (void)
 {
@@ -179,8 +180,8 @@
   gp_pacer_finish (&pacer);
 }
 
-/* Guards against an image that is considered harmless running on beside a run
-   that stays over its target.  */
+/* Guards against not slowing down an image that is considered harmless, while
+   a serving run on the same executor stays over its target.  */
 static void
 test_no_weight (void)
 {
--- a/tests/unit/test_put_off.c
+++ b/tests/unit/test_put_off.c
@@ -10,8 +10,8 @@
 #define OUTAGE_TIME (7 * GP_SEC)
 
 /* A suspect is assigned to the only executor, which is dedicated to it, and
-   its order leaves after DELAY.  Prints where a job that arrives meanwhile is
-   placed.  */
+   its order is sent after DELAY.  Prints where a job that arrives in the
+   meantime is placed.  */
 static void
 delay_order (gp_time_t delay)
 {
@@ -42,9 +42,9 @@
   jobs_site_finish (&site);
 }
 
-/* Regression test: a task that takes its executors down was started six times.
-   Its executor was dedicated to it from the time of the decision, not of the
-   order, so that other runs began on it when the store had recovered.  */
+/* Guards against starting a crashing task six times: its executor was
+   dedicated to it from the time of the decision, not of the order, so that
+   other runs began on it when the store had recovered.  */
 static void
 test_alone (void)
 {
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -1,12 +1,11 @@
 /* Tests of the quarantine of queues, with its effect on other work: a scripted
    transcript.
 
-   Regression tests: one queue brought many tasks that take their executors
-   down, for ten seconds.  Each was given up after two executors, but its first
-   start took about thirty runs of other jobs down with it, and large and
-   long-running jobs suffered for the whole day.  The log showed `run.lost` for
-   work that had settled long before, with suspects of the same queue each
-   time.  */
+   Guards against a queue that brings many crashing tasks within ten seconds:
+   each was given up after two executors, but its first start ended about
+   thirty runs of other jobs, and large and long-running jobs were delayed all
+   day.  The log showed `run.lost` for work that had settled long before, with
+   suspects of the same queue each time.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -52,7 +51,7 @@
     }
 }
 
-/* Failures show that tasks of QUEUE take executors down.  */
+/* Failures show that tasks of QUEUE crash executors.  */
 static void
 make_suspect (jobs_site_t *site, const char *queue)
 {
@@ -279,10 +278,10 @@
   gp_book_finish (&other);
 }
 
-/* Regression test: no job was reported as waiting, while six had waited for
-   five seconds.  A job counted as begun once its first run was assigned, even
-   to an executor that its guard had reported as down; both at the leader and
-   at each entry that reads the leader's records.  */
+/* Guards against reporting no job as waiting while six had waited for five
+   seconds.  A job counted as begun once its first run was assigned, even to an
+   executor that its guard had reported as down; both at the leader and at each
+   entry that reads the leader's records.  */
 static void
 test_pending (void)
 {
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -1,5 +1,5 @@
-/* Tests the decoders of records and frames with what another writer might
-   leave there, and that an unreadable record affects nothing else.
+/* Tests the decoders of records and frames with bytes that another writer may
+   have written, and that an unreadable record affects nothing else.
    test_records --corpus DIR writes the cases as inputs for
    tests/fuzz/fuzz_records.c.  */
 
--- a/tests/unit/test_retry_after.c
+++ b/tests/unit/test_retry_after.c
@@ -1,6 +1,6 @@
-/* Tests of the delays told to refused callers: a transcript, and an outage
+/* Tests of the delays sent to refused callers: a transcript, and an outage
    with many callers, in which all callers with a sufficient timeout are
-   served, with few useless tries, and not all at once.  */
+   served, with few useless attempts, and not all at once.  */
 
 #include <glib.h>
 #include <stdbool.h>
@@ -47,8 +47,8 @@
 } outcome_t;
 
 /* CALLERS requests arrive in the first second of an outage of length OUTAGE.
-   Each caller tries again as told, or every second, until its TIMEOUT
-   is over.  */
+   Each caller retries after the delay sent to it, or every second, until its
+   TIMEOUT is over.  */
 static outcome_t
 play (gp_time_t outage, gp_time_t timeout, bool each_second)
 {
--- a/tests/unit/test_specs.c
+++ b/tests/unit/test_specs.c
@@ -128,8 +128,8 @@
   return name[i];
 }
 
-/* How many copies does the leader send of a job with a run on each of GUARDS
-   workers?  */
+/* Counts the copies that the leader sends of the specification of a job with
+   two runs on each worker.  */
 static void
 test_copies (void)
 {
--- a/tests/unit/test_strays.c
+++ b/tests/unit/test_strays.c
@@ -1,6 +1,6 @@
 /* Tests of stray runs: the next incarnation of an executor has carried out an
-   order late, and a run that no job wants is at work.  Its task waits until
-   that ends.  */
+   order late, and a run that no job wants is running.  Its task waits until
+   that run ends.  */
 
 #include <stdio.h>
 
@@ -77,8 +77,8 @@
   jobs_site_finish (&site);
 }
 
-/* No guard reports the executor any more: the last report holds until all
-   leases have expired.  */
+/* No guard reports the executor any more: the last report remains valid until
+   all leases have expired.  */
 static void
 test_silent (void)
 {
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -117,8 +117,8 @@
 }
 
 /* Sets up two suspect jobs, JOB with one task and NEIGHBOUR with two.  One
-   executor crashed while all tasks had just started, and another one under
-   JOB's task, which is tried first.  */
+   executor crashed when all tasks had just started, and another one under
+   JOB's task, which is placed first.  */
 static void
 set_up_suspects (jobs_site_t *site, gp_job_t **job, gp_job_t **neighbour)
 {
@@ -247,8 +247,7 @@
   jobs_site_finish (&site);
 }
 
-/* A job of one task starts beside TASK and immediately crashes their
-   executor.  */
+/* A job of one task starts on TASK's executor and immediately crashes it.  */
 static void
 crash_with_other_run (jobs_site_t *site, const char *id,
                       const gp_job_task_t *task)
@@ -358,8 +357,8 @@
 }
 
 /* Guards against a slow recovery from a power loss of all VMs: if all
-   long-running work became suspect, it would wait for isolated starts and come
-   back late.  */
+   long-running work became suspect, it would wait for isolated starts and
+   continue late.  */
 static void
 test_power (void)
 {
@@ -484,7 +483,7 @@
 }
 
 /* Guards against starting a crashing task six times: a guard was killed under
-   each start, so nobody reported what had just started.  */
+   each start, so no guard reported what had just started.  */
 static void
 test_with_guard (void)
 {
@@ -494,7 +493,7 @@
   lose_with_guard (600 * GP_MSEC);
 }
 
-/* Guard and executor are lost together: nobody can report what had just
+/* Guard and executor are lost together: no guard can report what had just
    started.  */
 static void
 test_no_word (void)
@@ -524,7 +523,7 @@
 }
 
 /* A task whose previous two executors crashed runs isolated on x3, with a run
-   of another job beside it.  */
+   of another job on the same executor.  */
 static void
 test_beside (void)
 {
--- a/tests/unit/test_way.c
+++ b/tests/unit/test_way.c
@@ -1,6 +1,7 @@
 /* Tests of gp_store_route_t: how many calls are relayed by peers when the
    store cannot be reached and the peers' calls fail as well.  Without a limit
-   all peers would be tried in turn, which takes as long as an outage.  */
+   all peers would be tried one after the other, which takes as long as an
+   outage.  */
 
 #include <stdio.h>
 
