--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -497,7 +497,7 @@
 }
 
 /* Returns whether ID and BORN_MS, from a message of the leader, name the
-   current incarnation.  A leader of the previous version sends no birth
+   current incarnation.  A leader of the previous version sends no start
    time.  */
 static bool
 is_addressed (const gp_agent_t *agent, const char *id, int64_t born_ms)
--- a/src/jobs/agent.h
+++ b/src/jobs/agent.h
@@ -336,8 +336,8 @@
                         int32_t headroom_permille, int32_t slope_permille,
                         gp_time_t now);
 
-/* Returns the next call to make and marks it as in flight.  Its kind is NONE
-   if there is none before *AGAIN_AT.  */
+/* Returns the next call to make and marks it as in flight.  Its kind is
+   GP_AGENT_CALL_NONE if no call is due before *AGAIN_AT.  */
 gp_agent_call_t gp_agent_next_call (gp_agent_t *agent, gp_time_t now,
                                     gp_time_t *again_at);
 /* Returns whether RESULT means that no answer arrived, so that the call was or
--- a/src/jobs/executor.h
+++ b/src/jobs/executor.h
@@ -1,10 +1,10 @@
 /* An executor: one incarnation of the runtime that runs tasks on a VM.
 
-   An incarnation is identified by its id together with the time of its birth,
-   if the executor reports one: it may restart under its previous id, and then
-   runs nothing and knows nothing of earlier runs.  Each incarnation has an
-   object of its own, so that what is known of the previous one, and what was
-   ordered from it, stays with that; see gp_book_next_incarnation.
+   An incarnation is identified by its id together with its start time, if the
+   executor reports one: it may restart under its previous id, and then runs
+   nothing and knows nothing of earlier runs.  Each incarnation has an object
+   of its own, so that what is known of the previous one, and what was ordered
+   from it, remains there; see gp_book_next_incarnation.
 
    The object holds the view of the leading entry: capacity and labels as
    reported by the guard, the resources reserved by the runs assigned to it,
@@ -26,7 +26,7 @@
 struct gp_job_executor
 {
   char *id;
-  int64_t born_ms;    /* time of its birth, 0: not known */
+  int64_t born_ms;    /* its start time, 0: not known */
   char *previous_key; /* its own key in the book once another incarnation uses
                          its id; NULL until then */
   char *service;
--- a/src/jobs/suspicion.h
+++ b/src/jobs/suspicion.h
@@ -11,15 +11,15 @@
      have, if their start was delayed or no guard is left to report it.  Other
      runs on the executor are not affected.
    - A crash is strong evidence if all such runs belong to one job, which fails
-     when one of its tasks is given up, and they had started within JUST_TIME
-     or, where only the executor's lists show it, were started in isolation.
-     It is also strong evidence if a run was isolated and executor and guard
-     disappeared together just after its order.  It is weak evidence if the
-     runs had started a little earlier, or if nothing is known about a run that
-     was isolated.
+     when one of its tasks is given up, and they had started within
+     GP_SUSPICION_JUST_TIME or, where only the executor's lists show it, were
+     started in isolation.  It is also strong evidence if a run was isolated
+     and executor and guard disappeared together just after its order.  It is
+     weak evidence if the runs had started a little earlier, or if nothing is
+     known about a run that was isolated.
    - A run that has settled, which means that it was listed as running for
-     SETTLE_TIME, did not crash its executor by starting.  Its task is no
-     longer suspect, and what was counted against it is cleared.
+     GP_SUSPICION_SETTLE_TIME, did not crash its executor by starting.  Its
+     task is no longer suspect, and what was counted against it is cleared.
    - A task is given up once its evidence reaches the threshold: two crashes
      with strong evidence, because an executor may also crash by itself under a
      task that has just started, or the equivalent in weak evidence.
@@ -75,7 +75,7 @@
    order is answered within milliseconds, or repeated after 300 ms.  */
 #define GP_SUSPICION_START_WINDOW (GP_SUSPICION_FRESH_TIME + 100 * GP_MSEC)
 /* How long an executor is dedicated ahead of an isolated start: until
-   everything on it has started, and until the next planning pass.  */
+   everything on it has started, and until the next placement pass.  */
 #define GP_SUSPICION_DEDICATE_AHEAD_TIME                                      \
   (GP_SUSPICION_START_WINDOW + 250 * GP_MSEC)
 /* How long a task waits for an isolated start.  Long-running ones have to run
--- a/src/jobsd/guard_heartbeats.c
+++ b/src/jobsd/guard_heartbeats.c
@@ -3,7 +3,7 @@
    A heartbeat may be delayed and arrive after its sender has crashed and
    another executor, or another incarnation of it, runs at the same address.
    If the delayed one were taken for the newest, the executor that is running
-   would be declared dead and its runs started elsewhere; and birth times come
+   would be declared dead and its runs started elsewhere; and start times come
    from a clock that may step back, so they do not show which incarnation is
    newer.  Therefore another incarnation than the current one is accepted only
    once the executor that answers at the VM's address has sent a list under
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -122,7 +122,7 @@
 }
 
 /* Returns whether REPORT is from another incarnation of EXECUTOR, whose id it
-   names.  Guards and place records of the previous version give no birth
+   names.  Guards and place records of the previous version give no start
    time.  */
 static bool
 is_next_incarnation (const gp_job_executor_t *executor,
--- a/tests/unit/agent_messages.h
+++ b/tests/unit/agent_messages.h
@@ -24,7 +24,7 @@
                              const char *task, int64_t born_ms, uint32_t run,
                              gp_time_t after);
 
-/* The same for the current incarnation, from a leader that sends no birth
+/* The same for the current incarnation, from a leader that sends no start
    time.  */
 void agent_sync_with (gp_agent_t *agent, const char *task, uint32_t run,
                       gp_time_t after);
