--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -56,8 +56,8 @@
   bool needs_sync; /* the guard has to be sent the full list of its runs */
   gp_time_t sync_sent_at; /* the last sync was built, or sent */
   bool has_executor;      /* the guard's last report names an executor */
-  bool is_down; /* the executor's lease has expired and it does not answer, or
-                  it has ended */
+  bool executor_lost;     /* the executor's lease has expired and it does not
+                             answer, or it has ended */
   gp_time_t weights_sent_at; /* interference weights were last sent to the
                                 guard */
   guint fillings_sent; /* number of entries of leader->fillings sent to the
--- a/src/jobsd/leader_frames.c
+++ b/src/jobsd/leader_frames.c
@@ -322,7 +322,7 @@
 
       if (link->peer == NULL || !link->has_executor)
         continue;
-      if (link->needs_sync && !link->is_down)
+      if (link->needs_sync && !link->executor_lost)
         build_sync (link);
       outbox = g_hash_table_lookup (outboxes, link->executor);
       if (outbox != NULL || link->missing_specs->len > 0)
--- a/src/jobsd/leader_links.c
+++ b/src/jobsd/leader_links.c
@@ -249,7 +249,7 @@
   if (!report->down && (executor->down || executor->reported_since == 0))
     gp_scheduler_executor_up (&leader->scheduler, executor);
   executor->down = report->down;
-  link->is_down = report->ended || (report->lapsed && !report->answers);
+  link->executor_lost = report->ended || (report->lapsed && !report->answers);
   executor->reported_at = now;
   executor->disconnected_at = 0;
   if (executor->reported_since == 0)
