--- a/src/jobs/agent.c
+++ b/src/jobs/agent.c
@@ -15,7 +15,7 @@
 /* Leases are not extended after this time without an answer of the executor:
    the longest wait of a list request plus its timeout.  */
 #define SILENCE_TIME (1500 * GP_MSEC)
-/* Orders under way when an executor announces that it leaves still arrive
+/* Orders in transit when an executor announces that it leaves still arrive
    within this time; a leader that takes over later may order starts again that
    were never made.  */
 #define DRAIN_START_TIME (GP_SEC)
--- a/src/jobs/placer.c
+++ b/src/jobs/placer.c
@@ -13,7 +13,7 @@
    preemption.  */
 #define RESERVED_PERMILLE 60
 /* A filling task is placed where at least this share, in thousandths, of the
-   processors that it asks for is unused; with less it waits for a better
+   processors that it requests is unused; with less it waits for a better
    place.  */
 #define FILL_PERMILLE 700
 /* Longest interval between placement passes: the phases in which a place is
--- a/src/jobs/records.c
+++ b/src/jobs/records.c
@@ -241,7 +241,7 @@
 }
 
 /* Learned values.  The rows are independent of each other: an invalid one is
-   left out and the others remain valid.  */
+   removed and the others remain valid.  */
 
 static bool
 check_pressure (const Gp__Jobs__Pressure *row, GError **error)
--- a/src/jobs/spec_distribution.c
+++ b/src/jobs/spec_distribution.c
@@ -2,7 +2,7 @@
 
 #include "jobs/spec_distribution.h"
 
-/* How long a sent specification counts as under way: guards report missing
+/* How long a sent specification counts as in transit: guards report missing
    specifications with each report, every 300 ms.  */
 #define IN_TRANSIT_TIME (GP_SEC)
 
--- a/src/jobs/spec_distribution.h
+++ b/src/jobs/spec_distribution.h
@@ -51,7 +51,7 @@
 
 /* GUARD reports that it has no specification of JOB.  Returns whether the
    leader has to send it, which is not the case while an earlier copy may still
-   be under way.  */
+   be in transit.  */
 bool gp_spec_distribution_is_missing (gp_spec_distribution_t *distribution,
                                       const char *job, const char *guard,
                                       gp_time_t now);
--- a/src/jobs/start_gate.h
+++ b/src/jobs/start_gate.h
@@ -5,7 +5,7 @@
    the leader sends whether the zone is evacuated and how old that information
    is.  The acknowledgement echoes the time at which the guard sent its report,
    so that the age counts from a point on the guard's own clock.  However long
-   the message was under way, or the leader was cut off or paused, the guard
+   the message was in transit, or the leader was cut off or paused, the guard
    knows the latest time at which the zone was certainly open.  A notice that
    the zone is open remains valid for SPAN from that time, which is shorter
    than the time within which operators expect an evacuation to be in force;
--- a/tests/unit/test_alone.c
+++ b/tests/unit/test_alone.c
@@ -1,9 +1,9 @@
-/* Tests of isolated starts at a guard, and of what begins beside them.
+/* Tests of isolated starts at a guard, and of starts of other runs on the same
+   executor.
 
-   Regression tests: a task that takes its executors down was started six times
-   and more.  The leader had isolated its starts, but the failures proved
-   nothing: an earlier, unanswered start of another job might have begun at any
-   time.  */
+   Guards against starting a crashing task six times and more: the leader
+   isolates its starts, but the failures are inconclusive if an earlier,
+   unanswered start of another job may be carried out at any time.  */
 
 #include <stdio.h>
 #include <string.h>
--- a/tests/unit/test_starved.c
+++ b/tests/unit/test_starved.c
@@ -1,6 +1,6 @@
 /* Simulates an overload of filling work: jobs that never find enough unused
-   processors beside a large one still get one run each, and serving runs keep
-   their capacity.  */
+   processors because of a large one still get one run each, and serving runs
+   keep their capacity.  */
 
 #include <glib.h>
 #include <stdio.h>
@@ -35,8 +35,8 @@
   return runs;
 }
 
-/* Returns the longest time for which one of JOBS small jobs has no run beside
-   a large job whose tasks never end, with SERVING_MILLI of 8 cores
+/* Returns the longest time for which one of JOBS small jobs has no run while
+   there is a large job whose tasks never end, with SERVING_MILLI of 8 cores
    reserved.  */
 static gp_time_t
 longest_wait (unsigned serving_milli)
