--- a/src/jobs/agent_calls.c
+++ b/src/jobs/agent_calls.c
@@ -82,7 +82,8 @@
          && gp_start_gate_is_open (&agent->gate, now);
 }
 
-/* Must the start of RUN be held back because of other runs?  */
+/* Returns whether the start of RUN must be held back because of other runs,
+   and records the reason.  */
 static bool
 is_held (gp_agent_t *agent, gp_agent_run_t *run,
          const gp_agent_run_t *isolated, gp_time_t now, gp_time_t *again_at)
@@ -214,7 +215,7 @@
       run->start_uncertain = true;
       break;
     case GP_AGENT_TOO_OLD:
-    case GP_AGENT_NO_ROOM:
+    case GP_AGENT_NO_RESOURCES:
     case GP_AGENT_REFUSED:
       run->phase = GP_RUN_STOPPING;
       run->retry_at = now;
--- a/src/jobs/agent_suspects.c
+++ b/src/jobs/agent_suspects.c
@@ -21,7 +21,7 @@
   return run->start != NULL && run->start->gang;
 }
 
-/* Had RUN been at work for TIME when it was last listed?  */
+/* Returns whether RUN had been running for TIME when it was last listed.  */
 static bool
 was_listed_for (const gp_agent_run_t *run, gp_time_t time)
 {
@@ -34,15 +34,17 @@
   return was_listed_for (run, gp_suspicion_settle_time (is_gang (run)));
 }
 
-/* Is it unknown whether the start of RUN has reached the executor?  */
+/* Returns whether it is unknown if the start of RUN has reached the
+   executor.  */
 static bool
 start_is_unconfirmed (const gp_agent_run_t *run)
 {
   return run->listed_since == 0 && run->began_at == 0;
 }
 
-/* May RUN have begun at most GP_SUSPICION_JUST_TIME before the executor ended?
-   The answer to a start that takes the executor down may be lost with it.  */
+/* Returns whether RUN may have begun at most GP_SUSPICION_JUST_TIME before the
+   executor ended.  The answer to a start that crashes the executor may be lost
+   with it.  */
 static bool
 may_have_just_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -54,20 +56,20 @@
          && agent->earliest_end_at - earliest <= GP_SUSPICION_JUST_TIME;
 }
 
-/* Returns for how many milliseconds RUN was at work when the executor was last
-   known to be up, 0: not known.  */
+/* Returns for how many milliseconds RUN had been running when the executor was
+   last known to be up, 0: not known.  */
 static uint32_t
 age_ms (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
-  gp_time_t up = MAX (agent->heard_at, agent->earliest_end_at);
+  gp_time_t up = MAX (agent->answered_at, agent->earliest_end_at);
 
   return run->began_at != 0 && up > run->began_at
              ? (uint32_t)((up - run->began_at) / GP_MSEC)
              : 0;
 }
 
-/* Is it unknown whether and when RUN has begun?  A delayed start may arrive at
-   any time.  */
+/* Returns whether it is unknown if and when RUN has begun: a delayed start may
+   arrive at any time.  */
 static bool
 is_unanswered (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -87,15 +89,16 @@
   return false;
 }
 
-/* Had RUN begun recently?  If some runs had only just begun, only those count.
-   A run whose start went unanswered for long may never have begun.  */
+/* Returns whether RUN had begun recently.  If some runs had only just begun,
+   only those count.  A run whose start went unanswered for long may never have
+   begun.  */
 static bool
 is_fresh (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
   if (has_recent_start (agent))
     return may_have_just_begun (agent, run);
   return !start_is_unconfirmed (run)
-         && agent->heard_at - run->began_at < GP_SUSPICION_FRESH_TIME;
+         && agent->answered_at - run->began_at < GP_SUSPICION_FRESH_TIME;
 }
 
 void
@@ -123,10 +126,10 @@
          || (agent->down_since != 0 && now - agent->down_since >= DOWN_TIME);
 }
 
-/* Could a start of RUN have reached the executor before it went down?  One
-   that was sent after a call had failed, with no answer since, could not.
-   There are many such starts, as the leader learns of the failure only 3 s
-   later.  */
+/* Returns whether a start of RUN may have reached the executor before it
+   failed.  A start that was sent after a call had failed, with no answer
+   since, cannot have.  There are many such starts, as the failure is reported
+   to the leader only 3 s later.  */
 static bool
 may_have_begun (const gp_agent_t *agent, const gp_agent_run_t *run)
 {
@@ -145,16 +148,16 @@
 bool
 gp_agent_report_settled (gp_agent_run_t *run)
 {
-  bool asked = run->start != NULL && run->start->watched;
+  bool watched = run->start != NULL && run->start->watched;
 
-  if (!asked || run->settled_reported || !gp_agent_has_settled (run))
+  if (!watched || run->settled_reported || !gp_agent_has_settled (run))
     return false;
   run->settled_reported = true;
   return true;
 }
 
-/* A call failed at NOW.  If it is the first to fail, the executor ended at
-   GONE_FROM at the earliest; 0: not known.  */
+/* A call failed at NOW.  If it is the first to fail since an answer, the
+   executor ended at EARLIEST_END_AT at the earliest; 0: not known.  */
 static void
 record_failure (gp_agent_t *agent, gp_time_t earliest_end_at, gp_time_t now)
 {
@@ -165,7 +168,7 @@
 }
 
 /* Raises the fence: the next incarnation must not carry out orders that were
-   sent before it is known.  */
+   sent before this process knows of it.  */
 void
 gp_agent_note_disconnect (gp_agent_t *agent)
 {
@@ -184,12 +187,13 @@
     case GP_AGENT_DISCONNECTED:
       gp_agent_note_disconnect (agent);
       record_failure (
-          agent, now - agent->heard_at <= ANSWER_TIME ? now : agent->heard_at,
+          agent,
+          now - agent->answered_at <= ANSWER_TIME ? now : agent->answered_at,
           now);
       break;
     case GP_AGENT_CONNECTION_REFUSED:
       gp_agent_note_disconnect (agent);
-      record_failure (agent, agent->heard_at, now);
+      record_failure (agent, agent->answered_at, now);
       break;
     case GP_AGENT_UNANSWERED:
     case GP_AGENT_REPLACED:
@@ -199,7 +203,7 @@
     case GP_AGENT_FENCED:
     case GP_AGENT_TOO_OLD:
     case GP_AGENT_TOO_LATE:
-    case GP_AGENT_NO_ROOM:
+    case GP_AGENT_NO_RESOURCES:
     case GP_AGENT_REFUSED:
       break;
     }
@@ -263,6 +267,6 @@
           GP_LOG_S ("executor", agent->executor->id), GP_LOG_I ("runs", runs),
           GP_LOG_I ("suspects",
                     runs > 0 ? (int64_t)agent->predecessor->n_suspects : 0),
-          GP_LOG_I ("heard_ms_ago", (now - agent->heard_at) / GP_MSEC),
+          GP_LOG_I ("heard_ms_ago", (now - agent->answered_at) / GP_MSEC),
           GP_LOG_I ("known_ms", (now - agent->known_since) / GP_MSEC));
 }
--- a/src/jobs/placer.c
+++ b/src/jobs/placer.c
@@ -13,7 +13,7 @@
    preemption.  */
 #define RESERVED_PERMILLE 60
 /* A filling task is placed where at least this share, in thousandths, of the
-   processors that it asks for is unused; with less it waits for a better
+   processors that it requests is unused; with less it waits for a better
    place.  */
 #define FILL_PERMILLE 700
 /* Longest interval between placement passes: the phases in which a place is
@@ -230,7 +230,7 @@
   return false;
 }
 
-/* TASK found no place: records whether its job is left without any run.  */
+/* TASK found no place: records since when its job has work but no run.  */
 static void
 note_idle (const gp_placer_pass_t *pass, const gp_job_task_t *task)
 {
--- a/src/jobs/spec_distribution.h
+++ b/src/jobs/spec_distribution.h
@@ -26,7 +26,8 @@
   GP_SPEC_KNOWN,       /* the guard has it or gets it with an earlier
                           message */
   GP_SPEC_FROM_LEADER, /* the leader has to send it */
-  GP_SPEC_FROM_HOLDER  /* the guard has to be told which guard has it */
+  GP_SPEC_FROM_HOLDER /* the guard has to be sent the address of the guard that
+                         has it */
 } gp_spec_source_t;
 
 typedef struct
@@ -50,7 +51,7 @@
 
 /* GUARD reports that it has no specification of JOB.  Returns whether the
    leader has to send it, which is not the case while an earlier copy may still
-   be under way.  */
+   be in transit.  */
 bool gp_spec_distribution_is_missing (gp_spec_distribution_t *distribution,
                                       const char *job, const char *guard,
                                       gp_time_t now);
--- a/src/jobsd/guard_heartbeats.c
+++ b/src/jobsd/guard_heartbeats.c
@@ -2,12 +2,12 @@
 
    A heartbeat may be delayed and arrive after its sender has crashed and
    another executor, or another incarnation of it, runs at the same address.
-   If the delayed one were taken for the newest, the executor that works would
-   be declared dead and its runs started elsewhere; and birth times come from a
-   clock that may step back, so they do not tell which incarnation is newer.
-   Therefore another incarnation than the current one is accepted only once the
-   executor that answers at the VM's address has sent a list under that
-   incarnation.  Answers to calls made before yet another incarnation was
+   If the delayed one were taken for the newest, the executor that is running
+   would be declared dead and its runs started elsewhere; and start times come
+   from a clock that may step back, so they do not show which incarnation is
+   newer.  Therefore another incarnation than the current one is accepted only
+   once the executor that answers at the VM's address has sent a list under
+   that incarnation.  Answers to calls made before yet another incarnation was
    accepted do not count.
 
    A malformed heartbeat changes nothing.  Nor does one that gives the current
@@ -38,7 +38,7 @@
    any time of day by then.  */
 #define IDENTIFY_ATTEMPTS_MAX 40
 
-static gp_counter_t lives_count
+static gp_counter_t incarnations_count
     = GP_COUNTER ("guard_lives_total", "Lives of executors that were met");
 
 /* A heartbeat of an unknown incarnation, until that is identified.  */
@@ -54,10 +54,10 @@
 void
 gp_guard_register_heartbeats (void)
 {
-  gp_counter_register (&lives_count);
+  gp_counter_register (&incarnations_count);
 }
 
-/* Is HEARTBEAT from the current incarnation?  */
+/* Returns whether HEARTBEAT is from the current incarnation.  */
 static bool
 is_current (const gp_job_guard_t *guard, const gp_heartbeat_t *heartbeat)
 {
@@ -83,13 +83,14 @@
 }
 
 /* The incarnation that sent HEARTBEAT has answered with LIST, requested with
-   FENCE: it is the current one from now on.  The report tells the leader
-   together with what is left to report of the previous incarnation.  */
+   FENCE: it is the current one from now on.  The report names it to the
+   leader, together with what is left to report of the previous
+   incarnation.  */
 static void
 accept_incarnation (gp_job_guard_t *guard, gp_heartbeat_t *heartbeat,
                     const gp_runtime_list_t *list, int64_t fence)
 {
-  gp_counter_add (&lives_count, 1);
+  gp_counter_add (&incarnations_count, 1);
   guard->heartbeat_sequence = heartbeat->sequence;
   gp_agent_set_executor (&guard->agent, g_steal_pointer (&heartbeat->executor),
                          heartbeat->clock_ms, gp_loop_now (&guard->loop));
--- a/src/jobsd/leader.c
+++ b/src/jobsd/leader.c
@@ -1,5 +1,5 @@
-/* The leading entry: taking leadership and planning rounds.  What it appends
-   to the log is in jobsd/leader_append.c, the connections to the guards in
+/* The leading entry: taking leadership and planning rounds.  Appending to the
+   log is in jobsd/leader_append.c, the connections to the guards are in
    jobsd/leader_links.c.  */
 
 #include "jobsd/leader_private.h"
@@ -9,14 +9,15 @@
 #include "base/log.h"
 #include "jobs/fields.h"
 
-/* Time without a record after which others try to take over: SILENCE_BASE plus
-   SILENCE_INTERVALS times the average time between two records.  The second
-   part lets a leader with a slow store or on a slow VM keep leadership.  Work
-   that is due within 1.5 s waits for a new leader.  */
-#define SILENCE_BASE (700 * GP_MSEC)
-#define SILENCE_INTERVALS 4
-/* Interval between checks for executors that are silent or draining; short
-   against the times that follow, which are seconds.  */
+/* Time without a record after which others try to take over:
+   TAKEOVER_TIMEOUT_BASE plus TAKEOVER_TIMEOUT_INTERVALS times the average time
+   between two records.  The second part lets a leader with a slow store or on
+   a slow VM keep leadership.  Work that is due within 1.5 s waits for a new
+   leader.  */
+#define TAKEOVER_TIMEOUT_BASE (700 * GP_MSEC)
+#define TAKEOVER_TIMEOUT_INTERVALS 4
+/* Interval between checks for executors that are not reported or draining;
+   short compared with the timeouts that are checked, which are seconds.  */
 #define CHECK_INTERVAL (50 * GP_MSEC)
 /* Weight of the last duration in the moving average, and the upper bound of
    one duration.  */
@@ -24,11 +25,11 @@
 #define INTERVAL_MAX (500 * GP_MSEC)
 /* Followers wait up to this much longer, depending on their node's name, so
    that two seldom claim at once.  */
-#define SILENCE_JITTER (400 * GP_MSEC)
+#define TAKEOVER_TIMEOUT_JITTER (400 * GP_MSEC)
 /* An entry that lost leadership, possibly to an unreadable record of another
    writer, waits this much longer than the others: they have not reset their
    books and may still know what that record replaced.  */
-#define BOOK_RESET_DELAY SILENCE_BASE
+#define BOOK_RESET_DELAY TAKEOVER_TIMEOUT_BASE
 
 static gp_time_t
 now_of (const gp_leader_t *leader)
@@ -130,19 +131,21 @@
 }
 
 static gp_time_t
-silence_time (const gp_leader_t *leader)
+takeover_timeout (const gp_leader_t *leader)
 {
   if (!leader->leader_known || leader->resigned)
     return 0;
-  return SILENCE_BASE + SILENCE_INTERVALS * leader->record_interval
+  return TAKEOVER_TIMEOUT_BASE
+         + TAKEOVER_TIMEOUT_INTERVALS * leader->record_interval
          + (leader->book_reset ? BOOK_RESET_DELAY : 0)
-         + (gp_time_t)(g_str_hash (leader->node) % 5) * SILENCE_JITTER / 4;
+         + (gp_time_t)(g_str_hash (leader->node) % 5) * TAKEOVER_TIMEOUT_JITTER
+               / 4;
 }
 
 gp_time_t
 gp_leader_claim_at (const gp_leader_t *leader)
 {
-  return leader->record_read_at + silence_time (leader);
+  return leader->record_read_at + takeover_timeout (leader);
 }
 
 void
@@ -154,14 +157,14 @@
   leader->position = position;
   if (!ready || leader->stopping)
     return;
-  /* If there is no leader, there is no silence to wait for.  */
-  if (silence_time (leader) > 0 && sent_at < gp_leader_claim_at (leader))
+  /* If no leader is known, a claim need not wait.  */
+  if (takeover_timeout (leader) > 0 && sent_at < gp_leader_claim_at (leader))
     return;
   gp_leader_claim (leader);
 }
 
 void
-gp_leader_reset_silence (gp_leader_t *leader)
+gp_leader_reset_takeover_timeout (gp_leader_t *leader)
 {
   leader->record_read_at = now_of (leader);
 }
@@ -209,7 +212,7 @@
   leader->leader_known = true;
   if (here)
     gp_leader_raise_incarnation (leader, leadership->incarnation);
-  /* An earlier process of this VM must have ended, as this one runs.  */
+  /* An earlier process on this VM must have ended, as this one is running.  */
   leader->resigned = leadership->resigned || (here && !own);
   if (!own)
     leader->book_reset = false;
@@ -220,9 +223,9 @@
                             now_of (leader));
 }
 
-/* The leader's record cannot be read, so there may be a leader: it is
-   given the silence time once.  Further records of this kind do not delay
-   a claim.  */
+/* The leader's record cannot be read, so there may be a leader: claims wait
+   for the full time without a record once.  Further records of this kind do
+   not delay a claim.  */
 static void
 on_leadership_refused (gp_leader_t *leader)
 {
@@ -244,7 +247,7 @@
 }
 
 /* An executor runs on one VM only.  If records place it on two, one of them is
-   from another writer: the new one is left out, and until a guard reports the
+   from another writer: the new one is ignored, and until a guard reports the
    executor neither record is taken as proof of its death.  */
 static bool
 on_place (gp_leader_t *leader, const char *node, const Gp__Jobs__Place *record,
--- a/src/jobsd/leader.h
+++ b/src/jobsd/leader.h
@@ -4,7 +4,7 @@
    append to the progress topic: it is refused unless the topic still ends at
    the offset up to which the writer has read.  Every later append has the same
    condition, so the next process that appends ends the leadership of the one
-   before it, and each decision of a leader is either on the log or has no
+   before it, and each decision of a leader is either in the log or has no
    effect.  The offset of the record that took leadership is the epoch.
 
    Orders are sent only after the append that records their reason was
@@ -56,8 +56,8 @@
   bool needs_sync; /* the guard has to be sent the full list of its runs */
   gp_time_t sync_sent_at; /* the last sync was built, or sent */
   bool has_executor;      /* the guard's last report names an executor */
-  bool silent; /* the executor's lease has expired and it does not answer, or
-                  it has ended */
+  bool executor_lost;     /* the executor's lease has expired and it does not
+                             answer, or it has ended */
   gp_time_t weights_sent_at; /* interference weights were last sent to the
                                 guard */
   guint fillings_sent; /* number of entries of leader->fillings sent to the
@@ -125,10 +125,10 @@
   gp_timer_t retry;
   gp_deferred_t round;
   bool stopping;
-  /* Leadership was lost or, if CLAIMED, the attempt to take it failed.
-     The book of an entry that has led has to be reloaded, as it contains
-     decisions that are not on the log; that of one that has not still
-     matches the log.  */
+  /* Leadership was lost or, if CLAIMED, the attempt to take it failed.  The
+     book of an entry that has led has to be reloaded, as it contains decisions
+     that are not in the log; that of one that has not still matches the
+     log.  */
   void (*on_leadership_lost) (bool claimed, void *data);
   void *data;
   gp_refusals_t refusals; /* of the whole entry, not only of the leader */
@@ -169,7 +169,7 @@
 void gp_leader_retry (gp_leader_t *leader);
 /* The progress topic could not be read for a while: restart the time without a
    leader's record, which says nothing about the leader then.  */
-void gp_leader_reset_silence (gp_leader_t *leader);
+void gp_leader_reset_takeover_timeout (gp_leader_t *leader);
 
 /* The guard of NODE, in availability zone ZONE, is reached at ADDRESS.  */
 void gp_leader_set_guard (gp_leader_t *leader, const char *node,
@@ -180,7 +180,7 @@
 void gp_leader_job_changed (gp_leader_t *leader, gp_job_t *job);
 
 /* With the next append, delete the progress records of jobs that ended before
-   WALL_MS, and forget these jobs.  */
+   WALL_MS, and remove these jobs from the book.  */
 void gp_leader_drop_progress (gp_leader_t *leader, int64_t wall_ms);
 
 /* Give leadership up, once the append in flight is done.  */
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -123,7 +123,7 @@
   call (&agent, GP_AGENT_UNANSWERED, now);
   call (&agent, GP_AGENT_ACCEPTED, now);
   now += 200 * GP_MSEC;
-  call (&agent, GP_AGENT_NO_ROOM, now);
+  call (&agent, GP_AGENT_NO_RESOURCES, now);
   call (&agent, GP_AGENT_ACCEPTED, now);
   show (&agent);
   gp_agent_listed (&agent, NULL, 0, NULL, 0, 5300, now, now);
@@ -173,8 +173,8 @@
   gp_agent_finish (&agent);
 }
 
-/* Returns the lease that the next list would carry, in milliseconds after the
-   reading of the executor's clock; 0: none.  */
+/* Returns the lease that the next list request would contain, in milliseconds
+   after the reading of the executor's clock; 0: none.  */
 static int
 lease_left (gp_agent_t *agent, gp_time_t now)
 {
@@ -373,7 +373,7 @@
 /* Prints the runs that may have caused the executor's failure, with the flags
    of its predecessor's suspects.  */
 static void
-show_beginners (gp_agent_t *agent, const char *what, gp_time_t now)
+show_suspected_runs (gp_agent_t *agent, const char *what, gp_time_t now)
 {
   gp_agent_set_executor (agent, agent_executor_new ("x2"), 70, now);
   printf ("  %s:", what);
@@ -388,8 +388,9 @@
 /* TASK was started at NOW - OLDER, and OTHER at NOW with the outcome STARTED;
    a call to the executor fails with RESULT after DELAY.  */
 static void
-crash_beside (const char *what, gp_time_t older, gp_agent_result_t started,
-              gp_agent_result_t result, gp_time_t delay)
+crash_with_other_run (const char *what, gp_time_t older,
+                      gp_agent_result_t started, gp_agent_result_t result,
+                      gp_time_t delay)
 {
   gp_agent_t agent;
   gp_time_t now = 10 * GP_SEC;
@@ -403,15 +404,15 @@
   order_start (&agent, OTHER, 2);
   call (&agent, started, now);
   if (started == GP_AGENT_ACCEPTED)
-    agent.heard_at = now;
+    agent.answered_at = now;
   gp_agent_list_failed (&agent, result, -1, now + delay);
-  show_beginners (&agent, what, now + 3 * GP_SEC);
+  show_suspected_runs (&agent, what, now + 3 * GP_SEC);
 }
 
-/* Regression test: jobs were failed for other work that had begun on their
-   executor up to a second later, as all runs that had not settled were held
-   equally responsible.  A failure is noticed at once if the executor closes
-   the connection, or refuses one between two lists.  */
+/* Guards against failing jobs because of other work that began on their
+   executor up to a second later, when all runs that had not settled were
+   considered equally responsible.  A failure is noticed at once if the
+   executor closes the connection, or refuses one between two lists.  */
 static void
 test_beginners (void)
 {
@@ -419,27 +420,32 @@
   gp_time_t now = 10 * GP_SEC;
 
   printf ("which of several runs had only just begun\n");
-  crash_beside ("the connection ends after 10 ms", 300 * GP_MSEC,
-                GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED, 10 * GP_MSEC);
-  crash_beside ("nobody listens after 60 ms", 300 * GP_MSEC, GP_AGENT_ACCEPTED,
-                GP_AGENT_CONNECTION_REFUSED, 60 * GP_MSEC);
-  crash_beside ("the answer to the start was lost with it", 300 * GP_MSEC,
-                GP_AGENT_DISCONNECTED, GP_AGENT_DISCONNECTED, 10 * GP_MSEC);
-  crash_beside ("the connection ends after a second", 300 * GP_MSEC,
-                GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED, GP_SEC);
-  crash_beside ("calls run out of time", 300 * GP_MSEC, GP_AGENT_ACCEPTED,
-                GP_AGENT_UNANSWERED, 60 * GP_MSEC);
-  crash_beside ("the same, after a start that went unanswered", 300 * GP_MSEC,
-                GP_AGENT_UNANSWERED, GP_AGENT_UNANSWERED, 60 * GP_MSEC);
-  crash_beside ("both had begun for longer", 300 * GP_MSEC, GP_AGENT_ACCEPTED,
-                GP_AGENT_DISCONNECTED, 200 * GP_MSEC);
+  crash_with_other_run ("the connection ends after 10 ms", 300 * GP_MSEC,
+                        GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED,
+                        10 * GP_MSEC);
+  crash_with_other_run ("nobody listens after 60 ms", 300 * GP_MSEC,
+                        GP_AGENT_ACCEPTED, GP_AGENT_CONNECTION_REFUSED,
+                        60 * GP_MSEC);
+  crash_with_other_run ("the answer to the start was lost with it",
+                        300 * GP_MSEC, GP_AGENT_DISCONNECTED,
+                        GP_AGENT_DISCONNECTED, 10 * GP_MSEC);
+  crash_with_other_run ("the connection ends after a second", 300 * GP_MSEC,
+                        GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED, GP_SEC);
+  crash_with_other_run ("calls run out of time", 300 * GP_MSEC,
+                        GP_AGENT_ACCEPTED, GP_AGENT_UNANSWERED, 60 * GP_MSEC);
+  crash_with_other_run ("the same, after a start that went unanswered",
+                        300 * GP_MSEC, GP_AGENT_UNANSWERED,
+                        GP_AGENT_UNANSWERED, 60 * GP_MSEC);
+  crash_with_other_run ("both had begun for longer", 300 * GP_MSEC,
+                        GP_AGENT_ACCEPTED, GP_AGENT_DISCONNECTED,
+                        200 * GP_MSEC);
   printf ("a run that was started and is to be stopped had begun\n");
   begin (&agent, now);
   agent_sync_with (&agent, TASK, 1, 0);
   call (&agent, GP_AGENT_ACCEPTED, now);
   order_stop (&agent, TASK, 1);
   gp_agent_list_failed (&agent, GP_AGENT_UNANSWERED, -1, now + 1);
-  show_beginners (&agent, "stopped", now + 3 * GP_SEC);
+  show_suspected_runs (&agent, "stopped", now + 3 * GP_SEC);
 }
 
 static void
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -171,7 +171,7 @@
   guint epoch;
   guint end; /* end of the log after its last record */
   gp_time_t confirmed_at;
-  gp_time_t heard_at;
+  gp_time_t record_read_at;
   gp_time_t down_until; /* killed until then */
   gp_time_t frozen_until;
   gp_time_t store_cut_until; /* cut off from the store */
@@ -194,7 +194,7 @@
   guint obeyed_epoch; /* epoch of the leader that the guard obeys */
   gp_time_t sent_at;
   gp_time_t guard_down_until;
-  gp_time_t known_at; /* the guard learns of the executor then */
+  gp_time_t known_at; /* when the guard knows of the executor */
   gp_time_t lease_end;
   guint dead_epoch; /* epoch of the leader that has declared the executor dead,
                        0: none */
@@ -237,22 +237,23 @@
 
   gp_grants_record_read (&entry->grants, offset, world->now);
   gp_grants_leadership_read (&entry->grants, record, offset, world->now);
-  entry->heard_at = record->resigned ? 0 : world->now;
+  entry->record_read_at = record->resigned ? 0 : world->now;
   gp__jobs__leadership__free_unpacked (record, NULL);
 }
 
-/* Of the earlier records only the newest is kept.  */
+/* Reads the log from the start: of the earlier records only the newest is
+   retained.  */
 static void
 read_newest (world_t *world, entry_t *entry)
 {
-  entry->heard_at = world->now;
+  entry->record_read_at = world->now;
   entry->records_read = world->log->len;
   if (world->log->len > 0)
     read_record (world, entry, world->log->len - 1);
 }
 
-/* Of the announcements, only the newest of each entry is kept; it may be older
-   than the records.  */
+/* Reads the announcements from the start: only the newest of each entry is
+   retained; it may be older than the records.  */
 static void
 read_newest_announcements (world_t *world, entry_t *entry)
 {
@@ -336,7 +337,7 @@
 static void
 use_store (world_t *world, entry_t *entry)
 {
-  /* The topics are not read at the same pace.  */
+  /* The topics are not read at the same speed.  */
   if (chance (world, 0.7))
     read_announcements (world, entry);
   if (entry->leads && entry->end != world->log->len)
@@ -352,7 +353,7 @@
   else if (!entry->leads)
     {
       read_log (world, entry);
-      if (world->now < entry->heard_at + SILENCE_TIME)
+      if (world->now < entry->record_read_at + SILENCE_TIME)
         return;
       write_record (world, entry, false);
       entry->leads = true;
@@ -448,7 +449,7 @@
   if (agent->executor == NULL)
     return;
   /* The executor answers at any time, which is the worst case.  */
-  agent->heard_at = world->now;
+  agent->answered_at = world->now;
   if (gp_agent_list_lease (agent, world->now) > 0)
     world->lease_end = MAX (world->lease_end,
                             agent->lease + GP_AGENT_LEASE_TIME * 1000 / 980);
@@ -473,7 +474,8 @@
 
 /* The guard reaches only a previous leader, which is cut off from the store.
    In some cases the guard restarts and no longer knows which leader it obeyed,
-   or the other entries restart and have to learn which leaders there were.  */
+   or the other entries restart and have to find out which leaders there
+   were.  */
 static void
 partition_guard (world_t *world)
 {
--- a/tests/unit/test_lives.c
+++ b/tests/unit/test_lives.c
@@ -126,7 +126,7 @@
       agent->is_synced);
 }
 
-/* Regression test: a task ran again after its end was noted, as the number of
+/* Regression test: a task ran again after its end was listed, as the number of
    the end had been used by the previous incarnation.  */
 static void
 test_ends_of_next_life (void)
@@ -169,8 +169,8 @@
           gp_agent_list_lease (agent, now) > 0, agent->fence);
 }
 
-/* Confirmed ends, leases and orders of an incarnation must not reach the next
-   one before it is known.  */
+/* Confirmed ends, leases and orders for one incarnation must not reach the
+   next one before the agent knows of it.  */
 static void
 test_doubt (void)
 {
@@ -198,7 +198,7 @@
 /* The leader.  */
 
 static gp_job_executor_t *
-next_life (jobs_site_t *site, gp_job_executor_t *executor)
+next_incarnation (jobs_site_t *site, gp_job_executor_t *executor)
 {
   gp_job_executor_t *next = gp_book_next_incarnation (&site->book, executor,
                                                       executor->born_ms + 1);
@@ -227,7 +227,7 @@
                           jobs_site_submission (2, 1000));
   jobs_site_plan (&site);
   jobs_site_print_job (job);
-  second = next_life (&site, first);
+  second = next_incarnation (&site, first);
   CU_ASSERT_PTR_EQUAL (gp_book_executor (&site.book, ID), second);
   gp_scheduler_move_run (&site.scheduler, first, second, TASK, 1);
   gp_scheduler_move_run (&site.scheduler, first, second, TASK, 7);
@@ -241,8 +241,8 @@
 }
 
 /* Regression test: the next incarnation carried out a start of the previous
-   one while the task waited to run again; its end was noted, and the task ran
-   once more.  */
+   one while the task waited to run again; its end was reported, and the task
+   ran once more.  */
 static void
 test_done_late (void)
 {
@@ -259,7 +259,7 @@
   job = jobs_site_submit (&site, "00000000000000aa",
                           jobs_site_submission (1, 1000));
   jobs_site_plan (&site);
-  second = next_life (&site, first);
+  second = next_incarnation (&site, first);
   jobs_site_executor_dead (&site, first, GP_DEATH_RESTARTED);
   gp_scheduler_run_ended (&site.scheduler, second, &end, site.now, 1);
   jobs_site_print_job (job);
