--- a/bench/bench_interference.c
+++ b/bench/bench_interference.c
@@ -1,6 +1,6 @@
 /* Compares placement policies on one recorded load in virtual time.
 
-   Eleven workers each run an executor of a service and tasks beside it.
+   Eleven workers each run an executor of a service and some tasks.
    The true slowdown depends on the kinds of tasks and multiplies the
    service's latency, which differs from the form assumed by the model.
    The model sees only the p99 of 10 s windows, 20 s late and with 15%
--- a/bench/bench_pressure.c
+++ b/bench/bench_pressure.c
@@ -2,11 +2,12 @@
    measurement.
 
    Sites are random: a job whose headroom oscillates between 1.6 and 3.8 with a
-   period of 14 s, beside filling runs of nine images, a third of which have
-   weights of 0.4 to 1.4.  Every run is measured every 300 ms with an error of
-   at most 8 %.  Prints the root mean square errors of the weights of the
-   images seen, and of the headroom, after 2, 5, 10 and 40 s.  Before anything
-   is learned the error of the weights is that of the prior.  */
+   period of 14 s, with filling runs of nine images on the same executor.  A
+   third of the images have weights of 0.4 to 1.4.  Every run is measured every
+   300 ms with an error of at most 8 %.  Prints the root mean square errors of
+   the weights of the images seen, and of the headroom, after 2, 5, 10 and 40
+   s.  Before anything is learned the error of the weights is that of the
+   prior.  */
 
 #include <glib.h>
 #include <math.h>
@@ -56,7 +57,8 @@
       site->weights[i] = g_rand_double_range (random, 0.4, 1.4);
 }
 
-/* Lets filling runs come and go beside run I, three images at most.  */
+/* Chooses, with probability CHANGE_CHANCE, which filling runs are on the
+   executor of run I: runs of three images at most.  */
 static void
 change_work (site_t *site, int i, GRand *random)
 {
--- a/src/cli/call.c
+++ b/src/cli/call.c
@@ -24,7 +24,7 @@
   gp_loop_t loop;
   gp_cli_answer_t *answer;
   GError *error;
-  bool sent; /* whether the entry may have received the request */
+  bool sent; /* the entry may have received the request */
 } exchange_t;
 
 static void
@@ -91,7 +91,7 @@
 }
 
 /* Make the call once, at ENTRY.  Returns true with ANSWER set, or false with
-   the transport's ERROR.  *SENT tells whether the entry may have received the
+   the transport's ERROR.  *SENT is whether the entry may have received the
    request.  */
 static bool
 attempt (const gp_cli_t *cli, const char *entry, gp_time_t deadline,
--- a/src/cli/document_file.h
+++ b/src/cli/document_file.h
@@ -10,7 +10,7 @@
 {
   char *text;
   gsize size;
-  bool loaded; /* whether DOCUMENT is valid and initialized */
+  bool loaded; /* DOCUMENT is valid and initialized */
   gp_document_t document;
   GPtrArray *issues;
 } gp_cli_document_file_t;
--- a/src/cli/losses.c
+++ b/src/cli/losses.c
@@ -21,7 +21,7 @@
   OUTCOME_FAILED,
   OUTCOME_CANCELLED,
   OUTCOME_REFUSED,
-  OUTCOME_LEFT_OPEN, /* the caller was not told whether it was accepted */
+  OUTCOME_LEFT_OPEN, /* the caller got no result: it may have been accepted */
   OUTCOMES
 } job_outcome_t;
 
--- a/src/cli/losses.h
+++ b/src/cli/losses.h
@@ -1,7 +1,7 @@
 /* Job statistics computed from the logs of all entries and guards: how many of
    the submitted jobs were completed in time, and why the others were not.
 
-   A job that was late, failed or is still going on is attributed to the one
+   A job that was late, failed or is still in progress is attributed to the one
    cause that took most of its time: it had no active run, as no executor had
    the resources; its runs were lost or failed and had to be repeated; or its
    runs were executing.
--- a/src/coordination/epoch_table.h
+++ b/src/coordination/epoch_table.h
@@ -6,7 +6,7 @@
    arrives.  Only the highest such epoch of a task is kept, because epoch n
    is granted only after all lower ones have ended.  Epochs count from 1.
 
-   The table is bounded.  An ended epoch may be forgotten only when no
+   The table is bounded.  An ended epoch may be removed only when no
    Start for it can be accepted any more, which no timeout can guarantee.
    Entries are therefore never dropped within an incarnation.  When the
    table is full, the guard takes a new incarnation and adopts its own
--- a/src/coordination/interference.h
+++ b/src/coordination/interference.h
@@ -30,7 +30,7 @@
 {
   double slope_mean; /* prior effect of one task on the ratio */
   double slope_deviation;
-  double base_mean; /* prior ratio of a service without tasks beside it */
+  double base_mean; /* prior ratio of a service without tasks on its worker */
   double base_deviation;
   double noise_deviation; /* initial value, for one measurement */
   double drift;           /* fraction of the prior variance added per hour */
--- a/src/coordination/lease_holder.h
+++ b/src/coordination/lease_holder.h
@@ -99,7 +99,7 @@
   GP_START_ACCEPTED,  /* start it now */
   GP_START_DUPLICATE, /* already running; acknowledge again */
   GP_START_REFUSED,   /* did not run and never will with this epoch */
-  GP_START_STALE      /* for another incarnation; the log tells how it ended */
+  GP_START_STALE      /* for another incarnation; the log shows how it ended */
 } gp_start_verdict_t;
 
 /* Number of heartbeats whose send time is kept.  */
@@ -160,7 +160,7 @@
 
 /* Decides on a Start of (TASK, EPOCH) addressed to INCARNATION.  A refusal
    is final and recorded in the epoch table.  A stale Start gets no reply:
-   the record that registers this incarnation tells whether an earlier one
+   the record that registers this incarnation shows whether an earlier one
    ran the task.  */
 gp_start_verdict_t gp_lease_holder_start (gp_lease_holder_t *holder,
                                           uint64_t task, uint64_t epoch,
--- a/src/coordination/outlier.c
+++ b/src/coordination/outlier.c
@@ -11,7 +11,7 @@
 }
 
 /* Windows.  At the end of each, counts are halved, so that slow services
-   are judged over more than one window and old results lose weight.  */
+   are evaluated over more than one window and old results lose weight.  */
 
 static void
 count_halve (gp_health_count_t *count, uint32_t times)
--- a/src/coordination/router.h
+++ b/src/coordination/router.h
@@ -35,9 +35,9 @@
 
 typedef enum
 {
-  GP_CANDIDATE_OPEN,    /* takes requests */
-  GP_CANDIDATE_CLOSED,  /* ejected: takes none */
-  GP_CANDIDATE_PROBING, /* takes one request, see gp_router_offer_probe */
+  GP_CANDIDATE_OPEN,    /* gets requests */
+  GP_CANDIDATE_CLOSED,  /* ejected: gets no requests */
+  GP_CANDIDATE_PROBING, /* gets one request, see gp_router_offer_probe */
   GP_CANDIDATE_REMOVED  /* waits for its exchanges to end */
 } gp_candidate_mode_t;
 
--- a/src/daemon/entry.h
+++ b/src/daemon/entry.h
@@ -64,7 +64,7 @@
 
 /* Runs the event loop until a stop signal has been handled completely: the
    readiness check fails, requests are still served until the load balancer
-   has had time to notice, and open requests are finished.  */
+   has had time to notice, and requests in progress are finished.  */
 void gp_entry_run (gp_entry_t *entry);
 void gp_entry_finish (gp_entry_t *entry);
 
--- a/src/daemon/guard.h
+++ b/src/daemon/guard.h
@@ -1,4 +1,4 @@
-/* The guard: the process that runs on a VM beside an upstream or a worker
+/* The guard: the process that runs on the VM of an upstream or a worker
    runtime.
 
    It keeps sessions to the entries of its region (see daemon/uplinks.h),
--- a/src/daemon/keys.h
+++ b/src/daemon/keys.h
@@ -97,7 +97,7 @@
                      uint8_t key[GP_FOLD_KEY_SIZE]);
 
 /* Decides by the state of KEY in FOLD (NULL: not seen), without side effects.
-   RUN means that an Intent may be proposed.  OWNER_ALIVE tells whether the
+   RUN means that an Intent may be proposed.  OWNER_ALIVE is whether the
    entry that holds an open key is alive.  */
 gp_keys_verdict_t gp_keys_decide (const gp_fold_t *fold,
                                   const gp_fold_key_t *key, uint64_t request,
--- a/src/daemon/laggards.c
+++ b/src/daemon/laggards.c
@@ -1,4 +1,4 @@
-/* Which guards do not have the current configuration revision yet.  */
+/* Finds the guards that do not have the current configuration revision yet. */
 
 #include "daemon/laggards.h"
 
@@ -16,7 +16,7 @@
 
 struct gp_laggards
 {
-  uint64_t revision; /* that of this entry when it asked */
+  uint64_t revision; /* that of this entry when it sent the query */
   GPtrArray *queries;
   unsigned open_count;
   GHashTable *answers; /* entry -> json_t: guards with older revisions */
--- a/src/daemon/laggards.h
+++ b/src/daemon/laggards.h
@@ -1,8 +1,8 @@
-/* Which guards do not have the current configuration revision yet.
+/* Finds the guards that do not have the current configuration revision yet.
 
    An entry knows the revision of the guards that it has sessions with.  For
    the others it queries the other entries, on an operator's request: each
-   lists the guards whose revision is older than that of the entry that asks,
+   lists the guards whose revision is older than that of the querying entry,
    so most answers are empty.  */
 
 #ifndef GP_DAEMON_LAGGARDS_H
--- a/src/daemon/limits.h
+++ b/src/daemon/limits.h
@@ -41,7 +41,7 @@
 
 #define GP_LIMITS_PER_REQUEST 3
 
-/* The limits that a request counts against.  */
+/* The limits that a request is counted against.  */
 typedef struct
 {
   gp_limit_t *limits[GP_LIMITS_PER_REQUEST];
--- a/src/daemon/news.h
+++ b/src/daemon/news.h
@@ -1,7 +1,7 @@
 /* Exchange of membership between the entries of a region: each entry sends
-   the others changes of the guards that it hears directly, and messages that
-   show that it is alive (see coordination/members.h).  None of this depends
-   on the platform's log.  */
+   the others the changes of the guards whose heartbeats it receives, and
+   messages that show that it is alive (see coordination/members.h).  None of
+   this depends on the platform's log.  */
 
 #ifndef GP_DAEMON_NEWS_H
 #define GP_DAEMON_NEWS_H
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -4,8 +4,8 @@
    if the answer comes in parts, and is freed when the caller has its answer
    or has left.  While it waits, its timeout is the deadline of the request
    plus a grace, so that the guard can report the missed deadline first;
-   while it streams, the timeout moves with every part that the caller
-   takes.  */
+   while it streams, the timeout is extended with every part that has been
+   sent to the caller.  */
 
 #include "daemon/relay_private.h"
 
--- a/src/daemon/relay.h
+++ b/src/daemon/relay.h
@@ -59,7 +59,7 @@
 void gp_relays_on_broken (gp_relays_t *relays, gp_session_t *session,
                           const Gp__Wire__Broken *broken);
 
-/* Called when the session of TARGET can take more data, and when a session
+/* Called when the session of TARGET can accept more data, and when a session
    that has a target was closed.  */
 void gp_relays_on_session_writable (gp_relays_t *relays, gp_target_t *target);
 void gp_relays_on_session_closed (gp_relays_t *relays, gp_session_t *session);
--- a/src/daemon/relay_answer.c
+++ b/src/daemon/relay_answer.c
@@ -1,8 +1,8 @@
 /* Sends answers to callers.
 
    An answer that arrives in one message is forwarded at once.  A longer one
-   is forwarded in parts, each after the caller has taken the one before, and
-   the guard gets credit for the bytes that were taken.  So an entry buffers
+   is forwarded in parts, each after the previous one has been sent to the
+   caller, and the guard gets credit for the bytes sent.  So an entry buffers
    at most one window of each answer, however slow its reader is.  */
 
 #include "daemon/relay_private.h"
--- a/src/daemon/relay_keyed.c
+++ b/src/daemon/relay_keyed.c
@@ -59,7 +59,8 @@
                    GP__WIRE__REASON__REASON_LOG, LOG_RETRY_AFTER);
 }
 
-/* Asks whether the request may run under KEY; on_decided gets the result.  */
+/* Requests a decision on whether the request may run under KEY; on_decided
+   gets it.  */
 static void
 begin_keyed (gp_relay_t *relay, gp_http_text_t key)
 {
--- a/src/daemon/relay_send.c
+++ b/src/daemon/relay_send.c
@@ -27,7 +27,7 @@
   gp_session_send (relay->session, &envelope);
 }
 
-/* Sends as much of the request's body as the session takes.  */
+/* Sends as much of the request's body as the session accepts.  */
 void
 gp_relay_send_body (gp_relay_t *relay)
 {
--- a/src/daemon/routes.h
+++ b/src/daemon/routes.h
@@ -49,7 +49,7 @@
                              on_target_suspect was not called yet */
   gp_timer_t timer;
   gp_time_t last_tick;
-  bool last_tick_late;     /* whether the last tick was late */
+  bool last_tick_late;     /* the last tick was late */
   gp_timeline_t *timeline; /* may be NULL */
   /* A member changed; may be NULL.  */
   void (*on_member_change) (gp_member_t *member, void *data);
--- a/src/daemon/runner_private.h
+++ b/src/daemon/runner_private.h
@@ -50,7 +50,7 @@
   /* Start.  */
   char *kind;
   char *payload;
-  char *checkpoint;      /* to start from, later the last one taken; or NULL */
+  char *checkpoint;      /* to start from, later the latest one; or NULL */
   bool start_maybe_sent; /* a start call may have reached the runtime */
   bool start_due;        /* the start call must be repeated */
   /* Stop.  */
@@ -64,7 +64,7 @@
   char *result;
   uint64_t run_time_us;
   gp_resources_t free;
-  bool in_runtime; /* the runtime lists it and must be told to remove it */
+  bool in_runtime; /* the runtime lists it and must be asked to remove it */
   bool acknowledged;
   bool forget_due; /* the call to remove it must be repeated */
 } gp_runner_task_t;
@@ -207,7 +207,7 @@
    ends as acknowledged.  */
 void gp_runner_acknowledge_older (gp_runner_t *runner, uint64_t id,
                                   uint64_t epoch);
-/* Tell the runtime to remove TASK.  */
+/* Request the runtime to remove TASK.  */
 void gp_runner_forget_task (gp_runner_t *runner, gp_runner_task_t *task);
 
 /* runner_usage.c  */
--- a/src/daemon/tasks.h
+++ b/src/daemon/tasks.h
@@ -53,7 +53,7 @@
   size_t key_size;     /* 0: no key */
 } gp_tasks_submission_t;
 
-/* Which tasks to list; fields that are NULL or unspecified match all.  */
+/* Selects the tasks to list; fields that are NULL or unspecified match all. */
 typedef struct
 {
   Gp__Wire__WorkClass work_class;
--- a/src/daemon/tasks_lease.c
+++ b/src/daemon/tasks_lease.c
@@ -331,7 +331,7 @@
     }
 }
 
-/* Tells the grantor that GUARD is alive if only other entries receive its
+/* Reports to the grantor that GUARD is alive if only other entries receive its
    heartbeats.  */
 static void
 record_heard_by_others (gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
--- a/src/daemon/tasks_report.c
+++ b/src/daemon/tasks_report.c
@@ -142,7 +142,7 @@
   task->checkpoint_proposed = propose (tasks, task->guard, report, &record);
 }
 
-/* Whether EPOCH of the task of STATE is over.  */
+/* Whether EPOCH of the task of STATE has ended.  */
 static bool
 is_over (const gp_fold_task_t *state, uint64_t epoch)
 {
--- a/src/daemon/view.h
+++ b/src/daemon/view.h
@@ -31,7 +31,7 @@
 typedef void (*gp_view_done_t) (gp_view_result_t result,
                                 const Gp__Wire__View *view, void *data);
 
-/* The open requests of an entry.  */
+/* The requests of an entry that are in progress.  */
 typedef struct
 {
   gp_session_host_t *host;
@@ -42,9 +42,9 @@
 } gp_views_t;
 
 void gp_views_init (gp_views_t *views, gp_session_host_t *host);
-/* gp_views_close ends the open requests as lost, while the other objects still
-   exist, and releases the timer before the event loop is finalized;
-   gp_views_finish frees the rest afterwards.  */
+/* gp_views_close ends the requests in progress as lost, while the other
+   objects still exist, and releases the timer before the event loop is
+   finalized; gp_views_finish frees the rest afterwards.  */
 void gp_views_close (gp_views_t *views);
 void gp_views_finish (gp_views_t *views);
 
--- a/src/state/catalog.h
+++ b/src/state/catalog.h
@@ -1,4 +1,4 @@
-/* Catalog of the snapshots on the log.
+/* Catalog of the snapshots in the log.
 
    A snapshot is a Begin record, its parts in order and an End record.  They
    are spread over the batches of one writer, interleaved with the batches of
--- a/src/state/fold.h
+++ b/src/state/fold.h
@@ -1,4 +1,4 @@
-/* Replicated state machine of the site: a fold over the batches on the log.
+/* Replicated state machine of the site: a fold over the batches in the log.
 
    Every process that follows the log applies the same batches in offset order
    and therefore has the same state.  Each record is either accepted or void,
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -1,8 +1,8 @@
 /* Writes snapshots of the state to the log.
 
-   The state has to be saved on the log before the log drops the batches from
+   The state has to be saved in the log before the log drops the batches from
    which it was built.  Any process may do so.  Two snapshots at the same time
-   are harmless, and a process that dies midway leaves parts that readers
+   are harmless, and a process that exits midway leaves parts that readers
    ignore.  Each process randomizes its threshold, so that usually only one of
    them writes a snapshot.
 
--- a/src/state/writer.h
+++ b/src/state/writer.h
@@ -2,7 +2,7 @@
 
    Records are queued by priority and sent in batches; one batch is one
    append.  A batch is sent when its oldest record has waited long enough or
-   the batch is full, and the batch before it is known to be on the log.  An
+   the batch is full, and the batch before it is known to be in the log.  An
    append that fails, or whose outcome is unknown, is repeated with the same
    bytes until it is acknowledged or read back, so that a sequence never
    identifies two different batches.
@@ -10,7 +10,7 @@
    An acknowledgement only allows the next batch to be sent.  The verdict on a
    record is known when its batch has been read back and folded.  A record
    that has not been sent can be withdrawn or expire at its deadline, and is
-   then guaranteed not to be on the log.  A record that has been sent cannot.
+   then guaranteed not to be in the log.  A record that has been sent cannot.
 
    While the log does not accept batches or does not return them, new records
    are refused immediately instead of being queued for an uncertain time.
@@ -79,8 +79,8 @@
 {
   GP_WRITER_APPEND,
   GP_WRITER_VERDICT,
-  GP_WRITER_EXPIRED, /* not on the log, and never will be */
-  GP_WRITER_UNREAD   /* on the log and folded, but its verdict is not known */
+  GP_WRITER_EXPIRED, /* not in the log, and never will be */
+  GP_WRITER_UNREAD   /* in the log and folded, but its verdict is not known */
 } gp_writer_action_kind_t;
 
 typedef struct
@@ -128,7 +128,7 @@
   gp_time_t last_batch_at;    /* when the last batch was formed */
   gp_time_t spacing;          /* adjusted to the number of writers */
   gp_time_t next_expiry;      /* lower bound of the deadlines in the queues */
-  gp_writer_batch_t *current; /* not known to be on the log yet, or NULL */
+  gp_writer_batch_t *current; /* not known to be in the log yet, or NULL */
   gp_list_t unread;           /* of gp_writer_batch_t, oldest first */
   uint32_t unread_count;
   GQueue actions; /* of gp_writer_action_t */
@@ -175,11 +175,11 @@
                                       gp_writer_entry_t **entry);
 
 /* Remove ENTRY if it has not been sent.  Returns true if it was removed and so
-   is not on the log, false if it was sent and its verdict will follow.  */
+   is not in the log, false if it was sent and its verdict will follow.  */
 bool gp_writer_withdraw (gp_writer_t *writer, gp_writer_entry_t *entry);
 
 /* To be called when the append of SEQUENCE was acknowledged or has failed in
-   any way.  Calls for appends already known to be on the log are ignored.  */
+   any way.  Calls for appends already known to be in the log are ignored.  */
 void gp_writer_acked (gp_writer_t *writer, uint64_t sequence, gp_time_t now);
 void gp_writer_failed (gp_writer_t *writer, uint64_t sequence, gp_time_t now);
 
