--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -158,7 +158,7 @@
 /* VMs that fail or are replaced on an ordinary day with 3,600 of them.
    Each causes two updates (gone, announced) from each of two homes.  */
 #define CHANGES_A_DAY 316
-#define TELLINGS 4
+#define UPDATES_PER_CHANGE 4
 
 /* Entries exchange keep-alives every two seconds, and updates, with the
    other entries of their region; bytes sent and received are counted.  */
@@ -172,7 +172,7 @@
   double exchanges = (double)(guards * GP_HOMES_MAX) / seconds;
   double life = peers * 2 * (double)(news_size (false, false) + overhead) / 2;
   double changes = CHANGES_A_DAY / 86400.0 * (double)guards / 3600;
-  double news = changes * TELLINGS * 2 * peers / (double)entries
+  double news = changes * UPDATES_PER_CHANGE * 2 * peers / (double)entries
                 * (double)(news_size (true, false) + overhead);
 
   printf ("%4zu guards %2zu entries %zu regions overhead %2zu: interval "
--- a/src/coordination/lease_grantor.c
+++ b/src/coordination/lease_grantor.c
@@ -4,7 +4,7 @@
    STALE_READ_DIVISOR.  */
 #define STALE_READ_DIVISOR 4
 /* Vouches are requested this many times within the duration of a promise.  */
-#define ASKS_PER_PROMISE 5
+#define VOUCH_REQUESTS_PER_PROMISE 5
 /* A guard that needs vouches says so in every heartbeat; the request is
    considered current for this many heartbeat periods.  */
 #define VOUCH_WANTED_HEARTBEATS 2
@@ -49,9 +49,9 @@
                                    .valid_from = now,
                                    .last_tick = now,
                                    .listening_since = now,
-                                   .next_ask_at = now,
+                                   .next_vouch_request_at = now,
                                    .vouch_wanted_at = -1,
-                                   .next_ask_id = incarnation };
+                                   .next_vouch_request_id = incarnation };
   /* The predecessor's promises; its last vouch was given before this
      start.  */
   grantor->promised_until
@@ -367,10 +367,10 @@
 {
   gp_lease_voucher_t *other = &grantor->others[entry];
 
-  if (id == 0 || other->ask_id != id)
+  if (id == 0 || other->vouch_request_id != id)
     return;
-  other->ask_id = 0;
-  other->vouched_since = other->ask_sent_at;
+  other->vouch_request_id = 0;
+  other->vouched_since = other->vouch_requested_at;
   g_hash_table_remove_all (other->fences);
   for (unsigned i = 0; i < num_fences; i++)
     g_hash_table_insert (
@@ -396,27 +396,28 @@
 {
   gp_time_t late = grantor->timing.length / STALE_READ_DIVISOR;
 
-  if (now < grantor->next_ask_at || grantor->vouch_wanted_at < 0)
+  if (now < grantor->next_vouch_request_at || grantor->vouch_wanted_at < 0)
     return;
   if (now - grantor->vouch_wanted_at
       > VOUCH_WANTED_HEARTBEATS * grantor->timing.heartbeat)
     return;
   if (grantor->fresh_at >= 0 && now - grantor->fresh_at < late)
     return;
-  grantor->next_ask_at = now + grantor->timing.promise / ASKS_PER_PROMISE;
+  grantor->next_vouch_request_at
+      = now + grantor->timing.promise / VOUCH_REQUESTS_PER_PROMISE;
   extend_promise (grantor, now);
   for (unsigned i = 0; i < grantor->num_others; i++)
     {
       gp_lease_voucher_t *other = &grantor->others[i];
       gp_lease_grantor_action_t *action
-          = action_add (actions, GP_LEASE_GRANTOR_ASK_VOUCH);
+          = action_add (actions, GP_LEASE_GRANTOR_REQUEST_VOUCH);
 
       if (action == NULL)
         return;
-      other->ask_id = grantor->next_ask_id++;
-      other->ask_sent_at = now;
-      action->u.ask.entry = i;
-      action->u.ask.id = other->ask_id;
+      other->vouch_request_id = grantor->next_vouch_request_id++;
+      other->vouch_requested_at = now;
+      action->u.vouch_request.entry = i;
+      action->u.vouch_request.id = other->vouch_request_id;
     }
 }
 
--- a/src/coordination/lease_grantor.h
+++ b/src/coordination/lease_grantor.h
@@ -46,10 +46,10 @@
 
 typedef enum
 {
-  GP_LEASE_GRANTOR_REGISTER,   /* propose ADOPT from the guard's inventory */
-  GP_LEASE_GRANTOR_FENCE,      /* propose FENCE */
-  GP_LEASE_GRANTOR_FENCE_DONE, /* propose FENCE_DONE */
-  GP_LEASE_GRANTOR_ASK_VOUCH   /* send a VouchAsk */
+  GP_LEASE_GRANTOR_REGISTER,     /* propose ADOPT from the guard's inventory */
+  GP_LEASE_GRANTOR_FENCE,        /* propose FENCE */
+  GP_LEASE_GRANTOR_FENCE_DONE,   /* propose FENCE_DONE */
+  GP_LEASE_GRANTOR_REQUEST_VOUCH /* send a VouchAsk */
 } gp_lease_grantor_action_kind_t;
 
 typedef struct
@@ -66,7 +66,7 @@
     {
       unsigned entry; /* index in the settings */
       uint64_t id;
-    } ask;
+    } vouch_request; /* REQUEST_VOUCH */
   } u;
 } gp_lease_grantor_action_t;
 
@@ -107,10 +107,10 @@
 /* State of the vouches of one other entry.  */
 typedef struct
 {
-  uint64_t ask_id;         /* id of the pending request, or 0 */
-  gp_time_t ask_sent_at;   /* send time of the pending request */
-  gp_time_t vouched_since; /* when the vouch was requested, or -1 */
-  GHashTable *fences;      /* in the vouch: guard -> incarnation */
+  uint64_t vouch_request_id;    /* id of the pending request, or 0 */
+  gp_time_t vouch_requested_at; /* send time of the pending request */
+  gp_time_t vouched_since;      /* when the vouch was requested, or -1 */
+  GHashTable *fences;           /* in the vouch: guard -> incarnation */
 } gp_lease_voucher_t;
 
 typedef struct
@@ -125,13 +125,13 @@
   gp_time_t fresh_at;   /* s above, or -1 */
   gp_time_t valid_from; /* reads sent before this are ignored */
   gp_time_t last_tick;  /* time of the last tick */
-  gp_time_t listening_since; /* since when heartbeats have been received
-                                without a pause */
-  gp_time_t promised_until;  /* until then acts on listed fences only */
-  gp_time_t next_ask_at;     /* when vouches may next be requested */
+  gp_time_t listening_since;       /* since when heartbeats have been received
+                                      without a pause */
+  gp_time_t promised_until;        /* until then acts on listed fences only */
+  gp_time_t next_vouch_request_at; /* when vouches may next be requested */
   gp_time_t vouch_wanted_at; /* when a guard last asked for a vouched renewal,
                                 or -1 */
-  uint64_t next_ask_id;
+  uint64_t next_vouch_request_id;
   gp_lease_voucher_t others[GP_LEASE_GRANTOR_MAX_ENTRIES];
 } gp_lease_grantor_t;
 
--- a/src/coordination/lease_holder.c
+++ b/src/coordination/lease_holder.c
@@ -130,7 +130,8 @@
 }
 
 static bool
-is_sound (const gp_lease_holder_t *holder, const gp_lease_reply_t *reply)
+is_sufficient_renewal (const gp_lease_holder_t *holder,
+                       const gp_lease_reply_t *reply)
 {
   gp_time_t length = holder->timing.length;
 
@@ -147,7 +148,7 @@
 
   if (sent < 0 || reply->remaining <= 0 || deadline <= now)
     return;
-  if (is_sound (holder, reply))
+  if (is_sufficient_renewal (holder, reply))
     holder->fresh_at = now;
   if (reply->vouched && !gp_lease_holder_held (holder))
     return;
--- a/src/coordination/members.c
+++ b/src/coordination/members.c
@@ -57,7 +57,7 @@
   gp_list_init (&members->news);
   gp_list_init (&members->changes);
   members->sequence = 0;
-  members->forgotten = 0;
+  members->highest_freed_sequence = 0;
 }
 
 void
@@ -407,8 +407,8 @@
         return member->state_deadline;
       if (!gp_list_empty (&member->change_link))
         return now + members->settings.forget_after;
-      if (member->sequence > members->forgotten)
-        members->forgotten = member->sequence;
+      if (member->sequence > members->highest_freed_sequence)
+        members->highest_freed_sequence = member->sequence;
       g_hash_table_remove (members->by_name, member->announcement.name);
     }
   return GP_TIME_NEVER;
--- a/src/coordination/members.h
+++ b/src/coordination/members.h
@@ -148,7 +148,7 @@
   gp_list_t news;    /* ordered by sequence */
   gp_list_t changes; /* members with a change not yet taken by the owner */
   uint64_t sequence;
-  uint64_t forgotten; /* highest sequence number of a freed member */
+  uint64_t highest_freed_sequence; /* of the freed members */
 } gp_members_t;
 
 typedef enum
--- a/src/coordination/reporters.c
+++ b/src/coordination/reporters.c
@@ -58,8 +58,8 @@
 }
 
 static void
-reporter_settle_all (gp_members_t *members, gp_reporter_t *reporter,
-                     gp_time_t now)
+reporter_refresh_members (gp_members_t *members, gp_reporter_t *reporter,
+                          gp_time_t now)
 {
   GP_LIST_FOREACH (pos, &reporter->reports)
   gp_members_refresh_state (
@@ -96,7 +96,7 @@
   if (!reporter->silent)
     return true;
   reporter->silent = false;
-  reporter_settle_all (members, reporter, now);
+  reporter_refresh_members (members, reporter, now);
   return true;
 }
 
@@ -215,7 +215,7 @@
       if (!reporter->silent && reporter->silent_at <= now)
         {
           reporter->silent = true;
-          reporter_settle_all (members, reporter, now);
+          reporter_refresh_members (members, reporter, now);
         }
       if (reporter->forget_at <= now)
         {
@@ -248,7 +248,7 @@
 {
   gp_list_t *head = &members->news;
   gp_list_t *pos = head;
-  bool whole = cursor == 0;
+  bool full_state = cursor == 0;
   size_t used = 0;
 
   while (pos->prev != head
@@ -261,7 +261,7 @@
       gp_member_news_t news = news_of (member);
       size_t size;
 
-      if (news.gone && whole)
+      if (news.gone && full_state)
         {
           cursor = member->sequence;
           continue;
@@ -278,5 +278,5 @@
 bool
 gp_members_cursor_lost (const gp_members_t *members, uint64_t cursor)
 {
-  return cursor != 0 && cursor < members->forgotten;
+  return cursor != 0 && cursor < members->highest_freed_sequence;
 }
--- a/src/coordination/suspects.c
+++ b/src/coordination/suspects.c
@@ -125,8 +125,8 @@
 }
 
 static bool
-is_bad (const gp_suspects_worker_t *worker,
-        const gp_suspects_settings_t *settings, gp_time_t now)
+should_suspect (const gp_suspects_worker_t *worker,
+                const gp_suspects_settings_t *settings, gp_time_t now)
 {
   unsigned int failed = 0;
   unsigned int succeeded = 0;
@@ -186,7 +186,7 @@
   if (state->state != GP_SUSPECTS_TRUSTED || (failed && task_to_blame))
     return false;
   record_outcome (state, task_id, failed, now);
-  if (!is_bad (state, &suspects->settings, now))
+  if (!should_suspect (state, &suspects->settings, now))
     return false;
   set_suspected (state, &suspects->settings, now);
   return true;
--- a/src/daemon/configuration.c
+++ b/src/daemon/configuration.c
@@ -29,7 +29,7 @@
     = GP_COUNTER ("config_offers_total", "Revisions offered to peers.");
 static gp_counter_t updates_sent
     = GP_COUNTER ("config_updates_sent_total", "Updates sent to peers.");
-static gp_counter_t updates_taken = GP_COUNTER (
+static gp_counter_t updates_applied = GP_COUNTER (
     "config_updates_taken_total", "Updates of peers that were applied.");
 static gp_counter_t update_bytes = GP_COUNTER (
     "config_update_bytes_total", "Bytes of the updates sent to peers.");
@@ -233,7 +233,7 @@
   switch (gp_config_apply_wire (&configuration->config, update))
     {
     case GP_CONFIG_APPLIED:
-      gp_counter_add (&updates_taken, 1);
+      gp_counter_add (&updates_applied, 1);
       put_in_force (configuration);
       if (configuration->store != NULL)
         offer_to_all (configuration, session);
@@ -337,7 +337,7 @@
   gp_counter_register (&bytes_held);
   gp_counter_register (&offers);
   gp_counter_register (&updates_sent);
-  gp_counter_register (&updates_taken);
+  gp_counter_register (&updates_applied);
   gp_counter_register (&update_bytes);
   gp_counter_register (&updates_refused);
 }
--- a/src/daemon/execution_answer.c
+++ b/src/daemon/execution_answer.c
@@ -174,7 +174,7 @@
 }
 
 static void
-note_progress (gp_execution_t *execution)
+set_progress_time (gp_execution_t *execution)
 {
   execution->progress_at = gp_loop_now (execution->executor->loop);
 }
@@ -187,7 +187,7 @@
   gp_executor_t *executor = execution->executor;
 
   execution->head_sent = true;
-  note_progress (execution);
+  set_progress_time (execution);
   if (!execution->under_deadline)
     return;
   gp_heap_remove (&executor->started, &execution->started);
@@ -272,7 +272,7 @@
   part.last = last;
   gp_session_send (execution->set->session, &envelope);
   execution->window -= (int64_t)size;
-  note_progress (execution);
+  set_progress_time (execution);
 }
 
 static void
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -239,7 +239,7 @@
   gp_heap_insert (&relays->timeouts, &relay->timeout_node);
   relays->open_count++;
   gp_counter_set (&relays_open, (int64_t)relays->open_count);
-  gp_http_exchange_watch (exchange, on_caller_gone, gp_relay_on_part_taken,
+  gp_http_exchange_watch (exchange, on_caller_gone, gp_relay_on_part_sent,
                           relay);
   return relay;
 }
--- a/src/daemon/relay_answer.c
+++ b/src/daemon/relay_answer.c
@@ -218,7 +218,7 @@
 }
 
 void
-gp_relay_on_part_taken (void *data)
+gp_relay_on_part_sent (void *data)
 {
   gp_relay_t *relay = data;
 
--- a/src/daemon/relay_private.h
+++ b/src/daemon/relay_private.h
@@ -109,7 +109,7 @@
 
 /* Sends the next pending part to the caller; frees RELAY after the last.  */
 void gp_relay_send_next_part (gp_relay_t *relay);
-void gp_relay_on_part_taken (void *data);
+void gp_relay_on_part_sent (void *data);
 
 /* Aborts a streamed answer, so that the caller sees it is incomplete; frees
    RELAY.  */
--- a/src/daemon/tasks_guard.c
+++ b/src/daemon/tasks_guard.c
@@ -256,7 +256,7 @@
 /* Whether GUARD can be freed: it is gone from the log and the membership, and
    nothing refers to it.  */
 static bool
-is_forgotten (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
+guard_is_unused (const gp_tasks_t *tasks, const gp_tasks_guard_t *guard)
 {
   return guard->session == NULL && guard->member == NULL
          && gp_list_empty (&guard->placed) && guard->adopt_incarnation == 0
@@ -322,7 +322,7 @@
 static void
 check_guard (gp_tasks_t *tasks, gp_tasks_guard_t *guard, gp_time_t now)
 {
-  if (gp_store_ready (tasks->store) && is_forgotten (tasks, guard))
+  if (gp_store_ready (tasks->store) && guard_is_unused (tasks, guard))
     {
       remove_from_fleet (tasks, guard);
       gp_heap_remove (&tasks->guard_checks, &guard->check_node);
--- a/src/daemon/tasks_lease.c
+++ b/src/daemon/tasks_lease.c
@@ -90,7 +90,7 @@
     case GP_LEASE_GRANTOR_FENCE_DONE:
       guard->fence_done_incarnation = incarnation;
       break;
-    case GP_LEASE_GRANTOR_ASK_VOUCH:
+    case GP_LEASE_GRANTOR_REQUEST_VOUCH:
       break;
     }
 }
@@ -249,14 +249,14 @@
 static void
 send_vouch_ask (gp_tasks_t *tasks, const gp_lease_grantor_action_t *action)
 {
-  gp_session_t *session
-      = find_entry_session (tasks, tasks->others[action->u.ask.entry]->name);
+  gp_session_t *session = find_entry_session (
+      tasks, tasks->others[action->u.vouch_request.entry]->name);
   Gp__Wire__VouchAsk ask = GP__WIRE__VOUCH_ASK__INIT;
   Gp__Wire__Envelope envelope = GP_ENVELOPE (VOUCH_ASK, vouch_ask, &ask);
 
   if (session == NULL)
     return;
-  ask.id = action->u.ask.id;
+  ask.id = action->u.vouch_request.id;
   ask.entry_set = tasks->entry_set;
   gp_session_send (session, &envelope);
 }
@@ -324,7 +324,7 @@
     {
       const gp_lease_grantor_action_t *action = &actions->items[i];
 
-      if (action->kind == GP_LEASE_GRANTOR_ASK_VOUCH)
+      if (action->kind == GP_LEASE_GRANTOR_REQUEST_VOUCH)
         send_vouch_ask (tasks, action);
       else
         request_record (tasks, action);
--- a/src/daemon/tasks_report.c
+++ b/src/daemon/tasks_report.c
@@ -144,7 +144,7 @@
 
 /* Whether EPOCH of the task of STATE has ended.  */
 static bool
-is_over (const gp_fold_task_t *state, uint64_t epoch)
+epoch_has_ended (const gp_fold_task_t *state, uint64_t epoch)
 {
   if (state == NULL || state->epoch > epoch)
     return true;
@@ -221,7 +221,7 @@
 
   if (!gp_store_ready (tasks->store))
     return;
-  if (is_over (state, report->epoch))
+  if (epoch_has_ended (state, report->epoch))
     {
       pending_report_t *pending = pending_report_new (tasks, guard, report);
 
--- a/src/state/active_writers.c
+++ b/src/state/active_writers.c
@@ -67,8 +67,8 @@
 gp_active_writers_update (gp_active_writers_t *active, const gp_fold_t *fold,
                           gp_time_t now)
 {
-  for (const gp_list_t *pos = fold->writers_heard.prev;
-       pos != &fold->writers_heard; pos = pos->prev)
+  for (const gp_list_t *pos = fold->writers_by_activity.prev;
+       pos != &fold->writers_by_activity; pos = pos->prev)
     {
       const gp_fold_writer_t *writer
           = GP_CONTAINER_OF (pos, const gp_fold_writer_t, link);
--- a/src/state/fold.c
+++ b/src/state/fold.c
@@ -75,7 +75,7 @@
       = g_hash_table_new_full (hash_key, equal_key, gp_fold_free_key, NULL);
   gp_list_init (&fold->ended);
   gp_list_init (&fold->guards_gone);
-  gp_list_init (&fold->writers_heard);
+  gp_list_init (&fold->writers_by_activity);
   gp_list_init (&fold->keys_opened);
   fold->answer_cursor = &fold->keys_opened;
   gp_config_init (&fold->config);
@@ -113,7 +113,7 @@
   gp_fold_writer_t *writer = g_new0 (gp_fold_writer_t, 1);
 
   writer->name = g_ref_string_new_intern (name);
-  gp_list_push_back (&fold->writers_heard, &writer->link);
+  gp_list_push_back (&fold->writers_by_activity, &writer->link);
   g_hash_table_add (fold->writers, writer);
   return writer;
 }
@@ -132,10 +132,10 @@
 static void
 expire_writers (gp_fold_t *fold)
 {
-  while (!gp_list_empty (&fold->writers_heard))
+  while (!gp_list_empty (&fold->writers_by_activity))
     {
-      gp_fold_writer_t *oldest
-          = GP_CONTAINER_OF (fold->writers_heard.next, gp_fold_writer_t, link);
+      gp_fold_writer_t *oldest = GP_CONTAINER_OF (
+          fold->writers_by_activity.next, gp_fold_writer_t, link);
       bool late = oldest->heard_us + fold->limits.writer_window_us
                   <= fold->log_time_us;
       bool many = g_hash_table_size (fold->writers) > fold->limits.writers_max;
@@ -156,8 +156,8 @@
   int64_t second = -1;
   int count = 0;
 
-  for (const gp_list_t *pos = fold->writers_heard.prev;
-       pos != &fold->writers_heard && count < CLOCKS; pos = pos->prev)
+  for (const gp_list_t *pos = fold->writers_by_activity.prev;
+       pos != &fold->writers_by_activity && count < CLOCKS; pos = pos->prev)
     {
       const gp_fold_writer_t *writer
           = GP_CONTAINER_OF (pos, gp_fold_writer_t, link);
@@ -188,7 +188,7 @@
   writer->sequence = batch->sequence;
   writer->wall_us = batch->wall_us;
   gp_list_remove (&writer->link);
-  gp_list_push_back (&fold->writers_heard, &writer->link);
+  gp_list_push_back (&fold->writers_by_activity, &writer->link);
   fold->log_time_us = MAX (fold->log_time_us, second_clock (fold));
   writer->heard_us = fold->log_time_us;
   fold->writer = writer;
--- a/src/state/fold.h
+++ b/src/state/fold.h
@@ -118,7 +118,7 @@
   uint64_t sequence; /* the last applied */
   int64_t heard_us;  /* log time of its last batch */
   int64_t wall_us;   /* wall clock in its last batch */
-  gp_list_t link;    /* in gp_fold_t.writers_heard, least recent first */
+  gp_list_t link;    /* in gp_fold_t.writers_by_activity, least recent first */
 } gp_fold_writer_t;
 
 typedef struct
@@ -246,7 +246,7 @@
   GHashTable *keys;    /* set of gp_fold_key_t */
   gp_list_t ended;     /* of gp_fold_task_t, oldest first */
   gp_list_t guards_gone;
-  gp_list_t writers_heard;
+  gp_list_t writers_by_activity;
   gp_list_t keys_opened;
   gp_list_t *answer_cursor; /* no key before it has a stored answer */
   uint32_t phase_count[5];  /* by Gp__Record__TaskPhase */
--- a/src/state/fold_rows.c
+++ b/src/state/fold_rows.c
@@ -219,7 +219,7 @@
   switch (stage)
     {
     case STAGE_WRITERS:
-      saver->position = fold->writers_heard.next;
+      saver->position = fold->writers_by_activity.next;
       break;
     case STAGE_GUARDS_GONE:
       saver->position = fold->guards_gone.next;
@@ -294,7 +294,7 @@
 static bool
 step_writers (gp_fold_saver_t *saver)
 {
-  gp_list_t *link = next_link (saver, &saver->fold->writers_heard);
+  gp_list_t *link = next_link (saver, &saver->fold->writers_by_activity);
 
   if (link != NULL)
     put_writer (saver, GP_CONTAINER_OF (link, gp_fold_writer_t, link));
--- a/tests/unit/lease_world_entry.c
+++ b/tests/unit/lease_world_entry.c
@@ -78,10 +78,10 @@
                                 guard_index (a->u.guard.name),
                                 a->u.guard.incarnation, NULL);
           break;
-        case GP_LEASE_GRANTOR_ASK_VOUCH:
-          ask.id = a->u.ask.id;
-          lw_send_message (w, entry, other_entry (entry, a->u.ask.entry),
-                           &ask);
+        case GP_LEASE_GRANTOR_REQUEST_VOUCH:
+          ask.id = a->u.vouch_request.id;
+          lw_send_message (
+              w, entry, other_entry (entry, a->u.vouch_request.entry), &ask);
           break;
         }
     }
@@ -457,7 +457,7 @@
   if (w->options->mutation == LW_NO_RESTART_HOLD && w->pid[entry] > 1)
     {
       e->grantor.promised_until = 0;
-      e->grantor.next_ask_at
+      e->grantor.next_vouch_request_at
           += w->options->timing.promise; /* delays its own promises too */
     }
   lw_trace (w, "e%u: entry starts", entry + 1);
--- a/tests/unit/test_lease_rules.c
+++ b/tests/unit/test_lease_rules.c
@@ -191,15 +191,18 @@
   send_heartbeat (&grantor, now);
   gp_lease_grantor_tick (&grantor, now, &actions);
   CU_ASSERT_EQUAL (actions.count, 2);
-  gp_lease_grantor_vouched (&grantor, 0, actions.items[0].u.ask.id, NULL, 0);
+  gp_lease_grantor_vouched (&grantor, 0, actions.items[0].u.vouch_request.id,
+                            NULL, 0);
   CU_ASSERT_FALSE (send_heartbeat (&grantor, now).vouched);
-  gp_lease_grantor_vouched (&grantor, 1, actions.items[1].u.ask.id, NULL, 0);
+  gp_lease_grantor_vouched (&grantor, 1, actions.items[1].u.vouch_request.id,
+                            NULL, 0);
   CU_ASSERT_EQUAL (send_heartbeat (&grantor, now).remaining, 15 * GP_SEC);
   actions.count = 0;
   now += 5 * GP_SEC;
   CU_ASSERT_EQUAL (send_heartbeat (&grantor, now).remaining, 10 * GP_SEC);
   gp_lease_grantor_tick (&grantor, now, &actions);
-  gp_lease_grantor_vouched (&grantor, 1, actions.items[1].u.ask.id, &fence, 1);
+  gp_lease_grantor_vouched (&grantor, 1, actions.items[1].u.vouch_request.id,
+                            &fence, 1);
   CU_ASSERT_EQUAL (send_heartbeat (&grantor, now).remaining, 0);
   gp_lease_grantor_finish (&grantor);
 }
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -138,8 +138,8 @@
   gp_reach_t reach;
   uint64_t incarnation;
   gp_time_t heard_at;
-  uint64_t said[N_ENTRIES]; /* connection generation of the reporter's last
-                               report, or 0 */
+  uint64_t report_generation[N_ENTRIES]; /* connection generation of the
+                               reporter's last report, or 0 */
   gp_member_state_t state;
   gp_time_t state_since;
 } naive_guard_t;
@@ -165,10 +165,10 @@
       if (now >= guard->heard_at + s.suspect_after)
         guard->direct = false;
       for (int e = 0; e < N_ENTRIES; e++)
-        if ((guard->said[e] < naive->generation[e]
+        if ((guard->report_generation[e] < naive->generation[e]
              && now >= naive->opened_at[e] + s.suspect_after)
             || now >= naive->heard_at[e] + s.gone_after + s.forget_after)
-          guard->said[e] = 0;
+          guard->report_generation[e] = 0;
     }
 }
 
@@ -179,7 +179,8 @@
   bool others = false;
 
   for (int e = 0; e < N_ENTRIES; e++)
-    if (guard->said[e] != 0 && now < naive->heard_at[e] + s.suspect_after)
+    if (guard->report_generation[e] != 0
+        && now < naive->heard_at[e] + s.suspect_after)
       others = true;
   if (others || guard->direct)
     {
@@ -327,7 +328,7 @@
   gp_members_apply_news (&pair->members, entry_names[e], &news, pair->now);
   if (naive_accept (guard, incarnation, !news.gone))
     {
-      guard->said[e] = news.gone ? 0 : naive->generation[e];
+      guard->report_generation[e] = news.gone ? 0 : naive->generation[e];
       guard->leaving = guard->leaving || kind == 3;
     }
 }
@@ -426,7 +427,7 @@
 /* Updates sent in pieces bring another table to the same state.  */
 
 static size_t
-carry (const gp_member_news_t *news, void *data)
+deliver_update (const gp_member_news_t *news, void *data)
 {
   gp_members_apply_news (data, "entry-0", news, 0);
   return 1;
@@ -449,12 +450,12 @@
       size_t budget = (size_t)g_rand_int_range (home.rand, 0, 3);
 
       guard_event (&home, g, home.naive.guards[g].incarnation + (i % 50 == 0));
-      cursor = gp_members_visit_news (&home.members, cursor, budget, carry,
-                                      &away);
+      cursor = gp_members_visit_news (&home.members, cursor, budget,
+                                      deliver_update, &away);
       if (i % 10 != 0)
         continue;
-      cursor = gp_members_visit_news (&home.members, cursor, N_GUARDS, carry,
-                                      &away);
+      cursor = gp_members_visit_news (&home.members, cursor, N_GUARDS,
+                                      deliver_update, &away);
       for (g = 0; g < N_GUARDS; g++)
         {
           const gp_member_t *a
