--- a/src/coordination/capacity.c
+++ b/src/coordination/capacity.c
@@ -173,10 +173,12 @@
 
   task->samples_under = 0;
   task->samples_over++;
-  task->wanted
-      = task->throttled ? component_max (&task->wanted, &covering) : covering;
-  if (fits_with (capacity, task, &task->wanted))
-    set_reservation (capacity, task, &task->wanted, task->throttled, now);
+  task->needed_reservation
+      = task->throttled ? component_max (&task->needed_reservation, &covering)
+                        : covering;
+  if (fits_with (capacity, task, &task->needed_reservation))
+    set_reservation (capacity, task, &task->needed_reservation,
+                     task->throttled, now);
   else if (fits_with (capacity, task, &covering))
     set_reservation (capacity, task, &covering, false, now);
   else if (!task->throttled
@@ -240,8 +242,8 @@
     gp_capacity_task_t *task = task_of (link);
 
     if (task->throttled && !task->stopping
-        && fits_with (capacity, task, &task->wanted))
-      set_reservation (capacity, task, &task->wanted, true, now);
+        && fits_with (capacity, task, &task->needed_reservation))
+      set_reservation (capacity, task, &task->needed_reservation, true, now);
   }
 }
 
@@ -307,7 +309,7 @@
   task->throttled = false;
   task->stopping = false;
   task->action = (gp_capacity_action_t){ .kind = GP_CAPACITY_NONE };
-  task->wanted = task->reserved;
+  task->needed_reservation = task->reserved;
   task->changed_at = now;
   task->samples_over = 0;
   task->samples_under = 0;
--- a/src/coordination/capacity.h
+++ b/src/coordination/capacity.h
@@ -77,9 +77,9 @@
 
   /* Private.  */
   gp_list_t link;
-  gp_list_t pending;           /* in the ACTIONS list of the capacity */
-  gp_capacity_action_t action; /* the pending action */
-  gp_resources_t wanted;  /* usage to cover before the throttle is lifted */
+  gp_list_t pending;                 /* in the ACTIONS list of the capacity */
+  gp_capacity_action_t action;       /* the pending action */
+  gp_resources_t needed_reservation; /* to lift the throttle */
   gp_time_t changed_at;   /* measurements from before this are ignored */
   uint32_t samples_over;  /* consecutive */
   uint32_t samples_under; /* consecutive */
--- a/src/coordination/remedy.c
+++ b/src/coordination/remedy.c
@@ -46,10 +46,10 @@
       return false;
     case GP_REMEDY_THROTTLE:
       return resident->work_class == GP_WORK_BATCH && !resident->throttled
-             && resident->relief >= settings->least_relief;
+             && resident->relief >= settings->min_relief;
     case GP_REMEDY_EVICT:
       return resident->work_class != GP_WORK_LATENCY_CRITICAL
-             && resident->relief >= settings->least_relief;
+             && resident->relief >= settings->min_relief;
     case GP_REMEDY_UNTHROTTLE:
       return resident->throttled;
     }
@@ -136,7 +136,7 @@
     {
       decision.action = action;
       decision.tasks[decision.n++] = best->task;
-      excess -= best->relief * settings->throttled_part;
+      excess -= best->relief * settings->throttling_relief;
     }
   return decision;
 }
@@ -165,7 +165,7 @@
       = best_for (settings, residents, n, GP_REMEDY_UNTHROTTLE, &decision);
 
   if (best == NULL
-      || ratio + best->relief * settings->throttled_part > settings->aim)
+      || ratio + best->relief * settings->throttling_relief > settings->aim)
     return decision;
   decision.action = GP_REMEDY_UNTHROTTLE;
   decision.tasks[decision.n++] = best->task;
--- a/src/coordination/remedy.h
+++ b/src/coordination/remedy.h
@@ -39,9 +39,9 @@
   gp_time_t cool_down;   /* minimum time between two actions on a worker */
   gp_time_t settle;      /* time until the effect of an action is measurable */
   gp_time_t relapse;     /* breaches this soon after an unthrottling */
-  gp_time_t restart_cost; /* time lost by any eviction */
-  double throttled_part;  /* fraction of the relief that throttling gives */
-  double least_relief;    /* minimum relief of the ratio for an action */
+  gp_time_t restart_cost;   /* time lost by any eviction */
+  double throttling_relief; /* fraction of the relief that throttling gives */
+  double min_relief;        /* minimum relief of the ratio for an action */
 } gp_remedy_settings_t;
 
 #define GP_REMEDY_DEFAULTS                                                    \
@@ -53,8 +53,8 @@
                            .settle = 2 * GP_SEC,                              \
                            .relapse = 120 * GP_SEC,                           \
                            .restart_cost = 10 * GP_SEC,                       \
-                           .throttled_part = 0.75,                            \
-                           .least_relief = 0.01 })
+                           .throttling_relief = 0.75,                         \
+                           .min_relief = 0.01 })
 
 /* A task on the worker.  */
 typedef struct
--- a/src/daemon/kept_answer.c
+++ b/src/daemon/kept_answer.c
@@ -5,26 +5,28 @@
 #include "state/fold.h"
 
 void
-gp_kept_answer_drop (gp_kept_answer_t *kept)
+gp_stored_answer_drop (gp_stored_answer_t *stored)
 {
-  if (kept->head != NULL)
-    gp__wire__answer__free_unpacked (kept->head, NULL);
-  kept->head = NULL;
+  if (stored->head != NULL)
+    gp__wire__answer__free_unpacked (stored->head, NULL);
+  stored->head = NULL;
 }
 
 void
-gp_kept_answer_part (gp_kept_answer_t *kept, const void *bytes, size_t size)
+gp_stored_answer_part (gp_stored_answer_t *stored, const void *bytes,
+                       size_t size)
 {
-  if (kept->head == NULL)
+  if (stored->head == NULL)
     return;
-  if (kept->body->len + size > GP_FOLD_ANSWER_MAX)
-    gp_kept_answer_drop (kept);
+  if (stored->body->len + size > GP_FOLD_ANSWER_MAX)
+    gp_stored_answer_drop (stored);
   else
-    g_byte_array_append (kept->body, bytes, (guint)size);
+    g_byte_array_append (stored->body, bytes, (guint)size);
 }
 
 void
-gp_kept_answer_head (gp_kept_answer_t *kept, const Gp__Wire__Answer *answer)
+gp_stored_answer_head (gp_stored_answer_t *stored,
+                       const Gp__Wire__Answer *answer)
 {
   Gp__Wire__Answer head = GP__WIRE__ANSWER__INIT;
   g_autofree uint8_t *packed = NULL;
@@ -36,38 +38,38 @@
   size = gp__wire__answer__get_packed_size (&head);
   packed = g_malloc (size + 1);
   gp__wire__answer__pack (&head, packed);
-  kept->status = answer->status;
-  kept->head = gp__wire__answer__unpack (NULL, size, packed);
-  kept->body = g_byte_array_new ();
-  gp_kept_answer_part (kept, answer->data.data, answer->data.len);
+  stored->status = answer->status;
+  stored->head = gp__wire__answer__unpack (NULL, size, packed);
+  stored->body = g_byte_array_new ();
+  gp_stored_answer_part (stored, answer->data.data, answer->data.len);
 }
 
 void
-gp_kept_answer_pack (gp_kept_answer_t *kept)
+gp_stored_answer_pack (gp_stored_answer_t *stored)
 {
   size_t size;
 
-  if (kept->head == NULL)
+  if (stored->head == NULL)
     return;
-  kept->head->data.data = kept->body->data;
-  kept->head->data.len = kept->body->len;
-  size = gp__wire__answer__get_packed_size (kept->head);
+  stored->head->data.data = stored->body->data;
+  stored->head->data.len = stored->body->len;
+  size = gp__wire__answer__get_packed_size (stored->head);
   if (size <= GP_FOLD_ANSWER_MAX)
     {
-      kept->packed = g_byte_array_new ();
-      g_byte_array_set_size (kept->packed, (guint)size);
-      gp__wire__answer__pack (kept->head, kept->packed->data);
+      stored->packed = g_byte_array_new ();
+      g_byte_array_set_size (stored->packed, (guint)size);
+      gp__wire__answer__pack (stored->head, stored->packed->data);
     }
-  kept->head->data.data = NULL;
-  kept->head->data.len = 0;
+  stored->head->data.data = NULL;
+  stored->head->data.len = 0;
 }
 
 void
-gp_kept_answer_finish (gp_kept_answer_t *kept)
+gp_stored_answer_finish (gp_stored_answer_t *stored)
 {
-  gp_kept_answer_drop (kept);
-  if (kept->body != NULL)
-    g_byte_array_unref (kept->body);
-  if (kept->packed != NULL)
-    g_byte_array_unref (kept->packed);
+  gp_stored_answer_drop (stored);
+  if (stored->body != NULL)
+    g_byte_array_unref (stored->body);
+  if (stored->packed != NULL)
+    g_byte_array_unref (stored->packed);
 }
--- a/src/daemon/keys.c
+++ b/src/daemon/keys.c
@@ -45,7 +45,7 @@
   gp_keys_decided_t decided; /* NULL once called or abandoned */
   void *data;
   Gp__Wire__Verdict outcome;
-  gp_kept_answer_t kept;
+  gp_stored_answer_t stored;
 };
 
 struct gp_keys
@@ -110,7 +110,7 @@
   gp_counter_set (&active_keys, g_hash_table_size (keyed->keys->active));
   gp_list_remove (&keyed->link);
   gp_deferred_cancel (&keyed->deferred);
-  gp_kept_answer_finish (&keyed->kept);
+  gp_stored_answer_finish (&keyed->stored);
   g_free (keyed);
 }
 
@@ -158,11 +158,11 @@
   outcome.key.len = GP_FOLD_KEY_SIZE;
   outcome.state = state;
   if (keyed != NULL)
-    outcome.status = keyed->kept.status;
-  if (keyed != NULL && keyed->kept.packed != NULL)
+    outcome.status = keyed->stored.status;
+  if (keyed != NULL && keyed->stored.packed != NULL)
     {
-      outcome.answer.data = keyed->kept.packed->data;
-      outcome.answer.len = keyed->kept.packed->len;
+      outcome.answer.data = keyed->stored.packed->data;
+      outcome.answer.len = keyed->stored.packed->len;
     }
   record.record_case = GP__RECORD__RECORD__RECORD_OUTCOME;
   record.outcome = &outcome;
@@ -204,19 +204,19 @@
 void
 gp_keyed_drop_answer (gp_keyed_t *keyed)
 {
-  gp_kept_answer_drop (&keyed->kept);
+  gp_stored_answer_drop (&keyed->stored);
 }
 
 void
-gp_keyed_keep_part (gp_keyed_t *keyed, const void *bytes, size_t size)
+gp_keyed_store_part (gp_keyed_t *keyed, const void *bytes, size_t size)
 {
-  gp_kept_answer_part (&keyed->kept, bytes, size);
+  gp_stored_answer_part (&keyed->stored, bytes, size);
 }
 
 void
-gp_keyed_keep_head (gp_keyed_t *keyed, const Gp__Wire__Answer *answer)
+gp_keyed_store_head (gp_keyed_t *keyed, const Gp__Wire__Answer *answer)
 {
-  gp_kept_answer_head (&keyed->kept, answer);
+  gp_stored_answer_head (&keyed->stored, answer);
 }
 
 /* Abandons the decision.  If the Intent is in the log or may still get there,
@@ -245,7 +245,7 @@
   keyed->state = KEYED_ENDED;
   keyed->outcome = verdict;
   if (verdict == GP__WIRE__VERDICT__VERDICT_RAN)
-    gp_kept_answer_pack (&keyed->kept);
+    gp_stored_answer_pack (&keyed->stored);
   add_event (keyed, GP_TIMELINE_KEY_OUTCOME,
              verdict == GP__WIRE__VERDICT__VERDICT_RAN       ? "ran"
              : verdict == GP__WIRE__VERDICT__VERDICT_NOT_RUN ? "not-run"
@@ -342,11 +342,11 @@
     }
   else if (other != NULL)
     {
-      decision->status = other->kept.status;
-      if (other->kept.packed != NULL)
+      decision->status = other->stored.status;
+      if (other->stored.packed != NULL)
         {
-          decision->answer = other->kept.packed->data;
-          decision->answer_size = other->kept.packed->len;
+          decision->answer = other->stored.packed->data;
+          decision->answer_size = other->stored.packed->len;
         }
     }
 }
--- a/src/daemon/keys.h
+++ b/src/daemon/keys.h
@@ -71,8 +71,8 @@
 
 /* Keep the head of an answer and its first part, then its further parts, for
    replay; an answer that is too large is dropped.  */
-void gp_keyed_keep_head (gp_keyed_t *keyed, const Gp__Wire__Answer *answer);
-void gp_keyed_keep_part (gp_keyed_t *keyed, const void *bytes, size_t size);
+void gp_keyed_store_head (gp_keyed_t *keyed, const Gp__Wire__Answer *answer);
+void gp_keyed_store_part (gp_keyed_t *keyed, const void *bytes, size_t size);
 /* Drops the kept answer, which is incomplete.  */
 void gp_keyed_drop_answer (gp_keyed_t *keyed);
 
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -355,7 +355,7 @@
   relay->head_received = true;
   relay->last_received = answer->last;
   if (relay->keyed != NULL)
-    gp_keyed_keep_head (relay->keyed, answer);
+    gp_keyed_store_head (relay->keyed, answer);
   if (answer->last)
     gp_relay_answer (relay, answer);
   else
@@ -373,7 +373,7 @@
   g_byte_array_append (relay->pending, part->data.data, (guint)part->data.len);
   relay->last_received = part->last;
   if (relay->keyed != NULL)
-    gp_keyed_keep_part (relay->keyed, part->data.data, part->data.len);
+    gp_keyed_store_part (relay->keyed, part->data.data, part->data.len);
   if (part->last)
     end_attempt (relay);
   gp_relay_send_next_part (relay);
--- a/src/daemon/tasks.c
+++ b/src/daemon/tasks.c
@@ -125,15 +125,15 @@
 {
   char *key = g_strconcat (scope, "/", name, NULL);
   uint64_t own = gp_rendezvous_rank (key, tasks->settings->name);
-  bool mine = true;
+  bool responsible = true;
 
   for (guint i = 0; i < tasks->live_entry_names->len; i++)
     if (gp_rendezvous_rank (key,
                             g_ptr_array_index (tasks->live_entry_names, i))
         > own)
-      mine = false;
+      responsible = false;
   g_free (key);
-  return mine;
+  return responsible;
 }
 
 static uint64_t
--- a/src/state/fold.c
+++ b/src/state/fold.c
@@ -136,11 +136,12 @@
     {
       gp_fold_writer_t *oldest = GP_CONTAINER_OF (
           fold->writers_by_activity.next, gp_fold_writer_t, link);
-      bool late = oldest->heard_us + fold->limits.writer_window_us
-                  <= fold->log_time_us;
-      bool many = g_hash_table_size (fold->writers) > fold->limits.writers_max;
+      bool expired = oldest->heard_us + fold->limits.writer_window_us
+                     <= fold->log_time_us;
+      bool too_many
+          = g_hash_table_size (fold->writers) > fold->limits.writers_max;
 
-      if (oldest == fold->writer || (!late && !many))
+      if (oldest == fold->writer || (!expired && !too_many))
         return;
       gp_list_remove (&oldest->link);
       g_hash_table_remove (fold->writers, oldest);
--- a/src/state/fold_tasks.c
+++ b/src/state/fold_tasks.c
@@ -376,13 +376,13 @@
     {
       gp_fold_task_t *task
           = GP_CONTAINER_OF (fold->ended.next, gp_fold_task_t, link);
-      bool late = task->changed_us + fold->limits.ended_window_us
-                  <= fold->log_time_us;
+      bool expired = task->changed_us + fold->limits.ended_window_us
+                     <= fold->log_time_us;
 
-      bool many = *ended > fold->limits.ended_max
-                  || fold->result_bytes > fold->limits.result_bytes_max;
+      bool too_many = *ended > fold->limits.ended_max
+                      || fold->result_bytes > fold->limits.result_bytes_max;
 
-      if (!late && !many)
+      if (!expired && !too_many)
         return;
       emit_task (fold, GP_FOLD_TASK_DROPPED, task, NULL);
       gp_list_remove (&task->link);
--- a/tests/unit/test_runner.c
+++ b/tests/unit/test_runner.c
@@ -61,7 +61,7 @@
 static void
 test_end (void)
 {
-  const received_report_t *told;
+  const received_report_t *report;
 
   setup ();
   CU_ASSERT_EQUAL (site.capacity, 4000);
@@ -71,13 +71,13 @@
   task_site_start (&site, 7, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 7, 1, STATE (RUNNING), 1));
   fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "half");
-  told = task_site_await (&site, 7, 1, STATE (CHECKPOINTED), 2);
-  CU_ASSERT_STRING_EQUAL (told->text, "/half");
+  report = task_site_await (&site, 7, 1, STATE (CHECKPOINTED), 2);
+  CU_ASSERT_STRING_EQUAL (report->text, "/half");
   fake_runtime_set_state (&site.runtime, 7, "succeeded", "good", "half");
-  told = task_site_await (&site, 7, 1, STATE (SUCCEEDED), 3);
-  CU_ASSERT_STRING_EQUAL (told->text, "good/half");
+  report = task_site_await (&site, 7, 1, STATE (SUCCEEDED), 3);
+  CU_ASSERT_STRING_EQUAL (report->text, "good/half");
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 7), "succeeded");
-  task_site_ack (&site, told);
+  task_site_ack (&site, report);
   CU_ASSERT_TRUE (task_site_until (&site, has_no_tasks));
   CU_ASSERT_EQUAL (site.runtime.forgotten, 1);
   teardown ();
@@ -88,7 +88,7 @@
 static void
 test_checkpoint_ack (void)
 {
-  const received_report_t *told;
+  const received_report_t *report;
   received_report_t older;
 
   setup ();
@@ -99,16 +99,16 @@
   older = *task_site_await (&site, 7, 1, STATE (CHECKPOINTED), 1);
   fake_runtime_set_state (&site.runtime, 7, "checkpointed", "", "two");
   do
-    told = task_site_await (&site, 7, 1, STATE (CHECKPOINTED),
-                            task_site_count (&site, 7, 1, STATE (CHECKPOINTED))
-                                + 1);
-  while (told->number == older.number);
+    report = task_site_await (
+        &site, 7, 1, STATE (CHECKPOINTED),
+        task_site_count (&site, 7, 1, STATE (CHECKPOINTED)) + 1);
+  while (report->number == older.number);
   task_site_ack (&site, &older);
   run_to_end (8);
-  told = task_site_await (&site, 7, 1, STATE (CHECKPOINTED),
-                          task_site_count (&site, 7, 1, STATE (CHECKPOINTED))
-                              + 1);
-  CU_ASSERT_STRING_EQUAL (told->text, "/two");
+  report = task_site_await (&site, 7, 1, STATE (CHECKPOINTED),
+                            task_site_count (&site, 7, 1, STATE (CHECKPOINTED))
+                                + 1);
+  CU_ASSERT_STRING_EQUAL (report->text, "/two");
   teardown ();
 }
 
@@ -148,14 +148,14 @@
 static void
 test_capacity (void)
 {
-  const received_report_t *told;
+  const received_report_t *report;
 
   setup ();
   task_site_start (&site, 1, 1, site.lease, 3000);
   task_site_start (&site, 2, 1, site.lease, 1500);
-  told = task_site_await (&site, 2, 1, STATE (REFUSED), 1);
-  CU_ASSERT_EQUAL (told->reason, REASON (CAPACITY));
-  CU_ASSERT_EQUAL (told->free_millicores, 1000);
+  report = task_site_await (&site, 2, 1, STATE (REFUSED), 1);
+  CU_ASSERT_EQUAL (report->reason, REASON (CAPACITY));
+  CU_ASSERT_EQUAL (report->free_millicores, 1000);
   task_site_start (&site, 3, 1, site.lease, 1000);
   CU_ASSERT_PTR_NOT_NULL (task_site_await (&site, 3, 1, STATE (RUNNING), 1));
   fake_runtime_set_state (&site.runtime, 1, "succeeded", "", "");
@@ -182,13 +182,13 @@
 static void
 test_start_turned_down (void)
 {
-  const received_report_t *told;
+  const received_report_t *report;
 
   setup ();
   site.runtime.refuse_start = 500;
   task_site_start (&site, 7, 1, site.lease, 1000);
-  told = task_site_await (&site, 7, 1, STATE (REFUSED), 1);
-  CU_ASSERT_EQUAL (told->reason, REASON (UPSTREAM));
+  report = task_site_await (&site, 7, 1, STATE (REFUSED), 1);
+  CU_ASSERT_EQUAL (report->reason, REASON (UPSTREAM));
   site.runtime.refuse_start = 0;
   /* The refused task has released its capacity for the next epoch.  */
   task_site_start (&site, 7, 2, site.lease, 4000);
@@ -217,21 +217,21 @@
 static void
 test_stop (void)
 {
-  const received_report_t *told;
+  const received_report_t *report;
 
   setup ();
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
   task_site_stop (&site, 7, 1, MODE (THROTTLE));
   task_site_stop (&site, 7, 1, MODE (EVICT));
-  told = task_site_await (&site, 7, 1, STATE (STOPPED), 1);
-  CU_ASSERT_STRING_EQUAL (told->text, "/taken at the stop");
-  CU_ASSERT_EQUAL (told->reason, REASON (CANCELLED));
+  report = task_site_await (&site, 7, 1, STATE (STOPPED), 1);
+  CU_ASSERT_STRING_EQUAL (report->text, "/taken at the stop");
+  CU_ASSERT_EQUAL (report->reason, REASON (CANCELLED));
   CU_ASSERT_EQUAL (site.runtime.throttles, 1);
   /* A Stop that arrives before its Start.  */
   task_site_stop (&site, 8, 1, MODE (CANCEL));
-  told = task_site_await (&site, 8, 1, STATE (REFUSED), 1);
-  CU_ASSERT_EQUAL (told->reason, REASON (CANCELLED));
+  report = task_site_await (&site, 8, 1, STATE (REFUSED), 1);
+  CU_ASSERT_EQUAL (report->reason, REASON (CANCELLED));
   task_site_start (&site, 8, 1, site.lease, 1000);
   run_to_end (9);
   CU_ASSERT_EQUAL (task_site_count (&site, 8, 1, STATE (RUNNING)), 0);
@@ -482,7 +482,7 @@
 static void
 test_usage (void)
 {
-  const received_report_t *told;
+  const received_report_t *report;
 
   setup ();
   task_site_start (&site, 1, 1, site.lease, 2000);
@@ -492,8 +492,8 @@
                          json_pack ("{s:s,s:i,s:i,s:i}", "task",
                                     "0000000000000001", "epoch", 1,
                                     "millicores", 3000, "memory_mib", 0));
-  told = task_site_await (&site, 1, 1, STATE (STOPPED), 1);
-  CU_ASSERT_EQUAL (told->reason, REASON (CAPACITY));
+  report = task_site_await (&site, 1, 1, STATE (STOPPED), 1);
+  CU_ASSERT_EQUAL (report->reason, REASON (CAPACITY));
   CU_ASSERT_EQUAL (site.runtime.throttles, 1);
   CU_ASSERT_TRUE (site.usages > 0);
   CU_ASSERT_STRING_EQUAL (fake_runtime_state (&site.runtime, 2), "running");
@@ -511,19 +511,19 @@
 static void
 test_leave (void)
 {
-  const received_report_t *told;
+  const received_report_t *report;
 
   setup ();
   site.acks = false;
   task_site_start (&site, 7, 1, site.lease, 1000);
   task_site_await (&site, 7, 1, STATE (RUNNING), 1);
   raise (SIGTERM);
-  told = task_site_await (&site, 7, 1, STATE (STOPPED), 2);
-  CU_ASSERT_EQUAL (told->reason, REASON (LEAVING));
-  CU_ASSERT_STRING_EQUAL (told->text, "/taken at the stop");
+  report = task_site_await (&site, 7, 1, STATE (STOPPED), 2);
+  CU_ASSERT_EQUAL (report->reason, REASON (LEAVING));
+  CU_ASSERT_STRING_EQUAL (report->text, "/taken at the stop");
   task_site_start (&site, 8, 1, site.lease, 1000);
-  told = task_site_await (&site, 8, 1, STATE (REFUSED), 1);
-  CU_ASSERT_EQUAL (told->reason, REASON (LEAVING));
+  report = task_site_await (&site, 8, 1, STATE (REFUSED), 1);
+  CU_ASSERT_EQUAL (report->reason, REASON (LEAVING));
   CU_ASSERT_FALSE (is_drained (&site));
   site.acks = true;
   CU_ASSERT_TRUE (task_site_until (&site, is_drained));
