--- a/src/daemon/keys.c
+++ b/src/daemon/keys.c
@@ -14,7 +14,7 @@
 #include <string.h>
 
 #include "base/counters.h"
-#include "daemon/kept_answer.h"
+#include "daemon/stored_answer.h"
 
 #define OUTCOME_RETRY (200 * GP_MSEC)
 /* An entry that has not connected by this time after the start is taken to be
--- a/src/daemon/kept_answer.c
+++ b/src/daemon/stored_answer.c
@@ -1,6 +1,6 @@
-/* Implementation of daemon/kept_answer.h.  */
+/* Implementation of daemon/stored_answer.h.  */
 
-#include "daemon/kept_answer.h"
+#include "daemon/stored_answer.h"
 
 #include "state/fold.h"
 
