--- a/src/coordination/capacity.c
+++ b/src/coordination/capacity.c
@@ -8,8 +8,8 @@
    Hysteresis.  A measurement whose interval began before the last change
    to its task is ignored, as it does not show the effect of the change.  A
    throttled task is evicted after EVICT_SAMPLES consecutive measurements
-   above its reservation.  A throttle is lifted as soon as there is room
-   for the usage the task had when it was throttled, or after CALM_SAMPLES
+   above its reservation.  A throttle is lifted as soon as the headroom
+   covers the usage the task had when it was throttled, or after CALM_SAMPLES
    consecutive measurements within 7/8 of the reservation.  That number
    doubles each time, so that a task with alternating usage is throttled
    for longer and longer.  */
@@ -23,7 +23,7 @@
   EVICT_SAMPLES = 3,
   CALM_SAMPLES = 4,
   CALM_SAMPLES_MAX = 64,
-  MARGIN_DIVISOR = 8 /* headroom above the observed usage: 1/8 of it */
+  MARGIN_DIVISOR = 8 /* margin above the observed usage: 1/8 of it */
 };
 
 static const gp_resources_t nothing;
@@ -233,7 +233,7 @@
 
 /* Changes to the capacity.  */
 
-/* Lifts the throttles for which there is now room, oldest task first.  */
+/* Lifts the throttles for which there is now headroom, oldest task first.  */
 static void
 lift_throttles (gp_capacity_t *capacity, gp_time_t now)
 {
--- a/src/coordination/capacity.h
+++ b/src/coordination/capacity.h
@@ -10,7 +10,7 @@
    changes; tasks are then evicted.
 
    Declared sizes are often wrong.  If the observed usage of a task exceeds
-   its reservation, the reservation is raised if there is room; otherwise
+   its reservation, the reservation is raised if there is headroom; otherwise
    the task is throttled, and if that does not help, evicted.
 
    The module does no I/O and reads no clock.  Tasks are allocated by the
@@ -108,7 +108,7 @@
                                            gp_time_t now,
                                            gp_resources_t *headroom);
 
-/* Adds TASK, which is already running, whether there is room or not.
+/* Adds TASK, which is already running, whether there is headroom or not.
    Returns RESERVED or PRESENT.  */
 gp_capacity_verdict_t gp_capacity_adopt (gp_capacity_t *capacity,
                                          gp_capacity_task_t *task,
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -457,7 +457,7 @@
 
 /* Searches the cells of all ZONES with or without accelerators.  Each zone
    provides an equal part of MAX, half of it from the workers with the most
-   room.  With BOUNDED the number of workers visited is limited as well.  */
+   headroom.  With BOUNDED the number of workers visited is limited as well. */
 static void
 search_zones (gp_fleet_t *fleet, search_t *search, uint64_t zones,
               bool accelerated, unsigned int max, bool bounded)
--- a/src/coordination/lease_grantor.c
+++ b/src/coordination/lease_grantor.c
@@ -421,7 +421,7 @@
     }
 }
 
-/* Returns true if the last read of the log tail is recent enough to judge
+/* Returns true if the last read of the log tail is recent enough to decide
    whether a guard is silent.  */
 static bool
 log_is_current (const gp_lease_grantor_t *grantor, gp_time_t now)
--- a/src/coordination/outlier.h
+++ b/src/coordination/outlier.h
@@ -6,7 +6,7 @@
    executor that fails often, whose failures are faster than successes, and
    whose fault is not shared by the others: a fault of most executors, such
    as a broken back end, is no reason to prefer some of them.  Whether a
-   fault is shared is judged by the number of failing executors rather than
+   fault is shared is determined by the number of failing executors rather than
    of failures, since executors that fail fast get most of the requests.
    At most a given fraction of the executors is ejected at any time.
 
--- a/src/coordination/placement.c
+++ b/src/coordination/placement.c
@@ -280,7 +280,7 @@
   placement->miss.demand = request->demand;
 }
 
-/* Returns the reason why no worker was chosen; SEEN workers had room.  */
+/* Returns the reason why no worker was chosen; SEEN workers had headroom.  */
 static gp_placement_outcome_t
 failure_reason (const gp_placement_t *placement,
                 const gp_placement_request_t *request, unsigned int seen,
@@ -300,7 +300,7 @@
 }
 
 /* Adds the workers found by the index to CANDIDATES; returns how many
-   workers had room, including those to be avoided.  */
+   workers had headroom, including those to be avoided.  */
 static unsigned int
 search (gp_placement_t *placement, const gp_placement_request_t *request,
         candidates_t *candidates)
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -22,13 +22,14 @@
 typedef enum
 {
   GP_PLACEMENT_CHOSEN,
-  GP_PLACEMENT_NO_CAPACITY_NOW, /* fits some worker, but none has room now */
+  GP_PLACEMENT_NO_CAPACITY_NOW, /* fits some worker, but none has headroom now
+                                 */
   GP_PLACEMENT_NEVER_FITS,      /* larger than the capacity of every worker */
   GP_PLACEMENT_ZONE_EVACUATED,  /* fits only in zones not allowed */
-  GP_PLACEMENT_AVOIDED,         /* only workers on which it failed have room */
-  GP_PLACEMENT_HARMFUL,         /* every candidate exceeds the harm limit */
-  GP_PLACEMENT_QUOTA,           /* the team's quota is used up */
-  GP_PLACEMENT_PARKED           /* the task failed on too many workers */
+  GP_PLACEMENT_AVOIDED, /* only workers on which it failed have headroom */
+  GP_PLACEMENT_HARMFUL, /* every candidate exceeds the harm limit */
+  GP_PLACEMENT_QUOTA,   /* the team's quota is used up */
+  GP_PLACEMENT_PARKED   /* the task failed on too many workers */
 } gp_placement_outcome_t;
 
 /* Returns a readable name of OUTCOME, in lower case with dashes.  */
@@ -147,9 +148,9 @@
                           const gp_placement_request_t *request,
                           gp_worker_t *worker, const gp_resources_t *headroom);
 
-/* Holds the worker for REQUEST that is expected to have room soonest, so that
-   smaller tasks do not starve it: the worker with the greatest fraction of
-   the demand free, among those whose capacity fits.  Returns its index, or
+/* Holds the worker for REQUEST that is expected to have headroom soonest, so
+   that smaller tasks do not starve it: the worker with the greatest fraction
+   of the demand free, among those whose capacity fits.  Returns its index, or
    GP_WORKER_NONE if no worker fits or one in GP_PLACEMENT_WORKERS_PER_HOLD
    workers is already held.  Visits every worker; intended for the few
    tasks that were deferred often.  */
--- a/src/daemon/keys.h
+++ b/src/daemon/keys.h
@@ -8,8 +8,8 @@
    answered, so that any entry can replay the first answer to a later request
    with the key.
 
-   A key whose entry died without an Outcome may have run: it is reported as
-   unknown and never run again.  While the log accepts no records, requests
+   A key whose entry terminated without an Outcome may have run: it is reported
+   as unknown and never run again.  While the log accepts no records, requests
    with a new key are refused, and have not run.  */
 
 #ifndef GP_DAEMON_KEYS_H
@@ -42,7 +42,7 @@
   gp_keys_verdict_t verdict;
   uint32_t status;       /* REPLAY */
   const uint8_t *answer; /* REPLAY: a packed gp.wire.Answer */
-  size_t answer_size;    /* 0 if the answer was not kept */
+  size_t answer_size;    /* 0 if the answer was not stored */
 } gp_keys_decision_t;
 
 typedef void (*gp_keys_decided_t) (const gp_keys_decision_t *decision,
@@ -69,14 +69,14 @@
                            gp_time_t deadline, gp_keys_decided_t decided,
                            void *data);
 
-/* Keep the head of an answer and its first part, then its further parts, for
+/* Store the head of an answer and its first part, then its further parts, for
    replay; an answer that is too large is dropped.  */
 void gp_keyed_store_head (gp_keyed_t *keyed, const Gp__Wire__Answer *answer);
 void gp_keyed_store_part (gp_keyed_t *keyed, const void *bytes, size_t size);
-/* Drops the kept answer, which is incomplete.  */
+/* Drops the stored answer, which is incomplete.  */
 void gp_keyed_drop_answer (gp_keyed_t *keyed);
 
-/* Ends the request: it ran (with the answer that was kept), did not run, or
+/* Ends the request: it ran (with the answer that was stored), did not run, or
    this is unknown.  If DECIDED was not called yet, the request is abandoned
    and DECIDED will not be called.  KEYED is invalid afterwards.  */
 void gp_keyed_end (gp_keyed_t *keyed, Gp__Wire__Verdict verdict);
--- a/src/daemon/relay_policy.c
+++ b/src/daemon/relay_policy.c
@@ -83,7 +83,7 @@
   to[size] = '\0';
 }
 
-/* The time within which an answer is wanted, or 0 if there is no target.  */
+/* The latency target of a request of KIND to SERVICE, or 0 if it has none.  */
 static gp_time_t
 latency_target (const gp_document_service_t *service,
                 const gp_document_kind_t *kind)
--- a/src/daemon/runner.c
+++ b/src/daemon/runner.c
@@ -5,7 +5,7 @@
 #include "base/counters.h"
 #include "base/log.h"
 
-/* Limit of tasks whose epochs are remembered; see
+/* Limit of tasks whose epochs are stored; see
    coordination/epoch_table.h.  */
 #define MAX_EPOCHS 8192
 
--- a/src/daemon/runner_runtime.c
+++ b/src/daemon/runner_runtime.c
@@ -2,10 +2,10 @@
 
    The attach sequence consists of these calls, one after another: get the
    runtime's state with its holder, claim the runtime, get its state again
-   (after the claim nobody else can change its deadline), and list its tasks.
-   While serving, the sequence only checks that the runtime has not restarted.
-   At most one call of the sequence is in progress; if a step fails, the
-   sequence is restarted from the beginning.  */
+   (after the claim no other guard can change its deadline), and list its
+   tasks. While serving, the sequence only checks that the runtime has not
+   restarted. At most one call of the sequence is in progress; if a step fails,
+   the sequence is restarted from the beginning.  */
 
 #include "daemon/runner_private.h"
 
--- a/src/state/catalog.h
+++ b/src/state/catalog.h
@@ -29,7 +29,7 @@
   void *checksum;  /* XXH3_state_t while open */
 } gp_catalog_entry_t;
 
-/* How many corrupt snapshots are remembered.  */
+/* Number of corrupt snapshots whose as_of is stored.  */
 #define GP_CATALOG_REJECTED_MAX 8
 
 typedef struct
--- a/tests/unit/lease_world.h
+++ b/tests/unit/lease_world.h
@@ -29,7 +29,7 @@
   LW_READ_RECEIVE,    /* s is the time of the answer to the read */
   LW_READ_INCOMPLETE, /* a read that did not reach the tail counts as fresh */
   LW_ACT_AT_ONCE,     /* FENCE_DONE is proposed as soon as the fence is read */
-  LW_PARTIAL_VOUCH,   /* one entry is not asked */
+  LW_PARTIAL_VOUCH,   /* no vouch is requested from one entry */
   LW_NO_PROMISE,      /* vouches do not bind the entry that gave them */
   LW_NO_RESTART_HOLD, /* vouches do not bind its successor */
   LW_SAME_INCARNATION, /* the incarnation continues after a lapse */
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -476,7 +476,7 @@
 }
 
 /* Only a newer load is accepted, and a reader that missed the removal of a
-   member is told that its cursor is lost.  */
+   member gets the result that its cursor is lost.  */
 static void
 test_news_edges (void)
 {
--- a/tests/unit/test_pending.c
+++ b/tests/unit/test_pending.c
@@ -356,7 +356,7 @@
 
 /* Random demands with tight quotas, each task running for some time.  No
    quota is exceeded and every task is started.  Large tasks, which never
-   fit beside another one, wait at most 1.5 times as long as the mean.  */
+   fit next to another one, wait at most 1.5 times as long as the mean.  */
 static void
 starvation_run (uint32_t seed)
 {
--- a/tests/unit/test_retry.c
+++ b/tests/unit/test_retry.c
@@ -151,7 +151,7 @@
   return gp_retry_decide (&retry, &input, 0).u.refuse.return_at;
 }
 
-/* Refused callers are told to return no faster than they can be served,
+/* The hints let refused callers return no faster than they can be served,
    the same request gets the same jitter, and the hint is never earlier
    than the expected wait.  */
 static void
--- a/tests/unit/test_snapshot.c
+++ b/tests/unit/test_snapshot.c
@@ -1,4 +1,4 @@
-/* Snapshots and recovery on a log with retention: writers that die midway,
+/* Snapshots and recovery on a log with retention: writers that exit midway,
    write at the same time or repeat batches, and readers whose next offset is
    dropped before they read it.  */
 
@@ -182,7 +182,7 @@
   gp_snapshot_t *snapshot = &site->snapshots[i];
   int choice = g_rand_int_range (site->rand, 0, 60);
 
-  if (choice == 0) /* the writer dies and restarts */
+  if (choice == 0) /* the writer restarts */
     {
       gp_snapshot_abandon (snapshot);
       site->incarnation[i]++;
--- a/tests/unit/test_tasks.c
+++ b/tests/unit/test_tasks.c
@@ -510,8 +510,8 @@
   report (0, running, 1, GP__WIRE__TASK_STATE__TASK_STATE_RUNNING);
   report (0, running, 1, GP__WIRE__TASK_STATE__TASK_STATE_SUCCEEDED);
   flush ();
-  advance_time (STEP
-                * GP_MSEC); /* the grantor learns that the log is read again */
+  advance_time (
+      STEP * GP_MSEC); /* the grantor registers that the log is read again */
   heartbeat (0, 1);
   advance_time (3 * GP_SEC);
   CU_ASSERT_EQUAL (queued (GP__RECORD__RECORD__RECORD_GRANT), 1);
