--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -428,9 +428,9 @@
 }
 
 /* Searches the buckets of CELL that can fit the demand, in ascending order
-   of free resources, or in descending order if ROOMY.  */
+   of free resources, or in descending order if LARGEST_FIRST.  */
 static void
-search_cell (search_t *search, gp_fleet_cell_t *cell, bool roomy)
+search_cell (search_t *search, gp_fleet_cell_t *cell, bool largest_first)
 {
   uint32_t rows
       = cell->rows & (~0U << size_class (search->demand->millicores));
@@ -438,16 +438,17 @@
 
   while (rows != 0 && !search_done (search))
     {
-      unsigned int row = roomy ? 31U - (unsigned int)__builtin_clz (rows)
-                               : (unsigned int)__builtin_ctz (rows);
+      unsigned int row = largest_first
+                             ? 31U - (unsigned int)__builtin_clz (rows)
+                             : (unsigned int)__builtin_ctz (rows);
       uint32_t columns = cell->columns[row] & least;
 
       rows &= ~(1U << row);
       while (columns != 0 && !search_done (search))
         {
           unsigned int column
-              = roomy ? 31U - (unsigned int)__builtin_clz (columns)
-                      : (unsigned int)__builtin_ctz (columns);
+              = largest_first ? 31U - (unsigned int)__builtin_clz (columns)
+                              : (unsigned int)__builtin_ctz (columns);
 
           columns &= ~(1U << column);
           search_bucket (search, &cell->buckets[row * CLASSES + column]);
--- a/tests/unit/lease_world_entry.c
+++ b/tests/unit/lease_world_entry.c
@@ -53,13 +53,14 @@
 }
 
 static void
-entry_do (world_t *w, unsigned entry, gp_lease_grantor_actions_t *actions,
-          const uint64_t *running)
+entry_execute_actions (world_t *w, unsigned entry,
+                       gp_lease_grantor_actions_t *actions,
+                       const uint64_t *running)
 {
   for (unsigned i = 0; i < actions->count; i++)
     {
       gp_lease_grantor_action_t *a = &actions->items[i];
-      event_t ask = { .kind = EV_ASK };
+      event_t ask = { .kind = EV_VOUCH_REQUEST };
 
       switch (a->kind)
         {
@@ -322,7 +323,7 @@
   event_t tick = { .kind = EV_TICK, .node = entry, .pid = w->pid[entry] };
 
   gp_lease_grantor_tick (&e->grantor, now, &actions);
-  entry_do (w, entry, &actions, NULL);
+  entry_execute_actions (w, entry, &actions, NULL);
   for (unsigned i = 0; i < e->num_outstanding; i++)
     log_append (w, entry, &e->outstanding[i]);
   if (now - e->read_at >= 2 * w->options->tick)
@@ -352,7 +353,7 @@
       && request.incarnation > e->fold.guards[g].current)
     grant.remaining
         = MAX (gp_lease_grantor_fresh_until (&e->grantor) - now, 0);
-  entry_do (w, entry, &actions, event->running);
+  entry_execute_actions (w, entry, &actions, event->running);
   e->heard[g] = now;
   e->held[g] = grant.remaining > 0 && event->request.held;
   memcpy (e->running[g], event->running, sizeof event->running);
@@ -377,7 +378,7 @@
 }
 
 static void
-entry_ask (world_t *w, const event_t *event)
+entry_vouch_request (world_t *w, const event_t *event)
 {
   entry_t *e = &w->entries[event->node];
   GArray *fences = g_array_new (FALSE, FALSE, sizeof (gp_lease_fence_t));
@@ -427,8 +428,8 @@
     entry_read_done (w, event);
   else if (event->kind == EV_HEARTBEAT)
     entry_heartbeat (w, event);
-  else if (event->kind == EV_ASK)
-    entry_ask (w, event);
+  else if (event->kind == EV_VOUCH_REQUEST)
+    entry_vouch_request (w, event);
   else if (event->kind == EV_VOUCH)
     entry_vouch (w, event);
   else if (event->kind == EV_NEWS)
--- a/tests/unit/lease_world_impl.h
+++ b/tests/unit/lease_world_impl.h
@@ -30,20 +30,20 @@
   EV_KILL,
   EV_BOOT,
   EV_VM_RESUMES,
-  EV_TICK,       /* entry */
-  EV_READ,       /* the entry's read arrives at the log */
-  EV_READ_DONE,  /* the answer arrives at the entry */
-  EV_APPEND,     /* arrives at the log */
-  EV_HEARTBEAT,  /* arrives at the entry */
-  EV_REPLY,      /* arrives at the guard */
-  EV_START,      /* arrives at the guard */
-  EV_ASK,        /* arrives at the entry */
-  EV_VOUCH,      /* arrives at the entry */
-  EV_NEWS,       /* arrives at the entry */
-  EV_WAKE,       /* guard */
-  EV_TASK_ENDED, /* runtime notifies the guard */
-  EV_STOPPED,    /* runtime notifies the guard */
-  EV_RT_START,   /* arrives at the runtime */
+  EV_TICK,          /* entry */
+  EV_READ,          /* the entry's read arrives at the log */
+  EV_READ_DONE,     /* the answer arrives at the entry */
+  EV_APPEND,        /* arrives at the log */
+  EV_HEARTBEAT,     /* arrives at the entry */
+  EV_REPLY,         /* arrives at the guard */
+  EV_START,         /* arrives at the guard */
+  EV_VOUCH_REQUEST, /* arrives at the entry */
+  EV_VOUCH,         /* arrives at the entry */
+  EV_NEWS,          /* arrives at the entry */
+  EV_WAKE,          /* guard */
+  EV_TASK_ENDED,    /* runtime notifies the guard */
+  EV_STOPPED,       /* runtime notifies the guard */
+  EV_RT_START,      /* arrives at the runtime */
   EV_RT_LEASE,
   EV_RT_STOP,
   EV_RT_CHECK, /* the runtime checks its deadline */
--- a/tests/unit/lease_world_worker.c
+++ b/tests/unit/lease_world_worker.c
@@ -187,8 +187,8 @@
 }
 
 static void
-guard_do (world_t *w, unsigned guard, gp_lease_holder_actions_t *actions,
-          uint64_t old)
+guard_execute_actions (world_t *w, unsigned guard,
+                       gp_lease_holder_actions_t *actions, uint64_t old)
 {
   guard_t *g = &w->guards[guard];
   event_t call = { .incarnation = old };
@@ -281,7 +281,7 @@
   uint64_t old = g->holder.incarnation;
 
   gp_lease_holder_check (&g->holder, now, &actions);
-  guard_do (w, guard, &actions, old);
+  guard_execute_actions (w, guard, &actions, old);
   if (e->kind == EV_REPLY)
     guard_reply (w, guard, e, &actions);
   else if (e->kind == EV_START)
@@ -296,7 +296,7 @@
       gp_epoch_table_set_ended (&g->epochs, e->task, e->id);
       g->ended[e->task] = MAX (g->ended[e->task], e->id);
     }
-  guard_do (w, guard, &actions, old);
+  guard_execute_actions (w, guard, &actions, old);
   guard_wake_later (w, guard);
 }
 
--- a/tests/unit/task_site.c
+++ b/tests/unit/task_site.c
@@ -39,7 +39,7 @@
 }
 
 static void
-told_clear (void *data)
+clear_report (void *data)
 {
   g_free (((received_report_t *)data)->text);
 }
@@ -198,8 +198,8 @@
     g_error ("%s", error->message);
   site->reports = g_array_new (FALSE, TRUE, sizeof (received_report_t));
   site->inventory = g_array_new (FALSE, TRUE, sizeof (received_report_t));
-  g_array_set_clear_func (site->reports, told_clear);
-  g_array_set_clear_func (site->inventory, told_clear);
+  g_array_set_clear_func (site->reports, clear_report);
+  g_array_set_clear_func (site->inventory, clear_report);
   start_entry (site, entry_port);
   fake_runtime_init (&site->runtime, &site->guard.loop, runtime_port);
 }
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -62,8 +62,8 @@
 }
 
 static void
-learn (gp_members_t *members, const char *reporter, const char *name,
-       bool gone, gp_time_t now)
+apply_update (gp_members_t *members, const char *reporter, const char *name,
+              bool gone, gp_time_t now)
 {
   gp_member_news_t news = { .announcement = announcement (name, 1, false),
                             .load.at = now,
@@ -108,11 +108,11 @@
   show (&members, "connection lost", t);
   gp_members_reporter_open (&members, "entry-1", t += GP_SEC);
   gp_members_reporter_open (&members, "entry-2", t);
-  learn (&members, "entry-1", "b", false, t);
-  learn (&members, "entry-2", "b", false, t);
+  apply_update (&members, "entry-1", "b", false, t);
+  apply_update (&members, "entry-2", "b", false, t);
   gp_members_connection_open (&members, "b", 1);
   show (&members, "connection open", t);
-  learn (&members, "entry-1", "b", true, t);
+  apply_update (&members, "entry-1", "b", true, t);
   tick (&members, t += 6 * GP_SEC);
   gp_members_reporter_heard (&members, "entry-2", t += GP_SEC);
   show (&members, "reporter heard again", t);
