--- a/src/coordination/router.c
+++ b/src/coordination/router.c
@@ -67,7 +67,7 @@
     ((gp_candidate_t *)g_ptr_array_index (set, index))->index = index;
 }
 
-/* Adds CANDIDATE to its set if it takes requests, otherwise removes it.  */
+/* Adds CANDIDATE to its set if it is eligible, otherwise removes it.  */
 static void
 update_set (gp_router_t *router, gp_candidate_t *candidate)
 {
--- a/src/coordination/router.h
+++ b/src/coordination/router.h
@@ -15,7 +15,7 @@
    configured as a fraction of the service time.
 
    A pick takes constant time for any number of candidates and allocates
-   nothing.  Candidates that cannot take a request (ejected, or with all
+   nothing.  Candidates that are not eligible (ejected, or with all
    connections in use) are kept separate and so are never sampled.  */
 
 #ifndef GP_COORDINATION_ROUTER_H
@@ -35,9 +35,9 @@
 
 typedef enum
 {
-  GP_CANDIDATE_OPEN,    /* gets requests */
-  GP_CANDIDATE_CLOSED,  /* ejected: gets no requests */
-  GP_CANDIDATE_PROBING, /* gets one request, see gp_router_offer_probe */
+  GP_CANDIDATE_OPEN,    /* eligible while a connection is free */
+  GP_CANDIDATE_CLOSED,  /* ejected: not eligible */
+  GP_CANDIDATE_PROBING, /* eligible for one request, the probe */
   GP_CANDIDATE_REMOVED  /* waits for its exchanges to end */
 } gp_candidate_mode_t;
 
@@ -74,7 +74,7 @@
 typedef struct
 {
   gp_router_settings_t settings;
-  GPtrArray *near; /* candidates in the own zone that take requests */
+  GPtrArray *near; /* eligible candidates in the own zone */
   GPtrArray *far;  /* the same in other zones */
   gp_list_t probes;
   /* Sums over all candidates.  */
@@ -100,7 +100,7 @@
 /* Remaining candidates stay owned by the caller.  */
 void gp_router_finish (gp_router_t *router);
 
-/* Adds a candidate, which takes requests immediately, or removes it.  NEAR
+/* Adds a candidate, which is eligible immediately, or removes it.  NEAR
    means that it is in the entry's own zone.  CONNECTIONS limits the
    requests in flight.  After removal the candidate must stay valid until
    its exchanges have ended.  */
@@ -108,8 +108,8 @@
                     uint32_t slots, uint32_t connections, void *data);
 void gp_router_remove (gp_router_t *router, gp_candidate_t *candidate);
 
-/* Make the candidate take no requests, one request with may_probe set, or
-   all requests.  */
+/* Make the candidate eligible for no request, for one request with may_probe
+   set, or for all requests.  */
 void gp_router_eject (gp_router_t *router, gp_candidate_t *candidate);
 void gp_router_offer_probe (gp_router_t *router, gp_candidate_t *candidate);
 void gp_router_readmit (gp_router_t *router, gp_candidate_t *candidate);
--- a/src/daemon/downlinks.h
+++ b/src/daemon/downlinks.h
@@ -1,4 +1,4 @@
-/* Connections that an entry opens to guards it learnt of from other entries.
+/* Connections that an entry opens to guards that other entries reported.
 
    A guard connects to its homes itself; the other entries connect to its
    address if they may have work for it: if they route to its upstream
--- a/src/daemon/tasks_mirror.c
+++ b/src/daemon/tasks_mirror.c
@@ -157,7 +157,8 @@
                       fold_guard == NULL ? NULL : fold_guard->name,
                       state->cancelled ? "cancelled" : "ended");
   on_epoch_ended (tasks, task, state, fold_guard);
-  /* A task that was granted when it was cancelled was subtracted then.  */
+  /* The count of a watcher that was cancelled while it was granted was
+     decremented at its cancellation.  */
   if (!state->cancelled || fold_guard == NULL)
     count_watcher (tasks, task, -1);
   gp_placement_drop_hold (&tasks->placement, &task->request);
--- a/src/state/follower.c
+++ b/src/state/follower.c
@@ -128,7 +128,8 @@
   return gp_fold_load (&follower->fold, part->data.data, part->data.len);
 }
 
-/* Returns false if the snapshot is corrupt.  */
+/* Load the parts of the newest snapshot that RECORD contains.  Return false if
+   the snapshot is corrupt.  */
 static bool
 load_record (gp_follower_t *follower, const gp_follower_record_t *record)
 {
