--- a/src/coordination/router.c
+++ b/src/coordination/router.c
@@ -43,7 +43,7 @@
 }
 
 static bool
-takes_requests (const gp_candidate_t *candidate)
+candidate_is_eligible (const gp_candidate_t *candidate)
 {
   return candidate->mode == GP_CANDIDATE_OPEN
          && candidate->in_flight < candidate->connections;
@@ -73,7 +73,7 @@
 {
   bool inside = candidate->index != GP_CANDIDATE_NOT_IN_SET;
 
-  if (takes_requests (candidate) == inside)
+  if (candidate_is_eligible (candidate) == inside)
     return;
   if (inside)
     set_remove (set_of (router, candidate), candidate);
