--- a/src/base/issue.h
+++ b/src/base/issue.h
@@ -22,7 +22,7 @@
   unsigned column; /* from 1 */
   char *path;      /* "services[0].slots"; empty for the whole text */
   char *value;     /* the value at PATH; NULL when it is not a scalar */
-  char *message;   /* what is wrong */
+  char *message;   /* description of the error or warning */
   char *allowed;   /* allowed values; NULL when the message is sufficient */
 } gp_issue_t;
 
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -108,7 +108,7 @@
   uint32_t log_timeout_ms; /* limit for one append */
   uint32_t log_batch_ms; /* records are batched into one append for so long */
   uint32_t usage_ms;     /* interval for reading the runtime's usage */
-  uint32_t leave_ms;  /* how long a leaving entry keeps serving, not ready */
+  uint32_t leave_ms; /* a leaving entry keeps serving for so long, not ready */
   uint32_t header_ms; /* limit for receiving a caller's request */
   uint32_t stall_ms;  /* limit for a streamed response without progress */
 } gp_settings_timings_t;
--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -23,7 +23,7 @@
 #include "base/time.h"
 #include "coordination/request_queue.h"
 
-/* How a started request ended.  */
+/* The end of a started request.  */
 typedef enum
 {
   GP_ADMISSION_ANSWERED, /* its duration is measured */
@@ -37,8 +37,8 @@
   uint32_t max_queued;        /* maximum queue length */
   uint32_t critical_reserve;  /* slots that batch may not use, < slots */
   uint32_t batch_share;       /* slots guaranteed to urgent batch */
-  gp_time_t reserve_duration; /* how long the reserve stays in effect after the
-                                 last latency-critical request */
+  gp_time_t reserve_duration; /* time for which the reserve stays in effect
+                                 after the last latency-critical request */
   gp_time_t max_critical_wait; /* maximum predicted wait of a latency-critical
                                   request, in addition to the bound from its
                                   deadline; 0: no such maximum */
--- a/src/coordination/outlier.h
+++ b/src/coordination/outlier.h
@@ -98,7 +98,7 @@
   gp_list_t probed;
 } gp_outlier_t;
 
-/* What the caller must do with the executor in its router.  */
+/* The action for the caller to take on the executor in its router.  */
 typedef enum
 {
   GP_OUTLIER_NONE,
--- a/src/coordination/pending.h
+++ b/src/coordination/pending.h
@@ -47,7 +47,7 @@
   GP_PENDING_DEFERRED /* backing off */
 } gp_pending_state_t;
 
-/* Why a task was deferred.  */
+/* Reasons for deferring a task.  */
 typedef enum
 {
   GP_PENDING_NO_CAPACITY,
--- a/src/coordination/request_queue.h
+++ b/src/coordination/request_queue.h
@@ -40,7 +40,7 @@
   GP_ADMISSION_REFUSED
 } gp_admission_state_t;
 
-/* Why a request was refused; in every case it did not run.  */
+/* Reasons for refusing a request; in every case it did not run.  */
 typedef enum
 {
   GP_ADMISSION_QUEUE_FULL,
--- a/src/coordination/retry.c
+++ b/src/coordination/retry.c
@@ -4,7 +4,7 @@
 
 #define TOKEN 1000
 
-/* Where or when a request that failed for a given reason may succeed.  */
+/* The scope of a failure: where and when another attempt may succeed.  */
 typedef enum
 {
   SCOPE_ELSEWHERE, /* at another executor */
--- a/src/daemon/downlinks.c
+++ b/src/daemon/downlinks.c
@@ -6,7 +6,7 @@
 
 #include "coordination/subset.h"
 
-/* How often the subsets are adapted to the number of executors.  */
+/* Interval at which the subsets are adapted to the number of executors.  */
 #define REVIEW_INTERVAL (1 * GP_SEC)
 
 /* Whether this entry is a home of the guard, which then connects to it.  */
--- a/src/daemon/keys.h
+++ b/src/daemon/keys.h
@@ -36,7 +36,7 @@
   GP_KEYS_LATE         /* not run: its deadline has passed */
 } gp_keys_verdict_t;
 
-/* How to answer or handle a keyed request.  */
+/* The decision on a keyed request, with the answer to replay, if any.  */
 typedef struct
 {
   gp_keys_verdict_t verdict;
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -15,7 +15,7 @@
 
 #define ANSWER_GRACE (250 * GP_MSEC)
 
-/* How often to check for callers that have hung up, and how many relays are
+/* Interval of the check for callers that have hung up, and number of relays
    checked each time.  */
 #define SWEEP_INTERVAL (100 * GP_MSEC)
 #define SWEEP_COUNT 256
--- a/src/daemon/store.h
+++ b/src/daemon/store.h
@@ -52,7 +52,7 @@
   void *data;
 } gp_store_subscriber_t;
 
-/* What `status' shows about the log.  */
+/* The health of the log, as `status' shows it.  */
 typedef struct
 {
   bool ready;        /* see gp_store_ready */
--- a/src/daemon/tasks_private.h
+++ b/src/daemon/tasks_private.h
@@ -36,7 +36,7 @@
 #include "coordination/suspects.h"
 #include "daemon/tasks.h"
 
-/* How long a proposal may be queued before it is sent.  */
+/* Maximum time for which a proposal is queued before it is sent.  */
 #define GP_TASKS_PROPOSAL_TIME (5 * GP_SEC)
 
 typedef enum
--- a/src/protocol/session.h
+++ b/src/protocol/session.h
@@ -33,7 +33,7 @@
   uint64_t incarnation;
   const char *region;
   const char *zone;
-  const char *address; /* where peers can connect, or "" */
+  const char *address; /* address to which peers can connect, or "" */
 } gp_identity_t;
 
 typedef struct
--- a/src/state/document.h
+++ b/src/state/document.h
@@ -144,7 +144,7 @@
   uint32_t pending_jobs; /* of all teams */
 } gp_document_limits_t;
 
-/* When batch work on a worker is throttled or evicted because it slows a
+/* Thresholds for throttling or evicting batch work on a worker that slows a
    service down.  Percentages are the service's p99 relative to its latency
    target.  */
 typedef struct
--- a/src/state/fold.h
+++ b/src/state/fold.h
@@ -59,10 +59,11 @@
    use the same values.  */
 typedef struct
 {
-  int64_t key_window_us;    /* how long a key is kept */
-  int64_t ended_window_us;  /* how long an ended task is kept */
-  int64_t writer_window_us; /* an inactive writer; at least key_window_us */
-  int64_t guard_window_us;  /* a guard that is gone */
+  int64_t key_window_us;    /* retention of a key */
+  int64_t ended_window_us;  /* retention of an ended task */
+  int64_t writer_window_us; /* retention of an inactive writer; at least
+                               key_window_us */
+  int64_t guard_window_us;  /* retention of a guard that is gone */
   uint32_t tasks_max;       /* tasks that have not ended */
   uint32_t ended_max;       /* ended tasks; the oldest are dropped */
   uint32_t keys_max;
--- a/src/state/writer.h
+++ b/src/state/writer.h
@@ -50,7 +50,7 @@
   uint32_t queue_records_max;
   uint32_t unread_max; /* batches acknowledged but not read back */
   gp_time_t
-      linger[GP_WRITER_PRIORITIES]; /* how long a record waits for others */
+      linger[GP_WRITER_PRIORITIES]; /* maximum wait of a record for others */
   gp_time_t spacing;            /* minimum between batches that are not full */
   uint32_t spacing_writers;     /* with more active writers than this SPACING
                                    grows in proportion to their number */
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -19,10 +19,10 @@
 
 #define SERVER_NAME "galenapier"
 
-/* How long a new connection is kept for its first request during shutdown: in
-   two of 150 stops under load, a connection was closed as idle 41 and 50
-   microseconds before its first request arrived.  The value leaves time for
-   the retransmission of a lost packet.  */
+/* Time for which a new connection is kept open during shutdown for its first
+   request: in two of 150 stops under load, a connection was closed as idle 41
+   and 50 microseconds before its first request arrived.  The value leaves time
+   for the retransmission of a lost packet.  */
 #define FIRST_REQUEST_TIME (500 * GP_MSEC)
 
 typedef struct
--- a/tests/unit/task_site.h
+++ b/tests/unit/task_site.h
@@ -29,7 +29,7 @@
   gp_session_t *session;
   gp_time_t grant; /* duration of granted leases; 0: no lease */
   bool fenced;     /* sent in the next reply to a heartbeat */
-  bool acks;       /* whether reports are acknowledged */
+  bool acks;       /* reports are acknowledged */
   uint64_t lease;  /* lease incarnation as announced last */
   uint64_t inherits;
   uint64_t boot;
