--- a/src/coordination/capacity.h
+++ b/src/coordination/capacity.h
@@ -81,8 +81,8 @@
   gp_capacity_action_t action;       /* the pending action */
   gp_resources_t needed_reservation; /* to lift the throttle */
   gp_time_t changed_at;   /* measurements from before this are ignored */
-  uint32_t samples_over;  /* consecutive */
-  uint32_t samples_under; /* consecutive */
+  uint32_t samples_over;  /* consecutive samples above the reservation */
+  uint32_t samples_under; /* consecutive samples within 7/8 of it */
   uint32_t calm_samples;  /* consecutive samples needed to lift the throttle */
 } gp_capacity_task_t;
 
--- a/src/coordination/pending.h
+++ b/src/coordination/pending.h
@@ -63,8 +63,8 @@
   gp_pending_state_t state;
   gp_time_t latest_start; /* time by which it should start */
   uint16_t deferrals;     /* number since it was added */
-  uint16_t no_capacity;   /* of these, for lack of capacity */
-  uint16_t no_quota;      /* of these, for lack of quota */
+  uint16_t no_capacity;   /* deferrals for lack of capacity */
+  uint16_t no_quota;      /* deferrals for lack of quota */
 } gp_pending_task_t;
 
 typedef struct
--- a/src/daemon/configuration_private.h
+++ b/src/daemon/configuration_private.h
@@ -14,7 +14,7 @@
   gp_configuration_changed_t changed;
   void *data;
   gp_config_t config;
-  gp_document_t *document; /* of the config, NULL before the first one */
+  gp_document_t *document; /* loaded from CONFIG; NULL if it is empty */
   gp_store_subscriber_t subscriber;
   /* The session whose update is awaited, or NULL.  */
   const gp_session_t *requested_from;
@@ -22,8 +22,8 @@
   Gp__Wire__ConfigUpdate *cached_update; /* the update sent last, or NULL */
   uint64_t cached_update_base;           /* the revision that it is based on */
   gp_list_t publications;                /* publications not answered yet */
-  gp_timer_t timer;                      /* for their deadlines */
-  gp_closer_t closer;                    /* frees the memory after the timer */
+  gp_timer_t timer;   /* for the deadlines of publications */
+  gp_closer_t closer; /* frees the memory after the timer */
 };
 
 /* Record an event about REVISION in the timeline, if there is one.  */
--- a/src/daemon/news.h
+++ b/src/daemon/news.h
@@ -16,7 +16,8 @@
   GHashTable *peers; /* gp_session_t -> gp_news_peer_t */
   gp_timer_t timer;
   gp_deferred_t deferred;
-  gp_time_t heartbeat_interval; /* of messages without news, as heartbeats */
+  gp_time_t heartbeat_interval; /* interval of messages without news, which
+                                   serve as heartbeats */
 } gp_news_t;
 
 void gp_news_init (gp_news_t *news, gp_session_host_t *host,
--- a/src/daemon/runner_private.h
+++ b/src/daemon/runner_private.h
@@ -85,7 +85,8 @@
   gp_lease_holder_t holder;
   bool wants_vouch;
   bool renewal_in_progress;
-  gp_time_t queued_deadline; /* to send after that renewal, or 0 */
+  gp_time_t queued_deadline; /* deadline to send after the renewal in progress,
+                                or 0 */
   gp_timer_t lease_timer;
 
   /* Runtime.  */
--- a/src/daemon/store_private.h
+++ b/src/daemon/store_private.h
@@ -55,8 +55,9 @@
   gp_closer_t closer;       /* frees the memory after the timers */
   gp_time_t append_timeout; /* duration */
   gp_time_t read_at;        /* when the last complete read was sent */
-  unsigned read_failures;   /* consecutive */
-  uint64_t restarts;        /* of the follower, reported to subscribers */
+  unsigned read_failures;   /* consecutive failed reads */
+  uint64_t restarts;        /* restarts of the follower that were reported to
+                               subscribers */
   uint64_t snapshot_as_of;  /* as_of of the newest known snapshot, plus 1 */
   bool up;                  /* as recorded in the timeline */
   bool closing;
--- a/src/daemon/tasks_private.h
+++ b/src/daemon/tasks_private.h
@@ -56,8 +56,8 @@
   /* For watchers only: */
   uint32_t live_count;     /* tasks neither ended nor cancelled */
   uint32_t proposed_count; /* submissions proposed and not read back yet */
-  uint64_t id_salt;        /* of new ids; changes when an id exists already */
-  int64_t id_seed_us;      /* when the last task was submitted, log time */
+  uint64_t id_salt;   /* part of new ids; changes if an id exists already */
+  int64_t id_seed_us; /* when the last task was submitted, log time */
 } gp_tasks_kind_t;
 
 typedef struct
@@ -194,7 +194,7 @@
   unsigned n_others;
   uint64_t entry_set;
 
-  uint64_t live_digest;        /* of the other entries with a session */
+  uint64_t live_digest;        /* digest of the other entries with a session */
   GPtrArray *live_entry_names; /* their names */
   uint64_t next_id;
   GPtrArray *submissions; /* of gp_tasks_pending_submission_t */
--- a/src/protocol/dialer.h
+++ b/src/protocol/dialer.h
@@ -15,7 +15,7 @@
   GRand *rand; /* owned by the caller */
   gp_timer_t timer;
   gp_session_t *session; /* NULL while waiting */
-  unsigned int failures; /* consecutive */
+  unsigned int failures; /* number of consecutive failures */
   bool stopped;
 } gp_dialer_t;
 
--- a/src/state/follower.h
+++ b/src/state/follower.h
@@ -50,8 +50,8 @@
    above the requested offset.  */
 typedef struct
 {
-  uint64_t first_offset; /* the first that is retained */
-  uint64_t next_offset;  /* after the last */
+  uint64_t first_offset; /* first retained offset */
+  uint64_t next_offset;  /* offset after the last record */
   const gp_follower_record_t *records;
   size_t count;
 } gp_follower_reply_t;
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -35,7 +35,8 @@
   gp_time_t record_interval; /* between two records, microseconds */
   uint64_t offset_interval;  /* offsets since the newest snapshot */
   int64_t interval_us;       /* log time since the newest was completed */
-  uint64_t abandoned_after;  /* offsets; for an open snapshot */
+  uint64_t abandoned_after;  /* age in offsets at which an open snapshot counts
+                                as abandoned */
 } gp_snapshot_limits_t;
 
 extern const gp_snapshot_limits_t gp_snapshot_default_limits;
--- a/src/state/writer.c
+++ b/src/state/writer.c
@@ -23,7 +23,8 @@
   size_t count;
   GBytes *bytes;
   gp_time_t sent_at;  /* when it was first sent */
-  gp_time_t deadline; /* of the append, or the time of its repetition */
+  gp_time_t deadline; /* time limit of the append in flight, or the time of its
+                         repetition */
   bool in_flight;
   uint32_t failures;
 };
--- a/src/state/writer.h
+++ b/src/state/writer.h
@@ -59,7 +59,8 @@
   gp_time_t backoff_min;
   gp_time_t backoff_max;
   gp_time_t skew_max;     /* allowed difference between wall clocks */
-  uint32_t failures_max;  /* of a batch, before new records are refused */
+  uint32_t failures_max;  /* failed appends of a batch before new records are
+                             refused */
   gp_time_t outage_after; /* time without progress before new records are
                              refused */
 } gp_writer_limits_t;
