--- a/src/coordination/router.c
+++ b/src/coordination/router.c
@@ -43,7 +43,7 @@
 }
 
 static bool
-takes_requests (const gp_candidate_t *candidate)
+candidate_is_eligible (const gp_candidate_t *candidate)
 {
   return candidate->mode == GP_CANDIDATE_OPEN
          && candidate->in_flight < candidate->connections;
@@ -67,13 +67,13 @@
     ((gp_candidate_t *)g_ptr_array_index (set, index))->index = index;
 }
 
-/* Adds CANDIDATE to its set if it takes requests, otherwise removes it.  */
+/* Adds CANDIDATE to its set if it is eligible, otherwise removes it.  */
 static void
 update_set (gp_router_t *router, gp_candidate_t *candidate)
 {
   bool inside = candidate->index != GP_CANDIDATE_NOT_IN_SET;
 
-  if (takes_requests (candidate) == inside)
+  if (candidate_is_eligible (candidate) == inside)
     return;
   if (inside)
     set_remove (set_of (router, candidate), candidate);
--- a/src/daemon/keys.h
+++ b/src/daemon/keys.h
@@ -8,8 +8,8 @@
    answered, so that any entry can replay the first answer to a later request
    with the key.
 
-   A key whose entry died without an Outcome may have run: it is reported as
-   unknown and never run again.  While the log accepts no records, requests
+   A key whose entry terminated without an Outcome may have run: it is reported
+   as unknown and never run again.  While the log accepts no records, requests
    with a new key are refused, and have not run.  */
 
 #ifndef GP_DAEMON_KEYS_H
@@ -36,13 +36,13 @@
   GP_KEYS_LATE         /* not run: its deadline has passed */
 } gp_keys_verdict_t;
 
-/* How to answer or handle a keyed request.  */
+/* The decision on a keyed request, with the answer to replay, if any.  */
 typedef struct
 {
   gp_keys_verdict_t verdict;
   uint32_t status;       /* REPLAY */
   const uint8_t *answer; /* REPLAY: a packed gp.wire.Answer */
-  size_t answer_size;    /* 0 if the answer was not kept */
+  size_t answer_size;    /* 0 if the answer was not stored */
 } gp_keys_decision_t;
 
 typedef void (*gp_keys_decided_t) (const gp_keys_decision_t *decision,
@@ -69,14 +69,14 @@
                            gp_time_t deadline, gp_keys_decided_t decided,
                            void *data);
 
-/* Keep the head of an answer and its first part, then its further parts, for
+/* Store the head of an answer and its first part, then its further parts, for
    replay; an answer that is too large is dropped.  */
-void gp_keyed_keep_head (gp_keyed_t *keyed, const Gp__Wire__Answer *answer);
-void gp_keyed_keep_part (gp_keyed_t *keyed, const void *bytes, size_t size);
-/* Drops the kept answer, which is incomplete.  */
+void gp_keyed_store_head (gp_keyed_t *keyed, const Gp__Wire__Answer *answer);
+void gp_keyed_store_part (gp_keyed_t *keyed, const void *bytes, size_t size);
+/* Drops the stored answer, which is incomplete.  */
 void gp_keyed_drop_answer (gp_keyed_t *keyed);
 
-/* Ends the request: it ran (with the answer that was kept), did not run, or
+/* Ends the request: it ran (with the answer that was stored), did not run, or
    this is unknown.  If DECIDED was not called yet, the request is abandoned
    and DECIDED will not be called.  KEYED is invalid afterwards.  */
 void gp_keyed_end (gp_keyed_t *keyed, Gp__Wire__Verdict verdict);
@@ -97,7 +97,7 @@
                      uint8_t key[GP_FOLD_KEY_SIZE]);
 
 /* Decides by the state of KEY in FOLD (NULL: not seen), without side effects.
-   RUN means that an Intent may be proposed.  OWNER_ALIVE tells whether the
+   RUN means that an Intent may be proposed.  OWNER_ALIVE is whether the
    entry that holds an open key is alive.  */
 gp_keys_verdict_t gp_keys_decide (const gp_fold_t *fold,
                                   const gp_fold_key_t *key, uint64_t request,
--- a/src/daemon/news.h
+++ b/src/daemon/news.h
@@ -1,7 +1,7 @@
 /* Exchange of membership between the entries of a region: each entry sends
-   the others changes of the guards that it hears directly, and messages that
-   show that it is alive (see coordination/members.h).  None of this depends
-   on the platform's log.  */
+   the others the changes of the guards whose heartbeats it receives, and
+   messages that show that it is alive (see coordination/members.h).  None of
+   this depends on the platform's log.  */
 
 #ifndef GP_DAEMON_NEWS_H
 #define GP_DAEMON_NEWS_H
@@ -16,7 +16,8 @@
   GHashTable *peers; /* gp_session_t -> gp_news_peer_t */
   gp_timer_t timer;
   gp_deferred_t deferred;
-  gp_time_t heartbeat_interval; /* of messages without news, as heartbeats */
+  gp_time_t heartbeat_interval; /* interval of messages without news, which
+                                   serve as heartbeats */
 } gp_news_t;
 
 void gp_news_init (gp_news_t *news, gp_session_host_t *host,
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -4,8 +4,8 @@
    if the answer comes in parts, and is freed when the caller has its answer
    or has left.  While it waits, its timeout is the deadline of the request
    plus a grace, so that the guard can report the missed deadline first;
-   while it streams, the timeout moves with every part that the caller
-   takes.  */
+   while it streams, the timeout is extended with every part that has been
+   sent to the caller.  */
 
 #include "daemon/relay_private.h"
 
@@ -15,7 +15,7 @@
 
 #define ANSWER_GRACE (250 * GP_MSEC)
 
-/* How often to check for callers that have hung up, and how many relays are
+/* Interval of the check for callers that have hung up, and number of relays
    checked each time.  */
 #define SWEEP_INTERVAL (100 * GP_MSEC)
 #define SWEEP_COUNT 256
@@ -239,7 +239,7 @@
   gp_heap_insert (&relays->timeouts, &relay->timeout_node);
   relays->open_count++;
   gp_counter_set (&relays_open, (int64_t)relays->open_count);
-  gp_http_exchange_watch (exchange, on_caller_gone, gp_relay_on_part_taken,
+  gp_http_exchange_watch (exchange, on_caller_gone, gp_relay_on_part_sent,
                           relay);
   return relay;
 }
@@ -355,7 +355,7 @@
   relay->head_received = true;
   relay->last_received = answer->last;
   if (relay->keyed != NULL)
-    gp_keyed_keep_head (relay->keyed, answer);
+    gp_keyed_store_head (relay->keyed, answer);
   if (answer->last)
     gp_relay_answer (relay, answer);
   else
@@ -373,7 +373,7 @@
   g_byte_array_append (relay->pending, part->data.data, (guint)part->data.len);
   relay->last_received = part->last;
   if (relay->keyed != NULL)
-    gp_keyed_keep_part (relay->keyed, part->data.data, part->data.len);
+    gp_keyed_store_part (relay->keyed, part->data.data, part->data.len);
   if (part->last)
     end_attempt (relay);
   gp_relay_send_next_part (relay);
--- a/src/state/catalog.h
+++ b/src/state/catalog.h
@@ -1,4 +1,4 @@
-/* Catalog of the snapshots on the log.
+/* Catalog of the snapshots in the log.
 
    A snapshot is a Begin record, its parts in order and an End record.  They
    are spread over the batches of one writer, interleaved with the batches of
@@ -29,7 +29,7 @@
   void *checksum;  /* XXH3_state_t while open */
 } gp_catalog_entry_t;
 
-/* How many corrupt snapshots are remembered.  */
+/* Number of corrupt snapshots whose as_of is stored.  */
 #define GP_CATALOG_REJECTED_MAX 8
 
 typedef struct
--- a/src/state/fold.h
+++ b/src/state/fold.h
@@ -1,4 +1,4 @@
-/* Replicated state machine of the site: a fold over the batches on the log.
+/* Replicated state machine of the site: a fold over the batches in the log.
 
    Every process that follows the log applies the same batches in offset order
    and therefore has the same state.  Each record is either accepted or void,
@@ -59,10 +59,11 @@
    use the same values.  */
 typedef struct
 {
-  int64_t key_window_us;    /* how long a key is kept */
-  int64_t ended_window_us;  /* how long an ended task is kept */
-  int64_t writer_window_us; /* an inactive writer; at least key_window_us */
-  int64_t guard_window_us;  /* a guard that is gone */
+  int64_t key_window_us;    /* retention of a key */
+  int64_t ended_window_us;  /* retention of an ended task */
+  int64_t writer_window_us; /* retention of an inactive writer; at least
+                               key_window_us */
+  int64_t guard_window_us;  /* retention of a guard that is gone */
   uint32_t tasks_max;       /* tasks that have not ended */
   uint32_t ended_max;       /* ended tasks; the oldest are dropped */
   uint32_t keys_max;
@@ -118,7 +119,7 @@
   uint64_t sequence; /* the last applied */
   int64_t heard_us;  /* log time of its last batch */
   int64_t wall_us;   /* wall clock in its last batch */
-  gp_list_t link;    /* in gp_fold_t.writers_heard, least recent first */
+  gp_list_t link;    /* in gp_fold_t.writers_by_activity, least recent first */
 } gp_fold_writer_t;
 
 typedef struct
@@ -246,7 +247,7 @@
   GHashTable *keys;    /* set of gp_fold_key_t */
   gp_list_t ended;     /* of gp_fold_task_t, oldest first */
   gp_list_t guards_gone;
-  gp_list_t writers_heard;
+  gp_list_t writers_by_activity;
   gp_list_t keys_opened;
   gp_list_t *answer_cursor; /* no key before it has a stored answer */
   uint32_t phase_count[5];  /* by Gp__Record__TaskPhase */
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -1,8 +1,8 @@
 /* Writes snapshots of the state to the log.
 
-   The state has to be saved on the log before the log drops the batches from
+   The state has to be saved in the log before the log drops the batches from
    which it was built.  Any process may do so.  Two snapshots at the same time
-   are harmless, and a process that dies midway leaves parts that readers
+   are harmless, and a process that exits midway leaves parts that readers
    ignore.  Each process randomizes its threshold, so that usually only one of
    them writes a snapshot.
 
@@ -35,7 +35,8 @@
   gp_time_t record_interval; /* between two records, microseconds */
   uint64_t offset_interval;  /* offsets since the newest snapshot */
   int64_t interval_us;       /* log time since the newest was completed */
-  uint64_t abandoned_after;  /* offsets; for an open snapshot */
+  uint64_t abandoned_after;  /* age in offsets at which an open snapshot counts
+                                as abandoned */
 } gp_snapshot_limits_t;
 
 extern const gp_snapshot_limits_t gp_snapshot_default_limits;
