--- a/tests/standins/caller.c
+++ b/tests/standins/caller.c
@@ -1,15 +1,16 @@
-/* caller: load generator and ledger of the callers' side.
-
-   Requests go to the entries in turn, as through a balancer; one that cannot
-   be connected goes to the next entry, nothing else is sent twice but what
-   its kind asks for (see lib/kind.h).  In open loop, the default, requests of
-   each kind arrive as a Poisson process of its rate and their time counts
-   from the arrival; with --closed each connection has one request at a time.
-   An answer is checked to be whole and its own: its body follows from the
+/* caller: load generator that writes a ledger of the callers' view.
+
+   Requests go to the entries round-robin, as through a load balancer; one
+   whose connection attempt fails goes to the next entry.  Nothing else is sent
+   twice, except for the duplicates and retries of its kind (see lib/kind.h).
+   In open loop, the default, the requests of each kind arrive as a Poisson
+   process with its rate, and latencies count from the arrival.  With --closed,
+   each connection has one request at a time.  Each response is checked to be
+   complete and to belong to its request: the body is generated from the
    request's key, or else from its X-Request-Id (lib/content.h).
 
-   After --duration-s or --requests, or SIGINT, it waits for what is open and
-   prints one line of JSON.  */
+   After --duration-s or --requests, or on SIGINT or SIGTERM, it waits for the
+   open requests and prints a summary as one line of JSON.  */
 
 #include <inttypes.h>
 #include <math.h>
@@ -46,7 +47,7 @@
               .requests = INT64_MAX,
               .give_up_ms = 2000 };
 
-static gp_kind_t single; /* from the command line */
+static gp_kind_t single; /* the kind given by command-line options */
 static uv_loop_t loop;
 static uv_timer_t sweep_timer;
 static uv_poll_t arrival_poll;
@@ -58,13 +59,14 @@
 static json_t *kinds_document;
 static gp_pool_t pool;
 static int64_t issued, open_requests;
-static int64_t postponed; /* of the closed loop, to the next sweep */
+static int64_t postponed; /* closed loop: requests to send at the next sweep,
+                             after one found no entry */
 static gp_time_t started_at, stopped_at;
 static bool stopping;
 
 static void issue (gp_kind_t *kind, gp_time_t arrived_at);
 
-/* Requests, from their start to their end.  */
+/* Requests.  */
 
 static void
 write_query (const gp_query_t *query, gp_outcome_t outcome)
@@ -127,7 +129,7 @@
   uv_close ((uv_handle_t *)timer, (uv_close_cb)g_free);
 }
 
-/* Send a request with the same key again, later.  */
+/* Schedule another attempt of OLD with the same key.  */
 static void
 retry_start (const gp_query_t *old)
 {
@@ -179,7 +181,7 @@
     issue (draw_kind (), now);
 }
 
-/* Arrivals and the end.  */
+/* Arrivals and termination.  */
 
 static void
 issue (gp_kind_t *kind, gp_time_t arrived_at)
@@ -217,7 +219,8 @@
   kind->next_arrival_us += gap_s * (double)GP_SEC;
 }
 
-/* Have arrival_fd readable at POINT; libuv's own timers are too coarse.  */
+/* Make arrival_fd readable at the time POINT.  A timerfd is used because
+   libuv's timers have a resolution of only one millisecond.  */
 static void
 arm_arrival (gp_time_t point)
 {
@@ -278,7 +281,7 @@
     uv_stop (&loop);
 }
 
-/* Start and summary.  */
+/* Startup and summary.  */
 
 static void
 die (const char *what, const char *why)
--- a/tests/standins/http_server.py
+++ b/tests/standins/http_server.py
@@ -1,4 +1,7 @@
-"""A small HTTP server on loopback for stand-ins, in threads of the test."""
+"""A minimal HTTP server on loopback for stand-ins.
+
+It runs in threads of the test process.
+"""
 
 import http.server
 import socketserver
@@ -13,14 +16,22 @@
     request_queue_size = 128
 
     def handle_error(self, request, client_address):
-        """Callers go away at any time; other errors are the stand-in's."""
+        """Report exceptions other than OSError.
+
+        Clients may disconnect at any time, which raises OSError; any other
+        exception is an error of the stand-in.
+        """
         if not isinstance(sys.exc_info()[1], OSError):
             super().handle_error(request, client_address)
 
 
 def serve(address, handle):
-    """Serve HTTP on ADDRESS; HANDLE (method, path, query, headers, body)
-    returns status, body bytes; None: the connection is cut."""
+    """Serve HTTP on address and return the running server.
+
+    For each request, handle(method, path, query, headers, body) returns the
+    status and the body bytes of the response, or None to close the connection
+    without a response.
+    """
 
     class Handler(http.server.BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
--- a/tests/standins/lib/connection.c
+++ b/tests/standins/lib/connection.c
@@ -8,7 +8,8 @@
 #define HEADERS_MAX 64
 #define HEAD_MAX_SIZE (64L * 1024)
 
-/* Exported by libh2o, which installs no header for them.  */
+/* libh2o exports these functions but installs no header that declares
+   them.  */
 int phr_parse_response (const char *buf, size_t len, int *minor_version,
                         int *status, const char **msg, size_t *msg_len,
                         gp_connection_header_t *headers, size_t *num_headers,
@@ -16,7 +17,8 @@
 ssize_t phr_decode_chunked (struct phr_chunked_decoder *decoder, char *buf,
                             size_t *bufsz);
 
-/* One loop on one thread: all connections read into the same place.  */
+/* Shared by all connections: they run on one event loop in one thread, and
+   each read is consumed before the next one starts.  */
 static char read_buffer[READ_SIZE];
 
 typedef struct
@@ -95,7 +97,8 @@
          && strncasecmp (header->value, value, header->value_size) == 0;
 }
 
-/* Learn from the head how the body is framed.  */
+/* Determine from the response headers how the body is delimited and whether
+   the connection can be reused.  */
 static void
 read_framing (gp_connection_t *connection, int minor_version, int status,
               const gp_connection_header_t *headers, size_t count)
@@ -179,7 +182,8 @@
     }
 }
 
-/* Bytes that may complete the answer's head.  */
+/* Parse the response head.  An incomplete one is buffered in
+   connection->head until more bytes arrive.  */
 static void
 on_head_bytes (gp_connection_t *connection, char *bytes, size_t size)
 {
@@ -267,7 +271,7 @@
   g_free (write);
 }
 
-/* Bytes that the kernel did not take at once.  */
+/* Queue the bytes that uv_try_write did not accept.  */
 static void
 write_later (gp_connection_t *connection, const char *bytes, size_t size)
 {
--- a/tests/standins/lib/connection.h
+++ b/tests/standins/lib/connection.h
@@ -1,10 +1,12 @@
-/* One HTTP/1.1 keep-alive connection of a load generator.
+/* HTTP/1.1 keep-alive client connection of a load generator.
 
-   The h2o client duplicates and registers the descriptor anew for each
-   request on a kept connection, which costs more than the request itself at
-   the rates that are generated here; so this is libuv with h2o's parser.
-   An answer counts as whole only when its length or its last chunk says
-   so.  */
+   This uses libuv with h2o's parser rather than h2o's HTTP client: the client
+   duplicates the file descriptor and registers it again for each request on a
+   keep-alive connection, which costs more than the request itself at the
+   request rates of a load generator.
+
+   A response counts as complete only if its Content-Length or its last chunk
+   shows that it is.  */
 
 #ifndef GP_STANDINS_CONNECTION_H
 #define GP_STANDINS_CONNECTION_H
@@ -22,10 +24,10 @@
 
 typedef enum
 {
-  GP_CONNECTION_WHOLE,     /* the answer came whole; idle if still open */
-  GP_CONNECTION_TRUNCATED, /* closed within the answer */
-  GP_CONNECTION_NO_ANSWER, /* closed before the answer's head */
-  GP_CONNECTION_IDLE       /* closed while nothing was asked */
+  GP_CONNECTION_WHOLE,     /* complete response; idle if still open */
+  GP_CONNECTION_TRUNCATED, /* closed or invalid within the response */
+  GP_CONNECTION_NO_ANSWER, /* closed before a complete response head */
+  GP_CONNECTION_IDLE       /* closed without a request in progress */
 } gp_connection_end_t;
 
 typedef struct
@@ -38,15 +40,15 @@
 
 typedef struct
 {
-  /* The connection is open, or STATUS tells why it could not be; then it is
-     freed after.  */
+  /* The connection is open (STATUS is 0), or STATUS is the libuv error of the
+     failed attempt and the connection is freed after the call.  */
   void (*on_open) (gp_connection_t *connection, int status);
   void (*on_head) (gp_connection_t *connection, int status,
                    const gp_connection_header_t *headers, size_t count);
   void (*on_body) (gp_connection_t *connection, const char *bytes,
                    size_t size);
-  /* The end of an answer or of the connection.  OPEN: it may be used again;
-     else it is freed after.  */
+  /* The response or the connection has ended.  If OPEN, the connection can be
+     reused; otherwise it is freed after the call.  */
   void (*on_end) (gp_connection_t *connection, gp_connection_end_t end,
                   bool open);
 } gp_connection_callbacks_t;
@@ -55,14 +57,14 @@
 {
   GP_CONNECTION_CONNECTING,
   GP_CONNECTION_READY,
-  GP_CONNECTION_HEAD, /* the answer's head is awaited */
+  GP_CONNECTION_HEAD, /* waiting for the response head */
   GP_CONNECTION_BODY,
   GP_CONNECTION_CHUNKS,
-  GP_CONNECTION_UNTIL_CLOSE, /* a body without a length: never whole */
+  GP_CONNECTION_UNTIL_CLOSE, /* body without a length: never complete */
   GP_CONNECTION_CLOSED
 } gp_connection_state_t;
 
-/* As in h2o's parser.  */
+/* Must match the definition in h2o's parser.  */
 struct phr_chunked_decoder
 {
   size_t bytes_left_in_chunk;
@@ -77,25 +79,27 @@
   uv_connect_t connect;
   const gp_connection_callbacks_t *callbacks;
   gp_connection_state_t state;
-  GByteArray *head; /* of an answer, as long as it is incomplete */
+  GByteArray *head; /* incomplete response head received so far */
   uint64_t body_left;
   struct phr_chunked_decoder decoder;
   bool keep;
-  gp_list_t link; /* of the user */
-  void *data;     /* of the user */
-  void *owner;    /* of the user */
+  /* For use by the caller.  */
+  gp_list_t link;
+  void *data;
+  void *owner;
 };
 
-/* Start to connect; on_open follows.  */
+/* Start connecting to ADDRESS; on_open reports the result.  */
 gp_connection_t *
 gp_connection_new (uv_loop_t *loop, const struct sockaddr_in *address,
                    const gp_connection_callbacks_t *callbacks);
 
-/* Send one request on an open connection without one.  */
+/* Send one request.  The connection must be open, without a request in
+   progress.  */
 void gp_connection_send (gp_connection_t *connection, const char *bytes,
                          size_t size);
 
-/* Close without callbacks and free.  */
+/* Close and free the connection without calling any callback.  */
 void gp_connection_abort (gp_connection_t *connection);
 
 #endif
--- a/tests/standins/lib/fault.h
+++ b/tests/standins/lib/fault.h
@@ -1,5 +1,5 @@
 /* Fault switches of a stand-in: a table of named values that
-   `POST /faults` changes and `GET /faults` shows.  */
+   `POST /faults` changes and `GET /faults` returns.  */
 
 #ifndef GP_STANDINS_FAULT_H
 #define GP_STANDINS_FAULT_H
@@ -47,12 +47,13 @@
     (n), GP_FAULT_LIST, { .list = (p) }                                       \
   }
 
-/* Set the values that the JSON object TEXT names and leave the others.  An
-   unknown name or a value of another type changes nothing and fails.  */
+/* Set the values named in the JSON object TEXT and leave the others as they
+   are.  Fails, and changes nothing, if a name is unknown or a value has the
+   wrong type.  */
 bool gp_fault_apply (const gp_fault_t *faults, size_t count, const char *text,
                      size_t size, GError **error);
 
-/* The present values as a new JSON object.  */
+/* Return the current values as a new JSON object.  */
 json_t *gp_fault_show (const gp_fault_t *faults, size_t count);
 
 #endif
--- a/tests/standins/lib/kind.c
+++ b/tests/standins/lib/kind.c
@@ -31,7 +31,7 @@
   kind->latencies = g_array_new (FALSE, FALSE, sizeof (uint32_t));
 }
 
-/* Read OBJECT, which must stay alive, into KIND.  */
+/* Read OBJECT into KIND, whose strings point into OBJECT.  */
 static bool
 read_kind (gp_kind_t *kind, json_t *object)
 {
@@ -108,8 +108,8 @@
   return x < y ? -1 : x > y;
 }
 
-/* The value at QUANTILE of the sorted latencies, in milliseconds, by the
-   nearest rank.  */
+/* Return the nearest-rank QUANTILE of the sorted latencies in milliseconds, or
+   JSON null if there are none.  */
 static json_t *
 quantile_ms (const GArray *sorted, double quantile)
 {
--- a/tests/standins/lib/kind.h
+++ b/tests/standins/lib/kind.h
@@ -1,7 +1,9 @@
-/* Kinds of requests that a load generator sends, and what became of them.
+/* Kinds of requests that a load generator sends, with counters of their
+   outcomes.
 
    A file of kinds is JSON: {"kinds": [{...}, ...]} with the fields of
-   gp_kind_t in their names; all but "name" and "path" may be left out.  */
+   gp_kind_t under the same names; all but "name" and "path" may be
+   omitted.  */
 
 #ifndef GP_STANDINS_KIND_H
 #define GP_STANDINS_KIND_H
@@ -13,14 +15,14 @@
 
 #include "base/time.h"
 
-/* What a caller knows of a request at its end.  */
+/* What a caller knows about a request when it ends.  */
 typedef enum
 {
-  GP_OUTCOME_RAN,     /* answered whole, and with its own answer */
-  GP_OUTCOME_NOT_RUN, /* refused with the word that it did not run */
-  GP_OUTCOME_UNKNOWN, /* said to be unknown, or no answer came */
-  GP_OUTCOME_REFUSED, /* no entry could be connected to */
-  GP_OUTCOME_BROKEN,  /* an answer cut short, or another's */
+  GP_OUTCOME_RAN,     /* complete response with the expected body */
+  GP_OUTCOME_NOT_RUN, /* refused with the verdict "not-run" */
+  GP_OUTCOME_UNKNOWN, /* verdict "unknown", or no response */
+  GP_OUTCOME_REFUSED, /* no connection to any entry */
+  GP_OUTCOME_BROKEN,  /* truncated response, or the body of another one */
   GP_OUTCOME_COUNT
 } gp_outcome_t;
 
@@ -30,35 +32,37 @@
   const char *method;
   const char *path;
   const char *team;   /* NULL: not sent */
-  double rate;        /* requests a second; a weight in closed loop */
-  bool keyed;         /* each request has an Idempotency-Key of its own */
-  double duplicate;   /* share that is sent twice at once, with one key */
-  int64_t tries;      /* in all, with the same key, unless it ran */
-  int64_t retry_ms;   /* between tries */
+  double rate;        /* requests per second; a weight in closed loop */
+  bool keyed;         /* each request has its own Idempotency-Key */
+  double duplicate;   /* fraction sent twice concurrently with one key */
+  int64_t tries;      /* maximum attempts with one key, until it ran */
+  int64_t retry_ms;   /* delay between attempts */
   int64_t timeout_ms; /* the caller's deadline */
-  int64_t body_size;  /* bytes sent */
-  int64_t size;       /* bytes that the answer must have, -1: not checked */
-  int64_t status;     /* of a good answer */
+  int64_t body_size;  /* bytes of the request body */
+  int64_t size;       /* expected bytes of the response, -1: not checked */
+  int64_t status;     /* expected status of the response */
 
   double next_arrival_us; /* since the start */
   int64_t sent;
   int64_t outcomes[GP_OUTCOME_COUNT];
-  int64_t other_status; /* ran, with another status than the good one */
-  int64_t in_time;      /* good answers within the timeout */
-  GArray *latencies;    /* of what ran: microseconds, uint32_t */
+  int64_t other_status; /* ran, but with an unexpected status */
+  int64_t in_time;      /* expected status, within the timeout */
+  GArray *latencies;    /* uint32_t microseconds of the requests that ran */
 } gp_kind_t;
 
 void gp_kind_init (gp_kind_t *kind);
 
-/* Append the kinds of the file PATH to KINDS, an array of gp_kind_t.  Return
-   the document that owns their strings, or NULL on failure.  */
+/* Append the kinds from the file PATH to KINDS, an array of gp_kind_t.
+   Returns the JSON document that owns their strings, or NULL on failure.  */
 json_t *gp_kind_load (GArray *kinds, const char *path, GError **error);
 
-/* Count a request that ended as OUTCOME after TOOK.  */
+/* Count a request that ended with OUTCOME and STATUS after the duration
+   TOOK.  */
 void gp_kind_count (gp_kind_t *kind, gp_outcome_t outcome, int status,
                     gp_time_t took);
 
-/* What became of all requests over SECONDS.  */
+/* Return the counts and latencies of all requests, which were sent over
+   SECONDS.  Sorts the latencies.  */
 json_t *gp_kind_summary (gp_kind_t *kind, double seconds);
 
 const char *gp_outcome_name (gp_outcome_t outcome);
--- a/tests/standins/lib/ledger.c
+++ b/tests/standins/lib/ledger.c
@@ -59,8 +59,9 @@
   g_free (ledger->node);
 }
 
-/* Append VALUE as a JSON string; what is not plain ASCII is escaped byte by
-   byte, which keeps the line valid whatever a caller sent.  */
+/* Append VALUE as a JSON string.  Bytes other than printable ASCII are escaped
+   one by one, so that the line is valid JSON whatever bytes a caller
+   sent.  */
 static void
 append_quoted (GString *out, const char *value, size_t size)
 {
--- a/tests/standins/lib/pool.c
+++ b/tests/standins/lib/pool.c
@@ -14,7 +14,7 @@
   gp_pool_t *pool;
   char *text;
   struct sockaddr_in address;
-  gp_list_t idle; /* connections */
+  gp_list_t idle; /* idle connections, most recently used first */
 } entry_t;
 
 static gp_pool_t *
@@ -88,7 +88,8 @@
     gp_list_push_front (&entry->idle, &connection->link);
 }
 
-/* The connection is about to be freed.  */
+/* Remove CONNECTION, which is about to be freed, from the pool and let a
+   waiting query use the free place.  */
 static void
 connection_gone (gp_connection_t *connection)
 {
@@ -158,7 +159,8 @@
     }
 }
 
-/* Whether the body is to follow from the request.  */
+/* Return whether the response body must be the one generated from the
+   request's identifier.  */
 static bool
 checks_body (const gp_query_t *query)
 {
@@ -236,10 +238,11 @@
   return NULL;
 }
 
-/* The entry whose turn it is, over a connection that is idle or new; when
-   there may be no more of them, any idle one, or after others.  The wait for
-   one does not move on the turn of a query whose entry could not be
-   connected: it would come back to that entry and count as refused.  */
+/* Send QUERY to the next entry in round-robin order, over an idle or a new
+   connection.  At the connection limit, use any idle connection, or wait for
+   one.  A query whose connection attempt failed keeps its position in the
+   order, also after a wait: with a new position it could return to the entry
+   that failed and count as refused.  */
 void
 gp_pool_send (gp_pool_t *pool, gp_query_t *query)
 {
@@ -273,8 +276,8 @@
   gp_list_push_back (&pool->busy, &connection->link);
 }
 
-/* The request of CONNECTION is given up, or goes to another entry when it
-   is not even connected.  */
+/* End the query of CONNECTION because of its time limit, or send it to another
+   entry if the connection is not yet established.  */
 static void
 give_up (gp_connection_t *connection)
 {
@@ -304,7 +307,8 @@
   return now >= query->give_up_at;
 }
 
-/* The first connection whose request is late, or NULL.  */
+/* Return the first connection whose query is over its time limit, or
+   NULL.  */
 static gp_connection_t *
 find_late (const gp_pool_t *pool, gp_time_t now)
 {
@@ -319,7 +323,8 @@
   return NULL;
 }
 
-/* Queries that found no connection in time were never sent.  */
+/* End the waiting queries that are over their time limit.  They were never
+   sent, so they count as refused.  */
 static void
 give_up_waiting (gp_pool_t *pool, gp_time_t now)
 {
--- a/tests/standins/lib/pool.h
+++ b/tests/standins/lib/pool.h
@@ -1,8 +1,9 @@
-/* The connections of a load generator to the entries, used in turn as
-   through a balancer.
+/* The connections of a load generator to the entries, used round-robin as
+   through a load balancer.
 
-   A query whose entry cannot be connected goes to the next one; nothing else
-   is sent twice.  With no connection free, and no more allowed, it waits.  */
+   A query whose connection attempt fails goes to the next entry; nothing else
+   is sent twice.  If no connection is idle and the limit is reached, the query
+   waits for one.  */
 
 #ifndef GP_STANDINS_POOL_H
 #define GP_STANDINS_POOL_H
@@ -22,7 +23,8 @@
 
 typedef struct gp_pool gp_pool_t;
 
-/* One request and what is known of it.  The user sets the first fields.  */
+/* One request and the state of its response.  The caller sets the first group
+   of fields.  */
 typedef struct
 {
   gp_kind_t *kind;
@@ -32,43 +34,44 @@
   gp_time_t arrived_at;
   gp_time_t give_up_at;
 
-  guint connects;    /* entries that could not be connected */
-  guint turn;        /* index of the entry, modulo their number */
-  const char *entry; /* "IP:port" of the last one */
+  guint connects;    /* entries whose connection attempt failed */
+  guint turn;        /* index of the entry, modulo the number of entries */
+  const char *entry; /* "IP:port" of the most recent one */
   gp_time_t connect_by;
-  int status; /* 0: no answer */
+  int status; /* 0: no response */
   char verdict[GP_QUERY_WORD_SIZE];
   char reason[GP_QUERY_WORD_SIZE];
-  uint64_t seed; /* of its body and its answer's */
+  uint64_t seed; /* of the bodies of the request and the response */
   int64_t received;
-  bool wrong;     /* the answer's body is not its own */
-  gp_list_t link; /* among those that wait for a connection */
+  bool wrong;     /* the response body is not the expected one */
+  gp_list_t link; /* in the pool's list of waiting queries */
 } gp_query_t;
 
 struct gp_pool
 {
   uv_loop_t *loop;
   int max_connections;
-  /* The last use of QUERY, which belongs to the user again.  */
+  /* Called once for each query, which the caller owns again.  */
   void (*on_end) (gp_query_t *query, gp_outcome_t outcome);
   GPtrArray *entries;
   guint next_entry;
   int connections;
   gp_list_t busy;    /* connections with a query */
-  gp_list_t waiting; /* queries */
-  GString *out;      /* the head and body that are sent */
+  gp_list_t waiting; /* queries without a connection */
+  GString *out;      /* buffer for the request to send */
 };
 
-/* Prepare POOL, whose first fields are set.  */
+/* Initialize POOL; the caller has set loop, max_connections and on_end.  */
 void gp_pool_init (gp_pool_t *pool);
 
-/* False when ADDRESS is not "IP:port".  */
+/* Return false if ADDRESS is not "IP:port".  */
 bool gp_pool_add_entry (gp_pool_t *pool, const char *address);
 
-/* Send QUERY; on_end follows, not from inside.  */
+/* Send QUERY.  on_end is called later, never before this returns.  */
 void gp_pool_send (gp_pool_t *pool, gp_query_t *query);
 
-/* Give up what is late at NOW; to be called periodically.  */
+/* End all queries whose time limit has passed at NOW.  To be called
+   periodically.  */
 void gp_pool_sweep (gp_pool_t *pool, gp_time_t now);
 
 #endif
--- a/tests/standins/lib/reply.c
+++ b/tests/standins/lib/reply.c
@@ -1,4 +1,5 @@
-/* Requests and answers of the stand-ins (declared in server.h).  */
+/* Helpers for requests and responses of the stand-ins (declared in
+   server.h).  */
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
--- a/tests/standins/lib/server.c
+++ b/tests/standins/lib/server.c
@@ -14,9 +14,9 @@
 
 typedef struct
 {
-  uv_tcp_t *tcp; /* NULL while connecting is refused */
+  uv_tcp_t *tcp; /* NULL while connections are refused */
   gp_standin_t *standin;
-  struct sockaddr_in address; /* with the port that was bound */
+  struct sockaddr_in address; /* with the actual port once bound */
   bool control;
 } listener_t;
 
@@ -185,7 +185,7 @@
   h2o_pathconf_t *root;
   handler_t *handler;
 
-  /* Large bodies stay in memory: no temporary files.  */
+  /* Keep large bodies in memory rather than in temporary files.  */
   h2o_socket_buffer_mmap_settings.threshold = SIZE_MAX;
   h2o_config_init (&standin->config);
   standin->config.http1.req_timeout = IDLE_TIMEOUT_MS;
--- a/tests/standins/lib/vm.c
+++ b/tests/standins/lib/vm.c
@@ -75,7 +75,7 @@
   task->checkpoint = g_strdup_printf ("%" PRId64, (int64_t)task->progress_ms);
 }
 
-/* End TASK, whose last effect was not after UNTIL.  */
+/* End TASK, which had no effect after UNTIL.  */
 static void
 end (gp_vmtask_t *task, gp_vmtask_state_t state, gp_time_t until,
      const char *result)
@@ -184,7 +184,7 @@
   return sum;
 }
 
-/* Milliseconds until something is to be done for TASK.  */
+/* Return the milliseconds until the next end, stop or checkpoint of TASK.  */
 static uint64_t
 next_step_ms (const gp_vmtask_t *task, gp_time_t now)
 {
@@ -211,7 +211,8 @@
   uv_timer_start (&vm->lease_timer, on_lease_timer, ms, 0);
 }
 
-/* Recompute all rates and timers after a change of the tasks.  */
+/* Recompute the rates and timers of all tasks after a change to any of
+   them.  */
 static void
 replan (gp_vm_t *vm)
 {
@@ -281,8 +282,8 @@
 
 /* Starting and commands.  */
 
-/* Take what the payload TEXT says of the simulated work.  A payload that is
-   no JSON object makes a task that fails at once.  */
+/* Read the parameters of the simulated work from the payload TEXT.  If it is
+   not a JSON object, the task fails after 1 ms.  */
 static void
 read_payload (gp_vmtask_t *task, const char *text)
 {
@@ -357,7 +358,8 @@
     {
       gp_vmtask_t *task = value;
 
-      /* A renewal that was overtaken by a later one shortens nothing.  */
+      /* A renewal that arrives after a later one must not shorten the
+         lease.  */
       task->deadline = MAX (task->deadline, deadline);
     }
   replan (vm);
--- a/tests/standins/lib/vm.h
+++ b/tests/standins/lib/vm.h
@@ -1,10 +1,11 @@
 /* The simulated tasks of one VM, their leases and its capacity.
 
-   A task makes progress with time, slower when it is throttled or disturbed
-   by its neighbours, and ends when its progress has reached its run time.
-   Every entry by a request or a timer first kills the tasks whose deadline
-   has passed (gp_vm_expire), so that a pause cannot lead to a late effect.
-   Each change of a task goes to the ledger and to on_event.  */
+   A task makes progress over time, more slowly if it is throttled or other
+   tasks on the VM interfere with it, and ends when its progress reaches its
+   run time.  Each request and timer first ends the tasks whose lease has
+   expired (gp_vm_expire), so that a task has no effect after its deadline even
+   if the process was paused.  Each change of a task is written to the ledger
+   and reported to on_event.  */
 
 #ifndef GP_STANDINS_VM_H
 #define GP_STANDINS_VM_H
@@ -57,22 +58,22 @@
   char *result;
   char *checkpoint; /* progress in milliseconds, as text */
   gp_vm_size_t declared;
-  gp_vm_size_t real; /* what it uses, not throttled */
+  gp_vm_size_t real; /* actual use, when not throttled */
   gp_time_t deadline;
   gp_time_t run_time; /* duration, once it has ended */
   gp_time_t started_at;
-  gp_time_t advanced_at; /* progress is as of this point */
+  gp_time_t advanced_at; /* time at which progress_ms was computed */
   double progress_ms;
-  double rate;    /* progress made in a millisecond */
-  double share;   /* of its processors, less than 1 when throttled */
+  double rate;    /* progress per millisecond */
+  double share;   /* fraction of its processors, below 1 when throttled */
   int64_t run_ms; /* 0: runs until it is stopped */
   int64_t checkpoint_every_ms;
   int64_t next_checkpoint_ms;
   bool fails;
-  gp_time_t stop_at; /* GP_TIME_NEVER unless a stop was asked for */
+  gp_time_t stop_at; /* GP_TIME_NEVER unless a stop was requested */
 } gp_vmtask_t;
 
-/* What a task is started with; strings are copied.  */
+/* The parameters of a start; gp_vm_start copies the strings.  */
 typedef struct
 {
   const char *id;
@@ -99,35 +100,37 @@
   int64_t stop_ms;
 
   GHashTable *tasks;  /* of gp_vmtask_t by id */
-  gp_time_t deadline; /* the latest that a task was given */
+  gp_time_t deadline; /* the latest deadline given to any task */
   uv_timer_t lease_timer;
   int64_t starts;
   int64_t expired;
   int64_t breaches;
 };
 
-/* Prepare VM, whose first fields are set, and write its boot.  */
+/* Initialize VM, whose fields up to the faults are set, and write the event
+   "boot" to the ledger.  */
 void gp_vm_init (gp_vm_t *vm);
 
-/* Kill what has lost its lease.  */
+/* End the running tasks whose lease has expired.  */
 void gp_vm_expire (gp_vm_t *vm);
 
-/* Start a task that is not present.  */
+/* Start a task whose id is not yet in use on VM.  */
 void gp_vm_start (gp_vm_t *vm, const gp_vm_start_t *start);
 
-/* Let every task run until DEADLINE, or longer when it may already.  */
+/* Extend the lease of every task to DEADLINE; a later deadline stays.  */
 void gp_vm_renew (gp_vm_t *vm, gp_time_t deadline);
 
-/* Do COMMAND to a running TASK.  */
+/* Apply COMMAND to the running TASK.  */
 void gp_vm_command (gp_vm_t *vm, gp_vmtask_t *task, gp_vm_command_t command);
 
-/* Forget an ended TASK.  */
+/* Remove and free a TASK that has ended.  */
 void gp_vm_forget (gp_vm_t *vm, gp_vmtask_t *task);
 
-/* The VM goes away with all that runs.  */
+/* Write the end of all running tasks to the ledger before the VM stops.  */
 void gp_vm_halt (gp_vm_t *vm);
 
-/* What the tasks but SELF (or NULL) add to the slowdown of KIND.  */
+/* Return what the running tasks other than SELF (may be NULL) add to the
+   slowdown of KIND.  */
 double gp_vm_slowdown (const gp_vm_t *vm, const char *kind,
                        const gp_vmtask_t *self);
 
--- a/tests/standins/links.py
+++ b/tests/standins/links.py
@@ -1,10 +1,10 @@
-"""Links on loopback with switches for their faults.
+"""TCP proxies on loopback that inject network faults.
 
-A Link listens on one address and passes connections on to another.  It can
-delay what passes, let no more pass than a thin line carries, hold it up one
-way or both ways, reset its connections, and silence those that are open: they stay open and pass nothing any more, while
-new ones work.  All links of a Links run on one loop in a thread of their own;
-their switches may be used from any thread.
+A Link listens on one address and forwards connections to another.  It can
+delay the data, limit its rate, block it in one or both directions, reset its
+connections, and silence the open ones: these stay open but forward nothing
+any more, while new ones work.  All links of a Links object run on one event
+loop in a thread of their own; their methods may be called from any thread.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 import threading
 
 CHUNK = 65536
-THIN_CHUNK = 4096  # a thin line is shared in pieces of this size
+THIN_CHUNK = 4096  # connections share a rate limit in chunks of this size
 TO_TARGET, FROM_TARGET = 0, 1
 
 
@@ -24,7 +24,7 @@
 
 class Connection:
     def __init__(self, writers):
-        self.writers = writers  # to the target, to who has connected
+        self.writers = writers  # to the target and to the client
         self.silent = False
 
     def reset(self):
@@ -41,9 +41,12 @@
         self.loop = loop
         self.target = target
         self.delay_s = 0.0
-        self.rate = 0  # bytes a second each way, over all connections; 0: any
-        self.free_at = [0.0, 0.0]  # the line has carried what was sent then
-        self.held = [asyncio.Event(), asyncio.Event()]  # set: passes
+        # Bytes per second in each direction over all connections; 0: no limit.
+        self.rate = 0
+        # For each direction, when the data sent so far has been transmitted.
+        self.free_at = [0.0, 0.0]
+        # For each direction; data is forwarded while the event is set.
+        self.held = [asyncio.Event(), asyncio.Event()]
         self.connections = set()
         self.server = None
         for gate in self.held:
@@ -83,18 +86,20 @@
                 writer.write(data)
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError):
-            pass  # reset on one side: the other learns it below
+            pass  # reset by one side; the other is closed below
         if not connection.silent:
             writer.close()
 
     async def carry(self, way, size):
-        """Wait until the line has carried SIZE bytes, after what was sent
-        before on any connection."""
+        """Wait until size bytes have been transmitted at the limited rate.
+
+        They queue after the data that was sent before on any connection.
+        """
         now = self.loop.time()
         self.free_at[way] = max(self.free_at[way], now) + size / self.rate
         await asyncio.sleep(self.free_at[way] - now)
 
-    # Switches, for any thread.
+    # The following methods may be called from any thread.
 
     def call(self, action, *arguments):
         self.loop.call_soon_threadsafe(action, *arguments)
@@ -128,7 +133,7 @@
         return asyncio.run_coroutine_threadsafe(task, self.loop).result()
 
     def add(self, address, target):
-        """Pass what connects to ADDRESS on to TARGET."""
+        """Forward connections to address to target; return the Link."""
         link = Link(self.loop, target)
         self.run(link.listen(address))
         self.all.append(link)
--- a/tests/standins/logd.c
+++ b/tests/standins/logd.c
@@ -1,19 +1,20 @@
 /* logd: stand-in for the platform's log service.
 
-   Named streams of records with dense offsets, kept in memory.  An append
-   that is delayed takes effect even when its caller has gone, as with the
+   Named streams of records with consecutive offsets, kept in memory.  A
+   delayed append takes effect even if its caller has disconnected, as with the
    real service.  Fault switches (POST /faults):
 
-   down             answer 503 to everything
-   refuse_from      close connections from these IPs without an answer
-   refuse_on        the same for requests that come in on these ports
-   append_delay_ms  an append takes effect and is answered this late
-   append_rate      appends a second, 0 unlimited; those over it wait
-   late_ack_ms      an append takes effect at once, is answered this late
-   lost_ack         the next N appends take effect, unanswered
-   drop_append      the next N appends have no effect, unanswered
-   read_delay_ms    a read is evaluated and answered this late
-   retain_records, retain_bytes, retain_ms   bounds of each stream, 0: none  */
+   down             respond with 503 to every request
+   refuse_from      close connections from these IPs without a response
+   refuse_on        the same for requests received on these ports
+   append_delay_ms  delay before an append takes effect and is acknowledged
+   append_rate      appends per second, 0: unlimited; further ones wait
+   late_ack_ms      delay of the acknowledgement after an append took effect
+   lost_ack         the next N appends take effect without a response
+   drop_append      the next N appends have no effect and no response
+   read_delay_ms    delay before a read is evaluated and answered
+   retain_records, retain_bytes, retain_ms   retention of each stream, 0: no
+                    limit  */
 
 #include <stdlib.h>
 #include <string.h>
@@ -43,7 +44,7 @@
   uint64_t first_offset;
   uint64_t next_offset;
   int64_t bytes;
-  gp_list_t readers; /* that wait for an append */
+  gp_list_t readers; /* reads waiting for an append */
 } stream_t;
 
 /* An append or a read in progress.  */
@@ -51,9 +52,9 @@
 {
   stream_t *stream;
   gp_hold_t hold;
-  GBytes *data; /* appends */
+  GBytes *data; /* of an append */
   uint64_t offset;
-  int64_t max_bytes; /* reads, as the two below */
+  int64_t max_bytes; /* this and the next fields: of a read */
   uint64_t wait_ms;
   gp_list_t link; /* in the stream's readers */
   uv_timer_t timer;
@@ -92,7 +93,7 @@
 
 static gp_standin_t standin;
 static GHashTable *streams;
-static gp_time_t next_append_at; /* pacing by append_rate */
+static gp_time_t next_append_at; /* earliest time allowed by append_rate */
 static int64_t appends, appended_bytes, reads, read_bytes;
 
 static stream_t *
@@ -182,7 +183,8 @@
   g_free (bytes);
 }
 
-/* The records from OFFSET on: at least one, then up to MAX_BYTES.  */
+/* Return the records from OFFSET on: at least one, and further ones up to
+   MAX_BYTES in total.  */
 static GPtrArray *
 collect (const stream_t *stream, uint64_t offset, int64_t max_bytes)
 {
@@ -354,7 +356,8 @@
                     operation);
 }
 
-/* How long an append waits for its turn, in milliseconds.  */
+/* Return how long the next append must wait because of append_rate, in
+   milliseconds, and advance next_append_at.  */
 static uint64_t
 append_pace (void)
 {
@@ -406,7 +409,8 @@
   return false;
 }
 
-/* The stream that the path names, NULL for another path.  */
+/* Return the stream named in the path, or NULL if the path has another
+   form.  */
 static stream_t *
 request_stream (const h2o_req_t *req)
 {
--- a/tests/standins/message_bytes.py
+++ b/tests/standins/message_bytes.py
@@ -1,4 +1,4 @@
-"""Protocol buffers by hand: what a codec would not write."""
+"""Encode protocol buffer fields by hand, also such as no codec would write."""
 
 
 def varint(value):
--- a/tests/standins/other_writers.py
+++ b/tests/standins/other_writers.py
@@ -1,9 +1,8 @@
-"""What other writers send beside the true ones: heartbeats to the guards and
-records to the store's topics.
+"""Foreign input: heartbeats to the guards and records in the store's topics.
 
-None of it names an executor, a VM or a job to use, and no key of a true record
-is written.  The heartbeats of `malformed_heartbeats` would make a guard's
-executor drain if one was taken in.
+None of it names an executor, a VM or a job that could be used, and no key of a
+genuine record is written.  Any of the bodies of malformed_heartbeats() would
+make the guard's executor drain if it were accepted.
 """
 
 import json
@@ -14,7 +13,7 @@
 
 NOBODY = "127.0.0.1:1"  # no process listens there
 DRAINING = {"state": "draining", "remainingMs": 50, "seq": 10 ** 9}
-# The fields that decide what an executor may be used for.
+# The fields that determine what an executor may be used for.
 MISSING = ["service", "zone", "state", "capacity", "seq"]
 OTHER_TYPES = {
     "service": 7, "zone": ["z"], "state": 1, "capacity": "16 cores",
@@ -34,12 +33,12 @@
     "negative born": {"born": -5},
     "born at nought": {"born": 0},
     "born at no time": {"born": None}}
-# Bytes that a body has at the most.
+# Maximum size of a body in bytes.
 BODY_MAX = 4 * 1024 * 1024
 
 
 def malformed_heartbeats(heartbeat):
-    """Pairs of a name and a body, each HEARTBEAT with one defect."""
+    """Return (name, body) pairs, each body being heartbeat with one defect."""
     good = {**heartbeat, **DRAINING}
     cases = []
     for field in MISSING:
@@ -59,8 +58,10 @@
 
 
 def foreign_heartbeats(heartbeat, executor):
-    """Heartbeats of others than EXECUTOR, which are well-formed: tuples of a
-    name, an id and a body."""
+    """Return well-formed heartbeats that are not those of executor.
+
+    Each is a tuple of a name, an executor id and a body.
+    """
     good = {**heartbeat, **DRAINING}
     elsewhere = json.dumps({**good, "service": "elsewhere"})
     later = json.dumps({**good, "born": good.get("born", 0) + 1000})
@@ -75,8 +76,10 @@
 
 
 class RecordWriter:
-    """Appends foreign records to the topics of a Store.  The jobs that they
-    name are forbidden at the JUDGE."""
+    """Appends foreign records to the topics of a Store.
+
+    The judge is told to forbid the jobs that they name.
+    """
 
     def __init__(self, store, judge, seed):
         self.store = store
@@ -86,7 +89,7 @@
         self.kinds = [self.random_bytes, self.cut_copy, self.decodes]
 
     def job(self):
-        """The id of a job that nobody has submitted."""
+        """Return the id of a job that was never submitted."""
         job = f"{self.random.getrandbits(64):016x}"
         self.judge.forbid(job)
         return job
@@ -95,7 +98,7 @@
         return f"stranger-{self.random.randrange(20)}"
 
     def key_for(self, topic, like=""):
-        """A key of its own, of the same kind as the true key LIKE."""
+        """Return an unused key of the same kind as the genuine key like."""
         if topic == "keyed.nodes":
             return self.stranger()
         if like.startswith("at."):
@@ -125,7 +128,7 @@
         return topic, self.key_for(topic, like), value[:size]
 
     def decodes(self):
-        """A record whose bytes decode and that says nothing of use."""
+        """Return a record that decodes but has no usable content."""
         return self.random.choice(
             [self.node, self.leadership, self.place, self.progress,
              self.submission, self.cancellation])()
@@ -133,7 +136,7 @@
     def node(self):
         value = self.random.choice([
             number(2, 1),  # a guard without an address
-            text(3, "z"),  # an entry without one
+            text(3, "z"),  # an entry without an address
             text(1, "nowhere") + number(2, 1),
             text(1, "127.0.0.1:99999") + number(2, 1) + text(3, "z"),
             text(1, NOBODY) + number(2, 1) + text(3, "z")])
@@ -141,17 +144,17 @@
 
     def leadership(self):
         value = self.random.choice([number(4, 9), number(3, 1)])
-        return "keyed.progress", "leader-2", value  # it names no node
+        return "keyed.progress", "leader-2", value  # names no node
 
     def place(self):
         value = self.random.choice([number(9, 1), text(1, "")])
         key = self.random.choice(["at.", "at." + self.stranger()])
-        return "keyed.progress", key, value  # it names no executor
+        return "keyed.progress", key, value  # names no executor
 
     def progress(self):
         run = number(2, 5) + text(4, "ghost-1")
         value = self.random.choice([
-            text(3, run),  # at work on an executor that does not exist
+            text(3, run),  # running on an executor that does not exist
             text(3, number(1, 2 ** 31) + run), number(1, 77),
             number(1, 2) + number(4, 1)])
         return "keyed.progress", self.job(), value
@@ -161,7 +164,7 @@
         value = self.random.choice([
             text(3, "work"),  # no step
             text(1, "q") + text(2, "work") + text(3, "work") + step,
-            text(2, "work") + step,  # it stands in no queue
+            text(2, "work") + step,  # no queue
             text(1, "q") + step,  # no service
             text(1, "q") + text(2, "work") + text(4, number(2, 1000)),
             text(1, "q") + text(2, "work") + text(4, number(1, 2 ** 31)),
@@ -174,7 +177,7 @@
         return "keyed.jobs", key, self.random.randbytes(3)
 
     def write(self):
-        """Append one record, as far as the store takes any."""
+        """Append one record, unless the store is down."""
         if self.store.down:
             return
         topic, key, value = self.random.choice(self.kinds)()
@@ -183,7 +186,7 @@
 
 
 class Background:
-    """Calls ACTION again and again in a thread, until it is ended."""
+    """Calls action repeatedly in a thread until end() is called."""
 
     def __init__(self, action, pause_s):
         self.ended = threading.Event()
--- a/tests/standins/platform_executor.py
+++ b/tests/standins/platform_executor.py
@@ -1,8 +1,8 @@
 """A stand-in for the platform's executors.
 
-An Executor runs tasks under leases on a clock of its own, sends heartbeats to
-its guard and tells a judge what starts and ends.  It listens on loopback and
-lives in the process of the test.
+An Executor runs tasks under leases on its own clock, sends heartbeats to its
+guard and reports the start and end of each run to a judge.  It listens on
+loopback and runs in the process of the test.
 """
 
 import http.client
@@ -14,20 +14,20 @@
 from http_server import serve
 
 MAX_LEASE_MS = 10000
-# A task that takes its executor down does so so long after its start.
+# Time from the start of a crashing task until its executor crashes.
 CRASH_S = 0.01
 STOP_S = 0.2
 BEAT_S = 0.2
-# A room that has shrunk is known after this: contact and a heartbeat.
+# Time until a decreased capacity is known: contact and a heartbeat.
 SHRINK_S = 3.0 + BEAT_S
-# A member of a gang waits so long for the others.
+# How long a member of a gang waits for the other members.
 ALONE_S = 3.0
-# See `held`.
+# A value in Executor.held.
 KEPT = float("inf")
-# An executor that drains and gets no acknowledgement ends after this.
+# A draining executor whose state is not acknowledged ends after this.
 UNACKNOWLEDGED_S = 5.0
 
-# Rows that no executor lists, about RUN of TASK.
+# Invalid rows of an executor's list, made from a task and its run.
 BAD_RUNNING = [
     lambda task, run: None,
     lambda task, run: task,
@@ -53,20 +53,31 @@
 
 
 class Executor:
-    """One VM's executor; `crash` ends its life and begins another, `drain`
-    and `leave` end it for good.  Faults: `late` (share of orders that get no
-    answer and are carried out later), `late_s` (how much later, at the most or
-    between the two), `late_calls` (which orders that concerns, None: all),
-    `held` (tasks whose starts are carried out so much later, unanswered; with
-    KEPT only by the next life that `crash` lets begin with them),
-    `fails` (every run fails), `bad_rows` (each list has a malformed row beside
-    the good ones), `garbles` (its list has a run whose number is a text, and
-    a bad end), `unreadable_ends` (the next N ends are listed in a form that
-    has no meaning, for good).  Tasks in `judge.crashers` take the executor
-    down, which is away for `crash_dark_s` then.  With `keeps_id` the next lives
-    have the id of the first, and `born` tells them apart: of each it is
-    `born_step_ms` later than of the one before, or earlier, but never that of
-    another life.  Each life's clock begins at `clock_s`."""
+    """The executor of one VM.
+
+    crash() ends its incarnation and begins a new one; drain() and leave() end
+    the executor for good.  The following attributes inject faults:
+
+    late             fraction of orders that get no response and are carried
+                     out later
+    late_s           maximum delay of these, or a (minimum, maximum) pair
+    late_calls       the calls that late applies to, None: all
+    held             {task: delay} of starts that get no response and are
+                     carried out after the delay; with KEPT, by the next
+                     incarnation if crash() is called with with_kept
+    fails            every run fails
+    bad_rows         each list has one malformed row among the valid ones
+    garbles          the list has a run whose number is a string, and an
+                     invalid end
+    unreadable_ends  the next N ends are listed, permanently, with an unknown
+                     value
+
+    Tasks in judge.crashers crash the executor, which is then unreachable for
+    crash_dark_s.  With keeps_id, later incarnations have the id of the first
+    one and differ in born, which changes by born_step_ms (may be negative)
+    with each incarnation and is never used twice.  The clock of each
+    incarnation starts at clock_s.
+    """
 
     def __init__(self, judge, name, address, guard, cores=16, seed=1,
                  zone="z"):
@@ -81,30 +92,30 @@
         self.late = 0.0
         self.late_s = 1.0
         self.late_calls = None
-        self.held = {}  # task: its starts arrive so many seconds later
-        self.kept = []  # what arrives with the next life
+        self.held = {}  # task: delay of its starts in seconds
+        self.kept = []  # held orders for the next incarnation
         self.fails = False
         self.bad_rows = False
         self.garbles = False
         self.unreadable_ends = 0
         self.dark = False
         self.drain_s = 0.0
-        self.drained_at = None  # while it drains: when that may end
+        self.drained_at = None  # while draining: when the drain may end
         self.drain_known = threading.Event()
         self.closed = False
         self.life = 0
         self.born = int(time.time() * 1000)
-        self.births = set()  # of all lives
+        self.births = set()  # values of born of all incarnations
         self.keeps_id = False
         self.tells_born = True
         self.born_step_ms = 1000
         self.clock_s = 100
         self.last_beats = {}  # life: its last heartbeat
-        self.sent_fence = 0  # the highest of all orders that have come
-        self.former_fence = 0  # the same, to the lives before
+        self.sent_fence = 0  # the highest fence of all orders received
+        self.former_fence = 0  # the same for the previous incarnations
         self.work_s = 0.3
         self.crash_dark_s = 1.0
-        self.guards_room = True  # refuses what does not fit
+        self.guards_room = True  # refuse runs that exceed the capacity
         self.roomy_cores, self.roomy_until = cores, 0.0
         self.begin()
         self.server = serve(address, self.handle)
@@ -134,7 +145,7 @@
         return int((time.monotonic() - self.began) * 990)
 
     def lose_all(self):
-        """What runs here ends, and ends that were not confirmed are lost."""
+        """End all runs and lose the ends that were not confirmed."""
         for task in list(self.runs):
             self.end(task, "gone", listed=False)
         for row in self.ended:
@@ -145,8 +156,12 @@
         return time.monotonic() - began < seconds
 
     def crash(self, dark_s=0.0, innocent_s=0.0, with_kept=False):
-        """End this life, but not so soon after it has begun a run.  WITH_KEPT
-        the next one begins by carrying out the orders that were kept."""
+        """End this incarnation and begin the next one.
+
+        Wait until the last start is at least innocent_s ago.  With with_kept,
+        the next incarnation first carries out the orders in kept.  The
+        executor is unreachable for dark_s.
+        """
         with self.lock:
             while innocent_s > 0 and self.has_begun_within(innocent_s):
                 self.lock.wait(0.005)
@@ -168,8 +183,10 @@
         self.server.server_close()
 
     def leave(self, goodbye):
-        """End for good, and all that runs here with it; with GOODBYE the
-        guard is told as the last thing."""
+        """End the executor and all its runs for good.
+
+        With goodbye, it finally deregisters from the guard.
+        """
         with self.lock:
             self.closed = True
             self.lose_all()
@@ -180,8 +197,11 @@
                       json.dumps(self.born_field()))
 
     def drain(self, drain_s, longer_s):
-        """Report `draining`, serve for DRAIN_S after this is acknowledged and
-        for LONGER_S more, and leave."""
+        """Report the state draining, then leave.
+
+        It serves for drain_s after the guard has acknowledged the state, and
+        for longer_s more.
+        """
         with self.lock:
             self.drain_s = drain_s
             self.drained_at = float("inf")
@@ -204,7 +224,7 @@
             self.lock.notify_all()
 
     def tick(self):
-        """End runs whose time has come."""
+        """End runs that are done, stopped or without a lease."""
         while not self.closed:
             time.sleep(0.01)
             with self.lock:
@@ -221,7 +241,7 @@
                         self.end_work(task, run, now)
 
     def end_work(self, task, run, now):
-        """End RUN of TASK if its work is done, or it can't be."""
+        """End run of task if its work is done or its gang has failed."""
         gang = self.judge.gang(task, run["run"])
         work_ends = run["done_at"]
         if gang is not None and gang.how is not None:
@@ -243,11 +263,11 @@
             time.sleep(BEAT_S)
 
     def repeat_beat_of(self, life):
-        """Send the first heartbeat of an earlier life once more."""
+        """Send the first heartbeat of an earlier incarnation again."""
         return self.post_beat(f"{self.name}-{life}", 1)
 
     def repeat_last_beat_of(self, life):
-        """The same with the last one, as it was."""
+        """Send the last heartbeat of an earlier incarnation again."""
         return self.post_body(self.id, json.dumps(self.last_beats[life]))
 
     def born_field(self):
@@ -263,11 +283,11 @@
             self.drain_known.set()
 
     def beat_body(self, sequence):
-        """The fields of a heartbeat."""
+        """Return the fields of a heartbeat."""
         with self.lock:
-            beat = {"service": "work", "address": self.address, "zone": self.zone,
-                    "version": "v1", "slots": 8, "state": "ready",
-                    "coldRemainingMs": 0,
+            beat = {"service": "work", "address": self.address,
+                    "zone": self.zone, "version": "v1", "slots": 8,
+                    "state": "ready", "coldRemainingMs": 0,
                     "capacity": {"cpu": self.cores * 1000,
                                  "memMb": self.cores * 1024, "gpu": 0},
                     "labels": ["a", "r1"], "clockMs": self.clock(),
@@ -281,15 +301,18 @@
             return beat
 
     def post_beat(self, executor, sequence):
-        """Returns the status of the answer, 0 when none came."""
+        """Send a heartbeat; return the response status, 0 if none came."""
         return self.post_body(executor, json.dumps(self.beat_body(sequence)))
 
     def post_body(self, executor, body):
-        """The same with any BODY."""
+        """Send body as a heartbeat; return the response status or 0."""
         return self.post("/api/Instances.Heartbeat/" + executor, body)
 
     def post(self, path, body):
-        """Returns the status of the answer, 0 when none came."""
+        """Send a request to the guard.
+
+        Return the status of the response, or 0 if none came.
+        """
         client = http.client.HTTPConnection(self.guard, timeout=1)
         try:
             client.request("POST", path, body)
@@ -297,7 +320,7 @@
             answer.read()
             return answer.status
         except (OSError, http.client.HTTPException):
-            return 0  # the guard is down: the next heartbeat is due soon
+            return 0  # the guard is down; the next heartbeat is due soon
         finally:
             client.close()
 
@@ -333,7 +356,7 @@
         return self.carry_out(call, order, target)
 
     def is_late(self, call):
-        """Is this order one that gets no answer and is carried out later?"""
+        """Decide at random whether to carry out this order late."""
         return (self.late_calls is None or call in self.late_calls) \
             and self.random.random() < self.late
 
@@ -355,8 +378,11 @@
             return self.answer(200)
 
     def is_early(self, order, late):
-        """Was ORDER made for the life before, and nobody has reached this one
-        yet with a newer fence?"""
+        """Return whether a late order was meant for a previous incarnation.
+
+        This holds as long as no order with a newer fence has reached the
+        current one.
+        """
         return late and order.get("fence", 0) <= self.former_fence
 
     def answer(self, status, **more):
@@ -390,22 +416,25 @@
         return self.answer(200)
 
     def resize(self, cores):
-        """From now on it has room for CORES, and says so; that it had more
-        counts for as long as its guard may not know."""
+        """Change the capacity to cores and report it from now on.
+
+        A greater former capacity still counts for as long as the guard may not
+        know of the change.
+        """
         with self.lock:
             self.roomy_cores = max(cores, self.cores)
             self.roomy_until = time.monotonic() + SHRINK_S
             self.cores = cores
 
     def has_room(self):
-        """Is there room for one more run?"""
+        """Return whether there is capacity for one more run."""
         cores = self.cores
         if not self.guards_room and time.monotonic() < self.roomy_until:
             cores = self.roomy_cores
         return len(self.runs) < cores
 
     def crash_of(self, life):
-        """A task that takes its executor down is at work in LIFE."""
+        """Crash on behalf of a task that was started in incarnation life."""
         if life == self.life and not self.closed:
             self.judge.crash(self.life_name)
             self.crash(self.crash_dark_s)
@@ -425,7 +454,10 @@
                             min(order.get("untilMs", 0), most))
 
     def hold(self, order, early=False):
-        """What an EARLY one confirms was read by nobody."""
+        """Extend the lease, drop confirmed ends and return the list.
+
+        The ends that an early call confirms were not read by any caller.
+        """
         self.extend(order)
         seen = order.get("seenUpto", 0)
         for row in self.ended if early else []:
@@ -450,7 +482,7 @@
                            **self.born_field())
 
     def add_bad_row(self, running, ended):
-        """Put a malformed row among those of a run that is at work here."""
+        """Insert a malformed row about one of the runs listed."""
         task, run = running[0][:2] if running else ("x", 1)
         rows = self.random.choice([running, ended])
         kinds = BAD_RUNNING if rows is running else BAD_ENDED
--- a/tests/standins/platform_judge.py
+++ b/tests/standins/platform_judge.py
@@ -1,47 +1,52 @@
-"""Judges what executors run: nothing runs twice, nothing runs again after its
-end, and nothing starts that must not."""
+"""Check what executors run.
+
+No task may run twice at the same time or again after it is done, and nothing
+may start that is forbidden.
+"""
 
 import threading
 import time
 
-# An evacuation has to be in force within this.
+# Seconds within which an evacuation must be in force.
 EVACUATE_S = 5.0
 
 
 class Gang:
-    """One run of a gang: it works while all COUNT members are there, and is
-    over for all with the end of one.  With a member that takes its executor
-    down it never gets to work, however late that happens."""
+    """One run of a gang.
+
+    It makes progress while all count members are running, and ends for all
+    with the end of one.  If a member crashes its executor, the gang never
+    starts its work, however late the crash happens.
+    """
 
     def __init__(self, count):
         self.count = count
         self.present = 0
-        self.doomed = False  # a member takes its executor down
-        self.whole_at = None  # when the last member came
-        self.how = None  # how it has ended for the others
+        self.doomed = False  # a member crashes its executor
+        self.whole_at = None  # when the last member started
+        self.how = None  # how the run has ended for the other members
 
 
 class Judge:
-    """Sees every start and end on all executors and notes what breaks a
-    promise."""
+    """Receives every start and end on all executors and records violations."""
 
     def __init__(self):
         self.lock = threading.Lock()
         self.running = {}  # task: set of (executor, run)
         self.done = set()
         self.starts = {}
-        self.forbidden = set()  # jobs of which nothing may start
-        self.crashers = set()  # tasks that take their executor down
-        self.crashes = []  # executors that such a task took down
+        self.forbidden = set()  # jobs whose tasks may not start
+        self.crashers = set()  # tasks that crash their executor
+        self.crashes = []  # executors that such a task has crashed
         self.gang_counts = {}  # step: number of members
         self.gangs = {}  # (step, run): Gang
-        self.evacuated = {}  # zone: since when
-        self.zone_starts = {}  # VM: starts on its executors
-        self.early = []  # starts, see start
+        self.evacuated = {}  # zone: time of the evacuation
+        self.zone_starts = {}  # VM: number of starts on its executors
+        self.early = []  # early starts, see start()
         self.breaches = []
 
     def gang(self, task, run):
-        """The Gang of that run of TASK, or None."""
+        """Return the Gang of that run of task, or None."""
         step = task.rsplit(".", 1)[0]
         count = self.gang_counts.get(step)
         if count is None:
@@ -49,9 +54,13 @@
         return self.gangs.setdefault((step, run), Gang(count))
 
     def start(self, executor, task, run, early=False):
-        """An EARLY one was ordered of the life before and carried out before
-        anybody could reach this life with a new fence: nothing that a caller
-        does keeps it from being carried out."""
+        """Record the start of a run and check that it is allowed.
+
+        An early start was ordered from the previous incarnation and carried
+        out before any call with a newer fence reached this one; no caller can
+        prevent it, so it is not a violation if the task also runs elsewhere or
+        is already done.
+        """
         with self.lock:
             others = self.running.setdefault(task, set())
             if early:
@@ -83,8 +92,10 @@
                 gang.how = "done" if how == "done" else "broken"
 
     def start_in(self, name, zone, task, late):
-        """TASK was started on the VM NAME in ZONE; when it was carried out LATE
-        it had been ordered before."""
+        """Check the start of task on the VM name against evacuations of zone.
+
+        A late start may have been ordered before the evacuation.
+        """
         with self.lock:
             self.zone_starts[name] = self.zone_starts.get(name, 0) + 1
             since = self.evacuated.get(zone)
@@ -94,8 +105,10 @@
                                      "which is evacuated")
 
     def overfull(self, executor, task, late):
-        """A run was started where there is no room for it; one that was
-        carried out LATE was ordered while there was."""
+        """Record the start of a run that exceeds the executor's resources.
+
+        A late start was ordered while there were enough resources.
+        """
         with self.lock:
             if not late:
                 self.breaches.append(f"{task} on {executor} beyond its room")
@@ -105,8 +118,11 @@
             self.crashes.append(executor)
 
     def void(self, task):
-        """The lease of the executor ran out before the end was confirmed:
-        the task may run again."""
+        """Allow task to run again.
+
+        To be called if the executor's lease has expired before the end of the
+        task was confirmed.
+        """
         with self.lock:
             self.done.discard(task)
 
@@ -120,7 +136,7 @@
                           if runs and task.startswith(prefix))
 
     def on(self, executor):
-        """Tasks that run on EXECUTOR."""
+        """Return the sorted tasks that run on executor."""
         with self.lock:
             return sorted(task for task, runs in self.running.items()
                           if any(where == executor for where, _ in runs))
--- a/tests/standins/platform_store.py
+++ b/tests/standins/platform_store.py
@@ -1,5 +1,7 @@
-"""A stand-in for the platform's log: keyed topics over HTTP, with switches for
-its faults.  It listens on loopback and lives in the process of the test."""
+"""A stand-in for the platform's log: keyed topics over HTTP, with faults.
+
+It listens on loopback and runs in the process of the test.
+"""
 
 import base64
 import json
@@ -35,9 +37,13 @@
 
 
 class Store:
-    """The platform's log.  Faults: `down` (None, "busy" or "silent"),
-    `refused` (addresses of `open`),
-    `lost` (the next N appends are done and not answered)."""
+    """The platform's log.
+
+    Attributes that inject faults: down (None, "busy" to respond with 503, or
+    "silent" to close connections without a response), refused (addresses of
+    open() that respond with 503), unreadable (topics whose reads respond with
+    503) and lost (the next N appends take effect without a response).
+    """
 
     def __init__(self, address):
         self.lock = threading.Condition()
@@ -46,14 +52,18 @@
         self.lost = 0
         self.appends = 0
         self.refused = set()
-        self.unreadable = set()  # topics of which reads get 503
-        self.rewrites = {}  # bytes in appended records, of the same length
+        self.unreadable = set()
+        # Replacements of the same length, applied to appended records.
+        self.rewrites = {}
         self.servers = []
         self.open(address)
 
     def open(self, address):
-        """Serve on ADDRESS as well; calls to it get 503 while it stands in
-        `refused`, as the platform turns single VMs away."""
+        """Serve on address as well.
+
+        Calls to it get 503 while it is in refused, as the platform may refuse
+        the calls of single VMs.
+        """
         def handle(*call):
             if address in self.refused:
                 return 503, b"{}"
@@ -69,7 +79,7 @@
         return self.topics.setdefault(query["topic"], Topic())
 
     def put(self, topic, key, value):
-        """Write as the operator does."""
+        """Append one record, as the operator does."""
         record = bytes([len(key)]) + key.encode() + value
         with self.lock:
             self.topics.setdefault(topic, Topic()).append(
@@ -77,7 +87,10 @@
             self.lock.notify_all()
 
     def forget(self, topic):
-        """Drop the history, as the platform does after some seconds."""
+        """Drop all records but the newest per key.
+
+        The platform does so after some seconds.
+        """
         with self.lock:
             old = self.topics[topic]
             old.first, old.records = old.end, []
@@ -142,7 +155,7 @@
             topic = self.topic(query)
             after = query.get("after", "")
             keys = sorted(k for k in topic.newest if k > after)
-            page = keys[:50]  # small, so that tests turn pages
+            page = keys[:50]  # small, so that tests read several pages
             items = [{"key": k,
                       "value": base64.b64encode(topic.newest[k][0]).decode(),
                       "offset": topic.newest[k][1]} for k in page]
--- a/tests/standins/upstream.c
+++ b/tests/standins/upstream.c
@@ -1,21 +1,21 @@
 /* upstream: stand-in for an executor of a service.
 
-   Every request is one execution, timed and written to the ledger; more at
-   once than the slots, or more open connections than allowed, is written as
-   a breach.  The answer's body follows from the request's Idempotency-Key, or
-   else from its X-Request-Id (see lib/content.h).  Query parameters of a
-   request:
-
-   ms=N        service time in place of a drawn one
-   size=N      bytes of the answer's body
-   status=N    status of the answer
+   Each request is one execution, which is timed and written to the ledger.
+   More concurrent executions than slots, or more open connections than
+   allowed, are written as a breach.  The response body is generated from the
+   request's Idempotency-Key, or else from its X-Request-Id (see
+   lib/content.h).  Query parameters of a request:
+
+   ms=N        service time, instead of a random one
+   size=N      bytes of the response body
+   status=N    status of the response
    chunked=1   no Content-Length
-   truncate=1  the answer breaks off half way
-   close=1     the connection is closed without an answer
+   truncate=1  the response is aborted after half of the body
+   close=1     the connection is closed without a response
 
    Fault switches (POST /faults):
 
-   fail_fast           answer 500 at once
+   fail_fast           respond with 500 immediately
    hang                hold every request until the switch is cleared
    slow_factor         service times are multiplied by this
    refuse_connections  the listeners of --listen are closed  */
@@ -32,12 +32,12 @@
 #define PIECE_SIZE 65536L
 #define BODY_MAX_SIZE (1LL << 32)
 
-/* One request that runs.  */
+/* A request being executed.  */
 typedef struct
 {
   uint64_t number;
   gp_hold_t hold;
-  gp_list_t link; /* among those that hang */
+  gp_list_t link; /* in the list of hanging executions */
   uint64_t service_ms;
   gp_time_t started_at;
   uint64_t seed;
@@ -48,7 +48,7 @@
   bool closed;
 } execution_t;
 
-/* An answer that is being written.  */
+/* A response being sent.  */
 typedef struct
 {
   h2o_generator_t super;
@@ -56,8 +56,8 @@
   uint64_t seed;
   int64_t sent;
   int64_t size;
-  int64_t stop_at; /* the answer breaks off here, -1: nowhere */
-  char *piece;     /* room for PIECE_SIZE, or the whole when smaller */
+  int64_t stop_at; /* offset at which to abort the response, -1: none */
+  char *piece;     /* buffer of PIECE_SIZE bytes, or of the body if smaller */
 } answer_t;
 
 static struct
@@ -136,7 +136,7 @@
   gp_ledger_end (&standin.ledger);
 }
 
-/* Answers.  */
+/* Responses.  */
 
 static void
 answer_proceed (h2o_generator_t *generator, h2o_req_t *req)
@@ -154,7 +154,7 @@
   h2o_send (req, &piece, n > 0 ? 1 : 0, state);
 }
 
-/* The connection went away while the answer was written.  */
+/* The connection was closed while the response was sent.  */
 static void
 answer_stop (h2o_generator_t *generator, h2o_req_t *req)
 {
--- a/tests/standins/worker.c
+++ b/tests/standins/worker.c
@@ -1,4 +1,4 @@
-/* worker: stand-in for the platform's worker runtime, one for each VM.
+/* worker: stand-in for the platform's worker runtime, one per VM.
 
    Tasks are simulated (see lib/vm.h).  Their payload is a JSON object of
    optional fields:
@@ -6,18 +6,18 @@
    run_ms               work to do; 0, the default: runs until it is stopped
    fail                 ends as failed
    checkpoint_every_ms  progress between checkpoints, 0: none
-   real_millicores, real_memory_mib   use that differs from the declared
+   real_millicores, real_memory_mib   actual use, if not the declared one
 
-   A checkpoint is the progress in milliseconds; a task that is started with
-   one goes on from there.
+   A checkpoint is the progress in milliseconds; a task started with a
+   checkpoint resumes from it.
 
-   A call that changes something carries the caller's "holder" (0 when it is
-   left out) and is refused when a greater one has claimed the runtime.
+   Each call that changes state carries the caller's "holder" (0 if omitted)
+   and is refused if a greater holder has claimed the runtime.
 
-   Fault switches (POST /faults): fail_all (every task that is started fails
-   at once), hang_stop (stop and cancel are accepted and never done), stop_ms
-   (how long a stop takes), usage_lag_ms, refuse_start (500 to every start),
-   refuse_connections.  */
+   Fault switches (POST /faults): fail_all (every task started fails within
+   1 ms), hang_stop (stop and cancel are accepted but have no effect), stop_ms
+   (duration of a stop), usage_lag_ms (minimum age of reported usage),
+   refuse_start (500 to every start), refuse_connections.  */
 
 #include <string.h>
 
@@ -30,7 +30,7 @@
 #define SAMPLE_MS 250
 #define SAMPLES_MAX 256
 
-/* A measurement of the VM.  */
+/* A usage measurement of the VM.  */
 typedef struct
 {
   gp_time_t taken_at;
@@ -38,7 +38,7 @@
   int64_t service_p99_us;
 } sample_t;
 
-/* A reader of events that waits for one.  */
+/* A request for events that is waiting for the next event.  */
 typedef struct
 {
   uv_timer_t timer;
@@ -51,8 +51,8 @@
 static gp_vm_t vm = { .capacity = { 16000, 61440, 0 }, .stop_ms = 10 };
 static int64_t usage_lag_ms = 1000;
 static bool refuse_start, refuse_connections;
-static json_int_t holder;  /* the greatest that claimed the runtime */
-static GPtrArray *events;  /* of json_t; event N has sequence N + 1 */
+static json_int_t holder;  /* the greatest that has claimed the runtime */
+static GPtrArray *events;  /* of json_t; event N has the "seq" N + 1 */
 static GPtrArray *readers; /* of reader_t */
 static GQueue samples = G_QUEUE_INIT;
 static uv_timer_t sample_timer;
@@ -191,7 +191,7 @@
     sample_free (g_queue_pop_head (&samples));
 }
 
-/* The newest measurement that is as old as the lag, or NULL.  */
+/* Return the latest sample that is at least usage_lag_ms old, or NULL.  */
 static const sample_t *
 find_sample (gp_time_t now)
 {
@@ -233,8 +233,7 @@
   gp_reply_json (req, status, json_pack ("{s:s}", "error", why));
 }
 
-/* Whether a call in the name of CALLER may change something; else it is
-   refused.  */
+/* Return whether CALLER may change state; if not, refuse REQ.  */
 static bool
 is_holder (json_int_t caller, h2o_req_t *req)
 {
@@ -398,8 +397,8 @@
   gp_reply_status (req, 204);
 }
 
-/* A request for /v1/tasks/ID or /v1/tasks/ID/COMMAND; REST follows the
-   prefix.  */
+/* Handle /v1/tasks/ID or /v1/tasks/ID/COMMAND; REST is the part of the path
+   after the prefix.  */
 static void
 on_task_request (h2o_iovec_t rest, json_t *body, h2o_req_t *req)
 {
