--- a/tests/scripts/crashes.py
+++ b/tests/scripts/crashes.py
@@ -182,7 +182,7 @@
     print("executors are away for longer than their leases")
     with site_of(build) as site:
         for executor in site.executors.values():
-            executor.crash_dark_s = 7.0
+            executor.crash_outage_s = 7.0
         crasher_of(site, TASKS)
         judge_crasher(site)
 
@@ -207,7 +207,7 @@
         for _ in range(4):
             worker = next(name for name, executor in site.executors.items()
                           if executor.runs)
-            site.executors[worker].crash(dark_s=0.5)
+            site.executors[worker].crash(outage_s=0.5)
             wait_for(lambda: len(site.judge.at_work(JOB_B)) == 3, 15)
             time.sleep(AT_WORK_S)
         print("  beside it:", answered(site, JOB_B),
@@ -235,7 +235,7 @@
     """
     wait_for(lambda: site.judge.at_work(JOB_B) != [], 20)
     time.sleep(seconds)
-    site.executors["w1"].crash(dark_s=0.5)
+    site.executors["w1"].crash(outage_s=0.5)
 
 
 def held_up(build):
@@ -250,7 +250,7 @@
             crash_after(site, 0.3)
             crash_after(site, 0.3)
             site.judge.crashers.add(CRASHER)
-            site.executors["w1"].held = {CRASHER: held_s}
+            site.executors["w1"].start_delays = {CRASHER: held_s}
             site.submit("e1", JOB_A, [{**TASKS, "count": 1}])
             wait_for(lambda: answered(site, JOB_A) == "failed", GIVEN_UP_S)
             back = wait_for(lambda: site.judge.at_work(JOB_B) != [], 20)
--- a/tests/scripts/gone.py
+++ b/tests/scripts/gone.py
@@ -89,7 +89,7 @@
     leader = change_leader(site)
     name = busy_worker(site)
     obeyed(site, name, leader)
-    site.executors[name].leave(goodbye=goodbye)
+    site.executors[name].leave(deregister=goodbye)
     ended = time.monotonic()
     site.processes[name].signal(signal.SIGTERM)
     return ended
@@ -117,7 +117,7 @@
     with started(build) as site:
         lasting(site)
         name = busy_worker(site)
-        site.executors[name].leave(goodbye=False)
+        site.executors[name].leave(deregister=False)
         ended = time.monotonic()
         site.processes[name].kill()
         site.processes[name].start()
@@ -133,7 +133,7 @@
         lasting(site)
         name = busy_worker(site)
         site.processes[name].kill()
-        site.executors[name].leave(goodbye=False)
+        site.executors[name].leave(deregister=False)
         ended = time.monotonic()
         leader = change_leader(site)
         site.processes[name].start()
@@ -149,7 +149,7 @@
         lasting(site)
         name, first = busy_worker(site), site.leader()
         site.processes[first].kill()
-        site.executors[name].leave(goodbye=True)
+        site.executors[name].leave(deregister=True)
         ended = time.monotonic()
         site.processes[name].signal(signal.SIGTERM)
         back(site, BY_GOODBYE_S, ended)
@@ -169,7 +169,7 @@
         until(lambda: '"lead.lost"' in site.processes[first].log_of_life(),
               what="it has noticed")
         site.processes[name].kill()
-        site.executors[name].leave(goodbye=False)
+        site.executors[name].leave(deregister=False)
         ended = time.monotonic()
         for entry in site.entries:
             if entry not in (first, second):
@@ -186,7 +186,7 @@
         name, first = busy_worker(site), site.leader()
         site.processes[first].signal(signal.SIGTERM)
         site.processes[name].kill()
-        site.executors[name].leave(goodbye=False)
+        site.executors[name].leave(deregister=False)
         ended = time.monotonic()
         back(site, BY_LEASE_S, ended)
         verdict(site)
@@ -198,7 +198,7 @@
         lasting(site)
         name, first = busy_worker(site), site.leader()
         site.processes[name].kill()
-        site.executors[name].leave(goodbye=False)
+        site.executors[name].leave(deregister=False)
         ended = time.monotonic()
         site.processes[first].kill()
         until(lambda: site.leader() not in (None, first),
--- a/tests/scripts/planned.py
+++ b/tests/scripts/planned.py
@@ -21,11 +21,11 @@
                        for task in site.judge.on(executor.id)))
 
 
-def begin_leaving(site, name, drain_s=1.0, longer_s=0.5):
+def begin_leaving(site, name, drain_s=1.0, extra_s=0.5):
     """Let the worker leave; a function that waits until its executor has
     ended and what lasts is at work."""
     thread = threading.Thread(target=site.retire,
-                              args=(name, drain_s, longer_s))
+                              args=(name, drain_s, extra_s))
     executor = site.executors[name]
     thread.start()
 
--- a/tests/scripts/platform.py
+++ b/tests/scripts/platform.py
@@ -102,7 +102,7 @@
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="again")
         starts = sum(site.judge.starts.values())
         for executor in site.executors.values():
-            print("  answer:", executor.repeat_beat_of(1))
+            print("  answer:", executor.resend_first_heartbeat(1))
         for job in (JOB_B, JOB_C):
             site.submit("e2", job, STEPS)
             site.await_state("e2", job, "completed")
@@ -281,7 +281,7 @@
                           for name in site.executors), what="known")
         for name, executor in site.executors.items():
             # Newer than all true ones: taken in, it would shut them out.
-            body = {**executor.beat_body(10 ** 9), "state": "draining",
+            body = {**executor.heartbeat_body(10 ** 9), "state": "draining",
                     "remainingMs": 0}
             for case, change in OTHER_WRITERS:
                 changed = {k: v for k, v in {**body, **change}.items()
@@ -322,14 +322,14 @@
     print("strangers, a false first heartbeat, and false goodbyes")
     with site_of(build) as site:
         executor = site.executors["w1"]
-        body = executor.beat_body(10 ** 9)
+        body = executor.heartbeat_body(10 ** 9)
         statuses = {executor.post_body(f"stranger-{i}", json.dumps(body))
                     for i in range(40)}
         print("  answers to 40 strangers:", statuses <= {200, 503})
         until(lambda: site.metric("w1", "refused_identity_total") >= 40,
               what="refused")
         executor.crash()
-        false = {**executor.beat_body(10 ** 9), "service": "other"}
+        false = {**executor.heartbeat_body(10 ** 9), "service": "other"}
         executor.post_body(executor.id, json.dumps(false))
         # Each executor has room for one of these tasks.
         site.submit("e1", JOB_A, [{"count": 3, "cpu": 9000, "memMb": 10,
@@ -352,13 +352,13 @@
         site.submit("e1", JOB_A, LASTING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         for executor in site.executors.values():
-            executor.garbles = True
+            executor.malformed_list = True
         until(lambda: all(site.metric(name, "refused_rows_total") > 20
                           for name in site.executors), what="refused")
         site.submit("e2", JOB_B, STEPS)
         site.await_state("e2", JOB_B, "completed")
         for executor in site.executors.values():
-            executor.garbles = False
+            executor.malformed_list = False
         site.submit("e2", JOB_C, STEPS)
         site.await_state("e2", JOB_C, "completed")
         print("  starts:", sum(site.judge.starts.values()))
--- a/tests/scripts/platform_site.py
+++ b/tests/scripts/platform_site.py
@@ -15,7 +15,7 @@
                                 "tools"))
 
 from links import Links  # noqa: E402
-from platform_executor import KEPT, Executor  # noqa: E402
+from platform_executor import UNTIL_RESTART, Executor  # noqa: E402
 from platform_judge import EVACUATE_S, Judge  # noqa: E402
 from platform_store import Store  # noqa: E402
 from site_processes import Process, free_port, request, until  # noqa: E402
@@ -143,10 +143,10 @@
             self.judge, name, app, self.link(f"{name} heartbeats", control),
             seed=seed, zone=zone)
 
-    def retire(self, name, drain_s=1.0, longer_s=0.5):
+    def retire(self, name, drain_s=1.0, extra_s=0.5):
         """The worker NAME leaves as planned: its executor drains and ends,
         then the guard on its VM is stopped, both for good."""
-        self.executors[name].drain(drain_s, longer_s)
+        self.executors[name].drain(drain_s, extra_s)
         del self.executors[name]
         guard = self.processes.pop(name)
         guard.signal(signal.SIGTERM)
--- a/tests/scripts/room.py
+++ b/tests/scripts/room.py
@@ -45,7 +45,7 @@
             {"name": "work", "enforcesCapacity": False}]}
         site.publish(document)
         for executor in site.executors.values():
-            executor.guards_room = False
+            executor.enforces_capacity = False
             executor.late, executor.late_s = late, 6.0
         accepted = []
         end = time.monotonic() + SECONDS
--- a/tests/scripts/same_id.py
+++ b/tests/scripts/same_id.py
@@ -17,7 +17,7 @@
 import threading
 import time
 
-from platform_site import JOB_A, KEPT, STEPS, site_of, until
+from platform_site import JOB_A, UNTIL_RESTART, STEPS, site_of, until
 
 # Executors that start again, one after the other, and the pause between them.
 RESTARTS = 6
@@ -107,20 +107,20 @@
         yield site
 
 
-def in_turn(site, do=lambda name: None, dark_s=0.0):
+def in_turn(site, do=lambda name: None, outage_s=0.0):
     """Executors start again one after the other; DO (name) at each one."""
     for i in range(RESTARTS):
         time.sleep(PAUSE_S)
         name = f"w{i % 3 + 1}"
         do(name)
-        site.executors[name].crash(dark_s, innocent_s=INNOCENT_S)
+        site.executors[name].crash(outage_s, min_run_age_s=INNOCENT_S)
 
 
-def play(build, steps, do=lambda site, name: None, dark_s=0.0, **more):
+def play(build, steps, do=lambda site, name: None, outage_s=0.0, **more):
     """Jobs of STEPS while executors start again in turn."""
     with site_with_ids(build, **more) as site:
         stream = Stream(site, *steps)
-        in_turn(site, lambda name: do(site, name), dark_s)
+        in_turn(site, lambda name: do(site, name), outage_s)
         time.sleep(PAUSE_S)
         stream.end()
         verdict(site)
@@ -138,14 +138,14 @@
 
 def dark(build):
     print("executors are away for 2 s and start again under their ids")
-    play(build, [STEPS], dark_s=2.0)
+    play(build, [STEPS], outage_s=2.0)
 
 
 def twice(build):
     print("executors start again twice in a row")
 
     def first(site, name):
-        site.executors[name].crash(innocent_s=INNOCENT_S)
+        site.executors[name].crash(min_run_age_s=INNOCENT_S)
         time.sleep(0.05)
 
     play(build, [STEPS], first)
@@ -186,7 +186,7 @@
         for step_ms in (1, -1):
             time.sleep(PAUSE_S)
             site.executors["w1"].born_step_ms = step_ms
-            site.executors["w1"].crash(innocent_s=INNOCENT_S)
+            site.executors["w1"].crash(min_run_age_s=INNOCENT_S)
         time.sleep(PAUSE_S)
         site.processes["w1"].signal(signal.SIGCONT)
         time.sleep(PAUSE_S)
@@ -236,16 +236,17 @@
     once it has settled there, that of the second run."""
     for executor in site.executors.values():
         executor.work_s = LONG_WORK_S
-        executor.held[task] = KEPT
+        executor.start_delays[task] = UNTIL_RESTART
     site.submit("e1", JOB_A, ONE)
-    until(lambda: any(e.kept for e in site.executors.values()), what="ordered")
-    first = next(n for n, e in site.executors.items() if e.kept)
+    until(lambda: any(e.held_orders for e in site.executors.values()),
+          what="ordered")
+    first = next(n for n, e in site.executors.items() if e.held_orders)
     for executor in site.executors.values():
-        executor.held.clear()
+        executor.start_delays.clear()
     site.executors[first].crash()
     until(lambda: holder_of(site, task), what="its second run")
     second = holder_of(site, task)
-    until(lambda: not site.executors[second].has_begun_within(SETTLED_S),
+    until(lambda: not site.executors[second].has_started_run_within(SETTLED_S),
           what="settled")
     return first, second
 
@@ -256,7 +257,7 @@
     with site_with_ids(build) as site:
         first, second = let_first_start_come_late(site, task)
         lives = site.metric(first, "guard_lives_total")
-        site.executors[first].crash(with_kept=True)
+        site.executors[first].crash(with_held_starts=True)
         until(lambda: site.metric(first, "guard_lives_total") > lives,
               what="the next life")
         site.executors[second].crash()
@@ -281,10 +282,10 @@
 
     def repeat(site, name):
         executor = site.executors[name]
-        if executor.life > 2:
-            executor.repeat_last_beat_of(executor.life - 1)
-        threading.Timer(0.4, executor.repeat_last_beat_of,
-                        (executor.life,)).start()
+        if executor.incarnation > 2:
+            executor.resend_last_heartbeat(executor.incarnation - 1)
+        threading.Timer(0.4, executor.resend_last_heartbeat,
+                        (executor.incarnation,)).start()
 
     play(build, [STEPS], repeat)
 
--- a/tests/scripts/versions.py
+++ b/tests/scripts/versions.py
@@ -41,7 +41,7 @@
     names = list(site.executors)
     turn = 0
     while not over.wait(CRASH_EVERY_S):
-        site.executors[names[turn % len(names)]].crash(0.5, innocent_s=0.15)
+        site.executors[names[turn % len(names)]].crash(0.5, min_run_age_s=0.15)
         turn += 1
 
 
--- a/tests/scripts/writers.py
+++ b/tests/scripts/writers.py
@@ -52,7 +52,7 @@
     def all_beats(self):
         while True:
             for executor in list(self.site.executors.values()):
-                beat = executor.beat_body(0)
+                beat = executor.heartbeat_body(0)
                 for _, body in malformed_heartbeats(beat):
                     yield executor, executor.id, body
                 for _, name, body in foreign_heartbeats(beat, executor.id):
@@ -86,7 +86,7 @@
     with site_of(build) as site:
         site.submit_lasting("e1", JOB_A)
         workers = list(site.executors.items())
-        beats = [malformed_heartbeats(executor.beat_body(0))
+        beats = [malformed_heartbeats(executor.heartbeat_body(0))
                  for _, executor in workers]
         for cases in zip(*beats):
             answers = {executor.post_body(executor.id, body)
@@ -105,11 +105,11 @@
     with site_of(build) as site:
         site.submit_lasting("e1", JOB_A)
         for executor in site.executors.values():
-            beat = executor.beat_body(0)
+            beat = executor.heartbeat_body(0)
             for _, name, body in foreign_heartbeats(beat, executor.id):
                 executor.post_body(name, body)
         executor = site.executors["w1"]
-        body = json.dumps(executor.beat_body(10 ** 9))
+        body = json.dumps(executor.heartbeat_body(10 ** 9))
         for name, wrong in IDS.items():
             print(f"  id {name}: {executor.post_body(wrong, body)}")
         time.sleep(1.0)  # what was taken in would have had its effect
--- a/tests/standins/caller.c
+++ b/tests/standins/caller.c
@@ -84,7 +84,7 @@
   gp_ledger_string (&ledger, "reason", query->reason, strlen (query->reason));
   gp_ledger_string (&ledger, "entry", query->entry, strlen (query->entry));
   gp_ledger_integer (&ledger, "status", query->status);
-  gp_ledger_integer (&ledger, "try", query->try_number);
+  gp_ledger_integer (&ledger, "try", query->attempt);
   gp_ledger_integer (&ledger, "arrived_us", query->arrived_at);
   gp_ledger_integer (&ledger, "received", query->received);
   gp_ledger_integer (&ledger, "wrong", query->wrong);
@@ -97,9 +97,9 @@
   gp_query_t *query = g_new0 (gp_query_t, 1);
 
   query->kind = kind;
-  query->try_number = 1;
+  query->attempt = 1;
   query->arrived_at = arrived_at;
-  query->give_up_at
+  query->deadline
       = arrived_at + (kind->timeout_ms + options.give_up_ms) * GP_MSEC;
   gp_list_init (&query->link);
   g_snprintf (query->id, GP_QUERY_ID_SIZE, "%s-%" PRId64, options.name,
@@ -137,7 +137,7 @@
   retry_t *retry = g_new0 (retry_t, 1);
 
   retry->query = query_new (old->kind, at, old->key);
-  retry->query->try_number = old->try_number + 1;
+  retry->query->attempt = old->attempt + 1;
   uv_timer_init (&loop, &retry->timer);
   uv_timer_start (&retry->timer, on_retry, (uint64_t)old->kind->retry_ms, 0);
 }
@@ -169,7 +169,7 @@
 
   gp_kind_count (query->kind, outcome, query->status, now - query->arrived_at);
   write_query (query, outcome);
-  if (outcome != GP_OUTCOME_RAN && query->try_number < query->kind->tries)
+  if (outcome != GP_OUTCOME_RAN && query->attempt < query->kind->tries)
     retry_start (query);
   g_free (query);
   open_requests--;
--- a/tests/standins/lib/connection.c
+++ b/tests/standins/lib/connection.c
@@ -53,15 +53,15 @@
 }
 
 static void
-end_whole (gp_connection_t *connection)
+end_complete (gp_connection_t *connection)
 {
-  if (!connection->keep)
+  if (!connection->keep_alive)
     {
-      end_closed (connection, GP_CONNECTION_WHOLE);
+      end_closed (connection, GP_CONNECTION_COMPLETE);
       return;
     }
   connection->state = GP_CONNECTION_READY;
-  connection->callbacks->on_end (connection, GP_CONNECTION_WHOLE, true);
+  connection->callbacks->on_end (connection, GP_CONNECTION_COMPLETE, true);
 }
 
 static gp_connection_end_t
@@ -74,7 +74,7 @@
     case GP_CONNECTION_CLOSED:
       return GP_CONNECTION_IDLE;
     case GP_CONNECTION_HEAD:
-      return GP_CONNECTION_NO_ANSWER;
+      return GP_CONNECTION_NO_RESPONSE;
     case GP_CONNECTION_BODY:
     case GP_CONNECTION_CHUNKS:
     case GP_CONNECTION_UNTIL_CLOSE:
@@ -105,7 +105,7 @@
 {
   bool empty = status == 204 || status == 304;
 
-  connection->keep = minor_version > 0;
+  connection->keep_alive = minor_version > 0;
   connection->state = empty ? GP_CONNECTION_BODY : GP_CONNECTION_UNTIL_CLOSE;
   connection->body_left = 0;
   for (size_t i = 0; i < count && !empty; i++)
@@ -124,7 +124,7 @@
         }
       else if (header_is (&headers[i], "connection")
                && value_is (&headers[i], "close"))
-        connection->keep = false;
+        connection->keep_alive = false;
     }
 }
 
@@ -138,8 +138,8 @@
     connection->callbacks->on_body (connection, bytes, n);
   if (connection->state != GP_CONNECTION_BODY || connection->body_left > 0)
     return;
-  connection->keep = connection->keep && n == size;
-  end_whole (connection);
+  connection->keep_alive = connection->keep_alive && n == size;
+  end_complete (connection);
 }
 
 static void
@@ -155,8 +155,8 @@
     end_closed (connection, GP_CONNECTION_TRUNCATED);
   else if (rest >= 0)
     {
-      connection->keep = connection->keep && rest == 0;
-      end_whole (connection);
+      connection->keep_alive = connection->keep_alive && rest == 0;
+      end_complete (connection);
     }
 }
 
--- a/tests/standins/lib/connection.h
+++ b/tests/standins/lib/connection.h
@@ -24,10 +24,10 @@
 
 typedef enum
 {
-  GP_CONNECTION_WHOLE,     /* complete response; idle if still open */
-  GP_CONNECTION_TRUNCATED, /* closed or invalid within the response */
-  GP_CONNECTION_NO_ANSWER, /* closed before a complete response head */
-  GP_CONNECTION_IDLE       /* closed without a request in progress */
+  GP_CONNECTION_COMPLETE,    /* complete response; idle if still open */
+  GP_CONNECTION_TRUNCATED,   /* closed or invalid within the response */
+  GP_CONNECTION_NO_RESPONSE, /* closed before a complete response head */
+  GP_CONNECTION_IDLE         /* closed without a request in progress */
 } gp_connection_end_t;
 
 typedef struct
@@ -82,7 +82,7 @@
   GByteArray *head; /* incomplete response head received so far */
   uint64_t body_left;
   struct phr_chunked_decoder decoder;
-  bool keep;
+  bool keep_alive;
   /* For use by the caller.  */
   gp_list_t link;
   void *data;
--- a/tests/standins/lib/pool.c
+++ b/tests/standins/lib/pool.c
@@ -91,7 +91,7 @@
 /* Remove CONNECTION, which is about to be freed, from the pool and let a
    waiting query use the free place.  */
 static void
-connection_gone (gp_connection_t *connection)
+remove_connection (gp_connection_t *connection)
 {
   gp_pool_t *pool = pool_of (connection);
   gp_list_t *link;
@@ -106,9 +106,9 @@
 static void
 connect_failed (gp_pool_t *pool, gp_query_t *query)
 {
-  query->connects++;
-  query->turn++;
-  if (query->connects < pool->entries->len)
+  query->failed_connects++;
+  query->entry_index++;
+  if (query->failed_connects < pool->entries->len)
     gp_pool_send (pool, query);
   else
     pool->on_end (query, GP_OUTCOME_REFUSED);
@@ -125,7 +125,7 @@
       send_query (connection, query);
       return;
     }
-  connection_gone (connection);
+  remove_connection (connection);
   connect_failed (pool, query);
 }
 
@@ -140,7 +140,7 @@
 copy_value (char *to, const gp_connection_header_t *header)
 {
   g_strlcpy (to, header->value,
-             MIN (header->value_size + 1, GP_QUERY_WORD_SIZE));
+             MIN (header->value_size + 1, GP_QUERY_HEADER_SIZE));
 }
 
 static void
@@ -179,7 +179,7 @@
 }
 
 static gp_outcome_t
-judge_whole (const gp_query_t *query)
+classify_response (const gp_query_t *query)
 {
   if (strcmp (query->verdict, "not-run") == 0)
     return GP_OUTCOME_NOT_RUN;
@@ -201,18 +201,18 @@
   if (open)
     make_idle (connection);
   else
-    connection_gone (connection);
+    remove_connection (connection);
   switch (end)
     {
-    case GP_CONNECTION_WHOLE:
-      outcome = judge_whole (query);
+    case GP_CONNECTION_COMPLETE:
+      outcome = classify_response (query);
       query->wrong |= outcome == GP_OUTCOME_BROKEN;
       pool->on_end (query, outcome);
       break;
     case GP_CONNECTION_TRUNCATED:
       pool->on_end (query, GP_OUTCOME_BROKEN);
       break;
-    case GP_CONNECTION_NO_ANSWER:
+    case GP_CONNECTION_NO_RESPONSE:
       pool->on_end (query, GP_OUTCOME_UNKNOWN);
       break;
     case GP_CONNECTION_IDLE:
@@ -249,9 +249,9 @@
   gp_connection_t *connection;
   entry_t *entry;
 
-  if (query->connects == 0)
-    query->turn = pool->next_entry++;
-  entry = pool->entries->pdata[query->turn % pool->entries->len];
+  if (query->failed_connects == 0)
+    query->entry_index = pool->next_entry++;
+  entry = pool->entries->pdata[query->entry_index % pool->entries->len];
   query->entry = entry->text;
   if (!gp_list_empty (&entry->idle))
     {
@@ -271,7 +271,7 @@
   connection = gp_connection_new (pool->loop, &entry->address, &callbacks);
   connection->owner = entry;
   connection->data = query;
-  query->connect_by = gp_time_now () + CONNECT_TIMEOUT;
+  query->connect_deadline = gp_time_now () + CONNECT_TIMEOUT;
   pool->connections++;
   gp_list_push_back (&pool->busy, &connection->link);
 }
@@ -285,14 +285,14 @@
   gp_query_t *query = connection->data;
   bool connecting = connection->state == GP_CONNECTION_CONNECTING;
 
-  connection_gone (connection);
+  remove_connection (connection);
   gp_connection_abort (connection);
   if (connecting)
     {
       connect_failed (pool, query);
       return;
     }
-  g_strlcpy (query->reason, "no answer in time", GP_QUERY_WORD_SIZE);
+  g_strlcpy (query->reason, "no answer in time", GP_QUERY_HEADER_SIZE);
   pool->on_end (query,
                 query->status != 0 ? GP_OUTCOME_BROKEN : GP_OUTCOME_UNKNOWN);
 }
@@ -303,8 +303,8 @@
   const gp_query_t *query = connection->data;
 
   if (connection->state == GP_CONNECTION_CONNECTING)
-    return now >= query->connect_by;
-  return now >= query->give_up_at;
+    return now >= query->connect_deadline;
+  return now >= query->deadline;
 }
 
 /* Return the first connection whose query is over its time limit, or
@@ -332,7 +332,7 @@
   {
     gp_query_t *query = GP_CONTAINER_OF (link, gp_query_t, link);
 
-    if (now < query->give_up_at)
+    if (now < query->deadline)
       continue;
     gp_list_remove (link);
     pool->on_end (query, GP_OUTCOME_REFUSED);
--- a/tests/standins/lib/pool.h
+++ b/tests/standins/lib/pool.h
@@ -19,7 +19,7 @@
 #include "kind.h"
 
 #define GP_QUERY_ID_SIZE 48
-#define GP_QUERY_WORD_SIZE 32
+#define GP_QUERY_HEADER_SIZE 32
 
 typedef struct gp_pool gp_pool_t;
 
@@ -30,17 +30,17 @@
   gp_kind_t *kind;
   char id[GP_QUERY_ID_SIZE];
   char key[GP_QUERY_ID_SIZE]; /* empty: none */
-  int64_t try_number;
+  int64_t attempt;
   gp_time_t arrived_at;
-  gp_time_t give_up_at;
+  gp_time_t deadline;
 
-  guint connects;    /* entries whose connection attempt failed */
-  guint turn;        /* index of the entry, modulo the number of entries */
-  const char *entry; /* "IP:port" of the most recent one */
-  gp_time_t connect_by;
+  guint failed_connects; /* entries whose connection attempt failed */
+  guint entry_index;     /* index of the entry, modulo the number of entries */
+  const char *entry;     /* "IP:port" of the most recent one */
+  gp_time_t connect_deadline;
   int status; /* 0: no response */
-  char verdict[GP_QUERY_WORD_SIZE];
-  char reason[GP_QUERY_WORD_SIZE];
+  char verdict[GP_QUERY_HEADER_SIZE];
+  char reason[GP_QUERY_HEADER_SIZE];
   uint64_t seed; /* of the bodies of the request and the response */
   int64_t received;
   bool wrong;     /* the response body is not the expected one */
--- a/tests/standins/lib/reply.c
+++ b/tests/standins/lib/reply.c
@@ -109,7 +109,7 @@
 }
 
 void
-gp_reply_cut (h2o_req_t *req)
+gp_reply_abort (h2o_req_t *req)
 {
   h2o_socket_t *socket = req->conn->callbacks->get_socket (req->conn);
 
@@ -121,7 +121,7 @@
 static void
 on_request_disposed (void *memory)
 {
-  gp_hold_t **owner = memory;
+  gp_deferred_request_t **owner = memory;
 
   if (*owner == NULL)
     return;
@@ -130,22 +130,22 @@
 }
 
 void
-gp_hold_init (gp_hold_t *hold, h2o_req_t *req)
+gp_deferred_request_init (gp_deferred_request_t *deferred, h2o_req_t *req)
 {
-  hold->req = req;
-  hold->owner = h2o_mem_alloc_shared (&req->pool, sizeof (gp_hold_t *),
-                                      on_request_disposed);
-  *hold->owner = hold;
+  deferred->req = req;
+  deferred->owner = h2o_mem_alloc_shared (
+      &req->pool, sizeof (gp_deferred_request_t *), on_request_disposed);
+  *deferred->owner = deferred;
 }
 
 h2o_req_t *
-gp_hold_release (gp_hold_t *hold)
+gp_deferred_request_release (gp_deferred_request_t *deferred)
 {
-  h2o_req_t *req = hold->req;
+  h2o_req_t *req = deferred->req;
 
-  if (hold->owner != NULL)
-    *hold->owner = NULL;
-  hold->req = NULL;
-  hold->owner = NULL;
+  if (deferred->owner != NULL)
+    *deferred->owner = NULL;
+  deferred->req = NULL;
+  deferred->owner = NULL;
   return req;
 }
--- a/tests/standins/lib/server.c
+++ b/tests/standins/lib/server.c
@@ -298,8 +298,8 @@
 }
 
 void
-gp_standin_after (gp_standin_t *standin, uint64_t ms, void (*cb) (void *data),
-                  void *data)
+gp_standin_call_later (gp_standin_t *standin, uint64_t ms,
+                       void (*cb) (void *data), void *data)
 {
   delay_t *delay;
 
--- a/tests/standins/lib/server.h
+++ b/tests/standins/lib/server.h
@@ -56,8 +56,8 @@
 void gp_standin_refuse (gp_standin_t *standin, bool refuse);
 
 /* Call CB once after MS milliseconds; if MS is 0, before this returns.  */
-void gp_standin_after (gp_standin_t *standin, uint64_t ms,
-                       void (*cb) (void *data), void *data);
+void gp_standin_call_later (gp_standin_t *standin, uint64_t ms,
+                            void (*cb) (void *data), void *data);
 
 /* Requests and responses.  */
 
@@ -87,21 +87,23 @@
 void gp_reply_json (h2o_req_t *req, int status, json_t *body);
 void gp_reply_status (h2o_req_t *req, int status);
 /* Close the connection without a response.  */
-void gp_reply_cut (h2o_req_t *req);
+void gp_reply_abort (h2o_req_t *req);
 
 /* A request whose response is sent later.  req becomes NULL if the connection
    is closed before.  */
-typedef struct gp_hold gp_hold_t;
+typedef struct gp_hold gp_deferred_request_t;
 
 struct gp_hold
 {
   h2o_req_t *req;
-  gp_hold_t **owner; /* back pointer, allocated in the request's pool */
+  gp_deferred_request_t *
+      *owner; /* back pointer, allocated in the request's pool */
 };
 
-void gp_hold_init (gp_hold_t *hold, h2o_req_t *req);
+void gp_deferred_request_init (gp_deferred_request_t *deferred,
+                               h2o_req_t *req);
 /* Return the request, or NULL if its connection is closed, and stop tracking
    it.  */
-h2o_req_t *gp_hold_release (gp_hold_t *hold);
+h2o_req_t *gp_deferred_request_release (gp_deferred_request_t *deferred);
 
 #endif
--- a/tests/standins/lib/vm.c
+++ b/tests/standins/lib/vm.c
@@ -8,7 +8,7 @@
 #define THROTTLED_SHARE 0.25
 #define MAX_SLEEP_MS 3600000
 
-static void replan (gp_vm_t *vm);
+static void reschedule (gp_vm_t *vm);
 
 const char *
 gp_vmtask_state_name (gp_vmtask_state_t state)
@@ -77,8 +77,8 @@
 
 /* End TASK, which had no effect after UNTIL.  */
 static void
-end (gp_vmtask_t *task, gp_vmtask_state_t state, gp_time_t until,
-     const char *result)
+end_task (gp_vmtask_t *task, gp_vmtask_state_t state, gp_time_t until,
+          const char *result)
 {
   task->state = state;
   task->run_time = until - task->started_at;
@@ -114,11 +114,11 @@
       if (task->state != GP_VMTASK_RUNNING || task->deadline > now)
         continue;
       advance (task, task->deadline);
-      end (task, GP_VMTASK_LOST, task->deadline, "lease expired");
+      end_task (task, GP_VMTASK_LOST, task->deadline, "lease expired");
       vm->expired++;
     }
   if (vm->expired != before)
-    replan (vm);
+    reschedule (vm);
 }
 
 static void
@@ -127,7 +127,7 @@
   gp_vm_t *vm = timer->data;
 
   gp_vm_expire (vm);
-  replan (vm);
+  reschedule (vm);
 }
 
 static void
@@ -144,12 +144,12 @@
   if (now >= task->stop_at)
     {
       take_checkpoint (task);
-      end (task, GP_VMTASK_STOPPED, now, "");
+      end_task (task, GP_VMTASK_STOPPED, now, "");
     }
   else if (task->run_ms > 0 && task->progress_ms >= (double)task->run_ms)
     {
-      end (task, task->fails ? GP_VMTASK_FAILED : GP_VMTASK_SUCCEEDED, now,
-           task->fails ? "failed" : "done");
+      end_task (task, task->fails ? GP_VMTASK_FAILED : GP_VMTASK_SUCCEEDED,
+                now, task->fails ? "failed" : "done");
     }
   else if (task->checkpoint_every_ms > 0
            && task->progress_ms >= (double)task->next_checkpoint_ms)
@@ -158,7 +158,7 @@
       task->next_checkpoint_ms
           = (int64_t)task->progress_ms + task->checkpoint_every_ms;
     }
-  replan (task->vm);
+  reschedule (task->vm);
 }
 
 /* Rates and timers.  */
@@ -214,7 +214,7 @@
 /* Recompute the rates and timers of all tasks after a change to any of
    them.  */
 static void
-replan (gp_vm_t *vm)
+reschedule (gp_vm_t *vm)
 {
   gp_time_t now = gp_time_now ();
   gp_time_t deadline = GP_TIME_NEVER;
@@ -343,7 +343,7 @@
   write_task (task, "task_start", task->started_at);
   check_capacity (vm);
   vm->on_event (task, GP_VMTASK_RUNNING, task->started_at);
-  replan (vm);
+  reschedule (vm);
 }
 
 void
@@ -362,7 +362,7 @@
          lease.  */
       task->deadline = MAX (task->deadline, deadline);
     }
-  replan (vm);
+  reschedule (vm);
 }
 
 void
@@ -379,7 +379,7 @@
       break;
     case GP_VM_CANCEL:
       if (!vm->hang_stop)
-        end (task, GP_VMTASK_STOPPED, now, "cancelled");
+        end_task (task, GP_VMTASK_STOPPED, now, "cancelled");
       break;
     case GP_VM_CHECKPOINT:
       report_checkpoint (task, now);
@@ -391,7 +391,7 @@
       task->share = 1.0;
       break;
     }
-  replan (vm);
+  reschedule (vm);
 }
 
 static void
@@ -407,7 +407,7 @@
 }
 
 void
-gp_vm_forget (gp_vm_t *vm, gp_vmtask_t *task)
+gp_vm_remove (gp_vm_t *vm, gp_vmtask_t *task)
 {
   g_hash_table_remove (vm->tasks, task->id);
   uv_close ((uv_handle_t *)&task->timer, on_task_closed);
--- a/tests/standins/lib/vm.h
+++ b/tests/standins/lib/vm.h
@@ -124,7 +124,7 @@
 void gp_vm_command (gp_vm_t *vm, gp_vmtask_t *task, gp_vm_command_t command);
 
 /* Remove and free a TASK that has ended.  */
-void gp_vm_forget (gp_vm_t *vm, gp_vmtask_t *task);
+void gp_vm_remove (gp_vm_t *vm, gp_vmtask_t *task);
 
 /* Write the end of all running tasks to the ledger before the VM stops.  */
 void gp_vm_halt (gp_vm_t *vm);
--- a/tests/standins/links.py
+++ b/tests/standins/links.py
@@ -13,7 +13,7 @@
 import threading
 
 CHUNK = 65536
-THIN_CHUNK = 4096  # connections share a rate limit in chunks of this size
+RATE_CHUNK = 4096  # connections share a rate limit in chunks of this size
 TO_TARGET, FROM_TARGET = 0, 1
 
 
@@ -44,19 +44,20 @@
         # Bytes per second in each direction over all connections; 0: no limit.
         self.rate = 0
         # For each direction, when the data sent so far has been transmitted.
-        self.free_at = [0.0, 0.0]
+        self.transmitted_at = [0.0, 0.0]
         # For each direction; data is forwarded while the event is set.
-        self.held = [asyncio.Event(), asyncio.Event()]
+        self.passing = [asyncio.Event(), asyncio.Event()]
         self.connections = set()
         self.server = None
-        for gate in self.held:
-            gate.set()
+        for event in self.passing:
+            event.set()
 
     async def listen(self, address):
         host, port = split(address)
-        self.server = await asyncio.start_server(self.pass_on, host, port)
+        self.server = await asyncio.start_server(
+            self.forward_connection, host, port)
 
-    async def pass_on(self, reader, writer):
+    async def forward_connection(self, reader, writer):
         try:
             target = await asyncio.open_connection(*split(self.target))
         except OSError:
@@ -72,15 +73,15 @@
             pass  # all links are being closed
         self.connections.discard(connection)
 
-    async def pump(self, connection, reader, writer, way):
+    async def pump(self, connection, reader, writer, direction):
         try:
             while data := await reader.read(
-                    THIN_CHUNK if self.rate else CHUNK):
+                    RATE_CHUNK if self.rate else CHUNK):
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
                 if self.rate:
-                    await self.carry(way, len(data))
-                await self.held[way].wait()
+                    await self.transmit(direction, len(data))
+                await self.passing[direction].wait()
                 if connection.silent:
                     continue
                 writer.write(data)
@@ -90,14 +91,15 @@
         if not connection.silent:
             writer.close()
 
-    async def carry(self, way, size):
+    async def transmit(self, direction, size):
         """Wait until size bytes have been transmitted at the limited rate.
 
         They queue after the data that was sent before on any connection.
         """
         now = self.loop.time()
-        self.free_at[way] = max(self.free_at[way], now) + size / self.rate
-        await asyncio.sleep(self.free_at[way] - now)
+        self.transmitted_at[direction] = \
+            max(self.transmitted_at[direction], now) + size / self.rate
+        await asyncio.sleep(self.transmitted_at[direction] - now)
 
     # The following methods may be called from any thread.
 
@@ -113,14 +115,14 @@
                 connection.silent = True
         self.call(silence_all)
 
-    def hold(self, ways):
-        for way in ways:
-            self.call(self.held[way].clear)
+    def hold(self, directions):
+        for direction in directions:
+            self.call(self.passing[direction].clear)
 
     def heal(self):
         self.delay_s = 0.0
-        for gate in self.held:
-            self.call(gate.set)
+        for event in self.passing:
+            self.call(event.set)
 
 
 class Links:
--- a/tests/standins/logd.c
+++ b/tests/standins/logd.c
@@ -51,7 +51,7 @@
 typedef struct
 {
   stream_t *stream;
-  gp_hold_t hold;
+  gp_deferred_request_t request;
   GBytes *data; /* of an append */
   uint64_t offset;
   int64_t max_bytes; /* this and the next fields: of a read */
@@ -157,7 +157,7 @@
   operation_t *operation = g_new0 (operation_t, 1);
 
   operation->stream = stream;
-  gp_hold_init (&operation->hold, req);
+  gp_deferred_request_init (&operation->request, req);
   gp_list_init (&operation->link);
   uv_timer_init (&standin.uv, &operation->timer);
   return operation;
@@ -167,7 +167,7 @@
 operation_free (operation_t *operation)
 {
   gp_list_remove (&operation->link);
-  gp_hold_release (&operation->hold);
+  gp_deferred_request_release (&operation->request);
   g_clear_pointer (&operation->data, g_bytes_unref);
   uv_close ((uv_handle_t *)&operation->timer, on_operation_closed);
 }
@@ -218,7 +218,7 @@
 read_finish (operation_t *operation)
 {
   stream_t *stream = operation->stream;
-  h2o_req_t *req = gp_hold_release (&operation->hold);
+  h2o_req_t *req = gp_deferred_request_release (&operation->request);
   Gp__Log__ReadReply reply = GP__LOG__READ_REPLY__INIT;
   g_autoptr (GPtrArray) found = NULL;
   int status = 200;
@@ -281,8 +281,8 @@
   operation->offset = (uint64_t)gp_request_number (req, "from", 0);
   operation->max_bytes = CLAMP (max_bytes, 0, READ_MAX_SIZE);
   operation->wait_ms = (uint64_t)gp_request_number (req, "wait_ms", 0);
-  gp_standin_after (&standin, (uint64_t)faults.read_delay_ms, read_start,
-                    operation);
+  gp_standin_call_later (&standin, (uint64_t)faults.read_delay_ms, read_start,
+                         operation);
 }
 
 /* Appends.  */
@@ -291,7 +291,7 @@
 append_acknowledge (void *data)
 {
   operation_t *operation = data;
-  h2o_req_t *req = gp_hold_release (&operation->hold);
+  h2o_req_t *req = gp_deferred_request_release (&operation->request);
   Gp__Log__AppendReply reply = GP__LOG__APPEND_REPLY__INIT;
 
   reply.offset = operation->offset;
@@ -301,12 +301,12 @@
 }
 
 static void
-append_cut (operation_t *operation)
+append_abort (operation_t *operation)
 {
-  h2o_req_t *req = gp_hold_release (&operation->hold);
+  h2o_req_t *req = gp_deferred_request_release (&operation->request);
 
   if (req != NULL)
-    gp_reply_cut (req);
+    gp_reply_abort (req);
   operation_free (operation);
 }
 
@@ -342,24 +342,24 @@
   if (faults.drop_append > 0)
     {
       faults.drop_append--;
-      append_cut (operation);
+      append_abort (operation);
       return;
     }
   append_take_effect (operation);
   if (faults.lost_ack > 0)
     {
       faults.lost_ack--;
-      append_cut (operation);
+      append_abort (operation);
       return;
     }
-  gp_standin_after (&standin, (uint64_t)faults.late_ack_ms, append_acknowledge,
-                    operation);
+  gp_standin_call_later (&standin, (uint64_t)faults.late_ack_ms,
+                         append_acknowledge, operation);
 }
 
 /* Return how long the next append must wait because of append_rate, in
    milliseconds, and advance next_append_at.  */
 static uint64_t
-append_pace (void)
+append_rate_delay_ms (void)
 {
   gp_time_t now = gp_time_now ();
   gp_time_t turn = MAX (now, next_append_at);
@@ -382,9 +382,9 @@
     }
   operation = operation_new (stream, req);
   operation->data = g_bytes_new (req->entity.base, req->entity.len);
-  gp_standin_after (&standin,
-                    (uint64_t)faults.append_delay_ms + append_pace (),
-                    append_start, operation);
+  gp_standin_call_later (
+      &standin, (uint64_t)faults.append_delay_ms + append_rate_delay_ms (),
+      append_start, operation);
 }
 
 /* Requests.  */
@@ -431,7 +431,7 @@
   stream_t *stream = request_stream (req);
 
   if (refused (req))
-    gp_reply_cut (req);
+    gp_reply_abort (req);
   else if (faults.down)
     gp_reply_status (req, 503);
   else if (stream == NULL)
--- a/tests/standins/other_writers.py
+++ b/tests/standins/other_writers.py
@@ -11,14 +11,14 @@
 
 from message_bytes import number, text
 
-NOBODY = "127.0.0.1:1"  # no process listens there
+UNUSED_ADDRESS = "127.0.0.1:1"  # no process listens there
 DRAINING = {"state": "draining", "remainingMs": 50, "seq": 10 ** 9}
 # The fields that determine what an executor may be used for.
-MISSING = ["service", "zone", "state", "capacity", "seq"]
-OTHER_TYPES = {
+REQUIRED_FIELDS = ["service", "zone", "state", "capacity", "seq"]
+WRONG_TYPES = {
     "service": 7, "zone": ["z"], "state": 1, "capacity": "16 cores",
     "seq": "10", "labels": "a", "clockMs": "soon", "remainingMs": "50"}
-OTHER_VALUES = {
+INVALID_VALUES = {
     "state drained": {"state": "drained"},
     "state stopping": {"state": "stopping"},
     "state empty": {"state": ""},
@@ -41,13 +41,13 @@
     """Return (name, body) pairs, each body being heartbeat with one defect."""
     good = {**heartbeat, **DRAINING}
     cases = []
-    for field in MISSING:
+    for field in REQUIRED_FIELDS:
         rest = {key: good[key] for key in good if key != field}
         cases.append((f"no {field}", json.dumps(rest)))
-    for field, value in OTHER_TYPES.items():
+    for field, value in WRONG_TYPES.items():
         cases.append((f"{field} of another type",
                       json.dumps({**good, field: value})))
-    for name, fields in OTHER_VALUES.items():
+    for name, fields in INVALID_VALUES.items():
         cases.append((name, json.dumps({**good, **fields})))
     whole = json.dumps(good)
     return cases + [
@@ -86,7 +86,8 @@
         self.judge = judge
         self.random = random.Random(f"records {seed}")
         self.written = 0
-        self.kinds = [self.random_bytes, self.cut_copy, self.decodes]
+        self.kinds = [self.random_bytes, self.truncated_copy,
+                      self.meaningless_record]
 
     def job(self):
         """Return the id of a job that was never submitted."""
@@ -94,15 +95,15 @@
         self.judge.forbid(job)
         return job
 
-    def stranger(self):
+    def unknown_id(self):
         return f"stranger-{self.random.randrange(20)}"
 
     def key_for(self, topic, like=""):
         """Return an unused key of the same kind as the genuine key like."""
         if topic == "keyed.nodes":
-            return self.stranger()
+            return self.unknown_id()
         if like.startswith("at."):
-            return "at." + self.stranger()
+            return "at." + self.unknown_id()
         if like in ("leader", "learned"):
             return like + "-2"
         return self.job()
@@ -114,20 +115,20 @@
         size = self.random.choice([1, 7, 60, 4000])
         return topic, self.key_for(topic, like), self.random.randbytes(size)
 
-    def cut_copy(self):
+    def truncated_copy(self):
         topic = self.random.choice(["keyed.jobs", "keyed.progress",
                                     "keyed.nodes"])
         with self.store.lock:
             newest = self.store.topics.get(topic)
-            true = [(key, value) for key, (value, _)
+            genuine = [(key, value) for key, (value, _)
                     in newest.newest.items()] if newest else []
-        if not true:
+        if not genuine:
             return self.random_bytes()
-        like, value = self.random.choice(true)
+        like, value = self.random.choice(genuine)
         size = self.random.randrange(1, max(len(value), 2))
         return topic, self.key_for(topic, like), value[:size]
 
-    def decodes(self):
+    def meaningless_record(self):
         """Return a record that decodes but has no usable content."""
         return self.random.choice(
             [self.node, self.leadership, self.place, self.progress,
@@ -139,8 +140,8 @@
             text(3, "z"),  # an entry without an address
             text(1, "nowhere") + number(2, 1),
             text(1, "127.0.0.1:99999") + number(2, 1) + text(3, "z"),
-            text(1, NOBODY) + number(2, 1) + text(3, "z")])
-        return "keyed.nodes", self.stranger(), value
+            text(1, UNUSED_ADDRESS) + number(2, 1) + text(3, "z")])
+        return "keyed.nodes", self.unknown_id(), value
 
     def leadership(self):
         value = self.random.choice([number(4, 9), number(3, 1)])
@@ -148,7 +149,7 @@
 
     def place(self):
         value = self.random.choice([number(9, 1), text(1, "")])
-        key = self.random.choice(["at.", "at." + self.stranger()])
+        key = self.random.choice(["at.", "at." + self.unknown_id()])
         return "keyed.progress", key, value  # names no executor
 
     def progress(self):
--- a/tests/standins/platform_executor.py
+++ b/tests/standins/platform_executor.py
@@ -17,13 +17,13 @@
 # Time from the start of a crashing task until its executor crashes.
 CRASH_S = 0.01
 STOP_S = 0.2
-BEAT_S = 0.2
+HEARTBEAT_S = 0.2
 # Time until a decreased capacity is known: contact and a heartbeat.
-SHRINK_S = 3.0 + BEAT_S
+CAPACITY_REPORT_S = 3.0 + HEARTBEAT_S
 # How long a member of a gang waits for the other members.
-ALONE_S = 3.0
-# A value in Executor.held.
-KEPT = float("inf")
+GANG_WAIT_S = 3.0
+# A value in Executor.start_delays.
+UNTIL_RESTART = float("inf")
 # A draining executor whose state is not acknowledged ends after this.
 UNACKNOWLEDGED_S = 5.0
 
@@ -62,18 +62,19 @@
                      out later
     late_s           maximum delay of these, or a (minimum, maximum) pair
     late_calls       the calls that late applies to, None: all
-    held             {task: delay} of starts that get no response and are
-                     carried out after the delay; with KEPT, by the next
-                     incarnation if crash() is called with with_kept
+    start_delays     {task: delay} of starts that get no response and are
+                     carried out after the delay; with UNTIL_RESTART,
+                     by the next incarnation if crash() is called with
+                     with_held_starts
     fails            every run fails
     bad_rows         each list has one malformed row among the valid ones
-    garbles          the list has a run whose number is a string, and an
+    malformed_list   the list has a run whose number is a string, and an
                      invalid end
     unreadable_ends  the next N ends are listed, permanently, with an unknown
                      value
 
     Tasks in judge.crashers crash the executor, which is then unreachable for
-    crash_dark_s.  With keeps_id, later incarnations have the id of the first
+    crash_outage_s.  With keeps_id, later incarnations have the id of the first
     one and differ in born, which changes by born_step_ms (may be negative)
     with each incarnation and is never used twice.  The clock of each
     incarnation starts at clock_s.
@@ -92,45 +93,45 @@
         self.late = 0.0
         self.late_s = 1.0
         self.late_calls = None
-        self.held = {}  # task: delay of its starts in seconds
-        self.kept = []  # held orders for the next incarnation
+        self.start_delays = {}  # task: delay of its starts in seconds
+        self.held_orders = []  # held orders for the next incarnation
         self.fails = False
         self.bad_rows = False
-        self.garbles = False
+        self.malformed_list = False
         self.unreadable_ends = 0
-        self.dark = False
+        self.unreachable = False
         self.drain_s = 0.0
         self.drained_at = None  # while draining: when the drain may end
-        self.drain_known = threading.Event()
+        self.drain_acknowledged = threading.Event()
         self.closed = False
-        self.life = 0
+        self.incarnation = 0
         self.born = int(time.time() * 1000)
-        self.births = set()  # values of born of all incarnations
+        self.used_births = set()  # values of born of all incarnations
         self.keeps_id = False
-        self.tells_born = True
+        self.reports_born = True
         self.born_step_ms = 1000
         self.clock_s = 100
-        self.last_beats = {}  # life: its last heartbeat
+        self.last_heartbeats = {}  # incarnation: its last heartbeat
         self.sent_fence = 0  # the highest fence of all orders received
         self.former_fence = 0  # the same for the previous incarnations
         self.work_s = 0.3
-        self.crash_dark_s = 1.0
-        self.guards_room = True  # refuse runs that exceed the capacity
-        self.roomy_cores, self.roomy_until = cores, 0.0
-        self.begin()
+        self.crash_outage_s = 1.0
+        self.enforces_capacity = True  # refuse runs that exceed the capacity
+        self.former_cores, self.former_cores_until = cores, 0.0
+        self.begin_incarnation()
         self.server = serve(address, self.handle)
-        threading.Thread(target=self.beat, daemon=True).start()
+        threading.Thread(target=self.send_heartbeats, daemon=True).start()
         threading.Thread(target=self.tick, daemon=True).start()
 
-    def begin(self):
-        self.life += 1
-        self.life_name = f"{self.name}-{self.life}"
-        if self.life == 1 or not self.keeps_id:
-            self.id = self.life_name
+    def begin_incarnation(self):
+        self.incarnation += 1
+        self.incarnation_name = f"{self.name}-{self.incarnation}"
+        if self.incarnation == 1 or not self.keeps_id:
+            self.id = self.incarnation_name
         self.born += self.born_step_ms
-        while self.born in self.births:
+        while self.born in self.used_births:
             self.born += 1 if self.born_step_ms > 0 else -1
-        self.births.add(self.born)
+        self.used_births.add(self.born)
         self.began = time.monotonic() - self.clock_s
         self.former_fence = self.sent_fence
         self.fence = 0
@@ -144,36 +145,38 @@
     def clock(self):
         return int((time.monotonic() - self.began) * 990)
 
-    def lose_all(self):
+    def end_all_runs(self):
         """End all runs and lose the ends that were not confirmed."""
         for task in list(self.runs):
             self.end(task, "gone", listed=False)
         for row in self.ended:
-            self.judge.void(row[1])
+            self.judge.allow_rerun(row[1])
 
-    def has_begun_within(self, seconds):
+    def has_started_run_within(self, seconds):
         began = max((run["began_at"] for run in self.runs.values()), default=0)
         return time.monotonic() - began < seconds
 
-    def crash(self, dark_s=0.0, innocent_s=0.0, with_kept=False):
+    def crash(self, outage_s=0.0, min_run_age_s=0.0, with_held_starts=False):
         """End this incarnation and begin the next one.
 
-        Wait until the last start is at least innocent_s ago.  With with_kept,
-        the next incarnation first carries out the orders in kept.  The
-        executor is unreachable for dark_s.
+        Wait until the last start is at least min_run_age_s ago.  With
+        with_held_starts, the next incarnation first carries out the orders in
+        held_orders.  The executor is unreachable for outage_s.
         """
         with self.lock:
-            while innocent_s > 0 and self.has_begun_within(innocent_s):
+            while min_run_age_s > 0 \
+                    and self.has_started_run_within(min_run_age_s):
                 self.lock.wait(0.005)
-            self.lose_all()
-            self.dark = dark_s > 0
-            self.begin()
-            for call, order, target in self.kept if with_kept else []:
+            self.end_all_runs()
+            self.unreachable = outage_s > 0
+            self.begin_incarnation()
+            for call, order, target in \
+                    self.held_orders if with_held_starts else []:
                 self.carry_out(call, order, target, late=True)
             self.lock.notify_all()
-        if dark_s > 0:
-            time.sleep(dark_s)
-            self.dark = False
+        if outage_s > 0:
+            time.sleep(outage_s)
+            self.unreachable = False
 
     def close(self):
         self.closed = True
@@ -182,44 +185,45 @@
         self.server.shutdown()
         self.server.server_close()
 
-    def leave(self, goodbye):
+    def leave(self, deregister):
         """End the executor and all its runs for good.
 
-        With goodbye, it finally deregisters from the guard.
+        With deregister, it finally deregisters from the guard.
         """
         with self.lock:
             self.closed = True
-            self.lose_all()
-            self.life += 1
+            self.end_all_runs()
+            self.incarnation += 1
         self.close()
-        if goodbye:
+        if deregister:
             self.post("/api/Instances.Deregister/" + self.id,
                       json.dumps(self.born_field()))
 
-    def drain(self, drain_s, longer_s):
+    def drain(self, drain_s, extra_s):
         """Report the state draining, then leave.
 
         It serves for drain_s after the guard has acknowledged the state, and
-        for longer_s more.
+        for extra_s more.
         """
         with self.lock:
             self.drain_s = drain_s
             self.drained_at = float("inf")
-        if self.drain_known.wait(UNACKNOWLEDGED_S):
+        if self.drain_acknowledged.wait(UNACKNOWLEDGED_S):
             self.drained_at = time.monotonic() + drain_s
-            time.sleep(drain_s + longer_s)
-        self.leave(goodbye=True)
+            time.sleep(drain_s + extra_s)
+        self.leave(deregister=True)
 
     def end(self, task, how, listed=True):
         run = self.runs.pop(task)
         self.highest[task] = max(self.highest.get(task, 0), run["run"])
-        self.judge.end(self.life_name, task, run["run"], how, run["lasts"])
+        self.judge.end(self.incarnation_name, task, run["run"], how,
+                       run["lasts"])
         if listed:
             self.count += 1
             if self.unreadable_ends > 0:
                 self.unreadable_ends -= 1
                 how = "vanished"
-                self.judge.void(task)
+                self.judge.allow_rerun(task)
             self.ended.append([self.count, task, run["run"], how, ""])
             self.lock.notify_all()
 
@@ -231,7 +235,7 @@
                 now = time.monotonic()
                 lapsed = self.clock() > self.lease_ms
                 for row in self.ended if lapsed else []:
-                    self.judge.void(row[1])
+                    self.judge.allow_rerun(row[1])
                 for task, run in list(self.runs.items()):
                     if lapsed:
                         self.end(task, "lapsed")
@@ -244,48 +248,49 @@
         """End run of task if its work is done or its gang has failed."""
         gang = self.judge.gang(task, run["run"])
         work_ends = run["done_at"]
-        if gang is not None and gang.how is not None:
-            self.end(task, gang.how)
+        if gang is not None and gang.outcome is not None:
+            self.end(task, gang.outcome)
             return
-        if gang is not None and gang.whole_at is None:
-            if now >= run["began_at"] + ALONE_S:
+        if gang is not None and gang.all_present_at is None:
+            if now >= run["began_at"] + GANG_WAIT_S:
                 self.end(task, "alone")
             return
         if gang is not None:
-            work_ends = gang.whole_at + self.work_s
+            work_ends = gang.all_present_at + self.work_s
         if now >= work_ends:
             self.end(task, "failed" if self.fails else "done")
 
-    def beat(self):
+    def send_heartbeats(self):
         while not self.closed:
-            if not self.dark:
-                self.send_beat()
-            time.sleep(BEAT_S)
+            if not self.unreachable:
+                self.send_own_heartbeat()
+            time.sleep(HEARTBEAT_S)
 
-    def repeat_beat_of(self, life):
+    def resend_first_heartbeat(self, incarnation):
         """Send the first heartbeat of an earlier incarnation again."""
-        return self.post_beat(f"{self.name}-{life}", 1)
+        return self.post_heartbeat(f"{self.name}-{incarnation}", 1)
 
-    def repeat_last_beat_of(self, life):
+    def resend_last_heartbeat(self, incarnation):
         """Send the last heartbeat of an earlier incarnation again."""
-        return self.post_body(self.id, json.dumps(self.last_beats[life]))
+        return self.post_body(self.id,
+                              json.dumps(self.last_heartbeats[incarnation]))
 
     def born_field(self):
-        return {"born": self.born} if self.tells_born else {}
+        return {"born": self.born} if self.reports_born else {}
 
-    def send_beat(self):
+    def send_own_heartbeat(self):
         with self.lock:
             self.sequence += 1
             executor, sequence = self.id, self.sequence
             draining = self.drained_at is not None
-        status = self.post_beat(executor, sequence)
+        status = self.post_heartbeat(executor, sequence)
         if draining and status == 200:
-            self.drain_known.set()
+            self.drain_acknowledged.set()
 
-    def beat_body(self, sequence):
+    def heartbeat_body(self, sequence):
         """Return the fields of a heartbeat."""
         with self.lock:
-            beat = {"service": "work", "address": self.address,
+            heartbeat = {"service": "work", "address": self.address,
                     "zone": self.zone, "version": "v1", "slots": 8,
                     "state": "ready", "coldRemainingMs": 0,
                     "capacity": {"cpu": self.cores * 1000,
@@ -294,15 +299,16 @@
                     "seq": sequence, **self.born_field()}
             if self.drained_at is not None:
                 left = min(self.drain_s, self.drained_at - time.monotonic())
-                beat["state"] = "draining"
-                beat["remainingMs"] = int(max(0.0, left) * 1000)
+                heartbeat["state"] = "draining"
+                heartbeat["remainingMs"] = int(max(0.0, left) * 1000)
             if sequence > 0:
-                self.last_beats[self.life] = beat
-            return beat
+                self.last_heartbeats[self.incarnation] = heartbeat
+            return heartbeat
 
-    def post_beat(self, executor, sequence):
+    def post_heartbeat(self, executor, sequence):
         """Send a heartbeat; return the response status, 0 if none came."""
-        return self.post_body(executor, json.dumps(self.beat_body(sequence)))
+        return self.post_body(executor,
+                              json.dumps(self.heartbeat_body(sequence)))
 
     def post_body(self, executor, body):
         """Send body as a heartbeat; return the response status or 0."""
@@ -327,7 +333,7 @@
     def handle(self, method, path, query, headers, body):
         if self.closed:
             return None
-        if self.dark:
+        if self.unreachable:
             time.sleep(1.0)
             return None
         order = json.loads(body)
@@ -335,9 +341,9 @@
         call = path.rsplit("/", 1)[-1]
         with self.lock:
             self.sent_fence = max(self.sent_fence, order.get("fence", 0))
-        held_s = self.held.get(order.get("task"), 0)
-        if held_s == KEPT and call == "run-start":
-            self.kept.append((call, order, target))
+        held_s = self.start_delays.get(order.get("task"), 0)
+        if held_s == UNTIL_RESTART and call == "run-start":
+            self.held_orders.append((call, order, target))
             time.sleep(0.8)
             return None
         if held_s and call == "run-start":
@@ -374,10 +380,11 @@
             if call == "run-stop":
                 return self.run_stop(order)
             if call == "hold":
-                return self.hold(order, self.is_early(order, late))
+                return self.hold(order,
+                                 self.is_from_before_restart(order, late))
             return self.answer(200)
 
-    def is_early(self, order, late):
+    def is_from_before_restart(self, order, late):
         """Return whether a late order was meant for a previous incarnation.
 
         This holds as long as no order with a newer fence has reached the
@@ -398,9 +405,9 @@
         if order["untilMs"] < self.clock():
             return self.answer(409, reason="late")
         if present is not None or not self.has_room():
-            if self.guards_room or present is not None:
+            if self.enforces_capacity or present is not None:
                 return self.answer(409, reason="room")
-            self.judge.overfull(self.life_name, task, late)
+            self.judge.over_capacity(self.incarnation_name, task, late)
         lasts = order.get("spec", "").startswith("lasts")
         endless = lasts or task in self.judge.crashers
         done_at = float("inf") if endless else time.monotonic() + self.work_s
@@ -408,11 +415,12 @@
                            "stop_at": float("inf"),
                            "began_at": time.monotonic()}
         self.extend(order)
-        self.judge.start(self.life_name, task, run,
-                         self.is_early(order, late))
-        self.judge.start_in(self.name, self.zone, task, late)
+        self.judge.start(self.incarnation_name, task, run,
+                         self.is_from_before_restart(order, late))
+        self.judge.start_in_zone(self.name, self.zone, task, late)
         if task in self.judge.crashers:
-            threading.Timer(CRASH_S, self.crash_of, (self.life,)).start()
+            threading.Timer(CRASH_S, self.crash_from_task,
+                            (self.incarnation,)).start()
         return self.answer(200)
 
     def resize(self, cores):
@@ -422,22 +430,23 @@
         know of the change.
         """
         with self.lock:
-            self.roomy_cores = max(cores, self.cores)
-            self.roomy_until = time.monotonic() + SHRINK_S
+            self.former_cores = max(cores, self.cores)
+            self.former_cores_until = time.monotonic() + CAPACITY_REPORT_S
             self.cores = cores
 
     def has_room(self):
         """Return whether there is capacity for one more run."""
         cores = self.cores
-        if not self.guards_room and time.monotonic() < self.roomy_until:
-            cores = self.roomy_cores
+        if not self.enforces_capacity \
+                and time.monotonic() < self.former_cores_until:
+            cores = self.former_cores
         return len(self.runs) < cores
 
-    def crash_of(self, life):
-        """Crash on behalf of a task that was started in incarnation life."""
-        if life == self.life and not self.closed:
-            self.judge.crash(self.life_name)
-            self.crash(self.crash_dark_s)
+    def crash_from_task(self, incarnation):
+        """Crash on behalf of a task that was started in that incarnation."""
+        if incarnation == self.incarnation and not self.closed:
+            self.judge.crash(self.incarnation_name)
+            self.crash(self.crash_outage_s)
 
     def run_stop(self, order):
         task, run = order["task"], order["run"]
@@ -462,17 +471,17 @@
         seen = order.get("seenUpto", 0)
         for row in self.ended if early else []:
             if row[0] <= seen:
-                self.judge.void(row[1])
+                self.judge.allow_rerun(row[1])
         self.ended = [row for row in self.ended if row[0] > seen]
-        life = self.life
+        incarnation = self.incarnation
         if not self.ended:
             self.lock.wait(order.get("waitMs", 0) / 1000)
-        if life != self.life or self.closed:
+        if incarnation != self.incarnation or self.closed:
             return None
         running = [[task, run["run"], "", 100, 100]
                    for task, run in self.runs.items()]
         ended = [list(row) for row in self.ended[:500]]
-        if self.garbles:
+        if self.malformed_list:
             for row in running[:1]:
                 row[1] = str(row[1])
             ended.append([0, "", -1, "vanished", 7])
--- a/tests/standins/platform_judge.py
+++ b/tests/standins/platform_judge.py
@@ -22,9 +22,9 @@
     def __init__(self, count):
         self.count = count
         self.present = 0
-        self.doomed = False  # a member crashes its executor
-        self.whole_at = None  # when the last member started
-        self.how = None  # how the run has ended for the other members
+        self.has_crasher = False  # a member crashes its executor
+        self.all_present_at = None  # when the last member started
+        self.outcome = None  # how the run has ended for the other members
 
 
 class Judge:
@@ -77,9 +77,9 @@
             gang = self.gang(task, run)
             if gang is not None:
                 gang.present += 1
-                gang.doomed = gang.doomed or task in self.crashers
-                if gang.present == gang.count and not gang.doomed:
-                    gang.whole_at = time.monotonic()
+                gang.has_crasher = gang.has_crasher or task in self.crashers
+                if gang.present == gang.count and not gang.has_crasher:
+                    gang.all_present_at = time.monotonic()
             self.starts[task] = self.starts.get(task, 0) + 1
 
     def end(self, executor, task, run, how, lasts):
@@ -88,10 +88,10 @@
             if how == "done" and not lasts:
                 self.done.add(task)
             gang = self.gang(task, run)
-            if gang is not None and gang.how is None:
-                gang.how = "done" if how == "done" else "broken"
+            if gang is not None and gang.outcome is None:
+                gang.outcome = "done" if how == "done" else "broken"
 
-    def start_in(self, name, zone, task, late):
+    def start_in_zone(self, name, zone, task, late):
         """Check the start of task on the VM name against evacuations of zone.
 
         A late start may have been ordered before the evacuation.
@@ -104,7 +104,7 @@
                 self.breaches.append(f"{task} started on {name} in {zone}, "
                                      "which is evacuated")
 
-    def overfull(self, executor, task, late):
+    def over_capacity(self, executor, task, late):
         """Record the start of a run that exceeds the executor's resources.
 
         A late start was ordered while there were enough resources.
@@ -117,7 +117,7 @@
         with self.lock:
             self.crashes.append(executor)
 
-    def void(self, task):
+    def allow_rerun(self, task):
         """Allow task to run again.
 
         To be called if the executor's lease has expired before the end of the
--- a/tests/standins/upstream.c
+++ b/tests/standins/upstream.c
@@ -36,7 +36,7 @@
 typedef struct
 {
   uint64_t number;
-  gp_hold_t hold;
+  gp_deferred_request_t request;
   gp_list_t link; /* in the list of hanging executions */
   uint64_t service_ms;
   gp_time_t started_at;
@@ -226,7 +226,7 @@
 execution_finish (void *data)
 {
   execution_t *execution = data;
-  h2o_req_t *req = gp_hold_release (&execution->hold);
+  h2o_req_t *req = gp_deferred_request_release (&execution->request);
 
   gp_list_remove (&execution->link);
   running--;
@@ -234,7 +234,7 @@
   if (req == NULL)
     write_cut (execution->number, 0);
   else if (execution->closed)
-    gp_reply_cut (req);
+    gp_reply_abort (req);
   else
     answer_start (execution, req);
   g_free (execution);
@@ -253,8 +253,8 @@
 static void
 execution_run (execution_t *execution)
 {
-  gp_standin_after (&standin, execution->service_ms, execution_finish,
-                    execution);
+  gp_standin_call_later (&standin, execution->service_ms, execution_finish,
+                         execution);
 }
 
 static execution_t *
@@ -277,7 +277,7 @@
   execution->chunked = gp_request_number (req, "chunked", 0) != 0;
   execution->truncated = gp_request_number (req, "truncate", 0) != 0;
   execution->closed = gp_request_number (req, "close", 0) != 0;
-  gp_hold_init (&execution->hold, req);
+  gp_deferred_request_init (&execution->request, req);
   gp_list_init (&execution->link);
   return execution;
 }
--- a/tests/standins/worker.c
+++ b/tests/standins/worker.c
@@ -42,7 +42,7 @@
 typedef struct
 {
   uv_timer_t timer;
-  gp_hold_t hold;
+  gp_deferred_request_t request;
   size_t after;
 } reader_t;
 
@@ -82,7 +82,7 @@
 static void
 reader_finish (reader_t *reader)
 {
-  h2o_req_t *req = gp_hold_release (&reader->hold);
+  h2o_req_t *req = gp_deferred_request_release (&reader->request);
 
   g_ptr_array_remove_fast (readers, reader);
   if (req != NULL)
@@ -129,7 +129,7 @@
     }
   reader = g_new0 (reader_t, 1);
   reader->after = after;
-  gp_hold_init (&reader->hold, req);
+  gp_deferred_request_init (&reader->request, req);
   uv_timer_init (&standin.uv, &reader->timer);
   uv_timer_start (&reader->timer, on_reader_timer, wait_ms, 0);
   g_ptr_array_add (readers, reader);
@@ -386,14 +386,14 @@
 }
 
 static void
-forget_task (gp_vmtask_t *task, h2o_req_t *req)
+delete_task (gp_vmtask_t *task, h2o_req_t *req)
 {
   if (task->state == GP_VMTASK_RUNNING)
     {
       refuse (req, 409, "running");
       return;
     }
-  gp_vm_forget (&vm, task);
+  gp_vm_remove (&vm, task);
   gp_reply_status (req, 204);
 }
 
@@ -419,7 +419,7 @@
   else if (parts[1] != NULL)
     command_task (task, parts[1], req);
   else
-    forget_task (task, req);
+    delete_task (task, req);
 }
 
 static void
--- a/tools/soak_faults.py
+++ b/tools/soak_faults.py
@@ -273,11 +273,11 @@
         name, executor = self.any_executor()
         if name in self.leaving:
             return
-        dark_s = self.random.choice([0, 0, 2, 7])
-        self.note(f"crash {executor.name}, dark {dark_s} s")
-        self.trouble(dark_s)
+        outage_s = self.random.choice([0, 0, 2, 7])
+        self.note(f"crash {executor.name}, dark {outage_s} s")
+        self.trouble(outage_s)
         self.draw_life(executor)
-        self.in_background(executor.crash, dark_s)
+        self.in_background(executor.crash, outage_s)
 
     def draw_life(self, executor):
         """Which id the next life of EXECUTOR has, and when it was born."""
@@ -298,14 +298,14 @@
         self.trouble(size * gap + 1.0)
         for i in range(size):
             executor = self.lives.choice(executors)
-            dark_s = self.lives.choice([0, 0, 0.3, 1])
-            self.later(i * gap, self.restart, executor, dark_s)
+            outage_s = self.lives.choice([0, 0, 0.3, 1])
+            self.later(i * gap, self.restart, executor, outage_s)
 
-    def restart(self, executor, dark_s):
+    def restart(self, executor, outage_s):
         self.draw_life(executor)
         self.note(f"restart {executor.name}, same id: {executor.keeps_id}, "
-                  f"dark {dark_s} s")
-        executor.crash(dark_s)
+                  f"dark {outage_s} s")
+        executor.crash(outage_s)
 
     def executor_late(self):
         _, executor = self.any_executor()
@@ -332,11 +332,12 @@
 
     def writers_heartbeats(self):
         name, executor = self.any_executor()
-        beat = executor.beat_body(0)
+        heartbeat = executor.heartbeat_body(0)
         cases = self.random.sample(
-            [(executor.id, body) for _, body in malformed_heartbeats(beat)]
+            [(executor.id, body)
+             for _, body in malformed_heartbeats(heartbeat)]
             + [(who, body) for _, who, body
-               in foreign_heartbeats(beat, executor.id)], 5)
+               in foreign_heartbeats(heartbeat, executor.id)], 5)
         self.note(f"foreign heartbeats to {name}")
 
         def send():
