--- a/tests/fuzz/fuzz_document.c
+++ b/tests/fuzz/fuzz_document.c
@@ -1,6 +1,9 @@
-/* Fuzz target: whatever the bytes, the document's check must come back; what
-   it accepts must survive the split into items and back, the form for people
-   and the way by differences.  The same bytes are read as settings.  */
+/* Fuzz target: loading a document.
+
+   For any input the document check must return.  A document that is accepted
+   must be equal after each of three round trips: into items and back, into the
+   human-readable text and back, and by applying a difference to a part of it.
+   The same input is also parsed as settings.  */
 
 #include <stddef.h>
 #include <stdint.h>
@@ -39,14 +42,15 @@
 
   if (!gp_document_items_format (document->items, text, issues)
       || !gp_document_load (&again, text->str, text->len, issues))
-    g_error ("the document does not load from its form for people");
+    g_error ("the document does not load from its formatted text");
   must_equal (document, &again);
   gp_document_finish (&again);
   g_string_free (text, TRUE);
   g_ptr_array_unref (issues);
 }
 
-/* DOCUMENT without its lists, brought forward by them.  */
+/* Check that DOCUMENT without its lists, patched with the difference to
+   DOCUMENT, is equal to DOCUMENT.  */
 static void
 check_patch (const gp_document_t *document)
 {
@@ -65,7 +69,7 @@
   delta = gp_document_items_diff (rest, document->items);
   if (!gp_document_load_items (&again, rest, issues)
       || !gp_document_patch (&again, delta, issues))
-    g_error ("the document is not reached by its difference");
+    g_error ("the difference does not apply to the partial document");
   must_equal (document, &again);
   gp_document_finish (&again);
   g_ptr_array_unref (delta);
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -1,6 +1,7 @@
-/* Fuzz target: what the platform, executors, callers, operators and the store
-   send.  The first byte chooses the decoder.  The corpus holds a body in form
-   for each decoder and cases of tests/unit/test_wire.c.  */
+/* Fuzz target: decoders of messages from the platform, executors, callers,
+   operators and the store.  The first byte selects the decoder.  The corpus
+   contains a well-formed body for each decoder and cases from
+   tests/unit/test_wire.c.  */
 
 #include <stddef.h>
 #include <stdint.h>
@@ -18,7 +19,8 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* Whatever is refused, there is an answer that tells why.  */
+/* Check that an error response with the reason can be made for each
+   refusal.  */
 static void
 answer_why (GError *error)
 {
@@ -88,10 +90,12 @@
   json_decref (json);
 }
 
-/* What the records hold; kept so that the reads of it are made.  */
+/* Combines all record bytes; volatile, so that the reads are not optimized
+   away.  */
 static volatile uint8_t sum;
 
-/* Records must lie within the page.  */
+/* Read all bytes of the records, so that AddressSanitizer finds a record that
+   is not within the page.  */
 static void
 touch_records (const gp_store_page_t *page)
 {
--- a/tests/fuzz/fuzz_records.c
+++ b/tests/fuzz/fuzz_records.c
@@ -1,9 +1,10 @@
-/* Fuzz target: records of the log and frames between processes, decoded and
-   folded into a small site.
+/* Fuzz target: log records, decoded and applied to a small site, and frames
+   between processes, decoded.
 
-   The first byte chooses the topic or the frame, the second is the size of the
-   key that follows; the rest is the value.  What is taken of the job that the
-   site knows, or of another one, is planned afterwards.  */
+   The first byte selects the topic or a frame, the second is the size of the
+   key that follows; the rest is the value.  After a record is applied, the
+   scheduler plans all jobs: the one that the site already has and any that the
+   record has added.  */
 
 #include <stddef.h>
 #include <stdint.h>
@@ -27,7 +28,7 @@
   gp_scheduler_t scheduler;
 } site_t;
 
-/* An executor with room for three tasks.  */
+/* Add a reachable executor with 4000 millicores and 4000 MB.  */
 static void
 add_executor (site_t *site, const char *id)
 {
@@ -42,7 +43,7 @@
   executor->reachable = true;
 }
 
-/* A job of three tasks and two.  */
+/* Add a job with a step of three tasks, followed by a step of two.  */
 static void
 add_job (site_t *site)
 {
@@ -131,7 +132,7 @@
     }
 }
 
-/* What a leader does with all that the site knows.  */
+/* Plan all jobs and encode their progress, as a leader does.  */
 static void
 lead (site_t *site)
 {
@@ -190,7 +191,7 @@
   const uint8_t *value;
   size_t key_size;
 
-  /* Decisions are logged, more than anybody reads here.  */
+  /* Log errors only: the scheduler logs each decision.  */
   gp_log_init ("fuzz", GP_LOG_ERROR);
   if (size < 2 || size - 2 < data[1])
     return 0;
