--- a/Makefile
+++ b/Makefile
@@ -76,7 +76,7 @@
 
 all: $(LIB) $(PROGRAMS) $(STANDINS) $(DRIVERS)
 
-# The one program that the platform runs, and nothing of the tests.
+# Only the program that runs on the platform, without the test programs.
 platform: $(BUILD)/galenapier-node
 
 $(LIB): $(LIB_OBJ)
@@ -87,7 +87,7 @@
 	@mkdir -p $(@D)
 	@$(CC) $(CPPFLAGS) $(CFLAGS) $(PKG_CFLAGS) -MMD -MP -c -o $@ $<
 
-# Its files are taken in by the assembler, which tells no dependencies.
+# The assembler includes these files but writes no dependency file.
 $(BUILD)/src/daemon/console.o: $(wildcard src/console/*) \
 	docs/schema/document.schema.json
 
@@ -102,7 +102,7 @@
 	@mkdir -p $(@D)
 	@$(CC) $(CFLAGS) -o $@ $^ $(PKG_LIBS)
 
-# An archive, so that a test links only the support that it calls.
+# An archive, so that each test links only the support code that it uses.
 $(TEST_SUPPORT): $(TEST_SUPPORT_OBJ)
 	@rm -f $@
 	@ar rcs $@ $^
@@ -146,8 +146,8 @@
 		-fsanitize=fuzzer,address,undefined \
 		-fno-sanitize-recover=undefined -o $@ $^ $(PKG_LIBS)
 
-# Longer runs of what check does in short: fuzzing, bounded in time, and the
-# scenarios of load and faults.
+# Long-running tests: fuzzing for a limited time, the scenarios of load and
+# faults, and the randomized soak.
 soak: all $(FUZZERS)
 	@tools/run-fuzz $(FUZZ_SECONDS) $(FUZZERS)
 	@tools/run-scenarios $(BUILD)
--- a/tools/checker.py
+++ b/tools/checker.py
@@ -1,8 +1,8 @@
-"""Judge what must always hold from the ledgers of a run.
+"""Check the invariants ("promises") of the system from the ledgers of a run.
 
-Each promise is judged from facts of the platform's side, the callers' side
-and the experiment tool alone; the system's own counters and views are never
-asked, but for the revision that each process says to have in force.
+The checks use only facts recorded by the stand-ins of the platform, by the
+callers and by the experiment tool.  The system's own counters and views are
+not used, except for the revision that each process reports as in force.
 """
 
 import collections
@@ -24,12 +24,12 @@
     "crash": "no process ends by itself, and each ends when told",
 }
 LIMITS = {"leave_s": 3.0, "configuration_s": 5.0, "cancel_s": 5.0}
-ANSWER_GRACE = SECOND // 10  # from an upstream's end to the caller
+ANSWER_GRACE = SECOND // 10  # from the end at the upstream to the caller
 QUANTILES = {"p50_ms": 0.5, "p99_ms": 0.99, "p99_9_ms": 0.999}
 
 
 def quantiles(values):
-    """Nearest ranks of VALUES, in milliseconds."""
+    """Return the nearest-rank quantiles of values, in milliseconds."""
     ordered = sorted(values)
     if not ordered:
         return {name: None for name in QUANTILES}
@@ -38,7 +38,11 @@
 
 
 class Checker:
-    """Breaches by promise, and figures by kind, of one folder of ledgers."""
+    """Checks one folder of ledgers.
+
+    breaches holds the violations by promise; requests(), jobs() and watchers()
+    return figures by kind.
+    """
 
     def __init__(self, folder):
         self.ledgers = Ledgers(folder)
@@ -87,7 +91,8 @@
 
     def _judge_capacity(self):
         for fact in self.ledgers.of("breach"):
-            if fact["limit"] != "real_memory_mib":  # not known beforehand
+            # The actual use of memory is not known when a task is placed.
+            if fact["limit"] != "real_memory_mib":
                 self._breach("capacity", f"{fact['node']}: {fact['limit']} "
                              f"{fact['seen']} of {fact['allowed']}")
 
@@ -109,7 +114,7 @@
                 self._judge_failure(fact, runs)
 
     def _judge_failure(self, fact, runs):
-        """A request that ended as unknown or with a broken answer."""
+        """Check a request with an unknown outcome or a broken response."""
         name = fact["request"]
         start, end = fact["arrived_us"], fact["time_us"]
         entry = self.ledgers.site["entries"].get(fact["entry"], fact["entry"])
@@ -132,7 +137,7 @@
 
     @staticmethod
     def _spoilt(runs):
-        """Whether an upstream was asked to break its answer off."""
+        """Return whether a request told its upstream to abort the response."""
         return any("truncate=1" in r.path or "close=1" in r.path
                    for r in runs)
 
@@ -179,7 +184,7 @@
             self._breach("lost", f"{task}: started again after it was done")
 
     def _disturbed(self, run, until):
-        """Whether what RUN reached may not have become known."""
+        """Return whether the result or progress of run may have been lost."""
         return self.lives.disturbed([run.node, f"{run.node}.worker"],
                                     run.start, until)
 
@@ -202,7 +207,7 @@
             last = run
 
     def _judge_end(self, run):
-        """A planned stop lets a task checkpoint first."""
+        """Check that a planned stop let the task write a checkpoint first."""
         names = [run.node, f"{run.node}.worker"]
         cut = run.state == "lost" or run.state == "running"
         if cut and self.lives.drained(names, run.start, run.end) \
@@ -261,8 +266,11 @@
             and not self._unreachable(poll["process"], poll["time_us"], grace)
 
     def _unreachable(self, name, time, grace):
-        """Whether NAME was started in an outage of the log that lasted until
-        less than GRACE before TIME: nobody may know the revision."""
+        """Return whether name may not have learned the revision yet.
+
+        This is so if it was started during an outage of the log that ended
+        less than grace before time.
+        """
         started = [i[1] for i in self.lives.away.get(name, ())
                    if i[1] <= time]
         return any(since <= max(started, default=0) <= until
@@ -282,7 +290,10 @@
         return outages
 
     def _judge_reverted(self, poll, seen):
-        """Within one life of a process its revision never falls."""
+        """Check that a process never reports a lower revision than before.
+
+        A poll that follows a restart or a pause is not compared.
+        """
         name = (poll["process"], poll["via"])
         last = seen.get(name)
         if last is not None and 0 < poll["revision"] < last["revision"] \
@@ -323,7 +334,7 @@
             and not self._succeeded(task)
 
     def _running(self, kind):
-        """Runs of KIND that were under way at the end."""
+        """Return the runs of kind that had not ended at the end."""
         return [r for r in self.ledgers.runs
                 if r.kind == kind and r.end == FOREVER]
 
@@ -337,7 +348,7 @@
     # Figures.
 
     def requests(self):
-        """A row for each kind of request, by name."""
+        """Return a row of figures for each kind of request, by name."""
         kinds = collections.defaultdict(list)
         for fact in self.ledgers.of("request"):
             kinds[fact["kind"]].append(fact)
@@ -360,7 +371,7 @@
                         if f["outcome"] == "ran")}
 
     def jobs(self):
-        """A row for each kind of job that was submitted."""
+        """Return a row of figures for each kind of job submitted."""
         kinds = {f["kind"]: [] for f in self.ledgers.of("submit")}
         for task, fact in self.accepted.items():
             kinds[fact["kind"]].append(task)
@@ -394,7 +405,7 @@
                    for t in tasks for r in self.by_task.get(t, ()))
 
     def watchers(self):
-        """A row for each kind of watcher of the document."""
+        """Return a row of figures for each kind of watcher in the document."""
         rows = {}
         for kind, count in self.ledgers.site.get("watchers", {}).items():
             tasks = {r.task for r in self.ledgers.runs if r.kind == kind}
@@ -406,7 +417,7 @@
         return rows
 
     def report(self):
-        """All of it as one object for JSON."""
+        """Return the verdict, all violations and all figures as JSON data."""
         return {"kept": self.kept, "breaches": self.breaches,
                 "requests": self.requests(), "jobs": self.jobs(),
                 "watchers": self.watchers()}
--- a/tools/experiment_run.py
+++ b/tools/experiment_run.py
@@ -1,9 +1,8 @@
 """Run a scenario on a site of real processes and record what was done.
 
-The facts go to the ledger of the tool, beside those of the stand-ins; the
-checker judges all of them together.  Each step of the time line runs in a
-thread of its own at its time.  Whatever happens, every process is ended by
-its id.
+The facts are written to the tool's own ledger, next to those of the stand-ins;
+the checker reads all of them.  Each step of the timeline runs at its time in a
+thread of its own.  Every process is ended by its id, also after an error.
 """
 
 import datetime
@@ -36,14 +35,14 @@
 WATCHERS_AT_START_S = 10.0
 CONNECTIONS = 64
 ANSWER_SIZE = 128
-TOOL_KINDS = ("idempotent",)  # of a kind of load, not for the caller
+TOOL_KINDS = ("idempotent",)  # keys of a kind that the caller does not know
 PAYLOAD = ("run_ms", "fail", "checkpoint_every_ms", "real_millicores",
            "real_memory_mib")
-PENDING_JOBS = 100000  # changed with each revision
+PENDING_JOBS = 100000  # base value; differs in each published document
 
 
 class ToolLedger:
-    """Facts of the tool, a line each, flushed at once."""
+    """The ledger of the tool: one line per fact, flushed immediately."""
 
     def __init__(self, path):
         self.file = open(path, "a", encoding="utf-8")
@@ -61,7 +60,7 @@
 
 
 class Experiment:
-    """One run of SCENARIO with the programs in BUILD."""
+    """One run of a scenario with the programs in the folder build."""
 
     def __init__(self, build, scenario, out=sys.stderr):
         self.scenario = scenario
@@ -126,7 +125,7 @@
         self.ledger.write("process", process=name, action=action)
 
     def _parts(self, step):
-        """The processes of STEP; `vm' means all on the VM of a guard."""
+        """Return the processes of step; with "vm", all on each guard's VM."""
         names = step["process"]
         names = [names] if isinstance(names, str) else names
         if not step.get("vm"):
@@ -179,10 +178,10 @@
               or process.popen.poll() is not None or self.over.is_set(),
               what=f"{name} ready")
 
-    # Steps of the time line.
+    # Steps of the timeline.
 
     def _later(self, step, action, names):
-        """Do ACTION to NAMES once the time of STEP is over."""
+        """Apply action to names when the duration for_s of step is over."""
         if "for_s" in step and not self.over.wait(step["for_s"]):
             for name in names:
                 self.say(f"{action.__name__.strip('_')} {name}")
@@ -210,7 +209,7 @@
 
     def do_drain(self, step):
         names = self._parts(step)
-        for name in names:  # the guard first, then what it guards
+        for name in names:  # the guard first, then its upstream and worker
             self._terminate(name)
         self._later(step, self._start, names[::-1])
 
@@ -259,7 +258,10 @@
         self.say(f"submit {step['kind']}: {status}, {len(ids)} jobs")
 
     def _submit(self, body):
-        """As an operator would: again with the same key until it is sure."""
+        """Submit as an operator does: retry with the same key.
+
+        Retries until the outcome is known or SUBMIT_S have passed.
+        """
         headers = {"Idempotency-Key": f"{self.random.getrandbits(64):016x}"}
         deadline = time.monotonic() + SUBMIT_S
         while True:
@@ -271,7 +273,10 @@
                 return status, answer
 
     def _operate(self, method, path, body=None, entry=None, headers=None):
-        """Ask ENTRY, or the first that answers; status and JSON object."""
+        """Call entry, or the first entry that responds.
+
+        Returns the status and the JSON object of the response.
+        """
         status, answer = 0, b""
         for name in [entry] if entry else self.site.entry_names:
             status, _, answer = self.site.operate(
@@ -308,8 +313,10 @@
             self.errors.append("publish: none accepted")
 
     def _publish(self, number, base):
-        """Publish a document that differs in one number, which tells it from
-        all others; each racer asks another entry."""
+        """Publish a document with a unique number as its pending_jobs limit.
+
+        The number identifies the document.  Each racer calls another entry.
+        """
         mark = PENDING_JOBS + 100 * base + number
         document = json.loads(json.dumps(self.document))
         document.setdefault("limits", {})["pending_jobs"] = mark
@@ -378,7 +385,7 @@
             "--connections", str(step.get("connections", CONNECTIONS)),
             "--seed", str(self.scenario.get("seed", 1)))
 
-    # Polls of the revision in force.
+    # Polling the revision in force.
 
     def _poll(self):
         count = 0
@@ -408,7 +415,7 @@
                           revision=answer["revision"],
                           digest=document["limits"]["pending_jobs"])
 
-    # The whole.
+    # The run.
 
     def _site_fact(self, published):
         site = self.site
@@ -444,7 +451,10 @@
             self._await_watchers()
 
     def _await_leases(self):
-        """Workers that are known at the start get their share of it."""
+        """Wait until all workers have their leases.
+
+        Only workers that are known at the start get a share of the first work.
+        """
         processes = [self.site.processes[g] for g in self.site.guard_names]
         try:
             until(lambda: all("lease.held" in p.log() for p in processes),
@@ -453,7 +463,10 @@
             self.errors.append(str(error))
 
     def _try_publish(self):
-        """The first configuration; an entry may still be reading the log."""
+        """Publish the first configuration.
+
+        Returns None to try again, as an entry may still be reading the log.
+        """
         status = self._publish(0, 0)
         if status == 404:
             self.say("no configuration taken here: going on without")
@@ -468,7 +481,7 @@
         return Checker(self.site.folder).breaches["lost"]
 
     def _settle(self):
-        """Wait for all accepted work to be done."""
+        """Wait until all accepted work is done, for settle_s at most."""
         deadline = time.monotonic() + self.limits.get("settle_s", SETTLE_S)
         while self._open_work() and time.monotonic() < deadline:
             time.sleep(SETTLE_POLL_S)
@@ -484,11 +497,11 @@
                          + process.log()[-2000:])
 
     def keep(self, folder):
-        """Copy ledgers, settings and logs to FOLDER."""
+        """Copy the ledgers, settings and logs to folder."""
         shutil.copytree(self.folder, folder, dirs_exist_ok=True)
 
     def run(self):
-        """Run all of it; the report."""
+        """Run the scenario and return the checker's report."""
         self.say(f"{self.scenario['name']}: bringing the site up")
         self._bring_up()
         self.started = time.monotonic()
@@ -521,7 +534,10 @@
 
 
 def deadline_s(job, document):
-    """Seconds from now to the deadline of JOB; DOCUMENT has its zone."""
+    """Return the seconds from now to the deadline of job.
+
+    A time of day is in the time zone of the document.
+    """
     if "deadline_s" in job:
         return job["deadline_s"]
     zone = zoneinfo.ZoneInfo(document.get("time_zone", "UTC"))
--- a/tools/ledgers.py
+++ b/tools/ledgers.py
@@ -1,7 +1,7 @@
-"""Facts of a run, as the stand-ins and the experiment tool wrote them.
+"""Read the ledgers of a run, written by the stand-ins and the experiment tool.
 
-docs/internals/ledger.md describes each line.  Nothing here was written by
-the system's own processes.
+docs/internals/ledger.md describes each line.  The system's own processes write
+no ledger.
 """
 
 import dataclasses
@@ -10,12 +10,12 @@
 import os
 
 FOREVER = float("inf")
-SECOND = 1_000_000  # ledgers are in microseconds
+SECOND = 1_000_000  # times in ledgers are in microseconds
 
 
 @dataclasses.dataclass
 class Execution:
-    """A request that an upstream ran."""
+    """One execution of a request by an upstream."""
     node: str
     request: str
     key: str
@@ -27,27 +27,29 @@
 
 @dataclasses.dataclass
 class Run:
-    """A task on a worker under one epoch."""
+    """One run of a task on a worker, with one epoch."""
     node: str
     boot: str
     task: str
     epoch: int
     kind: str
     start: float
-    progress: int  # where it went on from
+    progress: int  # progress at its start
     end: float = FOREVER
-    state: str = ""  # of its end; empty: no end was written
+    state: str = ""  # final state; empty if no end was written
     left_at: int = 0  # progress at its end
     checkpoints: list = dataclasses.field(default_factory=list)
 
 
 class Lives:
-    """When each process was disturbed, by the tool's own facts."""
+    """When each process was killed, paused or drained by the tool."""
 
     def __init__(self, facts):
-        self.hard = {}  # killed until ready, stopped until continued
-        self.drains = {}  # told to end until it had
+        # Intervals by process.
+        self.hard = {}  # from a kill until ready, or paused
+        self.drains = {}  # from SIGTERM until the exit
         self.away = {}  # any of these, until ready again
+        # Times by process.
         self.kills = {}
         self.starts = {}
         for fact in facts:
@@ -90,7 +92,7 @@
         return any(i[0] <= end and i[1] >= start for i in intervals)
 
     def disturbed(self, names, start, end):
-        """Whether one of NAMES was killed or paused from START to END."""
+        """Return whether any of names was killed or paused in the interval."""
         return any(self._overlaps(self.hard.get(n, ()), start, end)
                    for n in names)
 
@@ -99,23 +101,23 @@
                    for n in names)
 
     def settled(self, name, time, grace):
-        """Whether NAME has run without a break for GRACE at TIME."""
+        """Return whether name has run undisturbed for grace before time."""
         return not self._overlaps(self.away.get(name, ()), time - grace, time)
 
     def leaving(self, name):
-        """Intervals from when NAME was told to end to its next start."""
+        """Yield the intervals from each SIGTERM to the next start of name."""
         for told, _ in self.drains.get(name, ()):
             later = [s for s in self.starts.get(name, ()) if s > told]
             yield told, min(later, default=FOREVER)
 
     def killed_after(self, name, time):
-        """When NAME was last able to act after TIME."""
+        """Return when name was first killed at or after time."""
         kills = [k for k in self.kills.get(name, ()) if k >= time]
         return min(kills, default=FOREVER)
 
 
 class Ledgers:
-    """All facts of a folder, up to the end of the run."""
+    """All facts in the ledgers of a folder, up to the end of the run."""
 
     def __init__(self, folder):
         self.facts = {}  # by event
@@ -144,7 +146,7 @@
                 try:
                     facts.append(json.loads(line))
                 except ValueError:
-                    self.torn += 1  # a process was killed as it wrote
+                    self.torn += 1  # a process was killed while writing
         return facts
 
     def _take(self, facts):
@@ -185,7 +187,7 @@
         return run
 
     def _bound_runs(self):
-        """A run without an end lasted until its VM was killed."""
+        """Let runs and executions without an end last until a kill."""
         for run in self.runs:
             if not run.state:
                 run.end = self.lives.killed_after(f"{run.node}.worker",
--- a/tools/report.py
+++ b/tools/report.py
@@ -1,4 +1,4 @@
-"""A run's figures and verdict as text."""
+"""Format the figures and the verdict of a run as text."""
 
 from checker import PROMISES
 
@@ -14,7 +14,7 @@
 
 
 def table(title, rows):
-    """Lines of ROWS (dictionaries by name) in columns."""
+    """Return rows, a dictionary of dictionaries, as lines in columns."""
     if not rows:
         return []
     names = list(next(iter(rows.values())))
@@ -30,7 +30,7 @@
 
 
 def text(report):
-    """The whole REPORT of a checker."""
+    """Return the complete report of a checker as text."""
     lines = table("requests", report["requests"])
     lines += table("jobs", report["jobs"])
     lines += table("watchers", report["watchers"])
@@ -40,7 +40,7 @@
 
 
 def verdict(report):
-    """One line a promise, and the first breaches of each."""
+    """Return one line per promise, followed by its first violations."""
     lines = []
     for name, meaning in PROMISES.items():
         breaches = report["breaches"][name]
--- a/tools/scenario.py
+++ b/tools/scenario.py
@@ -1,6 +1,6 @@
-"""Read a scenario; every unknown key or value of a wrong kind is refused
-with its line.
+"""Read and validate a scenario.
 
+Unknown keys and values of a wrong type are errors that name the line.
 docs/operators/experiments.md explains each key.
 """
 
@@ -60,14 +60,14 @@
 
 
 class ScenarioError(Exception):
-    """The text says the file, the line and what is allowed."""
+    """An invalid scenario; the text names the file and the line."""
 
 
 class _Reader:
     def __init__(self, path):
         self.path = path
         self.loader = None
-        self.processes = []  # nodes that name one
+        self.processes = []  # YAML nodes that name a process
 
     def fail(self, node, text):
         mark = node.start_mark
@@ -122,7 +122,7 @@
         return result
 
     def _step(self, node, _, where):
-        """What a step may say depends on what it does."""
+        """Read a step; its schema depends on its "do"."""
         pairs = self._pairs(node, where)
         key, value = pairs.get("do", (node, node))
         if "do" not in pairs or value.value not in STEPS:
@@ -138,7 +138,7 @@
 
 
     def check_processes(self, site):
-        """Steps may name processes of SITE only."""
+        """Check that the steps name only processes of site."""
         known = {"log"}
         known.update(f"entry-{i + 1}" for i in range(site.get("entries", 1)))
         for i in range(site.get("guards", 1)):
@@ -152,7 +152,7 @@
 
 
 def load(path):
-    """The scenario in the file PATH, or a ScenarioError."""
+    """Return the scenario in the file at path, or raise ScenarioError."""
     reader = _Reader(path)
     try:
         with open(path, encoding="utf-8") as file:
@@ -173,7 +173,7 @@
 
 
 def _document(scenario, folder):
-    """The operators' document, scaled to the site of the scenario."""
+    """Return the operators' document, scaled to the site of the scenario."""
     document = scenario.get("document")
     if isinstance(document, str):
         with open(os.path.join(folder, document), encoding="utf-8") as file:
@@ -190,8 +190,10 @@
 
 
 def _scale(document, guards):
-    """Bring counts, quotas and limits down from the document's fleet to
-    GUARDS workers."""
+    """Scale counts, quotas and limits from the document's fleet to guards.
+
+    guards is the number of workers at the site.
+    """
     share = guards / document["workers"][0]["count"]
 
     def scaled(mapping, *names):
--- a/tools/site_processes.py
+++ b/tools/site_processes.py
@@ -1,9 +1,9 @@
-"""A small site of real processes on loopback, for scripted runs and the
-experiment tool.
+"""A small site of real processes on loopback.
 
-A Site holds the log stand-in, entries, and guards with their executors and
-worker runtimes.  Every process is started by this module alone, is known by
-its name, and is ended by its id when the Site is closed, whatever happens.
+It is used by the scripted tests and the experiment tool.  A Site has the log
+stand-in, entries, and guards with their upstreams and worker runtimes.  Only
+this module starts the processes.  Each has a name, and is ended by its id when
+the Site is closed, also after an error.
 """
 
 import contextlib
@@ -29,13 +29,15 @@
 
 
 _given_ports = set()
-# A locked byte for each port that a run has taken.
+# Each reserved port is a locked byte of this file, which all runs share.
 _ports_file = None
 
 
 def _reserve(port):
-    """Take PORT for this run until it ends, unless another run has it: what
-    listens there may be down for a while."""
+    """Reserve port for this run until it ends; return False if it is in use.
+
+    The reservation also holds while the process that listens there is down.
+    """
     global _ports_file
     if _ports_file is None:
         path = os.path.join(tempfile.gettempdir(), "galenapier-ports")
@@ -50,10 +52,11 @@
 
 
 def free_port(count=1):
-    """The first of COUNT TCP ports of loopback in a row that are free now,
-    others each time.  They are none of those that the kernel gives to outgoing
-    connections, which could take one while the process that listens there is
-    down."""
+    """Reserve count consecutive TCP ports of loopback; return the first.
+
+    Ports of the kernel's range for outgoing connections are not used: such a
+    connection could take one while the process that listens there is down.
+    """
     with open("/proc/sys/net/ipv4/ip_local_port_range",
               encoding="ascii") as file:
         above = int(file.read().split()[0])
@@ -66,7 +69,7 @@
 
 
 def until(condition, timeout_s=START_TIMEOUT_S, what="condition"):
-    """Wait for CONDITION() to be true and return its value."""
+    """Wait until condition() is true and return its value."""
     deadline = time.monotonic() + timeout_s
     while True:
         value = condition()
@@ -79,15 +82,18 @@
 
 def request(address, method, path, body=None, headers=None,
             timeout_s=REQUEST_TIMEOUT_S):
-    """Status, headers (lower case) and body; status 0 when no whole answer
-    comes."""
+    """Send a request; return the status, the headers and the body.
+
+    Header names are in lower case.  The status is 0 if no complete response
+    is received.
+    """
     client = http.client.HTTPConnection(address, timeout=timeout_s)
     try:
         try:
             client.request(method, path, body, headers or {})
         except (BrokenPipeError, ConnectionResetError):
-            # Refused before the whole body was sent: read the answer, if the
-            # connection came to be.
+            # The server may have refused the request before it received the
+            # complete body: read the response if there was a connection.
             if client.sock is None:
                 return 0, {}, b""
         answer = client.getresponse()
@@ -101,8 +107,11 @@
 
 @contextlib.contextmanager
 def deferred_signals():
-    """Signals that come inside are handled after it, so that no process is
-    started without being known.  Only the main thread handles any."""
+    """Defer the handling of SIGNALS to the end of the with block.
+
+    Otherwise a signal could leave a process that was started but not yet
+    recorded.  Does nothing outside the main thread, which handles all signals.
+    """
     if threading.current_thread() is not threading.main_thread():
         yield
         return
@@ -119,7 +128,7 @@
 
 
 class Process:
-    """One started program with its output in files."""
+    """A started program, whose output is appended to a log file."""
 
     def __init__(self, site, name, arguments):
         self.name = name
@@ -153,15 +162,18 @@
             return log.read()
 
     def log_of_life(self):
-        """What it has written since its last start."""
+        """Return the output since the last start."""
         with open(self.log_path, "rb") as log:
             log.seek(self.log_start)
             return log.read().decode(errors="replace")
 
 
 class Site:
-    """Processes of one site.  Zones are given to entries and guards in
-    turn.  Times in `timings` are those of the settings."""
+    """The processes of one site.
+
+    Zones are assigned to entries and guards round-robin.  timings is the
+    section of that name in the settings.
+    """
 
     def __init__(self, build, name="test", zones=("a", "b"), entries=1,
                  guards=1, service="reclamos-api", slots=8, connections=64,
@@ -175,8 +187,8 @@
         self.folder = folder or tempfile.mkdtemp(prefix="galenapier-")
         self.name = name
         self.region = region
-        # Several: given to entries and guards in turn.  Each has a log, and
-        # the configuration is on the first.
+        # Regions are assigned to entries and guards round-robin.  Each has its
+        # own log; the configuration is in the log of the first.
         self.regions = regions or [region]
         self.logs = ["log"] + [f"log-{i + 1}"
                                for i in range(1, len(self.regions))]
@@ -185,7 +197,7 @@
         self.timings = timings or {}
         self.max_body_kib = max_body_kib
         self.processes = {}
-        self.closing = False  # nothing is started any more
+        self.closing = False  # once set, no process is started
         self.lock = threading.Lock()
         self.addresses = {}
         self.guard_options = {
@@ -204,7 +216,7 @@
             self.start()
 
     def start(self):
-        """Start all processes; none is left if that fails."""
+        """Start all processes; if that fails, end those started."""
         try:
             if self.tls:
                 self._make_certificates()
@@ -264,7 +276,7 @@
         return self.regions[number % len(self.regions)]
 
     def _peers_of(self, name, entry):
-        """Where the process NAME reaches ENTRY."""
+        """Return the peer address at which the process name reaches entry."""
         return self.addresses.get(f"{name}>{entry}",
                                   self.addresses[f"{entry}.peers"])
 
@@ -364,13 +376,16 @@
         self._await_ready(f"{guard}.worker")
 
     def start_caller(self, name, *arguments):
-        """Start a load generator with ARGUMENTS; the process."""
+        """Start a load generator with arguments; return its Process."""
         return self._start(name, f"{self.build}/standins/caller",
                            "--name", name, "--ledger", self.ledger(name),
                            *arguments)
 
     def start_guard(self, name, alone=False):
-        """Start a guard; unless ALONE, what it guards first."""
+        """Start a guard.
+
+        Unless alone, first start its upstream and its worker.
+        """
         options = self.guard_options
         settings = self._settings(name)
         guard = {"peers": self.addresses[f"{name}.peers"]}
@@ -408,12 +423,14 @@
                               **(headers or {})})
 
     def fault(self, name, faults):
-        """Set faults of a stand-in: "log", "GUARD.upstream" or
-        "GUARD.runtime"."""
+        """Set faults of the stand-in name.
+
+        Names are "log", "GUARD.upstream" and "GUARD.runtime".
+        """
         self.control(name, "POST", faults)
 
     def control(self, name, method, faults=None):
-        """Set or get the faults of a stand-in."""
+        """Set or get the faults of a stand-in; return all of them."""
         body = json.dumps(faults) if faults is not None else None
         status, _, answer = request(self.addresses[f"{name}-control"], method,
                                     "/faults", body)
@@ -429,8 +446,10 @@
         return 0
 
     def await_targets_of(self, entry, count):
-        """Wait until ENTRY routes to COUNT upstreams and, when there are any,
-        takes callers."""
+        """Wait until entry routes to count upstreams.
+
+        If count is not 0, also wait until it is ready for callers.
+        """
         until(lambda: self.counter(entry, "entry_targets_routed") == count,
               what=f"{count} targets at {entry}")
         if count > 0:
@@ -438,13 +457,15 @@
                   what=f"{entry} ready")
 
     def await_targets(self, count):
-        """Wait until each entry routes to COUNT upstreams."""
+        """Wait until each entry routes to count upstreams."""
         for entry in self.entry_names:
             self.await_targets_of(entry, count)
 
     def facts(self, name):
-        """Lines of the ledger of a stand-in.  One that is still being
-        written is no line yet."""
+        """Return the complete lines in the ledger of a stand-in.
+
+        A line that is still being written is omitted.
+        """
         with open(self.ledger(name), encoding="utf-8") as ledger:
             return [json.loads(line) for line in ledger
                     if line.endswith("\n") and line.strip()]
--- a/tools/soak_callers.py
+++ b/tools/soak_callers.py
@@ -1,5 +1,7 @@
-"""Callers of the soak: they submit, cancel and ask on connections that they
-keep open and use until the process at the other end is gone."""
+"""Callers of the soak: they submit, cancel and query jobs.
+
+They use keep-alive connections until the process at the other end has ended.
+"""
 
 import json
 import random
@@ -10,25 +12,25 @@
 from platform_site import HOST
 
 TIMEOUT_S = 10.0
-KNOWN_S = 3.0  # from when on each entry has to know an accepted job
-LASTING_MAX = 8  # so that they leave room on the workers
+KNOWN_S = 3.0  # after this, each entry must know an accepted job
+LASTING_MAX = 8  # limits long-running jobs, to leave resources for others
 STEPS = [{"count": 3, "cpu": 1000, "memMb": 10, "estimateMs": 300},
          {"count": 2, "cpu": 1000, "memMb": 10, "after": [0]}]
 LASTING = [{"count": 2, "cpu": 1000, "memMb": 10, "longRunning": True}]
 
 
 class Cut(Exception):
-    """A connection ended in the middle of an answer."""
+    """The connection was closed before the response was complete."""
 
 
 class Connection:
-    """An HTTP/1.1 connection to ADDRESS, made when it is needed."""
+    """An HTTP/1.1 keep-alive connection to address, opened on demand."""
 
     def __init__(self, address):
         host, port = address.rsplit(":", 1)
         self.address = (host, int(port))
         self.socket = None
-        self.unanswered = 0  # calls on an open connection that closed then
+        self.unanswered = 0  # calls during which an open connection closed
 
     def close(self):
         if self.socket is not None:
@@ -36,7 +38,7 @@
         self.socket = None
 
     def forget_closed(self):
-        """Close a connection that the other side has closed."""
+        """Close the connection if the peer has closed it."""
         if self.socket is None:
             return
         self.socket.setblocking(False)
@@ -49,7 +51,11 @@
             self.close()
 
     def call(self, method, path, body=b""):
-        """Status and body; status 0 when no answer comes.  Raises Cut."""
+        """Send a request; return the status and the body.
+
+        The status is 0 if there is no response.  Raises Cut if the connection
+        is closed within the response.
+        """
         head = [f"{method} {path} HTTP/1.1", f"Host: {HOST['Host']}",
                 f"Content-Length: {len(body)}", "", ""]
         data = b""
@@ -91,11 +97,11 @@
 
 
 class Book:
-    """What callers know of their jobs."""
+    """What the callers know about their jobs."""
 
     def __init__(self):
         self.lock = threading.Lock()
-        self.accepted = {}  # job: whether it lasts
+        self.accepted = {}  # job: whether it is long-running
         self.accepted_at = {}
         self.refused = set()
         self.unknown = set()
@@ -113,7 +119,7 @@
                 self.unknown.add(job)
 
     def alive(self):
-        """Jobs that last and were not cancelled."""
+        """Return the long-running jobs that were not cancelled."""
         with self.lock:
             return [job for job, lasts in self.accepted.items()
                     if lasts and job not in self.cancelled]
@@ -124,14 +130,20 @@
                 else None
 
     def cancel(self, job):
-        """Before it is asked for: from then on it may end."""
+        """Record a cancellation.
+
+        To be called before the request is sent, as the job may end from then
+        on.
+        """
         with self.lock:
             self.cancelled.add(job)
 
 
 class Caller:
-    """One caller with a connection to each entry; it pauses for PAUSE_S after
-    each job."""
+    """One caller with a connection to each entry.
+
+    It pauses for pause_s after each job.
+    """
 
     def __init__(self, site, faults, book, name, pause_s):
         self.site = site
@@ -170,7 +182,8 @@
             if status not in (0, 504):
                 break
             doubtful = True
-        # A refusal is of this try; one before may have been carried out.
+        # A refusal only applies to the last attempt; an earlier one without a
+        # response may have been accepted.
         self.book.take_answer(job, lasts, 0 if doubtful and status != 200
                               else status)
 
--- a/tools/soak_checks.py
+++ b/tools/soak_checks.py
@@ -1,5 +1,8 @@
-"""Checks of the soak: what was accepted ends, what was refused does not run,
-and tasks that last are at work again soon."""
+"""Checks of the soak.
+
+Accepted jobs must end, refused jobs must not run, and long-running tasks must
+be running again soon after an interruption.
+"""
 
 import threading
 import time
@@ -8,19 +11,19 @@
 
 SETTLE_S = 40
 LOOK_S = 0.05
-# Tasks that last are at work again within this when nothing unplanned goes on.
+# Time within which long-running tasks must run again without unplanned faults.
 LASTING_S = 6.0
 LASTING_COUNT = 2
 
 
 class LastingWatch:
-    """Watches the tasks that last, in a thread."""
+    """Watches the long-running tasks in a thread."""
 
     def __init__(self, site, faults, book):
         self.site = site
         self.faults = faults
         self.book = book
-        self.short_since = {}  # job: since when tasks are missing
+        self.short_since = {}  # job: time since which a task is not running
         self.worst_s = 0.0
         self.breaches = {}
         self.ended = threading.Event()
@@ -53,8 +56,10 @@
 
 
 def check_ends(site, book):
-    """Breaches by jobs that do not come to their ends, once all faults are
-    over."""
+    """Return the violations by jobs that do not end.
+
+    To be called when all faults are over.
+    """
     breaches = []
     entry = next(iter(site.entries))
     deadline = time.monotonic() + SETTLE_S
--- a/tools/soak_crashers.py
+++ b/tools/soak_crashers.py
@@ -1,6 +1,8 @@
-"""Jobs of the soak that can't be done: a task of theirs takes down every executor
-that starts it.  Whatever else goes on, each is given up in time, and no other
-job for it."""
+"""Jobs of the soak with a task that crashes every executor that starts it.
+
+Each such job must fail in time, whatever other faults there are, and no other
+job may fail because of it.
+"""
 
 import contextlib
 import json
@@ -10,10 +12,10 @@
 
 from platform_site import until
 
-# Three executors may go down under a task, and two more while that is noticed.
+# A task may crash three executors, and two more until that is noticed.
 STARTS_MAX = 5
 GIVEN_UP_S = 60
-# The last one is submitted within the soak, by one entry or the next.
+# Time by which the last job must have been submitted.
 SUBMITTED_S = 30
 LOOK_S = 0.05
 STEP = {"count": 3, "cpu": 1000, "memMb": 10, "estimateMs": 300}
@@ -21,7 +23,7 @@
 
 
 class Crashers:
-    """Submits COUNT such jobs within SECONDS, in a thread."""
+    """Submits count such jobs at random times within seconds, in a thread."""
 
     def __init__(self, site, faults, seed, count, seconds):
         self.site = site
@@ -31,7 +33,7 @@
                               for _ in range(count))
         self.tasks = {}  # job: its task
         self.seen = 0
-        self.submitted = threading.Event()  # all of them were
+        self.submitted = threading.Event()  # set when all are submitted
         self.ended = threading.Event()
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
@@ -44,7 +46,7 @@
                 self.submit()
             if not self.moments:
                 self.submitted.set()
-            # What an executor that goes down leaves behind is trouble.
+            # A crash of an executor counts as an unplanned fault.
             if len(self.site.judge.crashes) > self.seen:
                 self.seen += 1
                 self.faults.trouble(1.0)
@@ -69,12 +71,15 @@
                     return
 
     def most_starts(self):
-        """Of one such task."""
+        """Return the highest number of starts of any such task."""
         return max((self.site.judge.starts.get(task, 0)
                     for task in self.tasks.values()), default=0)
 
     def end(self):
-        """Stop, and return the breaches, once all faults are over."""
+        """Stop and return the violations.
+
+        To be called when all faults are over.
+        """
         entry = next(iter(self.site.entries))
         breaches = []
         if not self.submitted.wait(SUBMITTED_S):
--- a/tools/soak_faults.py
+++ b/tools/soak_faults.py
@@ -1,7 +1,8 @@
-"""Faults of the soak: each begins one at the site and puts its end off.
+"""Faults of the soak.  Each kind begins a fault at the site and its later end.
 
-Planned ones (stops, reloads, documents, workers that come and leave) and what
-other writers send must not be felt; the others may cost time.
+Planned events (stops, reloads, documents, workers that join and leave) and the
+input from other writers must have no effect that users notice; the other
+faults may cause delays.
 """
 
 import copy
@@ -17,29 +18,33 @@
                            malformed_heartbeats)
 from platform_site import DOCUMENT, GRACE_S
 
-# So long after the end of an unplanned fault it may still be felt: the leases
-# of executors that nobody reaches run out, and work is started elsewhere.
+# An unplanned fault may have effects for this long after its end: the leases
+# of unreachable executors expire, and work is started elsewhere.
 AFTERMATH_S = 16.0
-# A process that has just been started is left alone: until it has set up its
-# handlers, any signal ends it.
+# No signals are sent to a process for this long after its start: until it has
+# installed its handlers, any signal ends it.
 STARTUP_S = 0.5
 
 
 class Faults:
-    """Faults at SITE, of the kinds that are not in WITHOUT."""
+    """Faults at a site.
+
+    Kinds whose name contains a word in without are excluded.
+    """
 
     def __init__(self, site, seed, profile, without, workers, lives=False):
         self.site = site
-        # Draws of its own, so that the schedule of a seed is the same without.
+        # A separate generator, so that the schedule drawn from self.random
+        # does not depend on lives.
         self.lives = random.Random(f"lives {seed}") if lives else None
         self.random = random.Random(f"faults {seed}")
-        self.workers = workers  # as many at the start
+        self.workers = workers  # initial number of workers
         self.began = time.monotonic()
         self.lock = threading.Lock()
         self.notes = []
         self.breaches = []
         self.threads = []
-        self.leaving = set()  # processes that end or start
+        self.leaving = set()  # processes that are ending or starting
         self.troubled = {}  # process: when it last had an unplanned fault
         self.unplanned_until = 0.0
         self.added = workers
@@ -73,7 +78,7 @@
             self.notes.append(f"{time.monotonic() - self.began:8.2f} {text}")
 
     def trouble(self, duration_s, names=()):
-        """Something unplanned goes on for DURATION_S, at processes NAMES."""
+        """Record an unplanned fault for duration_s at the processes names."""
         now = time.monotonic()
         with self.lock:
             self.unplanned_until = max(self.unplanned_until,
@@ -107,7 +112,10 @@
         return self.random.choice(self.processes())
 
     def take(self, name):
-        """Nobody else ends NAME from now on, if it is not being ended."""
+        """Claim the process name, so that no other fault ends it.
+
+        Returns the process, or None if it is already ending or starting.
+        """
         with self.lock:
             if name in self.leaving or name not in self.site.processes:
                 return None
@@ -133,13 +141,13 @@
         self.start_again(name, pause_s)
 
     def stop(self, name, pause_s):
-        """SIGTERM, and SIGKILL to a process that stays on."""
+        """Send SIGTERM, then SIGKILL if the process does not end in time."""
         process = self.take(name)
         if process is None:
             return
         self.note(f"stop {name}")
         if self.leaving.issuperset(self.site.entries):
-            self.trouble(GRACE_S + pause_s)  # nobody is left to lead
+            self.trouble(GRACE_S + pause_s)  # no entry is left to lead
         began = time.monotonic()
         process.signal(signal.SIGTERM)
         try:
@@ -180,7 +188,10 @@
                            self.random.uniform(0.2, 8))
 
     def series(self, action, pauses_s):
-        """ACTION at several processes of one role, one after the other."""
+        """Apply action to several processes in turn.
+
+        They are entries, guards or any processes.
+        """
         names = self.processes()
         entries = [name for name in names if name in self.site.entries]
         guards = [name for name in names if name not in self.site.entries]
@@ -204,7 +215,10 @@
         self.series(self.reload, None)
 
     def documents(self):
-        """Versions quickly one after the other; the queue in use stays."""
+        """Publish several documents in quick succession.
+
+        The queue in use does not change.
+        """
         size, gap = self.random.randint(3, 30), self.random.uniform(0, 0.1)
         self.note(f"{size} documents")
         steps = [self.random.randint(1, 5) for _ in range(size)]
@@ -256,7 +270,11 @@
         self.in_background(self.let_start, name)
 
     def zone_evacuated(self):
-        """Counts as trouble, as the workers of the others may all have left."""
+        """Evacuate a zone for some time.
+
+        This counts as unplanned, as all workers of the other zones may have
+        left.
+        """
         zone, seconds = (self.random.choice(self.site.zones),
                          self.random.uniform(0.5, 9))
         if zone in self.site.judge.evacuated:
@@ -280,7 +298,7 @@
         self.in_background(executor.crash, outage_s)
 
     def draw_life(self, executor):
-        """Which id the next life of EXECUTOR has, and when it was born."""
+        """Draw the id and the birth of the executor's next incarnation."""
         if self.lives is None:
             return
         executor.keeps_id = self.lives.random() < 0.7
@@ -288,7 +306,7 @@
         executor.clock_s = self.lives.choice([1, 100, 10000])
 
     def executor_restarts(self):
-        """Executors start again, some twice and more in a row."""
+        """Restart executors, some of them repeatedly."""
         executors = [executor for name, executor
                      in list(self.site.executors.items())
                      if name not in self.leaving]
@@ -393,7 +411,7 @@
     # Links.
 
     def some_links(self):
-        """One link, or all of one process, or all of one kind."""
+        """Return one link, all of one process, or all of one kind."""
         names = list(self.site.links)
         word = self.random.choice(self.random.choice(names).split())
         if self.random.random() < 0.4:
@@ -439,7 +457,7 @@
             self.site.links[name].heal()
 
     def end_all(self):
-        """Wait for the ends of all faults, and see that all processes run."""
+        """Wait until all faults are over and check that all processes run."""
         self.join()
         self.site.store.down, self.site.store.refused = None, set()
         self.site.store.lost = 0
--- a/tools/soak_late.py
+++ b/tools/soak_late.py
@@ -1,12 +1,15 @@
-"""Faults of the soak around the starts of tasks that take executors down: what
-makes a start that is to be alone late, so that its end may tell nothing."""
+"""Faults of the soak that delay the starts of tasks that crash executors.
+
+They delay isolated starts, so that the crash of the executor may not be
+attributed to the task.
+"""
 
 import random
 import threading
 
 from ordered_late import alone_in
 
-# Executors carry starts out late by these bounds.
+# Bounds of the delay with which executors carry out starts.
 LATE_S = [(0.1, 4.5), (2.0, 12.0)]
 LATE_SHARE = 0.8
 KINDS_AT_ONCE = 2
@@ -14,8 +17,10 @@
 
 
 class LateStarts:
-    """Draws two faults at each crash at SITE, with draws of its own; none
-    begins after `end`."""
+    """Begins two random faults at each crash of an executor at the site.
+
+    It has its own random generator.  No fault begins after end().
+    """
 
     def __init__(self, site, faults, crashers, seed):
         self.site = site
@@ -23,7 +28,8 @@
         self.crashers = crashers
         self.random = random.Random(f"late {seed}")
         self.over = threading.Event()
-        self.away = None  # how the store goes with the next start, and how long
+        # How the store fails at the next isolated start, and for how long.
+        self.away = None
         self.append = site.store.append
         site.store.append = self.on_append
         self.kinds = [self.starts_late, self.store_away, self.guard_killed,
@@ -60,7 +66,7 @@
             executor.late, executor.late_s, executor.late_calls = 0.0, 1.0, None
 
     def store_away(self, worker):
-        """The store goes with the append that starts such a task alone."""
+        """Make the store fail at the append of the next isolated start."""
         self.away = (self.random.choice(["busy", "silent"]),
                      self.random.uniform(1, 8))
 
