--- a/tests/fuzz/fuzz_document.c
+++ b/tests/fuzz/fuzz_document.c
@@ -14,7 +14,7 @@
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
 static void
-must_equal (const gp_document_t *left, const gp_document_t *right)
+check_equal (const gp_document_t *left, const gp_document_t *right)
 {
   if (!gp_document_items_equal (left->items, right->items))
     g_error ("the items differ");
@@ -28,7 +28,7 @@
 
   if (!gp_document_load_items (&again, document->items, issues))
     g_error ("the document does not load from its items");
-  must_equal (document, &again);
+  check_equal (document, &again);
   gp_document_finish (&again);
   g_ptr_array_unref (issues);
 }
@@ -43,7 +43,7 @@
   if (!gp_document_items_format (document->items, text, issues)
       || !gp_document_load (&again, text->str, text->len, issues))
     g_error ("the document does not load from its formatted text");
-  must_equal (document, &again);
+  check_equal (document, &again);
   gp_document_finish (&again);
   g_string_free (text, TRUE);
   g_ptr_array_unref (issues);
@@ -70,7 +70,7 @@
   if (!gp_document_load_items (&again, rest, issues)
       || !gp_document_patch (&again, delta, issues))
     g_error ("the difference does not apply to the partial document");
-  must_equal (document, &again);
+  check_equal (document, &again);
   gp_document_finish (&again);
   g_ptr_array_unref (delta);
   g_ptr_array_unref (rest);
--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -22,7 +22,7 @@
 /* Check that an error response with the reason can be made for each
    refusal.  */
 static void
-answer_why (GError *error)
+check_error_body (GError *error)
 {
   char *body = gp_platform_error_body (error->message);
 
@@ -40,7 +40,7 @@
       = gp_platform_submission_parse (text, size, &error);
 
   if (submission == NULL)
-    answer_why (error);
+    check_error_body (error);
   else
     gp__jobs__submission__free_unpacked (submission, NULL);
 }
@@ -97,7 +97,7 @@
 /* Read all bytes of the records, so that AddressSanitizer finds a record that
    is not within the page.  */
 static void
-touch_records (const gp_store_page_t *page)
+read_records (const gp_store_page_t *page)
 {
   for (guint i = 0; i < page->records->len; i++)
     {
@@ -119,7 +119,7 @@
   gp_store_page_init (&page);
   if (gp_store_page_read (&page, TOPIC, 0, bytes, size, NULL) && page.cut)
     gp_store_page_pass (&page, TOPIC, 0);
-  touch_records (&page);
+  read_records (&page);
   gp_store_page_finish (&page);
 }
 
@@ -130,7 +130,7 @@
 
   gp_store_page_init (&page);
   gp_store_page_newest (&page, TOPIC, bytes, size, NULL);
-  touch_records (&page);
+  read_records (&page);
   gp_store_page_finish (&page);
 }
 
--- a/tests/fuzz/fuzz_records.c
+++ b/tests/fuzz/fuzz_records.c
@@ -90,7 +90,7 @@
 }
 
 static void
-learn (site_t *site, const Gp__Jobs__Learned *learned)
+apply_learned (site_t *site, const Gp__Jobs__Learned *learned)
 {
   for (size_t i = 0; i < learned->n_pressures; i++)
     gp_pressure_set (
@@ -102,7 +102,7 @@
 }
 
 static void
-fold (site_t *site, gp_record_t *record)
+apply_record (site_t *site, gp_record_t *record)
 {
   const gp_book_place_t place = { .offset = 1 };
 
@@ -122,7 +122,7 @@
                              NULL);
       break;
     case GP_RECORD_LEARNED:
-      learn (site, record->u.learned);
+      apply_learned (site, record->u.learned);
       break;
     case GP_RECORD_UNKNOWN:
     case GP_RECORD_PLACE:
@@ -134,7 +134,7 @@
 
 /* Plan all jobs and encode their progress, as a leader does.  */
 static void
-lead (site_t *site)
+plan_jobs (site_t *site)
 {
   GHashTableIter iter;
   gpointer value;
@@ -167,8 +167,8 @@
   if (parse (&record, key, key_size, value, size, NULL))
     {
       site_init (&site);
-      fold (&site, &record);
-      lead (&site);
+      apply_record (&site, &record);
+      plan_jobs (&site);
       site_finish (&site);
     }
   gp_record_finish (&record);
