--- a/tests/scripts/gone.py
+++ b/tests/scripts/gone.py
@@ -43,7 +43,7 @@
 def obeyed(site, name, leader):
     """The guard of NAME has taken LEADER's word and has been answered."""
     until(lambda: f'"leader.known","leader":"{leader}"'
-          in site.processes[name].log_of_life(), what="leader known")
+          in site.processes[name].log_since_start(), what="leader known")
 
 
 def change_leader(site):
@@ -166,7 +166,7 @@
         until(lambda: site.leader() not in (None, first), what="another leader")
         second = site.leader()
         site.processes[first].signal(signal.SIGCONT)
-        until(lambda: '"lead.lost"' in site.processes[first].log_of_life(),
+        until(lambda: '"lead.lost"' in site.processes[first].log_since_start(),
               what="it has noticed")
         site.processes[name].kill()
         site.executors[name].leave(deregister=False)
--- a/tests/scripts/planned.py
+++ b/tests/scripts/planned.py
@@ -104,7 +104,7 @@
         heir = other(site, leader)
         site.processes[leader].signal(signal.SIGTERM)
         until(lambda: '"lead.resigned"' in
-              site.processes[leader].log_of_life(), what="resigned")
+              site.processes[leader].log_since_start(), what="resigned")
         begin_leaving(site, worker_of(site, JOB_A), 0.0, 0.0)()
         finish(site, heir)
 
--- a/tests/scripts/platform.py
+++ b/tests/scripts/platform.py
@@ -98,7 +98,7 @@
             site.processes[name].kill()
             site.processes[name].start()
             until(lambda n=name: '"executor.known"'
-                  in site.processes[n].log_of_life(), what="known")
+                  in site.processes[n].log_since_start(), what="known")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="again")
         starts = sum(site.judge.starts.values())
         for executor in site.executors.values():
@@ -255,7 +255,7 @@
     """The lines that the command finds for WANTED in the log of NAME."""
     path = os.path.join(site.folder, "explained-" + name)
     with open(path, "w", encoding="utf-8") as file:
-        file.write(site.processes[name].log_of_life())
+        file.write(site.processes[name].log_since_start())
     done = subprocess.run([os.path.join(site.build, "galenapier"), "explain",
                            wanted, path], capture_output=True, text=True,
                           check=False)
@@ -277,7 +277,7 @@
         site.submit("e1", JOB_A, LASTING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="at work")
         until(lambda: all('"executor.known"'
-                          in site.processes[name].log_of_life()
+                          in site.processes[name].log_since_start()
                           for name in site.executors), what="known")
         for name, executor in site.executors.items():
             # Newer than all true ones: taken in, it would shut them out.
@@ -306,7 +306,7 @@
                     "unreadable", "identity"):
             print(f"  refused, {key}:",
                   int(site.metric("w1", f"refused_{key}_total")))
-        for line in site.processes["w1"].log_of_life().splitlines():
+        for line in site.processes["w1"].log_since_start().splitlines():
             if '"heartbeat.malformed"' in line:
                 told = json.loads(line)
                 print("  line:", told["executor"] or "unnamed", told["cause"],
--- a/tests/scripts/platform_site.py
+++ b/tests/scripts/platform_site.py
@@ -166,7 +166,7 @@
         """The name of the entry that has taken the lead last."""
         best = None
         for name in self.entries:
-            for line in self.processes[name].log_of_life().splitlines():
+            for line in self.processes[name].log_since_start().splitlines():
                 if '"lead.taken"' in line:
                     record = json.loads(line)
                     if best is None or record["time"] > best[0]:
--- a/tests/scripts/records.py
+++ b/tests/scripts/records.py
@@ -212,10 +212,10 @@
             site.processes[name].start()
         site.ready()
         leader = site.processes[site.leader()]
-        until(lambda: f'"guard.up","guard":"{holder}"' in leader.log_of_life(),
-              what="the holder's guard")
+        until(lambda: f'"guard.up","guard":"{holder}"'
+              in leader.log_since_start(), what="the holder's guard")
         site.processes["w1"].signal(signal.SIGCONT)
-        until(lambda: '"guard.up","guard":"w1"' in leader.log_of_life(),
+        until(lambda: '"guard.up","guard":"w1"' in leader.log_since_start(),
               what="the other guard")
         another_job(site, JOB_B)
         verdict(site, 9)
--- a/tools/checker.py
+++ b/tools/checker.py
@@ -24,7 +24,7 @@
     "crash": "no process ends by itself, and each ends when told",
 }
 LIMITS = {"leave_s": 3.0, "configuration_s": 5.0, "cancel_s": 5.0}
-ANSWER_GRACE = SECOND // 10  # from the end at the upstream to the caller
+RESPONSE_GRACE = SECOND // 10  # from the end at the upstream to the caller
 QUANTILES = {"p50_ms": 0.5, "p99_ms": 0.99, "p99_9_ms": 0.999}
 
 
@@ -46,7 +46,7 @@
 
     def __init__(self, folder):
         self.ledgers = Ledgers(folder)
-        self.lives = self.ledgers.lives
+        self.history = self.ledgers.history
         self.limits = {name: seconds * SECOND for name, seconds in
                        {**LIMITS, **self.ledgers.site.get("limits", {})}
                        .items()}
@@ -62,22 +62,22 @@
         for run in sorted(self.ledgers.runs, key=lambda r: r.start):
             self.by_task[run.task].append(run)
         self.cancelled = {f["id"]: f["time_us"]
-                          for f in self.ledgers.of("cancel")
+                          for f in self.ledgers.facts_of("cancel")
                           if f["status"] == 200}
-        self.accepted = {task: f for f in self.ledgers.of("submit")
+        self.accepted = {task: f for f in self.ledgers.facts_of("submit")
                          for task in f["ids"]}
-        self._judge()
+        self._check()
 
-    def _judge(self):
-        for fact in self.ledgers.of("crash"):
+    def _check(self):
+        for fact in self.ledgers.facts_of("crash"):
             self._breach("crash", f"{fact['process']}: {fact['status']}")
-        self._judge_capacity()
-        self._judge_requests()
-        self._judge_executions()
-        self._judge_tasks()
-        self._judge_leavers()
-        self._judge_configuration()
-        self._judge_work()
+        self._check_capacity()
+        self._check_requests()
+        self._check_executions()
+        self._check_tasks()
+        self._check_leavers()
+        self._check_configuration()
+        self._check_work()
 
     def _breach(self, promise, text):
         if text not in self.breaches[promise]:
@@ -89,8 +89,8 @@
 
     # Capacity.
 
-    def _judge_capacity(self):
-        for fact in self.ledgers.of("breach"):
+    def _check_capacity(self):
+        for fact in self.ledgers.facts_of("breach"):
             # The actual use of memory is not known when a task is placed.
             if fact["limit"] != "real_memory_mib":
                 self._breach("capacity", f"{fact['node']}: {fact['limit']} "
@@ -98,8 +98,8 @@
 
     # Requests.
 
-    def _judge_requests(self):
-        for fact in self.ledgers.of("request"):
+    def _check_requests(self):
+        for fact in self.ledgers.facts_of("request"):
             runs = self.by_request.get(fact["request"], [])
             outcome = fact["outcome"]
             if outcome in ("not_run", "refused"):
@@ -111,9 +111,9 @@
                     self._breach("whole-answer", f"{fact['request']}: "
                                  "answered, but no upstream ran it")
             else:
-                self._judge_failure(fact, runs)
+                self._check_failure(fact, runs)
 
-    def _judge_failure(self, fact, runs):
+    def _check_failure(self, fact, runs):
         """Check a request with an unknown outcome or a broken response."""
         name = fact["request"]
         start, end = fact["arrived_us"], fact["time_us"]
@@ -121,34 +121,39 @@
         nodes = [p for r in runs for p in (r.node, f"{r.node}.upstream")]
         if fact.get("wrong"):
             self._breach("whole-answer", f"{name}: not its own answer")
-        elif self.lives.disturbed([entry], start, end):
+        elif self.history.disturbed([entry], start, end):
             return
         elif fact["outcome"] == "unknown" and not fact["verdict"]:
-            self._break_off([entry], fact, "no answer and no verdict")
-        elif self.lives.disturbed(nodes, start, end) or self._spoilt(runs):
+            self._report_interruption([entry], fact,
+                                      "no answer and no verdict")
+        elif self.history.disturbed(nodes, start, end) \
+                or self._abort_requested(runs):
             return
         elif fact["outcome"] == "broken":
-            self._break_off([entry] + nodes, fact, "answer cut short")
-        elif any(r.end + ANSWER_GRACE < end for r in runs):
-            self._break_off([entry] + nodes, fact, "its answer went missing")
+            self._report_interruption([entry] + nodes, fact,
+                                      "answer cut short")
+        elif any(r.end + RESPONSE_GRACE < end for r in runs):
+            self._report_interruption([entry] + nodes, fact,
+                                      "its answer went missing")
         elif fact["reason"] != "deadline" \
-                and self.lives.drained(nodes, start, end):
-            self._break_off(nodes, fact, "verdict unknown")
+                and self.history.drained(nodes, start, end):
+            self._report_interruption(nodes, fact, "verdict unknown")
 
     @staticmethod
-    def _spoilt(runs):
+    def _abort_requested(runs):
         """Return whether a request told its upstream to abort the response."""
         return any("truncate=1" in r.path or "close=1" in r.path
                    for r in runs)
 
-    def _break_off(self, names, fact, text):
-        stopped = self.lives.drained(names, fact["arrived_us"],
+    def _report_interruption(self, names, fact, text):
+        stopped = self.history.drained(names, fact["arrived_us"],
                                      fact["time_us"])
         self._breach("planned-stop" if stopped else "whole-answer",
                      f"{fact['request']}: {text} ({', '.join(names)})")
 
-    def _judge_executions(self):
-        kinds = {f["request"]: f["kind"] for f in self.ledgers.of("request")}
+    def _check_executions(self):
+        kinds = {f["request"]: f["kind"]
+                 for f in self.ledgers.facts_of("request")}
         may_repeat = set(self.ledgers.site.get("idempotent", ()))
         for key, runs in self.by_key.items():
             if len(runs) > 1:
@@ -163,15 +168,15 @@
 
     # Tasks.
 
-    def _judge_tasks(self):
+    def _check_tasks(self):
         for task, runs in self.by_task.items():
             for before, after in zip(runs, runs[1:]):
-                self._judge_succession(task, before, after)
-            self._judge_progress(task, runs)
+                self._check_succession(task, before, after)
+            self._check_progress(task, runs)
         for run in self.ledgers.runs:
-            self._judge_end(run)
+            self._check_end(run)
 
-    def _judge_succession(self, task, before, after):
+    def _check_succession(self, task, before, after):
         if before.end > after.start:
             self._breach("two-places", f"{task}: on {before.node} epoch "
                          f"{before.epoch} and {after.node} epoch "
@@ -185,10 +190,10 @@
 
     def _disturbed(self, run, until):
         """Return whether the result or progress of run may have been lost."""
-        return self.lives.disturbed([run.node, f"{run.node}.worker"],
+        return self.history.disturbed([run.node, f"{run.node}.worker"],
                                     run.start, until)
 
-    def _judge_progress(self, task, runs):
+    def _check_progress(self, task, runs):
         known = {0}
         last = None
         for run in runs:
@@ -196,34 +201,34 @@
                 self._breach("resumed-once", f"{task}: epoch {run.epoch} "
                              f"resumed at {run.progress}, never reached")
             elif last is not None and last.state == "stopped" \
-                    and run.progress != last.left_at \
+                    and run.progress != last.final_progress \
                     and not self._disturbed(last, run.start):
                 self._breach("resumed-once", f"{task}: epoch {run.epoch} "
                              f"resumed at {run.progress}, was stopped at "
-                             f"{last.left_at}")
+                             f"{last.final_progress}")
             known.update(run.checkpoints)
             if run.state == "stopped":
-                known.add(run.left_at)
+                known.add(run.final_progress)
             last = run
 
-    def _judge_end(self, run):
+    def _check_end(self, run):
         """Check that a planned stop let the task write a checkpoint first."""
         names = [run.node, f"{run.node}.worker"]
         cut = run.state == "lost" or run.state == "running"
-        if cut and self.lives.drained(names, run.start, run.end) \
-                and not self.lives.disturbed(names, run.start, run.end):
+        if cut and self.history.drained(names, run.start, run.end) \
+                and not self.history.disturbed(names, run.start, run.end):
             self._breach("planned-stop", f"task {run.task}: cut off on "
                          f"{run.node}, {run.state}")
 
     # Leavers.
 
-    def _judge_leavers(self):
+    def _check_leavers(self):
         work = [(r.node, r.start, f"task {r.task}")
                 for r in self.ledgers.runs]
         work += [(e.node, e.start, f"request {e.request}")
                  for e in self.ledgers.executions]
         for node, start, what in work:
-            for since, until in self.lives.leaving(node):
+            for since, until in self.history.leaving(node):
                 if since + self.limits["leave_s"] < start < until:
                     late = (start - since) / SECOND
                     self._breach("leaver", f"{node}: {what} {late:.1f} s "
@@ -231,8 +236,8 @@
 
     # Configuration.
 
-    def _judge_configuration(self):
-        published = [f for f in self.ledgers.of("publish")
+    def _check_configuration(self):
+        published = [f for f in self.ledgers.facts_of("publish")
                      if f["status"] == 201]
         digests = {f["revision"]: f["digest"] for f in published}
         bases = collections.Counter(f["base"] for f in published)
@@ -241,11 +246,11 @@
                 self._breach("configuration", f"{count} successors of "
                              f"revision {base} were accepted")
         seen = {}
-        for poll in self.ledgers.of("poll"):
-            self._judge_poll(poll, published, digests)
-            self._judge_reverted(poll, seen)
+        for poll in self.ledgers.facts_of("poll"):
+            self._check_poll(poll, published, digests)
+            self._check_revision_decrease(poll, seen)
 
-    def _judge_poll(self, poll, published, digests):
+    def _check_poll(self, poll, published, digests):
         digest = digests.get(poll["revision"])
         if poll.get("digest") and digest and poll["digest"] != digest:
             self._breach("configuration", f"{poll['process']}: revision "
@@ -261,7 +266,7 @@
         grace = self.limits["configuration_s"]
         names = (poll["process"], poll["via"])
         return poll["time_us"] > accepted + grace \
-            and all(self.lives.settled(n, poll["time_us"], grace)
+            and all(self.history.settled(n, poll["time_us"], grace)
                     for n in names) \
             and not self._unreachable(poll["process"], poll["time_us"], grace)
 
@@ -271,7 +276,7 @@
         This is so if it was started during an outage of the log that ended
         less than grace before time.
         """
-        started = [i[1] for i in self.lives.away.get(name, ())
+        started = [i[1] for i in self.history.unavailable.get(name, ())
                    if i[1] <= time]
         return any(since <= max(started, default=0) <= until
                    and until + grace > time
@@ -279,7 +284,7 @@
 
     def _outages(self):
         outages = []
-        for fact in self.ledgers.of("switch"):
+        for fact in self.ledgers.facts_of("switch"):
             down = fact["faults"].get("down")
             if fact["process"] != "log" or down is None:
                 continue
@@ -289,7 +294,7 @@
                 outages[-1][1] = min(outages[-1][1], fact["time_us"])
         return outages
 
-    def _judge_reverted(self, poll, seen):
+    def _check_revision_decrease(self, poll, seen):
         """Check that a process never reports a lower revision than before.
 
         A poll that follows a restart or a pause is not compared.
@@ -297,7 +302,7 @@
         name = (poll["process"], poll["via"])
         last = seen.get(name)
         if last is not None and 0 < poll["revision"] < last["revision"] \
-                and all(self.lives.settled(n, poll["time_us"],
+                and all(self.history.settled(n, poll["time_us"],
                                            poll["time_us"] - last["time_us"])
                         for n in name):
             self._breach("configuration", f"{poll['process']}: revision fell "
@@ -306,10 +311,10 @@
 
     # Jobs and watchers.
 
-    def _judge_work(self):
-        unsure = {f["kind"] for f in self.ledgers.of("submit")
+    def _check_work(self):
+        unsure = {f["kind"] for f in self.ledgers.facts_of("submit")
                   if f["status"] in (0, 504)}
-        submitted = {f["kind"] for f in self.ledgers.of("submit")}
+        submitted = {f["kind"] for f in self.ledgers.facts_of("submit")}
         for task, runs in self.by_task.items():
             if task not in self.accepted and runs[0].kind in submitted \
                     and runs[0].kind not in unsure:
@@ -322,7 +327,7 @@
         for task in self.accepted:
             if self._is_lost(task):
                 self._breach("lost", f"{task}: accepted, never done")
-        self._judge_watchers()
+        self._check_watchers()
 
     def _succeeded(self, task):
         return [r for r in self.by_task.get(task, ())
@@ -338,7 +343,7 @@
         return [r for r in self.ledgers.runs
                 if r.kind == kind and r.end == FOREVER]
 
-    def _judge_watchers(self):
+    def _check_watchers(self):
         for kind, count in self.ledgers.site.get("watchers", {}).items():
             running = len({r.task for r in self._running(kind)})
             if running != count:
@@ -350,7 +355,7 @@
     def requests(self):
         """Return a row of figures for each kind of request, by name."""
         kinds = collections.defaultdict(list)
-        for fact in self.ledgers.of("request"):
+        for fact in self.ledgers.facts_of("request"):
             kinds[fact["kind"]].append(fact)
         return {kind: self._request_row(facts)
                 for kind, facts in sorted(kinds.items())}
@@ -372,14 +377,14 @@
 
     def jobs(self):
         """Return a row of figures for each kind of job submitted."""
-        kinds = {f["kind"]: [] for f in self.ledgers.of("submit")}
+        kinds = {f["kind"]: [] for f in self.ledgers.facts_of("submit")}
         for task, fact in self.accepted.items():
             kinds[fact["kind"]].append(task)
         return {kind: self._job_row(kind, tasks)
                 for kind, tasks in sorted(kinds.items())}
 
     def _job_row(self, kind, tasks):
-        refused = [f for f in self.ledgers.of("submit")
+        refused = [f for f in self.ledgers.facts_of("submit")
                    if f["kind"] == kind and not f["ids"]]
         done = {t: self._succeeded(t) for t in tasks}
         deadline = self.ledgers.site.get("deadlines", {}).get(kind)
--- a/tools/experiment_run.py
+++ b/tools/experiment_run.py
@@ -30,11 +30,11 @@
 LEASES_S = 5.0
 EXIT_S = 30.0
 SUBMIT_S = 30.0
-SUBMIT_AGAIN_S = 0.5
+SUBMIT_RETRY_S = 0.5
 CALLER_GRACE_S = 30.0
 WATCHERS_AT_START_S = 10.0
 CONNECTIONS = 64
-ANSWER_SIZE = 128
+RESPONSE_SIZE = 128
 TOOL_KINDS = ("idempotent",)  # keys of a kind that the caller does not know
 PAYLOAD = ("run_ms", "fail", "checkpoint_every_ms", "real_millicores",
            "real_memory_mib")
@@ -72,7 +72,7 @@
         self.callers = {}
         self.ended = set()  # processes that the tool has ended
         self.errors = []
-        self.over = threading.Event()
+        self.finished = threading.Event()
         self.started = time.monotonic()
         self.folder = tempfile.mkdtemp(prefix="galenapier-")
         self.site = self._make_site(build)
@@ -111,11 +111,11 @@
         return ["--interference", path]
 
     def close(self):
-        self.over.set()
+        self.finished.set()
         self.site.close()
         self.ledger.close()
 
-    def say(self, text):
+    def print_progress(self, text):
         at = time.monotonic() - self.started
         print(f"{at:6.1f} s  {text}", file=self.out, flush=True)
 
@@ -124,7 +124,7 @@
     def _process_fact(self, name, action):
         self.ledger.write("process", process=name, action=action)
 
-    def _parts(self, step):
+    def _processes_of(self, step):
         """Return the processes of step; with "vm", all on each guard's VM."""
         names = step["process"]
         names = [names] if isinstance(names, str) else names
@@ -172,60 +172,60 @@
 
     def _await(self, name):
         process = self.site.processes[name]
-        word = {"entry": "entry.started", "guard": "session.open"}.get(
+        ready_text = {"entry": "entry.started", "guard": "session.open"}.get(
             name.split("-")[0] if "." not in name else "", "ready ")
-        until(lambda: word in process.log_of_life()
-              or process.popen.poll() is not None or self.over.is_set(),
+        until(lambda: ready_text in process.log_since_start()
+              or process.popen.poll() is not None or self.finished.is_set(),
               what=f"{name} ready")
 
     # Steps of the timeline.
 
-    def _later(self, step, action, names):
+    def _apply_after(self, step, action, names):
         """Apply action to names when the duration for_s of step is over."""
-        if "for_s" in step and not self.over.wait(step["for_s"]):
+        if "for_s" in step and not self.finished.wait(step["for_s"]):
             for name in names:
-                self.say(f"{action.__name__.strip('_')} {name}")
+                self.print_progress(f"{action.__name__.strip('_')} {name}")
                 action(name)
 
     def do_kill(self, step):
-        names = self._parts(step)
+        names = self._processes_of(step)
         for name in names:
             self._kill(name)
-        self._later(step, self._start, names[::-1])
+        self._apply_after(step, self._start, names[::-1])
 
     def do_stop(self, step):
-        for name in self._parts(step):
+        for name in self._processes_of(step):
             self._process_fact(name, "stop")
             self.site.processes[name].signal(signal.SIGSTOP)
-        self._later(step, self._continue, self._parts(step))
+        self._apply_after(step, self._continue, self._processes_of(step))
 
     def _continue(self, name):
         self.site.processes[name].signal(signal.SIGCONT)
         self._process_fact(name, "continue")
 
     def do_continue(self, step):
-        for name in self._parts(step):
+        for name in self._processes_of(step):
             self._continue(name)
 
     def do_drain(self, step):
-        names = self._parts(step)
+        names = self._processes_of(step)
         for name in names:  # the guard first, then its upstream and worker
             self._terminate(name)
-        self._later(step, self._start, names[::-1])
+        self._apply_after(step, self._start, names[::-1])
 
     def do_start(self, step):
-        for name in reversed(self._parts(step)):
+        for name in reversed(self._processes_of(step)):
             self._start(name)
 
     def do_switch(self, step):
         before = {}
-        for name in self._parts(step):
+        for name in self._processes_of(step):
             known = self._control(name, "GET")
             before[name] = {k: known.get(k) for k in step["set"]}
             self._switch(name, step["set"])
-        if "for_s" in step and not self.over.wait(step["for_s"]):
+        if "for_s" in step and not self.finished.wait(step["for_s"]):
             for name, faults in before.items():
-                self.say(f"switch {name} back")
+                self.print_progress(f"switch {name} back")
                 self._switch(name, faults)
 
     def _control(self, name, method, faults=None):
@@ -255,7 +255,8 @@
                           may_remain=step.get("may_remain", False)
                           or step.get("fail", False))
         self.jobs += [(step["kind"], i) for i in ids]
-        self.say(f"submit {step['kind']}: {status}, {len(ids)} jobs")
+        self.print_progress(
+            f"submit {step['kind']}: {status}, {len(ids)} jobs")
 
     def _submit(self, body):
         """Submit as an operator does: retry with the same key.
@@ -269,7 +270,7 @@
                                            headers=headers)
             if status not in (0, 503, 504) or time.monotonic() > deadline:
                 return status, answer
-            if self.over.wait(SUBMIT_AGAIN_S):
+            if self.finished.wait(SUBMIT_RETRY_S):
                 return status, answer
 
     def _operate(self, method, path, body=None, entry=None, headers=None):
@@ -297,7 +298,7 @@
         for job in chosen:
             status, _ = self._operate("DELETE", f"/v1/jobs/{job}")
             self.ledger.write("cancel", id=job, status=status)
-        self.say(f"cancelled {len(chosen)} jobs")
+        self.print_progress(f"cancelled {len(chosen)} jobs")
 
     def do_publish(self, step):
         accepted = 0
@@ -308,7 +309,7 @@
                 statuses = list(pool.map(
                     lambda i, b=base: self._publish(i, b), racers))
             accepted += 201 in statuses
-            self.over.wait(step.get("every_s", 0))
+            self.finished.wait(step.get("every_s", 0))
         if accepted == 0 and not step.get("may_refuse"):
             self.errors.append("publish: none accepted")
 
@@ -328,7 +329,7 @@
             names[number % len(names)])
         self.ledger.write("publish", base=base, status=status, digest=mark,
                           revision=answer.get("revision", 0))
-        self.say(f"publish on {base}: {status}")
+        self.print_progress(f"publish on {base}: {status}")
         return status
 
     def _current(self):
@@ -341,31 +342,33 @@
             for one in entries + guards:
                 self.do_drain({**one, "for_s": step.get("pause_s", 0)})
             return
-        names = [p for one in guards + entries for p in self._parts(one)]
+        names = [p for one in guards + entries
+                 for p in self._processes_of(one)]
         for name in names:
             self._kill(name)
-        self.over.wait(step.get("pause_s", 0))
+        self.finished.wait(step.get("pause_s", 0))
         for name in reversed(names):  # the entries first
             self._start(name)
 
     def _step(self, step):
-        if self.over.wait(max(self.started + step["at_s"] - time.monotonic(),
-                              0)):
+        if self.finished.wait(
+                max(self.started + step["at_s"] - time.monotonic(), 0)):
             return
         shown = {k: v for k, v in step.items() if k not in ("at_s", "do")}
-        self.say(f"{step['do']} {json.dumps(shown) if shown else ''}")
+        self.print_progress(
+            f"{step['do']} {json.dumps(shown) if shown else ''}")
         try:
             getattr(self, "do_" + step["do"].replace("-", "_"))(step)
         except Exception as error:  # pylint: disable=broad-except
-            if not self.over.is_set():
+            if not self.finished.is_set():
                 self.errors.append(f"{step['do']}: {error!r}")
-                self.say(f"{step['do']} failed: {error!r}")
+                self.print_progress(f"{step['do']} failed: {error!r}")
 
     # Load.
 
     def _kinds(self, load):
         size = self.scenario["site"].get("upstream", {}).get("size",
-                                                             ANSWER_SIZE)
+                                                             RESPONSE_SIZE)
         kinds = []
         for kind in load["kinds"]:
             kind = {k: v for k, v in kind.items() if k not in TOOL_KINDS}
@@ -389,7 +392,7 @@
 
     def _poll(self):
         count = 0
-        while not self.over.wait(POLL_S):
+        while not self.finished.wait(POLL_S):
             for entry in self.site.entry_names:
                 self._poll_entry(entry, count % DOCUMENT_POLLS == 0)
             count += 1
@@ -469,7 +472,8 @@
         """
         status = self._publish(0, 0)
         if status == 404:
-            self.say("no configuration taken here: going on without")
+            self.print_progress(
+                "no configuration taken here: going on without")
         return {201: "yes", 404: "no"}.get(status)
 
     def _await_watchers(self):
@@ -493,7 +497,7 @@
             status = process.popen.poll()
             if status is not None:
                 self.ledger.write("crash", process=name, status=str(status))
-                self.say(f"{name} ended by itself: {status}\n"
+                self.print_progress(f"{name} ended by itself: {status}\n"
                          + process.log()[-2000:])
 
     def keep(self, folder):
@@ -502,7 +506,7 @@
 
     def run(self):
         """Run the scenario and return the checker's report."""
-        self.say(f"{self.scenario['name']}: bringing the site up")
+        self.print_progress(f"{self.scenario['name']}: bringing the site up")
         self._bring_up()
         self.started = time.monotonic()
         steps = [{**load, "at_s": load.get("at_s", 0), "do": "load",
@@ -520,9 +524,9 @@
         for caller in self.callers.values():
             caller.wait(CALLER_GRACE_S + max(s["duration_s"] for s in steps
                                              if s["do"] == "load"))
-        self.say("load is over, waiting for accepted work")
+        self.print_progress("load is over, waiting for accepted work")
         self._settle()
-        self.over.set()
+        self.finished.set()
         threads[-1].join()
         self._find_crashes()
         self.ledger.write("end")
--- a/tools/ledgers.py
+++ b/tools/ledgers.py
@@ -37,18 +37,18 @@
     progress: int  # progress at its start
     end: float = FOREVER
     state: str = ""  # final state; empty if no end was written
-    left_at: int = 0  # progress at its end
+    final_progress: int = 0  # progress at its end
     checkpoints: list = dataclasses.field(default_factory=list)
 
 
-class Lives:
+class ProcessHistory:
     """When each process was killed, paused or drained by the tool."""
 
     def __init__(self, facts):
         # Intervals by process.
-        self.hard = {}  # from a kill until ready, or paused
+        self.disruptions = {}  # from a kill until ready, or paused
         self.drains = {}  # from SIGTERM until the exit
-        self.away = {}  # any of these, until ready again
+        self.unavailable = {}  # any of these, until ready again
         # Times by process.
         self.kills = {}
         self.starts = {}
@@ -57,30 +57,30 @@
                 self._add(fact["process"], fact["action"], fact["time_us"])
 
     def _add(self, name, action, time):
-        hard = self.hard.setdefault(name, [])
+        disruptions = self.disruptions.setdefault(name, [])
         drains = self.drains.setdefault(name, [])
-        away = self.away.setdefault(name, [])
+        unavailable = self.unavailable.setdefault(name, [])
         if action == "kill":
             self._kill(name, time)
         elif action == "stop":
-            hard.append([time, FOREVER])
-            away.append([time, FOREVER])
+            disruptions.append([time, FOREVER])
+            unavailable.append([time, FOREVER])
         elif action == "terminate":
             drains.append([time, FOREVER])
-            away.append([time, FOREVER])
+            unavailable.append([time, FOREVER])
         elif action == "exited":
             drains[-1][1] = time
         elif action == "start":
             self.starts.setdefault(name, []).append(time)
         elif action in ("continue", "ready"):
-            self._close(hard, time)
-            self._close(away, time)
+            self._close(disruptions, time)
+            self._close(unavailable, time)
 
     def _kill(self, name, time):
-        stopped = [i[0] for i in self.hard[name] if i[1] == FOREVER]
+        stopped = [i[0] for i in self.disruptions[name] if i[1] == FOREVER]
         self.kills.setdefault(name, []).append(min(stopped + [time]))
-        self.hard[name].append([time, FOREVER])
-        self.away[name].append([time, FOREVER])
+        self.disruptions[name].append([time, FOREVER])
+        self.unavailable[name].append([time, FOREVER])
 
     @staticmethod
     def _close(intervals, time):
@@ -93,7 +93,7 @@
 
     def disturbed(self, names, start, end):
         """Return whether any of names was killed or paused in the interval."""
-        return any(self._overlaps(self.hard.get(n, ()), start, end)
+        return any(self._overlaps(self.disruptions.get(n, ()), start, end)
                    for n in names)
 
     def drained(self, names, start, end):
@@ -102,7 +102,8 @@
 
     def settled(self, name, time, grace):
         """Return whether name has run undisturbed for grace before time."""
-        return not self._overlaps(self.away.get(name, ()), time - grace, time)
+        return not self._overlaps(self.unavailable.get(name, ()),
+                                  time - grace, time)
 
     def leaving(self, name):
         """Yield the intervals from each SIGTERM to the next start of name."""
@@ -124,7 +125,7 @@
         self.executions = []
         self.runs = []
         self.site = {"entries": {}}
-        self.torn = 0
+        self.incomplete_lines = 0
         files = {}
         for path in sorted(glob.glob(os.path.join(folder, "*.ledger"))):
             files[path] = self._read(path)
@@ -132,11 +133,11 @@
                 if f["event"] == "end"]
         self.end = min(ends, default=FOREVER)
         for facts in files.values():
-            self._take([f for f in facts if f["time_us"] <= self.end])
-        self.lives = Lives(self.of("process"))
-        self._bound_runs()
+            self._add_facts([f for f in facts if f["time_us"] <= self.end])
+        self.history = ProcessHistory(self.facts_of("process"))
+        self._end_open_runs()
 
-    def of(self, event):
+    def facts_of(self, event):
         return self.facts.get(event, [])
 
     def _read(self, path):
@@ -146,10 +147,11 @@
                 try:
                     facts.append(json.loads(line))
                 except ValueError:
-                    self.torn += 1  # a process was killed while writing
+                    # The process was killed while writing.
+                    self.incomplete_lines += 1
         return facts
 
-    def _take(self, facts):
+    def _add_facts(self, facts):
         executing = {}
         running = {}
         for fact in facts:
@@ -172,7 +174,7 @@
                 run = running.pop((fact["boot"], fact["task"]))
                 run.end = fact["until_us"]
                 run.state = fact["state"]
-                run.left_at = fact["progress_ms"]
+                run.final_progress = fact["progress_ms"]
 
     def _execution(self, fact):
         execution = Execution(fact["node"], fact["request"], fact["key"],
@@ -186,13 +188,13 @@
         self.runs.append(run)
         return run
 
-    def _bound_runs(self):
+    def _end_open_runs(self):
         """Let runs and executions without an end last until a kill."""
         for run in self.runs:
             if not run.state:
-                run.end = self.lives.killed_after(f"{run.node}.worker",
+                run.end = self.history.killed_after(f"{run.node}.worker",
                                                   run.start)
         for execution in self.executions:
             if execution.end == FOREVER:
-                execution.end = self.lives.killed_after(
+                execution.end = self.history.killed_after(
                     f"{execution.node}.upstream", execution.start)
--- a/tools/report.py
+++ b/tools/report.py
@@ -5,7 +5,7 @@
 BREACHES_SHOWN = 5
 
 
-def _cell(value):
+def _format_cell(value):
     if value is None:
         return "-"
     if isinstance(value, float):
@@ -20,7 +20,7 @@
     names = list(next(iter(rows.values())))
     lines = [[title, *(n.replace("_ms", " ms").replace("_", " ")
                        .replace("p99 9", "p99.9") for n in names)]]
-    lines += [[row, *(_cell(values[n]) for n in names)]
+    lines += [[row, *(_format_cell(values[n]) for n in names)]
               for row, values in rows.items()]
     widths = [max(len(line[i]) for line in lines)
               for i in range(len(lines[0]))]
--- a/tools/scenario.py
+++ b/tools/scenario.py
@@ -181,7 +181,7 @@
     if document is None:
         return None
     if scenario.get("scale"):
-        _scale(document, scenario["site"].get("guards", 1))
+        _scale_document(document, scenario["site"].get("guards", 1))
     payloads = scenario.get("payloads", {})
     for item in document.get("batch_jobs", []) + document.get("watchers", []):
         if item["name"] in payloads:
@@ -189,7 +189,7 @@
     return document
 
 
-def _scale(document, guards):
+def _scale_document(document, guards):
     """Scale counts, quotas and limits from the document's fleet to guards.
 
     guards is the number of workers at the site.
--- a/tools/site_processes.py
+++ b/tools/site_processes.py
@@ -28,7 +28,7 @@
 WORKER_SIZE = {"millicores": 16000, "memory_mib": 61440, "accelerators": 0}
 
 
-_given_ports = set()
+_allocated_ports = set()
 # Each reserved port is a locked byte of this file, which all runs share.
 _ports_file = None
 
@@ -63,8 +63,8 @@
     while True:
         port = random.SystemRandom().randrange(LOWEST_PORT, above - count)
         ports = range(port, port + count)
-        if _given_ports.isdisjoint(ports) and all(map(_reserve, ports)):
-            _given_ports.update(ports)
+        if _allocated_ports.isdisjoint(ports) and all(map(_reserve, ports)):
+            _allocated_ports.update(ports)
             return port
 
 
@@ -161,7 +161,7 @@
         with open(self.log_path, encoding="utf-8", errors="replace") as log:
             return log.read()
 
-    def log_of_life(self):
+    def log_since_start(self):
         """Return the output since the last start."""
         with open(self.log_path, "rb") as log:
             log.seek(self.log_start)
@@ -275,7 +275,7 @@
         number = int(name.rsplit("-", 1)[1]) - 1
         return self.regions[number % len(self.regions)]
 
-    def _peers_of(self, name, entry):
+    def _peer_address(self, name, entry):
         """Return the peer address at which the process name reaches entry."""
         return self.addresses.get(f"{name}>{entry}",
                                   self.addresses[f"{entry}.peers"])
@@ -297,7 +297,7 @@
             "zone": self.zone_of(name),
             "entries": [{"name": e, "region": self.region_of(e),
                          "zone": self.zone_of(e),
-                         "peers": self._peers_of(name, e)}
+                         "peers": self._peer_address(name, e)}
                         for e in self.entry_names]}
         if self.timings:
             settings["timings"] = self.timings
@@ -336,7 +336,7 @@
 
     def _await_ready(self, name):
         process = self.processes[name]
-        until(lambda: "ready " in process.log_of_life()
+        until(lambda: "ready " in process.log_since_start()
               or process.popen.poll() is not None, what=f"{name} ready")
 
     def start_entry(self, name):
--- a/tools/soak_callers.py
+++ b/tools/soak_callers.py
@@ -12,14 +12,15 @@
 from platform_site import HOST
 
 TIMEOUT_S = 10.0
-KNOWN_S = 3.0  # after this, each entry must know an accepted job
-LASTING_MAX = 8  # limits long-running jobs, to leave resources for others
+ACCEPTED_VISIBLE_S = 3.0  # after this, each entry must know an accepted job
+LONG_RUNNING_MAX = 8  # limits long-running jobs, to leave resources for others
 STEPS = [{"count": 3, "cpu": 1000, "memMb": 10, "estimateMs": 300},
          {"count": 2, "cpu": 1000, "memMb": 10, "after": [0]}]
-LASTING = [{"count": 2, "cpu": 1000, "memMb": 10, "longRunning": True}]
+LONG_RUNNING_STEPS = [{"count": 2, "cpu": 1000, "memMb": 10,
+                       "longRunning": True}]
 
 
-class Cut(Exception):
+class TruncatedResponse(Exception):
     """The connection was closed before the response was complete."""
 
 
@@ -37,7 +38,7 @@
             self.socket.close()
         self.socket = None
 
-    def forget_closed(self):
+    def close_if_peer_closed(self):
         """Close the connection if the peer has closed it."""
         if self.socket is None:
             return
@@ -53,31 +54,32 @@
     def call(self, method, path, body=b""):
         """Send a request; return the status and the body.
 
-        The status is 0 if there is no response.  Raises Cut if the connection
+        The status is 0 if there is no response.  Raises
+        TruncatedResponse if the connection
         is closed within the response.
         """
         head = [f"{method} {path} HTTP/1.1", f"Host: {HOST['Host']}",
                 f"Content-Length: {len(body)}", "", ""]
         data = b""
-        self.forget_closed()
+        self.close_if_peer_closed()
         was_open = self.socket is not None
         try:
             if self.socket is None:
                 self.socket = socket.create_connection(self.address,
                                                        TIMEOUT_S)
             self.socket.sendall("\r\n".join(head).encode() + body)
-            while not is_whole(data):
-                piece = self.socket.recv(65536)
-                if not piece:
+            while not is_complete_response(data):
+                chunk = self.socket.recv(65536)
+                if not chunk:
                     raise ConnectionError
-                data += piece
+                data += chunk
         except TimeoutError:
             self.close()
             return 0, b""
         except OSError as error:
             self.close()
             if data:
-                raise Cut(data) from error
+                raise TruncatedResponse(data) from error
             self.unanswered += was_open
             return 0, b""
         head, _, answer = data.partition(b"\r\n\r\n")
@@ -86,7 +88,7 @@
         return int(head.split(b" ", 2)[1]), answer
 
 
-def is_whole(data):
+def is_complete_response(data):
     head, end, body = data.partition(b"\r\n\r\n")
     if not end:
         return False
@@ -96,7 +98,7 @@
     raise ValueError(f"an answer without a length: {head}")
 
 
-class Book:
+class CallerJobs:
     """What the callers know about their jobs."""
 
     def __init__(self):
@@ -108,7 +110,7 @@
         self.cancelled = set()
         self.breaches = []
 
-    def take_answer(self, job, lasts, status):
+    def record_response(self, job, lasts, status):
         with self.lock:
             if status == 200:
                 self.accepted[job] = lasts
@@ -118,13 +120,13 @@
             else:
                 self.unknown.add(job)
 
-    def alive(self):
+    def long_running(self):
         """Return the long-running jobs that were not cancelled."""
         with self.lock:
             return [job for job, lasts in self.accepted.items()
                     if lasts and job not in self.cancelled]
 
-    def any_accepted(self, chance):
+    def random_accepted(self, chance):
         with self.lock:
             return chance.choice(list(self.accepted)) if self.accepted \
                 else None
@@ -163,49 +165,51 @@
         began = time.monotonic()
         try:
             return self.connections[entry].call(method, path, body)
-        except Cut as cut:
-            if self.faults.troubled.get(entry, 0.0) < began:
+        except TruncatedResponse as cut:
+            if self.faults.unplanned_ends.get(entry, 0.0) < began:
                 self.book.breaches.append(
                     f"{entry} cut an answer off after {cut.args[0]}")
             return 0, b""
 
     def submit(self):
         job = f"{self.random.getrandbits(64):016x}"
-        lasts = (len(self.book.alive()) < LASTING_MAX
+        lasts = (len(self.book.long_running()) < LONG_RUNNING_MAX
                  and self.random.random() < 0.15)
-        steps, spec = (LASTING, "lasts") if lasts else (STEPS, "work")
+        steps, spec = (LONG_RUNNING_STEPS, "lasts") if lasts \
+            else (STEPS, "work")
         body = json.dumps({"spec": spec, "steps": steps}).encode()
-        doubtful = False
+        outcome_unknown = False
         status = 0
         for _ in range(3):
             status, _ = self.call("POST", "/q/" + job, body)
             if status not in (0, 504):
                 break
-            doubtful = True
+            outcome_unknown = True
         # A refusal only applies to the last attempt; an earlier one without a
         # response may have been accepted.
-        self.book.take_answer(job, lasts, 0 if doubtful and status != 200
-                              else status)
+        self.book.record_response(
+            job, lasts, 0 if outcome_unknown and status != 200 else status)
 
     def cancel(self):
-        job = self.book.any_accepted(self.random)
+        job = self.book.random_accepted(self.random)
         if job is not None:
             self.book.cancel(job)
             self.call("DELETE", "/q/" + job)
 
-    def ask(self):
-        job = self.book.any_accepted(self.random)
+    def query(self):
+        job = self.book.random_accepted(self.random)
         if job is None:
             return
         asked_at = time.monotonic()
         status, _ = self.call("GET", "/q/" + job)
-        if status == 410 and asked_at - self.book.accepted_at[job] > KNOWN_S:
+        if status == 410 and asked_at - self.book.accepted_at[job] \
+                > ACCEPTED_VISIBLE_S:
             self.book.breaches.append(f"{job} was accepted and is unknown")
 
     def run(self, until):
         while time.monotonic() < until:
             self.submit()
-            self.ask()
+            self.query()
             if self.random.random() < 0.05:
                 self.cancel()
             time.sleep(self.pause_s)
--- a/tools/soak_checks.py
+++ b/tools/soak_checks.py
@@ -10,20 +10,20 @@
 from platform_site import until
 
 SETTLE_S = 40
-LOOK_S = 0.05
+CHECK_INTERVAL_S = 0.05
 # Time within which long-running tasks must run again without unplanned faults.
-LASTING_S = 6.0
-LASTING_COUNT = 2
+LONG_RUNNING_RESTART_S = 6.0
+LONG_RUNNING_COUNT = 2
 
 
-class LastingWatch:
+class LongRunningWatch:
     """Watches the long-running tasks in a thread."""
 
     def __init__(self, site, faults, book):
         self.site = site
         self.faults = faults
         self.book = book
-        self.short_since = {}  # job: time since which a task is not running
+        self.missing_since = {}  # job: time since which a task is not running
         self.worst_s = 0.0
         self.breaches = {}
         self.ended = threading.Event()
@@ -31,23 +31,23 @@
         self.thread.start()
 
     def run(self):
-        while not self.ended.wait(LOOK_S):
+        while not self.ended.wait(CHECK_INTERVAL_S):
             now = time.monotonic()
-            for job in self.book.alive():
-                self.look(job, now)
+            for job in self.book.long_running():
+                self.check(job, now)
 
-    def look(self, job, now):
-        if len(self.site.judge.at_work(job)) == LASTING_COUNT:
-            self.short_since.pop(job, None)
+    def check(self, job, now):
+        if len(self.site.judge.at_work(job)) == LONG_RUNNING_COUNT:
+            self.missing_since.pop(job, None)
             return
-        since = self.short_since.setdefault(job, now)
+        since = self.missing_since.setdefault(job, now)
         if now < self.faults.unplanned_until:
-            self.short_since[job] = now
+            self.missing_since[job] = now
             return
         self.worst_s = max(self.worst_s, now - since)
-        if now - since > LASTING_S and job not in self.breaches:
+        if now - since > LONG_RUNNING_RESTART_S and job not in self.breaches:
             self.breaches[job] = (f"{job} lasts and was not at work for "
-                                  f"{LASTING_S} s")
+                                  f"{LONG_RUNNING_RESTART_S} s")
             self.faults.note(self.breaches[job])
 
     def end(self):
@@ -83,7 +83,7 @@
         return at_work == 0
     if lasts:
         return (job in book.cancelled or state == "running") \
-            and at_work == LASTING_COUNT
+            and at_work == LONG_RUNNING_COUNT
     return state == "completed"
 
 
--- a/tools/soak_crashers.py
+++ b/tools/soak_crashers.py
@@ -13,11 +13,11 @@
 from platform_site import until
 
 # A task may crash three executors, and two more until that is noticed.
-STARTS_MAX = 5
-GIVEN_UP_S = 60
+MAX_STARTS = 5
+GIVE_UP_LIMIT_S = 60
 # Time by which the last job must have been submitted.
-SUBMITTED_S = 30
-LOOK_S = 0.05
+SUBMIT_LIMIT_S = 30
+CHECK_INTERVAL_S = 0.05
 STEP = {"count": 3, "cpu": 1000, "memMb": 10, "estimateMs": 300}
 KINDS = [{}, {"longRunning": True}, {"gang": True}]
 
@@ -50,7 +50,7 @@
             if len(self.site.judge.crashes) > self.seen:
                 self.seen += 1
                 self.faults.trouble(1.0)
-            time.sleep(LOOK_S)
+            time.sleep(CHECK_INTERVAL_S)
 
     def submit(self):
         job = f"{self.random.getrandbits(64):016x}"
@@ -82,17 +82,17 @@
         """
         entry = next(iter(self.site.entries))
         breaches = []
-        if not self.submitted.wait(SUBMITTED_S):
+        if not self.submitted.wait(SUBMIT_LIMIT_S):
             breaches.append("jobs that take executors down: not all submitted")
         for job, task in self.tasks.items():
             try:
                 until(lambda j=job: self.site.state(entry, j) == "failed",
-                      timeout_s=GIVEN_UP_S, what=job)
+                      timeout_s=GIVE_UP_LIMIT_S, what=job)
             except TimeoutError:
                 breaches.append(f"{task} takes its executors down, its job is "
                                 f"{self.site.state(entry, job)}")
             starts = self.site.judge.starts.get(task, 0)
-            if starts > STARTS_MAX:
+            if starts > MAX_STARTS:
                 breaches.append(f"{task} takes its executors down and was "
                                 f"started {starts} times")
         self.ended.set()
--- a/tools/soak_faults.py
+++ b/tools/soak_faults.py
@@ -20,7 +20,7 @@
 
 # An unplanned fault may have effects for this long after its end: the leases
 # of unreachable executors expire, and work is started elsewhere.
-AFTERMATH_S = 16.0
+UNPLANNED_EFFECTS_S = 16.0
 # No signals are sent to a process for this long after its start: until it has
 # installed its handlers, any signal ends it.
 STARTUP_S = 0.5
@@ -36,7 +36,7 @@
         self.site = site
         # A separate generator, so that the schedule drawn from self.random
         # does not depend on lives.
-        self.lives = random.Random(f"lives {seed}") if lives else None
+        self.restart_random = random.Random(f"lives {seed}") if lives else None
         self.random = random.Random(f"faults {seed}")
         self.workers = workers  # initial number of workers
         self.began = time.monotonic()
@@ -45,7 +45,7 @@
         self.breaches = []
         self.threads = []
         self.leaving = set()  # processes that are ending or starting
-        self.troubled = {}  # process: when it last had an unplanned fault
+        self.unplanned_ends = {}  # process: end of its last unplanned fault
         self.unplanned_until = 0.0
         self.added = workers
         self.document = copy.deepcopy(DOCUMENT)
@@ -82,9 +82,9 @@
         now = time.monotonic()
         with self.lock:
             self.unplanned_until = max(self.unplanned_until,
-                                       now + duration_s + AFTERMATH_S)
+                                       now + duration_s + UNPLANNED_EFFECTS_S)
             for name in names:
-                self.troubled[name] = now + duration_s
+                self.unplanned_ends[name] = now + duration_s
 
     def in_background(self, action, *arguments):
         thread = threading.Thread(target=action, args=arguments, daemon=True)
@@ -108,10 +108,10 @@
         return [name for name in list(self.site.processes)
                 if name not in self.leaving]
 
-    def any_process(self):
+    def random_process(self):
         return self.random.choice(self.processes())
 
-    def take(self, name):
+    def claim(self, name):
         """Claim the process name, so that no other fault ends it.
 
         Returns the process, or None if it is already ending or starting.
@@ -122,27 +122,27 @@
             self.leaving.add(name)
             return self.site.processes[name]
 
-    def start_again(self, name, pause_s):
+    def restart_process(self, name, pause_s):
         time.sleep(pause_s)
         self.site.processes[name].start()
-        self.let_start(name)
+        self.finish_start(name)
 
-    def let_start(self, name):
+    def finish_start(self, name):
         time.sleep(STARTUP_S)
         self.leaving.discard(name)
 
     def kill(self, name, pause_s):
-        process = self.take(name)
+        process = self.claim(name)
         if process is None:
             return
         self.note(f"kill {name}")
         self.trouble(pause_s, [name])
         process.kill()
-        self.start_again(name, pause_s)
+        self.restart_process(name, pause_s)
 
     def stop(self, name, pause_s):
         """Send SIGTERM, then SIGKILL if the process does not end in time."""
-        process = self.take(name)
+        process = self.claim(name)
         if process is None:
             return
         self.note(f"stop {name}")
@@ -153,11 +153,11 @@
         try:
             process.wait(GRACE_S)
         except subprocess.TimeoutExpired:
-            if self.troubled.get(name, 0.0) < began:
+            if self.unplanned_ends.get(name, 0.0) < began:
                 self.breaches.append(f"{name} did not end in {GRACE_S} s")
             self.trouble(0, [name])
             process.kill()
-        self.start_again(name, pause_s)
+        self.restart_process(name, pause_s)
 
     def pause(self, name, pause_s):
         process = self.site.processes.get(name)
@@ -176,15 +176,15 @@
             process.signal(signal.SIGHUP)
 
     def kill_one(self):
-        self.in_background(self.kill, self.any_process(),
+        self.in_background(self.kill, self.random_process(),
                            self.random.uniform(0.1, 3))
 
     def stop_one(self):
-        self.in_background(self.stop, self.any_process(),
+        self.in_background(self.stop, self.random_process(),
                            self.random.uniform(0, 2))
 
     def pause_one(self):
-        self.in_background(self.pause, self.any_process(),
+        self.in_background(self.pause, self.random_process(),
                            self.random.uniform(0.2, 8))
 
     def series(self, action, pauses_s):
@@ -252,7 +252,7 @@
             return
         name = self.random.choice(names)
         drain_s = self.random.uniform(0.5, 3)
-        if self.take(name) is None:
+        if self.claim(name) is None:
             return
         self.note(f"{name} leaves, drains {drain_s:.1f} s")
         self.in_background(self.site.retire, name, drain_s,
@@ -267,7 +267,7 @@
         self.leaving.add(name)
         self.site.add_worker(name, self.random.getrandbits(32),
                              self.random.choice(self.site.zones))
-        self.in_background(self.let_start, name)
+        self.in_background(self.finish_start, name)
 
     def zone_evacuated(self):
         """Evacuate a zone for some time.
@@ -284,26 +284,27 @@
         self.site.evacuate(zone)
         self.later(seconds, self.site.take_back, zone)
 
-    def any_executor(self):
+    def random_executor(self):
         return self.random.choice(list(self.site.executors.items()))
 
     def executor_crash(self):
-        name, executor = self.any_executor()
+        name, executor = self.random_executor()
         if name in self.leaving:
             return
         outage_s = self.random.choice([0, 0, 2, 7])
         self.note(f"crash {executor.name}, dark {outage_s} s")
         self.trouble(outage_s)
-        self.draw_life(executor)
+        self.draw_incarnation(executor)
         self.in_background(executor.crash, outage_s)
 
-    def draw_life(self, executor):
+    def draw_incarnation(self, executor):
         """Draw the id and the birth of the executor's next incarnation."""
-        if self.lives is None:
+        if self.restart_random is None:
             return
-        executor.keeps_id = self.lives.random() < 0.7
-        executor.born_step_ms = self.lives.choice([1, 1000, -1, -5000])
-        executor.clock_s = self.lives.choice([1, 100, 10000])
+        executor.keeps_id = self.restart_random.random() < 0.7
+        executor.born_step_ms = self.restart_random.choice(
+            [1, 1000, -1, -5000])
+        executor.clock_s = self.restart_random.choice([1, 100, 10000])
 
     def executor_restarts(self):
         """Restart executors, some of them repeatedly."""
@@ -312,21 +313,22 @@
                      if name not in self.leaving]
         if not executors:
             return
-        size, gap = self.lives.randint(1, 5), self.lives.uniform(0.0, 1.0)
+        size, gap = (self.restart_random.randint(1, 5),
+                     self.restart_random.uniform(0.0, 1.0))
         self.trouble(size * gap + 1.0)
         for i in range(size):
-            executor = self.lives.choice(executors)
-            outage_s = self.lives.choice([0, 0, 0.3, 1])
+            executor = self.restart_random.choice(executors)
+            outage_s = self.restart_random.choice([0, 0, 0.3, 1])
             self.later(i * gap, self.restart, executor, outage_s)
 
     def restart(self, executor, outage_s):
-        self.draw_life(executor)
+        self.draw_incarnation(executor)
         self.note(f"restart {executor.name}, same id: {executor.keeps_id}, "
                   f"dark {outage_s} s")
         executor.crash(outage_s)
 
     def executor_late(self):
-        _, executor = self.any_executor()
+        _, executor = self.random_executor()
         seconds = self.random.uniform(1, 6)
         self.note(f"late {executor.name} {seconds:.1f} s")
         self.trouble(seconds + 8)
@@ -349,7 +351,7 @@
         self.in_background(write)
 
     def writers_heartbeats(self):
-        name, executor = self.any_executor()
+        name, executor = self.random_executor()
         heartbeat = executor.heartbeat_body(0)
         cases = self.random.sample(
             [(executor.id, body)
@@ -364,7 +366,7 @@
         self.in_background(send)
 
     def writers_rows(self):
-        name, executor = self.any_executor()
+        name, executor = self.random_executor()
         self.note(f"malformed rows of {name}")
         executor.bad_rows = True
 
@@ -410,7 +412,7 @@
 
     # Links.
 
-    def some_links(self):
+    def random_links(self):
         """Return one link, all of one process, or all of one kind."""
         names = list(self.site.links)
         word = self.random.choice(self.random.choice(names).split())
@@ -419,21 +421,21 @@
         return [name for name in names if word in name.split()]
 
     def links_reset(self):
-        names = self.some_links()
+        names = self.random_links()
         self.note(f"reset {names}")
         self.trouble(0)
         for name in names:
             self.site.links[name].reset()
 
     def links_silent(self):
-        names = self.some_links()
+        names = self.random_links()
         self.note(f"silence {names}")
         self.trouble(0)
         for name in names:
             self.site.links[name].silence()
 
     def links_slow(self):
-        names, delay = self.some_links(), self.random.uniform(0.02, 0.3)
+        names, delay = self.random_links(), self.random.uniform(0.02, 0.3)
         self.note(f"delay {delay:.2f} {names}")
         seconds = self.random.uniform(1, 6)
         self.trouble(seconds)
@@ -442,7 +444,7 @@
         self.later(seconds, self.heal, names)
 
     def links_cut(self):
-        names = self.some_links()
+        names = self.random_links()
         ways = self.random.choice([(TO_TARGET,), (FROM_TARGET,),
                                    (TO_TARGET, FROM_TARGET)])
         seconds = self.random.uniform(0.5, 8)
--- a/tools/soak_late.py
+++ b/tools/soak_late.py
@@ -13,7 +13,7 @@
 LATE_S = [(0.1, 4.5), (2.0, 12.0)]
 LATE_SHARE = 0.8
 KINDS_AT_ONCE = 2
-LOOK_S = 0.005
+CHECK_INTERVAL_S = 0.005
 
 
 class LateStarts:
@@ -29,7 +29,7 @@
         self.random = random.Random(f"late {seed}")
         self.over = threading.Event()
         # How the store fails at the next isolated start, and for how long.
-        self.away = None
+        self.store_fault = None
         self.append = site.store.append
         site.store.append = self.on_append
         self.kinds = [self.starts_late, self.store_away, self.guard_killed,
@@ -39,7 +39,7 @@
 
     def run(self):
         seen = 0
-        while not self.over.wait(LOOK_S):
+        while not self.over.wait(CHECK_INTERVAL_S):
             crashes = self.site.judge.crashes
             if len(crashes) > seen:
                 worker = crashes[seen].rsplit("-", 1)[0]
@@ -50,7 +50,7 @@
     def end(self):
         self.over.set()
         self.thread.join()
-        self.away = None
+        self.store_fault = None
 
     def starts_late(self, worker):
         seconds, late_s = self.random.uniform(2, 5), self.random.choice(LATE_S)
@@ -59,31 +59,31 @@
         for executor in list(self.site.executors.values()):
             executor.late, executor.late_s = LATE_SHARE, late_s
             executor.late_calls = ("run-start",)
-        self.faults.later(seconds, self.prompt)
+        self.faults.later(seconds, self.end_late_starts)
 
-    def prompt(self):
+    def end_late_starts(self):
         for executor in list(self.site.executors.values()):
             executor.late, executor.late_s, executor.late_calls = 0.0, 1.0, None
 
     def store_away(self, worker):
         """Make the store fail at the append of the next isolated start."""
-        self.away = (self.random.choice(["busy", "silent"]),
+        self.store_fault = (self.random.choice(["busy", "silent"]),
                      self.random.uniform(1, 8))
 
     def on_append(self, query, body):
-        away = self.away
-        if away is None or query["topic"] != "keyed.progress" \
+        store_fault = self.store_fault
+        if store_fault is None or query["topic"] != "keyed.progress" \
                 or alone_in(body, list(self.crashers.tasks)) is None:
             return self.append(query, body)
-        self.away = None
-        how, seconds = away
+        self.store_fault = None
+        how, seconds = store_fault
         self.faults.note(f"store {how} {seconds:.1f} s under a start")
         self.faults.trouble(seconds)
         self.site.store.down = how
-        self.faults.later(seconds, self.come_back)
+        self.faults.later(seconds, self.restore_store)
         return (503, b"{}") if how == "busy" else None
 
-    def come_back(self):
+    def restore_store(self):
         self.site.store.down = None
 
     def guard_killed(self, worker):
