--- a/tests/standins/platform_executor.py
+++ b/tests/standins/platform_executor.py
@@ -408,10 +408,11 @@
             if self.enforces_capacity or present is not None:
                 return self.answer(409, reason="room")
             self.judge.over_capacity(self.incarnation_name, task, late)
-        lasts = order.get("spec", "").startswith("lasts")
-        endless = lasts or task in self.judge.crashers
+        is_long_running = order.get("spec", "").startswith("lasts")
+        endless = is_long_running or task in self.judge.crashers
         done_at = float("inf") if endless else time.monotonic() + self.work_s
-        self.runs[task] = {"run": run, "lasts": lasts, "done_at": done_at,
+        self.runs[task] = {"run": run, "lasts": is_long_running,
+                           "done_at": done_at,
                            "stop_at": float("inf"),
                            "began_at": time.monotonic()}
         self.extend(order)
--- a/tests/standins/platform_judge.py
+++ b/tests/standins/platform_judge.py
@@ -82,10 +82,10 @@
                     gang.all_present_at = time.monotonic()
             self.starts[task] = self.starts.get(task, 0) + 1
 
-    def end(self, executor, task, run, how, lasts):
+    def end(self, executor, task, run, how, is_long_running):
         with self.lock:
             self.running.get(task, set()).discard((executor, run))
-            if how == "done" and not lasts:
+            if how == "done" and not is_long_running:
                 self.done.add(task)
             gang = self.gang(task, run)
             if gang is not None and gang.outcome is None:
--- a/tools/ledgers.py
+++ b/tools/ledgers.py
@@ -107,9 +107,9 @@
 
     def leaving(self, name):
         """Yield the intervals from each SIGTERM to the next start of name."""
-        for told, _ in self.drains.get(name, ()):
-            later = [s for s in self.starts.get(name, ()) if s > told]
-            yield told, min(later, default=FOREVER)
+        for since, _ in self.drains.get(name, ()):
+            later = [s for s in self.starts.get(name, ()) if s > since]
+            yield since, min(later, default=FOREVER)
 
     def killed_after(self, name, time):
         """Return when name was first killed at or after time."""
--- a/tools/soak_callers.py
+++ b/tools/soak_callers.py
@@ -110,10 +110,10 @@
         self.cancelled = set()
         self.breaches = []
 
-    def record_response(self, job, lasts, status):
+    def record_response(self, job, is_long_running, status):
         with self.lock:
             if status == 200:
-                self.accepted[job] = lasts
+                self.accepted[job] = is_long_running
                 self.accepted_at[job] = time.monotonic()
             elif status in (429, 503):
                 self.refused.add(job)
@@ -123,8 +123,8 @@
     def long_running(self):
         """Return the long-running jobs that were not cancelled."""
         with self.lock:
-            return [job for job, lasts in self.accepted.items()
-                    if lasts and job not in self.cancelled]
+            return [job for job, is_long_running in self.accepted.items()
+                    if is_long_running and job not in self.cancelled]
 
     def random_accepted(self, chance):
         with self.lock:
@@ -173,9 +173,10 @@
 
     def submit(self):
         job = f"{self.random.getrandbits(64):016x}"
-        lasts = (len(self.book.long_running()) < LONG_RUNNING_MAX
-                 and self.random.random() < 0.15)
-        steps, spec = (LONG_RUNNING_STEPS, "lasts") if lasts \
+        is_long_running = (
+            len(self.book.long_running()) < LONG_RUNNING_MAX
+            and self.random.random() < 0.15)
+        steps, spec = (LONG_RUNNING_STEPS, "lasts") if is_long_running \
             else (STEPS, "work")
         body = json.dumps({"spec": spec, "steps": steps}).encode()
         outcome_unknown = False
@@ -188,7 +189,8 @@
         # A refusal only applies to the last attempt; an earlier one without a
         # response may have been accepted.
         self.book.record_response(
-            job, lasts, 0 if outcome_unknown and status != 200 else status)
+            job, is_long_running,
+            0 if outcome_unknown and status != 200 else status)
 
     def cancel(self):
         job = self.book.random_accepted(self.random)
--- a/tools/soak_checks.py
+++ b/tools/soak_checks.py
@@ -63,25 +63,26 @@
     breaches = []
     entry = next(iter(site.entries))
     deadline = time.monotonic() + SETTLE_S
-    for job, lasts in book.accepted.items():
+    for job, is_long_running in book.accepted.items():
         left = max(deadline - time.monotonic(), 1.0)
         try:
-            until(lambda j=job, k=lasts: has_ended(site, book, entry, j, k),
+            until(lambda j=job, k=is_long_running:
+                  has_ended(site, book, entry, j, k),
                   timeout_s=left, what=job)
         except TimeoutError:
             breaches.append(
-                f"{job} (lasts: {lasts}, cancelled: "
+                f"{job} (lasts: {is_long_running}, cancelled: "
                 f"{job in book.cancelled}) is {site.state(entry, job)}, "
                 f"{len(site.judge.at_work(job))} at work")
     return breaches
 
 
-def has_ended(site, book, entry, job, lasts):
+def has_ended(site, book, entry, job, is_long_running):
     state = site.state(entry, job)
     at_work = len(site.judge.at_work(job))
     if job in book.cancelled and state == "cancelled":
         return at_work == 0
-    if lasts:
+    if is_long_running:
         return (job in book.cancelled or state == "running") \
             and at_work == LONG_RUNNING_COUNT
     return state == "completed"
