--- a/tests/standins/lib/vm.c
+++ b/tests/standins/lib/vm.c
@@ -8,7 +8,7 @@
 #define THROTTLED_SHARE 0.25
 #define MAX_SLEEP_MS 3600000
 
-static void reschedule (gp_vm_t *vm);
+static void update_rates (gp_vm_t *vm);
 
 const char *
 gp_vmtask_state_name (gp_vmtask_state_t state)
@@ -118,7 +118,7 @@
       vm->expired++;
     }
   if (vm->expired != before)
-    reschedule (vm);
+    update_rates (vm);
 }
 
 static void
@@ -127,7 +127,7 @@
   gp_vm_t *vm = timer->data;
 
   gp_vm_expire (vm);
-  reschedule (vm);
+  update_rates (vm);
 }
 
 static void
@@ -158,7 +158,7 @@
       task->next_checkpoint_ms
           = (int64_t)task->progress_ms + task->checkpoint_every_ms;
     }
-  reschedule (task->vm);
+  update_rates (task->vm);
 }
 
 /* Rates and timers.  */
@@ -214,7 +214,7 @@
 /* Recompute the rates and timers of all tasks after a change to any of
    them.  */
 static void
-reschedule (gp_vm_t *vm)
+update_rates (gp_vm_t *vm)
 {
   gp_time_t now = gp_time_now ();
   gp_time_t deadline = GP_TIME_NEVER;
@@ -343,7 +343,7 @@
   write_task (task, "task_start", task->started_at);
   check_capacity (vm);
   vm->on_event (task, GP_VMTASK_RUNNING, task->started_at);
-  reschedule (vm);
+  update_rates (vm);
 }
 
 void
@@ -362,7 +362,7 @@
          lease.  */
       task->deadline = MAX (task->deadline, deadline);
     }
-  reschedule (vm);
+  update_rates (vm);
 }
 
 void
@@ -391,7 +391,7 @@
       task->share = 1.0;
       break;
     }
-  reschedule (vm);
+  update_rates (vm);
 }
 
 static void
--- a/tools/soak_crashers.py
+++ b/tools/soak_crashers.py
@@ -15,7 +15,7 @@
 # A task may crash three executors, and two more until that is noticed.
 MAX_STARTS = 5
 GIVE_UP_LIMIT_S = 60
-# Time by which the last job must have been submitted.
+# How long end() waits for the last submission, which may need several entries.
 SUBMIT_LIMIT_S = 30
 CHECK_INTERVAL_S = 0.05
 STEP = {"count": 3, "cpu": 1000, "memMb": 10, "estimateMs": 300}
