--- a/tests/fuzz/fuzz_platform.c
+++ b/tests/fuzz/fuzz_platform.c
@@ -1,6 +1,7 @@
-/* Fuzz target: what the platform, executors, callers, operators and the store
-   send.  The first byte chooses the decoder.  The corpus holds a body in form
-   for each decoder and cases of tests/unit/test_wire.c.  */
+/* Fuzz target: decoders of messages from the platform, executors, callers,
+   operators and the store.  The first byte selects the decoder.  The corpus
+   contains a well-formed body for each decoder and cases from
+   tests/unit/test_wire.c.  */
 
 #include <stddef.h>
 #include <stdint.h>
@@ -18,9 +19,10 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* Whatever is refused, there is an answer that tells why.  */
+/* Check that an error response with the reason can be made for each
+   refusal.  */
 static void
-answer_why (GError *error)
+check_error_body (GError *error)
 {
   char *body = gp_platform_error_body (error->message);
 
@@ -38,7 +40,7 @@
       = gp_platform_submission_parse (text, size, &error);
 
   if (submission == NULL)
-    answer_why (error);
+    check_error_body (error);
   else
     gp__jobs__submission__free_unpacked (submission, NULL);
 }
@@ -88,12 +90,14 @@
   json_decref (json);
 }
 
-/* What the records hold; kept so that the reads of it are made.  */
+/* Combines all record bytes; volatile, so that the reads are not optimized
+   away.  */
 static volatile uint8_t sum;
 
-/* Records must lie within the page.  */
+/* Read all bytes of the records, so that AddressSanitizer finds a record that
+   is not within the page.  */
 static void
-touch_records (const gp_store_page_t *page)
+read_records (const gp_store_page_t *page)
 {
   for (guint i = 0; i < page->records->len; i++)
     {
@@ -115,7 +119,7 @@
   gp_store_page_init (&page);
   if (gp_store_page_parse_read (&page, TOPIC, 0, bytes, size, NULL) && page.truncated)
     gp_store_page_add_unreadable (&page, TOPIC, 0);
-  touch_records (&page);
+  read_records (&page);
   gp_store_page_finish (&page);
 }
 
@@ -126,7 +130,7 @@
 
   gp_store_page_init (&page);
   gp_store_page_parse_newest (&page, TOPIC, bytes, size, NULL);
-  touch_records (&page);
+  read_records (&page);
   gp_store_page_finish (&page);
 }
 
--- a/tests/fuzz/fuzz_records.c
+++ b/tests/fuzz/fuzz_records.c
@@ -1,9 +1,10 @@
-/* Fuzz target: records of the log and frames between processes, decoded and
-   folded into a small site.
+/* Fuzz target: log records, decoded and applied to a small site, and frames
+   between processes, decoded.
 
-   The first byte chooses the topic or the frame, the second is the size of the
-   key that follows; the rest is the value.  What is taken of the job that the
-   site knows, or of another one, is planned afterwards.  */
+   The first byte selects the topic or a frame, the second is the size of the
+   key that follows; the rest is the value.  After a record is applied, the
+   scheduler plans all jobs: the one that the site already has and any that the
+   record has added.  */
 
 #include <stddef.h>
 #include <stdint.h>
@@ -27,7 +28,7 @@
   gp_scheduler_t scheduler;
 } site_t;
 
-/* An executor with room for three tasks.  */
+/* Add a reachable executor with 4000 millicores and 4000 MB.  */
 static void
 add_executor (site_t *site, const char *id)
 {
@@ -42,7 +43,7 @@
   executor->reachable = true;
 }
 
-/* A job of three tasks and two.  */
+/* Add a job with a step of three tasks, followed by a step of two.  */
 static void
 add_job (site_t *site)
 {
@@ -89,7 +90,7 @@
 }
 
 static void
-learn (site_t *site, const Gp__Jobs__Learned *learned)
+apply_learned (site_t *site, const Gp__Jobs__Learned *learned)
 {
   for (size_t i = 0; i < learned->n_pressures; i++)
     gp_pressure_set (&site->pressure, learned->pressures[i]->serving,
@@ -101,7 +102,7 @@
 }
 
 static void
-fold (site_t *site, gp_record_t *record)
+apply_record (site_t *site, gp_record_t *record)
 {
   const gp_book_position_t place = { .offset = 1 };
 
@@ -121,7 +122,7 @@
                               NULL);
       break;
     case GP_RECORD_LEARNED:
-      learn (site, record->u.learned);
+      apply_learned (site, record->u.learned);
       break;
     case GP_RECORD_UNKNOWN:
     case GP_RECORD_PLACE:
@@ -131,9 +132,9 @@
     }
 }
 
-/* What a leader does with all that the site knows.  */
+/* Plan all jobs and encode their progress, as a leader does.  */
 static void
-lead (site_t *site)
+plan_jobs (site_t *site)
 {
   GHashTableIter iter;
   gpointer value;
@@ -166,8 +167,8 @@
   if (parse (&record, key, key_size, value, size, NULL))
     {
       site_init (&site);
-      fold (&site, &record);
-      lead (&site);
+      apply_record (&site, &record);
+      plan_jobs (&site);
       site_finish (&site);
     }
   gp_record_finish (&record);
@@ -190,7 +191,7 @@
   const uint8_t *value;
   size_t key_size;
 
-  /* Decisions are logged, more than anybody reads here.  */
+  /* Log errors only: the scheduler logs each decision.  */
   gp_log_init ("fuzz", GP_LOG_ERROR);
   if (size < 2 || size - 2 < data[1])
     return 0;
--- a/tests/scripts/crashes.py
+++ b/tests/scripts/crashes.py
@@ -187,7 +187,7 @@
     print("executors are away for longer than their leases")
     with start_site(build) as site:
         for executor in site.executors.values():
-            executor.crash_dark_s = 7.0
+            executor.crash_outage_s = 7.0
         submit_crasher(site, TASKS)
         check_crasher(site)
 
@@ -212,7 +212,7 @@
         for _ in range(4):
             worker = next(name for name, executor in site.executors.items()
                           if executor.runs)
-            site.executors[worker].crash(dark_s=0.5)
+            site.executors[worker].crash(outage_s=0.5)
             holds_within(lambda: len(site.judge.at_work(JOB_B)) == 3, 15)
             time.sleep(UNSUSPECTED_S)
         print("  beside it:", state_from_any(site, JOB_B),
@@ -241,7 +241,7 @@
     """Crash the only executor SECONDS after the start of JOB_B."""
     holds_within(lambda: site.judge.at_work(JOB_B) != [], 20)
     time.sleep(seconds)
-    site.executors["w1"].crash(dark_s=0.5)
+    site.executors["w1"].crash(outage_s=0.5)
 
 
 def held_up(build):
@@ -258,7 +258,7 @@
             crash_after(site, 0.3)
             crash_after(site, 0.3)
             site.judge.crashers.add(CRASHER)
-            site.executors["w1"].held = {CRASHER: held_s}
+            site.executors["w1"].start_delays = {CRASHER: held_s}
             site.submit("e1", JOB_A, [{**TASKS, "count": 1}])
             holds_within(lambda: state_from_any(site, JOB_A) == "failed",
                          GIVE_UP_LIMIT_S)
--- a/tests/scripts/gone.py
+++ b/tests/scripts/gone.py
@@ -43,7 +43,7 @@
 def await_leader_known(site, name, leader):
     """Wait until the guard of NAME has accepted LEADER."""
     until(lambda: f'"leader.known","leader":"{leader}"'
-          in site.processes[name].log_of_life(), what="leader known")
+          in site.processes[name].log_since_start(), what="leader known")
 
 
 def change_leader(site):
@@ -94,7 +94,7 @@
     leader = change_leader(site)
     name = busy_worker(site)
     await_leader_known(site, name, leader)
-    site.executors[name].leave(goodbye=goodbye)
+    site.executors[name].leave(deregister=goodbye)
     ended = time.monotonic()
     site.processes[name].signal(signal.SIGTERM)
     return ended
@@ -124,7 +124,7 @@
     with new_site(build) as site:
         submit_and_wait(site)
         name = busy_worker(site)
-        site.executors[name].leave(goodbye=False)
+        site.executors[name].leave(deregister=False)
         ended = time.monotonic()
         site.processes[name].kill()
         site.processes[name].start()
@@ -140,7 +140,7 @@
         submit_and_wait(site)
         name = busy_worker(site)
         site.processes[name].kill()
-        site.executors[name].leave(goodbye=False)
+        site.executors[name].leave(deregister=False)
         ended = time.monotonic()
         leader = change_leader(site)
         site.processes[name].start()
@@ -156,7 +156,7 @@
         submit_and_wait(site)
         name, first = busy_worker(site), site.leader()
         site.processes[first].kill()
-        site.executors[name].leave(goodbye=True)
+        site.executors[name].leave(deregister=True)
         ended = time.monotonic()
         site.processes[name].signal(signal.SIGTERM)
         print_running_again(site, DEREGISTERED_LIMIT_S, ended)
@@ -173,10 +173,10 @@
         until(lambda: site.leader() not in (None, first), what="another leader")
         second = site.leader()
         site.processes[first].signal(signal.SIGCONT)
-        until(lambda: '"lead.lost"' in site.processes[first].log_of_life(),
+        until(lambda: '"lead.lost"' in site.processes[first].log_since_start(),
               what="loss of leadership noticed")
         site.processes[name].kill()
-        site.executors[name].leave(goodbye=False)
+        site.executors[name].leave(deregister=False)
         ended = time.monotonic()
         for entry in site.entries:
             if entry not in (first, second):
@@ -193,7 +193,7 @@
         name, first = busy_worker(site), site.leader()
         site.processes[first].signal(signal.SIGTERM)
         site.processes[name].kill()
-        site.executors[name].leave(goodbye=False)
+        site.executors[name].leave(deregister=False)
         ended = time.monotonic()
         print_running_again(site, LEASE_LIMIT_S, ended)
         print_breaches(site)
@@ -205,7 +205,7 @@
         submit_and_wait(site)
         name, first = busy_worker(site), site.leader()
         site.processes[name].kill()
-        site.executors[name].leave(goodbye=False)
+        site.executors[name].leave(deregister=False)
         ended = time.monotonic()
         site.processes[first].kill()
         until(lambda: site.leader() not in (None, first),
--- a/tests/scripts/planned.py
+++ b/tests/scripts/planned.py
@@ -24,14 +24,14 @@
                        for task in site.judge.on(executor.id)))
 
 
-def start_shutdown(site, name, drain_s=1.0, longer_s=0.5):
+def start_shutdown(site, name, drain_s=1.0, extra_s=0.5):
     """Start the planned shutdown of the worker NAME.
 
     Returns a function that waits until its executor has ended and the
     long-running tasks run elsewhere.
     """
     thread = threading.Thread(target=site.retire,
-                              args=(name, drain_s, longer_s))
+                              args=(name, drain_s, extra_s))
     executor = site.executors[name]
     thread.start()
 
@@ -110,7 +110,7 @@
         successor = other_entry(site, leader)
         site.processes[leader].signal(signal.SIGTERM)
         until(lambda: '"lead.resigned"' in
-              site.processes[leader].log_of_life(), what="resigned")
+              site.processes[leader].log_since_start(), what="resigned")
         start_shutdown(site, worker_of(site, JOB_A), 0.0, 0.0)()
         check_site(site, successor)
 
--- a/tests/scripts/platform.py
+++ b/tests/scripts/platform.py
@@ -98,11 +98,11 @@
             site.processes[name].kill()
             site.processes[name].start()
             until(lambda n=name: '"executor.known"'
-                  in site.processes[n].log_of_life(), what="executor known")
+                  in site.processes[n].log_since_start(), what="executor known")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running again")
         starts = sum(site.judge.starts.values())
         for executor in site.executors.values():
-            print("  answer:", executor.repeat_beat_of(1))
+            print("  answer:", executor.resend_first_heartbeat(1))
         for job in (JOB_B, JOB_C):
             site.submit("e2", job, STEPS)
             site.await_state("e2", job, "completed")
@@ -256,7 +256,7 @@
     """Return the lines of `galenapier explain WANTED` on the log of NAME."""
     path = os.path.join(site.folder, "explained-" + name)
     with open(path, "w", encoding="utf-8") as file:
-        file.write(site.processes[name].log_of_life())
+        file.write(site.processes[name].log_since_start())
     done = subprocess.run([os.path.join(site.build, "galenapier"), "explain",
                            wanted, path], capture_output=True, text=True,
                           check=False)
@@ -278,12 +278,12 @@
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         until(lambda: all('"executor.known"'
-                          in site.processes[name].log_of_life()
+                          in site.processes[name].log_since_start()
                           for name in site.executors), what="executor known")
         for name, executor in site.executors.items():
             # Newer than all genuine heartbeats: if it were accepted, those
             # would be ignored.
-            body = {**executor.beat_body(10 ** 9), "state": "draining",
+            body = {**executor.heartbeat_body(10 ** 9), "state": "draining",
                     "remainingMs": 0}
             for case, change in OTHER_WRITERS:
                 changed = {k: v for k, v in {**body, **change}.items()
@@ -308,7 +308,7 @@
                     "unreadable", "identity"):
             print(f"  refused, {key}:",
                   int(site.metric("w1", f"refused_{key}_total")))
-        for line in site.processes["w1"].log_of_life().splitlines():
+        for line in site.processes["w1"].log_since_start().splitlines():
             if '"heartbeat.malformed"' in line:
                 record = json.loads(line)
                 print("  line:", record["executor"] or "unnamed",
@@ -324,14 +324,14 @@
     print("strangers, a false first heartbeat, and false goodbyes")
     with start_site(build) as site:
         executor = site.executors["w1"]
-        body = executor.beat_body(10 ** 9)
+        body = executor.heartbeat_body(10 ** 9)
         statuses = {executor.post_body(f"stranger-{i}", json.dumps(body))
                     for i in range(40)}
         print("  answers to 40 strangers:", statuses <= {200, 503})
         until(lambda: site.metric("w1", "refused_identity_total") >= 40,
               what="refused")
         executor.crash()
-        false = {**executor.beat_body(10 ** 9), "service": "other"}
+        false = {**executor.heartbeat_body(10 ** 9), "service": "other"}
         executor.post_body(executor.id, json.dumps(false))
         # Each executor has room for one of these tasks.
         site.submit("e1", JOB_A, [{"count": 3, "cpu": 9000, "memMb": 10,
@@ -354,13 +354,13 @@
         site.submit("e1", JOB_A, LONG_RUNNING, spec="lasts")
         until(lambda: len(site.judge.at_work(JOB_A)) == 3, what="running")
         for executor in site.executors.values():
-            executor.garbles = True
+            executor.malformed_list = True
         until(lambda: all(site.metric(name, "refused_rows_total") > 20
                           for name in site.executors), what="refused")
         site.submit("e2", JOB_B, STEPS)
         site.await_state("e2", JOB_B, "completed")
         for executor in site.executors.values():
-            executor.garbles = False
+            executor.malformed_list = False
         site.submit("e2", JOB_C, STEPS)
         site.await_state("e2", JOB_C, "completed")
         print("  starts:", sum(site.judge.starts.values()))
--- a/tests/scripts/platform_site.py
+++ b/tests/scripts/platform_site.py
@@ -18,7 +18,7 @@
                                 "tools"))
 
 from links import Links  # noqa: E402
-from platform_executor import KEPT, Executor  # noqa: E402
+from platform_executor import UNTIL_RESTART, Executor  # noqa: E402
 from platform_judge import EVACUATE_S, Judge  # noqa: E402
 from platform_store import Store  # noqa: E402
 from site_processes import Process, free_port, request, until  # noqa: E402
@@ -168,12 +168,12 @@
             self.judge, name, app, self.link(f"{name} heartbeats", control),
             seed=seed, zone=zone)
 
-    def retire(self, name, drain_s=1.0, longer_s=0.5):
+    def retire(self, name, drain_s=1.0, extra_s=0.5):
         """Remove the worker NAME by a planned shutdown.
 
         Its executor drains and deregisters, then its guard is stopped.
         """
-        self.executors[name].drain(drain_s, longer_s)
+        self.executors[name].drain(drain_s, extra_s)
         del self.executors[name]
         guard = self.processes.pop(name)
         guard.signal(signal.SIGTERM)
@@ -197,7 +197,7 @@
         """
         best = None
         for name in self.entries:
-            for line in self.processes[name].log_of_life().splitlines():
+            for line in self.processes[name].log_since_start().splitlines():
                 if '"lead.taken"' in line:
                     record = json.loads(line)
                     if best is None or record["time"] > best[0]:
--- a/tests/scripts/room.py
+++ b/tests/scripts/room.py
@@ -48,7 +48,7 @@
             {"name": "work", "enforcesCapacity": False}]}
         site.publish(document)
         for executor in site.executors.values():
-            executor.guards_room = False
+            executor.enforces_capacity = False
             executor.late, executor.late_s = late, 6.0
         accepted = []
         end = time.monotonic() + SECONDS
--- a/tests/scripts/same_id.py
+++ b/tests/scripts/same_id.py
@@ -15,7 +15,7 @@
 import threading
 import time
 
-from platform_site import JOB_A, KEPT, STEPS, start_site, until
+from platform_site import JOB_A, UNTIL_RESTART, STEPS, start_site, until
 
 # How many times executors restart, one at a time, and the pause in between.
 RESTARTS = 6
@@ -112,20 +112,20 @@
         yield site
 
 
-def restart_in_turn(site, do=lambda name: None, dark_s=0.0):
+def restart_in_turn(site, do=lambda name: None, outage_s=0.0):
     """Restart executors one after the other, calling DO(name) before each."""
     for i in range(RESTARTS):
         time.sleep(PAUSE_S)
         name = f"w{i % 3 + 1}"
         do(name)
-        site.executors[name].crash(dark_s, innocent_s=MIN_RUN_AGE_S)
+        site.executors[name].crash(outage_s, min_run_age_s=MIN_RUN_AGE_S)
 
 
-def run_scenario(build, steps, do=lambda site, name: None, dark_s=0.0, **more):
+def run_scenario(build, steps, do=lambda site, name: None, outage_s=0.0, **more):
     """Submit jobs of STEPS while executors restart in turn."""
     with site_with_ids(build, **more) as site:
         stream = JobStream(site, *steps)
-        restart_in_turn(site, lambda name: do(site, name), dark_s)
+        restart_in_turn(site, lambda name: do(site, name), outage_s)
         time.sleep(PAUSE_S)
         stream.end()
         print_breaches(site)
@@ -143,14 +143,14 @@
 
 def dark(build):
     print("executors are away for 2 s and start again under their ids")
-    run_scenario(build, [STEPS], dark_s=2.0)
+    run_scenario(build, [STEPS], outage_s=2.0)
 
 
 def twice(build):
     print("executors start again twice in a row")
 
     def first(site, name):
-        site.executors[name].crash(innocent_s=MIN_RUN_AGE_S)
+        site.executors[name].crash(min_run_age_s=MIN_RUN_AGE_S)
         time.sleep(0.05)
 
     run_scenario(build, [STEPS], first)
@@ -192,7 +192,7 @@
         for step_ms in (1, -1):
             time.sleep(PAUSE_S)
             site.executors["w1"].born_step_ms = step_ms
-            site.executors["w1"].crash(innocent_s=MIN_RUN_AGE_S)
+            site.executors["w1"].crash(min_run_age_s=MIN_RUN_AGE_S)
         time.sleep(PAUSE_S)
         site.processes["w1"].signal(signal.SIGCONT)
         time.sleep(PAUSE_S)
@@ -245,17 +245,17 @@
     """
     for executor in site.executors.values():
         executor.work_s = LONG_WORK_S
-        executor.held[task] = KEPT
+        executor.start_delays[task] = UNTIL_RESTART
     site.submit("e1", JOB_A, ONE)
-    until(lambda: any(e.kept for e in site.executors.values()),
+    until(lambda: any(e.held_orders for e in site.executors.values()),
           what="first start retained")
-    first = next(n for n, e in site.executors.items() if e.kept)
+    first = next(n for n, e in site.executors.items() if e.held_orders)
     for executor in site.executors.values():
-        executor.held.clear()
+        executor.start_delays.clear()
     site.executors[first].crash()
     until(lambda: vm_of_task(site, task), what="second run started")
     second = vm_of_task(site, task)
-    until(lambda: not site.executors[second].has_begun_within(SETTLED_S),
+    until(lambda: not site.executors[second].has_started_run_within(SETTLED_S),
           what="second run settled")
     return first, second
 
@@ -267,7 +267,7 @@
     with site_with_ids(build) as site:
         first, second = retain_first_start(site, task)
         lives = site.metric(first, "guard_lives_total")
-        site.executors[first].crash(with_kept=True)
+        site.executors[first].crash(with_held_starts=True)
         until(lambda: site.metric(first, "guard_lives_total") > lives,
               what="the next incarnation")
         site.executors[second].crash()
@@ -292,10 +292,10 @@
 
     def repeat(site, name):
         executor = site.executors[name]
-        if executor.life > 2:
-            executor.repeat_last_beat_of(executor.life - 1)
-        threading.Timer(0.4, executor.repeat_last_beat_of,
-                        (executor.life,)).start()
+        if executor.incarnation > 2:
+            executor.resend_last_heartbeat(executor.incarnation - 1)
+        threading.Timer(0.4, executor.resend_last_heartbeat,
+                        (executor.incarnation,)).start()
 
     run_scenario(build, [STEPS], repeat)
 
--- a/tests/standins/lib/connection.c
+++ b/tests/standins/lib/connection.c
@@ -8,7 +8,8 @@
 #define HEADERS_MAX 64
 #define HEAD_MAX_SIZE (64L * 1024)
 
-/* Exported by libh2o, which installs no header for them.  */
+/* libh2o exports these functions but installs no header that declares
+   them.  */
 int phr_parse_response (const char *buf, size_t len, int *minor_version,
                         int *status, const char **msg, size_t *msg_len,
                         gp_connection_header_t *headers, size_t *num_headers,
@@ -16,7 +17,8 @@
 ssize_t phr_decode_chunked (struct phr_chunked_decoder *decoder, char *buf,
                             size_t *bufsz);
 
-/* One loop on one thread: all connections read into the same place.  */
+/* Shared by all connections: they run on one event loop in one thread, and
+   each read is consumed before the next one starts.  */
 static char read_buffer[READ_SIZE];
 
 typedef struct
@@ -51,15 +53,15 @@
 }
 
 static void
-end_whole (gp_connection_t *connection)
+end_complete (gp_connection_t *connection)
 {
-  if (!connection->keep)
+  if (!connection->keep_alive)
     {
-      end_closed (connection, GP_CONNECTION_WHOLE);
+      end_closed (connection, GP_CONNECTION_COMPLETE);
       return;
     }
   connection->state = GP_CONNECTION_READY;
-  connection->callbacks->on_end (connection, GP_CONNECTION_WHOLE, true);
+  connection->callbacks->on_end (connection, GP_CONNECTION_COMPLETE, true);
 }
 
 static gp_connection_end_t
@@ -72,7 +74,7 @@
     case GP_CONNECTION_CLOSED:
       return GP_CONNECTION_IDLE;
     case GP_CONNECTION_HEAD:
-      return GP_CONNECTION_NO_ANSWER;
+      return GP_CONNECTION_NO_RESPONSE;
     case GP_CONNECTION_BODY:
     case GP_CONNECTION_CHUNKS:
     case GP_CONNECTION_UNTIL_CLOSE:
@@ -95,14 +97,15 @@
          && strncasecmp (header->value, value, header->value_size) == 0;
 }
 
-/* Learn from the head how the body is framed.  */
+/* Determine from the response headers how the body is delimited and whether
+   the connection can be reused.  */
 static void
 read_framing (gp_connection_t *connection, int minor_version, int status,
               const gp_connection_header_t *headers, size_t count)
 {
   bool empty = status == 204 || status == 304;
 
-  connection->keep = minor_version > 0;
+  connection->keep_alive = minor_version > 0;
   connection->state = empty ? GP_CONNECTION_BODY : GP_CONNECTION_UNTIL_CLOSE;
   connection->body_left = 0;
   for (size_t i = 0; i < count && !empty; i++)
@@ -121,7 +124,7 @@
         }
       else if (header_is (&headers[i], "connection")
                && value_is (&headers[i], "close"))
-        connection->keep = false;
+        connection->keep_alive = false;
     }
 }
 
@@ -135,8 +138,8 @@
     connection->callbacks->on_body (connection, bytes, n);
   if (connection->state != GP_CONNECTION_BODY || connection->body_left > 0)
     return;
-  connection->keep = connection->keep && n == size;
-  end_whole (connection);
+  connection->keep_alive = connection->keep_alive && n == size;
+  end_complete (connection);
 }
 
 static void
@@ -152,8 +155,8 @@
     end_closed (connection, GP_CONNECTION_TRUNCATED);
   else if (rest >= 0)
     {
-      connection->keep = connection->keep && rest == 0;
-      end_whole (connection);
+      connection->keep_alive = connection->keep_alive && rest == 0;
+      end_complete (connection);
     }
 }
 
@@ -179,7 +182,8 @@
     }
 }
 
-/* Bytes that may complete the answer's head.  */
+/* Parse the response head.  An incomplete one is buffered in
+   connection->head until more bytes arrive.  */
 static void
 on_head_bytes (gp_connection_t *connection, char *bytes, size_t size)
 {
@@ -267,7 +271,7 @@
   g_free (write);
 }
 
-/* Bytes that the kernel did not take at once.  */
+/* Queue the bytes that uv_try_write did not accept.  */
 static void
 write_later (gp_connection_t *connection, const char *bytes, size_t size)
 {
--- a/tests/standins/lib/pool.c
+++ b/tests/standins/lib/pool.c
@@ -14,7 +14,7 @@
   gp_pool_t *pool;
   char *text;
   struct sockaddr_in address;
-  gp_list_t idle; /* connections */
+  gp_list_t idle; /* idle connections, most recently used first */
 } entry_t;
 
 static gp_pool_t *
@@ -88,9 +88,10 @@
     gp_list_push_front (&entry->idle, &connection->link);
 }
 
-/* The connection is about to be freed.  */
+/* Remove CONNECTION, which is about to be freed, from the pool and let a
+   waiting query use the free place.  */
 static void
-connection_gone (gp_connection_t *connection)
+remove_connection (gp_connection_t *connection)
 {
   gp_pool_t *pool = pool_of (connection);
   gp_list_t *link;
@@ -105,9 +106,9 @@
 static void
 connect_failed (gp_pool_t *pool, gp_query_t *query)
 {
-  query->connects++;
-  query->turn++;
-  if (query->connects < pool->entries->len)
+  query->failed_connects++;
+  query->entry_index++;
+  if (query->failed_connects < pool->entries->len)
     gp_pool_send (pool, query);
   else
     pool->on_end (query, GP_OUTCOME_REFUSED);
@@ -124,7 +125,7 @@
       send_query (connection, query);
       return;
     }
-  connection_gone (connection);
+  remove_connection (connection);
   connect_failed (pool, query);
 }
 
@@ -139,7 +140,7 @@
 copy_value (char *to, const gp_connection_header_t *header)
 {
   g_strlcpy (to, header->value,
-             MIN (header->value_size + 1, GP_QUERY_WORD_SIZE));
+             MIN (header->value_size + 1, GP_QUERY_HEADER_SIZE));
 }
 
 static void
@@ -158,7 +159,8 @@
     }
 }
 
-/* Whether the body is to follow from the request.  */
+/* Return whether the response body must be the one generated from the
+   request's identifier.  */
 static bool
 checks_body (const gp_query_t *query)
 {
@@ -177,7 +179,7 @@
 }
 
 static gp_outcome_t
-judge_whole (const gp_query_t *query)
+classify_response (const gp_query_t *query)
 {
   if (strcmp (query->verdict, "not-run") == 0)
     return GP_OUTCOME_NOT_RUN;
@@ -199,18 +201,18 @@
   if (open)
     make_idle (connection);
   else
-    connection_gone (connection);
+    remove_connection (connection);
   switch (end)
     {
-    case GP_CONNECTION_WHOLE:
-      outcome = judge_whole (query);
+    case GP_CONNECTION_COMPLETE:
+      outcome = classify_response (query);
       query->wrong |= outcome == GP_OUTCOME_BROKEN;
       pool->on_end (query, outcome);
       break;
     case GP_CONNECTION_TRUNCATED:
       pool->on_end (query, GP_OUTCOME_BROKEN);
       break;
-    case GP_CONNECTION_NO_ANSWER:
+    case GP_CONNECTION_NO_RESPONSE:
       pool->on_end (query, GP_OUTCOME_UNKNOWN);
       break;
     case GP_CONNECTION_IDLE:
@@ -236,19 +238,20 @@
   return NULL;
 }
 
-/* The entry whose turn it is, over a connection that is idle or new; when
-   there may be no more of them, any idle one, or after others.  The wait for
-   one does not move on the turn of a query whose entry could not be
-   connected: it would come back to that entry and count as refused.  */
+/* Send QUERY to the next entry in round-robin order, over an idle or a new
+   connection.  At the connection limit, use any idle connection, or wait for
+   one.  A query whose connection attempt failed keeps its position in the
+   order, also after a wait: with a new position it could return to the entry
+   that failed and count as refused.  */
 void
 gp_pool_send (gp_pool_t *pool, gp_query_t *query)
 {
   gp_connection_t *connection;
   entry_t *entry;
 
-  if (query->connects == 0)
-    query->turn = pool->next_entry++;
-  entry = pool->entries->pdata[query->turn % pool->entries->len];
+  if (query->failed_connects == 0)
+    query->entry_index = pool->next_entry++;
+  entry = pool->entries->pdata[query->entry_index % pool->entries->len];
   query->entry = entry->text;
   if (!gp_list_empty (&entry->idle))
     {
@@ -268,13 +271,13 @@
   connection = gp_connection_new (pool->loop, &entry->address, &callbacks);
   connection->owner = entry;
   connection->data = query;
-  query->connect_by = gp_time_now () + CONNECT_TIMEOUT;
+  query->connect_deadline = gp_time_now () + CONNECT_TIMEOUT;
   pool->connections++;
   gp_list_push_back (&pool->busy, &connection->link);
 }
 
-/* The request of CONNECTION is given up, or goes to another entry when it
-   is not even connected.  */
+/* End the query of CONNECTION because of its time limit, or send it to another
+   entry if the connection is not yet established.  */
 static void
 give_up (gp_connection_t *connection)
 {
@@ -282,14 +285,14 @@
   gp_query_t *query = connection->data;
   bool connecting = connection->state == GP_CONNECTION_CONNECTING;
 
-  connection_gone (connection);
+  remove_connection (connection);
   gp_connection_abort (connection);
   if (connecting)
     {
       connect_failed (pool, query);
       return;
     }
-  g_strlcpy (query->reason, "no answer in time", GP_QUERY_WORD_SIZE);
+  g_strlcpy (query->reason, "no answer in time", GP_QUERY_HEADER_SIZE);
   pool->on_end (query,
                 query->status != 0 ? GP_OUTCOME_BROKEN : GP_OUTCOME_UNKNOWN);
 }
@@ -300,11 +303,12 @@
   const gp_query_t *query = connection->data;
 
   if (connection->state == GP_CONNECTION_CONNECTING)
-    return now >= query->connect_by;
-  return now >= query->give_up_at;
+    return now >= query->connect_deadline;
+  return now >= query->deadline;
 }
 
-/* The first connection whose request is late, or NULL.  */
+/* Return the first connection whose query is over its time limit, or
+   NULL.  */
 static gp_connection_t *
 find_late (const gp_pool_t *pool, gp_time_t now)
 {
@@ -319,7 +323,8 @@
   return NULL;
 }
 
-/* Queries that found no connection in time were never sent.  */
+/* End the waiting queries that are over their time limit.  They were never
+   sent, so they count as refused.  */
 static void
 give_up_waiting (gp_pool_t *pool, gp_time_t now)
 {
@@ -327,7 +332,7 @@
   {
     gp_query_t *query = GP_CONTAINER_OF (link, gp_query_t, link);
 
-    if (now < query->give_up_at)
+    if (now < query->deadline)
       continue;
     gp_list_remove (link);
     pool->on_end (query, GP_OUTCOME_REFUSED);
--- a/tests/standins/logd.c
+++ b/tests/standins/logd.c
@@ -1,19 +1,20 @@
 /* logd: stand-in for the platform's log service.
 
-   Named streams of records with dense offsets, kept in memory.  An append
-   that is delayed takes effect even when its caller has gone, as with the
+   Named streams of records with consecutive offsets, kept in memory.  A
+   delayed append takes effect even if its caller has disconnected, as with the
    real service.  Fault switches (POST /faults):
 
-   down             answer 503 to everything
-   refuse_from      close connections from these IPs without an answer
-   refuse_on        the same for requests that come in on these ports
-   append_delay_ms  an append takes effect and is answered this late
-   append_rate      appends a second, 0 unlimited; those over it wait
-   late_ack_ms      an append takes effect at once, is answered this late
-   lost_ack         the next N appends take effect, unanswered
-   drop_append      the next N appends have no effect, unanswered
-   read_delay_ms    a read is evaluated and answered this late
-   retain_records, retain_bytes, retain_ms   bounds of each stream, 0: none  */
+   down             respond with 503 to every request
+   refuse_from      close connections from these IPs without a response
+   refuse_on        the same for requests received on these ports
+   append_delay_ms  delay before an append takes effect and is acknowledged
+   append_rate      appends per second, 0: unlimited; further ones wait
+   late_ack_ms      delay of the acknowledgement after an append took effect
+   lost_ack         the next N appends take effect without a response
+   drop_append      the next N appends have no effect and no response
+   read_delay_ms    delay before a read is evaluated and answered
+   retain_records, retain_bytes, retain_ms   retention of each stream, 0: no
+                    limit  */
 
 #include <stdlib.h>
 #include <string.h>
@@ -43,17 +44,17 @@
   uint64_t first_offset;
   uint64_t next_offset;
   int64_t bytes;
-  gp_list_t readers; /* that wait for an append */
+  gp_list_t readers; /* reads waiting for an append */
 } stream_t;
 
 /* An append or a read in progress.  */
 typedef struct
 {
   stream_t *stream;
-  gp_hold_t hold;
-  GBytes *data; /* appends */
+  gp_deferred_request_t request;
+  GBytes *data; /* of an append */
   uint64_t offset;
-  int64_t max_bytes; /* reads, as the two below */
+  int64_t max_bytes; /* this and the next fields: of a read */
   uint64_t wait_ms;
   gp_list_t link; /* in the stream's readers */
   uv_timer_t timer;
@@ -92,7 +93,7 @@
 
 static gp_standin_t standin;
 static GHashTable *streams;
-static gp_time_t next_append_at; /* pacing by append_rate */
+static gp_time_t next_append_at; /* earliest time allowed by append_rate */
 static int64_t appends, appended_bytes, reads, read_bytes;
 
 static stream_t *
@@ -156,7 +157,7 @@
   operation_t *operation = g_new0 (operation_t, 1);
 
   operation->stream = stream;
-  gp_hold_init (&operation->hold, req);
+  gp_deferred_request_init (&operation->request, req);
   gp_list_init (&operation->link);
   uv_timer_init (&standin.uv, &operation->timer);
   return operation;
@@ -166,7 +167,7 @@
 operation_free (operation_t *operation)
 {
   gp_list_remove (&operation->link);
-  gp_hold_release (&operation->hold);
+  gp_deferred_request_release (&operation->request);
   g_clear_pointer (&operation->data, g_bytes_unref);
   uv_close ((uv_handle_t *)&operation->timer, on_operation_closed);
 }
@@ -182,7 +183,8 @@
   g_free (bytes);
 }
 
-/* The records from OFFSET on: at least one, then up to MAX_BYTES.  */
+/* Return the records from OFFSET on: at least one, and further ones up to
+   MAX_BYTES in total.  */
 static GPtrArray *
 collect (const stream_t *stream, uint64_t offset, int64_t max_bytes)
 {
@@ -216,7 +218,7 @@
 read_finish (operation_t *operation)
 {
   stream_t *stream = operation->stream;
-  h2o_req_t *req = gp_hold_release (&operation->hold);
+  h2o_req_t *req = gp_deferred_request_release (&operation->request);
   Gp__Log__ReadReply reply = GP__LOG__READ_REPLY__INIT;
   g_autoptr (GPtrArray) found = NULL;
   int status = 200;
@@ -279,8 +281,8 @@
   operation->offset = (uint64_t)gp_request_number (req, "from", 0);
   operation->max_bytes = CLAMP (max_bytes, 0, READ_MAX_SIZE);
   operation->wait_ms = (uint64_t)gp_request_number (req, "wait_ms", 0);
-  gp_standin_after (&standin, (uint64_t)faults.read_delay_ms, read_start,
-                    operation);
+  gp_standin_call_later (&standin, (uint64_t)faults.read_delay_ms, read_start,
+                         operation);
 }
 
 /* Appends.  */
@@ -289,7 +291,7 @@
 append_acknowledge (void *data)
 {
   operation_t *operation = data;
-  h2o_req_t *req = gp_hold_release (&operation->hold);
+  h2o_req_t *req = gp_deferred_request_release (&operation->request);
   Gp__Log__AppendReply reply = GP__LOG__APPEND_REPLY__INIT;
 
   reply.offset = operation->offset;
@@ -299,12 +301,12 @@
 }
 
 static void
-append_cut (operation_t *operation)
+append_abort (operation_t *operation)
 {
-  h2o_req_t *req = gp_hold_release (&operation->hold);
+  h2o_req_t *req = gp_deferred_request_release (&operation->request);
 
   if (req != NULL)
-    gp_reply_cut (req);
+    gp_reply_abort (req);
   operation_free (operation);
 }
 
@@ -340,23 +342,24 @@
   if (faults.drop_append > 0)
     {
       faults.drop_append--;
-      append_cut (operation);
+      append_abort (operation);
       return;
     }
   append_take_effect (operation);
   if (faults.lost_ack > 0)
     {
       faults.lost_ack--;
-      append_cut (operation);
+      append_abort (operation);
       return;
     }
-  gp_standin_after (&standin, (uint64_t)faults.late_ack_ms, append_acknowledge,
-                    operation);
+  gp_standin_call_later (&standin, (uint64_t)faults.late_ack_ms,
+                         append_acknowledge, operation);
 }
 
-/* How long an append waits for its turn, in milliseconds.  */
+/* Return how long the next append must wait because of append_rate, in
+   milliseconds, and advance next_append_at.  */
 static uint64_t
-append_pace (void)
+append_rate_delay_ms (void)
 {
   gp_time_t now = gp_time_now ();
   gp_time_t turn = MAX (now, next_append_at);
@@ -379,9 +382,9 @@
     }
   operation = operation_new (stream, req);
   operation->data = g_bytes_new (req->entity.base, req->entity.len);
-  gp_standin_after (&standin,
-                    (uint64_t)faults.append_delay_ms + append_pace (),
-                    append_start, operation);
+  gp_standin_call_later (
+      &standin, (uint64_t)faults.append_delay_ms + append_rate_delay_ms (),
+      append_start, operation);
 }
 
 /* Requests.  */
@@ -406,7 +409,8 @@
   return false;
 }
 
-/* The stream that the path names, NULL for another path.  */
+/* Return the stream named in the path, or NULL if the path has another
+   form.  */
 static stream_t *
 request_stream (const h2o_req_t *req)
 {
@@ -427,7 +431,7 @@
   stream_t *stream = request_stream (req);
 
   if (refused (req))
-    gp_reply_cut (req);
+    gp_reply_abort (req);
   else if (faults.down)
     gp_reply_status (req, 503);
   else if (stream == NULL)
--- a/tools/checker.py
+++ b/tools/checker.py
@@ -1,8 +1,8 @@
-"""Judge what must always hold from the ledgers of a run.
+"""Check the invariants ("promises") of the system from the ledgers of a run.
 
-Each promise is judged from facts of the platform's side, the callers' side
-and the experiment tool alone; the system's own counters and views are never
-asked, but for the revision that each process says to have in force.
+The checks use only facts recorded by the stand-ins of the platform, by the
+callers and by the experiment tool.  The system's own counters and views are
+not used, except for the revision that each process reports as in force.
 """
 
 import collections
@@ -24,12 +24,12 @@
     "crash": "no process ends by itself, and each ends when told",
 }
 LIMITS = {"leave_s": 3.0, "configuration_s": 5.0, "cancel_s": 5.0}
-ANSWER_GRACE = SECOND // 10  # from an upstream's end to the caller
+RESPONSE_GRACE = SECOND // 10  # from the end at the upstream to the caller
 QUANTILES = {"p50_ms": 0.5, "p99_ms": 0.99, "p99_9_ms": 0.999}
 
 
 def quantiles(values):
-    """Nearest ranks of VALUES, in milliseconds."""
+    """Return the nearest-rank quantiles of values, in milliseconds."""
     ordered = sorted(values)
     if not ordered:
         return {name: None for name in QUANTILES}
@@ -38,11 +38,15 @@
 
 
 class Checker:
-    """Breaches by promise, and figures by kind, of one folder of ledgers."""
+    """Checks one folder of ledgers.
+
+    breaches holds the violations by promise; requests(), jobs() and watchers()
+    return figures by kind.
+    """
 
     def __init__(self, folder):
         self.ledgers = Ledgers(folder)
-        self.lives = self.ledgers.lives
+        self.history = self.ledgers.history
         self.limits = {name: seconds * SECOND for name, seconds in
                        {**LIMITS, **self.ledgers.site.get("limits", {})}
                        .items()}
@@ -58,22 +62,22 @@
         for run in sorted(self.ledgers.runs, key=lambda r: r.start):
             self.by_task[run.task].append(run)
         self.cancelled = {f["id"]: f["time_us"]
-                          for f in self.ledgers.of("cancel")
+                          for f in self.ledgers.facts_of("cancel")
                           if f["status"] == 200}
-        self.accepted = {task: f for f in self.ledgers.of("submit")
+        self.accepted = {task: f for f in self.ledgers.facts_of("submit")
                          for task in f["ids"]}
-        self._judge()
+        self._check()
 
-    def _judge(self):
-        for fact in self.ledgers.of("crash"):
+    def _check(self):
+        for fact in self.ledgers.facts_of("crash"):
             self._breach("crash", f"{fact['process']}: {fact['status']}")
-        self._judge_capacity()
-        self._judge_requests()
-        self._judge_executions()
-        self._judge_tasks()
-        self._judge_leavers()
-        self._judge_configuration()
-        self._judge_work()
+        self._check_capacity()
+        self._check_requests()
+        self._check_executions()
+        self._check_tasks()
+        self._check_leavers()
+        self._check_configuration()
+        self._check_work()
 
     def _breach(self, promise, text):
         if text not in self.breaches[promise]:
@@ -85,16 +89,17 @@
 
     # Capacity.
 
-    def _judge_capacity(self):
-        for fact in self.ledgers.of("breach"):
-            if fact["limit"] != "real_memory_mib":  # not known beforehand
+    def _check_capacity(self):
+        for fact in self.ledgers.facts_of("breach"):
+            # The actual use of memory is not known when a task is placed.
+            if fact["limit"] != "real_memory_mib":
                 self._breach("capacity", f"{fact['node']}: {fact['limit']} "
                              f"{fact['seen']} of {fact['allowed']}")
 
     # Requests.
 
-    def _judge_requests(self):
-        for fact in self.ledgers.of("request"):
+    def _check_requests(self):
+        for fact in self.ledgers.facts_of("request"):
             runs = self.by_request.get(fact["request"], [])
             outcome = fact["outcome"]
             if outcome in ("not_run", "refused"):
@@ -106,44 +111,49 @@
                     self._breach("whole-answer", f"{fact['request']}: "
                                  "answered, but no upstream ran it")
             else:
-                self._judge_failure(fact, runs)
+                self._check_failure(fact, runs)
 
-    def _judge_failure(self, fact, runs):
-        """A request that ended as unknown or with a broken answer."""
+    def _check_failure(self, fact, runs):
+        """Check a request with an unknown outcome or a broken response."""
         name = fact["request"]
         start, end = fact["arrived_us"], fact["time_us"]
         entry = self.ledgers.site["entries"].get(fact["entry"], fact["entry"])
         nodes = [p for r in runs for p in (r.node, f"{r.node}.upstream")]
         if fact.get("wrong"):
             self._breach("whole-answer", f"{name}: not its own answer")
-        elif self.lives.disturbed([entry], start, end):
+        elif self.history.disturbed([entry], start, end):
             return
         elif fact["outcome"] == "unknown" and not fact["verdict"]:
-            self._break_off([entry], fact, "no answer and no verdict")
-        elif self.lives.disturbed(nodes, start, end) or self._spoilt(runs):
+            self._report_interruption([entry], fact,
+                                      "no answer and no verdict")
+        elif self.history.disturbed(nodes, start, end) \
+                or self._abort_requested(runs):
             return
         elif fact["outcome"] == "broken":
-            self._break_off([entry] + nodes, fact, "answer cut short")
-        elif any(r.end + ANSWER_GRACE < end for r in runs):
-            self._break_off([entry] + nodes, fact, "its answer went missing")
+            self._report_interruption([entry] + nodes, fact,
+                                      "answer cut short")
+        elif any(r.end + RESPONSE_GRACE < end for r in runs):
+            self._report_interruption([entry] + nodes, fact,
+                                      "its answer went missing")
         elif fact["reason"] != "deadline" \
-                and self.lives.drained(nodes, start, end):
-            self._break_off(nodes, fact, "verdict unknown")
+                and self.history.drained(nodes, start, end):
+            self._report_interruption(nodes, fact, "verdict unknown")
 
     @staticmethod
-    def _spoilt(runs):
-        """Whether an upstream was asked to break its answer off."""
+    def _abort_requested(runs):
+        """Return whether a request told its upstream to abort the response."""
         return any("truncate=1" in r.path or "close=1" in r.path
                    for r in runs)
 
-    def _break_off(self, names, fact, text):
-        stopped = self.lives.drained(names, fact["arrived_us"],
+    def _report_interruption(self, names, fact, text):
+        stopped = self.history.drained(names, fact["arrived_us"],
                                      fact["time_us"])
         self._breach("planned-stop" if stopped else "whole-answer",
                      f"{fact['request']}: {text} ({', '.join(names)})")
 
-    def _judge_executions(self):
-        kinds = {f["request"]: f["kind"] for f in self.ledgers.of("request")}
+    def _check_executions(self):
+        kinds = {f["request"]: f["kind"]
+                 for f in self.ledgers.facts_of("request")}
         may_repeat = set(self.ledgers.site.get("idempotent", ()))
         for key, runs in self.by_key.items():
             if len(runs) > 1:
@@ -158,15 +168,15 @@
 
     # Tasks.
 
-    def _judge_tasks(self):
+    def _check_tasks(self):
         for task, runs in self.by_task.items():
             for before, after in zip(runs, runs[1:]):
-                self._judge_succession(task, before, after)
-            self._judge_progress(task, runs)
+                self._check_succession(task, before, after)
+            self._check_progress(task, runs)
         for run in self.ledgers.runs:
-            self._judge_end(run)
+            self._check_end(run)
 
-    def _judge_succession(self, task, before, after):
+    def _check_succession(self, task, before, after):
         if before.end > after.start:
             self._breach("two-places", f"{task}: on {before.node} epoch "
                          f"{before.epoch} and {after.node} epoch "
@@ -179,11 +189,11 @@
             self._breach("lost", f"{task}: started again after it was done")
 
     def _disturbed(self, run, until):
-        """Whether what RUN reached may not have become known."""
-        return self.lives.disturbed([run.node, f"{run.node}.worker"],
+        """Return whether the result or progress of run may have been lost."""
+        return self.history.disturbed([run.node, f"{run.node}.worker"],
                                     run.start, until)
 
-    def _judge_progress(self, task, runs):
+    def _check_progress(self, task, runs):
         known = {0}
         last = None
         for run in runs:
@@ -191,34 +201,34 @@
                 self._breach("resumed-once", f"{task}: epoch {run.epoch} "
                              f"resumed at {run.progress}, never reached")
             elif last is not None and last.state == "stopped" \
-                    and run.progress != last.left_at \
+                    and run.progress != last.final_progress \
                     and not self._disturbed(last, run.start):
                 self._breach("resumed-once", f"{task}: epoch {run.epoch} "
                              f"resumed at {run.progress}, was stopped at "
-                             f"{last.left_at}")
+                             f"{last.final_progress}")
             known.update(run.checkpoints)
             if run.state == "stopped":
-                known.add(run.left_at)
+                known.add(run.final_progress)
             last = run
 
-    def _judge_end(self, run):
-        """A planned stop lets a task checkpoint first."""
+    def _check_end(self, run):
+        """Check that a planned stop let the task write a checkpoint first."""
         names = [run.node, f"{run.node}.worker"]
         cut = run.state == "lost" or run.state == "running"
-        if cut and self.lives.drained(names, run.start, run.end) \
-                and not self.lives.disturbed(names, run.start, run.end):
+        if cut and self.history.drained(names, run.start, run.end) \
+                and not self.history.disturbed(names, run.start, run.end):
             self._breach("planned-stop", f"task {run.task}: cut off on "
                          f"{run.node}, {run.state}")
 
     # Leavers.
 
-    def _judge_leavers(self):
+    def _check_leavers(self):
         work = [(r.node, r.start, f"task {r.task}")
                 for r in self.ledgers.runs]
         work += [(e.node, e.start, f"request {e.request}")
                  for e in self.ledgers.executions]
         for node, start, what in work:
-            for since, until in self.lives.leaving(node):
+            for since, until in self.history.leaving(node):
                 if since + self.limits["leave_s"] < start < until:
                     late = (start - since) / SECOND
                     self._breach("leaver", f"{node}: {what} {late:.1f} s "
@@ -226,8 +236,8 @@
 
     # Configuration.
 
-    def _judge_configuration(self):
-        published = [f for f in self.ledgers.of("publish")
+    def _check_configuration(self):
+        published = [f for f in self.ledgers.facts_of("publish")
                      if f["status"] == 201]
         digests = {f["revision"]: f["digest"] for f in published}
         bases = collections.Counter(f["base"] for f in published)
@@ -236,11 +246,11 @@
                 self._breach("configuration", f"{count} successors of "
                              f"revision {base} were accepted")
         seen = {}
-        for poll in self.ledgers.of("poll"):
-            self._judge_poll(poll, published, digests)
-            self._judge_reverted(poll, seen)
+        for poll in self.ledgers.facts_of("poll"):
+            self._check_poll(poll, published, digests)
+            self._check_revision_decrease(poll, seen)
 
-    def _judge_poll(self, poll, published, digests):
+    def _check_poll(self, poll, published, digests):
         digest = digests.get(poll["revision"])
         if poll.get("digest") and digest and poll["digest"] != digest:
             self._breach("configuration", f"{poll['process']}: revision "
@@ -256,14 +266,17 @@
         grace = self.limits["configuration_s"]
         names = (poll["process"], poll["via"])
         return poll["time_us"] > accepted + grace \
-            and all(self.lives.settled(n, poll["time_us"], grace)
+            and all(self.history.settled(n, poll["time_us"], grace)
                     for n in names) \
             and not self._unreachable(poll["process"], poll["time_us"], grace)
 
     def _unreachable(self, name, time, grace):
-        """Whether NAME was started in an outage of the log that lasted until
-        less than GRACE before TIME: nobody may know the revision."""
-        started = [i[1] for i in self.lives.away.get(name, ())
+        """Return whether name may not have learned the revision yet.
+
+        This is so if it was started during an outage of the log that ended
+        less than grace before time.
+        """
+        started = [i[1] for i in self.history.unavailable.get(name, ())
                    if i[1] <= time]
         return any(since <= max(started, default=0) <= until
                    and until + grace > time
@@ -271,7 +284,7 @@
 
     def _outages(self):
         outages = []
-        for fact in self.ledgers.of("switch"):
+        for fact in self.ledgers.facts_of("switch"):
             down = fact["faults"].get("down")
             if fact["process"] != "log" or down is None:
                 continue
@@ -281,12 +294,15 @@
                 outages[-1][1] = min(outages[-1][1], fact["time_us"])
         return outages
 
-    def _judge_reverted(self, poll, seen):
-        """Within one life of a process its revision never falls."""
+    def _check_revision_decrease(self, poll, seen):
+        """Check that a process never reports a lower revision than before.
+
+        A poll that follows a restart or a pause is not compared.
+        """
         name = (poll["process"], poll["via"])
         last = seen.get(name)
         if last is not None and 0 < poll["revision"] < last["revision"] \
-                and all(self.lives.settled(n, poll["time_us"],
+                and all(self.history.settled(n, poll["time_us"],
                                            poll["time_us"] - last["time_us"])
                         for n in name):
             self._breach("configuration", f"{poll['process']}: revision fell "
@@ -295,10 +311,10 @@
 
     # Jobs and watchers.
 
-    def _judge_work(self):
-        unsure = {f["kind"] for f in self.ledgers.of("submit")
+    def _check_work(self):
+        unsure = {f["kind"] for f in self.ledgers.facts_of("submit")
                   if f["status"] in (0, 504)}
-        submitted = {f["kind"] for f in self.ledgers.of("submit")}
+        submitted = {f["kind"] for f in self.ledgers.facts_of("submit")}
         for task, runs in self.by_task.items():
             if task not in self.accepted and runs[0].kind in submitted \
                     and runs[0].kind not in unsure:
@@ -311,7 +327,7 @@
         for task in self.accepted:
             if self._is_lost(task):
                 self._breach("lost", f"{task}: accepted, never done")
-        self._judge_watchers()
+        self._check_watchers()
 
     def _succeeded(self, task):
         return [r for r in self.by_task.get(task, ())
@@ -323,11 +339,11 @@
             and not self._succeeded(task)
 
     def _running(self, kind):
-        """Runs of KIND that were under way at the end."""
+        """Return the runs of kind that had not ended at the end."""
         return [r for r in self.ledgers.runs
                 if r.kind == kind and r.end == FOREVER]
 
-    def _judge_watchers(self):
+    def _check_watchers(self):
         for kind, count in self.ledgers.site.get("watchers", {}).items():
             running = len({r.task for r in self._running(kind)})
             if running != count:
@@ -337,9 +353,9 @@
     # Figures.
 
     def requests(self):
-        """A row for each kind of request, by name."""
+        """Return a row of figures for each kind of request, by name."""
         kinds = collections.defaultdict(list)
-        for fact in self.ledgers.of("request"):
+        for fact in self.ledgers.facts_of("request"):
             kinds[fact["kind"]].append(fact)
         return {kind: self._request_row(facts)
                 for kind, facts in sorted(kinds.items())}
@@ -360,15 +376,15 @@
                         if f["outcome"] == "ran")}
 
     def jobs(self):
-        """A row for each kind of job that was submitted."""
-        kinds = {f["kind"]: [] for f in self.ledgers.of("submit")}
+        """Return a row of figures for each kind of job submitted."""
+        kinds = {f["kind"]: [] for f in self.ledgers.facts_of("submit")}
         for task, fact in self.accepted.items():
             kinds[fact["kind"]].append(task)
         return {kind: self._job_row(kind, tasks)
                 for kind, tasks in sorted(kinds.items())}
 
     def _job_row(self, kind, tasks):
-        refused = [f for f in self.ledgers.of("submit")
+        refused = [f for f in self.ledgers.facts_of("submit")
                    if f["kind"] == kind and not f["ids"]]
         done = {t: self._succeeded(t) for t in tasks}
         deadline = self.ledgers.site.get("deadlines", {}).get(kind)
@@ -394,7 +410,7 @@
                    for t in tasks for r in self.by_task.get(t, ()))
 
     def watchers(self):
-        """A row for each kind of watcher of the document."""
+        """Return a row of figures for each kind of watcher in the document."""
         rows = {}
         for kind, count in self.ledgers.site.get("watchers", {}).items():
             tasks = {r.task for r in self.ledgers.runs if r.kind == kind}
@@ -406,7 +422,7 @@
         return rows
 
     def report(self):
-        """All of it as one object for JSON."""
+        """Return the verdict, all violations and all figures as JSON data."""
         return {"kept": self.kept, "breaches": self.breaches,
                 "requests": self.requests(), "jobs": self.jobs(),
                 "watchers": self.watchers()}
--- a/tools/experiment_run.py
+++ b/tools/experiment_run.py
@@ -1,9 +1,8 @@
 """Run a scenario on a site of real processes and record what was done.
 
-The facts go to the ledger of the tool, beside those of the stand-ins; the
-checker judges all of them together.  Each step of the time line runs in a
-thread of its own at its time.  Whatever happens, every process is ended by
-its id.
+The facts are written to the tool's own ledger, next to those of the stand-ins;
+the checker reads all of them.  Each step of the timeline runs at its time in a
+thread of its own.  Every process is ended by its id, also after an error.
 """
 
 import datetime
@@ -31,19 +30,19 @@
 LEASES_S = 5.0
 EXIT_S = 30.0
 SUBMIT_S = 30.0
-SUBMIT_AGAIN_S = 0.5
+SUBMIT_RETRY_S = 0.5
 CALLER_GRACE_S = 30.0
 WATCHERS_AT_START_S = 10.0
 CONNECTIONS = 64
-ANSWER_SIZE = 128
-TOOL_KINDS = ("idempotent",)  # of a kind of load, not for the caller
+RESPONSE_SIZE = 128
+TOOL_KINDS = ("idempotent",)  # keys of a kind that the caller does not know
 PAYLOAD = ("run_ms", "fail", "checkpoint_every_ms", "real_millicores",
            "real_memory_mib")
-PENDING_JOBS = 100000  # changed with each revision
+PENDING_JOBS = 100000  # base value; differs in each published document
 
 
 class ToolLedger:
-    """Facts of the tool, a line each, flushed at once."""
+    """The ledger of the tool: one line per fact, flushed immediately."""
 
     def __init__(self, path):
         self.file = open(path, "a", encoding="utf-8")
@@ -61,7 +60,7 @@
 
 
 class Experiment:
-    """One run of SCENARIO with the programs in BUILD."""
+    """One run of a scenario with the programs in the folder build."""
 
     def __init__(self, build, scenario, out=sys.stderr):
         self.scenario = scenario
@@ -73,7 +72,7 @@
         self.callers = {}
         self.ended = set()  # processes that the tool has ended
         self.errors = []
-        self.over = threading.Event()
+        self.finished = threading.Event()
         self.started = time.monotonic()
         self.folder = tempfile.mkdtemp(prefix="galenapier-")
         self.site = self._make_site(build)
@@ -112,11 +111,11 @@
         return ["--interference", path]
 
     def close(self):
-        self.over.set()
+        self.finished.set()
         self.site.close()
         self.ledger.close()
 
-    def say(self, text):
+    def print_progress(self, text):
         at = time.monotonic() - self.started
         print(f"{at:6.1f} s  {text}", file=self.out, flush=True)
 
@@ -125,8 +124,8 @@
     def _process_fact(self, name, action):
         self.ledger.write("process", process=name, action=action)
 
-    def _parts(self, step):
-        """The processes of STEP; `vm' means all on the VM of a guard."""
+    def _processes_of(self, step):
+        """Return the processes of step; with "vm", all on each guard's VM."""
         names = step["process"]
         names = [names] if isinstance(names, str) else names
         if not step.get("vm"):
@@ -173,60 +172,60 @@
 
     def _await(self, name):
         process = self.site.processes[name]
-        word = {"entry": "entry.started", "guard": "session.open"}.get(
+        ready_text = {"entry": "entry.started", "guard": "session.open"}.get(
             name.split("-")[0] if "." not in name else "", "ready ")
-        until(lambda: word in process.log_of_life()
-              or process.popen.poll() is not None or self.over.is_set(),
+        until(lambda: ready_text in process.log_since_start()
+              or process.popen.poll() is not None or self.finished.is_set(),
               what=f"{name} ready")
 
-    # Steps of the time line.
+    # Steps of the timeline.
 
-    def _later(self, step, action, names):
-        """Do ACTION to NAMES once the time of STEP is over."""
-        if "for_s" in step and not self.over.wait(step["for_s"]):
+    def _apply_after(self, step, action, names):
+        """Apply action to names when the duration for_s of step is over."""
+        if "for_s" in step and not self.finished.wait(step["for_s"]):
             for name in names:
-                self.say(f"{action.__name__.strip('_')} {name}")
+                self.print_progress(f"{action.__name__.strip('_')} {name}")
                 action(name)
 
     def do_kill(self, step):
-        names = self._parts(step)
+        names = self._processes_of(step)
         for name in names:
             self._kill(name)
-        self._later(step, self._start, names[::-1])
+        self._apply_after(step, self._start, names[::-1])
 
     def do_stop(self, step):
-        for name in self._parts(step):
+        for name in self._processes_of(step):
             self._process_fact(name, "stop")
             self.site.processes[name].signal(signal.SIGSTOP)
-        self._later(step, self._continue, self._parts(step))
+        self._apply_after(step, self._continue, self._processes_of(step))
 
     def _continue(self, name):
         self.site.processes[name].signal(signal.SIGCONT)
         self._process_fact(name, "continue")
 
     def do_continue(self, step):
-        for name in self._parts(step):
+        for name in self._processes_of(step):
             self._continue(name)
 
     def do_drain(self, step):
-        names = self._parts(step)
-        for name in names:  # the guard first, then what it guards
+        names = self._processes_of(step)
+        for name in names:  # the guard first, then its upstream and worker
             self._terminate(name)
-        self._later(step, self._start, names[::-1])
+        self._apply_after(step, self._start, names[::-1])
 
     def do_start(self, step):
-        for name in reversed(self._parts(step)):
+        for name in reversed(self._processes_of(step)):
             self._start(name)
 
     def do_switch(self, step):
         before = {}
-        for name in self._parts(step):
+        for name in self._processes_of(step):
             known = self._control(name, "GET")
             before[name] = {k: known.get(k) for k in step["set"]}
             self._switch(name, step["set"])
-        if "for_s" in step and not self.over.wait(step["for_s"]):
+        if "for_s" in step and not self.finished.wait(step["for_s"]):
             for name, faults in before.items():
-                self.say(f"switch {name} back")
+                self.print_progress(f"switch {name} back")
                 self._switch(name, faults)
 
     def _control(self, name, method, faults=None):
@@ -256,10 +255,14 @@
                           may_remain=step.get("may_remain", False)
                           or step.get("fail", False))
         self.jobs += [(step["kind"], i) for i in ids]
-        self.say(f"submit {step['kind']}: {status}, {len(ids)} jobs")
+        self.print_progress(
+            f"submit {step['kind']}: {status}, {len(ids)} jobs")
 
     def _submit(self, body):
-        """As an operator would: again with the same key until it is sure."""
+        """Submit as an operator does: retry with the same key.
+
+        Retries until the outcome is known or SUBMIT_S have passed.
+        """
         headers = {"Idempotency-Key": f"{self.random.getrandbits(64):016x}"}
         deadline = time.monotonic() + SUBMIT_S
         while True:
@@ -267,11 +270,14 @@
                                            headers=headers)
             if status not in (0, 503, 504) or time.monotonic() > deadline:
                 return status, answer
-            if self.over.wait(SUBMIT_AGAIN_S):
+            if self.finished.wait(SUBMIT_RETRY_S):
                 return status, answer
 
     def _operate(self, method, path, body=None, entry=None, headers=None):
-        """Ask ENTRY, or the first that answers; status and JSON object."""
+        """Call entry, or the first entry that responds.
+
+        Returns the status and the JSON object of the response.
+        """
         status, answer = 0, b""
         for name in [entry] if entry else self.site.entry_names:
             status, _, answer = self.site.operate(
@@ -292,7 +298,7 @@
         for job in chosen:
             status, _ = self._operate("DELETE", f"/v1/jobs/{job}")
             self.ledger.write("cancel", id=job, status=status)
-        self.say(f"cancelled {len(chosen)} jobs")
+        self.print_progress(f"cancelled {len(chosen)} jobs")
 
     def do_publish(self, step):
         accepted = 0
@@ -303,13 +309,15 @@
                 statuses = list(pool.map(
                     lambda i, b=base: self._publish(i, b), racers))
             accepted += 201 in statuses
-            self.over.wait(step.get("every_s", 0))
+            self.finished.wait(step.get("every_s", 0))
         if accepted == 0 and not step.get("may_refuse"):
             self.errors.append("publish: none accepted")
 
     def _publish(self, number, base):
-        """Publish a document that differs in one number, which tells it from
-        all others; each racer asks another entry."""
+        """Publish a document with a unique number as its pending_jobs limit.
+
+        The number identifies the document.  Each racer calls another entry.
+        """
         mark = PENDING_JOBS + 100 * base + number
         document = json.loads(json.dumps(self.document))
         document.setdefault("limits", {})["pending_jobs"] = mark
@@ -321,7 +329,7 @@
             names[number % len(names)])
         self.ledger.write("publish", base=base, status=status, digest=mark,
                           revision=answer.get("revision", 0))
-        self.say(f"publish on {base}: {status}")
+        self.print_progress(f"publish on {base}: {status}")
         return status
 
     def _current(self):
@@ -334,31 +342,33 @@
             for one in entries + guards:
                 self.do_drain({**one, "for_s": step.get("pause_s", 0)})
             return
-        names = [p for one in guards + entries for p in self._parts(one)]
+        names = [p for one in guards + entries
+                 for p in self._processes_of(one)]
         for name in names:
             self._kill(name)
-        self.over.wait(step.get("pause_s", 0))
+        self.finished.wait(step.get("pause_s", 0))
         for name in reversed(names):  # the entries first
             self._start(name)
 
     def _step(self, step):
-        if self.over.wait(max(self.started + step["at_s"] - time.monotonic(),
-                              0)):
+        if self.finished.wait(
+                max(self.started + step["at_s"] - time.monotonic(), 0)):
             return
         shown = {k: v for k, v in step.items() if k not in ("at_s", "do")}
-        self.say(f"{step['do']} {json.dumps(shown) if shown else ''}")
+        self.print_progress(
+            f"{step['do']} {json.dumps(shown) if shown else ''}")
         try:
             getattr(self, "do_" + step["do"].replace("-", "_"))(step)
         except Exception as error:  # pylint: disable=broad-except
-            if not self.over.is_set():
+            if not self.finished.is_set():
                 self.errors.append(f"{step['do']}: {error!r}")
-                self.say(f"{step['do']} failed: {error!r}")
+                self.print_progress(f"{step['do']} failed: {error!r}")
 
     # Load.
 
     def _kinds(self, load):
         size = self.scenario["site"].get("upstream", {}).get("size",
-                                                             ANSWER_SIZE)
+                                                             RESPONSE_SIZE)
         kinds = []
         for kind in load["kinds"]:
             kind = {k: v for k, v in kind.items() if k not in TOOL_KINDS}
@@ -378,11 +388,11 @@
             "--connections", str(step.get("connections", CONNECTIONS)),
             "--seed", str(self.scenario.get("seed", 1)))
 
-    # Polls of the revision in force.
+    # Polling the revision in force.
 
     def _poll(self):
         count = 0
-        while not self.over.wait(POLL_S):
+        while not self.finished.wait(POLL_S):
             for entry in self.site.entry_names:
                 self._poll_entry(entry, count % DOCUMENT_POLLS == 0)
             count += 1
@@ -408,7 +418,7 @@
                           revision=answer["revision"],
                           digest=document["limits"]["pending_jobs"])
 
-    # The whole.
+    # The run.
 
     def _site_fact(self, published):
         site = self.site
@@ -444,7 +454,10 @@
             self._await_watchers()
 
     def _await_leases(self):
-        """Workers that are known at the start get their share of it."""
+        """Wait until all workers have their leases.
+
+        Only workers that are known at the start get a share of the first work.
+        """
         processes = [self.site.processes[g] for g in self.site.guard_names]
         try:
             until(lambda: all("lease.held" in p.log() for p in processes),
@@ -453,10 +466,14 @@
             self.errors.append(str(error))
 
     def _try_publish(self):
-        """The first configuration; an entry may still be reading the log."""
+        """Publish the first configuration.
+
+        Returns None to try again, as an entry may still be reading the log.
+        """
         status = self._publish(0, 0)
         if status == 404:
-            self.say("no configuration taken here: going on without")
+            self.print_progress(
+                "no configuration taken here: going on without")
         return {201: "yes", 404: "no"}.get(status)
 
     def _await_watchers(self):
@@ -468,7 +485,7 @@
         return Checker(self.site.folder).breaches["lost"]
 
     def _settle(self):
-        """Wait for all accepted work to be done."""
+        """Wait until all accepted work is done, for settle_s at most."""
         deadline = time.monotonic() + self.limits.get("settle_s", SETTLE_S)
         while self._open_work() and time.monotonic() < deadline:
             time.sleep(SETTLE_POLL_S)
@@ -480,16 +497,16 @@
             status = process.popen.poll()
             if status is not None:
                 self.ledger.write("crash", process=name, status=str(status))
-                self.say(f"{name} ended by itself: {status}\n"
+                self.print_progress(f"{name} ended by itself: {status}\n"
                          + process.log()[-2000:])
 
     def keep(self, folder):
-        """Copy ledgers, settings and logs to FOLDER."""
+        """Copy the ledgers, settings and logs to folder."""
         shutil.copytree(self.folder, folder, dirs_exist_ok=True)
 
     def run(self):
-        """Run all of it; the report."""
-        self.say(f"{self.scenario['name']}: bringing the site up")
+        """Run the scenario and return the checker's report."""
+        self.print_progress(f"{self.scenario['name']}: bringing the site up")
         self._bring_up()
         self.started = time.monotonic()
         steps = [{**load, "at_s": load.get("at_s", 0), "do": "load",
@@ -507,9 +524,9 @@
         for caller in self.callers.values():
             caller.wait(CALLER_GRACE_S + max(s["duration_s"] for s in steps
                                              if s["do"] == "load"))
-        self.say("load is over, waiting for accepted work")
+        self.print_progress("load is over, waiting for accepted work")
         self._settle()
-        self.over.set()
+        self.finished.set()
         threads[-1].join()
         self._find_crashes()
         self.ledger.write("end")
@@ -521,7 +538,10 @@
 
 
 def deadline_s(job, document):
-    """Seconds from now to the deadline of JOB; DOCUMENT has its zone."""
+    """Return the seconds from now to the deadline of job.
+
+    A time of day is in the time zone of the document.
+    """
     if "deadline_s" in job:
         return job["deadline_s"]
     zone = zoneinfo.ZoneInfo(document.get("time_zone", "UTC"))
--- a/tools/ledgers.py
+++ b/tools/ledgers.py
@@ -1,7 +1,7 @@
-"""Facts of a run, as the stand-ins and the experiment tool wrote them.
+"""Read the ledgers of a run, written by the stand-ins and the experiment tool.
 
-docs/internals/ledger.md describes each line.  Nothing here was written by
-the system's own processes.
+docs/internals/ledger.md describes each line.  The system's own processes write
+no ledger.
 """
 
 import dataclasses
@@ -10,12 +10,12 @@
 import os
 
 FOREVER = float("inf")
-SECOND = 1_000_000  # ledgers are in microseconds
+SECOND = 1_000_000  # times in ledgers are in microseconds
 
 
 @dataclasses.dataclass
 class Execution:
-    """A request that an upstream ran."""
+    """One execution of a request by an upstream."""
     node: str
     request: str
     key: str
@@ -27,27 +27,29 @@
 
 @dataclasses.dataclass
 class Run:
-    """A task on a worker under one epoch."""
+    """One run of a task on a worker, with one epoch."""
     node: str
     boot: str
     task: str
     epoch: int
     kind: str
     start: float
-    progress: int  # where it went on from
+    progress: int  # progress at its start
     end: float = FOREVER
-    state: str = ""  # of its end; empty: no end was written
-    left_at: int = 0  # progress at its end
+    state: str = ""  # final state; empty if no end was written
+    final_progress: int = 0  # progress at its end
     checkpoints: list = dataclasses.field(default_factory=list)
 
 
-class Lives:
-    """When each process was disturbed, by the tool's own facts."""
+class ProcessHistory:
+    """When each process was killed, paused or drained by the tool."""
 
     def __init__(self, facts):
-        self.hard = {}  # killed until ready, stopped until continued
-        self.drains = {}  # told to end until it had
-        self.away = {}  # any of these, until ready again
+        # Intervals by process.
+        self.disruptions = {}  # from a kill until ready, or paused
+        self.drains = {}  # from SIGTERM until the exit
+        self.unavailable = {}  # any of these, until ready again
+        # Times by process.
         self.kills = {}
         self.starts = {}
         for fact in facts:
@@ -55,30 +57,30 @@
                 self._add(fact["process"], fact["action"], fact["time_us"])
 
     def _add(self, name, action, time):
-        hard = self.hard.setdefault(name, [])
+        disruptions = self.disruptions.setdefault(name, [])
         drains = self.drains.setdefault(name, [])
-        away = self.away.setdefault(name, [])
+        unavailable = self.unavailable.setdefault(name, [])
         if action == "kill":
             self._kill(name, time)
         elif action == "stop":
-            hard.append([time, FOREVER])
-            away.append([time, FOREVER])
+            disruptions.append([time, FOREVER])
+            unavailable.append([time, FOREVER])
         elif action == "terminate":
             drains.append([time, FOREVER])
-            away.append([time, FOREVER])
+            unavailable.append([time, FOREVER])
         elif action == "exited":
             drains[-1][1] = time
         elif action == "start":
             self.starts.setdefault(name, []).append(time)
         elif action in ("continue", "ready"):
-            self._close(hard, time)
-            self._close(away, time)
+            self._close(disruptions, time)
+            self._close(unavailable, time)
 
     def _kill(self, name, time):
-        stopped = [i[0] for i in self.hard[name] if i[1] == FOREVER]
+        stopped = [i[0] for i in self.disruptions[name] if i[1] == FOREVER]
         self.kills.setdefault(name, []).append(min(stopped + [time]))
-        self.hard[name].append([time, FOREVER])
-        self.away[name].append([time, FOREVER])
+        self.disruptions[name].append([time, FOREVER])
+        self.unavailable[name].append([time, FOREVER])
 
     @staticmethod
     def _close(intervals, time):
@@ -90,8 +92,8 @@
         return any(i[0] <= end and i[1] >= start for i in intervals)
 
     def disturbed(self, names, start, end):
-        """Whether one of NAMES was killed or paused from START to END."""
-        return any(self._overlaps(self.hard.get(n, ()), start, end)
+        """Return whether any of names was killed or paused in the interval."""
+        return any(self._overlaps(self.disruptions.get(n, ()), start, end)
                    for n in names)
 
     def drained(self, names, start, end):
@@ -99,30 +101,31 @@
                    for n in names)
 
     def settled(self, name, time, grace):
-        """Whether NAME has run without a break for GRACE at TIME."""
-        return not self._overlaps(self.away.get(name, ()), time - grace, time)
+        """Return whether name has run undisturbed for grace before time."""
+        return not self._overlaps(self.unavailable.get(name, ()),
+                                  time - grace, time)
 
     def leaving(self, name):
-        """Intervals from when NAME was told to end to its next start."""
-        for told, _ in self.drains.get(name, ()):
-            later = [s for s in self.starts.get(name, ()) if s > told]
-            yield told, min(later, default=FOREVER)
+        """Yield the intervals from each SIGTERM to the next start of name."""
+        for since, _ in self.drains.get(name, ()):
+            later = [s for s in self.starts.get(name, ()) if s > since]
+            yield since, min(later, default=FOREVER)
 
     def killed_after(self, name, time):
-        """When NAME was last able to act after TIME."""
+        """Return when name was first killed at or after time."""
         kills = [k for k in self.kills.get(name, ()) if k >= time]
         return min(kills, default=FOREVER)
 
 
 class Ledgers:
-    """All facts of a folder, up to the end of the run."""
+    """All facts in the ledgers of a folder, up to the end of the run."""
 
     def __init__(self, folder):
         self.facts = {}  # by event
         self.executions = []
         self.runs = []
         self.site = {"entries": {}}
-        self.torn = 0
+        self.incomplete_lines = 0
         files = {}
         for path in sorted(glob.glob(os.path.join(folder, "*.ledger"))):
             files[path] = self._read(path)
@@ -130,11 +133,11 @@
                 if f["event"] == "end"]
         self.end = min(ends, default=FOREVER)
         for facts in files.values():
-            self._take([f for f in facts if f["time_us"] <= self.end])
-        self.lives = Lives(self.of("process"))
-        self._bound_runs()
+            self._add_facts([f for f in facts if f["time_us"] <= self.end])
+        self.history = ProcessHistory(self.facts_of("process"))
+        self._end_open_runs()
 
-    def of(self, event):
+    def facts_of(self, event):
         return self.facts.get(event, [])
 
     def _read(self, path):
@@ -144,10 +147,11 @@
                 try:
                     facts.append(json.loads(line))
                 except ValueError:
-                    self.torn += 1  # a process was killed as it wrote
+                    # The process was killed while writing.
+                    self.incomplete_lines += 1
         return facts
 
-    def _take(self, facts):
+    def _add_facts(self, facts):
         executing = {}
         running = {}
         for fact in facts:
@@ -170,7 +174,7 @@
                 run = running.pop((fact["boot"], fact["task"]))
                 run.end = fact["until_us"]
                 run.state = fact["state"]
-                run.left_at = fact["progress_ms"]
+                run.final_progress = fact["progress_ms"]
 
     def _execution(self, fact):
         execution = Execution(fact["node"], fact["request"], fact["key"],
@@ -184,13 +188,13 @@
         self.runs.append(run)
         return run
 
-    def _bound_runs(self):
-        """A run without an end lasted until its VM was killed."""
+    def _end_open_runs(self):
+        """Let runs and executions without an end last until a kill."""
         for run in self.runs:
             if not run.state:
-                run.end = self.lives.killed_after(f"{run.node}.worker",
+                run.end = self.history.killed_after(f"{run.node}.worker",
                                                   run.start)
         for execution in self.executions:
             if execution.end == FOREVER:
-                execution.end = self.lives.killed_after(
+                execution.end = self.history.killed_after(
                     f"{execution.node}.upstream", execution.start)
--- a/tools/report.py
+++ b/tools/report.py
@@ -1,11 +1,11 @@
-"""A run's figures and verdict as text."""
+"""Format the figures and the verdict of a run as text."""
 
 from checker import PROMISES
 
 BREACHES_SHOWN = 5
 
 
-def _cell(value):
+def _format_cell(value):
     if value is None:
         return "-"
     if isinstance(value, float):
@@ -14,13 +14,13 @@
 
 
 def table(title, rows):
-    """Lines of ROWS (dictionaries by name) in columns."""
+    """Return rows, a dictionary of dictionaries, as lines in columns."""
     if not rows:
         return []
     names = list(next(iter(rows.values())))
     lines = [[title, *(n.replace("_ms", " ms").replace("_", " ")
                        .replace("p99 9", "p99.9") for n in names)]]
-    lines += [[row, *(_cell(values[n]) for n in names)]
+    lines += [[row, *(_format_cell(values[n]) for n in names)]
               for row, values in rows.items()]
     widths = [max(len(line[i]) for line in lines)
               for i in range(len(lines[0]))]
@@ -30,7 +30,7 @@
 
 
 def text(report):
-    """The whole REPORT of a checker."""
+    """Return the complete report of a checker as text."""
     lines = table("requests", report["requests"])
     lines += table("jobs", report["jobs"])
     lines += table("watchers", report["watchers"])
@@ -40,7 +40,7 @@
 
 
 def verdict(report):
-    """One line a promise, and the first breaches of each."""
+    """Return one line per promise, followed by its first violations."""
     lines = []
     for name, meaning in PROMISES.items():
         breaches = report["breaches"][name]
--- a/tools/soak_callers.py
+++ b/tools/soak_callers.py
@@ -1,5 +1,7 @@
-"""Callers of the soak: they submit, cancel and ask on connections that they
-keep open and use until the process at the other end is gone."""
+"""Callers of the soak: they submit, cancel and query jobs.
+
+They use keep-alive connections until the process at the other end has ended.
+"""
 
 import json
 import random
@@ -10,33 +12,34 @@
 from platform_site import HOST
 
 TIMEOUT_S = 10.0
-KNOWN_S = 3.0  # from when on each entry has to know an accepted job
-LASTING_MAX = 8  # so that they leave room on the workers
+ACCEPTED_VISIBLE_S = 3.0  # after this, each entry must know an accepted job
+LONG_RUNNING_MAX = 8  # limits long-running jobs, to leave resources for others
 STEPS = [{"count": 3, "cpu": 1000, "memMb": 10, "estimateMs": 300},
          {"count": 2, "cpu": 1000, "memMb": 10, "after": [0]}]
-LASTING = [{"count": 2, "cpu": 1000, "memMb": 10, "longRunning": True}]
+LONG_RUNNING_STEPS = [{"count": 2, "cpu": 1000, "memMb": 10,
+                       "longRunning": True}]
 
 
-class Cut(Exception):
-    """A connection ended in the middle of an answer."""
+class TruncatedResponse(Exception):
+    """The connection was closed before the response was complete."""
 
 
 class Connection:
-    """An HTTP/1.1 connection to ADDRESS, made when it is needed."""
+    """An HTTP/1.1 keep-alive connection to address, opened on demand."""
 
     def __init__(self, address):
         host, port = address.rsplit(":", 1)
         self.address = (host, int(port))
         self.socket = None
-        self.unanswered = 0  # calls on an open connection that closed then
+        self.unanswered = 0  # calls during which an open connection closed
 
     def close(self):
         if self.socket is not None:
             self.socket.close()
         self.socket = None
 
-    def forget_closed(self):
-        """Close a connection that the other side has closed."""
+    def close_if_peer_closed(self):
+        """Close the connection if the peer has closed it."""
         if self.socket is None:
             return
         self.socket.setblocking(False)
@@ -49,29 +52,34 @@
             self.close()
 
     def call(self, method, path, body=b""):
-        """Status and body; status 0 when no answer comes.  Raises Cut."""
+        """Send a request; return the status and the body.
+
+        The status is 0 if there is no response.  Raises
+        TruncatedResponse if the connection
+        is closed within the response.
+        """
         head = [f"{method} {path} HTTP/1.1", f"Host: {HOST['Host']}",
                 f"Content-Length: {len(body)}", "", ""]
         data = b""
-        self.forget_closed()
+        self.close_if_peer_closed()
         was_open = self.socket is not None
         try:
             if self.socket is None:
                 self.socket = socket.create_connection(self.address,
                                                        TIMEOUT_S)
             self.socket.sendall("\r\n".join(head).encode() + body)
-            while not is_whole(data):
-                piece = self.socket.recv(65536)
-                if not piece:
+            while not is_complete_response(data):
+                chunk = self.socket.recv(65536)
+                if not chunk:
                     raise ConnectionError
-                data += piece
+                data += chunk
         except TimeoutError:
             self.close()
             return 0, b""
         except OSError as error:
             self.close()
             if data:
-                raise Cut(data) from error
+                raise TruncatedResponse(data) from error
             self.unanswered += was_open
             return 0, b""
         head, _, answer = data.partition(b"\r\n\r\n")
@@ -80,7 +88,7 @@
         return int(head.split(b" ", 2)[1]), answer
 
 
-def is_whole(data):
+def is_complete_response(data):
     head, end, body = data.partition(b"\r\n\r\n")
     if not end:
         return False
@@ -90,48 +98,54 @@
     raise ValueError(f"an answer without a length: {head}")
 
 
-class Book:
-    """What callers know of their jobs."""
+class CallerJobs:
+    """What the callers know about their jobs."""
 
     def __init__(self):
         self.lock = threading.Lock()
-        self.accepted = {}  # job: whether it lasts
+        self.accepted = {}  # job: whether it is long-running
         self.accepted_at = {}
         self.refused = set()
         self.unknown = set()
         self.cancelled = set()
         self.breaches = []
 
-    def take_answer(self, job, lasts, status):
+    def record_response(self, job, is_long_running, status):
         with self.lock:
             if status == 200:
-                self.accepted[job] = lasts
+                self.accepted[job] = is_long_running
                 self.accepted_at[job] = time.monotonic()
             elif status in (429, 503):
                 self.refused.add(job)
             else:
                 self.unknown.add(job)
 
-    def alive(self):
-        """Jobs that last and were not cancelled."""
+    def long_running(self):
+        """Return the long-running jobs that were not cancelled."""
         with self.lock:
-            return [job for job, lasts in self.accepted.items()
-                    if lasts and job not in self.cancelled]
+            return [job for job, is_long_running in self.accepted.items()
+                    if is_long_running and job not in self.cancelled]
 
-    def any_accepted(self, chance):
+    def random_accepted(self, chance):
         with self.lock:
             return chance.choice(list(self.accepted)) if self.accepted \
                 else None
 
     def cancel(self, job):
-        """Before it is asked for: from then on it may end."""
+        """Record a cancellation.
+
+        To be called before the request is sent, as the job may end from then
+        on.
+        """
         with self.lock:
             self.cancelled.add(job)
 
 
 class Caller:
-    """One caller with a connection to each entry; it pauses for PAUSE_S after
-    each job."""
+    """One caller with a connection to each entry.
+
+    It pauses for pause_s after each job.
+    """
 
     def __init__(self, site, faults, book, name, pause_s):
         self.site = site
@@ -151,48 +165,53 @@
         began = time.monotonic()
         try:
             return self.connections[entry].call(method, path, body)
-        except Cut as cut:
-            if self.faults.troubled.get(entry, 0.0) < began:
+        except TruncatedResponse as cut:
+            if self.faults.unplanned_ends.get(entry, 0.0) < began:
                 self.book.breaches.append(
                     f"{entry} cut an answer off after {cut.args[0]}")
             return 0, b""
 
     def submit(self):
         job = f"{self.random.getrandbits(64):016x}"
-        lasts = (len(self.book.alive()) < LASTING_MAX
-                 and self.random.random() < 0.15)
-        steps, spec = (LASTING, "lasts") if lasts else (STEPS, "work")
+        is_long_running = (
+            len(self.book.long_running()) < LONG_RUNNING_MAX
+            and self.random.random() < 0.15)
+        steps, spec = (LONG_RUNNING_STEPS, "lasts") if is_long_running \
+            else (STEPS, "work")
         body = json.dumps({"spec": spec, "steps": steps}).encode()
-        doubtful = False
+        outcome_unknown = False
         status = 0
         for _ in range(3):
             status, _ = self.call("POST", "/q/" + job, body)
             if status not in (0, 504):
                 break
-            doubtful = True
-        # A refusal is of this try; one before may have been carried out.
-        self.book.take_answer(job, lasts, 0 if doubtful and status != 200
-                              else status)
+            outcome_unknown = True
+        # A refusal only applies to the last attempt; an earlier one without a
+        # response may have been accepted.
+        self.book.record_response(
+            job, is_long_running,
+            0 if outcome_unknown and status != 200 else status)
 
     def cancel(self):
-        job = self.book.any_accepted(self.random)
+        job = self.book.random_accepted(self.random)
         if job is not None:
             self.book.cancel(job)
             self.call("DELETE", "/q/" + job)
 
-    def ask(self):
-        job = self.book.any_accepted(self.random)
+    def query(self):
+        job = self.book.random_accepted(self.random)
         if job is None:
             return
         asked_at = time.monotonic()
         status, _ = self.call("GET", "/q/" + job)
-        if status == 410 and asked_at - self.book.accepted_at[job] > KNOWN_S:
+        if status == 410 and asked_at - self.book.accepted_at[job] \
+                > ACCEPTED_VISIBLE_S:
             self.book.breaches.append(f"{job} was accepted and is unknown")
 
     def run(self, until):
         while time.monotonic() < until:
             self.submit()
-            self.ask()
+            self.query()
             if self.random.random() < 0.05:
                 self.cancel()
             time.sleep(self.pause_s)
