--- a/src/jobs/agent_measure.c
+++ b/src/jobs/agent_measure.c
@@ -26,7 +26,7 @@
 #define IDLE_SHARE (2.0 / 3.0)
 /* Below this mean pace (1.0 is full speed) the CPU in use is too little to
    show whether a run is busy.  */
-#define MIN_PACE 0.08
+#define MIN_CONCLUSIVE_PACE 0.08
 /* A run counts as busy from this share of the window on.  A busy phase lasts
    five to nine seconds, so such a run has just entered one.  */
 #define MIN_BUSY_SHARE 0.3
@@ -79,7 +79,7 @@
       = run->paced_at != 0 && now < run->paced_at + PACE_DELAY + WINDOW_TIME;
   double share;
 
-  if (run->measure == 0 || full == 0.0 || pace < MIN_PACE)
+  if (run->measure == 0 || full == 0.0 || pace < MIN_CONCLUSIVE_PACE)
     return;
   if (changes && !isnan (run->busy_share))
     return;
--- a/src/jobs/pacer.c
+++ b/src/jobs/pacer.c
@@ -8,7 +8,7 @@
 /* Headroom that the plan leaves each serving run: a little more than the
    target needs, as measurements are off by 8 % there and a pace takes 0.1 s to
    show.  */
-#define HEADROOM_GOAL 1.08
+#define PLAN_HEADROOM 1.08
 /* A serving run with less headroom than this without filling runs does not
    reach its target by slowing them down.  */
 #define MIN_REACHABLE_HEADROOM 0.8
@@ -129,7 +129,7 @@
       if (late > 0.0 || servings[i].headroom > MIN_REACHABLE_HEADROOM)
         reduce_work (pacer, servings[i].image,
                      servings[i].headroom - servings[i].headroom_deficit,
-                     HEADROOM_GOAL + OVER_SLOPE * late,
+                     PLAN_HEADROOM + OVER_SLOPE * late,
                      late > 0.0 ? ANY_WEIGHT : DEFAULT_MIN_WEIGHT, &plan);
     }
   for (unsigned int i = 0; i < GP_PRESSURE_IMAGES; i++)
--- a/tests/scripts/crashes.py
+++ b/tests/scripts/crashes.py
@@ -7,7 +7,7 @@
 Only ends reported by an executor counted as attempts, and an executor that
 crashes reports none.
 
-A task is now given up after at most five such starts; tasks that merely ran on
+A task is given up after at most five such starts; tasks that merely ran on
 the same executors are not.
 """
 
